--- /dev/null
+++ b/packages/adapter/tests/test_golden_adapter.py
@@ -0,0 +1,251 @@
+"""The adapter's wire: recorded batches give the recorded events, recorded actions the recorded bytes.
+
+Run as a program, with packages/policy/tests on PYTHONPATH, it writes the files anew: for a wire that is meant
+to change.
+"""
+
+from __future__ import annotations
+
+import io
+import json
+import struct
+import typing
+from pathlib import Path
+from typing import Any
+
+from golden_form import KINDS, to_neutral
+from golden_frames import (
+    Sender,
+    differences_received,
+    differences_sent,
+    read_rows,
+    received_row,
+    sent_row,
+    write_rows,
+)
+from walnutpost import interface as api
+from walnutpost.adapter import codec, host, settings
+
+GOLDEN = Path(__file__).parent / "golden"
+SENT, RECEIVED, SETTINGS_READ, HOST = (
+    GOLDEN / f"{name}.jsonl" for name in ("sent", "received", "settings", "host")
+)
+FACTS: dict[str, Any] = {
+    "Profiles": [
+        {
+            "Aim": 1000000,
+            "HardLimit": 2500000,
+            "Idempotency": "free",
+            "Importance": 1.0,
+            "LateWorth": 0.25,
+            "AimStretch": 1.5,
+            "Stream": True,
+        },
+        {
+            "Aim": 900000,
+            "HardLimit": 2000000,
+            "Idempotency": "guarded",
+            "Importance": 2.0,
+            "DedupScope": "zone",
+            "Window": 800000,
+        },
+        {
+            "Aim": 800000,
+            "HardLimit": 2000000,
+            "Idempotency": "guarded",
+            "Importance": 2.0,
+            "DedupScope": "all",
+        },
+        {"Aim": 430000, "HardLimit": 1060000, "Idempotency": "single_shot", "Importance": 3.0},
+    ],
+    "Realms": [{"Name": "a", "Share": 0.75, "QuotaPerS": 40.0}, {"Name": "b", "Share": 0.25}],
+    "PolicyLimits": {
+        "Cancel": True,
+        "MaxAttempts": 5,
+        "MaxRetryAfter": 600000,
+        "ParallelTries": True,
+        "Probes": False,
+        "RetryAfter": True,
+    },
+    "Extra": {
+        "MayLoad": True,
+        "WhenAbsent": "miss",
+        "KeepAlive": 8000000,
+        "OrderLimit": 4000000,
+        "FreeLoads": 6.0,
+        "LoadShare": 0.125,
+        "LoadWindow": 7000000,
+        "PriceOfIdle": 0.01,
+        "WarmNotes": True,
+        "NotesPeersInHand": True,
+        "MemoryMbByKind": [512, 2048],
+    },
+    "Guarantees": {
+        "AnswerSlack": 16000,
+        "DrainGrace": 2000000,
+        "Cold": 15000000,
+        "StartCapacity": 0.2,
+        "OverloadFactor": 4.0,
+        "OverloadFor": 900000,
+        "AskWithin": 1200000,
+    },
+    "Prices": {"CrossZone": 0.02, "Waste": 0.05, "Probe": 0.03, "Origin": 0.04, "LateFail": 0.06},
+    "Reporting": {
+        "Fields": ["utilization", "x0", "x1", "backlog", "outstanding", "novelty"],
+        "How": "answers",
+    },
+    "MyZone": 1,
+    "Siblings": 3,
+    "SelfIndex": 2,
+    "Quantum": 4000,
+    "RegistryMode": "ask",
+    "Weights": "told",
+    "WorthBy": "work",
+    "OverShareWorth": 0.1,
+}
+
+
+def decoded(data: bytes) -> list[tuple[int, Any]]:
+    """Each event with its instance; the adapter's own kinds, which the Router never sees, as their values."""
+    head = codec.BATCH_HEADER.size
+    found: list[tuple[int, Any]] = []
+    for instance, event in codec.Decoder().records(codec.read_header(data[:head]), data[head:]):
+        match event:
+            case codec.Started(seed, text):
+                found.append((instance, ("started", seed, text)))
+            case codec.Stopped():
+                found.append((instance, ("stopped",)))
+            case _:
+                found.append((instance, event))
+    return found
+
+
+def served(data: bytes) -> tuple[int, bytes]:
+    sink = io.BytesIO()
+    return host.serve(io.BytesIO(data), sink), sink.getvalue()
+
+
+SENDERS: dict[str, Sender] = {
+    "action": codec.encode_action,
+    "fault": codec.encode_fault,
+    "reply": codec.encode_reply,
+}
+RECEIVERS = {"batch": decoded}
+SETTINGS_READERS = {"settings": settings.parse_settings}
+HOSTS = {"serve": served}
+
+
+def record(code: int, layout: str, *values: Any) -> bytes:
+    fields = struct.pack("<" + layout, *values)
+    return struct.pack("<BI", code, len(fields)) + fields
+
+
+def batch(*records: bytes, clock: int = 6_052_954, number: int = 12) -> bytes:
+    body = b"".join(records)
+    return struct.pack("<IIQI", len(records), 12 + len(body), clock, number) + body
+
+
+def started(instance: int, facts: Any) -> bytes:
+    text = json.dumps(facts).encode()
+    return record(11, f"IQI{len(text)}s", instance, 99, len(text), text)
+
+
+def listed(bank: int, *workers: int) -> bytes:
+    rows = b"".join(struct.pack("<IHHHBfQ", w, w % 2, 1, 3, w % 3, 1.5, 4 * w) for w in workers)
+    return record(3, f"BI{len(rows)}s", bank, len(workers), rows)
+
+
+def update(bank: int, kind: int, instance: int = 3) -> bytes:
+    return record(8, "IBQB", instance, kind, 41, bank)
+
+
+def request(rid: int, flags: int, function: int = 9) -> bytes:
+    return record(
+        4, "IQBHQIIfffB", 3, rid, rid % 3, rid % 2, function, 900_000, 12_000, 384.5, 2.0, 700.5, flags
+    )
+
+
+def ended(rid: int, worker: int, how: int, note: int, *report: float) -> bytes:
+    return record(
+        5, f"IQHIHIBBB{len(report)}f", 3, rid, 0, worker, how, 9000, how == 200, note, len(report), *report
+    )
+
+
+def make() -> None:
+    actions: list[api.Action] = [
+        api.Send(77, 8, 2_500_000, 16_000),
+        api.Refuse(1 << 40, 250_000),
+        api.Fail(78),
+        api.Cancel(79, 3),
+        api.SetTimer(4_000, 1),
+        api.Probe(8),
+        api.CloseIdle(9),
+        api.Log("worker 8 set aside as silent, \N{GREEK SMALL LETTER MU} 3 requests out"),
+        api.FollowList(True),
+        api.FollowList(False),
+        api.ReadList(),
+        api.Hold(8, 1 << 39, 2, 500),
+        api.Hold(8, 9, 0),
+        api.Unload(8, 9),
+    ]
+    rows = [sent_row("action", SENDERS, 3, action) for action in actions]
+    rows.append(sent_row("fault", SENDERS, 4, "KeyError: 'x' at router.py:1 in handle"))
+    rows.append(["reply", to_neutral((12, [b"ab", b"cde"])), codec.encode_reply(12, [b"ab", b"cde"]).hex()])
+    write_rows(SENT, rows)
+    batches = [
+        batch(),
+        batch(record(1, "IQHII", 3, 77, 2, 8, 500), record(2, "II", 3, 4), record(9, "I", 3)),
+        batch(listed(0, 5, 6, 7), *(update(0, kind) for kind in range(4)), listed(1, 9), update(1, 2)),
+        batch(*(request(70 + flags, flags) for flags in range(4))),
+        batch(*(ended(77, 8, how, 1 + 8 * 5, 0.25, 0.5) for how in codec.OUTCOMES)),
+        batch(*(ended(77, 8, 200, note) for note in range(5))),
+        batch(record(6, "IIHIB2f", 3, 8, 200, 700, 2, 0.5, 0.125), record(6, "IIHIB", 3, 8, 504, 700, 0)),
+        batch(record(7, "IIH3s", 3, 2, 3, b"hi!"), record(12, "IQ", 3, 1 << 40)),
+        batch(*(record(10, "IIQHIB", 3, 8, 1 << 39, how, 640, 2) for how in codec.OUTCOMES)),
+        batch(started(3, FACTS)),
+    ]
+    write_rows(RECEIVED, [received_row("batch", RECEIVERS, data) for data in batches])
+    texts = [
+        json.dumps(facts).encode()
+        for facts in (FACTS, {"Profiles": FACTS["Profiles"], "PolicyLimits": {"MaxAttempts": 2}})
+    ]
+    write_rows(SETTINGS_READ, [received_row("settings", SETTINGS_READERS, text) for text in texts])
+    life = batch(started(3, FACTS), listed(0, 2, 5, 8, 11), update(0, 1), number=1, clock=1_000_000)
+    for step in range(40):
+        records = [request(step, step % 4, 9 + step % 3), record(2, "II", 3, 1)]
+        records += [
+            ended(step, 2 + 3 * (step % 4), 200 if step % 5 else 404, step % 4, 0.25, 0.5, 1.0, 0.1, 4.0, 9.0)
+        ]
+        records += [record(10, "IIQHIB", 3, 2 + 3 * (step % 4), 9 + step % 3, 200, 300_000, 1)]
+        life += batch(*records, number=step + 2, clock=1_100_000 + 90_000 * step)
+    life += batch(started(4, {"Profiles": 1}), record(9, "I", 3), number=60, clock=9_000_000)
+    write_rows(HOST, [received_row("serve", HOSTS, life)])
+
+
+def test_actions_and_faults_are_written_as_recorded() -> None:
+    assert differences_sent(SENT, SENDERS) == []
+
+
+def test_batches_are_read_as_recorded() -> None:
+    assert differences_received(RECEIVED, RECEIVERS) == []
+
+
+def test_settings_are_read_as_recorded() -> None:
+    assert differences_received(SETTINGS_READ, SETTINGS_READERS) == []
+
+
+def test_a_recorded_life_of_the_adapter_is_answered_with_the_same_bytes() -> None:
+    assert differences_received(HOST, HOSTS) == []
+
+
+def test_every_kind_of_action_and_event_is_recorded() -> None:
+    written = {KINDS[row[1][2][1]][0] for row in read_rows(SENT) if row[0] == "action"}
+    assert written == set(typing.get_args(api.Action))
+    read = {event[2][1] for row in read_rows(RECEIVED) for event in row[1][1:]}
+    kinds = {KINDS[number][0] for number in read if isinstance(number, int)}
+    assert kinds == set(typing.get_args(api.Event)) - {api.ShuttingDown}  # the simulator has no such event
+    assert {number for number in read if isinstance(number, str)} == {"started", "stopped"}
+
+
+if __name__ == "__main__":
+    make()
--- /dev/null
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -0,0 +1,224 @@
+"""A front end started on the folder that released code left: stores, table, agreed list, timers' mark."""
+
+from __future__ import annotations
+
+import shutil
+from collections.abc import Callable
+from dataclasses import replace
+from pathlib import Path
+from tempfile import TemporaryDirectory
+
+import msgspec
+import pytest
+
+import stored_state as stored
+from fleet_rig import SECOND, Fleet
+from golden_files import assert_as_golden, assert_every_field_tells, restore_dump
+from walnutpost.config import Site
+from walnutpost.config.entries import entries_of
+from walnutpost.config.model import CallClass, FunctionLine, TenantLine
+from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.daemon.seen import Seen
+from walnutpost.daemon.settings import _replace as write_table
+from walnutpost.fleet import Sight
+from walnutpost.fleet.sight import Seen as SeenWorker
+from walnutpost.gateway import Execution, Status
+from walnutpost.loop.clock import VirtualClock
+from walnutpost.metering import HOUR
+from walnutpost.store import history
+from walnutpost.table import Op, Table
+
+GOLDEN = Path(__file__).parent / "golden"
+NOBODY = "127.0.0.1:1"  # nothing listens there: neither a keeper nor a relay is heard of
+NOW = stored.NOW
+START = NOW + 30 * SECOND
+
+# The one place that says what the golden files hold.
+SITE = Site(
+    classes={
+        "valuation": CallClass(effect="safe", aim_ms=1000, deadline_ms=2500),
+        "reservation": CallClass(effect="unsafe", aim_ms=1000, deadline_ms=2500, worth=2),
+    },
+    functions={
+        name: FunctionLine.model_validate(told)
+        for name, told in {
+            "price": {"class": "valuation", "memory_mb": 400, "lanes": 2, "load_ms": 300, "version": "7"},
+            "reserve": {"class": "reservation", "memory_mb": 300, "cost_ms": 12.5},
+        }.items()
+    },
+    tenants={"tills": TenantLine(share=0.7, quota_per_s=12.0), "trade": TenantLine(share=0.3)},
+)
+AGREED = Sight(
+    index=41,
+    workers=(
+        SeenWorker(
+            name="worker-1",
+            zone="zone-2",
+            address="127.0.0.1:3",
+            incarnation="incarnation-4",
+            age=5,
+            leaving=True,
+        ),
+        SeenWorker("worker-9", "", "127.0.0.1:9", "incarnation-9", 0, False),
+    ),
+)
+NEWEST, WRITTEN = NOW + 60 * SECOND, NOW + 61 * SECOND
+
+
+def agreed_table() -> Table:
+    """Some change sets, the last of which takes an entry out."""
+    table = Table()
+    table.change(7, [Op(key, value) for key, value in entries_of(SITE).items()])
+    table.change(9, [Op("function/extra", entries_of(SITE)["function/price"])])
+    table.change(12, [Op("function/extra", None)])
+    return table
+
+
+def write_seen(path: Path) -> None:
+    Seen(path).write(NEWEST, WRITTEN)
+
+
+def write_agreed(path: Path) -> None:
+    path.write_bytes(msgspec.msgpack.encode(AGREED))
+
+
+WRITERS: dict[str, Callable[[Path], None]] = {
+    "calls.db.seen": write_seen,
+    "calls.db.agreed": write_agreed,
+    "calls.db.table": lambda path: write_table(path, agreed_table()),
+}
+
+
+def golden_files() -> dict[Path, bytes]:
+    files = {}
+    with TemporaryDirectory() as folder:
+        for name, write in WRITERS.items():
+            write(path := Path(folder) / name)
+            files[GOLDEN / f"{name}.golden"] = path.read_bytes()
+    return files
+
+
+@pytest.fixture
+def folder(tmp_path: Path) -> Path:
+    """All files that a front end leaves behind, as released code wrote them."""
+    for name in WRITERS:
+        shutil.copy(GOLDEN / f"{name}.golden", tmp_path / name)
+    restore_dump(stored.CALLS_DUMP, tmp_path / stored.CALLS_FILE)
+    restore_dump(stored.USAGE_DUMP, tmp_path / stored.USAGE_FILE)
+    return tmp_path
+
+
+def test_marks_tables_and_lists_are_written_as_before() -> None:
+    assert_as_golden(golden_files())
+
+
+def test_each_field_of_the_agreed_list_is_told() -> None:
+    assert_every_field_tells(AGREED)
+    assert_every_field_tells(AGREED.workers[0])
+
+
+def test_the_mark_of_before_shows_an_older_store(folder: Path) -> None:
+    seen = Seen(folder / "calls.db.seen")
+    assert seen.doubtful(NEWEST - 1) == WRITTEN and seen.doubtful(NEWEST) == 0
+
+
+def test_a_front_end_takes_up_the_whole_folder(folder: Path) -> None:
+    holder = {"name": "front-0", "address": NOBODY, "region": "east", "zone": "a"}
+    copies = {name: {"copies": 0, "without": "less"} for name in SITE.classes}
+    more = {
+        "metering": {},
+        "journal": {"name": "front-0", "listen": "127.0.0.1:0", "holders": [holder], "classes": copies},
+        "agreement": {"member": "front-0", "keepers": {"k1": NOBODY}, "relays": {"r1": NOBODY}},
+    }
+    f = Fleet(folder, front=more, clock=VirtualClock(START))
+
+    def script() -> None:
+        front = f.front
+        agreed_list_is_told(front)
+        settings_are_told(front)
+        journals_are_told(front)
+        assert front.meters is not None
+        assert front.meters.ledger.statement(NOW - HOUR, START) == stored.BOOKED[NOW - HOUR]
+        for ended in stored.ENDED.values():
+            assert front.deferred.fate(ended.function, ended.id) == ended
+
+        def fate(execution: Execution) -> Execution:
+            found = front.deferred.fate(execution.function, execution.id)
+            assert found is not None
+            return found
+
+        waiting = [e for e in stored.CALLS if e.status is Status.RUNNING]
+        assert front.recovered == len(waiting)
+        f.until(lambda: all(fate(e).status is not Status.RUNNING for e in waiting))
+        for execution in waiting:  # one that may have run is not run again
+            found = fate(execution)
+            assert found.status is (Status.FAILED if execution.intended else Status.SUCCEEDED)
+            assert found.error_type == ("Gateway.Restart" if execution.intended else "")
+            told = replace(found, status=Status.RUNNING, ended_at=0, result=None)
+            assert replace(told, error_type="", error_message="") == execution
+        front.stop()
+
+    f.run(script)
+    assert {row.schedule: row.status for row in history(folder / stored.CALLS_FILE, None, 100)} == {
+        "nightly": "SUCCEEDED",
+        "lost": "REFUSED",
+        "hourly": "FAILED",
+        "often": "SKIPPED",
+        "full": "REFUSED",
+    }
+    for name in ("calls.db.agreed", "calls.db.table"):  # nothing newer was heard
+        assert (folder / name).read_bytes() == (GOLDEN / f"{name}.golden").read_bytes()
+
+
+def agreed_list_is_told(front: FrontEnd) -> None:
+    assert front.following is not None
+    follower = front.following.follower
+    assert follower.sight == AGREED and follower.acts == AGREED.index
+
+
+def settings_are_told(front: FrontEnd) -> None:
+    assert front.settings is not None
+    table = front.settings.follower.table
+    assert {key: entry.value for key, entry in table.entries.items()} == entries_of(SITE)
+    assert {entry.revision for entry in table.entries.values()} == {7}
+    assert (table.revision, table.digest) == (12, agreed_table().digest)
+    assert front.settings.follower.in_force == 12
+    assert front.catalogue.functions["price"].version == "7"
+
+
+def journals_are_told(front: FrontEnd) -> None:
+    assert front.journaling is not None
+    journal = front.journaling.store
+    assert journal.own == stored.OWN and journal.known[stored.OTHER] == stored.OTHER_UPTO
+    assert front.journaling.elsewhere("id-far") == Execution(
+        id="id-far",
+        name="name-far",
+        function="price",
+        version="4",
+        tenant="trade",
+        payload=b"far",
+        digest="digest-far",
+        accepted_at=3,
+        expires_at=NOW + 62,
+        intended=True,
+        status=Status.FAILED,
+        ended_at=NOW + 7,
+        result=b"error",
+        error_type="Unhandled",
+        error_message="message",
+    )
+    assert front.journaling.elsewhere("id-gone") is None
+
+
+def test_a_call_s_digest_is_made_as_before(tmp_path: Path) -> None:
+    """It is stored: another one would make the same name a conflict after an upgrade."""
+    f = Fleet(tmp_path)
+
+    def script() -> list[str]:
+        found = [
+            f.front.deferred.defer("price", tenant, b'{"copy": 7}', SECOND, f"name-{tenant}", "request")
+            for tenant in ("tills", None)
+        ]
+        return [execution.digest for execution in found if isinstance(execution, Execution)]
+
+    assert f.run(script) == ["26687d359fb9298eeb091b3afd5cfbc2", "a7f4c30d5d9892f2f8090b6d34bf8e93"]
--- /dev/null
+++ b/packages/gateway/tests/golden_gateway_days.py
@@ -0,0 +1,259 @@
+"""Synthetic days for a Gateway: callers, repeats and workers, and a record of what went in and out. Run as a
+program it writes the golden files anew, which is right only where decisions are meant to change:
+
+    PYTHONPATH=packages/policy/tests python packages/gateway/tests/golden_gateway_days.py
+
+A recorded row is `[start, seed, settings, functions, tenants]` where a Gateway begins, else `[microseconds
+since the row before, input, [effects]]`, all in the neutral form of `golden_form`.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from heapq import heappop, heappush
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from golden_form import from_neutral, neutral_of_each, to_neutral, write_lines
+from rig import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
+from walnutpost import gateway as gw
+from walnutpost import interface as api
+
+GOLDEN = Path(__file__).parent / "golden" / "days"
+START = 100 * SECOND
+MS = 1000
+START_ROW = "start"
+INPUTS_A_DAY = 2500
+REMEMBER_FOR, REMEMBER_BYTES = 2 * SECOND, 30_000
+Outcome = api.Outcome
+READY, DRAINING, GONE = api.WorkerState.READY, api.WorkerState.DRAINING, api.WorkerState.GONE
+
+FUNCTIONS = tuple(
+    gw.Function(f"f-{place}", place % 3, 300.0, float(1 + place % 2), place * 50 * MS, version=f"v{place}")
+    for place in range(9)
+)
+SITES: dict[str, api.Settings] = {
+    "plain": replace(SETTINGS, classes=(SAFE, UNSAFE, KEYED), keep_alive=4 * SECOND),
+    "rationed": replace(
+        SETTINGS,
+        classes=(SAFE, UNSAFE, replace(KEYED, group=api.Group.ALL)),
+        tenants=(api.Tenant(0.6, 0.0), api.Tenant(0.4, 0.0)),
+        guards=replace(SETTINGS.guards, free_loads=4.0, load_share=0.3, load_window=2 * SECOND),
+        front_ends=3,
+        restarts_unseen=True,
+    ),
+}
+TENANTS = {"plain": (), "rationed": ("north", "south")}
+RECORDED = [(site, seed) for site in SITES for seed in (1, 2)]
+
+
+def path_of(site: str, seed: int) -> Path:
+    return GOLDEN / f"gateway-{site}-{seed}.jsonl.xz"
+
+
+def start_row(site: str, seed: int) -> list[Any]:
+    return [START_ROW, seed, to_neutral(SITES[site]), to_neutral(FUNCTIONS), to_neutral(TENANTS[site])]
+
+
+def make_gateway(row: list[Any]) -> gw.Gateway:
+    """The Gateway that a start row tells of."""
+    _, seed, settings, functions, tenants = row
+    catalogue = gw.Catalogue(
+        {function.name: function for function in from_neutral(functions)}, from_neutral(tenants), unnamed=True
+    )
+    return gw.Gateway(from_neutral(settings), catalogue, seed, REMEMBER_FOR, REMEMBER_BYTES)
+
+
+class Day:
+    """One Gateway in its world on virtual time. Every choice is the seed's."""
+
+    def __init__(self, site: str, seed: int) -> None:
+        self.random = Random(seed * 104_729 + 5)
+        self.rows: list[Any] = [start_row(site, seed)]
+        self.gateway = make_gateway(self.rows[0])
+        self.tenants = TENANTS[site]
+        self.now, self.last_row_at, self.inputs = START, 0, 0
+        self.queue: list[tuple[int, int, Callable[[], None]]] = []
+        self.scheduled, self.ticket, self.version = 0, 0, 0
+        self.states = {f"w-{place}": READY for place in range(6)}
+        self.copies: set[tuple[str, str]] = set()
+        self.silent_until: dict[str, int] = {}
+        self.restarted: dict[str, int] = {}
+        self.out: set[tuple[int, int]] = set()
+        self.tell_list(api.ListKind.CACHED)
+        self.at(0, self.arrivals)
+        self.at(SECOND, self.trouble)
+
+    def at(self, delay: int, act: Callable[[], None]) -> None:
+        self.scheduled += 1
+        heappush(self.queue, (self.now + delay, self.scheduled, act))
+
+    def run(self, inputs: int) -> None:
+        end = self.inputs + inputs
+        while self.inputs < end:
+            self.now, _, act = heappop(self.queue)
+            act()
+
+    def feed(self, event: gw.Input) -> None:
+        self.inputs += 1
+        effects = self.gateway.handle(self.now, event)
+        self.rows.append([self.now - self.last_row_at, to_neutral(event), neutral_of_each(effects)])
+        self.last_row_at = self.now
+        for effect in effects:
+            self.carry_out(effect)
+
+    def feed_later(self, delay: int, event: gw.Input) -> None:
+        self.at(delay, lambda: self.feed(event))
+
+    # What the front end does
+
+    def carry_out(self, effect: gw.Effect) -> None:
+        match effect:
+            case gw.Start():
+                self.start(effect)
+            case gw.Abandon(call, attempt):
+                self.at(MS, lambda: self.end(gw.AttemptDone(call, attempt, Outcome.CANCELLED, MS)))
+            case gw.Order():
+                self.order(effect)
+            case gw.Arm(delay, token):
+                self.feed_later(delay, gw.Due(token))
+            case gw.AskList():
+                self.at(20 * MS, lambda: self.tell_list(api.ListKind.FULL))
+
+    def end(self, done: gw.AttemptDone) -> None:
+        if (done.call, done.attempt) in self.out:
+            self.out.discard((done.call, done.attempt))
+            self.feed(done)
+            if self.random.random() < 0.02:
+                self.feed(done)  # a second end of one attempt is passed over
+
+    def start(self, start: gw.Start) -> None:
+        self.out.add((start.call, start.attempt))
+        draw = self.random.random()
+        done = gw.AttemptDone(start.call, start.attempt, Outcome.OK, 2 * MS, crowd=int(draw * 4))
+        place, warmth = (start.worker, start.function), api.Warmth.STOOD
+        if self.silent_until.get(start.worker, 0) > self.now:
+            done = self.ended(done, Outcome.TIMEOUT if draw < 0.8 else Outcome.RESET, start.timeout)
+        elif self.states.get(start.worker) is GONE:
+            done = self.ended(done, Outcome.CONNECT_FAILED, MS)
+        elif draw < 0.06:
+            kinds = [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.MOOT, Outcome.TIMEOUT]
+            done = self.ended(done, self.random.choice(kinds), int(draw * SECOND))
+        elif place not in self.copies:
+            done = self.ended(done, Outcome.MISS, 2 * MS)
+        elif draw < 0.1:
+            done = gw.AttemptDone(start.call, start.attempt, Outcome.ERROR, 9 * MS, b"raised", True, warmth)
+        else:
+            took = int((20 + self.random.expovariate(1 / 80)) * MS)
+            payload = b"did " + start.payload
+            done = gw.AttemptDone(start.call, start.attempt, Outcome.OK, took, payload, False, warmth)
+        self.at(done.latency, lambda: self.end(done))
+
+    @staticmethod
+    def ended(done: gw.AttemptDone, outcome: Outcome, latency: int) -> gw.AttemptDone:
+        return gw.AttemptDone(done.call, done.attempt, outcome, latency, crowd=done.crowd)
+
+    def order(self, order: gw.Order) -> None:
+        draw, place = self.random.random(), (order.worker, order.function)
+        outcome, took, copies = Outcome.OK, 2 * MS, int(place in self.copies)
+        if self.silent_until.get(order.worker, 0) > self.now:
+            outcome, took = Outcome.TIMEOUT, 3 * SECOND
+        elif self.states.get(order.worker) is GONE:
+            outcome = Outcome.CONNECT_FAILED
+        elif order.copies and draw < 0.12:
+            outcome = self.random.choice([Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.MOOT])
+        elif order.copies:
+            took, copies = int((150 + 300 * draw) * MS), order.copies
+        done = gw.HoldDone(order.worker, order.function, outcome, took, copies, order.copies)
+
+        def end() -> None:
+            if outcome is Outcome.OK and order.copies:
+                self.copies.add(place)
+            self.feed(done)
+
+        self.at(took, end)
+
+    # Callers
+
+    def arrivals(self) -> None:
+        burst = (self.now - START) // SECOND % 8 == 5
+        self.call()
+        self.at(int(self.random.expovariate((250 if burst else 35) / SECOND)) + 1, self.arrivals)
+
+    def call(self) -> None:
+        draw = self.random
+        self.ticket += 1
+        ticket, function = self.ticket, draw.choice(FUNCTIONS[:4] if draw.random() < 0.8 else FUNCTIONS)
+        key = f"key-{draw.randrange(30)}" if draw.random() < 0.3 else ""
+        carried = gw.Function("g-1", 0, 200.0, 2.0, cost=90 * MS) if draw.random() < 0.1 else None
+        self.feed(
+            gw.CallArrived(
+                ticket,
+                function.name if carried is None else carried.name,
+                b"%d" % draw.randrange(3) * (1 if draw.random() < 0.9 else 200),
+                draw.choice([3 * SECOND, SECOND, 300 * MS, 0]),
+                draw.choice([*self.tenants, None]) if self.tenants else None,
+                key,
+                draw.random() < 0.1,
+                draw.random() < 0.3,
+                draw.random() < 0.2,
+                gw.Refused("over quota", 5) if draw.random() < 0.02 else None,
+                carried,
+                draw.choice([0, 700]),
+            )
+        )
+        if draw.random() < 0.06:
+            self.feed_later(draw.randrange(300 * MS), gw.CallerLeft(ticket))
+        elif draw.random() < 0.03:
+            self.feed_later(draw.randrange(300 * MS), gw.CallStopped(ticket))
+
+    # The fleet
+
+    def tell_list(self, kind: api.ListKind, *names: str) -> None:
+        self.version += 1
+        told = names or tuple(name for name, state in self.states.items() if state is not GONE)
+        lines = tuple(
+            gw.WorkerTold(name, len(name) % 2, 0, 0, self.states[name], 1.0, self.restarted.get(name, 0))
+            for name in told
+        )
+        self.feed(gw.WorkersTold(kind, self.version, lines))
+
+    def trouble(self) -> None:
+        draw = self.random
+        name = draw.choice(list(self.states))
+        match draw.choice(("drain", "silent", "restart", "evict", "gone", "new", "ping")):
+            case "drain":
+                self.states[name] = DRAINING
+                self.tell_list(api.ListKind.DELTA, name)
+            case "silent":
+                self.silent_until[name] = self.now + draw.randrange(2 * SECOND)
+            case "restart":
+                self.states[name], self.restarted[name] = READY, self.now
+                self.copies = {place for place in self.copies if place[0] != name}
+                self.tell_list(api.ListKind.DELTA, name)
+            case "evict":
+                self.copies = {place for place in self.copies if place[0] != name}
+            case "gone" if sum(state is READY for state in self.states.values()) > 3:
+                self.states[name] = GONE
+                self.tell_list(api.ListKind.FULL)
+            case "new" if len(self.states) < 10:
+                self.states[f"w-{len(self.states)}"] = READY
+                self.tell_list(api.ListKind.FULL)
+            case "ping":
+                self.feed(gw.PingDone(name, draw.choice([Outcome.OK, Outcome.TIMEOUT]), MS, ()))
+        self.at(draw.randrange(SECOND // 2), self.trouble)
+
+
+def record(site: str, seed: int) -> list[Any]:
+    day = Day(site, seed)
+    day.run(INPUTS_A_DAY * 9 // 10)
+    day.feed(gw.ShuttingDown(2 * SECOND))
+    day.run(INPUTS_A_DAY // 10)
+    return day.rows
+
+
+if __name__ == "__main__":
+    for recorded_site, recorded_seed in RECORDED:
+        write_lines(path_of(recorded_site, recorded_seed), record(recorded_site, recorded_seed))
--- /dev/null
+++ b/packages/gateway/tests/test_gateway_golden.py
@@ -0,0 +1,51 @@
+"""What is stored of an execution and told of its fate: words, and how each end of a call is put."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from golden_files import assert_as_golden, json_lines, values_of
+from walnutpost.gateway import Execution, Failed, Failure, Refused, Served, Status
+from walnutpost.gateway.catalogue import number_of
+from walnutpost.gateway.executions import conclude
+from walnutpost.gateway.messages import Final
+from walnutpost.interface import Effect
+
+GOLDEN = Path(__file__).parent / "golden"
+OPEN = Execution(
+    id="id-1",
+    name="name-2",
+    function="function-3",
+    version="4",
+    tenant="tenant-5",
+    payload=b"six\x00\xff",
+    digest="digest-7",
+    accepted_at=8,
+    expires_at=100,
+    intended=True,
+)
+ENDS: dict[str, tuple[Final, int]] = {  # and when
+    "served": (Served(b"result\x00", "worker-1", "4"), 50),
+    "refused": (Refused("no room", 5), 50),
+    "refused, and its time is over": (Refused("no room"), 100),
+    **{f"failed: {f.value}": (Failed(f, f"message of {f.value}", b"error"), 50) for f in Failure},
+    "failed without a payload": (Failed(Failure.WORKER, "reset"), 50),
+}
+
+
+def golden_files() -> dict[Path, bytes]:
+    told = {
+        "open": values_of(OPEN),
+        "ended": {name: values_of(conclude(OPEN, final, now)) for name, (final, now) in ENDS.items()},
+        "statuses": [word.value for word in Status],
+        "failures": [word.value for word in Failure],
+        "effects": [word.value for word in Effect],
+        "numbers of names": {
+            name: [number_of(name, 32), number_of(name, 40)] for name in ("worker-1", "price", "ä")
+        },
+    }
+    return {GOLDEN / "executions.json": json_lines(told)}
+
+
+def test_fates_and_numbers_are_told_as_before() -> None:
+    assert_as_golden(golden_files())
--- /dev/null
+++ b/packages/gateway/tests/test_golden_gateway.py
@@ -0,0 +1,43 @@
+"""The Gateway does as when its golden days were recorded: every effect, in order, payloads included."""
+
+from __future__ import annotations
+
+import typing
+from typing import Any
+
+import pytest
+
+from golden_form import KINDS, from_neutral, neutral_of_each, read_lines
+from golden_gateway_days import GOLDEN, RECORDED, START_ROW, make_gateway, path_of
+from walnutpost import gateway as gw
+
+NEVER_DONE = {gw.Discard, gw.Ping, gw.CloseIdle, gw.AskList}  # the Router never decides on these, or here
+
+
+def first_difference(rows: list[Any]) -> str:
+    """Replays the rows; the first one whose effects differ, or nothing."""
+    gateway, now = make_gateway(rows[0]), 0
+    for number, row in enumerate(rows[1:], start=1):
+        now += row[0]
+        effects = neutral_of_each(gateway.handle(now, from_neutral(row[1])))
+        if effects != row[2]:
+            return f"row {number} at {now}: {row[1]} gave {effects}, recorded {row[2]}"
+    return ""
+
+
+@pytest.mark.parametrize(("site", "seed"), RECORDED)
+def test_recorded_inputs_have_the_recorded_effects(site: str, seed: int) -> None:
+    assert first_difference(read_lines(path_of(site, seed))) == ""
+
+
+def test_the_days_hold_every_kind_of_input_and_effect() -> None:
+    seen: set[type[Any]] = set()
+    for site, seed in RECORDED:
+        for row in read_lines(path_of(site, seed)):
+            values = (row[1], *row[2]) if row[0] != START_ROW else ()
+            seen |= {KINDS[value[1]][0] for value in values}
+    assert {*typing.get_args(gw.Input), *typing.get_args(gw.Effect)} - NEVER_DONE == seen
+
+
+def test_no_golden_day_is_left_out() -> None:
+    assert {path.name for path in GOLDEN.iterdir()} == {path_of(*day).name for day in RECORDED}
--- /dev/null
+++ b/packages/links/tests/test_golden_links.py
@@ -0,0 +1,171 @@
+"""The worker protocol over HTTP: requests, answers, load reports in their three forms, usage records.
+
+Run as a program, with packages/policy/tests on PYTHONPATH, it writes the files anew: for a wire that is meant
+to change.
+"""
+
+from __future__ import annotations
+
+import base64
+import json
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from golden_frames import Sender, differences_received, differences_sent, received_row, sent_row, write_rows
+from walnutpost.http import Response
+from walnutpost.links import codec, orca
+
+GOLDEN = Path(__file__).parent / "golden" / "frames"
+SENT, RECEIVED = GOLDEN / "sent.jsonl", GOLDEN / "received.jsonl"
+FIELDS = ("busy", "memory_tied", "queue")
+ORCA_FORMS = ("text", "json", "binary")
+REPORT = {
+    "cpu_utilization": 0.875,
+    "mem_utilization": 0.5,
+    "application_utilization": 0.25,
+    "rps_fractional": 12.5,
+    "eps": 0.125,
+    "queue": 3.0,
+    "loads": 1.0,
+    "warmth": 2.0,
+    "crowd": 4.0,
+}
+
+SLICE = {
+    "worker": "w-1",
+    "started": 5,
+    "copy": 3,
+    "hour": 3600,
+    "function": "price",
+    "memory_mb": 256,
+    "heard": 9,
+    "ended": True,
+    "loading": 1,
+    "unused": 2,
+    "runs": {"north": 3, "": 4},
+    "after": {"north": 5},
+    "first": "north",
+    "doubts": ["heard back"],
+}
+
+
+def load_report(figures: dict[str, float], form: str) -> bytes:
+    name, value = orca.write(figures, form)
+    return f"{name}: {value}".encode()
+
+
+def response_of(data: bytes) -> Response:
+    status, headers, body = json.loads(data)
+    return Response(status, headers, base64.b64decode(body))
+
+
+def reply(data: bytes) -> tuple[Any, ...]:
+    found = codec.read_call(response_of(data), FIELDS)
+    return found.outcome, found.by_function, found.warmth, found.crowd, found.report
+
+
+def usage_report(data: bytes) -> Any:
+    """As its own JSON, to the byte: the records are stored and forwarded in that form."""
+    try:
+        report = codec.read_usage(response_of(data))
+    except ValueError:
+        return "unusable"
+    return "absent" if report is None else msgspec.json.encode(report)
+
+
+def report_read(data: bytes) -> dict[str, float]:
+    return dict(sorted(orca.read(json.loads(data)).items()))  # a protobuf map has no order
+
+
+SENDERS: dict[str, Sender] = {
+    "call": codec.call,
+    "load": codec.load,
+    "unload": codec.unload,
+    "usage": codec.usage,
+    "ready": lambda: codec.READY,
+    "report": load_report,
+}
+RECEIVERS = {
+    "call": reply,
+    "load": lambda data: codec.read_load(response_of(data)),
+    "usage": usage_report,
+    "report": report_read,
+}
+
+
+def response(status: int, headers: dict[str, str] | None = None, body: bytes = b"") -> bytes:
+    return json.dumps([status, headers or {}, base64.b64encode(body).decode()]).encode()
+
+
+def make() -> None:
+    sent: list[tuple[Any, ...]] = [
+        ("call", "price", None, b'{"a":1}', "c-1", 0, 1_700_000_000_123_456),
+        (
+            "call",
+            "a/b \N{LATIN SMALL LETTER E WITH ACUTE}",
+            "north",
+            b"",
+            "c-2",
+            3,
+            1_700_000_000_999_999,
+            "ex-1",
+        ),
+        ("load", "a/b", 2),
+        ("load", "price", 0),
+        ("unload", "a/b"),
+        ("usage", 1_700_000_000, 17),
+        ("ready",),
+    ]
+    rows = [sent_row(name, SENDERS, *arguments) for name, *arguments in sent]
+    rows += [sent_row("report", SENDERS, REPORT, form) for form in ("text", "json")]
+    rows += [sent_row("report", SENDERS, {"eps": 0.5, "queue": 2.0}, form) for form in ORCA_FORMS]
+    write_rows(SENT, rows)
+    # A protobuf map leaves in any order: one named figure keeps these bytes the same at each making.
+    one_named = {name: figure for name, figure in REPORT.items() if name not in ("loads", "warmth", "crowd")}
+    told = [dict([orca.write(REPORT, "text")]), dict([orca.write(REPORT, "json")])]
+    told += [dict([orca.write(one_named, "binary")])]
+    errors = (*codec.FULL_TYPES, codec.MISS_TYPE, codec.LOAD_FAILED_TYPE, "")
+    received = [("call", response(200, headers, b"1")) for headers in told]
+    received += [
+        ("call", response(status, {codec.ERROR_TYPE: one})) for status in (404, 503, 500) for one in errors
+    ]
+    received += [("call", response(200, {codec.FUNCTION_ERROR: "Unhandled", **told[0]}))]
+    warmths = ("0", "1", "2", "3", "4", "5", "-1", "x")
+    received += [
+        ("call", response(200, {orca.HEADER: f"TEXT named_metrics.warmth={one}"})) for one in warmths
+    ]
+    bodies = (b'{"copies":2}', b"{}", b"", b"[]", b"{", b'{"copies":"x"}', b'{"copies":-1}')
+    received += [("load", response(status, None, body)) for status in (200, 404, 503, 500) for body in bodies]
+    usage = {
+        "worker": "w-1",
+        "started": 5,
+        "at": 9,
+        "change": 7,
+        "memory_mb": 512,
+        "slices": [],
+        "draining": True,
+        "forgotten": 2,
+        "forgotten_mb_us": 11,
+    }
+    received += [("usage", response(200, None, json.dumps(usage).encode()))]
+    usage["slices"] = [SLICE]
+    received += [("usage", response(200, None, json.dumps(usage).encode()))]
+    received += [("usage", response(404)), ("usage", response(500)), ("usage", response(200, None, b"{"))]
+    lines = (*told, {}, {orca.HEADER: "cpu_utilization=0.5, queue=x, loads=inf"}, {orca.HEADER: "JSON ["})
+    spoilt = ({orca.HEADER_BIN: "!"}, {orca.HEADER: "BIN " + told[2][orca.HEADER_BIN]})
+    received += [("report", json.dumps(headers).encode()) for headers in (*lines, *spoilt)]
+    write_rows(RECEIVED, [received_row(name, RECEIVERS, data) for name, data in received])
+
+
+def test_requests_are_written_as_recorded() -> None:
+    assert differences_sent(SENT, SENDERS) == []
+
+
+def test_answers_are_read_as_recorded() -> None:
+    assert differences_received(RECEIVED, RECEIVERS) == []
+
+
+if __name__ == "__main__":
+    make()
--- /dev/null
+++ b/packages/store/tests/stored_state.py
@@ -0,0 +1,216 @@
+"""The content of the golden stores: what `golden/calls.sql` and `golden/usage.sql` hold, and how today's code
+writes it anew. Other packages' tests open the same files."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import replace
+from pathlib import Path
+from unittest.mock import patch
+
+from walnutpost.gateway import Execution, Status
+from walnutpost.journal import Accepted, Ended, Intended, Purged, Withdrawn, batch, line, taken
+from walnutpost.journal import Line as JournalLine
+from walnutpost.journal.records import Any_ as AnyRecord
+from walnutpost.loop import Loop
+from walnutpost.metering import HOUR, Account, Amount, Batch, Gap, Life, Line, Saved, Seen, Slice
+from walnutpost.metering.records import DAY
+from walnutpost.metering.reports import Kept
+from walnutpost.store import ExecutionStore, FiringStore, JournalStore, UsageStore
+from walnutpost.store.usage import Run
+
+GOLDEN = Path(__file__).parent / "golden"
+CALLS_DUMP, USAGE_DUMP = GOLDEN / "calls.sql", GOLDEN / "usage.sql"
+CALLS_FILE, USAGE_FILE = "calls.db", "usage.db"
+
+NOW = 1_800_000_000_000_000  # microseconds since the epoch; a full hour
+DISK = "0a1b2c3d4e5f"
+OWN, OTHER = f"front-0#{DISK}", "front-1#f5e4d3c2b1a0"
+
+OPEN = Execution(
+    id="id-open",
+    name="name-open",
+    function="price",
+    version="4",
+    tenant="tills",
+    payload=b'{"open":\x00\xff}',
+    digest="digest-open",
+    accepted_at=NOW + 1,
+    expires_at=NOW + 60_000_000,
+)
+INTENDED = replace(OPEN, id="id-intended", name="name-intended", tenant=None, expires_at=NOW + 50_000_000)
+ENDED = {
+    status: replace(
+        OPEN,
+        id=f"id-{status.value}",
+        name=f"name-{status.value}",
+        accepted_at=NOW + 10 + at,
+        intended=True,
+        status=status,
+        ended_at=NOW + 100 + at,
+        result=b"result\x00" if status is Status.SUCCEEDED else None,
+        error_type="" if status is Status.SUCCEEDED else f"Type.{status.value}",
+        error_message="" if status is Status.SUCCEEDED else f"message of {status.value}",
+    )
+    for at, status in enumerate(s for s in Status if s is not Status.RUNNING)
+}
+FIRED = replace(OPEN, id="id-fired", name=f"cron-nightly-{NOW // 1_000_000}", accepted_at=NOW + 20)
+FIRED_AND_ENDED = replace(OPEN, id="id-fired-2", name=f"cron-hourly-{NOW // 1_000_000}", accepted_at=NOW + 21)
+GONE = replace(OPEN, id="id-gone", name="name-gone")
+CALLS = [OPEN, replace(INTENDED, intended=True), *ENDED.values(), FIRED]
+
+OWN_RECORDS: list[AnyRecord] = [
+    Accepted("id-open", "name-open", "price", "4", "tills", b"open", "digest", 1, NOW + 60, "unsafe", 2),
+    Intended("id-open", 1, "worker-1"),
+    Accepted("id-gone", "name-gone", "price", "4", None, b"", "digest", 2, NOW + 61, "safe", 0),
+    Withdrawn("id-gone"),
+    Accepted("id-old", "name-old", "price", "4", None, b"", "digest", 2, NOW - 2000, "safe", 0),
+    Purged(NOW - 3000),
+    Ended("id-open", "SUCCEEDED", NOW + 5, b"result", "", ""),
+    Purged(NOW - 1000),
+]
+OWN_LINES = [line(seq, record) for seq, record in enumerate(OWN_RECORDS, start=1) if seq not in (5, 6)]
+OTHER_RECORDS: dict[int, AnyRecord] = {
+    3: Accepted("id-far", "name-far", "price", "4", "trade", b"far", "digest-far", 3, NOW + 62, "keyed", 1),
+    5: Intended("id-far", 2, "worker-2"),
+    6: Ended("id-far", "FAILED", NOW + 7, b"error", "Unhandled", "message"),
+}
+DAMAGED = JournalLine(8, line(8, Withdrawn("id-damaged")).data, 123)  # its checksum is another
+OTHER_LINES = [*(line(seq, record) for seq, record in OTHER_RECORDS.items()), DAMAGED]
+OTHER_UPTO = 9
+MARKS = {"nightly": NOW, "hourly": NOW, "new": NOW + 2, "lost": NOW, "often": NOW + 9, "full": NOW + 4}
+
+
+@contextmanager
+def calls_store(path: Path) -> Iterator[tuple[Loop, ExecutionStore, JournalStore, FiringStore]]:
+    """Opens the three stores of a front end's file, as it does at its start; a new journal's disk is DISK."""
+    loop = Loop()
+    executions = ExecutionStore(loop, path)
+    try:
+        with patch("secrets.token_hex", lambda _: DISK):
+            journal = JournalStore(loop, executions, "front-0")
+        yield loop, executions, journal, FiringStore(executions)
+    finally:
+        executions.close()
+
+
+def write_calls(path: Path) -> None:
+    """The content of CALLS_DUMP, by the stores' own functions."""
+    with calls_store(path) as (loop, executions, journal, firings):
+
+        def write() -> None:
+            for execution in (OPEN, INTENDED, GONE):
+                executions.add(execution)
+            executions.intend(INTENDED.id)
+            executions.remove(GONE.id)
+            for ended in ENDED.values():
+                executions.add(replace(OPEN, id=ended.id, name=ended.name, accepted_at=ended.accepted_at))
+                executions.update(ended)
+            executions.put([replace(OPEN, id="id-old", name="n", status=Status.FAILED, ended_at=NOW)], [])
+            executions.purge(NOW + 1)
+            executions.add(FIRED, firings.fired("nightly", NOW, NOW + 30, FIRED.name))
+            executions.add(FIRED_AND_ENDED, firings.fired("hourly", NOW, NOW + 31, FIRED_AND_ENDED.name))
+            failed = replace(FIRED_AND_ENDED, status=Status.FAILED, error_type="T", error_message="why")
+            executions.remove(failed.id, firings.ended(failed))
+            firings.commit(
+                firings.begin(["new"], NOW + 2),
+                firings.fired("lost", NOW, NOW + 32, "cron-lost-1800000000"),
+                firings.skipped("often", NOW + 3, NOW + 9, 4, NOW + 33, "missed"),
+                firings.refused("full", NOW + 4, NOW + 34, "no room"),
+            )
+            for record in OWN_RECORDS:
+                journal.write(record)
+            take = taken(journal.known, batch(OTHER, 0, OTHER_UPTO, OTHER_LINES))
+            assert take is not None
+            journal.take(take)
+
+        loop.run(write)
+
+
+# The ledger of memory-time: one hour by the day, one closed and corrected, one open.
+
+MB_S = 1_000_000
+SLICE = Slice(
+    worker="worker-1",
+    started=NOW - HOUR + 2,
+    copy=3,
+    hour=NOW,
+    function="price",
+    memory_mb=600,
+    heard=NOW + 900 * MB_S,
+    ended=True,
+    loading=8 * MB_S,
+    unused=9 * MB_S,
+    runs={"tills": 10 * MB_S, "": 11 * MB_S},
+    after={"trade": 12 * MB_S},
+    first="trade",
+    doubts=frozenset({"a counter went down"}),
+)
+BARE_SLICE = Slice("worker-2", NOW + 1, 4, NOW, "reserve", 300, NOW + 60 * MB_S)
+CLOSED_SLICE = Slice(
+    "worker-1", NOW - HOUR + 2, 3, NOW - HOUR, "price", 600, NOW, True, 0, 0, {"tills": 5 * MB_S}, {}, "trade"
+)
+LIVES = [
+    Life("worker-1", NOW - HOUR + 2, NOW + 901 * MB_S, 8192, 7, 13, True),
+    Life("worker-2", NOW + 1, NOW + 61 * MB_S, 4096),
+]
+GAPS = [Gap(NOW, "worker-3 started 5", "silent", 77 * MB_S), Gap(NOW, "front end 6", "front end down", 88)]
+SEEN = [
+    Seen(NOW - 5, NOW - HOUR, "worker-4", "reserve", "trade", Amount(9, 8, 10)),
+    Seen(NOW - 5, NOW, "worker-4", "reserve", "tills", Amount(30 * MB_S, 20 * MB_S, 40 * MB_S)),
+]
+TILLS, TRADE = Account("tills", "price"), Account("trade", "reserve", "estimated")
+CLOSED_AMOUNT = Amount(*[600 * 5 * MB_S] * 3)
+LINES = [
+    Line(NOW - HOUR, TILLS, "closed", CLOSED_AMOUNT + Amount(-3, -2, 5), NOW + 300),
+    Line(NOW - HOUR, TILLS, "correction", Amount(3, 2, -5), NOW + 400),
+    Line(NOW - HOUR, TRADE, "closed", Amount(9, 8, 10), NOW + 301),
+]
+OLD_LINES = [
+    Line(NOW - 40 * DAY + at * HOUR, TILLS, kind, Amount(100 + at, 50 + at, 200 + at), NOW)
+    for kind in ("closed", "correction")
+    for at in (0, 1)
+]
+OLD_DAY = (NOW - 40 * DAY) // DAY * DAY
+DAYS = [
+    Line(OLD_DAY, TILLS, "closed", Amount(201, 101, 401), 0),
+    Line(OLD_DAY, TILLS, "correction", Amount(201, 101, 401), 0),
+]
+RUN = Run(started=NOW - 5, at=NOW + 950 * MB_S, at_risk=1234)
+SLICES = [CLOSED_SLICE, SLICE, BARE_SLICE]
+DROP_BEFORE = NOW - 2 * HOUR
+SAVED = Saved(
+    slices=SLICES,
+    lives=LIVES,
+    gaps=GAPS[::-1],  # by source
+    seen=SEEN,
+    booked={},
+    closed_to=NOW,
+    drop_before=DROP_BEFORE,
+    serial=2,
+)
+LEDGER = Kept(SAVED, LINES, DAYS)
+BOOKED = {NOW - HOUR: {TILLS: CLOSED_AMOUNT, TRADE: Amount(9, 8, 10)}}
+
+
+def write_usage(path: Path) -> None:
+    """The content of USAGE_DUMP, in two batches: the second drops, folds and ends what is old."""
+    loop = Loop()
+    store = UsageStore(loop, path)
+    dropped = Slice("worker-1", NOW - HOUR + 2, 1, NOW - 3 * HOUR, "price", 600, NOW - 2 * HOUR)
+    ended = [Line(NOW - 500 * DAY, TILLS, "closed", Amount(1, 1, 1), NOW)]
+    ends = DROP_BEFORE, NOW - 35 * DAY, NOW - 400 * DAY
+    batches = [
+        Batch([CLOSED_SLICE, dropped], LIVES[:1], GAPS[:1], [], [*OLD_LINES, *ended], NOW - HOUR, 0, 0, 0, 1),
+        Batch([SLICE, BARE_SLICE], LIVES[1:], GAPS[1:], SEEN, LINES, NOW, *ends, 2),
+    ]
+
+    def write() -> None:
+        for each in batches:
+            store.write(each, RUN)
+
+    try:
+        loop.run(write)
+    finally:
+        store.close()
--- /dev/null
+++ b/packages/store/tests/test_store_golden.py
@@ -0,0 +1,151 @@
+"""Files that released code left: today's code opens them, tells all that is in them, and writes the same."""
+
+from __future__ import annotations
+
+import sqlite3
+from dataclasses import replace
+from pathlib import Path
+from tempfile import TemporaryDirectory
+
+import pytest
+
+from golden_files import assert_as_golden, dump_of, restore_dump, schema_of
+from stored_state import (
+    BOOKED,
+    CALLS,
+    CALLS_DUMP,
+    DISK,
+    FIRED,
+    FIRED_AND_ENDED,
+    GONE,
+    LEDGER,
+    MARKS,
+    NOW,
+    OPEN,
+    OTHER,
+    OTHER_LINES,
+    OTHER_UPTO,
+    OWN,
+    OWN_LINES,
+    OWN_RECORDS,
+    RUN,
+    SAVED,
+    USAGE_DUMP,
+    calls_store,
+    write_calls,
+    write_usage,
+)
+from walnutpost.gateway import Status
+from walnutpost.journal import Spans, batch
+from walnutpost.loop import Loop
+from walnutpost.metering import HOUR
+from walnutpost.metering.records import DAY
+from walnutpost.store import Listing, UsageStore, history, read_ledger
+from walnutpost.store.firings import Row
+
+WRITERS = {CALLS_DUMP: write_calls, USAGE_DUMP: write_usage}
+
+
+def golden_files() -> dict[Path, bytes]:
+    files = {}
+    with TemporaryDirectory() as folder:
+        for dump, write in WRITERS.items():
+            write(path := Path(folder) / f"{dump.stem}.db")
+            files[dump] = dump_of(path)
+    return files
+
+
+def test_the_same_content_is_written_as_before() -> None:
+    assert_as_golden(golden_files())
+
+
+@pytest.mark.parametrize("dump", WRITERS, ids=lambda dump: dump.name)
+def test_tables_columns_and_indexes_of_a_new_file_are_those_of_before(dump: Path, tmp_path: Path) -> None:
+    WRITERS[dump](tmp_path / "new.db")
+    assert schema_of(tmp_path / "new.db") == schema_of(restore_dump(dump, tmp_path / "old.db"))
+
+
+def test_opening_a_file_of_before_changes_nothing_in_it(tmp_path: Path) -> None:
+    with calls_store(restore_dump(CALLS_DUMP, tmp_path / "calls.db")):
+        pass
+    assert dump_of(tmp_path / "calls.db") == CALLS_DUMP.read_bytes()
+    UsageStore(Loop(), restore_dump(USAGE_DUMP, tmp_path / "usage.db")).close()
+    assert dump_of(tmp_path / "usage.db") == USAGE_DUMP.read_bytes()
+
+
+def test_executions_of_before_are_told_with_their_fates(tmp_path: Path) -> None:
+    everything = Listing("price", None, frozenset(), None, None, False, None, 100)
+    with calls_store(restore_dump(CALLS_DUMP, tmp_path / "calls.db")) as (loop, executions, _, _):
+        known = {e.id: e for e in CALLS}
+        running = [e for e in CALLS if e.status is Status.RUNNING]
+        opened = executions.open_executions()
+        assert {e.id: e for e in opened} == {e.id: e for e in running}
+        assert [e.expires_at for e in opened] == sorted(e.expires_at for e in running)
+
+        def read() -> None:
+            assert {ident: executions.find(ident) for ident in known} == known
+            assert executions.find(GONE.id) is executions.find(FIRED_AND_ENDED.id) is None
+            assert executions.named(OPEN.function, FIRED.name) == FIRED
+            page, more = executions.page(everything)
+            assert {e.id: e for e in page} == known and not more
+            for status in Status:
+                found, _ = executions.page(replace(everything, statuses=frozenset({status})))
+                assert {e.id for e in found} == {e.id for e in CALLS if e.status is status}
+
+        loop.run(read)
+
+
+def test_firings_and_marks_of_before_are_told(tmp_path: Path) -> None:
+    path = restore_dump(CALLS_DUMP, tmp_path / "calls.db")
+    fired = Row("nightly", NOW, NOW, 1, NOW + 30, FIRED.name, "RUNNING", "")
+    lost = Row("lost", NOW, NOW, 1, NOW + 32, "cron-lost-1800000000", "RUNNING", "")
+    ended = Row("hourly", NOW, NOW, 1, NOW + 31, FIRED_AND_ENDED.name, "FAILED", "T: why")
+    skipped = Row("often", NOW + 3, NOW + 9, 4, NOW + 33, "", "SKIPPED", "missed")
+    refused = Row("full", NOW + 4, NOW + 4, 1, NOW + 34, "", "REFUSED", "no room")
+    with calls_store(path) as (_, _, _, firings):
+        assert firings.marks() == MARKS
+        assert firings.out() == ([fired], [lost])
+    assert history(path, None, 100) == [refused, skipped, ended, lost, fired]
+    assert history(path, "often", 100) == [skipped]
+
+
+def test_journals_of_before_own_and_others_are_told(tmp_path: Path) -> None:
+    with calls_store(restore_dump(CALLS_DUMP, tmp_path / "calls.db")) as (loop, _, journal, _):
+        assert (journal.own, journal.disk) == (OWN, DISK)
+        assert journal.known == {OWN: len(OWN_RECORDS), OTHER: OTHER_UPTO}
+
+        def read() -> None:
+            for origin, lines, upto in ((OWN, OWN_LINES, len(OWN_RECORDS)), (OTHER, OTHER_LINES, OTHER_UPTO)):
+                spans, found = journal.held(origin)
+                assert found == lines and list(spans) == list(Spans([(0, upto)]))
+                assert journal.batch(origin, 0, upto, 1 << 20) == batch(origin, 0, upto, lines)
+            assert sorted(journal.of_call("id-far"), key=lambda each: each.seq) == OTHER_LINES[:3]
+            assert [each.seq for each in journal.of_call("id-open")] == [1, 2, 7]
+            assert journal.write(OWN_RECORDS[3]).line.seq == len(OWN_RECORDS) + 1  # numbers go on
+
+        loop.run(read)
+
+
+def test_a_ledger_of_before_is_told_with_its_totals(tmp_path: Path) -> None:
+    path = restore_dump(USAGE_DUMP, tmp_path / "usage.db")
+    assert read_ledger(path, 0, 1 << 62) == LEDGER
+    assert read_ledger(path, NOW - 10 * DAY, NOW, records=False).lines == LEDGER.lines
+    store = UsageStore(Loop(), path)
+    saved, run = store.saved()
+    store.close()
+    assert run == RUN
+    assert saved == replace(SAVED, booked=BOOKED)
+    assert set(BOOKED) == {NOW - HOUR}
+
+
+def test_a_damaged_line_keeps_its_place_as_before(tmp_path: Path) -> None:
+    db = sqlite3.connect(restore_dump(CALLS_DUMP, tmp_path / "calls.db"))
+    kinds = db.execute("select origin, kind, count(*) from lines group by origin, kind").fetchall()
+    db.close()
+    assert sorted(kinds) == sorted(
+        [
+            *[(OWN, kind, n) for kind, n in (("accepted", 2), ("intended", 1), ("withdrawn", 1))],
+            *[(OWN, kind, 1) for kind in ("ended", "purged")],
+            *[(OTHER, kind, 1) for kind in ("accepted", "intended", "ended", "bad")],
+        ]
+    )
