--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -165,7 +165,7 @@
         )
         limits = Limits(front.max_head_bytes, front.max_body_bytes, us(front.head_time_ms))
         address = address_of(front.listen)
-        self.server: Server = serve_on(loop, address, invoke.handle, refusal, limits, tap, "front")
+        self.server: Server = serve_on(loop, address, invoke.handle, refusal, limits, tap, "front", log=log)
         self._tasks.append(loop.spawn(self.timers.run, name="timers"))
         if self.following is not None:
             self._tasks.append(loop.spawn(self.following.run, name="following"))
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from ssl import SSLContext
+from typing import Any
 
 from walnutpost.http.messages import (
     BadMessage,
@@ -14,7 +15,18 @@
     Response,
     encode_response,
 )
-from walnutpost.loop import Cancelled, Group, Listener, Loop, Stream, Tap, Timeout, TlsStream, serving
+from walnutpost.loop import (
+    AcceptErrorLog,
+    Cancelled,
+    Group,
+    Listener,
+    Loop,
+    Stream,
+    Tap,
+    Timeout,
+    TlsStream,
+    serving,
+)
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LINGER = 1_000_000  # how long a refused sender may go on sending before the connection is cut
@@ -63,7 +75,7 @@
         return self._listener.address
 
     def serve(self) -> None:
-        """Accepts until cancelled."""
+        """Accepts until cancelled, or until the listener is closed."""
         sorry = encode_response(self._refusal(BadMessage(503, "no free descriptor")))
         while True:
             stream = self._listener.accept(sorry)
@@ -188,10 +200,15 @@
     tap: Tap | None = None,
     role: str = "",
     context: SSLContext | None = None,
+    log: Any = None,
 ) -> Server:
-    """A server that already accepts, as a task of its own; under TLS where there is a context."""
+    """A server that already accepts, as a task of its own; under TLS where there is a context. Failed accepts
+    go to `log`."""
     make = serving(context) if context is not None else Stream
-    server = Server(loop, Listener(loop, address, tap, role, make=make), handler, refusal, limits)
+    listener = Listener(loop, address, tap, role, make=make)
+    if log is not None:
+        listener.on_accept_error = AcceptErrorLog(loop, log)
+    server = Server(loop, listener, handler, refusal, limits)
     server.context = context
 
     def accepting() -> None:
--- a/packages/keeper/src/walnutpost/keeper/process.py
+++ b/packages/keeper/src/walnutpost/keeper/process.py
@@ -137,7 +137,7 @@
             log,
         )
         self._server = serve_on(
-            loop, listen, self._serve, self._refusal, Limits(body=wire.BODY_MOST), role="keeper"
+            loop, listen, self._serve, self._refusal, Limits(body=wire.BODY_MOST), role="keeper", log=log
         )
         self._feed(Due())
         log.info("keeper", replica=identity, address="{}:{}".format(*self.address))
--- a/packages/loop/src/walnutpost/loop/__init__.py
+++ b/packages/loop/src/walnutpost/loop/__init__.py
@@ -6,11 +6,12 @@
 
 from walnutpost.loop.clock import Clock, RealClock, VirtualClock
 from walnutpost.loop.scheduler import Cancelled, Loop, Task, Timeout
-from walnutpost.loop.sockets import Listener, Stream, Tap, connect
+from walnutpost.loop.sockets import AcceptErrorLog, Listener, Stream, Tap, connect
 from walnutpost.loop.sync import Event, Full, Group, Queue
 from walnutpost.loop.tls import Secure, TlsStream, connect_secure, serving
 
 __all__ = [
+    "AcceptErrorLog",
     "Cancelled",
     "Clock",
     "Event",
--- a/packages/loop/src/walnutpost/loop/sockets.py
+++ b/packages/loop/src/walnutpost/loop/sockets.py
@@ -6,7 +6,7 @@
 import os
 import socket
 from collections.abc import Callable
-from typing import Protocol
+from typing import Any, Protocol
 
 from walnutpost.loop.scheduler import Loop
 
@@ -14,6 +14,10 @@
 CHUNK = 65536
 NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 ACCEPT_PAUSE = 50_000  # after an accept failed for want of descriptors and no spare one was left
+ACCEPT_TRIES = 32  # accepts that may fail one after the other before a pause
+ACCEPT_BACKOFF_US, MAX_ACCEPT_BACKOFF_US = 1_000, 20_000  # doubled with each pause in which none succeeded
+ACCEPT_NOW_PAUSES = 5  # after which `Listener.accept_now` tells of the error
+ACCEPT_LOG_INTERVAL_US = 1_000_000  # between two events of failed accepts in a log
 
 
 class Tap(Protocol):
@@ -209,8 +213,32 @@
         raise
 
 
+class AcceptErrorLog:
+    """Logs failed accepts as the event `accept_failed`, once a second at the most, with their count."""
+
+    def __init__(self, loop: Loop, log: Any) -> None:
+        self._loop = loop
+        self._log = log
+        self._count = 0
+        self._logged_us: int | None = None
+
+    def __call__(self, error: OSError) -> None:
+        self._count += 1
+        now = self._loop.now()
+        if self._logged_us is None or now - self._logged_us >= ACCEPT_LOG_INTERVAL_US:
+            self._log.warning("accept_failed", why=repr(error), count=self._count)
+            self._logged_us, self._count = now, 0
+
+
 class Listener:
-    """A listening socket. Port 0 takes any free one; `address` tells which."""
+    """A listening socket. Port 0 takes any free one; `address` tells which.
+
+    It takes connections until it is closed, whatever `accept` raises. An error of `accept` concerns the
+    connection at the head of the queue (accept(2): errors of the network pending on it, a firewall's rule),
+    which is then gone, or the machine for a while (memory, descriptors). So the next connections are tried at
+    once, ACCEPT_TRIES of them. Where all fail there is a pause: the descriptor stays readable meanwhile, so
+    nothing tells when the cause has passed, and only time, or `close`, ends it.
+    """
 
     def __init__(
         self,
@@ -227,6 +255,8 @@
         self._loop = loop
         self._make = make
         self._make_room = make_room
+        # Called with each error that `accept` of the socket raises while it is open.
+        self.on_accept_error: Callable[[OSError], object] = lambda error: None
         self._tap = tap
         self._role = role
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -241,42 +271,98 @@
         self.address: Address = self._sock.getsockname()[:2]
         self._spare: int | None = os.open(os.devnull, os.O_RDONLY)
         self.turned_away = 0
+        self.accept_errors = 0  # raised by `accept` of the socket, since the start
+        self._errors_in_row = 0
+        self._backoff_us = ACCEPT_BACKOFF_US
+        self._pauses: set[Callable[[], None]] = set()  # how to end each of those that run
 
     def accept(self, sorry: bytes = b"") -> Stream:
-        """The next connection. Without a free descriptor, callers are told `sorry` and closed at once,
-        on a spare one kept for this, instead of being left to hang in the backlog."""
+        """The next connection; OSError only once the listener is closed. Without a free descriptor, callers
+        are told `sorry` and closed at once, on a spare one kept for this, instead of being left to hang in
+        the backlog."""
         while True:
-            stream = self._accepted(sorry)
+            try:
+                stream = self._accepted(sorry)
+            except OSError:
+                if self.closed:
+                    raise
+                self._pause()
+                continue
             if stream is not None:
                 return stream
             self._loop.wait_readable(self._sock.fileno())
 
     def accept_now(self) -> Stream | None:
-        """The next connection that the kernel has taken already, or None: before `close`, which would
-        reset it."""
+        """The next connection that the kernel has taken already, or None where the queue is empty: before
+        `close`, which would reset it. OSError where none could be had for ACCEPT_NOW_PAUSES pauses."""
+        for _ in range(ACCEPT_NOW_PAUSES):
+            try:
+                return self._accepted(b"")
+            except OSError:
+                if self.closed:
+                    raise
+                self._pause()
         return self._accepted(b"")
 
     def _accepted(self, sorry: bytes) -> Stream | None:
+        """The next connection, or None where the queue is empty; OSError after ACCEPT_TRIES errors."""
         while True:
+            self._loop.spent()  # before it: who is cancelled in here must have no connection in hand
             try:
                 sock, _ = self._sock.accept()
             except BlockingIOError:
+                self._succeeded()
                 return None
-            except ConnectionAbortedError:
-                continue
             except OSError as error:
-                if error.errno not in NO_DESCRIPTORS:
+                if self.closed:
                     raise
-                if not self._make_room():
+                self._failed(error)
+                if error.errno in NO_DESCRIPTORS and not self._make_room():
                     self._turn_away(sorry)
                 continue
+            self._succeeded()
+            stream = self._stream(sock)
+            if stream is not None:
+                return stream
+
+    def _stream(self, sock: socket.socket) -> Stream | None:
+        """None where the connection has gone before it could be prepared, or named."""
+        try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._loop.spent()
-            try:
-                return self._make(self._loop, sock, self._tap, self._role)
-            except OSError:  # gone before it could be named
-                sock.close()
+            return self._make(self._loop, sock, self._tap, self._role)
+        except OSError:
+            sock.close()
+            return None
+
+    def _failed(self, error: OSError) -> None:
+        """Counts it; raises it where it is the last of ACCEPT_TRIES in a row."""
+        self.accept_errors += 1
+        self._errors_in_row += 1
+        self.on_accept_error(error)
+        if self._errors_in_row >= ACCEPT_TRIES:
+            self._errors_in_row = 0
+            raise error
+
+    def _succeeded(self) -> None:
+        self._errors_in_row = 0
+        self._backoff_us = ACCEPT_BACKOFF_US
+
+    def _pause(self) -> None:
+        """A backoff that `close` ends."""
+        delay, self._backoff_us = self._backoff_us, min(self._backoff_us * 2, MAX_ACCEPT_BACKOFF_US)
+        task, token = self._loop.waiting()
+
+        def end() -> None:
+            self._loop.wake(task, token)
+
+        timer = self._loop.call_later(delay, end)
+        self._pauses.add(end)
+        try:
+            self._loop.park()
+        finally:
+            timer.cancel()
+            self._pauses.discard(end)
 
     def _turn_away(self, sorry: bytes) -> None:
         if self._spare is None:
@@ -287,6 +373,7 @@
             try:
                 sock, _ = self._sock.accept()
                 self.turned_away += 1
+                self._succeeded()
                 sock.setblocking(False)
                 try:
                     sock.send(sorry)
@@ -296,7 +383,7 @@
                 sock.close()
             except OSError:
                 pass  # another thread or process took the descriptor: next round
-        if self._spare is None:
+        if self._spare is None and not self.closed:
             try:
                 self._spare = os.open(os.devnull, os.O_RDONLY)
             except OSError:
@@ -311,6 +398,8 @@
         if self._sock.fileno() >= 0:
             self._loop.forget(self._sock.fileno())
             self._sock.close()
+            for end_pause in list(self._pauses):
+                end_pause()
         if self._spare is not None:
             os.close(self._spare)
             self._spare = None
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
+from contextlib import suppress
 from functools import partial
 from typing import Any
 
 from walnutpost import interface as api
 from walnutpost.core import Core
-from walnutpost.loop import Listener, Loop, Stream
+from walnutpost.loop import AcceptErrorLog, Listener, Loop, Stream
 from walnutpost.node.client_connection import Connection
 from walnutpost.node.open_requests import OpenRequests
 from walnutpost.node.pool import Identity
 
 SWEEP_INTERVAL_US = 250_000
 NEW_CONNECTION_GRACE_US = 300_000  # in which a new connection may be about to send
-ACCEPT_PAUSE_US = 20_000  # after an error that nobody expected of the listener
 
 
 class Clients:
@@ -57,6 +57,13 @@
 
     def accept(self, listener: Listener) -> None:
         """A task: takes connections until the listener is closed."""
+        log = AcceptErrorLog(self.loop, self.log)
+
+        def failed(error: OSError) -> None:
+            self._backlog_begins()
+            log(error)
+
+        listener.on_accept_error = failed
         try:
             while not listener.closed:
                 self._accept_one(listener)
@@ -69,12 +76,17 @@
             if stream is None:
                 self._backlog_since_us = None
                 stream = listener.accept()
+        except OSError:  # the listener has counted it, and paused where it is open
+            return
+        finally:
             self._backlog_begins()
-            self.take(stream)
-        except OSError as error:  # costs the connection that it came on, not all that follow
-            self._backlog_begins()
-            self.log.info("accept", why=repr(error))
-            self.loop.sleep(ACCEPT_PAUSE_US)
+        self.loop.guarded("client", partial(self.take, stream))
+
+    def take_queued(self, listener: Listener) -> None:
+        """Takes what the kernel has taken already, before the listener is closed."""
+        with suppress(OSError):  # those that can't be had now are lost: the others' answers can't wait
+            while (stream := listener.accept_now()) is not None:
+                self.loop.guarded("client", partial(self.take, stream))
 
     def _backlog_begins(self) -> None:
         """From here until the queue is seen empty its connections may have waited since this round's poll."""
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -37,7 +37,8 @@
         self._random = Random(seed)
         self._sock: socket.socket | None = None
         self.asked = self.useless = 0
-        self.move(address)
+        self._start: Address | None = address  # where to ask for the first time; None once that was done
+        self._send()
         self.asking = loop.every(PERIOD_US, self._send, "questions to the name server")
 
     def move(self, address: Address) -> None:
@@ -56,20 +57,29 @@
             except OSError:
                 sock.close()
                 raise
-            self.close()
+            self._close_socket()
             self._sock = sock
             self._loop.on_readable(sock.fileno(), self._readable)
+        self._start = None
         self._directory.forget_questions()
         self._send()
 
     def close(self) -> None:
+        """Asks no more."""
+        self._start = None
+        self._close_socket()
+
+    def _close_socket(self) -> None:
         if self._sock is not None:
             self._loop.forget(self._sock.fileno())
             self._sock.close()
             self._sock = None
 
     def _send(self) -> None:
-        if self._sock is not None:
+        if self._start is not None:
+            with suppress(OSError):  # no way there yet, or no descriptor: tried again soon
+                self.move(self._start)
+        elif self._sock is not None:
             self.asked += 1
             with suppress(OSError):  # asked again soon
                 self._sock.send(self._directory.query(self._random.getrandbits(16)))
--- a/packages/node/src/walnutpost/node/run.py
+++ b/packages/node/src/walnutpost/node/run.py
@@ -95,8 +95,7 @@
         self.core.feed(ShuttingDown(self._drain_limit_us))
         self._loop.sleep(DRAIN_PERIOD_US)
         self._accepting.cancel()
-        while (stream := self.listener.accept_now()) is not None:  # the machine has taken these
-            self.clients.take(stream)
+        self.clients.take_queued(self.listener)
         self.listener.close()
         self.clients.end()
         while self.clients.connections and self._loop.now() < began + self._drain_limit_us + KILL_MARGIN_US:
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -57,7 +57,7 @@
         choice = Choice(name, dict.fromkeys(keepers, ""), "", Random(seed))
         ways = {keeper: lambda at=at: at for keeper, at in keepers.items()}
         self.watcher = Watcher(loop, ways, self.follower, choice, self._taken, log, HOLD, RATE, STALE)
-        self._server = serve_on(loop, listen, self._serve, self._refusal, LIMITS, role="relay")
+        self._server = serve_on(loop, listen, self._serve, self._refusal, LIMITS, role="relay", log=log)
         self.roster = Roster(name, self.incarnation, address or "{}:{}".format(*self.address))
         self.watches = WatchServer(loop, self._table, self.watcher.age, self._said, GATHER, gone=self._gone)
         self._client = KeeperClient(loop, keepers, PATIENCE, EACH)
--- a/packages/replica/src/walnutpost/replica/holder.py
+++ b/packages/replica/src/walnutpost/replica/holder.py
@@ -19,7 +19,9 @@
         self._log = log
         self._busy: set[str] = set()
         limits = Limits(body=wire.BODY_MOST)
-        self.server: Server = serve_on(loop, address, self._handle, self._sorry, limits, None, "holder")
+        self.server: Server = serve_on(
+            loop, address, self._handle, self._sorry, limits, None, "holder", log=log
+        )
 
     @staticmethod
     def _sorry(error: BadMessage) -> Response:
--- /dev/null
+++ b/packages/trials/tests/test_mesh_faults.py
@@ -0,0 +1,35 @@
+"""A mesh's relays on sockets that fail: a relay passes on until it is closed."""
+
+from __future__ import annotations
+
+import errno
+
+import pytest
+
+from scripted_sockets import at, scripted_sockets, to
+from walnutpost.loop import Listener, Loop, VirtualClock, connect
+from walnutpost.trials.mesh import Relay
+
+
+@pytest.mark.parametrize("number", [errno.EPROTO, errno.ENETDOWN, errno.EPERM])
+def test_a_relay_passes_on_after_failed_accepts_and_dials(number: int) -> None:
+    loop = Loop(VirtualClock())
+
+    def body() -> None:
+        target = Listener(loop, ("127.0.0.1", 0))
+        relay = Relay(loop, lambda: target.address)
+        faults.fail("accept", number, times=3, when=at(relay.address))
+        faults.fail("connect", number, when=to(target.address))
+        with loop.timeout(10_000_000):
+            with pytest.raises(ConnectionResetError):  # as it connects, or after
+                connect(loop, relay.address).recv()
+            near = connect(loop, relay.address)
+            near.send_all(b"passed on")
+            far = target.accept()
+            assert far.recv() == b"passed on"
+        assert faults.failed == {"accept": 3, "connect": 1}
+        for end in (near, far, target):
+            end.close()
+
+    with scripted_sockets() as faults:
+        loop.run(body)
