--- /dev/null
+++ b/packages/agent/tests/agent_forms.py
@@ -0,0 +1,165 @@
+"""The objects behind the golden folder of an agent: its own file, its versions, an operator's order."""
+
+from __future__ import annotations
+
+import json
+import secrets
+from pathlib import Path
+from tempfile import TemporaryDirectory
+from typing import NamedTuple
+from unittest.mock import patch
+
+from golden_forms import Form, Golden, as_json
+from walnutpost.agent import order_path, process, version_of
+from walnutpost.agent.process import Agent
+from walnutpost.cli.fleet_plans import _by_hand
+from walnutpost.cli.keepers import AGENTS
+from walnutpost.fleet import FRONT_END
+from walnutpost.fleet.steward import ByHand, Input, Steward, Terms
+
+MEMBER, NAME = "f1", "f1@0a1b2c3d"
+FIRST, SECOND = b'{"version": 1}', b'{"version": 2}'
+ASKED_AT = 1_700_000_000.25
+
+
+class Folder(NamedTuple):
+    """What an agent remembers, and the contents of the versions that it keeps."""
+
+    known: dict[str, str]
+    versions: list[bytes]
+
+
+class SilentLog:
+    """Takes an agent's lines."""
+
+    def warning(self, *args: object, **named: object) -> None:
+        pass
+
+    error = warning
+
+
+def _agent(folder: Path) -> Agent:
+    """One that starts nothing and asks nobody: only its folder is in use."""
+    agent = Agent.__new__(Agent)
+    agent._folder, agent._member, agent._log = folder, MEMBER, SilentLog()
+    return agent
+
+
+def written(value: Folder) -> bytes:
+    known, versions = value
+    with TemporaryDirectory() as name:
+        folder = Path(name)
+        (folder / "versions").mkdir()
+        agent = _agent(folder)
+        if "held" not in known:  # its very first start, which makes its name up
+            with patch.object(secrets, "token_hex", lambda size: known["agent"].partition("@")[2]):
+                assert agent._remembered(versions[0]) == known
+            return _dumped(folder)
+        for content in versions:
+            agent._kept(content)
+        agent.steward = Steward(
+            known["agent"], MEMBER, FRONT_END, "a", known["current"], Terms(1, 1), 0, held=known["held"]
+        )
+        agent.steward.previous = known["previous"]
+        agent._written = {"agent": known["agent"]}
+        agent._remember()
+        return _dumped(folder)
+
+
+def _dumped(folder: Path) -> bytes:
+    """A folder of text files, by their names within it."""
+    files = {p.relative_to(folder).as_posix(): p.read_text() for p in folder.rglob("*") if p.is_file()}
+    return json.dumps(files, sort_keys=True, indent=1).encode()
+
+
+def make_folder(folder: Path, dumped: bytes) -> None:
+    for name, text in json.loads(dumped).items():
+        path = folder / name
+        path.parent.mkdir(parents=True, exist_ok=True)
+        path.write_text(text)
+
+
+def read(dumped: bytes) -> Folder:
+    with TemporaryDirectory() as name:
+        folder = Path(name)
+        make_folder(folder, dumped)
+        known = _agent(folder)._remembered(b"not taken")
+        paths = [folder / "versions" / known[which] for which in ("current", "previous") if known[which]]
+        return Folder(known, [path.read_bytes() for path in paths])
+
+
+def order_written(order: ByHand) -> bytes:
+    """As `walnutpost fleet ... --alone` leaves it beside the agent's file."""
+    with TemporaryDirectory() as name:
+        folder = Path(name)
+        line = {"member": MEMBER, "zone": "a", "command": ["true"], "first": "v1"}
+        keepers = [{"name": "k1", "address": "127.0.0.1:1"}]
+        config = folder / "keepers.json"
+        config.write_text(json.dumps({"keepers": keepers, "agents": [line]}))
+        (folder / AGENTS).mkdir()
+        _by_hand(config, (MEMBER,), order.version, order.operator, order.why)
+        return _dumped(folder / AGENTS)
+
+
+def order_read(dumped: bytes) -> ByHand:
+    """As the agent takes it up; the time is that of its taking up."""
+    found: list[Input] = []
+    with TemporaryDirectory() as name:
+        folder = Path(name)
+        make_folder(folder, dumped)
+        (folder / "versions").mkdir()
+        agent = _agent(folder)
+        agent._kept(SECOND)
+        agent.ended = True  # so that it looks once
+        with patch.object(agent, "_feed", found.append):
+            agent._look_for_orders()
+        assert not order_path(folder, MEMBER).exists()
+    (order,) = found
+    assert isinstance(order, ByHand)
+    return order
+
+
+def _without_time(order: ByHand) -> tuple[str, str, str]:
+    return order.operator, order.why, order.version
+
+
+def _order(version: str) -> Form:
+    order = ByHand("ann", "fire", ASKED_AT, version)
+    return Form(order, order_written, order_read, _without_time)
+
+
+def _folder(known: dict[str, str], versions: list[bytes]) -> Form:
+    return Form(Folder(known, versions), written, read)
+
+
+FORMS: dict[str, Form] = {
+    "folder.all-fields": _folder(
+        {
+            "agent": NAME,
+            "current": version_of(SECOND),
+            "previous": version_of(FIRST),
+            "held": "drain-1",
+        },
+        [SECOND, FIRST],
+    ),
+    "folder.first-start": _folder({"agent": NAME, "current": version_of(FIRST), "previous": ""}, [FIRST]),
+    "folder.running": _folder(
+        {"agent": NAME, "current": version_of(FIRST), "previous": "", "held": ""}, [FIRST]
+    ),
+    "order-by-hand.release": _order(version_of(SECOND)),
+    "order-by-hand.restart": _order(""),
+    "names": as_json(
+        {
+            "version of nothing": version_of(b""),
+            "process of an agent": process.AGENT,
+            "process as it was told of": process.INCARNATION,
+            "address in its output": process.ADDRESS.pattern.decode(),
+        }
+    ),
+}
+
+GOLDEN = Golden(
+    Path(__file__).parent / "golden" / "agent-folder.json",
+    "The folder of an agent: file names and their texts, and an operator's order left in it.",
+    FORMS,
+)
--- /dev/null
+++ b/packages/cli/tests/test_fleet_json_golden.py
@@ -0,0 +1,30 @@
+"""Programs that read the JSON of `walnutpost fleet` and `walnutpost config`: its keys and values stay."""
+
+from __future__ import annotations
+
+import click
+import pytest
+
+from fleet_json_forms import GOLDEN, shown
+from walnutpost.cli import main
+
+
+@pytest.mark.parametrize("name", GOLDEN.forms)
+def test_a_command_shows_the_same_json(name: str) -> None:
+    GOLDEN.check_written(name)
+
+
+def test_the_golden_file_holds_these_forms_and_no_others() -> None:
+    GOLDEN.check_names()
+
+
+def test_every_command_of_these_groups_that_shows_json_has_a_golden_form() -> None:
+    wanted = set()
+    for group in ("fleet", "config"):
+        commands = main.commands[group]
+        assert isinstance(commands, click.Group)
+        for name, command in commands.commands.items():
+            options = [p for p in command.params if isinstance(p, click.Option) and "--format" in p.opts]
+            if any(isinstance(o.type, click.Choice) and "json" in o.type.choices for o in options):
+                wanted.add((group, name))
+    assert wanted == {form.value[:2] for form in GOLDEN.forms.values() if form.encode is shown}
--- /dev/null
+++ b/packages/fleet/tests/test_fleet_golden.py
@@ -0,0 +1,82 @@
+"""Replicas of other versions and older disks: the bytes of commands, answers and states stay, and the same
+history gives the same state."""
+
+from __future__ import annotations
+
+from typing import get_args
+
+import msgspec
+import pytest
+
+from fleet_forms import COMMANDS, GOLDEN, HISTORY_COMMANDS, applied
+from golden_forms import check_covered, check_fields_told_apart, structs_of
+from walnutpost.agreement import Entry
+from walnutpost.fleet import (
+    Command,
+    Fleet,
+    budgets,
+    commands,
+    holder,
+    judgement,
+    leases,
+    machine,
+    sight,
+    state,
+    steward,
+)
+
+MODULES = budgets, commands, holder, judgement, leases, machine, sight, state, steward
+# What others hold: `encode` frames each command, and `Fleet.snapshot` adds the table to the state.
+FRAMES: set[type[msgspec.Struct]] = {commands._Framed, machine._Kept}
+
+
+def values() -> list[object]:
+    """With the states within fleets, which are no structs themselves."""
+    found = GOLDEN.values()
+    return found + [each.state for each in found if isinstance(each, Fleet)]
+
+
+@pytest.mark.parametrize("name", GOLDEN.forms)
+def test_a_golden_form_is_written_with_the_same_bytes(name: str) -> None:
+    GOLDEN.check_written(name)
+
+
+@pytest.mark.parametrize("name", GOLDEN.forms)
+def test_a_golden_form_is_read_as_the_same_value(name: str) -> None:
+    GOLDEN.check_read(name)
+
+
+def test_the_golden_file_holds_these_forms_and_no_others() -> None:
+    GOLDEN.check_names()
+
+
+def test_every_command_and_every_stored_type_has_a_golden_form() -> None:
+    check_covered(get_args(Command), COMMANDS.values())
+    wanted = {kind for module in MODULES for kind in structs_of(module)} - FRAMES
+    check_covered(wanted, values())
+
+
+def test_the_golden_history_has_all_types_of_commands_but_those_that_end_what_it_shows() -> None:
+    missing = set(get_args(Command)) - {type(command) for command in HISTORY_COMMANDS}
+    assert missing == {commands.Unbegun, commands.Remove, commands.Resume}
+
+
+def test_no_field_can_change_places_or_its_default_unseen() -> None:
+    check_fields_told_apart(values())
+
+
+def test_a_golden_history_gives_the_golden_answers_and_state() -> None:
+    entries = msgspec.msgpack.decode(GOLDEN["history.entries"], type=tuple[Entry, ...])
+    fleet = Fleet()
+    assert msgspec.msgpack.encode(applied(fleet, entries)) == GOLDEN["history.answers"]
+    assert fleet.snapshot() == GOLDEN["state-snapshot.after-the-history"]
+
+
+def test_a_golden_state_goes_on_to_the_same_state_from_any_entry_of_the_history() -> None:
+    entries = msgspec.msgpack.decode(GOLDEN["history.entries"], type=tuple[Entry, ...])
+    for cut in range(len(entries)):
+        fleet = Fleet()
+        applied(fleet, entries[:cut])
+        fleet = Fleet.restore(fleet.snapshot())
+        applied(fleet, entries[cut:])
+        assert fleet.snapshot() == GOLDEN["state-snapshot.after-the-history"]
--- /dev/null
+++ b/packages/store/tests/replica_forms.py
@@ -0,0 +1,136 @@
+"""The objects behind the golden disk of a replica: its vote, log, snapshot, and what was before it."""
+
+from __future__ import annotations
+
+import sqlite3
+from collections.abc import Callable
+from contextlib import closing
+from pathlib import Path
+from tempfile import TemporaryDirectory
+from typing import Any, NamedTuple, TypeVar
+
+import fleet_forms
+from agreement_forms import MEMBERS
+from golden_forms import Form, Golden
+from walnutpost.agreement import Entry, Kept, Members, Snapshot, Write
+from walnutpost.fleet import Fleet
+from walnutpost.loop import Loop
+from walnutpost.store.replica import ReplicaStore
+
+T = TypeVar("T")
+IDENTITY, VOTED, TERM = "k1#aa", "k2#bb", 4
+ALONE = "k1"  # the name of the only replica of its history
+SNAPSHOT_AT = 25  # the index that the snapshot covers; within a release and before a drain
+
+
+class Disk(NamedTuple):
+    identity: str
+    kept: Kept
+    past: list[Entry]
+
+
+def disk(identity: str = IDENTITY, members: Members = MEMBERS) -> Disk:
+    entries = fleet_forms.history(members)
+    fleet = Fleet()
+    fleet_forms.applied(fleet, entries[:SNAPSHOT_AT])
+    snapshot = Snapshot(SNAPSHOT_AT, 2, members, fleet.snapshot())
+    return Disk(identity, Kept(TERM, VOTED, snapshot, entries[SNAPSHOT_AT:]), list(entries))
+
+
+def new_disk() -> Disk:
+    return Disk(IDENTITY, Kept(0, "", Snapshot(0, 0, MEMBERS, b""), ()), [])
+
+
+def with_store(path: Path, work: Callable[[ReplicaStore], T]) -> T:
+    loop = Loop()
+    store = ReplicaStore(loop, path)
+    try:
+        return loop.run(lambda: work(store))
+    finally:
+        store.close()
+
+
+def sql_of(path: Path) -> str:
+    with closing(sqlite3.connect(path)) as db:
+        return "\n".join(db.iterdump()) + "\n"
+
+
+def make_file(path: Path, sql: str) -> None:
+    """A file as the golden one; sqlite's own state, as WAL mode, is set when it is opened."""
+    with closing(sqlite3.connect(path)) as db:
+        db.executescript(sql)
+
+
+def written(disk: Disk) -> bytes:
+    """The disk as this version writes it: a first start, its log, and then its snapshot."""
+    identity, kept, past = disk
+    with TemporaryDirectory() as folder:
+        path = Path(folder) / "replica"
+
+        def work(store: ReplicaStore) -> None:
+            store.make_new(identity, MEMBERS)
+            if past:
+                store.write([Write(1, 1, identity, 0, tuple(past))])
+                store.write([Write(2, kept.term, kept.voted, past[-1].index, (), kept.snapshot)])
+
+        with_store(path, work)
+        return sql_of(path).encode()
+
+
+def read(sql: bytes) -> Disk:
+    with TemporaryDirectory() as folder:
+        path = Path(folder) / "replica"
+        make_file(path, sql.decode())
+
+        def work(store: ReplicaStore) -> Disk:
+            loaded = store.load()
+            assert loaded is not None
+            identity, kept = loaded
+            last = kept.entries[-1].index if kept.entries else kept.snapshot.index
+            return Disk(identity, kept, store.past(0, 1000, last)[1])
+
+        return with_store(path, work)
+
+
+def rows_of(sql: bytes, like: dict[str, list[str]] | None = None) -> dict[str, Any]:
+    """All rows by table, of all columns or of those that `like` names."""
+    with closing(sqlite3.connect(":memory:")) as db:
+        db.executescript(sql.decode())
+        columns = columns_of(db) if like is None else like
+        return {
+            table: db.execute(f"select {', '.join(names)} from {table} order by 1").fetchall()
+            for table, names in columns.items()
+        }
+
+
+def columns_of(db: sqlite3.Connection) -> dict[str, list[str]]:
+    tables = [
+        name for (name,) in db.execute("select name from sqlite_master where type = 'table' order by 1")
+    ]
+    return {table: [row[1] for row in db.execute(f"pragma table_info({table})")] for table in tables}
+
+
+def same_rows(now: bytes, golden: bytes) -> bool:
+    """Whether the golden file's tables and columns hold the same. Later versions may have more of them."""
+    with closing(sqlite3.connect(":memory:")) as db:
+        db.executescript(golden.decode())
+        like = columns_of(db)
+    return rows_of(now, like) == rows_of(golden)
+
+
+def _disk(disk: Disk) -> Form:
+    return Form(disk, written, read, agrees=same_rows)
+
+
+FORMS: dict[str, Form] = {
+    "disk.with-log-and-snapshot": _disk(disk()),
+    "disk.of-one-replica-alone": _disk(disk(ALONE, Members((ALONE,)))),
+    "disk.of-a-first-start": _disk(new_disk()),
+}
+
+GOLDEN = Golden(
+    Path(__file__).parent / "golden" / "replica" / "disk.json",
+    "The file of a replica of the control plane, as sqlite dumps it: vote, log, snapshot, and entries that "
+    "the snapshot has taken the place of. Make a file of it by sqlite's executescript.",
+    FORMS,
+)
--- /dev/null
+++ b/packages/store/tests/test_replica_store_golden.py
@@ -0,0 +1,113 @@
+"""Older disks: the file of a replica, as this version left it, opens, and gives the same state."""
+
+from __future__ import annotations
+
+import sqlite3
+from pathlib import Path
+
+import pytest
+
+import fleet_forms
+from replica_forms import (
+    ALONE,
+    GOLDEN,
+    IDENTITY,
+    SNAPSHOT_AT,
+    TERM,
+    make_file,
+    read,
+    same_rows,
+    with_store,
+)
+from walnutpost.agreement import Entry, Kind, Timing, Write
+from walnutpost.fleet import Fleet
+from walnutpost.keeper import Keeper
+from walnutpost.loop import Loop
+from walnutpost.store.replica import ReplicaStore
+
+LONG = 60_000_000  # microseconds: a lease, and the time after which a test gives up
+DISK = "disk.with-log-and-snapshot"
+
+
+@pytest.mark.parametrize("name", GOLDEN.forms)
+def test_a_golden_disk_is_written_with_the_same_rows(name: str) -> None:
+    GOLDEN.check_written(name)
+
+
+@pytest.mark.parametrize("name", GOLDEN.forms)
+def test_a_golden_disk_is_read_as_the_same_vote_log_and_snapshot(name: str) -> None:
+    GOLDEN.check_read(name)
+
+
+def test_the_golden_file_holds_these_forms_and_no_others() -> None:
+    GOLDEN.check_names()
+
+
+def test_the_state_of_a_golden_disk_is_that_of_the_golden_history() -> None:
+    _, kept, past = read(GOLDEN[DISK])
+    fleet = Fleet.restore(kept.snapshot.data)
+    assert fleet.state.index == SNAPSHOT_AT
+    fleet_forms.applied(fleet, kept.entries)
+    assert fleet.snapshot() == fleet_forms.GOLDEN["state-snapshot.after-the-history"]
+    assert tuple(past) == fleet_forms.history()
+
+
+class SilentLog:
+    """Takes a keeper's lines."""
+
+    def info(self, *args: object, **named: object) -> None:
+        pass
+
+    warning = error = info
+
+
+def test_a_process_over_a_golden_folder_applies_its_log_and_leads_with_the_golden_state(
+    tmp_path: Path,
+) -> None:
+    make_file(tmp_path / "k1.db", GOLDEN["disk.of-one-replica-alone"].decode())
+    loop = Loop()
+    addresses = {ALONE: lambda: ("127.0.0.1", 1)}
+    timing = Timing(election=50_000, heartbeat=10_000)
+
+    def run() -> Keeper:
+        keeper = Keeper(loop, ALONE, addresses, ("127.0.0.1", 0), tmp_path, timing, LONG, SilentLog(), 1)
+        with loop.timeout(LONG):
+            while keeper.fleet.state.index < fleet_forms.history()[-1].index:
+                loop.sleep(timing.heartbeat)
+        keeper.stop()
+        return keeper
+
+    keeper = loop.run(run)
+    keeper.close()
+    assert keeper.raft.me == ALONE and keeper.raft.term > TERM
+    assert keeper.fleet.snapshot() == fleet_forms.GOLDEN["state-snapshot.after-the-history"]
+
+
+def test_a_golden_disk_takes_more_entries(tmp_path: Path) -> None:
+    path = tmp_path / "replica"
+    make_file(path, GOLDEN[DISK].decode())
+
+    def work(store: ReplicaStore) -> tuple[str, tuple[Entry, ...]]:
+        loaded = store.load()
+        assert loaded is not None
+        last = loaded[1].entries[-1].index
+        store.write([Write(1, 5, IDENTITY, last, (Entry(last + 1, 5, Kind.OPENING),))])
+        again = store.load()
+        assert again is not None
+        return again[1].voted, again[1].entries[-2:]
+
+    last = fleet_forms.history()[-1]
+    assert with_store(path, work) == (IDENTITY, (last, Entry(last.index + 1, 5, Kind.OPENING)))
+
+
+def test_a_column_or_a_table_more_is_no_other_disk_and_another_name_or_value_is() -> None:
+    golden = GOLDEN[DISK]
+    more = golden.replace(
+        b"COMMIT;", b"alter table replica add column more text; create table t (n);\nCOMMIT;"
+    )
+    assert same_rows(more, golden)
+    other = golden.replace(b"COMMIT;", b"update replica set term = term + 1;\nCOMMIT;")
+    assert not same_rows(other, golden)
+    renamed = golden.replace(b"COMMIT;", b"alter table replica rename column voted to vote;\nCOMMIT;")
+    with pytest.raises(sqlite3.OperationalError, match="no such column"):
+        same_rows(renamed, golden)
--- /dev/null
+++ b/packages/table/tests/test_table_golden.py
@@ -0,0 +1,43 @@
+"""Servers and followers of other versions, and older disks: the bytes of the agreed table stay."""
+
+from __future__ import annotations
+
+import pytest
+
+from golden_forms import check_covered, check_fields_told_apart, structs_of
+from table_forms import GOLDEN
+from walnutpost.table import choice, entries, follower, messages, roster, table, watch
+from walnutpost.table.table import BadTable, Table
+
+MODULES = choice, entries, follower, messages, roster, table, watch
+
+
+@pytest.mark.parametrize("name", GOLDEN.forms)
+def test_a_golden_form_is_written_with_the_same_bytes(name: str) -> None:
+    GOLDEN.check_written(name)
+
+
+@pytest.mark.parametrize("name", GOLDEN.forms)
+def test_a_golden_form_is_read_as_the_same_value(name: str) -> None:
+    GOLDEN.check_read(name)
+
+
+def test_the_golden_file_holds_these_forms_and_no_others() -> None:
+    GOLDEN.check_names()
+
+
+def test_every_type_that_is_written_has_a_golden_form() -> None:
+    held_by_snapshots_alone = {table._Kept}  # "table-snapshot...": `Table.snapshot` makes it
+    wanted = {kind for module in MODULES for kind in structs_of(module)} - held_by_snapshots_alone
+    check_covered(wanted, GOLDEN.values())
+
+
+def test_no_field_can_change_places_or_its_default_unseen() -> None:
+    check_fields_told_apart(GOLDEN.values())
+
+
+def test_a_golden_table_with_one_flipped_byte_is_refused() -> None:
+    data = bytearray(GOLDEN["table-snapshot.rich"])
+    data[-1] ^= 1
+    with pytest.raises(BadTable, match="checksum"):
+        Table.restore(bytes(data))
