--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -23,9 +23,9 @@
 
 from walnutpost.config import Config, WorkerLine
 from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.eventloop import Event, Loop, connect
 from walnutpost.http import BadMessage, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
-from walnutpost.loop import Event, Loop, connect
 
 FORK = mp.get_context("fork")
 LOCAL = ("127.0.0.1", 0)
--- a/benchmarks/firings.py
+++ b/benchmarks/firings.py
@@ -22,9 +22,9 @@
 from benchmarks.calls import FORK, LOCAL, Served, Silent, null_worker, refusal
 from walnutpost.config import Config, WorkerLine
 from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
-from walnutpost.loop import Loop
 
 SCHEDULES, PACE, SECONDS = 10_000, 5_000, 8
 WALL = 1_800_000_000 * 1_000_000 - 20_000_000  # twenty seconds before a full hour
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -17,6 +17,12 @@
 from fleet_rig import Fleet as TestFleet
 from fleet_rig import Log
 from walnutpost.config import Config, laid_over, load, parse
+from walnutpost.controlplane.wire import Report
+from walnutpost.eventloop import Group as TaskGroup
+from walnutpost.eventloop import Loop
+from walnutpost.faultinjection.fleet_run import FleetOutcome, play_fleet
+from walnutpost.faultinjection.fleet_script import FleetScript, random_acts
+from walnutpost.faultinjection.fleet_stage import FleetStage
 from walnutpost.fleet import (
     Answer,
     Ask,
@@ -32,12 +38,6 @@
     Start,
     encode,
 )
-from walnutpost.keeper.wire import Report
-from walnutpost.loop import Group as TaskGroup
-from walnutpost.loop import Loop
-from walnutpost.trials.fleet_run import FleetOutcome, play_fleet
-from walnutpost.trials.fleet_script import FleetScript, random_acts
-from walnutpost.trials.fleet_stage import FleetStage
 
 T = TypeVar("T")
 SECOND = 1_000_000
--- a/benchmarks/heap_timers.py
+++ b/benchmarks/heap_timers.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
 
-from walnutpost.loop.timers import Timer
+from walnutpost.eventloop.timers import Timer
 
 COMPACT_FROM = 64  # cancelled entries below which it is never rebuilt
 
--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -20,9 +20,9 @@
 
 from fleet_rig import INVOKE, SECOND
 from test_lost_site import SITES, Sites
+from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, encode_request
 from walnutpost.journal import Accepted, Joined, Purged
-from walnutpost.loop import Loop
 from walnutpost.store import Change, Database, JournalStore
 
 PAYLOAD = b'{"isbn": "' + b"0" * 1000 + b'"}'
--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -21,9 +21,9 @@
 from benchmarks.calls import LOCAL, PAYLOAD, Silent, null_worker, refusal
 from walnutpost.config import Config, WorkerLine
 from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
-from walnutpost.loop import Loop
 from walnutpost.metering import HOUR, Book, Ledger, Policy, Report, Rule, Saved, Slice, charge
 from walnutpost.metering.records import DAY
 from walnutpost.metering.reports import figures, grouped
--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -16,8 +16,11 @@
 from benchmarks.scale.machine import Grown, cpu_of, rss
 from walnutpost import interface as api
 from walnutpost.config import Config, catalogue, parse, router_settings
-from walnutpost.core import Core
+from walnutpost.controlplane import wire
+from walnutpost.controlplane.wire import Told
 from walnutpost.daemon.lists import Lists
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Loop
 from walnutpost.fleet import (
     Answer,
     Clear,
@@ -36,11 +39,8 @@
 from walnutpost.gateway import Gateway
 from walnutpost.gateway.catalogue import FUNCTION_BITS, Numbers
 from walnutpost.interface import ListKind, Outcome, Warmth
-from walnutpost.keeper import wire
-from walnutpost.keeper.wire import Told
-from walnutpost.links import Links, LinkSettings
-from walnutpost.loop import Loop
 from walnutpost.policy import Router
+from walnutpost.workerclient import Links, LinkSettings
 
 SECOND = 1_000_000
 AGENTS = 2_750
--- a/benchmarks/scale/followers.py
+++ b/benchmarks/scale/followers.py
@@ -28,10 +28,10 @@
 from benchmarks.scale.machine import ROOT, about, process_cpu, process_peak, process_rss
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of
+from walnutpost.configstore import Op, Status, Table, encode
+from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.eventloop import Loop
 from walnutpost.fleet import Budget, SetBudgets
-from walnutpost.keeper import KeeperClient, NoAnswer
-from walnutpost.loop import Loop
-from walnutpost.table import Op, Status, Table, encode
 
 SECOND = 1_000_000
 RESULTS = ROOT / "docs" / "capacity"
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,10 +13,10 @@
 
 from walnutpost.cli.run import raise_descriptors
 from walnutpost.config.base import address_of
+from walnutpost.configstore import Follower, Table, Taken
+from walnutpost.configstore.choice import Choice
+from walnutpost.eventloop import Loop, Timeout
 from walnutpost.http import BadMessage, Connection
-from walnutpost.loop import Loop, Timeout
-from walnutpost.table import Follower, Table, Taken
-from walnutpost.table.choice import Choice
 from walnutpost.watch import Watcher
 
 SECOND = 1_000_000
--- a/benchmarks/scale/keepers.py
+++ b/benchmarks/scale/keepers.py
@@ -11,11 +11,11 @@
 from benchmarks.scale.axes import Reading, Readings
 from benchmarks.scale.machine import ROOT, process_cpu, process_rss
 from walnutpost.config import Config, load
+from walnutpost.controlplane.wire import Report
+from walnutpost.eventloop import Group, Loop
+from walnutpost.faultinjection.fleet_script import FleetScript
+from walnutpost.faultinjection.fleet_stage import FleetStage
 from walnutpost.fleet import FRONT_END, Enter, Keep
-from walnutpost.keeper.wire import Report
-from walnutpost.loop import Group, Loop
-from walnutpost.trials.fleet_script import FleetScript
-from walnutpost.trials.fleet_stage import FleetStage
 
 SECOND = 1_000_000
 ASKERS, REPORTS, LOOKS, KEEPS = 32, 2_000, 100, 5
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -15,8 +15,8 @@
 from random import Random
 
 from test_schedules import START, brute_force, live_through, random_cron
-from walnutpost.loop.timers import WheelTimers
-from walnutpost.schedules import BadSchedule, Planner, Schedule, check_cron, due_times
+from walnutpost.cron import BadSchedule, Planner, Schedule, check_cron, due_times
+from walnutpost.eventloop.timers import WheelTimers
 
 SECOND = 1_000_000
 MINUTE, DAY = 60 * SECOND, 86_400 * SECOND
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -17,9 +17,9 @@
 
 from benchmarks.calls import FORK as fork
 from benchmarks.calls import PAYLOAD, Served, echo, front_end, load, worker
+from walnutpost.eventloop import Loop
 from walnutpost.http import encode_request
 from walnutpost.http.server import Server, serve_on
-from walnutpost.loop import Loop
 
 ROOT = str(Path(__file__).parent.parent / "packages")
 EVERY = 0.002
--- a/benchmarks/table_days.py
+++ b/benchmarks/table_days.py
@@ -7,8 +7,8 @@
 import tempfile
 from pathlib import Path
 
-from walnutpost.trials.table import aligned
-from walnutpost.trials.table_run import play_table, random_table_day
+from walnutpost.faultinjection.table import aligned
+from walnutpost.faultinjection.table_run import play_table, random_table_day
 
 
 def main(seed: int, count: int) -> int:
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from benchmarks.heap_timers import HeapTimers
-from walnutpost.loop.timers import WheelTimers
+from walnutpost.eventloop.timers import WheelTimers
 
 ROUNDS = 200_000
 SPAN = 2_500_000  # microseconds; a call's time
--- a/packages/agent/src/walnutpost/agent/process.py
+++ b/packages/agent/src/walnutpost/agent/process.py
@@ -17,6 +17,9 @@
 from random import Random
 from typing import Any
 
+from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.controlplane.wire import Report
+from walnutpost.eventloop import Event, Loop
 from walnutpost.fleet import Command, Fleet, Keep
 from walnutpost.fleet.steward import (
     Answered,
@@ -35,9 +38,6 @@
     Tell,
     Terms,
 )
-from walnutpost.keeper import KeeperClient, NoAnswer
-from walnutpost.keeper.wire import Report
-from walnutpost.loop import Event, Loop
 
 LOOK_EVERY, POLL_EVERY = 500_000, 50_000
 KILL_AFTER = 10_000_000  # from the request to end
--- a/packages/agent/tests/test_agent.py
+++ b/packages/agent/tests/test_agent.py
@@ -14,8 +14,8 @@
 from test_keeper import NAMES, Keepers
 from walnutpost.agent import Agent, version_of
 from walnutpost.agent.process import processes_of
+from walnutpost.eventloop import Loop
 from walnutpost.fleet import FRONT_END, Budget, SetBudgets, State
-from walnutpost.loop import Loop
 
 MEMBERS = ("f0", "f1", "f2", "f3")
 CHILD = """
--- a/packages/cli/src/walnutpost/cli/fleet.py
+++ b/packages/cli/src/walnutpost/cli/fleet.py
@@ -12,9 +12,9 @@
 from walnutpost.cli.keepers import keepers_of
 from walnutpost.cli.run import make_loop
 from walnutpost.config.base import address_of
+from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.eventloop import Loop
 from walnutpost.fleet import Answer
-from walnutpost.keeper import KeeperClient, NoAnswer
-from walnutpost.loop import Loop
 
 T = TypeVar("T")
 
--- a/packages/cli/src/walnutpost/cli/fleet_orders.py
+++ b/packages/cli/src/walnutpost/cli/fleet_orders.py
@@ -8,10 +8,10 @@
 
 import click
 
-from walnutpost.agreement import Members
 from walnutpost.cli.configs import CONFIG, end
 from walnutpost.cli.fleet import fleet, tell, with_keepers
 from walnutpost.cli.keepers import keepers_of
+from walnutpost.consensus import Members
 from walnutpost.fleet import Budget, Command, Forget, Halt, Judge, Remove, Resume, Return, SetBudgets
 
 
--- a/packages/cli/src/walnutpost/cli/fleet_plans.py
+++ b/packages/cli/src/walnutpost/cli/fleet_plans.py
@@ -14,8 +14,8 @@
 from walnutpost.cli.configs import CONFIG, config_of, end
 from walnutpost.cli.fleet import fleet, tell, with_keepers
 from walnutpost.cli.keepers import AGENTS, keepers_of
+from walnutpost.controlplane import KeeperClient
 from walnutpost.fleet import FRONT_END, Answer, Keep, Start
-from walnutpost.keeper import KeeperClient
 
 
 def _plan_name(kind: str, told: str | None) -> str:
--- a/packages/cli/src/walnutpost/cli/fleet_shown.py
+++ b/packages/cli/src/walnutpost/cli/fleet_shown.py
@@ -12,11 +12,11 @@
 
 from walnutpost.cli.configs import CONFIG, end
 from walnutpost.cli.fleet import FORM, fleet, with_keepers
+from walnutpost.controlplane import KeeperClient
+from walnutpost.controlplane.wire import History, View
+from walnutpost.faultinjection.table import aligned
 from walnutpost.fleet import FRONT_END, Fleet, Plan, State
 from walnutpost.fleet import budgets as rules
-from walnutpost.keeper import KeeperClient
-from walnutpost.keeper.wire import History, View
-from walnutpost.trials.table import aligned
 
 
 @fleet.command()
--- a/packages/cli/src/walnutpost/cli/keepers.py
+++ b/packages/cli/src/walnutpost/cli/keepers.py
@@ -10,7 +10,6 @@
 import click
 
 from walnutpost.agent import Agent, AgentError
-from walnutpost.agreement import Timing
 from walnutpost.cli.configs import CONFIG, end
 from walnutpost.cli.listening import Place, listening
 from walnutpost.cli.run import make_loop, raise_descriptors, stop_event
@@ -19,9 +18,10 @@
 from walnutpost.config.entries import Held, check
 from walnutpost.config.keepers import KeeperLine, Keepers
 from walnutpost.config.settings import us
+from walnutpost.consensus import Timing
+from walnutpost.controlplane import Keeper, KeeperError
 from walnutpost.fleet import Terms as Step
 from walnutpost.fleet.steward import Terms
-from walnutpost.keeper import Keeper, KeeperError
 from walnutpost.relay import Relay
 from walnutpost.store import StoreError
 
--- a/packages/cli/src/walnutpost/cli/keys.py
+++ b/packages/cli/src/walnutpost/cli/keys.py
@@ -7,12 +7,12 @@
 
 import click
 
+from walnutpost.certificates import DAY, BadKeys, examine, trusted
 from walnutpost.cli.configs import CONFIG, config_of, end
 from walnutpost.cli.times import local
-from walnutpost.links.contexts import read
-from walnutpost.standins.authority import Authority
-from walnutpost.trials.table import aligned
-from walnutpost.trust import DAY, BadKeys, examine, trusted
+from walnutpost.fakes.authority import Authority
+from walnutpost.faultinjection.table import aligned
+from walnutpost.workerclient.contexts import read
 
 
 @click.group()
--- a/packages/cli/src/walnutpost/cli/main.py
+++ b/packages/cli/src/walnutpost/cli/main.py
@@ -13,6 +13,7 @@
 
 import click
 
+from walnutpost.certificates import BadKeys
 from walnutpost.cli import fleet_orders, fleet_plans, fleet_shown, logs, run, settings_shown
 from walnutpost.cli.configs import CONFIG, config_of, end
 from walnutpost.cli.fleet import fleet
@@ -32,17 +33,16 @@
     parse,
     schedules,
 )
-from walnutpost.schedules import owner_of
+from walnutpost.cron import owner_of
+from walnutpost.faultinjection import days, table
+from walnutpost.faultinjection.facts import audit_folder
+from walnutpost.faultinjection.fleet_run import play_fleet
+from walnutpost.faultinjection.fleet_script import FleetScript
+from walnutpost.faultinjection.fleet_stage import StageError as FleetStageError
+from walnutpost.faultinjection.run import play
+from walnutpost.faultinjection.script import Script
+from walnutpost.faultinjection.stage import StageError
 from walnutpost.store import StoreError, history
-from walnutpost.trials import days, table
-from walnutpost.trials.facts import audit_folder
-from walnutpost.trials.fleet_run import play_fleet
-from walnutpost.trials.fleet_script import FleetScript
-from walnutpost.trials.fleet_stage import StageError as FleetStageError
-from walnutpost.trials.run import play
-from walnutpost.trials.script import Script
-from walnutpost.trials.stage import StageError
-from walnutpost.trust import BadKeys
 
 PARTS = fleet_orders, fleet_plans, fleet_shown, settings_shown  # their commands join groups at their import
 CAPTURE = click.option(
--- a/packages/cli/src/walnutpost/cli/run.py
+++ b/packages/cli/src/walnutpost/cli/run.py
@@ -12,10 +12,10 @@
 from walnutpost.config.base import address_of
 from walnutpost.config.settings import us
 from walnutpost.daemon.front_end import FrontEnd
-from walnutpost.loop import Event, Loop
-from walnutpost.standins.fleet import local_store, start_worker
-from walnutpost.standins.store import PackageStore, RemoteStore, StoreServer
-from walnutpost.trials.capture import Capture
+from walnutpost.eventloop import Event, Loop
+from walnutpost.fakes.fleet import local_store, start_worker
+from walnutpost.fakes.store import PackageStore, RemoteStore, StoreServer
+from walnutpost.faultinjection.capture import Capture
 
 
 def make_loop(log: Any) -> Loop:
--- a/packages/cli/src/walnutpost/cli/settings.py
+++ b/packages/cli/src/walnutpost/cli/settings.py
@@ -19,9 +19,9 @@
 from walnutpost.config.entries import FUNCTION, differences, entries_of, parts_of, value_of
 from walnutpost.config.load import error_line
 from walnutpost.config.model import FunctionLine
+from walnutpost.configstore import ChangeSet, Op, check_change, encode
+from walnutpost.controlplane import KeeperClient
 from walnutpost.fleet import Forget
-from walnutpost.keeper import KeeperClient
-from walnutpost.table import ChangeSet, Op, check_change, encode
 
 REST = click.argument("rest", nargs=-1, metavar="[FILE | FIELD=VALUE...]")
 
--- a/packages/cli/src/walnutpost/cli/settings_shown.py
+++ b/packages/cli/src/walnutpost/cli/settings_shown.py
@@ -16,10 +16,10 @@
 from walnutpost.cli.fleet import FORM, with_keepers, with_loop
 from walnutpost.cli.settings import agreed, changes_of, config_group, in_words, wanted_by
 from walnutpost.config.entries import CLASS, FUNCTION, TENANT, differences
-from walnutpost.keeper import KeeperClient
-from walnutpost.keeper.wire import Line
-from walnutpost.loop import Loop
-from walnutpost.table import Entry, MemberStatus, Status
+from walnutpost.configstore import Entry, MemberStatus, Status
+from walnutpost.controlplane import KeeperClient
+from walnutpost.controlplane.wire import Line
+from walnutpost.eventloop import Loop
 
 LOOK_EVERY = 250_000
 TIMES_SHOWN, NAMES_SHOWN = 10, 20
--- a/packages/cli/src/walnutpost/cli/times.py
+++ b/packages/cli/src/walnutpost/cli/times.py
@@ -8,7 +8,7 @@
 from itertools import islice
 from zoneinfo import ZoneInfo
 
-from walnutpost.schedules import Schedule, due_times, fires_at
+from walnutpost.cron import Schedule, due_times, fires_at
 
 
 def local(at: int, zone: str) -> str:
--- a/packages/cli/src/walnutpost/cli/usage.py
+++ b/packages/cli/src/walnutpost/cli/usage.py
@@ -20,6 +20,7 @@
 from walnutpost.config import Config
 from walnutpost.config.model import Metering
 from walnutpost.config.settings import meter_policy
+from walnutpost.faultinjection.table import aligned
 from walnutpost.metering import Amount, Report
 from walnutpost.metering.records import DAY, HOUR
 from walnutpost.metering.reports import (
@@ -34,7 +35,6 @@
     proof,
 )
 from walnutpost.store import StoreError, read_ledger
-from walnutpost.trials.table import aligned
 
 MB_S = 1_000_000  # MB-microseconds
 CONFIGS = click.argument("configs", type=click.Path(path_type=Path), nargs=-1, required=True)
--- a/packages/cli/tests/fleet_json_forms.py
+++ b/packages/cli/tests/fleet_json_forms.py
@@ -15,10 +15,10 @@
 from walnutpost.cli import main, settings_shown
 from walnutpost.cli.keepers import AGENTS
 from walnutpost.config.keepers import Keepers
+from walnutpost.controlplane import KeeperClient
 from walnutpost.http import Response
-from walnutpost.keeper import KeeperClient
 
-TABLE_GOLDEN = Path(__file__).parents[2] / "table" / "tests" / "golden" / "table.json"
+TABLE_GOLDEN = Path(__file__).parents[2] / "configstore" / "tests" / "golden" / "table.json"
 # By target without its query: what a process of the control plane answers, as golden bytes.
 ANSWERS = {
     "/fleet/1/state": "state-answer.after-the-history",
--- a/packages/cli/tests/test_settings.py
+++ b/packages/cli/tests/test_settings.py
@@ -22,8 +22,8 @@
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of, value_of
 from walnutpost.config.model import FunctionLine
-from walnutpost.keeper import KeeperClient
-from walnutpost.table import OPS_MOST, Entry, MemberStatus, Op, Status
+from walnutpost.configstore import OPS_MOST, Entry, MemberStatus, Op, Status
+from walnutpost.controlplane import KeeperClient
 
 SITE = BASE["site"]
 PRICE, RESERVE = SITE["functions"]["price"], SITE["functions"]["reserve"]
--- a/packages/config/src/walnutpost/config/entries.py
+++ b/packages/config/src/walnutpost/config/entries.py
@@ -17,8 +17,8 @@
 from walnutpost.config.load import FOUND_MOST, error_line
 from walnutpost.config.model import CLASSES_MOST, CallClass, FunctionLine, Site, TenantLine
 from walnutpost.config.settings import function
+from walnutpost.configstore import CHANGE_BYTES, OPS_MOST, Entry, Op, encode
 from walnutpost.gateway import Function
-from walnutpost.table import CHANGE_BYTES, OPS_MOST, Entry, Op, encode
 
 CLASS, FUNCTION, TENANT = "class/", "function/", "tenant/"
 KINDS: Mapping[str, type[Strict]] = MappingProxyType(
--- a/packages/config/src/walnutpost/config/model.py
+++ b/packages/config/src/walnutpost/config/model.py
@@ -9,7 +9,7 @@
 
 from walnutpost.config.base import Ms, Name, Share, Strict, WorkerName, address_of
 from walnutpost.config.journal import Journal
-from walnutpost.schedules import check_cron, check_zone
+from walnutpost.cron import check_cron, check_zone
 
 CLASSES_MOST = 64
 
--- a/packages/config/src/walnutpost/config/settings.py
+++ b/packages/config/src/walnutpost/config/settings.py
@@ -8,9 +8,9 @@
 from walnutpost import interface as api
 from walnutpost.config.base import address_of
 from walnutpost.config.model import Config, FunctionLine, Metering, Site, WorkerLine
+from walnutpost.cron import Missed, Overlap, Schedule, owner_of
 from walnutpost.gateway import Catalogue, Function, WorkerTold
 from walnutpost.metering import HOUR, Action, Budget, Policy
-from walnutpost.schedules import Missed, Overlap, Schedule, owner_of
 
 
 def us(ms: float) -> int:
--- a/packages/config/tests/test_entries.py
+++ b/packages/config/tests/test_entries.py
@@ -22,7 +22,7 @@
     value_of,
 )
 from walnutpost.config.model import CLASSES_MOST, CallClass, FunctionLine
-from walnutpost.table import CHANGE_BYTES, OPS_MOST, Op, Table, check_change
+from walnutpost.configstore import CHANGE_BYTES, OPS_MOST, Op, Table, check_change
 
 CLASSES: dict[str, Any] = {
     "valuation": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 2500},
--- a/packages/table/src/walnutpost/table/__init__.py
+++ b/packages/configstore/src/walnutpost/configstore/__init__.py
@@ -1,6 +1,6 @@
 """One agreed table of keyed entries: change sets, what a watch is owed, sums of what members say. No I/O."""
 
-from walnutpost.table.entries import (
+from walnutpost.configstore.entries import (
     BUCKETS,
     CHANGE_BYTES,
     OPS_MOST,
@@ -9,8 +9,8 @@
     check_change,
     entry_digest,
 )
-from walnutpost.table.follower import HEARD_WITHIN, VERIFY_EVERY, Follower, Taken
-from walnutpost.table.messages import (
+from walnutpost.configstore.follower import HEARD_WITHIN, VERIFY_EVERY, Follower, Taken
+from walnutpost.configstore.messages import (
     AGE_HEADER,
     FORMAT,
     STATUS,
@@ -32,7 +32,7 @@
     decode,
     encode,
 )
-from walnutpost.table.table import (
+from walnutpost.configstore.table import (
     LOG_BYTES,
     LOG_MOST,
     BadChange,
@@ -41,7 +41,7 @@
     OutOfOrder,
     Table,
 )
-from walnutpost.table.watch import PAGE_BYTES, Owed, owed, owed_key, page_of
+from walnutpost.configstore.watch import PAGE_BYTES, Owed, owed, owed_key, page_of
 
 __all__ = [
     "AGE_HEADER",
--- a/packages/table/src/walnutpost/table/entries.py
+++ b/packages/configstore/src/walnutpost/configstore/entries.py
@@ -8,7 +8,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from walnutpost.table.messages import ChangeSet, Entry, Op, encode
+from walnutpost.configstore.messages import ChangeSet, Entry, Op, encode
 
 KEY = re.compile(r"[a-z]{1,20}/[A-Za-z0-9_.-]{1,140}")
 KEY_WANTED = "wanted kind/name, kind of 1 to 20 letters a-z, name of 1 to 140 of A-Z a-z 0-9 _ . -"
--- a/packages/table/src/walnutpost/table/follower.py
+++ b/packages/configstore/src/walnutpost/configstore/follower.py
@@ -12,10 +12,10 @@
 from dataclasses import dataclass
 from itertools import islice
 
-from walnutpost.table import entries as shapes
-from walnutpost.table.entries import BUCKETS, bucket_of
-from walnutpost.table.messages import ChangeSet, Entry, Page, Question
-from walnutpost.table.table import Diverged, OutOfOrder, Table
+from walnutpost.configstore import entries as shapes
+from walnutpost.configstore.entries import BUCKETS, bucket_of
+from walnutpost.configstore.messages import ChangeSet, Entry, Page, Question
+from walnutpost.configstore.table import Diverged, OutOfOrder, Table
 
 HEARD_WITHIN = 9_000_000  # microseconds: whoever was told of nothing for longer may act on what is past
 VERIFY_EVERY = 5_000_000  # microseconds between two recounts, where changes come one after the other
--- a/packages/table/src/walnutpost/table/roster.py
+++ b/packages/configstore/src/walnutpost/configstore/roster.py
@@ -14,7 +14,7 @@
 from itertools import islice
 from typing import Protocol
 
-from walnutpost.table.messages import Heard, MemberStatus, Question, Standing, Status, Sums, Timed
+from walnutpost.configstore.messages import Heard, MemberStatus, Question, Standing, Status, Sums, Timed
 
 SECOND = 1_000_000
 LATE = 3 * SECOND  # a member that lacks for so long what its relay holds is named
--- a/packages/table/src/walnutpost/table/table.py
+++ b/packages/configstore/src/walnutpost/configstore/table.py
@@ -14,9 +14,9 @@
 from immutables import Map
 from xxhash import xxh3_64_digest
 
-from walnutpost.table import entries as shapes
-from walnutpost.table.entries import BUCKETS, MASK, bucket_of, check_change, encoded_size, entry_digest
-from walnutpost.table.messages import FORMAT, ChangeSet, Entry, Op, Record
+from walnutpost.configstore import entries as shapes
+from walnutpost.configstore.entries import BUCKETS, MASK, bucket_of, check_change, encoded_size, entry_digest
+from walnutpost.configstore.messages import FORMAT, ChangeSet, Entry, Op, Record
 
 LOG_MOST, LOG_BYTES = 5000, 8 * 1024 * 1024  # change sets: two days at 2,200 a day
 _serials = numbers(1)
--- a/packages/table/src/walnutpost/table/watch.py
+++ b/packages/configstore/src/walnutpost/configstore/watch.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from walnutpost.table.entries import BUCKETS, bucket_of
-from walnutpost.table.messages import Entry, Page, Question
-from walnutpost.table.table import Table
+from walnutpost.configstore.entries import BUCKETS, bucket_of
+from walnutpost.configstore.messages import Entry, Page, Question
+from walnutpost.configstore.table import Table
 
 PAGE_BYTES = 64 * 1024
 _ENTRY = 16  # bytes around an entry's key and value, at the most
--- a/packages/table/tests/roster_world.py
+++ b/packages/configstore/tests/roster_world.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from walnutpost.table.messages import Heard, Question, Sums
-from walnutpost.table.roster import SECOND, Roster, Standings
+from walnutpost.configstore.messages import Heard, Question, Sums
+from walnutpost.configstore.roster import SECOND, Roster, Standings
 
 NAMES = ("a", "b", "c", "d", "e")
 RELAYS = ("r1", "r2", "r3")
--- a/packages/table/tests/table_forms.py
+++ b/packages/configstore/tests/table_forms.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from golden_forms import Form, Golden, as_json, packed
-from walnutpost.table import entries, messages
-from walnutpost.table.messages import (
+from walnutpost.configstore import entries, messages
+from walnutpost.configstore.messages import (
     ChangeSet,
     Entry,
     Heard,
@@ -23,7 +23,7 @@
     decode,
     encode,
 )
-from walnutpost.table.table import Table
+from walnutpost.configstore.table import Table
 
 VALUE, OTHER_VALUE = b'{"weight": 2}', b"\x00\xff"
 PUT, DELETE = Op(key="function/f1", value=VALUE), Op(key="tenant/t-1", value=None)
--- a/packages/table/tests/test_choice.py
+++ b/packages/configstore/tests/test_choice.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from walnutpost.table.choice import CAP, FIRST, HEARD, HOME, LEAST, SECOND, Choice, order
+from walnutpost.configstore.choice import CAP, FIRST, HEARD, HOME, LEAST, SECOND, Choice, order
 
 RELAYS = {f"r{n}": "a" for n in range(1, 6)}
 MEMBERS = [f"front-{n}" for n in range(900)]
--- a/packages/table/tests/test_follower.py
+++ b/packages/configstore/tests/test_follower.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from test_table import filled, flip, ops
-from walnutpost.table import (
+from walnutpost.configstore import (
     BUCKETS,
     HEARD_WITHIN,
     VERIFY_EVERY,
--- a/packages/table/tests/test_messages.py
+++ b/packages/configstore/tests/test_messages.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from walnutpost.table import BadMessage, Heard, Question, decode, encode
+from walnutpost.configstore import BadMessage, Heard, Question, decode, encode
 
 NESTED = 100_000
 
--- a/packages/table/tests/test_orders.py
+++ b/packages/configstore/tests/test_orders.py
@@ -15,7 +15,7 @@
 from immutables import Map
 from msgspec.structs import replace
 
-from walnutpost.table import (
+from walnutpost.configstore import (
     ChangeSet,
     Entry,
     Follower,
--- a/packages/table/tests/test_roster.py
+++ b/packages/configstore/tests/test_roster.py
@@ -16,9 +16,9 @@
 from hypothesis import strategies as st
 
 from roster_world import STEPS, World
-from walnutpost.table import roster as rules
-from walnutpost.table.messages import Heard, Question, Standing, Sums, decode, encode
-from walnutpost.table.roster import (
+from walnutpost.configstore import roster as rules
+from walnutpost.configstore.messages import Heard, Question, Standing, Sums, decode, encode
+from walnutpost.configstore.roster import (
     GONE,
     LATE,
     RELAY_GONE,
--- a/packages/table/tests/test_table.py
+++ b/packages/configstore/tests/test_table.py
@@ -8,7 +8,7 @@
 import pytest
 from immutables import Map
 
-from walnutpost.table import (
+from walnutpost.configstore import (
     BUCKETS,
     CHANGE_BYTES,
     OPS_MOST,
--- a/packages/table/tests/test_table_golden.py
+++ b/packages/configstore/tests/test_table_golden.py
@@ -6,8 +6,8 @@
 
 from golden_forms import check_covered, check_fields_told_apart, structs_of
 from table_forms import GOLDEN
-from walnutpost.table import choice, entries, follower, messages, roster, table, watch
-from walnutpost.table.table import BadTable, Table
+from walnutpost.configstore import choice, entries, follower, messages, roster, table, watch
+from walnutpost.configstore.table import BadTable, Table
 
 MODULES = choice, entries, follower, messages, roster, table, watch
 
--- a/packages/table/tests/test_watch.py
+++ b/packages/configstore/tests/test_watch.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 
 from test_table import filled, ops
-from walnutpost.table import (
+from walnutpost.configstore import (
     BUCKETS,
     PAGE_BYTES,
     VALUE_MOST,
--- a/packages/agreement/src/walnutpost/agreement/__init__.py
+++ b/packages/consensus/src/walnutpost/consensus/__init__.py
@@ -1,6 +1,6 @@
 """One history agreed on by a few processes that may die, stop and lose sight of each other: Raft, no I/O."""
 
-from walnutpost.agreement.messages import (
+from walnutpost.consensus.messages import (
     DEPOSED,
     NEW_IN_OFFICE,
     NOT_LEADER,
@@ -30,7 +30,7 @@
     Write,
     Written,
 )
-from walnutpost.agreement.raft import Kept, Raft, Timing
+from walnutpost.consensus.raft import Kept, Raft, Timing
 
 __all__ = [
     "DEPOSED",
--- a/packages/agreement/src/walnutpost/agreement/log.py
+++ b/packages/consensus/src/walnutpost/consensus/log.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from walnutpost.agreement.messages import Entry, Kind, Members, Snapshot
+from walnutpost.consensus.messages import Entry, Kind, Members, Snapshot
 
 
 class Log:
--- a/packages/agreement/src/walnutpost/agreement/raft.py
+++ b/packages/consensus/src/walnutpost/consensus/raft.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from walnutpost.agreement.log import Log
-from walnutpost.agreement.messages import (
+from walnutpost.consensus.log import Log
+from walnutpost.consensus.messages import (
     DEPOSED,
     NEW_IN_OFFICE,
     NOT_LEADER,
--- a/packages/agreement/tests/agreement_forms.py
+++ b/packages/consensus/tests/agreement_forms.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 from golden_forms import Form, Golden, packed
-from walnutpost.agreement import messages as wire
-from walnutpost.agreement.messages import (
+from walnutpost.consensus import messages as wire
+from walnutpost.consensus.messages import (
     Append,
     Appended,
     Entry,
--- a/packages/agreement/tests/golden_forms.py
+++ b/packages/consensus/tests/golden_forms.py
@@ -6,7 +6,7 @@
 
 To write the forms that a file doesn't have yet (from the root of the repository):
 
-    .venv/bin/python packages/agreement/tests/golden_forms.py fleet_forms
+    .venv/bin/python packages/consensus/tests/golden_forms.py fleet_forms
 
 It refuses to change a form that the file has, unless it is given `--overwrite`.
 """
--- a/packages/agreement/tests/raft_rig.py
+++ b/packages/consensus/tests/raft_rig.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from random import Random
 
-from walnutpost.agreement import (
+from walnutpost.consensus import (
     Apply,
     Change,
     Compact,
--- a/packages/agreement/tests/test_agreement.py
+++ b/packages/consensus/tests/test_agreement.py
@@ -11,7 +11,7 @@
 import pytest
 
 from raft_rig import TIMING, Cluster
-from walnutpost.agreement import (
+from walnutpost.consensus import (
     Change,
     Compact,
     Due,
@@ -25,7 +25,7 @@
     VoteAsked,
     VoteGiven,
 )
-from walnutpost.agreement.messages import Append, Appended
+from walnutpost.consensus.messages import Append, Appended
 
 THREE = ("a", "b", "c")
 
--- a/packages/agreement/tests/test_agreement_golden.py
+++ b/packages/consensus/tests/test_agreement_golden.py
@@ -9,8 +9,8 @@
 
 from agreement_forms import GOLDEN, MESSAGES, NEVER_WRITTEN
 from golden_forms import Form, Golden, Refused, check_covered, check_fields_told_apart, packed, structs_of
-from walnutpost.agreement import messages
-from walnutpost.agreement.messages import Message
+from walnutpost.consensus import messages
+from walnutpost.consensus.messages import Message
 
 
 @pytest.mark.parametrize("name", GOLDEN.forms)
--- a/packages/keeper/src/walnutpost/keeper/__init__.py
+++ b/packages/controlplane/src/walnutpost/controlplane/__init__.py
@@ -1,6 +1,6 @@
 """The processes that hold the fleet's agreed history, and how they are asked."""
 
-from walnutpost.keeper.client import KeeperClient, NoAnswer
-from walnutpost.keeper.process import Keeper, KeeperError
+from walnutpost.controlplane.client import KeeperClient, NoAnswer
+from walnutpost.controlplane.process import Keeper, KeeperError
 
 __all__ = ["Keeper", "KeeperClient", "KeeperError", "NoAnswer"]
--- a/packages/keeper/src/walnutpost/keeper/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
+from walnutpost.configstore.entries import CHANGE_BYTES, check_change
+from walnutpost.configstore.messages import Op
+from walnutpost.configstore.table import Table
+from walnutpost.controlplane import wire
+from walnutpost.eventloop import Loop, Task, Timeout
 from walnutpost.fleet import MEANWHILE, Answer, Fleet, SetEntries, encode
-from walnutpost.keeper import wire
-from walnutpost.loop import Loop, Task, Timeout
-from walnutpost.table.entries import CHANGE_BYTES, check_change
-from walnutpost.table.messages import Op
-from walnutpost.table.table import Table
 
 Check = Callable[[Table, Sequence[Op]], list[str]]
 BODY_MOST = 8 * CHANGE_BYTES  # of an order: one far too large is not even read
--- a/packages/keeper/src/walnutpost/keeper/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -7,13 +7,13 @@
 from typing import TypeVar
 from urllib.parse import quote
 
-from walnutpost.agreement import DEPOSED, NEW_IN_OFFICE, NOT_LEADER, Members
+from walnutpost.configstore import messages as table
+from walnutpost.configstore.messages import Entry, Heard, Op, Status, Sums
+from walnutpost.consensus import DEPOSED, NEW_IN_OFFICE, NOT_LEADER, Members
+from walnutpost.controlplane import wire
+from walnutpost.eventloop import Loop, Timeout
 from walnutpost.fleet import Answer, Command, Fleet, encode
 from walnutpost.http import BadMessage, Connection, Limits, Response
-from walnutpost.keeper import wire
-from walnutpost.loop import Loop, Timeout
-from walnutpost.table import messages as table
-from walnutpost.table.messages import Entry, Heard, Op, Status, Sums
 
 T = TypeVar("T", bound=table.Record)
 PAUSE = 100_000
--- a/packages/keeper/src/walnutpost/keeper/peers.py
+++ b/packages/controlplane/src/walnutpost/controlplane/peers.py
@@ -5,10 +5,10 @@
 from collections import deque
 from collections.abc import Callable
 
-from walnutpost.agreement import Message
+from walnutpost.consensus import Message
+from walnutpost.controlplane import wire
+from walnutpost.eventloop import Event, Loop, Timeout
 from walnutpost.http import BadMessage, Connection, Limits
-from walnutpost.keeper import wire
-from walnutpost.loop import Event, Loop, Timeout
 
 WAITING_MOST = 512  # of messages to one keeper: the newest tell most
 TOGETHER_MOST = 128
--- a/packages/keeper/src/walnutpost/keeper/process.py
+++ b/packages/controlplane/src/walnutpost/controlplane/process.py
@@ -9,7 +9,10 @@
 from typing import Any
 from urllib.parse import parse_qs
 
-from walnutpost.agreement import (
+from walnutpost.configstore import messages as table
+from walnutpost.configstore.messages import Op
+from walnutpost.configstore.roster import Standings
+from walnutpost.consensus import (
     NOT_LEADER,
     Apply,
     Change,
@@ -35,6 +38,11 @@
     Write,
     Written,
 )
+from walnutpost.controlplane import wire
+from walnutpost.controlplane.changes import Changes, Check
+from walnutpost.controlplane.peers import Peer
+from walnutpost.eventloop import Loop, Task
+from walnutpost.eventloop.timers import Timer
 from walnutpost.fleet import (
     Ages,
     Answer,
@@ -53,16 +61,8 @@
 )
 from walnutpost.http import BadMessage, Exchange, Limits, Response
 from walnutpost.http.server import serve_on
-from walnutpost.keeper import wire
-from walnutpost.keeper.changes import Changes, Check
-from walnutpost.keeper.peers import Peer
-from walnutpost.loop import Loop, Task
-from walnutpost.loop.timers import Timer
 from walnutpost.store import StoreError
 from walnutpost.store.replica import ReplicaStore
-from walnutpost.table import messages as table
-from walnutpost.table.messages import Op
-from walnutpost.table.roster import Standings
 from walnutpost.watch.serving import WatchServer
 
 LOOK_MOST = 500_000
--- a/packages/keeper/src/walnutpost/keeper/wire.py
+++ b/packages/controlplane/src/walnutpost/controlplane/wire.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from walnutpost.agreement import Members, Message
+from walnutpost.configstore.messages import Entry, Op
+from walnutpost.consensus import Members, Message
 from walnutpost.fleet import Answer, Sight
-from walnutpost.table.messages import Entry, Op
 
 FORMAT = 1
 MESSAGES, COMMANDS, STATE, REPORTS, MEMBERS, HISTORY = (
--- a/packages/keeper/tests/keeper_forms.py
+++ b/packages/controlplane/tests/keeper_forms.py
@@ -9,13 +9,11 @@
 import fleet_forms
 from agreement_forms import MEMBERS, MESSAGES
 from golden_forms import Form, Golden, as_json
-from walnutpost.agreement import Entry as LogEntry
-from walnutpost.agreement import Kind
-from walnutpost.fleet import Answer, Fleet
-from walnutpost.fleet import encode as encode_command
-from walnutpost.fleet.sight import Seen, Sight
-from walnutpost.keeper import Keeper, wire
-from walnutpost.keeper.wire import (
+from walnutpost.configstore.messages import Entry, Op
+from walnutpost.consensus import Entry as LogEntry
+from walnutpost.consensus import Kind
+from walnutpost.controlplane import Keeper, wire
+from walnutpost.controlplane.wire import (
     Entries,
     History,
     Line,
@@ -29,7 +27,9 @@
     decode,
     encode,
 )
-from walnutpost.table.messages import Entry, Op
+from walnutpost.fleet import Answer, Fleet
+from walnutpost.fleet import encode as encode_command
+from walnutpost.fleet.sight import Seen, Sight
 
 LINE = Line(
     index=211,
--- a/packages/keeper/tests/keeper_run.py
+++ b/packages/controlplane/tests/keeper_run.py
@@ -7,9 +7,9 @@
 
 from walnutpost.cli import keepers
 from walnutpost.cli.main import main
-from walnutpost.keeper import Keeper
-from walnutpost.table.messages import Op
-from walnutpost.table.table import Table
+from walnutpost.configstore.messages import Op
+from walnutpost.configstore.table import Table
+from walnutpost.controlplane import Keeper
 
 MOST = 1000
 
--- a/packages/keeper/tests/test_changes.py
+++ b/packages/controlplane/tests/test_changes.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from walnutpost.agreement import NOT_LEADER
+from walnutpost.configstore.messages import Op
+from walnutpost.configstore.table import Table
+from walnutpost.consensus import NOT_LEADER
+from walnutpost.controlplane import wire
+from walnutpost.controlplane.changes import BODY_MOST, Changes
+from walnutpost.eventloop import Loop, Task, VirtualClock
 from walnutpost.fleet import Answer, Fleet, SetEntries, decode, encode
-from walnutpost.keeper import wire
-from walnutpost.keeper.changes import BODY_MOST, Changes
-from walnutpost.loop import Loop, Task, VirtualClock
-from walnutpost.table.messages import Op
-from walnutpost.table.table import Table
 
 PATIENCE = 1_000_000
 
--- a/packages/keeper/tests/test_keeper.py
+++ b/packages/controlplane/tests/test_keeper.py
@@ -13,11 +13,11 @@
 
 import pytest
 
-from walnutpost.agreement import Members
+from walnutpost.consensus import Members
+from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.eventloop import Loop
+from walnutpost.faultinjection.mesh import Mesh
 from walnutpost.fleet import FRONT_END, Ask, Budget, Enter, Fleet, SetBudgets
-from walnutpost.keeper import KeeperClient, NoAnswer
-from walnutpost.loop import Loop
-from walnutpost.trials.mesh import Mesh
 
 SECOND = 1_000_000
 NAMES = ("k1", "k2", "k3")
--- a/packages/keeper/tests/test_keeper_golden.py
+++ b/packages/controlplane/tests/test_keeper_golden.py
@@ -9,8 +9,8 @@
 from agreement_forms import MESSAGES
 from golden_forms import check_covered, check_fields_told_apart, structs_of
 from keeper_forms import GOLDEN, MESSAGES_BY_NAME
-from walnutpost.agreement import Message
-from walnutpost.keeper import changes, client, peers, process, wire
+from walnutpost.consensus import Message
+from walnutpost.controlplane import changes, client, peers, process, wire
 
 MODULES = changes, client, peers, process, wire
 
--- a/packages/keeper/tests/test_keeper_table.py
+++ b/packages/controlplane/tests/test_keeper_table.py
@@ -9,14 +9,14 @@
 import pytest
 
 from test_keeper import NAMES, SECOND, Keepers, play
-from walnutpost.agreement import Members
+from walnutpost.configstore.follower import Follower
+from walnutpost.configstore.messages import AGE_HEADER, WATCH, Op, Page, Question, decode, encode
+from walnutpost.configstore.roster import Roster
+from walnutpost.consensus import Members
+from walnutpost.controlplane import NoAnswer
+from walnutpost.eventloop import Loop, Timeout
 from walnutpost.fleet import Answer, Fleet, Forget
 from walnutpost.http import BadMessage, Connection, Limits
-from walnutpost.keeper import NoAnswer
-from walnutpost.loop import Loop, Timeout
-from walnutpost.table.follower import Follower
-from walnutpost.table.messages import AGE_HEADER, WATCH, Op, Page, Question, decode, encode
-from walnutpost.table.roster import Roster
 
 LIFE = 60 * SECOND  # of a test's wait for one answer: it fails then, whatever else
 
--- a/packages/keeper/tests/test_peers.py
+++ b/packages/controlplane/tests/test_peers.py
@@ -8,15 +8,15 @@
 import pytest
 
 from scripted_sockets import scripted_sockets, to
-from walnutpost.agreement import Members, Message, Snapshot
-from walnutpost.agreement.messages import Install, TakeOver
+from walnutpost.consensus import Members, Message, Snapshot
+from walnutpost.consensus.messages import Install, TakeOver
+from walnutpost.controlplane import wire
+from walnutpost.controlplane.client import KeeperClient
+from walnutpost.controlplane.peers import Peer
+from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.fleet import Answer, Resume
 from walnutpost.http import Exchange, Limits, Response
 from walnutpost.http.server import serve_on
-from walnutpost.keeper import wire
-from walnutpost.keeper.client import KeeperClient
-from walnutpost.keeper.peers import Peer
-from walnutpost.loop import Loop, VirtualClock
 
 ANSWER_TIME = 50_000
 SECOND = 1_000_000
--- a/packages/schedules/src/walnutpost/schedules/__init__.py
+++ b/packages/cron/src/walnutpost/cron/__init__.py
@@ -1,7 +1,7 @@
 """Cron schedules: what is due, what was missed, what overlaps, whose it is. Decides; no I/O, no clock."""
 
-from walnutpost.schedules.planner import Decision, Fire, Planner, Skip
-from walnutpost.schedules.schedule import (
+from walnutpost.cron.planner import Decision, Fire, Planner, Skip
+from walnutpost.cron.schedule import (
     BadSchedule,
     Missed,
     Overlap,
--- a/packages/schedules/src/walnutpost/schedules/planner.py
+++ b/packages/cron/src/walnutpost/cron/planner.py
@@ -8,7 +8,7 @@
 from heapq import heapify, heappop, heappush
 from itertools import chain
 
-from walnutpost.schedules.schedule import SECOND, Missed, Overlap, Schedule, due_times, fires_at
+from walnutpost.cron.schedule import SECOND, Missed, Overlap, Schedule, due_times, fires_at
 
 ON_TIME = 60 * SECOND  # a due time is a minute; what is fired later than that after it was missed
 
--- a/packages/schedules/tests/test_schedules.py
+++ b/packages/cron/tests/test_schedules.py
@@ -14,7 +14,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from walnutpost.schedules import (
+from walnutpost.cron import (
     BadSchedule,
     Fire,
     Missed,
--- a/packages/schedules/tests/test_schedules_golden.py
+++ b/packages/cron/tests/test_schedules_golden.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from golden_files import assert_as_golden, json_lines
-from walnutpost.schedules import Missed, Overlap, Schedule, execution_name, fires_at, owner_of
-from walnutpost.schedules.schedule import due_times
+from walnutpost.cron import Missed, Overlap, Schedule, execution_name, fires_at, owner_of
+from walnutpost.cron.schedule import due_times
 
 GOLDEN = Path(__file__).parent / "golden"
 BEGIN = 1_774_000_000_000_000  # microseconds: some days before clocks in Dublin go forward
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -9,8 +9,9 @@
 from hashlib import blake2b
 from typing import Any
 
-from walnutpost.core import Core
 from walnutpost.daemon.journaling import Journaling
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Event, Loop
 from walnutpost.gateway import (
     Admission,
     CallArrived,
@@ -32,7 +33,6 @@
 )
 from walnutpost.interface import Effect
 from walnutpost.journal import Told
-from walnutpost.loop import Event, Loop
 from walnutpost.store import Appending, Change, ExecutionStore, Listing, StoreError
 
 SAVE_AGAIN = 200_000  # between tries to write a fate down; it is told from memory meanwhile
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -15,14 +15,14 @@
 from walnutpost.config.base import address_of
 from walnutpost.config.model import Agreement
 from walnutpost.config.settings import us
-from walnutpost.core import Core
+from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.controlplane.wire import BadWire, Report, Told
 from walnutpost.daemon.lists import Lists
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Loop
 from walnutpost.fleet import FRONT_END, Answer, Enter, Figures, Follower, Sight
 from walnutpost.gateway import CallArrived, Final, Function, Refused, Served
 from walnutpost.interface import RequestClass
-from walnutpost.keeper import KeeperClient, NoAnswer
-from walnutpost.keeper.wire import BadWire, Report, Told
-from walnutpost.loop import Loop
 
 
 class CountedCore(Core):
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -14,7 +14,6 @@
 from walnutpost.config import Config, WorkerLine, catalogue, own_schedules, router_settings
 from walnutpost.config.base import address_of
 from walnutpost.config.settings import us
-from walnutpost.core import Core
 from walnutpost.daemon.deferred import Deferred
 from walnutpost.daemon.fleet import CountedCore, Following
 from walnutpost.daemon.journaling import Journaling
@@ -23,15 +22,16 @@
 from walnutpost.daemon.meters import Meters
 from walnutpost.daemon.seen import Seen
 from walnutpost.daemon.settings import Functions, SettingsFollowing
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Loop, Tap, Timeout
+from walnutpost.fronts.cron import TimersFront
 from walnutpost.fronts.invoke import InvokeFront, Names, refusal
-from walnutpost.fronts.timers import TimersFront
 from walnutpost.gateway import Gateway
 from walnutpost.http import Limits, Server
 from walnutpost.http.server import serve_on
 from walnutpost.interface import ListKind
-from walnutpost.links import Links, LinkSettings
-from walnutpost.loop import Loop, Tap, Timeout
 from walnutpost.store import ExecutionStore, FiringStore
+from walnutpost.workerclient import Links, LinkSettings
 
 STOP_STEP = 20_000
 STOP_METERS = 2_000_000
--- a/packages/daemon/src/walnutpost/daemon/journaling.py
+++ b/packages/daemon/src/walnutpost/daemon/journaling.py
@@ -9,6 +9,7 @@
 from walnutpost.config.base import address_of
 from walnutpost.config.journal import CopiesLine, HolderLine, Journal
 from walnutpost.config.settings import us
+from walnutpost.eventloop import Loop
 from walnutpost.fronts.calls import Unreached
 from walnutpost.gateway import Execution, Function, Refused, Status
 from walnutpost.interface import RequestClass
@@ -28,8 +29,7 @@
     chosen,
     taken,
 )
-from walnutpost.loop import Loop
-from walnutpost.replica import Holding, Sending, asked, recalled
+from walnutpost.replication import Holding, Sending, asked, recalled
 from walnutpost.store import Appending, ExecutionStore, JournalStore
 
 LOOK_EVERY = 500_000
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from typing import Any
 
+from walnutpost.certificates import DAY, BadKeys, Keeper, Mark
 from walnutpost.config.model import TlsLine
-from walnutpost.links import Links, contexts
-from walnutpost.loop import Loop
-from walnutpost.trust import DAY, BadKeys, Keeper, Mark
+from walnutpost.eventloop import Loop
+from walnutpost.workerclient import Links, contexts
 
 LOOK_EVERY = 1_000_000
 
--- a/packages/daemon/src/walnutpost/daemon/lists.py
+++ b/packages/daemon/src/walnutpost/daemon/lists.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from walnutpost.config import ConfigError, Site, WorkerLine, WorkerList, load, worker_lines
-from walnutpost.core import Core
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Loop
 from walnutpost.fleet.sight import Follower, Listed
 from walnutpost.gateway import WorkersTold
 from walnutpost.interface import ListKind
-from walnutpost.links import Links
-from walnutpost.loop import Loop
+from walnutpost.workerclient import Links
 
 SECOND = 1_000_000
 
--- a/packages/daemon/src/walnutpost/daemon/meters.py
+++ b/packages/daemon/src/walnutpost/daemon/meters.py
@@ -11,14 +11,14 @@
 from walnutpost.config import Config
 from walnutpost.config.model import Metering
 from walnutpost.config.settings import budgets, meter_policy, us
+from walnutpost.eventloop import Group, Loop, Task
 from walnutpost.gateway import AttemptDone, Function, HoldDone, Order, Refused, Start
 from walnutpost.interface import Outcome
-from walnutpost.links import Links
-from walnutpost.loop import Group, Loop, Task
 from walnutpost.metering import HOUR, Budgets, Gap, Ledger, Sight, Size, Standing
 from walnutpost.metering.ledger import DOWN
 from walnutpost.store import StoreError, UsageStore
 from walnutpost.store.usage import Run
+from walnutpost.workerclient import Links
 
 AT_ONCE = 16  # workers whose books are read at the same time
 NAMELESS = ""
--- a/packages/daemon/src/walnutpost/daemon/settings.py
+++ b/packages/daemon/src/walnutpost/daemon/settings.py
@@ -15,10 +15,10 @@
 from walnutpost.config.base import address_of
 from walnutpost.config.entries import FUNCTION, function_of
 from walnutpost.config.model import Agreement
+from walnutpost.configstore import BadTable, Entry, Follower, Table, Taken
+from walnutpost.configstore.choice import Choice
+from walnutpost.eventloop import Loop, Task
 from walnutpost.gateway import Function
-from walnutpost.loop import Loop, Task
-from walnutpost.table import BadTable, Entry, Follower, Table, Taken
-from walnutpost.table.choice import Choice
 from walnutpost.watch import Watcher
 
 SECOND = 1_000_000
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -11,14 +11,14 @@
 from walnutpost.config import Config, WorkerLine, parse
 from walnutpost.config.base import address_of
 from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.eventloop import Clock, Loop, VirtualClock
+from walnutpost.fakes import LocalStore, WorkerServer
+from walnutpost.fakes.fleet import local_store, start_worker
+from walnutpost.faultinjection.audit import Verdict
+from walnutpost.faultinjection.capture import Capture
+from walnutpost.faultinjection.facts import SUFFIX, audit_folder, facts_of, write_facts
 from walnutpost.http import Connection, Response
 from walnutpost.interface import ListKind
-from walnutpost.loop import Clock, Loop, VirtualClock
-from walnutpost.standins import LocalStore, WorkerServer
-from walnutpost.standins.fleet import local_store, start_worker
-from walnutpost.trials.audit import Verdict
-from walnutpost.trials.capture import Capture
-from walnutpost.trials.facts import SUFFIX, audit_folder, facts_of, write_facts
 
 T = TypeVar("T")
 SECOND = 1_000_000
--- a/packages/daemon/tests/relay_rig.py
+++ b/packages/daemon/tests/relay_rig.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Sequence
 
+from walnutpost.configstore import Op, Question, Table
+from walnutpost.eventloop import Loop
 from walnutpost.http import BadMessage, Exchange, Response, Server
 from walnutpost.http.server import serve_on
-from walnutpost.loop import Loop
-from walnutpost.table import Op, Question, Table
 from walnutpost.watch import WatchServer
 
 
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -17,16 +17,16 @@
 from walnutpost.config import Site
 from walnutpost.config.entries import entries_of
 from walnutpost.config.model import CallClass, FunctionLine, TenantLine
+from walnutpost.configstore import Op, Table
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.seen import Seen
 from walnutpost.daemon.settings import _replace as write_table
+from walnutpost.eventloop.clock import VirtualClock
 from walnutpost.fleet import Sight
 from walnutpost.fleet.sight import Seen as SeenWorker
 from walnutpost.gateway import Execution, Status
-from walnutpost.loop.clock import VirtualClock
 from walnutpost.metering import HOUR
 from walnutpost.store import history
-from walnutpost.table import Op, Table
 
 GOLDEN = Path(__file__).parent / "golden"
 NOBODY = "127.0.0.1:1"  # nothing listens there: neither a keeper nor a relay is heard of
--- a/packages/daemon/tests/test_journaling.py
+++ b/packages/daemon/tests/test_journaling.py
@@ -14,9 +14,9 @@
 from walnutpost.config import Config, parse
 from walnutpost.config.base import address_of
 from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.faultinjection.mesh import Relay
 from walnutpost.http import Connection, Response
 from walnutpost.journal import Call, Joined, Reached
-from walnutpost.trials.mesh import Relay
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
 ARN = "x-amz-durable-execution-arn"
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -11,11 +11,11 @@
 
 from fleet_rig import SECOND, Fleet
 from walnutpost.daemon.meters import Meters
+from walnutpost.eventloop import VirtualClock
+from walnutpost.faultinjection.usage import true_usage
 from walnutpost.gateway import Order
-from walnutpost.loop import VirtualClock
 from walnutpost.metering import HOUR, UNATTRIBUTED, Account, Amount, Batch, Gap, added
 from walnutpost.store.usage import Run
-from walnutpost.trials.usage import true_usage
 
 MINUTE = 60 * SECOND
 START = 300 * HOUR - 15 * SECOND  # an hour ends soon
--- a/packages/daemon/tests/test_taking_up.py
+++ b/packages/daemon/tests/test_taking_up.py
@@ -18,11 +18,11 @@
 from test_functions_gone import ARN, EVENT, fate, killed
 from walnutpost.config.entries import FUNCTION, entries_of, value_of
 from walnutpost.config.model import FunctionLine
+from walnutpost.configstore import Entry, Op, Table
 from walnutpost.daemon.settings import DECODED_MOST, JUDGED_AT_ONCE, KEEP_EVERY, Functions, SettingsFollowing
 from walnutpost.gateway import Function
 from walnutpost.http import Connection, Response
 from walnutpost.interface import RequestArrived, WorkersListed
-from walnutpost.table import Entry, Op, Table
 
 CLASSES = ["valuation", "reservation"]
 PAIR = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50}
--- a/packages/core/src/walnutpost/core/__init__.py
+++ b/packages/dispatch/src/walnutpost/dispatch/__init__.py
@@ -6,6 +6,7 @@
 from functools import partial
 from typing import Any, Protocol
 
+from walnutpost.eventloop import Loop, Task
 from walnutpost.gateway import (
     Abandon,
     Answered,
@@ -32,7 +33,6 @@
     Start,
 )
 from walnutpost.interface import Outcome
-from walnutpost.loop import Loop, Task
 
 
 class Watch(Protocol):
--- a/packages/loop/src/walnutpost/loop/__init__.py
+++ b/packages/eventloop/src/walnutpost/eventloop/__init__.py
@@ -4,11 +4,11 @@
 tasks.
 """
 
-from walnutpost.loop.clock import Clock, RealClock, VirtualClock
-from walnutpost.loop.scheduler import Cancelled, Loop, Task, Timeout
-from walnutpost.loop.sockets import AcceptErrorLog, Listener, Stream, Tap, connect
-from walnutpost.loop.sync import Event, Full, Group, Queue
-from walnutpost.loop.tls import Secure, TlsStream, connect_secure, serving
+from walnutpost.eventloop.clock import Clock, RealClock, VirtualClock
+from walnutpost.eventloop.scheduler import Cancelled, Loop, Task, Timeout
+from walnutpost.eventloop.sockets import AcceptErrorLog, Listener, Stream, Tap, connect
+from walnutpost.eventloop.sync import Event, Full, Group, Queue
+from walnutpost.eventloop.tls import Secure, TlsStream, connect_secure, serving
 
 __all__ = [
     "AcceptErrorLog",
--- a/packages/loop/src/walnutpost/loop/scheduler.py
+++ b/packages/eventloop/src/walnutpost/eventloop/scheduler.py
@@ -13,8 +13,8 @@
 
 from greenlet import getcurrent, greenlet
 
-from walnutpost.loop.clock import Clock, RealClock
-from walnutpost.loop.timers import Timer, WheelTimers
+from walnutpost.eventloop.clock import Clock, RealClock
+from walnutpost.eventloop.timers import Timer, WheelTimers
 
 T = TypeVar("T")
 READ, WRITE = select.POLLIN | select.POLLRDHUP, select.POLLOUT
--- a/packages/loop/src/walnutpost/loop/sockets.py
+++ b/packages/eventloop/src/walnutpost/eventloop/sockets.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from walnutpost.loop.scheduler import Loop
+from walnutpost.eventloop.scheduler import Loop
 
 Address = tuple[str, int]
 CHUNK = 65536
--- a/packages/loop/src/walnutpost/loop/sync.py
+++ b/packages/eventloop/src/walnutpost/eventloop/sync.py
@@ -7,7 +7,7 @@
 from types import TracebackType
 from typing import Any, Generic, TypeVar
 
-from walnutpost.loop.scheduler import Loop, Task
+from walnutpost.eventloop.scheduler import Loop, Task
 
 T = TypeVar("T")
 
--- a/packages/loop/src/walnutpost/loop/tls.py
+++ b/packages/eventloop/src/walnutpost/eventloop/tls.py
@@ -9,8 +9,8 @@
 from contextlib import suppress
 from dataclasses import dataclass
 
-from walnutpost.loop.scheduler import Loop
-from walnutpost.loop.sockets import CHUNK, Address, Stream, Tap, connected
+from walnutpost.eventloop.scheduler import Loop
+from walnutpost.eventloop.sockets import CHUNK, Address, Stream, Tap, connected
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/loop/tests/test_loop.py
+++ b/packages/eventloop/tests/test_loop.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from benchmarks.heap_timers import HeapTimers
-from walnutpost.loop import (
+from walnutpost.eventloop import (
     Cancelled,
     Event,
     Full,
@@ -30,8 +30,8 @@
     VirtualClock,
     connect,
 )
-from walnutpost.loop.scheduler import OPS_A_TURN, READ
-from walnutpost.loop.timers import GRAIN, Timer, WheelTimers
+from walnutpost.eventloop.scheduler import OPS_A_TURN, READ
+from walnutpost.eventloop.timers import GRAIN, Timer, WheelTimers
 
 SECOND = 1_000_000
 LOCAL = ("127.0.0.1", 0)
--- a/packages/loop/tests/test_socket_faults.py
+++ b/packages/eventloop/tests/test_socket_faults.py
@@ -11,8 +11,8 @@
 import pytest
 
 from scripted_sockets import FOREVER, SocketFaults, at, scripted_sockets, to
-from walnutpost.loop import AcceptErrorLog, Listener, Loop, Stream, VirtualClock, connect
-from walnutpost.loop.sockets import (
+from walnutpost.eventloop import AcceptErrorLog, Listener, Loop, Stream, VirtualClock, connect
+from walnutpost.eventloop.sockets import (
     ACCEPT_BACKOFF_US,
     ACCEPT_LOG_INTERVAL_US,
     ACCEPT_NOW_PAUSES,
--- a/packages/standins/src/walnutpost/standins/fleet.py
+++ b/packages/fakes/src/walnutpost/fakes/fleet.py
@@ -10,12 +10,12 @@
 from walnutpost.config.base import address_of
 from walnutpost.config.model import FunctionWork
 from walnutpost.config.settings import us
+from walnutpost.eventloop import Loop
+from walnutpost.fakes.model import FunctionSpec, WorkerModel, WorkerSpec
+from walnutpost.fakes.store import LocalStore, PackageStore
+from walnutpost.fakes.worker import Recorder, WorkerServer
 from walnutpost.gateway.catalogue import number_of
-from walnutpost.links import contexts
-from walnutpost.loop import Loop
-from walnutpost.standins.model import FunctionSpec, WorkerModel, WorkerSpec
-from walnutpost.standins.store import LocalStore, PackageStore
-from walnutpost.standins.worker import Recorder, WorkerServer
+from walnutpost.workerclient import contexts
 
 
 def function_specs(config: Config) -> dict[str, FunctionSpec]:
--- a/packages/standins/src/walnutpost/standins/store.py
+++ b/packages/fakes/src/walnutpost/fakes/store.py
@@ -4,9 +4,9 @@
 
 from typing import Protocol
 
+from walnutpost.eventloop import Loop, Timeout
 from walnutpost.http import BadMessage, Connection, Exchange, Response, Server
 from walnutpost.http.server import serve_on
-from walnutpost.loop import Loop, Timeout
 
 FETCH_TIMEOUT = 60_000_000
 
--- a/packages/standins/src/walnutpost/standins/worker.py
+++ b/packages/fakes/src/walnutpost/fakes/worker.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
+from walnutpost.eventloop import Event, Loop, Tap
+from walnutpost.eventloop.timers import Timer
+from walnutpost.fakes.model import Answer, Faults, Fetch, Held, Lived, Ran, Reaction, WorkerModel
+from walnutpost.fakes.store import PackageStore
 from walnutpost.http import BadMessage, Exchange, Response, Server, encode_response
 from walnutpost.http.server import serve_on
-from walnutpost.links import codec, orca
-from walnutpost.loop import Event, Loop, Tap
-from walnutpost.loop.timers import Timer
 from walnutpost.metering import Report
-from walnutpost.standins.model import Answer, Faults, Fetch, Held, Lived, Ran, Reaction, WorkerModel
-from walnutpost.standins.store import PackageStore
+from walnutpost.workerclient import codec, orca
 
 LEAVE_STEP = 20_000
 GARBAGE = b"\x00\x01\x02 this is no HTTP \xff\xfe\r\n\r\n"
--- a/packages/standins/tests/test_standins.py
+++ b/packages/fakes/tests/test_standins.py
@@ -4,8 +4,7 @@
 
 from dataclasses import replace
 
-from walnutpost.interface import Warmth
-from walnutpost.standins.model import (
+from walnutpost.fakes.model import (
     Answer,
     Fetch,
     FunctionSpec,
@@ -15,6 +14,7 @@
     WorkerModel,
     WorkerSpec,
 )
+from walnutpost.interface import Warmth
 
 SECOND = 1_000_000
 MS = 1_000
--- a/packages/trials/src/walnutpost/trials/audit.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/audit.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from urllib.parse import unquote
 
-from walnutpost.trials.wire import Exchange, Process
+from walnutpost.faultinjection.wire import Exchange, Process
 
 SECOND = 1_000_000
 INVOKE = re.compile(r"/2015-03-31/functions/([^/?]+)/invocations")
--- a/packages/trials/src/walnutpost/trials/capture.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/capture.py
@@ -24,8 +24,8 @@
 import msgspec
 
 from walnutpost.config import WorkerLine
-from walnutpost.loop.sockets import Address
-from walnutpost.standins.model import Lived
+from walnutpost.eventloop.sockets import Address
+from walnutpost.fakes.model import Lived
 
 LENGTH = 4
 
--- a/packages/trials/src/walnutpost/trials/clients.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/clients.py
@@ -13,9 +13,9 @@
 
 from walnutpost.config import Config
 from walnutpost.config.settings import us
+from walnutpost.eventloop import Loop, Tap, Timeout
+from walnutpost.faultinjection.script import Burst, OneOffs, Script
 from walnutpost.http import BadMessage, Connection, Response
-from walnutpost.loop import Loop, Tap, Timeout
-from walnutpost.trials.script import Burst, OneOffs, Script
 
 SECOND = 1_000_000
 ROLE = "client"
--- a/packages/trials/src/walnutpost/trials/days.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/days.py
@@ -14,7 +14,7 @@
 
 from walnutpost.config import Config, ConfigError
 from walnutpost.config.load import parse
-from walnutpost.trials.script import Script
+from walnutpost.faultinjection.script import Script
 
 MOST_WORKERS, MOST_FRONTS = 12, 3
 FUNCTIONS_A_CLASS = 12
--- a/packages/trials/src/walnutpost/trials/facts.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/facts.py
@@ -9,9 +9,9 @@
 from walnutpost.config import Config
 from walnutpost.config.model import FunctionWork
 from walnutpost.config.settings import us
-from walnutpost.trials.audit import Facts, Verdict, WorkerFacts, audit
-from walnutpost.trials.capture import read
-from walnutpost.trials.wire import read_process
+from walnutpost.faultinjection.audit import Facts, Verdict, WorkerFacts, audit
+from walnutpost.faultinjection.capture import read
+from walnutpost.faultinjection.wire import read_process
 
 FACTS, SUFFIX = "facts.json", ".capture"
 
--- a/packages/trials/src/walnutpost/trials/fleet_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
@@ -12,15 +12,15 @@
 from typing import Any
 
 from walnutpost.config import Config, laid_over
+from walnutpost.eventloop import Loop
+from walnutpost.faultinjection.audit import Verdict
+from walnutpost.faultinjection.capture import Capture
+from walnutpost.faultinjection.clients import Clients, Result
+from walnutpost.faultinjection.facts import SUFFIX, audit_folder
+from walnutpost.faultinjection.fleet_script import AnyAct, Break, FleetScript, Order
+from walnutpost.faultinjection.fleet_stage import FleetStage
+from walnutpost.faultinjection.script import Script
 from walnutpost.fleet import State
-from walnutpost.loop import Loop
-from walnutpost.trials.audit import Verdict
-from walnutpost.trials.capture import Capture
-from walnutpost.trials.clients import Clients, Result
-from walnutpost.trials.facts import SUFFIX, audit_folder
-from walnutpost.trials.fleet_script import AnyAct, Break, FleetScript, Order
-from walnutpost.trials.fleet_stage import FleetStage
-from walnutpost.trials.script import Script
 
 SECOND = 1_000_000
 
--- a/packages/trials/src/walnutpost/trials/fleet_script.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_script.py
@@ -9,7 +9,7 @@
 
 from walnutpost.config.base import Ms, Strict
 from walnutpost.config.keepers import BudgetOut, JudgeLine
-from walnutpost.trials.script import Traffic
+from walnutpost.faultinjection.script import Traffic
 
 Seconds = Annotated[float, Field(ge=0, le=3600)]
 
--- a/packages/trials/src/walnutpost/trials/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -16,13 +16,13 @@
 
 from walnutpost.agent.process import processes_of
 from walnutpost.config import Config
+from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.eventloop import Group, Loop, Timeout
+from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
+from walnutpost.faultinjection.fleet_script import FleetScript
+from walnutpost.faultinjection.mesh import Mesh
 from walnutpost.fleet import Budget, Fleet, SetBudgets, State
 from walnutpost.http import BadMessage, Connection
-from walnutpost.keeper import KeeperClient, NoAnswer
-from walnutpost.loop import Group, Loop, Timeout
-from walnutpost.trials.facts import SUFFIX, facts_of, write_facts
-from walnutpost.trials.fleet_script import FleetScript
-from walnutpost.trials.mesh import Mesh
 
 SECOND = 1_000_000
 START_PATIENCE = 60 * SECOND
--- a/packages/trials/src/walnutpost/trials/hollow.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
@@ -1,6 +1,6 @@
 """Hollow members: the real protocol, state machine and sockets of those who follow the agreed table,
-many to a process, without calls. `python -m walnutpost.trials.hollow SPEC` reads where the relays are,
-and writes a line of JSON whenever one of its members acts on another revision, before that is said to a
+many to a process, without calls. `python -m walnutpost.faultinjection.hollow SPEC` reads where the relays
+are, and writes a line of JSON whenever one of its members acts on another revision, before that is said to a
 relay."""
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from typing import Any
 
 from walnutpost.config.base import address_of
-from walnutpost.loop import Event, Loop
-from walnutpost.table import Follower, Table, Taken
-from walnutpost.table.choice import Choice
+from walnutpost.configstore import Follower, Table, Taken
+from walnutpost.configstore.choice import Choice
+from walnutpost.eventloop import Event, Loop
 from walnutpost.watch import Watcher
 
 SECOND = 1_000_000
--- a/packages/trials/src/walnutpost/trials/mesh.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/mesh.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from walnutpost.loop import Event, Listener, Loop, Stream, Timeout, connect
+from walnutpost.eventloop import Event, Listener, Loop, Stream, Timeout, connect
 
 CHUNK = 16 * 1024
 DIAL_TIME = 2_000_000
--- a/packages/trials/src/walnutpost/trials/run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/run.py
@@ -11,12 +11,12 @@
 
 from walnutpost.config import Config
 from walnutpost.config.settings import us
-from walnutpost.loop import Group, Loop
-from walnutpost.trials.audit import Verdict
-from walnutpost.trials.capture import Capture
-from walnutpost.trials.clients import Clients, Result
-from walnutpost.trials.facts import SUFFIX, audit_folder
-from walnutpost.trials.script import (
+from walnutpost.eventloop import Group, Loop
+from walnutpost.faultinjection.audit import Verdict
+from walnutpost.faultinjection.capture import Capture
+from walnutpost.faultinjection.clients import Clients, Result
+from walnutpost.faultinjection.facts import SUFFIX, audit_folder
+from walnutpost.faultinjection.script import (
     Ageing,
     AnyTrouble,
     Burst,
@@ -32,8 +32,8 @@
     Slow,
     StoreSlow,
 )
-from walnutpost.trials.stage import Stage, front_name, ledger_name
-from walnutpost.trials.usage import Compared, compare
+from walnutpost.faultinjection.stage import Stage, front_name, ledger_name
+from walnutpost.faultinjection.usage import Compared, compare
 
 SECOND = 1_000_000
 AGEING_STEPS = 8
--- a/packages/trials/src/walnutpost/trials/stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/stage.py
@@ -15,11 +15,11 @@
 
 from walnutpost.config import Config, StandIn
 from walnutpost.config.model import FunctionLine, FunctionWork
+from walnutpost.eventloop import Group, Loop, Timeout
+from walnutpost.faultinjection.clients import one_off_name
+from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
+from walnutpost.faultinjection.script import Script
 from walnutpost.http import BadMessage, Connection
-from walnutpost.loop import Group, Loop, Timeout
-from walnutpost.trials.clients import one_off_name
-from walnutpost.trials.facts import SUFFIX, facts_of, write_facts
-from walnutpost.trials.script import Script
 
 SECOND = 1_000_000
 START_PATIENCE = 30 * SECOND
--- a/packages/trials/src/walnutpost/trials/table.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table.py
@@ -6,10 +6,10 @@
 
 from hdrh.histogram import HdrHistogram
 
+from walnutpost.faultinjection.audit import BREAKS_SHOWN, Verdict
+from walnutpost.faultinjection.clients import Result, summary
+from walnutpost.faultinjection.usage import Compared
 from walnutpost.fleet import State
-from walnutpost.trials.audit import BREAKS_SHOWN, Verdict
-from walnutpost.trials.clients import Result, summary
-from walnutpost.trials.usage import Compared
 
 SECOND = 1_000_000
 LEAST, MOST, DIGITS = 1, 600_000_000, 3
--- a/packages/trials/src/walnutpost/trials/table_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_run.py
@@ -8,10 +8,18 @@
 from pathlib import Path
 from random import Random
 
+from walnutpost.configstore import Status
+from walnutpost.eventloop import Loop, Task, Timeout
+from walnutpost.faultinjection.table_stage import (
+    FRONTS,
+    FUNCTIONS,
+    KEEPERS,
+    REGIONS,
+    RELAYS,
+    TableStage,
+    twin_ops,
+)
 from walnutpost.http import BadMessage, Connection
-from walnutpost.loop import Loop, Task, Timeout
-from walnutpost.table import Status
-from walnutpost.trials.table_stage import FRONTS, FUNCTIONS, KEEPERS, REGIONS, RELAYS, TableStage, twin_ops
 
 SECOND = 1_000_000
 CALL_EVERY, CALL_WITHIN = 60_000, 25 * SECOND
--- a/packages/trials/src/walnutpost/trials/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -14,19 +14,19 @@
 from random import Random
 from typing import Any
 
-from walnutpost.agreement import Members
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of
+from walnutpost.configstore import BadTable, Follower, Op, Status, Table, Taken
+from walnutpost.configstore.choice import Choice
+from walnutpost.consensus import Members
+from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.controlplane.wire import keeper_of
+from walnutpost.eventloop import Loop, Task
+from walnutpost.fakes.fleet import local_store, start_worker
+from walnutpost.faultinjection.fleet_stage import ADDRESS, START_PATIENCE, Address, StageError, wait_until
+from walnutpost.faultinjection.hollow import TWINS, NoLog
+from walnutpost.faultinjection.mesh import Mesh
 from walnutpost.fleet import Fleet
-from walnutpost.keeper import KeeperClient, NoAnswer
-from walnutpost.keeper.wire import keeper_of
-from walnutpost.loop import Loop, Task
-from walnutpost.standins.fleet import local_store, start_worker
-from walnutpost.table import BadTable, Follower, Op, Status, Table, Taken
-from walnutpost.table.choice import Choice
-from walnutpost.trials.fleet_stage import ADDRESS, START_PATIENCE, Address, StageError, wait_until
-from walnutpost.trials.hollow import TWINS, NoLog
-from walnutpost.trials.mesh import Mesh
 from walnutpost.watch import Watcher
 
 SECOND = 1_000_000
@@ -171,7 +171,7 @@
             members = [f"{name}-{n}" for n in range(self.hollow // len(HOLLOW))]
             relays = self._relays(name)
             path.write_text(json.dumps({"members": members, "relays": relays, "faults": self.faults}))
-            command = ["walnutpost.trials.hollow", str(path)]
+            command = ["walnutpost.faultinjection.hollow", str(path)]
         with self._log(name).open("wb") as out:
             run = [sys.executable, "-m", *command]
             self.processes[name] = subprocess.Popen(run, stdin=subprocess.DEVNULL, stdout=out, stderr=out)
--- a/packages/trials/src/walnutpost/trials/usage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/usage.py
@@ -13,11 +13,11 @@
 
 from walnutpost.config import Config
 from walnutpost.config.settings import meter_policy
+from walnutpost.fakes.model import Lived
+from walnutpost.faultinjection.capture import read
+from walnutpost.faultinjection.facts import SUFFIX
 from walnutpost.metering.reports import figures, grouped, parts
-from walnutpost.standins.model import Lived
 from walnutpost.store import read_ledger
-from walnutpost.trials.capture import read
-from walnutpost.trials.facts import SUFFIX
 
 Truth = dict[tuple[str, str], Fraction]  # by tenant and function, MB-microseconds
 NOBODY = "-"
--- a/packages/trials/tests/test_capture_golden.py
+++ b/packages/faultinjection/tests/test_capture_golden.py
@@ -12,10 +12,10 @@
 
 from golden_files import assert_as_golden
 from walnutpost.config import Config, WorkerLine, load
-from walnutpost.standins.model import Lived
-from walnutpost.trials.audit import Facts
-from walnutpost.trials.capture import LENGTH, Capture, read
-from walnutpost.trials.facts import FACTS, facts_of, write_facts
+from walnutpost.fakes.model import Lived
+from walnutpost.faultinjection.audit import Facts
+from walnutpost.faultinjection.capture import LENGTH, Capture, read
+from walnutpost.faultinjection.facts import FACTS, facts_of, write_facts
 
 GOLDEN = Path(__file__).parent / "golden"
 EXAMPLE = Path(__file__).parents[3] / "examples" / "kilbride.json5"
--- a/packages/trials/tests/test_days.py
+++ b/packages/faultinjection/tests/test_days.py
@@ -9,7 +9,7 @@
 import pytest
 
 from walnutpost.config import ConfigError
-from walnutpost.trials.days import MOST_FRONTS, MOST_WORKERS, read_day
+from walnutpost.faultinjection.days import MOST_FRONTS, MOST_WORKERS, read_day
 
 SECOND = 1_000_000
 CLASS = {
--- a/packages/trials/tests/test_fleet_days.py
+++ b/packages/faultinjection/tests/test_fleet_days.py
@@ -10,9 +10,9 @@
 
 from benchmarks.fleet import DAY_SECONDS, play_day, random_day
 from walnutpost.config import parse
-from walnutpost.trials import table
-from walnutpost.trials.fleet_run import FleetOutcome
-from walnutpost.trials.fleet_script import FleetScript
+from walnutpost.faultinjection import table
+from walnutpost.faultinjection.fleet_run import FleetOutcome
+from walnutpost.faultinjection.fleet_script import FleetScript
 
 BASE = random_day(0)
 WARM = 60  # calls
--- a/packages/trials/tests/test_mesh_faults.py
+++ b/packages/faultinjection/tests/test_mesh_faults.py
@@ -7,8 +7,8 @@
 import pytest
 
 from scripted_sockets import at, scripted_sockets, to
-from walnutpost.loop import Listener, Loop, VirtualClock, connect
-from walnutpost.trials.mesh import Relay
+from walnutpost.eventloop import Listener, Loop, VirtualClock, connect
+from walnutpost.faultinjection.mesh import Relay
 
 
 @pytest.mark.parametrize("number", [errno.EPROTO, errno.ENETDOWN, errno.EPERM])
--- a/packages/trials/tests/test_processes.py
+++ b/packages/faultinjection/tests/test_processes.py
@@ -14,9 +14,9 @@
 
 from fleet_rig import BASE, Log, merged
 from walnutpost.config import Config, parse
-from walnutpost.trials import table
-from walnutpost.trials.run import play
-from walnutpost.trials.script import Script
+from walnutpost.faultinjection import table
+from walnutpost.faultinjection.run import play
+from walnutpost.faultinjection.script import Script
 
 PATIENCE = 30.0
 
--- a/packages/trials/tests/test_script_golden.py
+++ b/packages/faultinjection/tests/test_script_golden.py
@@ -10,8 +10,8 @@
 from config_keys import keys
 from golden_files import assert_as_golden, json_lines
 from walnutpost.config import load, parse
-from walnutpost.trials.fleet_script import FleetScript
-from walnutpost.trials.script import Script
+from walnutpost.faultinjection.fleet_script import FleetScript
+from walnutpost.faultinjection.script import Script
 
 GOLDEN = Path(__file__).parent / "golden" / "scripts"
 EXAMPLES = Path(__file__).parents[3] / "examples"
--- a/packages/trials/tests/test_table_days.py
+++ b/packages/faultinjection/tests/test_table_days.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from walnutpost.trials.table_run import Fault, TableDay, TableOutcome, play_table, random_table_day
+from walnutpost.faultinjection.table_run import Fault, TableDay, TableOutcome, play_table, random_table_day
 
 HOLD = 3.0  # seconds that a question is held at rest
 
--- a/packages/fleet/src/walnutpost/fleet/commands.py
+++ b/packages/fleet/src/walnutpost/fleet/commands.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from walnutpost.table.messages import Op
+from walnutpost.configstore.messages import Op
 
 FORMAT = 1
 FRONT_END, WORKER = "front_end", "worker"
--- a/packages/fleet/src/walnutpost/fleet/machine.py
+++ b/packages/fleet/src/walnutpost/fleet/machine.py
@@ -13,6 +13,7 @@
 import msgspec
 from msgspec import structs
 
+from walnutpost.configstore.table import BadChange, BadTable, Table
 from walnutpost.fleet import budgets
 from walnutpost.fleet.commands import (
     WORKER,
@@ -42,7 +43,6 @@
     decode,
 )
 from walnutpost.fleet.state import Member, Permit, Plan, State
-from walnutpost.table.table import BadChange, BadTable, Table
 
 ALONE_MOST = 100  # of what was done without a quorum
 VERSIONS_MOST, PLANS_MOST = 20, 100  # beyond what is needed
--- a/packages/fleet/tests/fleet_forms.py
+++ b/packages/fleet/tests/fleet_forms.py
@@ -7,7 +7,9 @@
 
 from agreement_forms import MEMBERS
 from golden_forms import Form, Golden, as_json, packed
-from walnutpost.agreement import Entry, Kind, Members
+from walnutpost.configstore.messages import Op
+from walnutpost.configstore.table import Table
+from walnutpost.consensus import Entry, Kind, Members
 from walnutpost.fleet import FRONT_END, WORKER, Fleet, commands
 from walnutpost.fleet.commands import (
     Acted,
@@ -39,8 +41,6 @@
 )
 from walnutpost.fleet.sight import Seen, Sight
 from walnutpost.fleet.state import Member, Permit, Plan, State
-from walnutpost.table.messages import Op
-from walnutpost.table.table import Table
 
 ASKED_AT = 1_700_000_000.25  # seconds by the asker's clock
 
--- a/packages/fleet/tests/test_fleet_golden.py
+++ b/packages/fleet/tests/test_fleet_golden.py
@@ -10,7 +10,7 @@
 
 from fleet_forms import COMMANDS, GOLDEN, HISTORY_COMMANDS, applied
 from golden_forms import check_covered, check_fields_told_apart, structs_of
-from walnutpost.agreement import Entry
+from walnutpost.consensus import Entry
 from walnutpost.fleet import (
     Command,
     Fleet,
--- a/packages/fleet/tests/test_fleet_table.py
+++ b/packages/fleet/tests/test_fleet_table.py
@@ -9,6 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from walnutpost.configstore.messages import Op
+from walnutpost.configstore.table import Table
 from walnutpost.fleet import (
     FRONT_END,
     MEANWHILE,
@@ -27,8 +29,6 @@
     encode,
     machine,
 )
-from walnutpost.table.messages import Op
-from walnutpost.table.table import Table
 
 
 def op(name: str, value: str | None = "1") -> Op:
--- a/packages/fronts/src/walnutpost/fronts/timers/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
+from walnutpost.cron import Fire, Planner, Schedule, Skip, execution_name
+from walnutpost.eventloop import Event, Loop
 from walnutpost.fronts.calls import DeferredCalls
 from walnutpost.gateway import Execution, Status, Unsure
-from walnutpost.loop import Event, Loop
-from walnutpost.schedules import Fire, Planner, Schedule, Skip, execution_name
 from walnutpost.store import Change, FiringStore, StoreError
 
 LOOK_AT_LEAST = 1_000_000  # the wall clock may be set, or the machine sleep: never trust a longer wait
--- a/packages/fronts/tests/test_invoke.py
+++ b/packages/fronts/tests/test_invoke.py
@@ -16,8 +16,8 @@
 from botocore.config import Config as BotoConfig
 
 from fleet_rig import INVOKE, SECOND, Fleet
+from walnutpost.eventloop import RealClock
 from walnutpost.http import Response
-from walnutpost.loop import RealClock
 
 
 def test_a_call_is_served_and_says_where(tmp_path: Path) -> None:
--- a/packages/http/src/walnutpost/http/client.py
+++ b/packages/http/src/walnutpost/http/client.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from walnutpost.eventloop import Loop, Secure, Stream, Tap, connect, connect_secure
 from walnutpost.http.messages import BadMessage, Limits, Response, ResponseReader, encode_request
-from walnutpost.loop import Loop, Secure, Stream, Tap, connect, connect_secure
 
 
 class Connection:
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -7,15 +7,7 @@
 from ssl import SSLContext
 from typing import Any
 
-from walnutpost.http.messages import (
-    BadMessage,
-    Limits,
-    Request,
-    RequestReader,
-    Response,
-    encode_response,
-)
-from walnutpost.loop import (
+from walnutpost.eventloop import (
     AcceptErrorLog,
     Cancelled,
     Group,
@@ -27,6 +19,14 @@
     TlsStream,
     serving,
 )
+from walnutpost.http.messages import (
+    BadMessage,
+    Limits,
+    Request,
+    RequestReader,
+    Response,
+    encode_response,
+)
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 LINGER = 1_000_000  # how long a refused sender may go on sending before the connection is cut
--- a/packages/http/tests/test_http.py
+++ b/packages/http/tests/test_http.py
@@ -10,10 +10,10 @@
 
 import pytest
 
+from walnutpost.eventloop import Loop, Stream, Timeout, VirtualClock, connect
 from walnutpost.http import BadMessage, Connection, Exchange, Limits, Response, Server, encode_request
 from walnutpost.http.messages import RequestReader
 from walnutpost.http.server import serve_on
-from walnutpost.loop import Loop, Stream, Timeout, VirtualClock, connect
 
 SECOND = 1_000_000
 LIMITS = Limits(head=4096, body=10_000, head_time=10 * SECOND, body_time=30 * SECOND, idle_time=75 * SECOND)
--- a/packages/http/tests/test_server_faults.py
+++ b/packages/http/tests/test_server_faults.py
@@ -9,9 +9,9 @@
 import pytest
 
 from scripted_sockets import SocketFaults, at, scripted_sockets, to
+from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.http import BadMessage, Connection, Exchange, Response, Server
 from walnutpost.http.server import serve_on
-from walnutpost.loop import Loop, VirtualClock
 
 SECOND = 1_000_000
 LOCAL = ("127.0.0.1", 0)
--- a/packages/metering/tests/test_ledger.py
+++ b/packages/metering/tests/test_ledger.py
@@ -16,7 +16,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from walnutpost.loop import Loop
+from walnutpost.eventloop import Loop
+from walnutpost.fakes.model import Lived
+from walnutpost.faultinjection.usage import true_usage
 from walnutpost.metering import (
     HOUR,
     UNATTRIBUTED,
@@ -46,10 +48,8 @@
 )
 from walnutpost.metering.records import DAY
 from walnutpost.metering.reports import Kept, compared, figures, grouped, invoice, parts, proof
-from walnutpost.standins.model import Lived
 from walnutpost.store import UsageStore, read_ledger
 from walnutpost.store.usage import Run, write_batch
-from walnutpost.trials.usage import true_usage
 
 SECOND, MINUTE = 1_000_000, 60_000_000
 START = 1000 * HOUR + 17 * MINUTE
--- a/packages/node/src/walnutpost/node/client_connection.py
+++ b/packages/node/src/walnutpost/node/client_connection.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Callable
 
-from walnutpost.loop import Stream
+from walnutpost.eventloop import Stream
 from walnutpost.node import rpc
 from walnutpost.node.client_context import ClientContext
 from walnutpost.node.client_input import Batch, ClientInput
--- a/packages/node/src/walnutpost/node/client_context.py
+++ b/packages/node/src/walnutpost/node/client_context.py
@@ -4,8 +4,8 @@
 
 from typing import Any, Protocol
 
-from walnutpost.core import Core
-from walnutpost.loop import Loop
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Loop
 from walnutpost.node.open_requests import OpenRequests
 
 OPEN_MOST = 32  # requests on one connection
--- a/packages/node/src/walnutpost/node/client_input.py
+++ b/packages/node/src/walnutpost/node/client_input.py
@@ -5,7 +5,7 @@
 import select
 from dataclasses import dataclass
 
-from walnutpost.loop import Loop, Stream
+from walnutpost.eventloop import Loop, Stream
 from walnutpost.node import rpc
 from walnutpost.node.client_context import OPEN_MOST
 
--- a/packages/node/src/walnutpost/node/client_output.py
+++ b/packages/node/src/walnutpost/node/client_output.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from walnutpost.loop import Loop, Stream
+from walnutpost.eventloop import Loop, Stream
 
 OUT_MOST = 1 << 20  # bytes of answers that a client hasn't fetched: beyond, bodies give way to errors
 OUT_HIGH_WATER = OUT_MOST // 4  # beyond, further requests are refused, or left unread where nothing is open
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -7,8 +7,8 @@
 from typing import Any
 
 from walnutpost import interface as api
-from walnutpost.core import Core
-from walnutpost.loop import AcceptErrorLog, Listener, Loop, Stream
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import AcceptErrorLog, Listener, Loop, Stream
 from walnutpost.node.client_connection import Connection
 from walnutpost.node.open_requests import OpenRequests
 from walnutpost.node.pool import Identity
--- a/packages/node/src/walnutpost/node/connection.py
+++ b/packages/node/src/walnutpost/node/connection.py
@@ -7,9 +7,9 @@
 import struct
 from typing import Protocol
 
+from walnutpost.eventloop import Loop, Stream
+from walnutpost.eventloop.sockets import opening
 from walnutpost.interface import Outcome
-from walnutpost.loop import Loop, Stream
-from walnutpost.loop.sockets import opening
 from walnutpost.node import resp
 from walnutpost.node.directory import Address
 from walnutpost.node.exchange import Exchange, Kind, Progress
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Any
 
+from walnutpost.eventloop import Loop
 from walnutpost.gateway import WorkersTold
-from walnutpost.loop import Loop
 from walnutpost.node.directory import Address, BadList, Directory
 
 PERIOD_US = 100_000  # between questions: a fraction of the time after which a change counts as told
--- a/packages/node/src/walnutpost/node/exchange.py
+++ b/packages/node/src/walnutpost/node/exchange.py
@@ -9,8 +9,8 @@
 from enum import Enum
 from typing import Protocol
 
+from walnutpost.eventloop.timers import Timer
 from walnutpost.interface import Outcome
-from walnutpost.loop.timers import Timer
 from walnutpost.node import resp
 
 
--- a/packages/node/src/walnutpost/node/pool.py
+++ b/packages/node/src/walnutpost/node/pool.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Mapping
 from functools import partial
 
+from walnutpost.eventloop import Loop
 from walnutpost.gateway import AttemptDone, Discard, HoldDone, Order, Ping, PingDone, Start
 from walnutpost.interface import Outcome
-from walnutpost.loop import Loop
 from walnutpost.node import resp, selection
 from walnutpost.node.connection import WorkerConnection
 from walnutpost.node.directory import Address
--- a/packages/node/src/walnutpost/node/run.py
+++ b/packages/node/src/walnutpost/node/run.py
@@ -10,10 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.core import Core
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Listener, Loop
 from walnutpost.gateway import Catalogue, Gateway, ShuttingDown, WorkersTold
 from walnutpost.interface import ListKind, Outcome
-from walnutpost.loop import Listener, Loop
 from walnutpost.node.clients import Clients
 from walnutpost.node.config import Config, ConfigError, parse
 from walnutpost.node.directory import BadList, Directory
--- a/packages/node/tests/node_rig.py
+++ b/packages/node/tests/node_rig.py
@@ -11,8 +11,8 @@
 import dns.rrset
 import msgpack
 
+from walnutpost.eventloop import Listener, Loop, Stream, VirtualClock, connect
 from walnutpost.interface import WorkerState
-from walnutpost.loop import Listener, Loop, Stream, VirtualClock, connect
 from walnutpost.node.config import parse
 from walnutpost.node.directory import SERVICE
 from walnutpost.node.run import Node
--- a/packages/node/tests/test_client_terms.py
+++ b/packages/node/tests/test_client_terms.py
@@ -15,9 +15,9 @@
 from node_rig import SECOND, Client, Words, Worker, World, play, reply
 from test_crossings import LEAVE, MS
 from test_node import FAILED, REFUSED, warm
+from walnutpost.eventloop import VirtualClock, scheduler
+from walnutpost.eventloop.sockets import ACCEPT_BACKOFF_US, ACCEPT_TRIES
 from walnutpost.gateway import CallArrived, Served
-from walnutpost.loop import VirtualClock, scheduler
-from walnutpost.loop.sockets import ACCEPT_BACKOFF_US, ACCEPT_TRIES
 from walnutpost.node import rpc
 from walnutpost.node.client_connection import (
     READ_PAUSE_US,
--- a/packages/node/tests/test_crossings.py
+++ b/packages/node/tests/test_crossings.py
@@ -22,9 +22,9 @@
 
 from node_rig import CONFIG, PROFILE, SECOND, Client, World, config_text, listing, play, reply
 from test_node import FAILED, REFUSED, warm
+from walnutpost.eventloop import Listener, Loop, VirtualClock
 from walnutpost.gateway import HoldDone, Order
 from walnutpost.interface import Outcome
-from walnutpost.loop import Listener, Loop, VirtualClock
 from walnutpost.node import run
 from walnutpost.node.client_connection import REJECTED_BEFORE_PAUSE
 from walnutpost.node.config import parse
--- a/packages/node/tests/test_node_socket_faults.py
+++ b/packages/node/tests/test_node_socket_faults.py
@@ -11,8 +11,8 @@
 from node_rig import SECOND, World, listing, play
 from scripted_sockets import FOREVER, SocketFaults, at, datagrams, scripted_sockets, to
 from test_node import FAILED, warm
+from walnutpost.eventloop.sockets import ACCEPT_TRIES
 from walnutpost.interface import Outcome
-from walnutpost.loop.sockets import ACCEPT_TRIES
 from walnutpost.node.discovery import DiscoveryClient
 from walnutpost.node.run import DRAIN_PERIOD_US
 
--- a/packages/node/tests/test_ration_crossings.py
+++ b/packages/node/tests/test_ration_crossings.py
@@ -20,7 +20,7 @@
 from node_rig import SECOND, Client, Words, Worker, World, play, reply, words_of
 from ration_checker import Ration, RationLog, told
 from test_crossings import MS, settings
-from walnutpost.loop import Listener, Loop, Queue, Stream, Task, connect
+from walnutpost.eventloop import Listener, Loop, Queue, Stream, Task, connect
 from walnutpost.node.connection import WorkerConnection
 from walnutpost.node.run import Node
 
--- a/packages/node/tests/test_ration_processes.py
+++ b/packages/node/tests/test_ration_processes.py
@@ -20,7 +20,7 @@
 from ration_checker import Ration, RationLog, told
 from test_crossings import MS, settings
 from test_ration_crossings import Witness
-from walnutpost.loop import Loop
+from walnutpost.eventloop import Loop
 
 FREE_LOADS, LOAD_SHARE, LOAD_WINDOW = 4, 0.2, 2 * SECOND
 RATION = Ration.on_sockets(FREE_LOADS, LOAD_SHARE, LOAD_WINDOW)
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -10,13 +10,13 @@
 from random import Random
 from typing import Any
 
+from walnutpost.configstore import LOG_BYTES, LOG_MOST, WATCH, Follower, Question, Table, Taken
+from walnutpost.configstore.choice import Choice
+from walnutpost.configstore.roster import Roster
+from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.eventloop import Event, Loop, Timeout
 from walnutpost.http import BadMessage, Exchange, Limits, Response
 from walnutpost.http.server import serve_on
-from walnutpost.keeper import KeeperClient, NoAnswer
-from walnutpost.loop import Event, Loop, Timeout
-from walnutpost.table import LOG_BYTES, LOG_MOST, WATCH, Follower, Question, Table, Taken
-from walnutpost.table.choice import Choice
-from walnutpost.table.roster import Roster
 from walnutpost.watch import Watcher, WatchServer
 
 Address = tuple[str, int]
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -6,13 +6,7 @@
 from itertools import pairwise
 from typing import Any
 
-from walnutpost.agreement import NOT_LEADER
-from walnutpost.http import Connection, Exchange, Response
-from walnutpost.http.server import serve_on
-from walnutpost.keeper import wire
-from walnutpost.loop import Loop
-from walnutpost.relay import Relay
-from walnutpost.table import (
+from walnutpost.configstore import (
     AGE_HEADER,
     SUMS,
     WATCH,
@@ -24,7 +18,13 @@
     decode,
     encode,
 )
-from walnutpost.table.roster import Standings
+from walnutpost.configstore.roster import Standings
+from walnutpost.consensus import NOT_LEADER
+from walnutpost.controlplane import wire
+from walnutpost.eventloop import Loop
+from walnutpost.http import Connection, Exchange, Response
+from walnutpost.http.server import serve_on
+from walnutpost.relay import Relay
 from walnutpost.watch import WatchServer
 from watch_rig import HOLD, SECOND, Asker, Log, Member, copy, filled, large, ops, play, refusal, until
 
--- a/packages/relay/tests/test_with_keepers.py
+++ b/packages/relay/tests/test_with_keepers.py
@@ -6,11 +6,11 @@
 from contextlib import suppress
 from pathlib import Path
 
-from walnutpost.agreement import Timing
-from walnutpost.keeper import Keeper, KeeperClient, NoAnswer
-from walnutpost.loop import Loop
+from walnutpost.configstore import Status
+from walnutpost.consensus import Timing
+from walnutpost.controlplane import Keeper, KeeperClient, NoAnswer
+from walnutpost.eventloop import Loop
 from walnutpost.relay import Relay
-from walnutpost.table import Status
 from watch_rig import SECOND, Log, Member, ops, until
 
 NAMES = ("k1", "k2", "k3")
--- a/packages/replica/src/walnutpost/replica/asking.py
+++ b/packages/replication/src/walnutpost/replication/asking.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Mapping
 from urllib.parse import quote
 
+from walnutpost.eventloop import Group, Loop, Timeout
 from walnutpost.http import BadMessage, Connection, Limits
 from walnutpost.journal import Batch, Line
-from walnutpost.loop import Group, Loop, Timeout
-from walnutpost.replica import wire
+from walnutpost.replication import wire
 
 Addresses = Mapping[str, Callable[[], tuple[str, int]]]
 
--- a/packages/replica/src/walnutpost/replica/holder.py
+++ b/packages/replication/src/walnutpost/replication/holder.py
@@ -5,11 +5,11 @@
 from typing import Any
 from urllib.parse import unquote
 
+from walnutpost.eventloop import Loop
 from walnutpost.http import BadMessage, Exchange, Limits, Response, Server
 from walnutpost.http.server import serve_on
 from walnutpost.journal import BadBatch, Batch, Have, taken
-from walnutpost.loop import Loop
-from walnutpost.replica import wire
+from walnutpost.replication import wire
 from walnutpost.store import JournalStore, StoreError
 
 
--- a/packages/replica/src/walnutpost/replica/sending.py
+++ b/packages/replication/src/walnutpost/replication/sending.py
@@ -5,6 +5,8 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
+from walnutpost.eventloop import Loop, Task, Timeout
+from walnutpost.eventloop.timers import Timer
 from walnutpost.http import BadMessage, Connection, Limits
 from walnutpost.journal import (
     Batch,
@@ -22,9 +24,7 @@
     Written,
 )
 from walnutpost.journal.copying import Input
-from walnutpost.loop import Loop, Task, Timeout
-from walnutpost.loop.timers import Timer
-from walnutpost.replica import wire
+from walnutpost.replication import wire
 from walnutpost.store import JournalStore, StoreError
 
 Address = Callable[[], tuple[str, int]]
--- a/packages/replica/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -14,11 +14,11 @@
 
 from fleet_rig import BASE, INVOKE, SECOND, merged
 from walnutpost.config.base import address_of
+from walnutpost.eventloop import Loop, Timeout
+from walnutpost.faultinjection.mesh import Relay
 from walnutpost.http import BadMessage, Connection
 from walnutpost.journal import Joined, Reached
-from walnutpost.loop import Loop, Timeout
 from walnutpost.store import Database, JournalStore
-from walnutpost.trials.mesh import Relay
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
 ASKERS, PATIENCE = 8, 30 * SECOND
--- a/packages/replica/tests/test_replica_golden.py
+++ b/packages/replication/tests/test_replica_golden.py
@@ -9,8 +9,8 @@
 
 from golden_files import assert_as_golden, assert_every_field_tells, json_lines, with_defaults
 from walnutpost.journal import Batch, Have, Intended, Purged, batch, line
-from walnutpost.replica import wire
-from walnutpost.replica.wire import Said, decode, encode
+from walnutpost.replication import wire
+from walnutpost.replication.wire import Said, decode, encode
 
 GOLDEN = Path(__file__).parent / "golden"
 LINES = (line(42, Intended("call-1", 2, "worker-3")), line(44, Purged(1_800_000_000_000_001)))
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.loop import Event, Loop
+from walnutpost.eventloop import Event, Loop
 
 BUSY_SECONDS = 0.5  # how long another process's lock is waited for before a change is refused
 BATCH_MOST = 1_000  # changes in one commit
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, fields
 from pathlib import Path
 
+from walnutpost.eventloop import Loop
 from walnutpost.gateway import Execution, Status
-from walnutpost.loop import Loop
 from walnutpost.store.database import Change, Database, StoreError
 
 # With rowids: in an index of its own, a row of a kilobyte would take a page of four besides.
--- a/packages/store/src/walnutpost/store/journal.py
+++ b/packages/store/src/walnutpost/store/journal.py
@@ -10,6 +10,7 @@
 import sqlite3
 from collections.abc import Sequence
 
+from walnutpost.eventloop import Loop
 from walnutpost.journal import (
     Accepted,
     BadLine,
@@ -23,7 +24,6 @@
     line,
 )
 from walnutpost.journal.records import Any_
-from walnutpost.loop import Loop
 from walnutpost.store.database import Database, StoreError
 
 SCHEMA = """
--- a/packages/store/src/walnutpost/store/replica.py
+++ b/packages/store/src/walnutpost/store/replica.py
@@ -9,8 +9,8 @@
 
 import msgspec
 
-from walnutpost.agreement import Entry, Kept, Members, Snapshot, Write
-from walnutpost.loop import Loop
+from walnutpost.consensus import Entry, Kept, Members, Snapshot, Write
+from walnutpost.eventloop import Loop
 from walnutpost.store.database import Database, StoreError
 
 FORMAT = 1
--- a/packages/store/src/walnutpost/store/usage.py
+++ b/packages/store/src/walnutpost/store/usage.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from walnutpost.loop import Loop
+from walnutpost.eventloop import Loop
 from walnutpost.metering import Account, Amount, Batch, Gap, Life, Line, Saved, Seen, Slice
 from walnutpost.metering.records import DAY
 from walnutpost.metering.reports import Kept
--- a/packages/store/tests/replica_forms.py
+++ b/packages/store/tests/replica_forms.py
@@ -12,9 +12,9 @@
 import fleet_forms
 from agreement_forms import MEMBERS
 from golden_forms import Form, Golden
-from walnutpost.agreement import Entry, Kept, Members, Snapshot, Write
+from walnutpost.consensus import Entry, Kept, Members, Snapshot, Write
+from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
-from walnutpost.loop import Loop
 from walnutpost.store.replica import ReplicaStore
 
 T = TypeVar("T")
--- a/packages/store/tests/stored_state.py
+++ b/packages/store/tests/stored_state.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 from unittest.mock import patch
 
+from walnutpost.eventloop import Loop
 from walnutpost.gateway import Execution, Status
 from walnutpost.journal import Accepted, Ended, Intended, Purged, Withdrawn, batch, line, taken
 from walnutpost.journal import Line as JournalLine
 from walnutpost.journal.records import Any_ as AnyRecord
-from walnutpost.loop import Loop
 from walnutpost.metering import HOUR, Account, Amount, Batch, Gap, Life, Line, Saved, Seen, Slice
 from walnutpost.metering.records import DAY
 from walnutpost.metering.reports import Kept
--- a/packages/store/tests/test_journal_store.py
+++ b/packages/store/tests/test_journal_store.py
@@ -10,9 +10,9 @@
 
 import pytest
 
+from walnutpost.eventloop import Loop
 from walnutpost.journal import Accepted, Ended, Intended, Joined, Purged, Take, Withdrawn, batch, line, taken
 from walnutpost.journal.records import Any_
-from walnutpost.loop import Loop
 from walnutpost.store import Database, JournalStore, StoreError
 
 T = TypeVar("T")
--- a/packages/store/tests/test_replica_store_golden.py
+++ b/packages/store/tests/test_replica_store_golden.py
@@ -19,10 +19,10 @@
     same_rows,
     with_store,
 )
-from walnutpost.agreement import Entry, Kind, Timing, Write
+from walnutpost.consensus import Entry, Kind, Timing, Write
+from walnutpost.controlplane import Keeper
+from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
-from walnutpost.keeper import Keeper
-from walnutpost.loop import Loop
 from walnutpost.store.replica import ReplicaStore
 
 LONG = 60_000_000  # microseconds: a lease, and the time after which a test gives up
--- a/packages/store/tests/test_store_golden.py
+++ b/packages/store/tests/test_store_golden.py
@@ -35,9 +35,9 @@
     write_calls,
     write_usage,
 )
+from walnutpost.eventloop import Loop
 from walnutpost.gateway import Status
 from walnutpost.journal import Spans, batch
-from walnutpost.loop import Loop
 from walnutpost.metering import HOUR
 from walnutpost.metering.records import DAY
 from walnutpost.store import Listing, UsageStore, history, read_ledger
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -11,10 +11,7 @@
 
 from msgspec import structs
 
-from walnutpost.http import BadMessage as BadHttp
-from walnutpost.http import Connection, Limits, Response, encode_request
-from walnutpost.loop import Loop, Task, Timeout
-from walnutpost.table import (
+from walnutpost.configstore import (
     AGE_HEADER,
     WATCH,
     BadMessage,
@@ -25,7 +22,10 @@
     decode,
     encode,
 )
-from walnutpost.table.choice import Choice
+from walnutpost.configstore.choice import Choice
+from walnutpost.eventloop import Loop, Task, Timeout
+from walnutpost.http import BadMessage as BadHttp
+from walnutpost.http import Connection, Limits, Response, encode_request
 from walnutpost.watch.pace import Debt, Floor
 from walnutpost.watch.serving import CODING, HELD_HEADER
 
--- a/packages/watch/src/walnutpost/watch/serving.py
+++ b/packages/watch/src/walnutpost/watch/serving.py
@@ -8,10 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from walnutpost.http import Response
-from walnutpost.loop import Loop, Stream, Task
-from walnutpost.loop.timers import Timer
-from walnutpost.table import (
+from walnutpost.configstore import (
     AGE_HEADER,
     BUCKETS,
     BadMessage,
@@ -23,6 +20,9 @@
     owed_key,
     page_of,
 )
+from walnutpost.eventloop import Loop, Stream, Task
+from walnutpost.eventloop.timers import Timer
+from walnutpost.http import Response
 
 HELD_HEADER = "Walnutpost-Held-Us"  # microseconds between the question's arrival and its answer's leaving
 HOLD_MOST = 10_000_000  # longer holds are cut to this: what a gone follower leaves here ends with its hold
--- a/packages/watch/tests/test_client.py
+++ b/packages/watch/tests/test_client.py
@@ -12,10 +12,21 @@
 import pytest
 from msgspec.structs import replace
 
+from walnutpost.configstore import (
+    AGE_HEADER,
+    ChangeSet,
+    Entry,
+    Op,
+    Page,
+    Question,
+    Table,
+    Taken,
+    encode,
+    owed,
+)
+from walnutpost.configstore.choice import order
+from walnutpost.eventloop import Listener, Loop, Stream
 from walnutpost.http import Response, encode_response
-from walnutpost.loop import Listener, Loop, Stream
-from walnutpost.table import AGE_HEADER, ChangeSet, Entry, Op, Page, Question, Table, Taken, encode, owed
-from walnutpost.table.choice import order
 from walnutpost.watch import HELD_HEADER
 from walnutpost.watch.client import BODY_MOST, BURST, RATE
 from watch_rig import HOLD, SECOND, Asker, Member, Raw, Served, copy, filled, large, ops, play, until
--- a/packages/watch/tests/test_serving.py
+++ b/packages/watch/tests/test_serving.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from walnutpost.configstore import AGE_HEADER, WATCH, Question, encode
+from walnutpost.eventloop import Group, Loop, connect
 from walnutpost.http import encode_request
-from walnutpost.loop import Group, Loop, connect
-from walnutpost.table import AGE_HEADER, WATCH, Question, encode
 from walnutpost.watch import HELD_HEADER
 from walnutpost.watch.serving import HOLD_MOST, PAGES_KEPT
 from watch_rig import HOLD, SECOND, Asked, Asker, Served, filled, large, ops, play, until
--- a/packages/watch/tests/test_watch_socket_faults.py
+++ b/packages/watch/tests/test_watch_socket_faults.py
@@ -9,7 +9,7 @@
 
 from scripted_sockets import at, scripted_sockets, to
 from test_client import both, homed, where
-from walnutpost.loop import Loop
+from walnutpost.eventloop import Loop
 from watch_rig import Member, Served, filled, ops, play, until
 
 FAULTS = [
--- a/packages/watch/tests/watch_rig.py
+++ b/packages/watch/tests/watch_rig.py
@@ -8,10 +8,7 @@
 from random import Random
 from typing import Any, Protocol
 
-from walnutpost.http import BadMessage, Connection, Exchange, Response, Server, encode_request
-from walnutpost.http.server import serve_on
-from walnutpost.loop import Loop, VirtualClock
-from walnutpost.table import (
+from walnutpost.configstore import (
     WATCH,
     Entry,
     Follower,
@@ -23,7 +20,10 @@
     decode,
     encode,
 )
-from walnutpost.table.choice import Choice
+from walnutpost.configstore.choice import Choice
+from walnutpost.eventloop import Loop, VirtualClock
+from walnutpost.http import BadMessage, Connection, Exchange, Response, Server, encode_request
+from walnutpost.http.server import serve_on
 from walnutpost.watch import Watcher, WatchServer
 
 SECOND = 1_000_000
--- a/packages/links/src/walnutpost/links/codec.py
+++ b/packages/workerclient/src/walnutpost/workerclient/codec.py
@@ -15,8 +15,8 @@
 
 from walnutpost.http import Response, encode_request
 from walnutpost.interface import Outcome, Warmth
-from walnutpost.links import orca
 from walnutpost.metering import Report
+from walnutpost.workerclient import orca
 
 ERROR_TYPE = "x-amzn-errortype"
 FUNCTION_ERROR = "x-amz-function-error"
--- a/packages/links/src/walnutpost/links/contexts.py
+++ b/packages/workerclient/src/walnutpost/workerclient/contexts.py
@@ -5,7 +5,7 @@
 import ssl
 from pathlib import Path
 
-from walnutpost.trust.material import BadKeys, KeySet, examine, trusted
+from walnutpost.certificates.material import BadKeys, KeySet, examine, trusted
 
 ALPN = ["http/1.1"]
 VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
--- a/packages/links/src/walnutpost/links/delivery.py
+++ b/packages/workerclient/src/walnutpost/workerclient/delivery.py
@@ -10,11 +10,11 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
+from walnutpost.eventloop import Loop, Timeout
 from walnutpost.http import BadMessage, Connection, Response
 from walnutpost.interface import Outcome
-from walnutpost.links.dialing import Address, Dialer
-from walnutpost.links.idle import IdleConnections
-from walnutpost.loop import Loop, Timeout
+from walnutpost.workerclient.dialing import Address, Dialer
+from walnutpost.workerclient.idle import IdleConnections
 
 CLOSED_BY_WORKER = (ConnectionResetError, BrokenPipeError)
 
--- a/packages/links/src/walnutpost/links/dialing.py
+++ b/packages/workerclient/src/walnutpost/workerclient/dialing.py
@@ -5,9 +5,9 @@
 import ssl
 from collections.abc import Mapping
 
+from walnutpost.certificates import Ration, RationSettings
+from walnutpost.eventloop import Loop, Secure, Tap, Timeout, TlsStream
 from walnutpost.http import Connection
-from walnutpost.loop import Loop, Secure, Tap, Timeout, TlsStream
-from walnutpost.trust import Ration, RationSettings
 
 ROLE = "link"
 HANDSHAKE_RETRY_US = 5_000  # how often a dial that waits for its handshake's turn asks again
--- a/packages/links/src/walnutpost/links/idle.py
+++ b/packages/workerclient/src/walnutpost/workerclient/idle.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
+from walnutpost.eventloop import Loop
 from walnutpost.http import Connection
-from walnutpost.loop import Loop
 
 
 class IdleConnections:
--- a/packages/links/src/walnutpost/links/links.py
+++ b/packages/workerclient/src/walnutpost/workerclient/links.py
@@ -6,6 +6,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
+from walnutpost.eventloop import Cancelled, Loop, Tap, Task
 from walnutpost.gateway import (
     AttemptDone,
     Discard,
@@ -16,13 +17,12 @@
     Start,
 )
 from walnutpost.interface import Outcome
-from walnutpost.links import codec, orca
-from walnutpost.links.delivery import Delivered, Delivery, Directory, WorkerRequest
-from walnutpost.links.dialing import Address, Dialer
-from walnutpost.links.idle import IdleConnections
-from walnutpost.links.settings import LinkSettings
-from walnutpost.loop import Cancelled, Loop, Tap, Task
 from walnutpost.metering import Report
+from walnutpost.workerclient import codec, orca
+from walnutpost.workerclient.delivery import Delivered, Delivery, Directory, WorkerRequest
+from walnutpost.workerclient.dialing import Address, Dialer
+from walnutpost.workerclient.idle import IdleConnections
+from walnutpost.workerclient.settings import LinkSettings
 
 PROBE_TIMEOUT_US = 1_000_000
 
--- a/packages/links/tests/test_golden_links.py
+++ b/packages/workerclient/tests/test_golden_links.py
@@ -15,7 +15,7 @@
 
 from golden_frames import Sender, differences_received, differences_sent, received_row, sent_row, write_rows
 from walnutpost.http import Response
-from walnutpost.links import codec, orca
+from walnutpost.workerclient import codec, orca
 
 GOLDEN = Path(__file__).parent / "golden" / "frames"
 SENT, RECEIVED = GOLDEN / "sent.jsonl", GOLDEN / "received.jsonl"
--- a/packages/links/tests/test_link_terms.py
+++ b/packages/workerclient/tests/test_link_terms.py
@@ -9,12 +9,12 @@
 import pytest
 
 from test_links import LOCAL, OK, SECOND, Rig
+from walnutpost.eventloop import Event, Listener, Stream
 from walnutpost.gateway import AttemptDone, HoldDone, Order, Start
 from walnutpost.http import BadMessage, Connection, Limits, Response, encode_response
 from walnutpost.http.messages import RequestReader
 from walnutpost.interface import Outcome
-from walnutpost.links import Links, LinkSettings, codec
-from walnutpost.loop import Event, Listener, Stream
+from walnutpost.workerclient import Links, LinkSettings, codec
 
 MS = 1_000
 STOOD = encode_response(Response(200, {}, b'{"copies": 2}'))
--- a/packages/links/tests/test_links.py
+++ b/packages/workerclient/tests/test_links.py
@@ -8,11 +8,11 @@
 
 import pytest
 
+from walnutpost.eventloop import Listener, Loop, Stream, VirtualClock
 from walnutpost.gateway import AttemptDone, HoldDone, Order, Start
 from walnutpost.http import Response, encode_response
 from walnutpost.interface import Outcome, Warmth
-from walnutpost.links import Links, LinkSettings, codec, orca
-from walnutpost.loop import Listener, Loop, Stream, VirtualClock
+from walnutpost.workerclient import Links, LinkSettings, codec, orca
 
 SECOND = 1_000_000
 LOCAL = ("127.0.0.1", 0)
--- a/packages/links/tests/test_links_golden.py
+++ b/packages/workerclient/tests/test_links_golden.py
@@ -9,7 +9,7 @@
 from golden_files import assert_as_golden
 from test_metering_golden import REPORTS
 from walnutpost.http import Response
-from walnutpost.links import codec
+from walnutpost.workerclient import codec
 
 GOLDEN = Path(__file__).parent / "golden"
 BOOKS = Path(__file__).parents[2] / "metering" / "tests" / "golden"
--- a/packages/links/tests/test_tls.py
+++ b/packages/workerclient/tests/test_tls.py
@@ -16,13 +16,13 @@
 from hypothesis import strategies as st
 
 from fleet_rig import BASE, Fleet, merged
+from walnutpost.certificates import DAY as KEEPER_DAY
+from walnutpost.certificates import BadKeys, Keeper, Ration, RationSettings, examine, trusted
 from walnutpost.cli import main
+from walnutpost.eventloop import Loop, Secure, Timeout, TlsStream, VirtualClock
+from walnutpost.fakes.authority import Authority, Issued
 from walnutpost.http import Connection, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
-from walnutpost.loop import Loop, Secure, Timeout, TlsStream, VirtualClock
-from walnutpost.standins.authority import Authority, Issued
-from walnutpost.trust import DAY as KEEPER_DAY
-from walnutpost.trust import BadKeys, Keeper, Ration, RationSettings, examine, trusted
 
 NAME = "worker-7.example.org"
 DAY = timedelta(days=1)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,13 +15,13 @@
 from benchmarks.scale.slopes import TooFewSizes, slope
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of
+from walnutpost.configstore import Op, Question, Table
+from walnutpost.controlplane import wire
+from walnutpost.controlplane.wire import Told
+from walnutpost.eventloop import Loop
 from walnutpost.fleet import Clear, Fleet, encode, sight_of
 from walnutpost.http import Exchange, Response
 from walnutpost.http.server import serve_on
-from walnutpost.keeper import wire
-from walnutpost.keeper.wire import Told
-from walnutpost.loop import Loop
-from walnutpost.table import Op, Question, Table
 from walnutpost.watch import WatchServer
 
 
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -13,36 +13,36 @@
 MEMBERS = {path.parent.name: path.parent for path in sorted(ROOT.glob("packages/*/pyproject.toml"))}
 ORDER = [
     "cli",
-    "trials",
-    "standins",
+    "faultinjection",
+    "fakes",
     "node",
     "daemon",
     "agent",
     "relay",
-    "keeper",
+    "controlplane",
     "watch",
-    "replica",
+    "replication",
     "fronts",
     "config",
     "store",
-    "schedules",
-    "links",
-    "core",
+    "cron",
+    "workerclient",
+    "dispatch",
     "metering",
-    "trust",
+    "certificates",
     "http",
-    "loop",
+    "eventloop",
     "adapter",
     "gateway",
     "journal",
     "fleet",
-    "table",
-    "agreement",
+    "configstore",
+    "consensus",
     "policy",
     "interface",
 ]
 # trials.capture is a tap that the shell hands down; standins may use the worker protocol's words.
-NO_IO = ["agreement", "fleet", "gateway", "journal", "metering", "schedules", "table", "trust"]
+NO_IO = ["consensus", "fleet", "gateway", "journal", "metering", "cron", "configstore", "certificates"]
 NO_IO += ["policy", "interface"]
 IO_MODULES = {
     "socket",
@@ -142,7 +142,7 @@
 
 
 def test_what_decides_does_no_input_or_output() -> None:
-    model = MEMBERS["standins"] / "src" / "walnutpost" / "standins" / "model.py"
+    model = MEMBERS["fakes"] / "src" / "walnutpost" / "fakes" / "model.py"
     files = [model, *(path for member in NO_IO for path in sources(member))]
     wrong = [(p.name, n) for p in files for n in imports(p) if n.split(".")[0] in IO_MODULES]
     assert len(files) > 8 and not wrong
