--- a/packages/agent/src/walnutpost/agent/process.py
+++ b/packages/agent/src/walnutpost/agent/process.py
@@ -17,9 +17,11 @@
 from random import Random
 from typing import Any
 
+import msgspec
+
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.controlplane.wire import Report
-from walnutpost.eventloop import Event, Loop
+from walnutpost.eventloop import Event, Loop, remove_leftovers, replace_file
 from walnutpost.fleet import Command, Fleet, Keep
 from walnutpost.fleet.steward import (
     Answered,
@@ -96,6 +98,7 @@
         self._folder, self._report_every = folder, report_every
         self._random = Random(secrets.randbits(63))
         self._names = list(keepers)
+        self._verified: set[str] = set()  # versions whose content on disk is what their name says
         self._client = KeeperClient(loop, keepers, patience, patience // 2)
         known = self._remembered(first)
         self.steward = Steward(
@@ -111,6 +114,7 @@
         )
         self.steward.previous = known["previous"]
         self._written = dict(known)
+        self._write_again_at: int | None = None  # where the file of its state is older than the state
         self._child: subprocess.Popen[bytes] | None = None
         self._incarnation = ""
         self._ready_told = False
@@ -148,40 +152,74 @@
         """The agent's own name, which outlives its restarts, and the versions it has."""
         try:
             (self._folder / "versions").mkdir(parents=True, exist_ok=True)
-            path = self._folder / f"{self._member}.json"
-            if path.exists():
-                told: dict[str, str] = json.loads(path.read_text())
-                return told
+            for path in self._state_files():
+                remove_leftovers(path)
+            if (known := self._read_state()) is not None:
+                known["current"] = self._usable_version(known, first)
+                return known
             version = self._kept(first)
             known = {
                 "agent": f"{self._member}@{secrets.token_hex(4)}",
                 "current": version,
                 "previous": "",
             }
-            self._replace(path, json.dumps(known).encode())
+            self._write_state(known)
             return known
-        except (OSError, ValueError) as error:
+        except (OSError, ValueError, msgspec.MsgspecError) as error:
             raise AgentError(f"{self._folder}: {error}") from error
 
+    def _state_files(self) -> tuple[Path, Path]:
+        """The file of its state, and the copy that is used where that can't be read."""
+        return self._folder / f"{self._member}.json", self._folder / f"{self._member}.json.copy"
+
+    def _read_state(self) -> dict[str, str] | None:
+        """None where there is none yet. Raises where neither file can be read: the process of an agent whose
+        name is lost may still run, and a second one must not be started."""
+        failure: Exception | None = None
+        for path in self._state_files():
+            try:
+                state = msgspec.json.decode(path.read_bytes(), type=dict[str, str])
+                if missing := {"agent", "current", "previous"} - state.keys():
+                    raise ValueError(f"without {', '.join(sorted(missing))}")
+                return state
+            except FileNotFoundError:
+                continue
+            except (OSError, ValueError, msgspec.MsgspecError) as error:
+                self._log.error("agent", member=self._member, why=f"{path.name} is not used: {error}")
+                failure = failure or error
+        if failure is not None:
+            raise failure
+        return None
+
+    def _write_state(self, state: Mapping[str, str]) -> None:
+        for path in self._state_files():
+            replace_file(path, json.dumps(state).encode())
+
+    def _usable_version(self, state: Mapping[str, str], first: bytes) -> str:
+        """The current one, or where its content is lost the one before, or the first."""
+        for version in (state["current"], state["previous"]):
+            if version and self._is_intact(version):
+                return version
+            self._log.error("agent", member=self._member, why=f"version {version or '(none)'} is not usable")
+        return self._kept(first)
+
+    def _is_intact(self, version: str) -> bool:
+        if version not in self._verified:
+            with suppress(OSError):
+                if version_of((self._folder / "versions" / version).read_bytes()) == version:
+                    self._verified.add(version)
+        return version in self._verified
+
     def _kept(self, content: bytes) -> str:
+        """Agents share the folder of versions, and may write the same one at the same time."""
         version = version_of(content)
-        path = self._folder / "versions" / version
-        if not path.exists():
-            self._replace(path, content)
+        if not self._is_intact(version):
+            replace_file(self._folder / "versions" / version, content)
         return version
 
-    @staticmethod
-    def _replace(path: Path, data: bytes) -> None:
-        """Whole or not at all, also where the machine goes down. Agents share the folder of versions, and may
-        keep the same one at the same time: each has a file of its own until then."""
-        new = path.with_name(f"{path.name}.{secrets.token_hex(4)}.new")
-        with new.open("wb") as out:
-            out.write(data)
-            out.flush()
-            os.fsync(out.fileno())
-        new.replace(path)
-
     def _remember(self) -> None:
+        """Writes what has changed. A disk that takes nothing is asked again; the process is cared for
+        meanwhile."""
         steward = self.steward
         now = {
             **self._written,
@@ -190,8 +228,14 @@
             "held": steward.held,
         }
         if now != self._written:
-            self._replace(self._folder / f"{self._member}.json", json.dumps(now).encode())
+            try:
+                self._write_state(now)
+            except OSError as error:
+                self._log.error("agent", member=self._member, why=f"its state is not written: {error}")
+                self._write_again_at = self._loop.now() + LOOK_EVERY
+                return
             self._written = now
+        self._write_again_at = None
 
     # The steward
 
@@ -244,13 +288,23 @@
         while True:
             with suppress(NoAnswer):
                 fleet = Fleet.restore(self._client.here(self._random.choice(self._names)).state)
-                if not self._to_tell:  # else it may still show what has just changed
-                    for version in {p.version for p in fleet.state.plans.values() if p.version}:
-                        if version in fleet.state.versions:
-                            self._kept(fleet.state.versions[version])
+                # While something is to be told it may still show what has just changed.
+                if not self._to_tell and self._keep_versions(fleet):
                     self._feed(Saw(fleet.state))
             self._loop.sleep(LOOK_EVERY + self._random.randrange(LOOK_EVERY))
 
+    def _keep_versions(self, fleet: Fleet) -> bool:
+        """Those of plans. False where the disk did not take one: it must not be asked for a permit to run
+        what it does not have, so it looks again."""
+        try:
+            for version in {p.version for p in fleet.state.plans.values() if p.version}:
+                if version in fleet.state.versions:
+                    self._kept(fleet.state.versions[version])
+        except OSError as error:
+            self._log.error("agent", member=self._member, why=f"a version is not written: {error}")
+            return False
+        return True
+
     def _report(self) -> None:
         while True:
             if self._ready_told:
@@ -326,6 +380,8 @@
                     self._feed(Ready(self._incarnation, said[1].decode() if said is not None else ""))
         if self.steward.due is not None and self._loop.now() >= self.steward.due:
             self._feed(Due())
+        if self._write_again_at is not None and self._loop.now() >= self._write_again_at:
+            self._remember()
         if not self.ended:
             self._loop.call_later(POLL_EVERY, self._poll)
 
--- a/packages/agent/tests/agent_forms.py
+++ b/packages/agent/tests/agent_forms.py
@@ -42,6 +42,7 @@
     """One that starts nothing and asks nobody: only its folder is in use."""
     agent = Agent.__new__(Agent)
     agent._folder, agent._member, agent._log = folder, MEMBER, SilentLog()
+    agent._verified = set()
     return agent
 
 
@@ -67,8 +68,11 @@
 
 
 def _dumped(folder: Path) -> bytes:
-    """A folder of text files, by their names within it."""
+    """A folder of text files, by their names within it. The copy of an agent's state, which earlier versions
+    did not write, has the same content and is left out."""
     files = {p.relative_to(folder).as_posix(): p.read_text() for p in folder.rglob("*") if p.is_file()}
+    for name in [name for name in files if name.endswith(".json.copy")]:
+        assert files.pop(name) == files[name.removesuffix(".copy")]
     return json.dumps(files, sort_keys=True, indent=1).encode()
 
 
--- a/packages/agent/tests/test_agent.py
+++ b/packages/agent/tests/test_agent.py
@@ -12,9 +12,9 @@
 from pathlib import Path
 
 from test_keeper import NAMES, Keepers
-from walnutpost.agent import Agent, version_of
+from walnutpost.agent import version_of
 from walnutpost.agent.process import processes_of
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Loop, replace_file
 from walnutpost.fleet import FRONT_END, Budget, SetBudgets, State
 
 MEMBERS = ("f0", "f1", "f2", "f3")
@@ -205,5 +205,5 @@
 def test_a_version_that_another_agent_is_just_keeping_is_kept_all_the_same(tmp_path: Path) -> None:
     """Four agents kept their first version at once; one found its half-written file gone, and ended."""
     (tmp_path / "version.new").mkdir()  # stands for what another has in hand
-    Agent._replace(tmp_path / "version", b"content")
+    replace_file(tmp_path / "version", b"content")
     assert (tmp_path / "version").read_bytes() == b"content"
--- a/packages/cli/src/walnutpost/cli/fleet_plans.py
+++ b/packages/cli/src/walnutpost/cli/fleet_plans.py
@@ -15,6 +15,7 @@
 from walnutpost.cli.fleet import fleet, tell, with_keepers
 from walnutpost.cli.keepers import AGENTS, keepers_of
 from walnutpost.controlplane import KeeperClient
+from walnutpost.eventloop import replace_file
 from walnutpost.fleet import FRONT_END, Answer, Keep, Start
 
 
@@ -48,9 +49,7 @@
     click.echo("nobody has agreed to this: how many are out is not looked at", err=True)
     for name in names:
         path = order_path(config.parent / AGENTS, name)
-        new = path.with_suffix(".new")
-        new.write_text(json.dumps({"version": version, "operator": operator, "why": why}))
-        new.replace(path)
+        replace_file(path, json.dumps({"version": version, "operator": operator, "why": why}).encode())
         click.echo(f"{name}: left for its agent, which tells the keepers once they answer")
 
 
--- a/packages/cli/src/walnutpost/cli/keys.py
+++ b/packages/cli/src/walnutpost/cli/keys.py
@@ -10,6 +10,7 @@
 from walnutpost.certificates import DAY, BadKeys, examine, trusted
 from walnutpost.cli.configs import CONFIG, config_of, end
 from walnutpost.cli.times import local
+from walnutpost.eventloop import replace_file
 from walnutpost.fakes.authority import Authority
 from walnutpost.faultinjection.table import aligned
 from walnutpost.workerclient.contexts import read
@@ -32,7 +33,7 @@
     names = ["front", *(line.name for line in (checked.fleet.workers if checked.fleet else []))]
     out.mkdir(parents=True, exist_ok=True)
     authority = Authority()
-    (out / "root.pem").write_bytes(authority.root)
+    replace_file(out / "root.pem", authority.root)
     for name in names:
         authority.issue(name).write(out, name)
     click.echo(f"{out}: root.pem, and .pem and .key of {', '.join(names)}; valid for 30 days")
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -22,6 +22,7 @@
     Failure,
     Final,
     Function,
+    NotStored,
     Refused,
     Start,
     Status,
@@ -54,7 +55,7 @@
         self.copies: Told | None = None  # how many hold it, where there is a journal
         self.ticket = 0
         self.durable = Event(loop)  # set when the store has it, or has not taken it
-        self.failed: Refused | None = None
+        self.failed: Refused | NotStored | None = None
 
 
 class Deferred:
@@ -95,7 +96,7 @@
         name: str | None,
         request_id: str,
         also: Change | None = None,
-    ) -> Execution | Unsure | Refused | None:
+    ) -> Execution | Unsure | Refused | NotStored | None:
         digest = blake2b(payload + b"\0" + (tenant or "").encode(), digest_size=16).hexdigest()
         now = self._loop.now()
         name = name or request_id
@@ -108,7 +109,7 @@
                 if stored is not None and known is None:
                     return stored if admit(stored, digest) is Admission.SAME else None
         except StoreError as error:
-            return self._not_stored(error, request_id, function)
+            return self._not_stored(error, name, request_id, function)
         if known is not None:
             if admit(known.execution, digest) is Admission.CONFLICT:
                 return None
@@ -128,23 +129,20 @@
         try:
             self._store.add(execution, _both(also, line))
         except StoreError as error:
-            entry.failed = self._not_stored(error, request_id, function)
+            entry.failed = self._not_stored(error, name, request_id, function)
             self._forget(entry)
             entry.durable.set()
             return entry.failed
         except BaseException:
             # This very task is being ended; whoever asked again must not wait for ever, and what the store
             # may hold by now is taken up at the next start.
-            entry.failed = Refused("the front end is stopping")
+            entry.failed = NotStored(name, STORE_RETRY_AFTER, uncertain=True)
             entry.durable.set()
             raise
         self._copied(entry, line)
         self._run(entry, execution.expires_at - self._loop.now(), request_id)
         if entry.failed is not None:  # refused at once: the client may come again under the same name
-            all_know = self._withdraw(entry, request_id)
-            self._forget(entry)
-            entry.durable.set()
-            return entry.failed if all_know else self._accepted(entry)
+            return self._refuse_stored(entry, request_id)
         entry.durable.set()
         return self._accepted(entry)
 
@@ -162,17 +160,41 @@
             left = entry.execution.expires_at - self._loop.now()
             entry.copies = self._journal.copied(line, entry.function, left)
 
-    def _withdraw(self, entry: _Open, request_id: str) -> bool:
-        """Whether holders know, too: else the client must not hear that it may ask anew, as they would run it
-        for us."""
-        line = self._journal.withdrawn(entry.execution) if self._journal is not None else None
+    def _refuse_stored(self, entry: _Open, request_id: str) -> Execution | Unsure | Refused | NotStored:
+        """Refused at once, after it was stored: it must be off the disk before its client hears that."""
+        refusal = entry.failed
+        assert refusal is not None
         try:
-            self._store.remove(entry.execution.id, line)
-            self._copied(entry, line)
+            all_know = self._withdraw(entry)
         except StoreError as error:
+            # The name stays taken until the removal is durable; a start before that would run the call.
             self._log.error("store", error=str(error), request=request_id)
+            entry.failed = refusal = NotStored(entry.execution.name, STORE_RETRY_AFTER, uncertain=True)
+            entry.durable.set()
+            self._loop.spawn(self._withdraw_until_stored, entry, name="withdraw")
+            return refusal
+        self._forget(entry)
+        entry.durable.set()
+        return refusal if all_know else self._accepted(entry)
+
+    def _withdraw(self, entry: _Open) -> bool:
+        """Whether holders know, too: else the client must not hear that it may ask anew, as they would run it
+        for us. Raises StoreError where the call is still on this disk."""
+        line = self._journal.withdrawn(entry.execution) if self._journal is not None else None
+        self._store.remove(entry.execution.id, line)
+        self._copied(entry, line)
         return entry.copies is None or entry.copies.enough
 
+    def _withdraw_until_stored(self, entry: _Open) -> None:
+        while True:
+            self._loop.sleep(SAVE_AGAIN)
+            try:
+                self._withdraw(entry)
+            except StoreError as error:
+                self._log.error("store", error=str(error), request=entry.execution.name)
+            else:
+                return self._forget(entry)
+
     def _accepted(self, entry: _Open) -> Execution | Unsure:
         if entry.copies is not None and not entry.copies.enough:
             return Unsure(entry.execution, entry.copies.copies)
@@ -183,9 +205,9 @@
         entry = self._by_id.get(ident)
         return entry.copies.copies if entry is not None and entry.copies is not None else None
 
-    def _not_stored(self, error: StoreError, request_id: str, function: str) -> Refused:
+    def _not_stored(self, error: StoreError, name: str, request_id: str, function: str) -> NotStored:
         self._log.error("store", error=str(error), request=request_id, function=function)
-        return Refused("the store of deferred calls took nothing", STORE_RETRY_AFTER)
+        return NotStored(name, STORE_RETRY_AFTER, error.uncertain)
 
     def _run(self, entry: _Open, time_left: int, request_id: str) -> None:
         e = entry.execution
@@ -343,7 +365,7 @@
             except LookupError as error:
                 entry.failed = None
                 self._conclude(entry, Failed(Failure.RESTART, str(error)))
-            if entry.failed is not None:  # refused while starting: it was accepted, so that is its fate
+            if isinstance(entry.failed, Refused):  # it was accepted: that is its fate
                 self._conclude(entry, entry.failed)
                 entry.failed = None
 
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -19,7 +19,7 @@
 from walnutpost.controlplane.wire import BadWire, Report, Told
 from walnutpost.daemon.lists import Lists
 from walnutpost.dispatch import Core
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Loop, remove_leftovers, replace_file
 from walnutpost.fleet import FRONT_END, Answer, Enter, Figures, Follower, Sight
 from walnutpost.gateway import CallArrived, Final, Function, Refused, Served
 from walnutpost.interface import RequestClass
@@ -77,6 +77,8 @@
         self._client = KeeperClient(loop, addresses, patience, patience // 2)
         self._heard = True
         self._kept = kept
+        self._unsaved: bytes | None = None  # the list, while the file is older
+        remove_leftovers(kept)
 
     def catch_up(self) -> None:
         """Before it listens: the agreed list, or where no keeper answers, the last one it had."""
@@ -84,7 +86,10 @@
             return
         try:
             sight = msgspec.msgpack.decode(self._kept.read_bytes(), type=Sight)
-        except (OSError, msgspec.MsgspecError):
+        except FileNotFoundError:
+            return
+        except (OSError, msgspec.MsgspecError) as error:
+            self._log.warning("agreed list", why=f"{self._kept.name} is not used: {error}")
             return
         self._take_up(Told(Answer(False, 0), sight=sight))
 
@@ -93,6 +98,7 @@
         while True:
             if not self._report():
                 self._loop.sleep(self._every)
+            self._save()
 
     def _report(self) -> bool:
         """Whether something is to be said at once: who waits for an acknowledgement should not wait long."""
@@ -128,10 +134,18 @@
         follower.acting()
         leaving = [w.name for w in follower.sight.workers if w.leaving]
         self._log.info("agreed list", index=follower.acts, leaving=leaving)
-        new = self._kept.with_name(self._kept.name + ".new")
-        try:  # for a start without keepers: one that is lost costs a look at the own list
-            new.write_bytes(msgspec.msgpack.encode(follower.sight))
-            new.replace(self._kept)
-        except OSError as error:
-            self._log.warning("agreed list", why=f"not kept: {error}")
+        self._unsaved = msgspec.msgpack.encode(follower.sight)
+        self._save()
         return True
+
+    def _save(self) -> None:
+        """For a start without keepers: one that is lost costs a look at the own list. What can't be written
+        is tried again with each report."""
+        while (data := self._unsaved) is not None:
+            try:
+                self._loop.blocking(replace_file, self._kept, data)
+            except OSError as error:
+                self._log.warning("agreed list", why=f"not kept: {error}")
+                return
+            if self._unsaved is data:  # else another has come meanwhile
+                self._unsaved = None
--- a/packages/daemon/src/walnutpost/daemon/seen.py
+++ b/packages/daemon/src/walnutpost/daemon/seen.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-import os
 from pathlib import Path
 
+from walnutpost.eventloop import remove_leftovers, replace_file
+
 
 class Seen:
     """A file with two numbers, replaced as a whole: the newest due time that the store had a fate for,
@@ -13,6 +14,7 @@
     def __init__(self, path: Path) -> None:
         self._path = path
         self._newest = 0
+        remove_leftovers(path)
 
     def doubtful(self, newest: int) -> int:
         """Up to when firings may have gone out that the store, whose newest mark is `newest`, does not
@@ -24,9 +26,8 @@
         return at if seen > newest else 0
 
     def write(self, newest: int, now: int) -> None:
+        """Raises OSError; the next call tries again."""
         if newest == self._newest:
             return
+        replace_file(self._path, f"{newest} {now}\n".encode())
         self._newest = newest
-        fresh = self._path.with_name(self._path.name + ".new")
-        fresh.write_text(f"{newest} {now}\n")
-        os.replace(fresh, self._path)
--- a/packages/daemon/src/walnutpost/daemon/settings.py
+++ b/packages/daemon/src/walnutpost/daemon/settings.py
@@ -17,7 +17,7 @@
 from walnutpost.config.model import Agreement
 from walnutpost.configstore import BadTable, Entry, Follower, Table, Taken
 from walnutpost.configstore.choice import Choice
-from walnutpost.eventloop import Loop, Task
+from walnutpost.eventloop import Loop, Task, remove_leftovers, replace_file
 from walnutpost.gateway import Function
 from walnutpost.watch import Watcher
 
@@ -26,6 +26,7 @@
 JUDGED_AT_ONCE = 50  # entries of a whole table, a millisecond, before others get their turn
 FIRST_ANSWER = SECOND  # how long a start waits for a relay
 KEEP_EVERY = 30 * SECOND  # between two writings of the table: 38,000 functions take 80 ms of a core
+WRITE_RETRY_US = SECOND  # after a writing of the table that failed
 WHY_MOST = 300  # characters: it goes with each question until it is mended
 
 
@@ -107,6 +108,7 @@
         self._told = ""
         self._acted: Table | None = None
         self._written = 0  # revision of the file
+        self._write_failed = False
         self._writer: Task[None] | None = None
         self._following: Task[None] | None = None
 
@@ -237,6 +239,7 @@
 
     def _restored(self, member: str, incarnation: str) -> Follower:
         now = self._loop.now()
+        remove_leftovers(self._kept)
         try:
             return Follower.restore(self._kept.read_bytes(), member, incarnation, now)
         except FileNotFoundError:
@@ -255,7 +258,7 @@
         """What is not written yet, on the helper thread; no more often than each KEEP_EVERY."""
         try:
             while self._write():
-                self._loop.sleep(KEEP_EVERY)
+                self._loop.sleep(WRITE_RETRY_US if self._write_failed else KEEP_EVERY)
         finally:
             self._writer = None
 
@@ -264,18 +267,18 @@
         table = self._acted
         if table is None or table.revision <= self._written:
             return False
-        self._written = table.revision
         try:
-            self._loop.blocking(_replace, self._kept, table)
+            self._loop.blocking(_write_snapshot, self._kept, table)
         except OSError as error:
             self._log.warning("settings", why=f"not kept: {error}")
+            self._write_failed = True
+        else:
+            self._written, self._write_failed = table.revision, False
         return True
 
 
-def _replace(path: Path, table: Table) -> None:
-    new = path.with_name(path.name + ".new")
-    new.write_bytes(table.snapshot())
-    new.replace(path)
+def _write_snapshot(path: Path, table: Table) -> None:
+    replace_file(path, table.snapshot())
 
 
 def _reached(address: str) -> Callable[[], tuple[str, int]]:
--- /dev/null
+++ b/packages/daemon/tests/disk_faults.py
@@ -0,0 +1,160 @@
+"""A disk that fails by script: sqlite's connection of a store, and the calls that replace files."""
+
+from __future__ import annotations
+
+import errno
+import os
+import shutil
+import sqlite3
+import struct
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+from walnutpost.eventloop import FileCalls, use_calls
+from walnutpost.store import Database
+
+IO_ERROR = "disk I/O error"
+LOG_HEADER, FRAME_HEADER = 32, 24  # bytes, in sqlite's WAL format
+
+
+class Fault(Enum):
+    """What a statement that fails leaves behind."""
+
+    OPEN = "the transaction is still open"
+    ROLLED_BACK = "sqlite has rolled back by itself"
+    REACHED_DISK = "sqlite has rolled back, and the log holds the commit all the same"
+
+
+Script = Callable[[str], Fault | None]
+
+
+class ScriptedConnection:
+    """Stands for a store's connection. `script` is asked before each statement."""
+
+    def __init__(self, store: Database, path: Path, script: Script) -> None:
+        self._real, self._path, self._script = store._db, path, script
+        self._statements: list[tuple[str, Any]] = []  # of the open transaction
+        self.failures = 0
+        store._db = self  # type: ignore[assignment]
+
+    def __getattr__(self, name: str) -> Any:
+        return getattr(self._real, name)
+
+    def execute(self, statement: str, values: Any = ()) -> sqlite3.Cursor:
+        if statement.startswith("begin"):
+            self._statements.clear()
+        if not statement.startswith("rollback") and statement != "pragma user_version":
+            self._fail(statement)
+        self._statements.append((statement, values))
+        return self._real.execute(statement, values)
+
+    def executemany(self, statement: str, rows: Any) -> sqlite3.Cursor:
+        rows = list(rows)
+        self._fail(statement)
+        self._statements += [(statement, row) for row in rows]
+        return self._real.executemany(statement, rows)
+
+    def _fail(self, statement: str) -> None:
+        fault = self._script(statement)
+        if fault is None:
+            return
+        self.failures += 1
+        if fault is not Fault.OPEN and self._real.in_transaction:
+            log = self._log_with_the_commit() if fault is Fault.REACHED_DISK else None
+            self._real.execute("rollback")
+            if log is not None:
+                with self._file("-wal").open("r+b") as out:
+                    out.write(log)
+        raise sqlite3.OperationalError(IO_ERROR)
+
+    def _file(self, suffix: str) -> Path:
+        return self._path.with_name(self._path.name + suffix)
+
+    def _log_end(self) -> int:
+        """Where the log ends for this process: the index that connections share says after which frame."""
+        (frames,) = struct.unpack_from("=I", self._file("-shm").read_bytes(), 16)
+        (page,) = self._real.execute("pragma page_size").fetchone()
+        return int(LOG_HEADER + frames * (FRAME_HEADER + page))
+
+    def _log_with_the_commit(self) -> bytes:
+        """The same transaction made on a copy of the files, whose log goes on from where this one ends."""
+        folder = self._path.with_name("copy of the log")
+        folder.mkdir(exist_ok=True)
+        for suffix in ("", "-wal"):
+            shutil.copy(self._file(suffix), folder / f"calls.db{suffix}")
+        os.truncate(folder / "calls.db-wal", self._log_end())
+        copy = sqlite3.connect(folder / "calls.db", isolation_level=None)
+        try:
+            for statement, values in self._statements:
+                copy.execute(statement, values)
+            copy.execute("commit")
+            return (folder / "calls.db-wal").read_bytes()
+        finally:
+            copy.close()
+            shutil.rmtree(folder)
+
+
+def failing(times: int, fault: Fault = Fault.OPEN, statement: str = "commit") -> Script:
+    """The first so many statements that begin so fail."""
+    left = times
+
+    def script(found: str) -> Fault | None:
+        nonlocal left
+        if left and found.startswith(statement):
+            left -= 1
+            return fault
+        return None
+
+    return script
+
+
+def after_a_kill(path: Path) -> Path:
+    """The files of a store as the next start finds them; in a folder of their own."""
+    folder = path.parent / "after the kill"
+    folder.mkdir()
+    for suffix in ("", "-wal"):
+        shutil.copy(path.with_name(path.name + suffix), folder / (path.name + suffix))
+    return folder / path.name
+
+
+class ScriptedFiles(FileCalls):
+    """`fails`: by call (write, short write, fsync, fsync folder, rename), how many of the next ones fail."""
+
+    def __init__(self) -> None:
+        self.fails: dict[str, int] = {}
+        self.calls: list[str] = []
+
+    def _fail(self, call: str, code: int) -> None:
+        self.calls.append(call)
+        if self.fails.get(call, 0):
+            self.fails[call] -= 1
+            raise OSError(code, os.strerror(code))
+
+    def write(self, descriptor: int, data: bytes | memoryview) -> int:
+        if self.fails.get("short write", 0):
+            self.fails["short write"] -= 1
+            return super().write(descriptor, data[: max(1, len(data) // 2)])
+        self._fail("write", errno.ENOSPC)
+        return super().write(descriptor, data)
+
+    def fsync(self, descriptor: int) -> None:
+        folder = os.path.isdir(f"/proc/self/fd/{descriptor}")
+        self._fail("fsync folder" if folder else "fsync", errno.EIO)
+        super().fsync(descriptor)
+
+    def rename(self, source: Path, target: Path) -> None:
+        self._fail("rename", errno.EIO)
+        super().rename(source, target)
+
+
+@contextmanager
+def scripted_files() -> Iterator[ScriptedFiles]:
+    calls = ScriptedFiles()
+    former = use_calls(calls)
+    try:
+        yield calls
+    finally:
+        use_calls(former)
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -20,7 +20,7 @@
 from walnutpost.configstore import Op, Table
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.seen import Seen
-from walnutpost.daemon.settings import _replace as write_table
+from walnutpost.daemon.settings import _write_snapshot as write_table
 from walnutpost.eventloop.clock import VirtualClock
 from walnutpost.fleet import Sight
 from walnutpost.fleet.sight import Seen as SeenWorker
--- /dev/null
+++ b/packages/daemon/tests/test_kept_files.py
@@ -0,0 +1,131 @@
+"""Files beside the store: torn ones are said and not used, others written once the disk takes them."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from disk_faults import scripted_files
+from fleet_rig import SECOND, Log
+from test_functions_gone import killed
+from test_taking_up import Followed, put
+from walnutpost.config.model import Agreement
+from walnutpost.configstore import Table
+from walnutpost.controlplane.wire import Told
+from walnutpost.daemon.fleet import Following
+from walnutpost.daemon.seen import Seen
+from walnutpost.eventloop import Loop, VirtualClock
+from walnutpost.fleet import Answer
+from walnutpost.fleet.sight import Sight
+
+CALLS = ["write", "fsync", "rename", "fsync folder"]
+
+
+@pytest.mark.parametrize("call", CALLS)
+def test_a_table_that_can_t_be_written_is_written_within_two_seconds_of_the_fault_s_end(
+    tmp_path: Path, call: str
+) -> None:
+    f, path = Followed(tmp_path), tmp_path / "calls.db.table"
+
+    def script() -> None:
+        f.until(path.exists)
+        f.loop.sleep(40 * SECOND)
+        with scripted_files() as files:
+            files.fails[call] = 1_000
+            f.change(put("left", 2))
+            f.until(lambda: files.fails[call] < 997)
+            assert f.answers_as("left") == "2"  # calls are served meanwhile
+            files.fails[call], ended = 0, f.loop.now()
+            f.until(lambda: files.calls[-1] == "fsync folder" and files.fails[call] == 0)
+            assert f.loop.now() - ended < 2 * SECOND
+            assert Table.restore(path.read_bytes()).revision == f.relay.table.revision
+
+    f.play(script)
+
+
+def test_what_a_kill_left_of_a_table_s_writing_is_removed_and_the_former_used(tmp_path: Path) -> None:
+    f, path = Followed(tmp_path), tmp_path / "calls.db.table"
+
+    def script() -> None:
+        f.change(put("left", 2))
+        killed(f)
+        f.relay.end()
+        half = path.with_name(path.name + ".0a1b2c3d.new")
+        half.write_bytes(path.read_bytes()[:100])
+        f.begin()
+        assert f.answers_as("left") == "2" and not half.exists()
+
+    f.play(script)
+
+
+class Lists:
+    def __init__(self) -> None:
+        self.agreed_on = 0
+
+    def agreed(self, follower: Any) -> None:
+        self.agreed_on += 1
+
+
+def following(loop: Loop, path: Path, lists: Lists, log: Log) -> Following:
+    line = Agreement.model_validate({"member": "f0", "keepers": {"k1": "127.0.0.1:1"}, "report_ms": 200})
+    core: Any = None
+    listed: Any = lists
+    return Following(loop, line, "a", core, listed, log, path)
+
+
+@pytest.mark.parametrize("content", [b"", b"\x92\x05", b"\xff"])
+def test_a_torn_agreed_list_is_said_and_not_used(tmp_path: Path, content: bytes) -> None:
+    loop, log, lists, path = Loop(VirtualClock()), Log(), Lists(), tmp_path / "calls.db.agreed"
+    path.write_bytes(content)
+
+    def script() -> None:
+        found = following(loop, path, lists, log)
+        found._report = lambda: False  # type: ignore[method-assign]
+        found.catch_up()
+
+    loop.run(script)
+    assert lists.agreed_on == 0
+    assert [told["why"] for event, told in log.lines if "calls.db.agreed is not used" in told["why"]]
+
+
+@pytest.mark.parametrize("call", CALLS)
+def test_an_agreed_list_that_can_t_be_written_is_written_with_a_later_report(
+    tmp_path: Path, call: str
+) -> None:
+    loop, lists, path = Loop(VirtualClock()), Lists(), tmp_path / "calls.db.agreed"
+
+    def script() -> None:
+        first = following(loop, path, lists, Log())
+        first._report = lambda: False  # type: ignore[method-assign]
+        files.fails[call] = 3
+        first._take_up(Told(Answer(True, 1), sight=Sight(5, ())))
+        task = loop.spawn(first.run)
+        loop.sleep(2 * SECOND)
+        task.cancel()
+        second = following(loop, path, lists, Log())
+        second._report = lambda: False  # type: ignore[method-assign]
+        second.catch_up()
+        assert second.follower.sight is not None and second.follower.sight.index == 5
+
+    with scripted_files() as files:
+        loop.run(script)
+    assert lists.agreed_on == 2
+
+
+@pytest.mark.parametrize("call", CALLS)
+def test_the_newest_due_time_is_written_by_the_next_call(tmp_path: Path, call: str) -> None:
+    seen = Seen(tmp_path / "seen")
+    with scripted_files() as files:
+        files.fails[call] = 1
+        with pytest.raises(OSError):
+            seen.write(7, 70)
+        seen.write(7, 80)
+    assert Seen(tmp_path / "seen").doubtful(6) == 80
+
+
+@pytest.mark.parametrize("content", [b"", b"7", b"\xff\xff", b"7 x"])
+def test_a_torn_file_of_the_newest_due_time_shows_nothing(tmp_path: Path, content: bytes) -> None:
+    (tmp_path / "seen").write_bytes(content)
+    assert Seen(tmp_path / "seen").doubtful(6) == 0
--- a/packages/eventloop/src/walnutpost/eventloop/__init__.py
+++ b/packages/eventloop/src/walnutpost/eventloop/__init__.py
@@ -1,10 +1,11 @@
 """The scheduler: greenlets over `select.poll`. Times are whole microseconds.
 
 `Loop` runs tasks; `Stream`, `Listener` and `connect` are its sockets; `Queue`, `Event` and `Group` join
-tasks.
+tasks. `replace_file` replaces a file durably, as a whole.
 """
 
 from walnutpost.eventloop.clock import Clock, RealClock, VirtualClock
+from walnutpost.eventloop.files import FileCalls, remove_leftovers, replace_file, use_calls, write_all
 from walnutpost.eventloop.scheduler import Cancelled, Loop, Task, Timeout
 from walnutpost.eventloop.sockets import AcceptErrorLog, Listener, Stream, Tap, connect
 from walnutpost.eventloop.sync import Event, Full, Group, Queue
@@ -15,6 +16,7 @@
     "Cancelled",
     "Clock",
     "Event",
+    "FileCalls",
     "Full",
     "Group",
     "Listener",
@@ -30,5 +32,9 @@
     "VirtualClock",
     "connect",
     "connect_secure",
+    "remove_leftovers",
+    "replace_file",
     "serving",
+    "use_calls",
+    "write_all",
 ]
--- a/packages/faultinjection/src/walnutpost/faultinjection/capture.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/capture.py
@@ -2,7 +2,11 @@
 
 A file is a row of msgpack arrays, each behind its length as four bytes, little-endian: `[time, what,
 ...]` with the time in microseconds since the epoch. The first record names the process. Each record is
-one write to a file opened for appending, so what a killed process has written stays.
+one write to a file opened for appending, so what a killed process has written stays. A record that was cut
+short, by a kill or a full disk, is cut off before the next one is written. What the disk does not take is
+lost, and said by the next record that it does take:
+
+    ["lost", records]
 
     ["begin", kind, name]                  kind is front, worker or client
     ["open", stream, role, local, remote]  role says which end of which protocol this is
@@ -24,6 +28,7 @@
 import msgspec
 
 from walnutpost.config import WorkerLine
+from walnutpost.eventloop import write_all
 from walnutpost.eventloop.sockets import Address
 from walnutpost.fakes.model import Lived
 
@@ -34,14 +39,34 @@
     """A tap for one process; the file holds payloads, so only its owner may read it."""
 
     def __init__(self, path: Path, kind: str, name: str, now: Callable[[], int]) -> None:
-        self._fd = os.open(path, os.O_CREAT | os.O_WRONLY | os.O_APPEND, 0o600)
+        self._fd = os.open(path, os.O_CREAT | os.O_RDWR | os.O_APPEND, 0o600)
         self._now = now
         self._encoder = msgspec.msgpack.Encoder()
+        self._size = _complete(path.read_bytes())  # bytes of complete records
+        self._torn = os.fstat(self._fd).st_size != self._size  # there is more behind them
+        self._lost = 0
         self._write("begin", kind, name)
 
     def _write(self, *record: Any) -> None:
+        """A disk that takes nothing costs records, not the process that is captured."""
+        try:
+            if self._torn:
+                os.ftruncate(self._fd, self._size)
+                self._torn = False
+            if self._lost:
+                self._append("lost", self._lost)
+                self._lost = 0
+            self._append(*record)
+        except OSError:
+            self._lost += 1
+
+    def _append(self, *record: Any) -> None:
         data = self._encoder.encode((self._now(), *record))
-        os.write(self._fd, len(data).to_bytes(LENGTH, "little") + data)
+        data = len(data).to_bytes(LENGTH, "little") + data
+        self._torn = True
+        write_all(self._fd, data)
+        self._torn = False
+        self._size += len(data)
 
     def opened(self, stream: int, role: str, local: Address, remote: Address) -> None:
         self._write("open", stream, role, local, remote)
@@ -71,12 +96,20 @@
 def read(path: Path) -> Iterator[list[Any]]:
     """The records in order; a last one cut short by a kill is left out."""
     data = path.read_bytes()
-    at = 0
+    at, upto = 0, _complete(data)
     decode = msgspec.msgpack.Decoder(list[Any]).decode
+    while at < upto:
+        end = at + LENGTH + int.from_bytes(data[at : at + LENGTH], "little")
+        yield decode(data[at + LENGTH : end])
+        at = end
+
+
+def _complete(data: bytes) -> int:
+    """How many bytes the complete records at its beginning take."""
+    at = 0
     while at + LENGTH <= len(data):
-        size = int.from_bytes(data[at : at + LENGTH], "little")
-        end = at + LENGTH + size
+        end = at + LENGTH + int.from_bytes(data[at : at + LENGTH], "little")
         if end > len(data):
-            return
-        yield decode(data[at + LENGTH : end])
+            break
         at = end
+    return at
--- a/packages/faultinjection/src/walnutpost/faultinjection/stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/stage.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import os
 import signal
 import subprocess
 import sys
@@ -15,7 +14,7 @@
 
 from walnutpost.config import Config, StandIn
 from walnutpost.config.model import FunctionLine, FunctionWork
-from walnutpost.eventloop import Group, Loop, Timeout
+from walnutpost.eventloop import Group, Loop, Timeout, replace_file
 from walnutpost.faultinjection.clients import one_off_name
 from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
 from walnutpost.faultinjection.script import Script
@@ -179,10 +178,8 @@
             if w.line is not None:
                 line |= {k: v for k, v in (("zone", w.line.zone), ("kind", w.line.kind)) if v is not None}
             lines.append(line)
-        path = self.folder / LIST
-        fresh = path.with_suffix(".new")
-        fresh.write_text(json.dumps({"version": self.version, "workers": lines}))
-        os.replace(fresh, path)
+        content = json.dumps({"version": self.version, "workers": lines})
+        replace_file(self.folder / LIST, content.encode())
 
     def tell_later(self) -> None:
         self.loop.call_later(round(self.script.list_delay_s * SECOND), self.tell)
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -78,7 +78,7 @@
             while self._queue and self._firing < self._at_once:
                 self._firing += 1
                 self._loop.spawn(self._fire_queue, name="firings")
-            self._seen(self._newest, now)
+            self._note_newest(now)
             upcoming = self.planner.next()
             wait = LOOK_AT_LEAST if upcoming is None else min(LOOK_AT_LEAST, upcoming - self._wall())
             self._wake = Event(self._loop)
@@ -88,6 +88,14 @@
             finally:
                 timer.cancel()
 
+    def _note_newest(self, now: int) -> None:
+        """On the helper thread, as it is synced. A disk that takes nothing is asked again at the next look,
+        and stops no firing."""
+        try:
+            self._loop.blocking(self._seen, self._newest, now)
+        except OSError as error:
+            self._log.error("store", error=f"the newest due time is not written: {error}")
+
     def _begin(self) -> None:
         """New names are written down, so that what they miss while nobody looks is known to be missed."""
         now, names = self._wall(), [s.name for s in self._schedules]
--- a/packages/fronts/src/walnutpost/fronts/invoke/front.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/front.py
@@ -16,12 +16,12 @@
     invalid,
     missing,
 )
-from walnutpost.gateway import Catalogue, Execution, Function, Refused, UnknownName, Unsure
+from walnutpost.gateway import Catalogue, Execution, Function, NotStored, Refused, UnknownName, Unsure
 from walnutpost.http import Exchange, Response
 from walnutpost.interface import RequestClass
-from walnutpost.store import Listing
+from walnutpost.store import Listing, StoreError
 
-LATER = 1_000_000  # what a client is told to wait where other sites must be asked and do not answer
+LATER = 1_000_000  # what a client is told to wait where a disk or other sites must be asked and don't answer
 
 
 class InvokeFront:
@@ -66,6 +66,8 @@
                     return protocol.list_response(rows, more, self._names, request_id)
         except Unreached as error:
             return protocol.problem(Problem(503, "ServiceException", str(error), LATER), request_id)
+        except StoreError as error:  # what is asked about can't be read now; nothing was changed
+            return protocol.problem(Problem(500, "ServiceException", str(error), LATER), request_id)
         except Problem as error:
             return protocol.problem(error, request_id)
 
@@ -106,6 +108,8 @@
                 )
             if isinstance(execution, Refused):
                 raise protocol.refused(execution)
+            if isinstance(execution, NotStored):
+                raise protocol.not_stored(execution)
             if isinstance(execution, Unsure):
                 known = execution.execution.name
                 raise Problem(
--- a/packages/fronts/src/walnutpost/fronts/invoke/protocol.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/protocol.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from walnutpost.gateway import Execution, Failed, Failure, Final, Refused, Served, Status
+from walnutpost.gateway import Execution, Failed, Failure, Final, NotStored, Refused, Served, Status
 from walnutpost.http import BadMessage, Request, Response
 from walnutpost.store import Listing
 
@@ -268,6 +268,15 @@
     return Problem(429, "TooManyRequestsException", final.reason, final.retry_after)
 
 
+def not_stored(found: NotStored) -> Problem:
+    """The published model has 429 for the caller's share alone; a fault of ours is its ServiceException. SDKs
+    ask again by themselves under the same invocation id, which names the same call here."""
+    message = "the store of deferred calls took nothing"
+    if found.uncertain:
+        message = f"the store failed, and the call may run: ask again as {found.name}"
+    return Problem(500, "ServiceException", message, found.retry_after)
+
+
 def refusal(error: BadMessage) -> Response:
     """What is said to a message that could not be read, or not be taken in."""
     kinds = {
--- a/packages/fronts/tests/test_invoke.py
+++ b/packages/fronts/tests/test_invoke.py
@@ -254,13 +254,15 @@
         store = fleet.front.deferred._store
         other = sqlite3.connect(tmp_path / "calls.db", isolation_level=None, check_same_thread=False)
         other.execute("begin exclusive")
-        assert calls.start("reserve", b"2", "locked").status == 429
+        locked = calls.start("reserve", b"2", "locked")
+        assert (locked.status, locked.headers["x-amzn-errortype"]) == (500, "ServiceException")
         assert fleet.invoke("price").status == 200  # synchronous calls need no disk
         other.execute("rollback")
         pages = store._db.execute("pragma page_count").fetchone()[0]
         store._db.execute(f"pragma max_page_count={pages}")
         full = calls.start("reserve", b'"%b"' % (b"x" * 200_000), "full")
-        assert full.status == 429 and full.headers["retry-after"]
+        assert (full.status, full.headers["x-amzn-errortype"]) == (500, "ServiceException")
+        assert full.headers["retry-after"]
         store._db.execute("pragma max_page_count=1000000")
         assert len(calls.listed("reserve")["DurableExecutions"]) == 1
         assert calls.fate(calls.start("reserve", b"3", "full").headers[ARN])["Status"] == "SUCCEEDED"
--- a/packages/gateway/src/walnutpost/gateway/__init__.py
+++ b/packages/gateway/src/walnutpost/gateway/__init__.py
@@ -8,7 +8,16 @@
 
 from walnutpost.gateway.catalogue import Catalogue, Function, UnknownName
 from walnutpost.gateway.core import Gateway
-from walnutpost.gateway.executions import Admission, Execution, Status, Unsure, admit, conclude, resume
+from walnutpost.gateway.executions import (
+    Admission,
+    Execution,
+    NotStored,
+    Status,
+    Unsure,
+    admit,
+    conclude,
+    resume,
+)
 from walnutpost.gateway.messages import (
     Abandon,
     Answered,
@@ -62,6 +71,7 @@
     "Gateway",
     "HoldDone",
     "Input",
+    "NotStored",
     "Note",
     "Order",
     "Ping",
--- a/packages/gateway/src/walnutpost/gateway/executions.py
+++ b/packages/gateway/src/walnutpost/gateway/executions.py
@@ -50,6 +50,16 @@
     copies: int
 
 
+@dataclass(frozen=True, slots=True)
+class NotStored:
+    """The disk did not take the call. `uncertain`: it may have, and the next start may find and run it, so
+    that only the same name can be asked again safely; else nothing of it is left."""
+
+    name: str
+    retry_after: int
+    uncertain: bool
+
+
 class Admission(Enum):
     NEW = "new"
     SAME = "same"
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -9,7 +9,7 @@
 
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Execution, Status
-from walnutpost.store.database import Change, Database, StoreError
+from walnutpost.store.database import COMMIT_RETRY_US, Change, Database, StoreError
 
 # With rowids: in an index of its own, a row of a kilobyte would take a page of four besides.
 SCHEMA = """
@@ -23,6 +23,7 @@
 create index if not exists by_time on executions (function, accepted_at, id);
 create index if not exists by_status on executions (status, ended_at);
 """
+STORING_SHARE = 2  # half of a call's time is for its function
 COLUMNS = tuple(f.name for f in fields(Execution))
 
 
@@ -45,21 +46,27 @@
     """One process's executions."""
 
     def __init__(self, loop: Loop, path: Path) -> None:
-        super().__init__(loop, path, SCHEMA)
+        super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
 
     # Changes
 
     def add(self, execution: Execution, also: Change | None = None) -> None:
-        """`also` becomes durable with it, or not at all."""
+        """`also` becomes durable with it, or not at all. A commit that fails is tried again for a part of
+        the call's own time."""
         marks = ",".join("?" * len(COLUMNS))
         values = _row(execution)
 
         def change(db: sqlite3.Connection) -> None:
-            db.execute(f"insert into executions values ({marks})", values)
+            try:
+                db.execute(f"insert into executions values ({marks})", values)
+            except sqlite3.IntegrityError:
+                if db.execute("select 1 from executions where id=?", (execution.id,)).fetchone() is None:
+                    raise  # another's name
+                return  # a commit that was reported as failed stands, and `also` with it
             if also is not None:
                 also(db)
 
-        self.change(change)
+        self.change(change, (execution.expires_at - self._loop.now()) // STORING_SHARE)
 
     def put(self, executions: Sequence[Execution], gone: Sequence[str]) -> None:
         """These as they are, in place of what is known of them; `gone`: ids that are no longer known."""
@@ -152,6 +159,7 @@
 
     def _select(self, where: str, values: Sequence[object]) -> list[Execution]:
         try:
+            self._end_transaction()  # nothing uncommitted is shown
             rows = self._db.execute(f"select {','.join(COLUMNS)} from executions {where}", values).fetchall()
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
--- a/packages/store/src/walnutpost/store/usage.py
+++ b/packages/store/src/walnutpost/store/usage.py
@@ -14,7 +14,7 @@
 from walnutpost.metering import Account, Amount, Batch, Gap, Life, Line, Saved, Seen, Slice
 from walnutpost.metering.records import DAY
 from walnutpost.metering.reports import Kept
-from walnutpost.store.database import Database, StoreError
+from walnutpost.store.database import COMMIT_RETRY_US, Database, StoreError
 
 SCHEMA = """
 create table if not exists slices (
@@ -75,7 +75,7 @@
 
 class UsageStore(Database):
     def __init__(self, loop: Loop, path: Path) -> None:
-        super().__init__(loop, path, SCHEMA)
+        super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
 
     def saved(self) -> tuple[Saved, Run]:
         """Read at start, before the loop runs."""
