--- a/packages/daemon/src/walnutpost/daemon/journaling.py
+++ b/packages/daemon/src/walnutpost/daemon/journaling.py
@@ -1,4 +1,7 @@
-"""Deferred calls in more than one site: their lines, and how many copies each waits for."""
+"""Deferred calls in more than one site: their lines, and how many copies each waits for.
+
+Times in lines are stored time (store/stored_time.py), so that one number purges lines of before and after a
+step of the wall clock, here and at the holders, who know nothing of the step."""
 
 from __future__ import annotations
 
@@ -54,6 +57,7 @@
         self._places = {h.name: Place(h.name, h.region, h.zone) for h in line.holders}
         self._shunned: dict[str, int] = {}
         self._lost: dict[str, int] = {}
+        self._executions = executions
         self.store = JournalStore(loop, executions, line.name)
         self.holding = Holding(loop, self.store, address_of(line.listen), log)
         self._addresses = {h.name: _address(h) for h in line.holders}
@@ -82,7 +86,7 @@
         calls = {ident: said.calls[ident] for ident in told}
         gone = [ident for ident, call in calls.items() if call.reached is Reached.WITHDRAWN]
         known = [_execution(call) for ident, call in calls.items() if ident not in gone]
-        executions.put([e for e in known if e is not None], gone)
+        executions.put([executions.read_stored(e) for e in known if e is not None], gone)
         self._log.error("journal", why="this disk was older than its copies", after=last, calls=len(calls))
 
     def _chosen(self) -> tuple[str, ...]:
@@ -165,6 +169,7 @@
 
     def accepted(self, e: Execution, function: Function) -> Appending:
         effect, wanted = self._classes[function.class_index].effect, self._wanted(function)
+        to_stored = self._executions.clock.to_stored
         promise = wanted.copies if wanted.without == "refuse" else 0
         return self.store.append(
             Accepted(
@@ -175,8 +180,8 @@
                 e.tenant,
                 e.payload,
                 e.digest,
-                e.accepted_at,
-                e.expires_at,
+                to_stored(e.accepted_at),
+                to_stored(e.expires_at),
                 effect.value,
                 promise,
             )
@@ -189,11 +194,12 @@
         return self.store.append(Withdrawn(e.id))
 
     def ended(self, e: Execution) -> Appending:
-        said = Ended(e.id, e.status.value, e.ended_at, e.result, e.error_type, e.error_message)
+        ended_at = self._executions.clock.to_stored(e.ended_at)
+        said = Ended(e.id, e.status.value, ended_at, e.result, e.error_type, e.error_message)
         return self.store.append(said)
 
     def purged(self, before: int) -> Appending:
-        return self.store.append(Purged(before))
+        return self.store.append(Purged(self._executions.clock.to_stored(before)))
 
 
 def _address(holder: HolderLine) -> Any:
@@ -201,7 +207,7 @@
 
 
 def _execution(call: Call) -> Execution | None:
-    """As a client is told it; None where the line that began it is not known."""
+    """As a client is told it, in its origin's stored time; None where the line that began it is not known."""
     a, e = call.accepted, call.ended
     if a is None:
         return None
--- a/packages/eventloop/src/walnutpost/eventloop/__init__.py
+++ b/packages/eventloop/src/walnutpost/eventloop/__init__.py
@@ -4,7 +4,7 @@
 tasks. `replace_file` replaces a file durably, as a whole.
 """
 
-from walnutpost.eventloop.clock import Clock, RealClock, VirtualClock
+from walnutpost.eventloop.clock import BootTime, Clock, RealClock, VirtualClock
 from walnutpost.eventloop.files import FileCalls, remove_leftovers, replace_file, use_calls, write_all
 from walnutpost.eventloop.scheduler import Cancelled, Loop, Task, Timeout
 from walnutpost.eventloop.sockets import AcceptErrorLog, Listener, Stream, Tap, connect
@@ -13,6 +13,7 @@
 
 __all__ = [
     "AcceptErrorLog",
+    "BootTime",
     "Cancelled",
     "Clock",
     "Event",
--- a/packages/eventloop/src/walnutpost/eventloop/scheduler.py
+++ b/packages/eventloop/src/walnutpost/eventloop/scheduler.py
@@ -13,7 +13,7 @@
 
 from greenlet import getcurrent, greenlet
 
-from walnutpost.eventloop.clock import Clock, RealClock
+from walnutpost.eventloop.clock import BootTime, Clock, RealClock
 from walnutpost.eventloop.timers import Timer, WheelTimers
 
 T = TypeVar("T")
@@ -179,6 +179,9 @@
     def now(self) -> int:
         return self.clock.now()
 
+    def boot_time(self) -> BootTime:
+        return self.clock.boot_time()
+
     def arrived_after(self) -> int:
         """A time before which nothing came that this round's poll reported, nor anything that it did not
         report and that is found in this round: bytes, ends and connections of descriptors that were waited
--- a/packages/eventloop/tests/test_loop.py
+++ b/packages/eventloop/tests/test_loop.py
@@ -18,6 +18,7 @@
 
 from benchmarks.heap_timers import HeapTimers
 from walnutpost.eventloop import (
+    BootTime,
     Cancelled,
     Event,
     Full,
@@ -406,6 +407,9 @@
     def now(self) -> int:
         return self.time
 
+    def boot_time(self) -> BootTime:
+        return BootTime("manual", self.time)
+
     def jump(self, to: int) -> None:
         self.time = to
 
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -61,6 +61,7 @@
         self._waiting: list[_Pending] = []
         self._committing = False
         self._may_have_reached_disk = False  # frames of a failed commit may lie behind the log's end
+        self.before_commit: Change | None = None  # made part of each commit
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
             os.close(os.open(path, os.O_CREAT | os.O_RDWR, 0o600))
@@ -146,6 +147,8 @@
                 except sqlite3.IntegrityError as error:
                     pending.error = error
                     return False
+            if self.before_commit is not None:
+                self.before_commit(db)
             try:
                 db.execute("commit")
             except BaseException:
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -1,15 +1,17 @@
-"""Deferred calls on disk."""
+"""Deferred calls on disk. Their times are stored time (stored_time.py), converted here alone: callers give
+and get epochs of the loop's clock."""
 
 from __future__ import annotations
 
 import sqlite3
 from collections.abc import Sequence
-from dataclasses import dataclass, fields
+from dataclasses import dataclass, fields, replace
 from pathlib import Path
 
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Execution, Status
 from walnutpost.store.database import COMMIT_RETRY_US, Change, Database, StoreError
+from walnutpost.store.time_marks import StoredClock
 
 # With rowids: in an index of its own, a row of a kilobyte would take a page of four besides.
 SCHEMA = """
@@ -47,6 +49,12 @@
 
     def __init__(self, loop: Loop, path: Path) -> None:
         super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
+        self.clock = StoredClock(loop, self, self._newest_epoch())
+
+    def _newest_epoch(self) -> int | None:
+        """When a process certainly still ran that kept no time marks."""
+        ((accepted, ended),) = self.select("select max(accepted_at), max(ended_at) from executions")
+        return None if accepted is None else max(accepted, ended)
 
     # Changes
 
@@ -54,7 +62,7 @@
         """`also` becomes durable with it, or not at all. A commit that fails is tried again for a part of
         the call's own time."""
         marks = ",".join("?" * len(COLUMNS))
-        values = _row(execution)
+        values = self._row(execution)
 
         def change(db: sqlite3.Connection) -> None:
             try:
@@ -71,7 +79,7 @@
     def put(self, executions: Sequence[Execution], gone: Sequence[str]) -> None:
         """These as they are, in place of what is known of them; `gone`: ids that are no longer known."""
         marks = ",".join("?" * len(COLUMNS))
-        rows = [_row(e) for e in executions]
+        rows = [self._row(e) for e in executions]
 
         def change(db: sqlite3.Connection) -> None:
             db.executemany(f"insert or replace into executions values ({marks})", rows)
@@ -83,7 +91,7 @@
         values = (
             int(execution.intended),
             execution.status.value,
-            execution.ended_at,
+            self._to_stored(execution.ended_at),
             execution.result,
             execution.error_type,
             execution.error_message,
@@ -111,7 +119,7 @@
     def purge(self, ended_before: int, also: Change | None = None) -> None:
         running = Status.RUNNING.value
         text = "delete from executions where status<>? and ended_at<?"
-        self._run(text, (running, ended_before), also)
+        self._run(text, (running, self.clock.to_stored(ended_before)), also)
 
     def _run(self, text: str, values: Sequence[object], also: Change | None) -> None:
         def change(db: sqlite3.Connection) -> None:
@@ -145,10 +153,11 @@
         for bound, sign in ((wanted.after, ">"), (wanted.before, "<")):
             if bound is not None:
                 where.append(f"accepted_at{sign}?")
-                values.append(bound)
+                values.append(self.clock.to_stored(bound))
         if wanted.marker is not None:
             where.append(f"(accepted_at, id) {'<' if wanted.reverse else '>'} (?, ?)")
-            values += wanted.marker
+            accepted_at, ident = wanted.marker
+            values += (self.clock.to_stored(accepted_at), ident)
         order = "desc" if wanted.reverse else "asc"
         text = f"where {' and '.join(where)} order by accepted_at {order}, id {order} limit ?"
         rows = self._read(text, (*values, wanted.most + 1))
@@ -163,7 +172,27 @@
             rows = self._db.execute(f"select {','.join(COLUMNS)} from executions {where}", values).fetchall()
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
-        return [_execution(row) for row in rows]
+        return [self._execution(row) for row in rows]
+
+    # Times
+
+    def _to_stored(self, epoch_us: int) -> int:
+        return self.clock.to_stored(epoch_us) if epoch_us else 0  # 0: not yet
+
+    def _row(self, e: Execution) -> tuple[object, ...]:
+        accepted_at, expires_at = self._to_stored(e.accepted_at), self._to_stored(e.expires_at)
+        return _row(
+            replace(e, accepted_at=accepted_at, expires_at=expires_at, ended_at=self._to_stored(e.ended_at))
+        )
+
+    def _execution(self, row: Sequence[object]) -> Execution:
+        return self.read_stored(_execution(row))
+
+    def read_stored(self, e: Execution) -> Execution:
+        """One whose times are stored time, as in rows and in lines of the own journal, in epochs."""
+        read = self.clock.to_epoch
+        ended_at = read(e.ended_at) if e.ended_at else 0
+        return replace(e, accepted_at=read(e.accepted_at), expires_at=read(e.expires_at), ended_at=ended_at)
 
 
 def _row(e: Execution) -> tuple[object, ...]:
--- a/packages/store/tests/stored_state.py
+++ b/packages/store/tests/stored_state.py
@@ -214,3 +214,10 @@
         loop.run(write)
     finally:
         store.close()
+
+
+def shifted(execution: Execution, offset_us: int) -> Execution:
+    """With all its times as they are read when stored time and the clock differ by so much."""
+    ended_at = execution.ended_at + offset_us if execution.ended_at else 0
+    accepted_at, expires_at = execution.accepted_at + offset_us, execution.expires_at + offset_us
+    return replace(execution, accepted_at=accepted_at, expires_at=expires_at, ended_at=ended_at)
--- /dev/null
+++ b/packages/store/tests/test_stored_time.py
@@ -0,0 +1,150 @@
+"""Stored times over steps of the wall clock between two processes: the decision, and executions on disk."""
+
+from __future__ import annotations
+
+import sqlite3
+from collections.abc import Callable
+from dataclasses import replace
+from pathlib import Path
+from typing import TypeVar
+
+import pytest
+
+from walnutpost.eventloop import BootTime, Loop, VirtualClock
+from walnutpost.gateway import Execution, Status
+from walnutpost.store import ExecutionStore, Listing
+from walnutpost.store.stored_time import MAX_STEP_US, READ_TOLERANCE_US, TimeMark, next_offset_us, passed_us
+
+T = TypeVar("T")
+SECOND = 1_000_000
+MINUTE, HOUR = 60 * SECOND, 3600 * SECOND
+EPOCH = 1_700_000_000 * SECOND
+MARK = TimeMark(BootTime("a", 5 * HOUR), EPOCH, EPOCH - 7 * SECOND)
+STEPS = [-HOUR, 0, HOUR]
+
+
+@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("downtime", [0, 5 * MINUTE, HOUR, 30 * HOUR])
+def test_within_a_boot_the_passed_time_is_exact_whatever_the_wall_clock_says(
+    step: int, downtime: int
+) -> None:
+    boot, epoch = BootTime("a", 5 * HOUR + downtime), EPOCH + downtime + step
+    assert passed_us(MARK, boot, epoch) == downtime
+    assert epoch - next_offset_us(MARK, boot, epoch) == MARK.stored_us + downtime
+
+
+@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("downtime", [0, 5 * MINUTE, HOUR, 30 * HOUR])
+@pytest.mark.parametrize(
+    "boot",
+    [BootTime("b", 20 * SECOND), BootTime("", 90 * HOUR), BootTime("a", 4 * HOUR), BootTime("b", 9**18)],
+)
+def test_without_a_common_boot_no_more_is_counted_than_passed_and_at_most_two_hours_less(
+    step: int, downtime: int, boot: BootTime
+) -> None:
+    """Another boot, an unknown one, another machine's that has been up for long, one that ran backwards."""
+    epoch = EPOCH + downtime + step
+    passed = passed_us(MARK, boot, epoch)
+    assert max(0, downtime - 2 * MAX_STEP_US) <= passed <= downtime
+    assert epoch - next_offset_us(MARK, boot, epoch) == MARK.stored_us + passed
+
+
+def test_what_two_reads_of_clocks_differ_by_is_no_step() -> None:
+    boot = BootTime("a", 5 * HOUR + MINUTE)
+    for noise in (-READ_TOLERANCE_US, 3, READ_TOLERANCE_US):
+        assert next_offset_us(MARK, boot, EPOCH + MINUTE + noise) == MARK.offset_us
+    assert next_offset_us(None, boot, EPOCH) == 0
+
+
+def opened(path: Path, epoch: int, boot: BootTime, work: Callable[[Loop, ExecutionStore], T]) -> T:
+    """One process's life; it ends without a word."""
+    loop = Loop(VirtualClock(epoch, boot))
+    store = ExecutionStore(loop, path)
+    try:
+        return loop.run(lambda: work(loop, store))
+    finally:
+        store.close()
+
+
+def execution(name: str, accepted_at: int, ended_at: int = 0) -> Execution:
+    made = Execution(name, name, "price", "1", None, b"1", "d", accepted_at, accepted_at + 10 * MINUTE)
+    return replace(made, status=Status.SUCCEEDED, ended_at=ended_at) if ended_at else made
+
+
+def fill(loop: Loop, store: ExecutionStore) -> None:
+    now = loop.now()
+    store.add(execution("open", now))
+    store.add(execution("ended", now - MINUTE, now))
+    loop.sleep(MINUTE)
+    store.purge(now - HOUR)  # any commit leaves a mark
+
+
+@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("downtime", [0, 5 * MINUTE])
+def test_ages_over_several_restarts_are_what_was_lived(tmp_path: Path, step: int, downtime: int) -> None:
+    path, boot = tmp_path / "calls.db", BootTime("a", HOUR)
+    opened(path, EPOCH, boot, fill)
+    for n in (1, 2):  # each restart after a further step
+        lived = n * (MINUTE + downtime)
+        epoch = EPOCH + lived + n * step
+
+        def look(loop: Loop, store: ExecutionStore, lived: int = lived) -> None:
+            start = loop.now()
+            (running,) = store.open_executions()
+            assert start - running.accepted_at == lived and running.expires_at - start == 10 * MINUTE - lived
+            ended = store.find("ended")
+            assert ended is not None and start - ended.ended_at == lived and running.ended_at == 0
+            store.purge(start - lived)
+            assert store.find("ended") is not None
+            everything = Listing("price", None, frozenset(), start - lived - 1, start, False, None, 10)
+            rows, _ = store.page(everything)
+            assert [e.name for e in rows] == ["open"]
+            marker = (rows[0].accepted_at, rows[0].id)
+            earlier = Listing("price", None, frozenset(), None, None, True, marker, 10)
+            assert [e.name for e in store.page(earlier)[0]] == ["ended"]
+            loop.sleep(MINUTE)
+            store.purge(start - HOUR)
+
+        opened(path, epoch, BootTime("a", HOUR + lived), look)
+
+    def purged(loop: Loop, store: ExecutionStore) -> tuple[bool, bool]:
+        store.purge(loop.now() - (2 * (MINUTE + downtime) + MINUTE - 1))
+        return store.find("ended") is None, store.find("open") is not None
+
+    # What was lived is counted whole: nothing stands for ever.
+    end = 2 * (MINUTE + downtime) + MINUTE
+    assert opened(path, EPOCH + end, BootTime("a", HOUR + end), purged) == (True, True)
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_a_folder_of_an_earlier_version_opens_and_ages_by_no_step(tmp_path: Path, step: int) -> None:
+    path = tmp_path / "calls.db"
+    opened(path, EPOCH, BootTime("a", HOUR), fill)
+    with sqlite3.connect(path) as db:
+        db.execute("drop table time_marks")
+
+    def look(loop: Loop, store: ExecutionStore) -> int:
+        (running,) = store.open_executions()
+        store.add(execution("new", loop.now()))
+        return loop.now() - running.accepted_at
+
+    lived = 2 * MINUTE
+    assert 0 <= opened(path, EPOCH + lived + step, BootTime("a", HOUR + lived), look) <= lived
+
+
+def test_a_commit_that_fails_leaves_the_former_mark(tmp_path: Path) -> None:
+    path = tmp_path / "calls.db"
+    opened(path, EPOCH, BootTime("a", HOUR), fill)
+
+    def refused(loop: Loop, store: ExecutionStore) -> list[tuple[int, ...]]:
+        before = store.select("select epoch_us from time_marks")
+
+        def broken(db: sqlite3.Connection) -> None:
+            raise sqlite3.OperationalError("disk is full")
+
+        with pytest.raises(Exception, match="disk is full"):
+            store.change(broken)
+        assert store.select("select epoch_us from time_marks") == before
+        return before
+
+    assert opened(path, EPOCH + HOUR, BootTime("a", 2 * HOUR), refused) == [(EPOCH + MINUTE,)]
