--- a/packages/cli/src/walnutpost/cli/fleet_shown.py
+++ b/packages/cli/src/walnutpost/cli/fleet_shown.py
@@ -11,8 +11,8 @@
 from msgspec.structs import asdict
 
 from walnutpost.cli.configs import CONFIG, end
-from walnutpost.cli.fleet import FORM, fleet, with_keepers
-from walnutpost.controlplane import KeeperClient
+from walnutpost.cli.fleet import FORM, Stop, fleet, with_keepers
+from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.controlplane.wire import History, View
 from walnutpost.faultinjection.table import aligned
 from walnutpost.fleet import FRONT_END, Fleet, Plan, State
@@ -24,9 +24,21 @@
 @FORM
 @click.pass_obj
 def status(log: Any, config: Path, form: str) -> None:
-    """Who leads, what is halted, how far each budget is used, who is out and why."""
-    view, agreed = with_keepers(config, log, lambda client: client.state())
+    """Who leads, what is halted, how far each budget is used, who is out and why, whose disk fails."""
+
+    def work(client: KeeperClient) -> tuple[View, Fleet, dict[str, str]]:
+        try:
+            return *client.state(), client.failing_disks()
+        except NoAnswer as error:
+            lines = _disk_lines(client.failing_disks())
+            if not lines:
+                raise
+            raise Stop(f"no quorum of the keepers answered: {error}", *lines, code=3) from error
+
+    view, agreed, failing_disks = with_keepers(config, log, work)
     told = _status(view, agreed)
+    if failing_disks:
+        told["failing_disks"] = failing_disks
     if form == "json":
         click.echo(json.dumps(told))
         return
@@ -38,6 +50,12 @@
     click.echo(aligned([["out", "by", "why", "waits for", "permit"], *rows]) if rows else "nobody is out")
     for line in told["alone"]:
         click.echo(f"without a quorum: {line}")
+    for line in _disk_lines(failing_disks):
+        click.echo(line)
+
+
+def _disk_lines(failing_disks: dict[str, str]) -> list[str]:
+    return [f"keeper {name}: its disk fails: {reason}" for name, reason in failing_disks.items()]
 
 
 def _status(view: View, agreed: Fleet) -> dict[str, Any]:
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -4,6 +4,7 @@
 
 import time
 from collections.abc import Mapping, Sequence
+from contextlib import suppress
 from typing import TypeVar
 from urllib.parse import quote
 
@@ -11,7 +12,7 @@
 from walnutpost.configstore.messages import Entry, Heard, Op, Status, Sums
 from walnutpost.consensus import DEPOSED, NEW_IN_OFFICE, NOT_LEADER, Members
 from walnutpost.controlplane import wire
-from walnutpost.eventloop import Loop, Timeout
+from walnutpost.eventloop import Group, Loop, Timeout
 from walnutpost.fleet import Answer, Command, Fleet, encode
 from walnutpost.http import BadMessage, Connection, Limits, Response
 
@@ -95,6 +96,21 @@
         """What this keeper holds, however old; raises NoAnswer."""
         return self._from(keeper, wire.STATE + "?here", wire.View)
 
+    def failing_disks(self) -> dict[str, str]:
+        """Why, by each keeper that says that its disk fails; all are asked at once."""
+        found: dict[str, str] = {}
+
+        def ask(keeper: str) -> None:
+            with suppress(NoAnswer):
+                reason = self.here(keeper).disk
+                if isinstance(reason, str):
+                    found[keeper] = reason
+
+        with Group(self._loop) as group:
+            for keeper in self._addresses:
+                group.spawn(ask, keeper, name="disk state")
+        return dict(sorted(found.items()))
+
     def _from(self, keeper: str, target: str, kind: type[wire.T]) -> wire.T:
         try:
             with self._loop.timeout(self._each):
--- a/packages/controlplane/src/walnutpost/controlplane/peers.py
+++ b/packages/controlplane/src/walnutpost/controlplane/peers.py
@@ -33,6 +33,10 @@
         self._waiting.append((to, message))
         self._some.set()
 
+    def discard(self) -> None:
+        """What has not left yet is lost."""
+        self._waiting.clear()
+
     def close(self) -> None:
         self._task.cancel()
         if self._connection is not None:
--- a/packages/controlplane/src/walnutpost/controlplane/wire.py
+++ b/packages/controlplane/src/walnutpost/controlplane/wire.py
@@ -123,6 +123,7 @@
     state: bytes
     asked: bool
     waits: dict[str, str] = {}  # by plan: what its judgement waits for, as far as this keeper leads
+    disk: str | msgspec.UnsetType = msgspec.UNSET  # why its disk fails, while it is out of service for that
 
 
 class Entries(Record, frozen=True):
--- a/packages/controlplane/tests/keeper_forms.py
+++ b/packages/controlplane/tests/keeper_forms.py
@@ -77,6 +77,16 @@
         asked=True,
         waits={"plan-1": "1 members of step 0 are not back"},
     ),
+    "state-answer.disk-fails": View(
+        index=216,
+        keeper="k1",
+        leader="",
+        term=217,
+        members=MEMBERS,
+        state=b"",
+        asked=False,
+        disk="disk I/O error",
+    ),
     "state-answer.defaults": View(
         index=216, keeper="k1", leader="k2", term=217, members=MEMBERS, state=b"", asked=False
     ),
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -8,15 +8,16 @@
 import signal
 import subprocess
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from contextlib import suppress
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, TypeVar
 
 from walnutpost.agent.process import processes_of
 from walnutpost.config import Config
 from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.controlplane.wire import View
 from walnutpost.eventloop import Group, Loop, Timeout
 from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
 from walnutpost.faultinjection.fleet_script import FleetScript
@@ -26,26 +27,68 @@
 
 SECOND = 1_000_000
 START_PATIENCE = 60 * SECOND
+OPERATOR_TIMEOUT_S = 60  # of one `walnutpost fleet`, which gives up sooner by itself
 LOOK_EVERY, ASK_WITHIN = 30_000, 1_000_000
 ADDRESS = re.compile(r"address\W+([\d.]+):(\d+)")
 Address = tuple[str, int]
+T = TypeVar("T")
 
 
 class StageError(Exception):
-    """A process did not start."""
+    """A wait that ended in vain: a process that did not start, or an answer that nobody gave."""
 
 
 def wait_until(
-    loop: Loop, condition: Callable[[], object], what: str, folder: Path, patience: int = START_PATIENCE
+    loop: Loop,
+    condition: Callable[[], object],
+    what: str,
+    folder: Path,
+    patience: int = START_PATIENCE,
+    reason: Callable[[], str] = str,
 ) -> None:
-    """Raises StageError, which names the folder with the logs, after `patience` microseconds."""
+    """Raises StageError, which names the folder with the logs and the `reason`, after `patience`
+    microseconds."""
     end = loop.now() + patience
     while not condition():
         if loop.now() > end:
-            raise StageError(f"waited in vain for {what}; see {folder}")
+            why = reason()
+            raise StageError(f"waited in vain for {what}{': ' if why else ''}{why}; see {folder}")
         loop.sleep(LOOK_EVERY)
 
 
+def confirmed(
+    loop: Loop,
+    ask: Callable[[], T],
+    folder: Path,
+    ended: Callable[[], str] = str,
+    patience: int = START_PATIENCE,
+) -> T:
+    """The answer of a quorum, which may be lost for a while: `ask` raises NoAnswer until then. Raises
+    StageError with the last of them and the processes that `ended` names."""
+    answers: list[T] = []
+    last = ""
+
+    def answered() -> bool:
+        nonlocal last
+        try:
+            answers.append(ask())
+        except NoAnswer as error:
+            last = str(error)
+        return bool(answers)
+
+    def reason() -> str:
+        return "; ".join(filter(None, [last, ended()]))
+
+    wait_until(loop, answered, "a quorum's answer", folder, patience, reason)
+    return answers[0]
+
+
+def ended_processes(processes: Mapping[str, subprocess.Popen[bytes]]) -> str:
+    """Those that have ended though they should run, for a reason."""
+    codes = {name: process.poll() for name, process in processes.items()}
+    return ", ".join(f"{name} ended with {code}" for name, code in codes.items() if code is not None)
+
+
 @dataclass(slots=True)
 class Gone:
     """A time in which a member was seen down: at `first` and at `last`, microseconds. `hit`: the script had
@@ -189,11 +232,8 @@
         return KeeperClient(self.loop, known, patience, patience // 2)
 
     def state(self) -> State:
-        """What a quorum confirms; waits until one does."""
-        while True:
-            with suppress(NoAnswer):
-                return self.client(5 * SECOND).state()[1].state
-            self.loop.sleep(LOOK_EVERY)
+        """What a quorum confirms; waits until one does. Raises StageError."""
+        return self._confirmed()[1].state
 
     def glance(self) -> State | None:
         """What any keeper holds; the newest of those that answer."""
@@ -205,10 +245,14 @@
         return max(found, key=lambda state: state.index, default=None)
 
     def leader(self) -> str:
-        while True:
-            with suppress(NoAnswer):
-                return self.client(5 * SECOND).state()[0].keeper
-            self.loop.sleep(LOOK_EVERY)
+        """Waits until there is one. Raises StageError."""
+        return self._confirmed()[0].keeper
+
+    def _confirmed(self) -> tuple[View, Fleet]:
+        return confirmed(self.loop, lambda: self.client(5 * SECOND).state(), self.folder, self._ended)
+
+    def _ended(self) -> str:
+        return ended_processes(self.processes)
 
     def operator(self, *words: str) -> str:
         """What `walnutpost fleet` prints, by a configuration beside the relays."""
@@ -219,13 +263,18 @@
         ]
         config = self._write("operator.json", {"keepers": lines})
         run = [sys.executable, "-m", "walnutpost.cli", "fleet", words[0], config, *words[1:]]
-        done = self.loop.blocking(lambda: subprocess.run(run, capture_output=True, text=True))
+        try:
+            done = self.loop.blocking(
+                lambda: subprocess.run(run, capture_output=True, text=True, timeout=OPERATOR_TIMEOUT_S)
+            )
+        except subprocess.TimeoutExpired as error:
+            raise StageError(f"waited in vain for {error}; see {self.folder}") from error
         if done.returncode:
             self.failures.append(f"fleet {' '.join(words)}: {done.stderr.strip()}")
         return done.stdout
 
     def until(self, condition: Callable[[], object], what: str, patience: int = START_PATIENCE) -> None:
-        wait_until(self.loop, condition, what, self.folder, patience)
+        wait_until(self.loop, condition, what, self.folder, patience, self._ended)
 
     # The observer
 
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 from random import Random
-from typing import Any
+from typing import Any, TypeVar
 
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of
@@ -23,7 +23,15 @@
 from walnutpost.controlplane.wire import keeper_of
 from walnutpost.eventloop import Loop, Task
 from walnutpost.fakes.fleet import local_store, start_worker
-from walnutpost.faultinjection.fleet_stage import ADDRESS, START_PATIENCE, Address, StageError, wait_until
+from walnutpost.faultinjection.fleet_stage import (
+    ADDRESS,
+    START_PATIENCE,
+    Address,
+    StageError,
+    confirmed,
+    ended_processes,
+    wait_until,
+)
 from walnutpost.faultinjection.hollow import TWINS, NoLog
 from walnutpost.faultinjection.mesh import Mesh
 from walnutpost.fleet import Fleet
@@ -37,6 +45,7 @@
 REGIONS = {"one": ("k1", "r1", "f1", "h1"), "two": ("k2", "r2", "f2", "h2"), "three": ("k3", "r3", "f3")}
 TIMES = {"election_ms": 600, "heartbeat_ms": 100, "lease_ms": 60_000}
 CLASS = {"effect": "safe", "aim_ms": 5_000, "deadline_ms": 20_000}
+T = TypeVar("T")
 FUNCTIONS = ("twin-a", "twin-b", "steady")
 
 
@@ -200,7 +209,7 @@
         return False
 
     def until(self, condition: Callable[[], object], what: str, patience: int = START_PATIENCE) -> None:
-        wait_until(self.loop, condition, what, self.folder, patience)
+        wait_until(self.loop, condition, what, self.folder, patience, self._ended)
 
     # Asking, beside the ways that fail
 
@@ -209,15 +218,13 @@
         return KeeperClient(self.loop, known, patience, max(patience // 3, 300_000))
 
     def change(self, ops: tuple[Op, ...]) -> int:
-        """Asks until it is agreed on, always under one id; its revision."""
+        """Asks until it is agreed on, always under one id; its revision. Raises StageError."""
         self._changes += 1
-        while True:
-            with suppress(NoAnswer):
-                answer, errors = self.client(3 * SECOND).set_entries(f"change-{self._changes}", ops)
-                if errors or not answer.done:
-                    raise StageError(f"change {self._changes}: {errors or answer.why}")
-                return answer.index
-            self.loop.sleep(LOOK_EVERY)
+        id = f"change-{self._changes}"
+        answer, errors = self._confirmed(lambda client: client.set_entries(id, ops))
+        if errors or not answer.done:
+            raise StageError(f"{id}: {errors or answer.why}")
+        return answer.index
 
     def questions(self) -> tuple[int, int, int]:
         """Of all hollow members of the present processes: how many there are, their questions so far, and the
@@ -228,24 +235,21 @@
         return count, sum(told["questions"] for told in last), last[0]["at"]
 
     def status(self) -> Status:
-        while True:
-            with suppress(NoAnswer):
-                return self.client(3 * SECOND).status()
-            self.loop.sleep(LOOK_EVERY)
+        return self._confirmed(lambda client: client.status())
 
     def leader(self) -> str:
-        while True:
-            with suppress(NoAnswer):
-                return self.client(3 * SECOND).state()[0].keeper
-            self.loop.sleep(LOOK_EVERY)
+        return self._confirmed(lambda client: client.state())[0].keeper
 
     def agreed(self) -> dict[str, str]:
         """Those who follow the table, by name, as a quorum confirms it."""
-        while True:
-            with suppress(NoAnswer):
-                view = self.client(3 * SECOND).state()[0]
-                return dict(Fleet.restore(view.state).state.followers)
-            self.loop.sleep(LOOK_EVERY)
+        return dict(self._confirmed(lambda client: client.state())[1].state.followers)
+
+    def _confirmed(self, ask: Callable[[KeeperClient], T]) -> T:
+        """What a quorum says, which may be lost for a while. Raises StageError with its reason."""
+        return confirmed(self.loop, lambda: ask(self.client(3 * SECOND)), self.folder, self._ended)
+
+    def _ended(self) -> str:
+        return ended_processes(self.processes)
 
     def all_agreed(self) -> bool:
         self.read()
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -84,8 +84,9 @@
             self._loop.spawn(self._commits, name="commit")
         pending.done.wait()
         if pending.error is not None:
-            uncertain = isinstance(pending.error, StoreError) and pending.error.uncertain
-            raise StoreError(str(pending.error), uncertain) from pending.error
+            if isinstance(pending.error, StoreError):
+                raise pending.error
+            raise StoreError(str(pending.error)) from pending.error
 
     def _commits(self) -> None:
         """Commits what waits, oldest first. After a failure fewer share the next try: fewer pages are
@@ -94,6 +95,8 @@
         try:
             while self._waiting:
                 batch = self._waiting[:size]
+                for pending in batch:
+                    pending.tried = True
                 try:
                     self._loop.blocking(self._commit, batch)
                 except Exception as error:
@@ -118,6 +121,7 @@
         uncertain = self._may_have_reached_disk and not self._loop.blocking(self._overwrite_failed_commit)
         for pending in over:
             pending.error = StoreError(str(error), uncertain)
+            pending.error.__cause__ = error
         self._finish(over)
         return True
 
@@ -131,7 +135,7 @@
         """One transaction. A change that breaks a constraint fails alone, with all of its statements; a
         failed commit fails all."""
         for pending in batch:
-            pending.error, pending.tried = None, True
+            pending.error = None
         while not self._try_commit([p for p in batch if p.error is None]):
             pass
 
