--- a/packages/consensus/src/walnutpost/consensus/messages.py
+++ b/packages/consensus/src/walnutpost/consensus/messages.py
@@ -1,7 +1,14 @@
-"""What goes between replicas, into one and out of it. Times are whole microseconds, indexes count from 1.
+"""Messages between replicas, and a replica's inputs and effects. Times are whole microseconds.
+
+Indexes of log entries count from 1.
+
+Invariants: all records are written by position, and messages between replicas carry a tag, so field and class
+names are free but the order of fields, the tags and the values of enums are part of the wire form and of
+stored logs. New fields go at the end, with a default.
 
 Source: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014); Ongaro's thesis,
-chapters 3 (leadership transfer), 4 (members one at a time), 5 (snapshots), 6.4 (reads), 9.6 (pre-vote).
+chapters 3 (leadership transfer), 4 (membership changes, one voter at a time), 5 (snapshots), 6.4 (ReadIndex),
+9.6 (pre-vote).
 """
 
 from __future__ import annotations
@@ -12,39 +19,45 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """A frozen value that `msgspec.msgpack` writes and reads."""
+    """A frozen value that `msgspec.msgpack` writes and reads by position."""
 
 
-class Kind(IntEnum):
-    OPENING = 0  # the first entry of a leader's term: what older terms left is committed with it
+class EntryKind(IntEnum):
+    """The kind of a log entry. Values are stored; the control plane's history shows the names."""
+
+    OPENING = 0
+    """A no-op: the first entry of a leader's term, which commits with it what older terms left."""
     COMMAND = 1
+    """A command for the state machine."""
     MEMBERS = 2
+    """A membership change; it takes effect as soon as it is in a replica's log."""
 
 
 class Members(Record, frozen=True):
-    """`voters` count for quorums; `learners` are sent everything and count for nothing."""
+    """The membership: `voters` form quorums, `learners` receive the log and have no vote."""
 
     voters: tuple[str, ...] = ()
     learners: tuple[str, ...] = ()
 
     @property
     def all(self) -> tuple[str, ...]:
+        """Voters, then learners."""
         return (*self.voters, *self.learners)
 
 
-class Entry(Record, frozen=True):
-    """`id` is the asker's own for a command, so that its answer can be found; `members` for MEMBERS alone."""
+class LogEntry(Record, frozen=True):
+    """A log entry. `id`: the client's request id, by which its reply is found. `members`: for MEMBERS."""
 
     index: int
     term: int
-    kind: Kind
+    kind: EntryKind
     id: str = ""
     data: bytes = b""
     members: Members = Members()
 
 
 class Snapshot(Record, frozen=True):
-    """The state after entry `index` was applied, in place of all entries up to it."""
+    """The state machine's state after entry `index`, which replaces all entries up to it."""
 
     index: int
     term: int
@@ -52,57 +65,66 @@
     data: bytes
 
 
-# Between replicas. Each is for one replica by name: a process with another disk is another replica.
+# Messages between replicas. Each is addressed to one replica id: a process with another disk has another id.
+
 
+class VoteRequest(Record, frozen=True, tag="VoteAsked"):
+    """RequestVote. `pre_vote`: asks whether a vote would be granted and changes nothing (thesis 9.6).
 
-class VoteAsked(Record, frozen=True, tag=True):
-    """`trial` asks whether a vote would be given, and changes nothing; `told`: the leader wants it."""
+    `leadership_transfer`: the leader asked for this election, so its liveness is no ground to refuse."""
 
     term: int
     sender: str
     last_index: int
     last_term: int
-    trial: bool = False
-    told: bool = False
+    pre_vote: bool = False
+    leadership_transfer: bool = False
 
 
-class VoteGiven(Record, frozen=True, tag=True):
+class VoteResponse(Record, frozen=True, tag="VoteGiven"):
+    """The answer to a VoteRequest. `term`: the request's where granted, else the voter's own."""
+
     term: int
     sender: str
     granted: bool
-    trial: bool = False
+    pre_vote: bool = False
+
 
+class AppendEntries(Record, frozen=True, tag="Append"):
+    """AppendEntries, also the heartbeat.
 
-class Append(Record, frozen=True, tag=True):
-    """`round` is given back in the answer: which question the answer belongs to. `age`: microseconds since
-    the leader was last in touch with a quorum that it knows of, negative where it vouches for nothing;
-    `echo`: the last `stamp` that it had from this replica when it wrote this, 0 for none."""
+    `round`: number of the leader's round, returned in the response. `quorum_contact_age_us`: time since the
+    leader was last in contact with a quorum, negative where it is unknown. `echoed_sent_at_us`: `sent_at_us`
+    of the newest response that the leader had from this replica when it wrote this, 0 for none."""
 
     term: int
     sender: str
     prev_index: int
     prev_term: int
-    entries: tuple[Entry, ...]
-    commit: int
+    entries: tuple[LogEntry, ...]
+    commit_index: int
     round: int
-    age: int = -1
-    echo: int = 0
+    quorum_contact_age_us: int = -1
+    echoed_sent_at_us: int = 0
+
 
+class AppendEntriesResponse(Record, frozen=True, tag="Appended"):
+    """The answer to AppendEntries or InstallSnapshot.
 
-class Appended(Record, frozen=True, tag=True):
-    """`match`: the last index known to be the leader's, durably; after a refusal, where to look next.
-    `stamp`: when this was written, by the sender's clock, in numbers that only its process can read."""
+    `match_index`: the last index that is durable and known to equal the leader's; after a failure, the index
+    at which to try next. `sent_at_us`: time of writing by the sender's clock, shifted by an offset that only
+    its process knows."""
 
     term: int
     sender: str
-    ok: bool
-    match: int
+    success: bool
+    match_index: int
     round: int
-    stamp: int = 0
+    sent_at_us: int = 0
 
 
-class Install(Record, frozen=True, tag=True):
-    """The whole state, for a replica that lacks more than the log still holds."""
+class InstallSnapshot(Record, frozen=True, tag="Install"):
+    """The complete state, for a replica that lacks entries which the leader's log no longer has."""
 
     term: int
     sender: str
@@ -110,124 +132,152 @@
     round: int
 
 
-class TakeOver(Record, frozen=True, tag=True):
-    """Stand for election now: the leader hands over."""
+class TimeoutNow(Record, frozen=True, tag="TakeOver"):
+    """Start an election at once: the leader transfers its leadership (thesis 3.10)."""
 
     term: int
     sender: str
 
 
-Message = VoteAsked | VoteGiven | Append | Appended | Install | TakeOver
+Message = VoteRequest | VoteResponse | AppendEntries | AppendEntriesResponse | InstallSnapshot | TimeoutNow
 
 
-# Inputs
+# Inputs of `Raft.handle`
 
 
-class Due(Record, frozen=True):
-    """The time that `Raft.due` told has come."""
+class Tick(Record, frozen=True):
+    """The time of `Raft.next_deadline_us` has come."""
 
 
-class Received(Record, frozen=True):
+class MessageReceived(Record, frozen=True):
+    """A message arrived for replica `to`."""
+
     to: str
     message: Message
 
 
-class Written(Record, frozen=True):
-    """All writes up to this number are durable."""
+class WriteCompleted(Record, frozen=True):
+    """All writes up to `number` are durable."""
 
     number: int
 
 
 class Propose(Record, frozen=True):
+    """Append a command to the log. It is answered by Apply, by Rejected, or not at all."""
+
     id: str
     data: bytes
 
 
-class Read(Record, frozen=True):
-    """Asks for an index that rests on nothing older than this question."""
+class ReadIndex(Record, frozen=True):
+    """Ask for a linearizable read: ReadReady follows once nothing newer than this request can be missed."""
 
     id: str
 
 
-class Change(Record, frozen=True):
-    """New members; one voter more or less than now."""
+class ChangeMembership(Record, frozen=True):
+    """Replace the membership; at most one voter may be added or removed."""
 
     id: str
     members: Members
 
 
-class Transfer(Record, frozen=True):
+class TransferLeadership(Record, frozen=True):
+    """Hand the leadership over to voter `to`. Ignored where this replica doesn't lead."""
+
     to: str
 
 
 class Compact(Record, frozen=True):
-    """The state after `index` as bytes: entries up to it need not be kept."""
+    """Replace the log up to `index` by `data`, the state machine's state after it."""
 
     index: int
     data: bytes
 
 
-Input = Due | Received | Written | Propose | Read | Change | Transfer | Compact
+Input = (
+    Tick
+    | MessageReceived
+    | WriteCompleted
+    | Propose
+    | ReadIndex
+    | ChangeMembership
+    | TransferLeadership
+    | Compact
+)
 
 
-# Effects
+# Effects of `Raft.handle`
 
 
 class Role(Enum):
+    """A replica's role. The values appear in logs."""
+
     FOLLOWER = "follower"
-    TRIAL = "trial"  # asks whether it could win
+    PRE_CANDIDATE = "trial"
+    """Asks whether it could win an election."""
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 class Write(Record, frozen=True):
-    """To be made durable, in the order of `number`. Entries above `keep` are dropped, `entries` follow it; a
-    snapshot takes the place of all up to its index."""
+    """To be made durable, in the order of `number`, and reported by WriteCompleted.
+
+    Entries above `last_retained_index` are deleted, then `entries` follow it; a snapshot replaces all entries
+    up to its index."""
 
     number: int
     term: int
-    voted: str
-    keep: int
-    entries: tuple[Entry, ...] = ()
+    voted_for: str
+    last_retained_index: int
+    entries: tuple[LogEntry, ...] = ()
     snapshot: Snapshot | None = None
 
 
 class Send(Record, frozen=True):
+    """Send a message to replica `to`. It may be lost, duplicated and reordered."""
+
     to: str
     message: Message
 
 
 class Apply(Record, frozen=True):
-    """Agreed entries, each exactly once and in order."""
+    """Committed entries for the state machine, each exactly once and in order."""
 
-    entries: tuple[Entry, ...]
+    entries: tuple[LogEntry, ...]
 
 
 class Restore(Record, frozen=True):
-    """This state takes the place of what was applied."""
+    """Replace the state machine's state by the snapshot's."""
 
     snapshot: Snapshot
 
 
 class ReadReady(Record, frozen=True):
-    """All that was agreed when Read `id` was asked is applied here; the answer rests on `index`."""
+    """All that was committed when read `id` was requested is applied here; `index` is the read index."""
 
     id: str
     index: int
 
 
-NOT_LEADER, NEW_IN_OFFICE, DEPOSED = "not the leader", "new in office", "no longer the leader"
+# Reasons of Rejected. They are on the wire: clients compare them.
+NOT_LEADER = "not the leader"
+LEADER_NOT_READY = "new in office"
+"""The leader hasn't committed an entry of its own term yet."""
+LEADERSHIP_LOST = "no longer the leader"
 
 
 class Rejected(Record, frozen=True):
-    """Nothing was done. `leader` is who might do it, or empty."""
+    """Request `id` was rejected and did nothing. `leader`: the replica to ask instead, or empty."""
 
     id: str
-    why: str
+    reason: str
     leader: str = ""
 
 
 class RoleChanged(Record, frozen=True):
+    """This replica's role, or the leader that it knows, changed. `leader` is empty where none is known."""
+
     role: Role
     term: int
     leader: str
--- a/packages/consensus/tests/raft_rig.py
+++ b/packages/consensus/tests/cluster_simulation.py
@@ -9,29 +9,29 @@
 
 from walnutpost.consensus import (
     Apply,
-    Change,
+    ChangeMembership,
     Compact,
-    Due,
     Effect,
-    Entry,
     Input,
-    Kept,
+    LogEntry,
     Members,
     Message,
+    MessageReceived,
+    PersistentState,
     Propose,
     Raft,
-    Read,
+    ReadIndex,
     ReadReady,
-    Received,
     Rejected,
     Restore,
     Role,
     RoleChanged,
     Send,
     Snapshot,
+    Tick,
     Timing,
     Write,
-    Written,
+    WriteCompleted,
 )
 
 TIMING = Timing(100_000, 20_000)
@@ -40,7 +40,7 @@
 class Replica:
     """A replica, its disk, the writes that are not durable yet, and what was applied to it."""
 
-    def __init__(self, name: str, kept: Kept, seed: int, kind: type[Raft]) -> None:
+    def __init__(self, name: str, kept: PersistentState, seed: int, kind: type[Raft]) -> None:
         self.name, self.kept, self._seed, self._kind = name, kept, seed, kind
         self.starts = 0
         self.start()
@@ -57,9 +57,9 @@
         done, self.writes = self.writes[:number], self.writes[number:]
         for w in done:
             snapshot = w.snapshot or self.kept.snapshot
-            held = [e for e in self.kept.entries if e.index <= w.keep] + list(w.entries)
+            held = [e for e in self.kept.entries if e.index <= w.last_retained_index] + list(w.entries)
             held = [e for e in held if e.index > snapshot.index]
-            self.kept = Kept(w.term, w.voted, snapshot, tuple(held))
+            self.kept = PersistentState(w.term, w.voted_for, snapshot, tuple(held))
         return done[-1].number
 
 
@@ -69,11 +69,11 @@
     ) -> None:
         self.now = 1_000_000
         self.kind, self.seed = kind, seed
-        founded = Kept(snapshot=Snapshot(0, 0, Members(tuple(names)), b""))
+        founded = PersistentState(snapshot=Snapshot(0, 0, Members(tuple(names)), b""))
         self.replicas = {name: Replica(name, founded, seed, kind) for name in names}
-        self.replicas |= {name: Replica(name, Kept(), seed, kind) for name in spare}
+        self.replicas |= {name: Replica(name, PersistentState(), seed, kind) for name in spare}
         self.wire: list[tuple[str, Message]] = []
-        self.agreed: dict[int, Entry] = {}
+        self.agreed: dict[int, LogEntry] = {}
         self.agreed_at: list[int] = []  # by entry, from the first: when somebody first applied it
         self.leaders: dict[int, str] = {}
         self.reads: dict[str, int] = {}  # what was agreed when it was asked
@@ -91,7 +91,7 @@
     def _look_at_age(self, replica: Replica) -> None:
         """What it holds was the newest at the time that it vouches for."""
         assert replica.raft is not None
-        at = replica.raft.vouched(replica.applied)
+        at = replica.raft.fresh_as_of(replica.applied)
         if at is not None:
             assert at <= self.now, "vouched for what is to come"
             assert bisect_left(self.agreed_at, at) <= replica.applied, "older than it says"
@@ -126,10 +126,10 @@
     def deliver(self, place: int) -> None:
         to, message = self.wire.pop(place)
         if to in self.replicas:
-            self.feed(to, Received(to, message))
+            self.feed(to, MessageReceived(to, message))
 
     def written(self, name: str, number: int = 1) -> None:
-        self.feed(name, Written(self.replicas[name].write(number)))
+        self.feed(name, WriteCompleted(self.replicas[name].write(number)))
 
     def crash(self, name: str) -> None:
         self.replicas[name].raft = None
@@ -140,8 +140,8 @@
     def due(self, name: str) -> None:
         raft = self.replicas[name].raft
         assert raft is not None
-        self.now = max(self.now + 1, raft.due)
-        self.feed(name, Due())
+        self.now = max(self.now + 1, raft.next_deadline_us)
+        self.feed(name, Tick())
 
     def fresh(self) -> str:
         self.count += 1
@@ -150,13 +150,13 @@
     def ask(self, name: str) -> None:
         id = f"r{self.fresh()}"
         self.reads[id] = max(self.agreed, default=0)
-        self.feed(name, Read(id))
+        self.feed(name, ReadIndex(id))
 
     @property
     def leader(self) -> str:
         """The one of the newest term, or nothing."""
         raft = [r.raft for r in self.replicas.values() if r.raft is not None and r.raft.role is Role.LEADER]
-        return max(raft, key=lambda r: r.term).me if raft else ""
+        return max(raft, key=lambda r: r.term).replica_id if raft else ""
 
     # Ways to go on
 
@@ -176,7 +176,7 @@
 
     def elect(self, name: str, *names: str) -> None:
         """`name` stands and wins among these; the others have long heard nobody."""
-        self.now += 2 * TIMING.election
+        self.now += 2 * TIMING.election_timeout_us
         for _ in range(4):
             self.due(name)
             self.settle(*names)
@@ -209,7 +209,7 @@
             who = random.choice(writing)
             self.written(who, random.randint(1, len(self.replicas[who].writes)))
         elif dice < 0.76:
-            due = min(live, key=lambda n: self.replicas[n].raft.due)  # type: ignore[union-attr]
+            due = min(live, key=lambda n: self.replicas[n].raft.next_deadline_us)  # type: ignore[union-attr]
             self.due(due)
         elif dice < 0.775:
             self.crash(name)
@@ -224,7 +224,7 @@
         elif self.leader:
             raft = self.replicas[self.leader].raft
             assert raft is not None
-            self.feed(self.leader, Change(self.fresh(), self._other(raft.members, random)))
+            self.feed(self.leader, ChangeMembership(self.fresh(), self._other(raft.members, random)))
         self.now += random.randrange(3_000)
         del self.wire[: max(0, len(self.wire) - 60)]
 
--- a/packages/consensus/tests/test_agreement.py
+++ b/packages/consensus/tests/test_agreement.py
@@ -10,22 +10,22 @@
 import msgspec
 import pytest
 
-from raft_rig import TIMING, Cluster
+from cluster_simulation import TIMING, Cluster
 from walnutpost.consensus import (
-    Change,
+    ChangeMembership,
     Compact,
-    Due,
     Effect,
-    Kept,
     Members,
+    MessageReceived,
+    PersistentState,
     Raft,
-    Received,
     Role,
-    Transfer,
-    VoteAsked,
-    VoteGiven,
+    Tick,
+    TransferLeadership,
+    VoteRequest,
+    VoteResponse,
 )
-from walnutpost.consensus.messages import Append, Appended
+from walnutpost.consensus.messages import AppendEntries, AppendEntriesResponse
 
 THREE = ("a", "b", "c")
 
@@ -50,7 +50,7 @@
         if cluster.leader:
             cluster.propose(cluster.leader)
         raft = [r.raft for r in cluster.replicas.values() if r.raft is not None]
-        cluster.due(min(raft, key=lambda r: r.due).me)
+        cluster.due(min(raft, key=lambda r: r.next_deadline_us).replica_id)
     cluster.settle()
     assert len(cluster.agreed) > before
 
@@ -61,16 +61,16 @@
 
 
 class VotesBeforeItIsDurable(Raft):
-    def _rests(self, effect: Effect | VoteGiven) -> None:
-        if isinstance(effect, VoteGiven):
-            self._count(effect)
+    def _send_after_persist(self, effect: Effect | VoteResponse) -> None:
+        if isinstance(effect, VoteResponse):
+            self._count_vote(effect)
         else:
             self._effects.append(effect)
 
 
 class VotesTwice(Raft):
-    def _may_vote(self, ask: VoteAsked) -> bool:
-        return (ask.last_term, ask.last_index) >= (self.log.last_term, self.log.last)
+    def _may_vote(self, ask: VoteRequest) -> bool:
+        return (ask.last_term, ask.last_index) >= (self.log.last_term, self.log.last_index)
 
 
 @pytest.mark.parametrize("wrong", [VotesBeforeItIsDurable, VotesTwice])
@@ -81,15 +81,15 @@
 def _tie(kind: type[Raft]) -> Cluster:
     """a and b both stand in term 1; c has not been reached yet."""
     cluster = Cluster(THREE, kind=kind)
-    cluster.now += 2 * TIMING.election
+    cluster.now += 2 * TIMING.election_timeout_us
     for name in ("a", "b"):
-        cluster.feed(name, Received(name, VoteGiven(0, "c", False, True)))
+        cluster.feed(name, MessageReceived(name, VoteResponse(0, "c", False, True)))
         cluster.due(name)
-        cluster.feed(name, Received(name, VoteGiven(1, "c", True, True)))
+        cluster.feed(name, MessageReceived(name, VoteResponse(1, "c", True, True)))
         if cluster.replicas[name].writes:
             cluster.written(name)
     cluster.wire = [
-        (to, m) for to, m in cluster.wire if isinstance(m, VoteAsked) and not m.trial and to == "c"
+        (to, m) for to, m in cluster.wire if isinstance(m, VoteRequest) and not m.pre_vote and to == "c"
     ]
     assert len(cluster.wire) == 2
     return cluster
@@ -133,7 +133,7 @@
 
 def _look(state: Cluster) -> str:
     looks = [
-        (r.name, r.kept, r.writes, raft.term, raft._voted, raft.role, sorted(raft._votes))
+        (r.name, r.kept, r.writes, raft.term, raft._voted_for, raft.role, sorted(raft._votes))
         for r in state.replicas.values()
         if (raft := r.raft) is not None
     ]
@@ -155,23 +155,23 @@
     cluster.propose("a")
     cluster.settle("a", "b")
     old = cluster.replicas["a"].raft
-    assert old is not None and old.commit == 1 and old.log.last == 2
+    assert old is not None and old.commit_index == 1 and old.log.last_index == 2
     for kind, agreed in ((Raft, 1), (CommitsOlderTermsByCount, 2)):
-        again = kind("a", Kept(5, "a", old.log.snapshot, old.log.after(0)), TIMING, 1)
-        again.handle(0, Due())
+        again = kind("a", PersistentState(5, "a", old.log.snapshot, old.log.entries_after(0)), TIMING, 1)
+        again.handle(0, Tick())
         again.role = Role.CANDIDATE
-        again.commit = 1
+        again.commit_index = 1
         again._become_leader()
-        assert again._lead is not None
+        assert again._leading is not None
         for peer in ("b", "c"):
-            again._lead.peers[peer].match = 2
-        again._durable = 2
-        again._advance()
-        assert again.commit == agreed
+            again._leading.peers[peer].match_index = 2
+        again._durable_index = 2
+        again._advance_commit_index()
+        assert again.commit_index == agreed
 
 
 class ChangesBeforeTheLastIsAgreed(Raft):
-    def _may_change(self, members: Members) -> str:
+    def _membership_change_error(self, members: Members) -> str:
         return ""
 
 
@@ -180,7 +180,7 @@
     cluster = Cluster(THREE, kind=kind)
     cluster.elect("a")
     for id, voters in (("m1", ("a", "b")), ("m2", ("a",))):
-        cluster.feed("a", Change(id, Members(voters)))
+        cluster.feed("a", ChangeMembership(id, Members(voters)))
     cluster.settle("a")
     cluster.elect("b", "b", "c")
     cluster.propose("b")
@@ -206,16 +206,16 @@
         (("b", "c", "d"), (), ""),
     ):
         cluster.rejected.clear()
-        cluster.feed("a", Change("m", Members(voters, learners)))
+        cluster.feed("a", ChangeMembership("m", Members(voters, learners)))
         cluster.settle()
-        assert why in "".join(r.why for r in cluster.rejected) and bool(why) == bool(cluster.rejected)
+        assert why in "".join(r.reason for r in cluster.rejected) and bool(why) == bool(cluster.rejected)
     raft = cluster.replicas["a"].raft
     assert raft is not None and raft.role is Role.FOLLOWER, "a leader that is taken out leads no longer"
     cluster.elect("d", "b", "c", "d")
 
 
 class HearsAnybody(Raft):
-    def _hears_leader(self) -> bool:
+    def _has_live_leader(self) -> bool:
         return False
 
 
@@ -223,14 +223,14 @@
 def test_a_removed_replica_disturbs_nobody(kind: type[Raft], disturbed: bool) -> None:
     cluster = Cluster((*THREE, "d"), kind=kind)
     cluster.elect("a")
-    cluster.feed("a", Change("m", Members(THREE)))
+    cluster.feed("a", ChangeMembership("m", Members(THREE)))
     cluster.settle("a", "b", "c")  # d never learns of it
     term = max(cluster.leaders)
     raft = cluster.replicas["d"].raft
     assert raft is not None
-    newest = VoteAsked(term + 5, "d", 99, term)  # as if it had all, and skipped the trial
+    newest = VoteRequest(term + 5, "d", 99, term)  # as if it had all, and skipped the trial
     for name in THREE:
-        cluster.feed(name, Received(name, newest))
+        cluster.feed(name, MessageReceived(name, newest))
     cluster.settle()
     assert (cluster.leader != "a") is disturbed
 
@@ -239,31 +239,33 @@
 
 
 class VouchesFromTheAnswer(Raft):
-    def _touch(self) -> None:
-        if self._lead is not None and self._lead.begun:
-            self._lead.begun = deque((number, self._now) for number, _ in self._lead.begun)
-        super()._touch()
+    def _confirm_quorum_contact(self) -> None:
+        if self._leading is not None and self._leading.unanswered_rounds:
+            self._leading.unanswered_rounds = deque(
+                (number, self._now_us) for number, _ in self._leading.unanswered_rounds
+            )
+        super()._confirm_quorum_contact()
 
 
 class TakesAMessageForNew(Raft):
-    def _vouched_by(self, m: Append) -> None:
-        if m.age >= 0:
-            self._claim(m.commit, self._now)
+    def _take_leader_freshness(self, m: AppendEntries) -> None:
+        if m.quorum_contact_age_us >= 0:
+            self._add_freshness_bound(m.commit_index, self._now_us)
 
 
 class VouchesBeforeItKnowsAll(Raft):
-    def _knows_all(self) -> bool:
+    def _has_committed_in_term(self) -> bool:
         return True
 
 
 class LeavesOutTheLeadersAge(Raft):
-    def _age(self) -> int:
-        return min(0, super()._age())
+    def _quorum_contact_age_us(self) -> int:
+        return min(0, super()._quorum_contact_age_us())
 
 
 class VouchesForWhatItLacks(Raft):
-    def vouched(self, applied: int) -> int | None:
-        return super().vouched(1 << 60)
+    def fresh_as_of(self, applied: int) -> int | None:
+        return super().fresh_as_of(1 << 60)
 
 
 @pytest.mark.parametrize("wrong", [TakesAMessageForNew, VouchesBeforeItKnowsAll, VouchesForWhatItLacks])
@@ -287,8 +289,8 @@
     cluster = Cluster(THREE, kind=kind)
     cluster.elect("a")
     _beats(cluster, 3)
-    cluster.now += TIMING.heartbeat
-    cluster.feed("a", Due())
+    cluster.now += TIMING.heartbeat_interval_us
+    cluster.feed("a", Tick())
     cluster.settle("b", "c")  # drops what they answer; but b's answer is still on its way
     answer = _answer_of_b(cluster)
     cluster.elect("b", "b", "c")
@@ -296,18 +298,18 @@
     cluster.settle("b", "c")
     cluster.now += 1
     try:
-        cluster.feed("a", Received("a", answer))
+        cluster.feed("a", MessageReceived("a", answer))
     except AssertionError as error:
         assert found and str(error) == "older than it says"
     else:
         assert not found
 
 
-def _answer_of_b(cluster: Cluster) -> Appended:
+def _answer_of_b(cluster: Cluster) -> AppendEntriesResponse:
     a, b = (cluster.replicas[name].raft for name in ("a", "b"))
-    assert a is not None and b is not None and a._lead is not None
-    stamp = cluster.now + b._offset
-    return Appended(a.term, "b", True, b.log.last, a._lead.round, stamp)
+    assert a is not None and b is not None and a._leading is not None
+    stamp = cluster.now + b._clock_offset_us
+    return AppendEntriesResponse(a.term, "b", True, b.log.last_index, a._leading.round, stamp)
 
 
 @pytest.mark.parametrize(("kind", "found"), [(Raft, False), (LeavesOutTheLeadersAge, True)])
@@ -318,17 +320,17 @@
     cluster = Cluster(("a", "b", "c", "d", "e"), kind=kind)
     cluster.elect("a")
     _beats(cluster, 3)
-    cluster.now += TIMING.heartbeat
-    cluster.feed("a", Due())
+    cluster.now += TIMING.heartbeat_interval_us
+    cluster.feed("a", Tick())
     began = cluster.now
     while cluster.wire and any(to != "a" for to, _ in cluster.wire):
         cluster.deliver(next(n for n, (to, _) in enumerate(cluster.wire) if to != "a"))
     late, cluster.wire = cluster.wire, []
-    cluster.now = began + TIMING.election - TIMING.heartbeat - 1
+    cluster.now = began + TIMING.election_timeout_us - TIMING.heartbeat_interval_us - 1
     for _, message in late:
-        cluster.feed("a", Received("a", message))
+        cluster.feed("a", MessageReceived("a", message))
     others = ("c", "d", "e")
-    first = min(others, key=lambda n: cluster.replicas[n].raft.due)  # type: ignore[union-attr]
+    first = min(others, key=lambda n: cluster.replicas[n].raft.next_deadline_us)  # type: ignore[union-attr]
     cluster.due(first)
     cluster.settle(*others)
     assert cluster.leader == first
@@ -336,8 +338,8 @@
     cluster.settle(*others)
     try:
         for _ in range(2):
-            cluster.now += TIMING.heartbeat
-            cluster.feed("a", Due())
+            cluster.now += TIMING.heartbeat_interval_us
+            cluster.feed("a", Tick())
             cluster.settle("a", "b")
     except AssertionError as error:
         assert found and str(error) == "older than it says"
@@ -346,7 +348,7 @@
         a, b = (cluster.replicas[name].raft for name in ("a", "b"))
         assert a is not None and a.role is Role.LEADER, "it didn't know"
         assert b is not None and b.leader == "a"
-        assert min(_ages(cluster, "a", "b")) >= TIMING.election // TIMING.heartbeat
+        assert min(_ages(cluster, "a", "b")) >= TIMING.election_timeout_us // TIMING.heartbeat_interval_us
 
 
 def _ages(cluster: Cluster, *names: str) -> list[int]:
@@ -355,25 +357,25 @@
     for name in names:
         replica = cluster.replicas[name]
         assert replica.raft is not None
-        at = replica.raft.vouched(replica.applied)
+        at = replica.raft.fresh_as_of(replica.applied)
         assert at is not None, f"{name} knows nothing"
-        out.append((cluster.now - at) // TIMING.heartbeat)
+        out.append((cluster.now - at) // TIMING.heartbeat_interval_us)
     return out
 
 
 def _beats(cluster: Cluster, number: int, *names: str) -> None:
     """So many heartbeats pass, and what is said among these arrives at once."""
     for _ in range(number):
-        cluster.now += TIMING.heartbeat
+        cluster.now += TIMING.heartbeat_interval_us
         for name in cluster.replicas:
-            cluster.feed(name, Due())
+            cluster.feed(name, Tick())
         cluster.settle(*names)
 
 
 def test_in_touch_all_of_them_know_that_what_they_hold_is_new() -> None:
     cluster = Cluster(THREE)
     raft = cluster.replicas["a"].raft
-    assert raft is not None and raft.vouched(0) is None, "nothing was heard of yet"
+    assert raft is not None and raft.fresh_as_of(0) is None, "nothing was heard of yet"
     cluster.elect("a")
     for _ in range(20):
         cluster.propose("a")
@@ -391,11 +393,11 @@
     _beats(cluster, 5)
     before = cluster.now
     for _ in range(4):
-        cluster.now += TIMING.heartbeat
-        cluster.feed("a", Due())
-        cluster.feed("b", Due())
+        cluster.now += TIMING.heartbeat_interval_us
+        cluster.feed("a", Tick())
+        cluster.feed("b", Tick())
         cluster.settle("a", "b")
-        least = (cluster.now - before) // TIMING.heartbeat
+        least = (cluster.now - before) // TIMING.heartbeat_interval_us
         ages = _ages(cluster, "a", "b")
         assert least <= min(ages) and max(ages) <= least + 3
     assert cluster.leader == "a"
@@ -420,13 +422,13 @@
     cluster = Cluster(THREE)
     cluster.elect("a")
     _beats(cluster, 5)
-    cluster.now += TIMING.heartbeat
-    cluster.feed("a", Due())
-    late = [m for to, m in cluster.wire if to == "c" and isinstance(m, Append)]
+    cluster.now += TIMING.heartbeat_interval_us
+    cluster.feed("a", Tick())
+    late = [m for to, m in cluster.wire if to == "c" and isinstance(m, AppendEntries)]
     cluster.wire.clear()
-    cluster.now += 100 * TIMING.heartbeat  # c is paused, and the others have long gone on
+    cluster.now += 100 * TIMING.heartbeat_interval_us  # c is paused, and the others have long gone on
     for message in late:
-        cluster.feed("c", Received("c", message))
+        cluster.feed("c", MessageReceived("c", message))
     assert late and _ages(cluster, "c")[0] >= 100
 
 
@@ -436,23 +438,26 @@
     _beats(cluster, 5)
     cluster.crash("c")
     cluster.restart("c")
-    cluster.now += TIMING.heartbeat
-    cluster.feed("a", Due())
+    cluster.now += TIMING.heartbeat_interval_us
+    cluster.feed("a", Tick())
     for _, message in [(to, m) for to, m in cluster.wire if to == "c"]:
-        cluster.feed("c", Received("c", message))
+        cluster.feed("c", MessageReceived("c", message))
     replica = cluster.replicas["c"]
-    assert replica.raft is not None and replica.raft.vouched(replica.applied) is None
+    assert replica.raft is not None and replica.raft.fresh_as_of(replica.applied) is None
     cluster.settle()
     _beats(cluster, 2)
     assert _ages(cluster, "c")[0] <= 2
 
 
 def test_messages_of_a_version_that_knows_no_ages_vouch_for_nothing() -> None:
-    raft = Raft("c", Kept(), TIMING, 1)
-    raft.handle(0, Received("c", Append(1, "a", 0, 0, (), 0, 1)))
-    assert raft.vouched(0) is None
-    for kind, old in ((Append, (1, "a", 0, 0, (), 0, 1)), (Appended, (1, "a", True, 0, 1))):
-        data = msgspec.msgpack.encode((kind.__name__, *old))
+    raft = Raft("c", PersistentState(), TIMING, 1)
+    raft.handle(0, MessageReceived("c", AppendEntries(1, "a", 0, 0, (), 0, 1)))
+    assert raft.fresh_as_of(0) is None
+    for kind, tag, old in (
+        (AppendEntries, "Append", (1, "a", 0, 0, (), 0, 1)),
+        (AppendEntriesResponse, "Appended", (1, "a", True, 0, 1)),
+    ):
+        data = msgspec.msgpack.encode((tag, *old))
         assert msgspec.msgpack.decode(data, type=kind) == kind(*old)
 
 
@@ -467,7 +472,7 @@
     cluster.settle("a", "c")
     cluster.crash("a")
     cluster.crash("c")
-    cluster.now += 3 * TIMING.election
+    cluster.now += 3 * TIMING.election_timeout_us
     for _ in range(3):
         for name in ("b", "c#2"):
             cluster.due(name)
@@ -476,7 +481,7 @@
     cluster.restart("a")
     cluster.elect("a", "a", "b")
     for members in (Members(THREE, ("c#2",)), Members((*THREE, "c#2")), Members(("a", "b", "c#2"))):
-        cluster.feed("a", Change("m", members))
+        cluster.feed("a", ChangeMembership("m", members))
         cluster.settle("a", "b", "c#2")
     assert cluster.replicas["c#2"].state == cluster.replicas["a"].state
     cluster.crash("a")
@@ -493,7 +498,7 @@
     a = cluster.replicas["a"]
     cluster.feed("a", Compact(a.applied, ",".join(a.state).encode()))
     cluster.settle("a", "b")
-    assert a.raft is not None and not a.raft.log.after(0)
+    assert a.raft is not None and not a.raft.log.entries_after(0)
     cluster.restart("c")
     cluster.propose("a")
     cluster.settle()
@@ -502,7 +507,7 @@
     assert cluster.replicas["c"].state == a.state and len(a.state) == 22
     cluster.crash("c")
     cluster.restart("c")
-    cluster.feed("c", Due())
+    cluster.feed("c", Tick())
     assert cluster.replicas["c"].applied == a.kept.snapshot.index, "the state outlives its process"
 
 
@@ -518,11 +523,11 @@
     cluster.ask("b")
     cluster.settle("b", "c")
     assert [r.index for r in cluster.ready] == [max(cluster.agreed)]
-    cluster.now += TIMING.election
-    cluster.feed("a", Due())
+    cluster.now += TIMING.election_timeout_us
+    cluster.feed("a", Tick())
     raft = cluster.replicas["a"].raft
     assert raft is not None and raft.role is Role.FOLLOWER
-    assert [r.why for r in cluster.rejected] == ["no longer the leader"]
+    assert [r.reason for r in cluster.rejected] == ["no longer the leader"]
 
 
 def test_one_that_was_cut_off_comes_back_without_raising_the_term() -> None:
@@ -532,7 +537,7 @@
     for _ in range(40):
         cluster.due("a")
         cluster.settle("a", "b")
-        cluster.feed("c", Due())
+        cluster.feed("c", Tick())
         cluster.settle("c")
     cluster.due("a")
     cluster.settle()
@@ -542,7 +547,7 @@
 def test_a_leader_hands_over_at_once_and_takes_nothing_meanwhile() -> None:
     cluster = Cluster(THREE)
     cluster.elect("a")
-    cluster.feed("a", Transfer("b"))
+    cluster.feed("a", TransferLeadership("b"))
     id = cluster.propose("a")
     cluster.settle()
     assert cluster.leader == "b" and [r.id for r in cluster.rejected] == [id]
@@ -558,7 +563,7 @@
     sent = cluster.wire[:]
     cluster.wire.clear()
     for to, message in sent:
-        cluster.feed(to, Received(to, message))
+        cluster.feed(to, MessageReceived(to, message))
     assert not cluster.wire, "no word back before their disks have it"
     cluster.settle()
     cluster.due("a")
@@ -567,14 +572,14 @@
 
 
 def test_a_message_for_a_process_that_had_the_address_before_is_not_heard() -> None:
-    raft = Raft("c#2", Kept(), TIMING, 1)
-    assert raft.handle(0, Received("c", VoteAsked(3, "a", 9, 2))) == [] and raft.term == 0
+    raft = Raft("c#2", PersistentState(), TIMING, 1)
+    assert raft.handle(0, MessageReceived("c", VoteRequest(3, "a", 9, 2))) == [] and raft.term == 0
 
 
 def test_no_leader_no_change_and_the_asker_hears_who_leads() -> None:
     cluster = Cluster(THREE)
     cluster.elect("a")
     cluster.propose("b")
-    cluster.feed("b", Change("m", Members(("a", "b"))))
+    cluster.feed("b", ChangeMembership("m", Members(("a", "b"))))
     cluster.ask("b")
-    assert [(r.why, r.leader) for r in cluster.rejected] == [("not the leader", "a")] * 3
+    assert [(r.reason, r.leader) for r in cluster.rejected] == [("not the leader", "a")] * 3
--- a/packages/consensus/tests/test_agreement_golden.py
+++ b/packages/consensus/tests/test_consensus_golden.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from agreement_forms import GOLDEN, MESSAGES, NEVER_WRITTEN
+from consensus_forms import GOLDEN, MESSAGES, NEVER_WRITTEN
 from golden_forms import Form, Golden, Refused, check_covered, check_fields_told_apart, packed, structs_of
 from walnutpost.consensus import messages
 from walnutpost.consensus.messages import Message
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -10,7 +10,7 @@
 
 from walnutpost.configstore import messages as table
 from walnutpost.configstore.messages import Entry, Heard, Op, Status, Sums
-from walnutpost.consensus import DEPOSED, NEW_IN_OFFICE, NOT_LEADER, Members
+from walnutpost.consensus import LEADER_NOT_READY, LEADERSHIP_LOST, NOT_LEADER, Members
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Group, Loop, Timeout
 from walnutpost.fleet import Answer, Command, Fleet, encode
@@ -144,7 +144,7 @@
             except wire.BadWire:
                 raise NoAnswer(f"{keeper}: {response.status} {response.body[:200]!r}") from None
             why = f"{keeper}: {told.why}"
-            if told.why not in (NOT_LEADER, NEW_IN_OFFICE, DEPOSED) and told.sure:
+            if told.why not in (NOT_LEADER, LEADER_NOT_READY, LEADERSHIP_LOST) and told.sure:
                 return Response(200, body=wire.encode(wire.Told(Answer(False, 0, told.why))))
             if told.leader in self._addresses and told.leader != keeper:
                 self._leader = told.leader
--- a/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from typing import Any
 
-from walnutpost.consensus import Kept
+from walnutpost.consensus import PersistentState
 from walnutpost.eventloop import Loop
 from walnutpost.store import StoreError
 from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, may_pass
@@ -29,7 +29,7 @@
         self,
         loop: Loop,
         reopen: Callable[[], ReplicaStore],
-        resume: Callable[[ReplicaStore, Kept], None],
+        resume: Callable[[ReplicaStore, PersistentState], None],
         lost: Callable[[str], None],
         log: Any,
     ) -> None:
@@ -82,7 +82,7 @@
 
 def _read_back(
     reopen: Callable[[], ReplicaStore], identity: str, floor: DurableFloor
-) -> tuple[ReplicaStore, Kept]:
+) -> tuple[ReplicaStore, PersistentState]:
     store = reopen()
     try:
         store.prove_durable()
--- a/packages/controlplane/src/walnutpost/controlplane/process.py
+++ b/packages/controlplane/src/walnutpost/controlplane/process.py
@@ -18,29 +18,29 @@
 from walnutpost.consensus import (
     NOT_LEADER,
     Apply,
-    Change,
+    ChangeMembership,
     Compact,
-    Due,
     Effect,
-    Entry,
+    EntryKind,
     Input,
-    Kept,
-    Kind,
+    LogEntry,
     Members,
+    MessageReceived,
+    PersistentState,
     Propose,
     Raft,
-    Read,
+    ReadIndex,
     ReadReady,
-    Received,
     Rejected,
     Restore,
     Role,
     RoleChanged,
     Send,
+    Tick,
     Timing,
-    Transfer,
+    TransferLeadership,
     Write,
-    Written,
+    WriteCompleted,
 )
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.changes import Changes, Check
@@ -127,7 +127,9 @@
         self._seed = seed
         self.raft = Raft(identity, kept, timing, seed)
         self.fleet = Fleet()
-        self._peers = {n: Peer(loop, a, timing.election) for n, a in addresses.items() if n != name}
+        self._peers = {
+            n: Peer(loop, a, timing.election_timeout_us) for n, a in addresses.items() if n != name
+        }
         self._inbox: deque[Input] = deque()
         self._busy = self._writing = self.ended = False
         self._writes: list[Write] = []
@@ -146,13 +148,13 @@
             lambda id, command: self._ask(id, Propose(id, command)),
             self._confirm,
             check,
-            ANSWER_ELECTIONS * timing.election,
+            ANSWER_ELECTIONS * timing.election_timeout_us,
             log,
         )
         self._server = serve_on(
             loop, listen, self._serve, self._refusal, Limits(body=wire.BODY_MOST), role="keeper", log=log
         )
-        self._feed(Due())
+        self._feed(Tick())
         log.info("keeper", replica=identity, address="{}:{}".format(*self.address))
 
     def _kept(self, found: bool, names: tuple[str, ...], seed: int) -> tuple[str, Any]:
@@ -171,10 +173,10 @@
 
     def stop(self) -> None:
         """Hands over if it leads, and ends. What is not durable is as if it had never been."""
-        others = [n for n in self.raft.members.voters if n != self.raft.me]
+        others = [n for n in self.raft.members.voters if n != self.raft.replica_id]
         if self.raft.role is Role.LEADER and others:
-            self._feed(Transfer(others[0]))
-            self._loop.sleep(self._timing.heartbeat)
+            self._feed(TransferLeadership(others[0]))
+            self._loop.sleep(self._timing.heartbeat_interval_us)
         self.ended = True
         self._disk.stop()
         self._server.stop_accepting()
@@ -205,8 +207,8 @@
             self._busy = False
         if self._timer is not None:
             self._timer.cancel()
-        wait = max(1000, self.raft.due - self._loop.now())
-        self._timer = self._loop.call_later(wait, lambda: self._feed(Due()))
+        wait = max(1000, self.raft.next_deadline_us - self._loop.now())
+        self._timer = self._loop.call_later(wait, lambda: self._feed(Tick()))
 
     def _carry_out(self, effect: Effect) -> None:
         if self.ended:
@@ -226,14 +228,14 @@
                 for entry in entries:
                     self._applied = entry.index
                     self._uncompacted += len(entry.data)
-                    if entry.kind is Kind.COMMAND:
+                    if entry.kind is EntryKind.COMMAND:
                         answer = self.fleet.apply(entry.index, entry.id, entry.data)
                         self._answer(entry.id, wire.Told(answer))
                         if self._standings is not None:
                             self._standings.agreed(self._loop.now(), self.fleet.table.revision)
                         if self.raft.role is Role.LEADER:
                             self._log_entry(entry, answer)
-                    elif entry.kind is Kind.MEMBERS:
+                    elif entry.kind is EntryKind.MEMBERS:
                         self._log.info("keepers", index=entry.index, members=entry.members.all)
                         self._answer(entry.id, wire.Told(Answer(True, entry.index)))
                 self._ages.saw(self._loop.now(), self.fleet.state)
@@ -274,10 +276,10 @@
             while self._writes and not self.ended:
                 batch, self._writes = self._writes, []
                 self._store.write(batch)
-                self._feed(Written(batch[-1].number))
+                self._feed(WriteCompleted(batch[-1].number))
         except StoreError as error:
             if not self.ended:
-                self._disk.begin(self._store, self.raft.me, error)
+                self._disk.begin(self._store, self.raft.replica_id, error)
                 self._suspend()
         finally:
             self._writing = False
@@ -295,16 +297,16 @@
             self._answer(id, wire.Told(None, False, DISK_FAILED))
         self.watches.changed()
 
-    def _resume(self, store: ReplicaStore, state: Kept) -> None:
+    def _resume(self, store: ReplicaStore, state: PersistentState) -> None:
         """As after a restart: a new core on what was read back, whose stamps are its own, and an empty
         state machine that it fills anew."""
         self._store = store
         self._seed += 1
-        self.raft = Raft(self.raft.me, state, self._timing, self._seed)
+        self.raft = Raft(self.raft.replica_id, state, self._timing, self._seed)
         self.fleet, self._ages = Fleet(), Ages()
         self._applied = self._uncompacted = 0
         self.watches.changed()
-        self._feed(Due())
+        self._feed(Tick())
 
     def _fail(self, why: str) -> None:
         self._log.error("disk_lost", why=why)
@@ -319,7 +321,7 @@
             return
         for command in [*watch.look(self._loop.now(), self.fleet.state), *self._roll()]:
             self._count += 1
-            id = f"{self.raft.me}.{self.raft.term}.{self._count}"
+            id = f"{self.raft.replica_id}.{self.raft.term}.{self._count}"
             self._loop.call_soon(lambda id=id, c=command: self._feed(Propose(id, encode(c, time.time()))))  # type: ignore[misc]
         self._loop.call_later(min(self._lease // LOOKS_IN_A_LEASE, LOOK_MOST), lambda: self._look(watch))
 
@@ -338,7 +340,7 @@
 
     def _age(self) -> int:
         """Microseconds since a leader last vouched for what is held here."""
-        at = self.raft.vouched(self._applied)
+        at = self.raft.fresh_as_of(self._applied)
         return NEVER if at is None else self._loop.now() - at
 
     # Those who ask
@@ -358,7 +360,7 @@
         task, token = self._loop.waiting()
         self._askers.setdefault(id, []).append((task, token))
         unsure = wire.Told(None, False, "no quorum has answered in time", self._leader())
-        wait = ANSWER_ELECTIONS * self._timing.election
+        wait = ANSWER_ELECTIONS * self._timing.election_timeout_us
         timer = self._loop.call_later(wait, lambda: self._loop.wake(task, token, unsure))
         self._feed(event)
         try:
@@ -380,14 +382,14 @@
                 case "POST", wire.MESSAGES:
                     post = wire.decode(request.body, wire.Post)
                     for message in post.messages:
-                        self._feed(Received(post.to, message))
+                        self._feed(MessageReceived(post.to, message))
                     return Response(204)
                 case "POST", wire.COMMANDS:
                     order = wire.decode(request.body, wire.Order)
                     return self._told(self._ask(order.id, Propose(order.id, order.command)))
                 case "POST", wire.MEMBERS:
                     wanted = wire.decode(request.body, wire.Membership)
-                    return self._told(self._ask(wanted.id, Change(wanted.id, wanted.members)))
+                    return self._told(self._ask(wanted.id, ChangeMembership(wanted.id, wanted.members)))
                 case "POST", wire.REPORTS:
                     return self._told(self._report(wire.decode(request.body, wire.Report)))
                 case "POST", wire.CHANGE:
@@ -473,11 +475,11 @@
         lines = tuple(self._line(entry) for entry in entries)
         return _packed(wire.encode(wire.History(first, lines)))
 
-    def _line(self, entry: Entry) -> wire.Line:
+    def _line(self, entry: LogEntry) -> wire.Line:
         what, told, at = entry.kind.name.lower(), "", 0.0
-        if entry.kind is Kind.MEMBERS:
+        if entry.kind is EntryKind.MEMBERS:
             told = f"votes: {', '.join(entry.members.voters)}; learns: {', '.join(entry.members.learners)}"
-        elif entry.kind is Kind.COMMAND:
+        elif entry.kind is EntryKind.COMMAND:
             try:
                 command, at = decode_at(entry.data)
                 what, told = type(command).__name__.lower(), _in_words(command)
@@ -486,7 +488,7 @@
         answer = self.fleet.state.answers.get(entry.id) if entry.id else None
         return wire.Line(entry.index, entry.term, at, entry.id, what, told, answer)
 
-    def _log_entry(self, entry: Entry, answer: Answer) -> None:
+    def _log_entry(self, entry: LogEntry, answer: Answer) -> None:
         line = self._line(entry)
         why = line.told if answer.done else f"{line.told}: {answer.why}"
         self._log.info("agreed" if answer.done else "not agreed", index=line.index, what=line.what, why=why)
@@ -494,8 +496,8 @@
     def _confirm(self) -> wire.Told:
         """Whether a quorum says, after the question, that nothing newer is agreed than what is held here."""
         self._count += 1
-        id = f"read {self.raft.me} {self._count}"
-        return self._ask(id, Read(id))
+        id = f"read {self.raft.replica_id} {self._count}"
+        return self._ask(id, ReadIndex(id))
 
     def _state(self, here: bool) -> Response:
         """With `here` what this keeper holds, however old; else what a quorum confirms."""
--- a/packages/controlplane/tests/disk_rig.py
+++ b/packages/controlplane/tests/disk_rig.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from walnutpost.consensus import Effect, Kept, Send, Timing, VoteAsked, VoteGiven
+from walnutpost.consensus import Effect, PersistentState, Send, Timing, VoteRequest, VoteResponse
 from walnutpost.controlplane import Keeper, KeeperClient, KeeperError, NoAnswer
 from walnutpost.eventloop import Loop, Task
 from walnutpost.fleet import FRONT_END, Enter, Fleet
@@ -21,7 +21,7 @@
 
 SECOND = 1_000_000
 NAMES = ("k1", "k2", "k3")
-TIMING = Timing(election=400_000, heartbeat=50_000)
+TIMING = Timing(election_timeout_us=400_000, heartbeat_interval_us=50_000)
 LOG_MOST = 30  # entries: snapshots are taken within a test
 
 
@@ -49,7 +49,9 @@
         self.reopen_blocked = False
         self.before_reopen: Callable[[Path], None] = lambda _: None
         self.commits = self.failures = self.reopenings = 0
-        self.read_back: list[tuple[Kept, Kept | None]] = []  # what was loaded; what the main file alone holds
+        self.read_back: list[
+            tuple[PersistentState, PersistentState | None]
+        ] = []  # what was loaded; what the main file alone holds
         self._random = Random(seed)
         self._image: tuple[bytes, bytes] | None = None
 
@@ -117,14 +119,14 @@
         self._disk.check("sync")
         super().prove_durable()
 
-    def load(self) -> tuple[str, Kept] | None:
+    def load(self) -> tuple[str, PersistentState] | None:
         found = super().load()
         if found is not None and self._disk.reopenings > 1:
             self._disk.read_back.append((found[1], _main_file_alone(self._loop, self._path)))
         return found
 
 
-def _main_file_alone(loop: Loop, path: Path) -> Kept | None:
+def _main_file_alone(loop: Loop, path: Path) -> PersistentState | None:
     """What is left where all of the log is lost, which no sync has proven."""
     copy = path.with_suffix(".copy")
     shutil.copyfile(path, copy)
@@ -160,9 +162,9 @@
         if not hasattr(self, "votes"):
             self.votes = {}
         match effect:
-            case Send(to, VoteGiven(term, _, True, False)):
+            case Send(to, VoteResponse(term, _, True, False)):
                 self.votes.setdefault(term, set()).add(to)
-            case Send(_, VoteAsked(term, sender, _, _, False)):
+            case Send(_, VoteRequest(term, sender, _, _, False)):
                 self.votes.setdefault(term, set()).add(sender)
         super()._carry_out(effect)
 
--- a/packages/controlplane/tests/keeper_forms.py
+++ b/packages/controlplane/tests/keeper_forms.py
@@ -7,11 +7,11 @@
 from typing import cast
 
 import fleet_forms
-from agreement_forms import MEMBERS, MESSAGES
+from consensus_forms import MEMBERS, MESSAGES
 from golden_forms import Form, Golden, as_json
 from walnutpost.configstore.messages import Entry, Op
-from walnutpost.consensus import Entry as LogEntry
-from walnutpost.consensus import Kind
+from walnutpost.consensus import EntryKind
+from walnutpost.consensus import LogEntry as LogEntry
 from walnutpost.controlplane import Keeper, wire
 from walnutpost.controlplane.wire import (
     Entries,
@@ -108,7 +108,7 @@
     told = {}
     for name, command in fleet_forms.COMMANDS.items():
         data = encode_command(command, fleet_forms.ASKED_AT)
-        line = Keeper._line(keeper, LogEntry(1, 1, Kind.COMMAND, "", data))
+        line = Keeper._line(keeper, LogEntry(1, 1, EntryKind.COMMAND, "", data))
         told[name] = [line.what, line.told]
     return told
 
--- a/packages/controlplane/tests/test_keeper_golden.py
+++ b/packages/controlplane/tests/test_keeper_golden.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from agreement_forms import MESSAGES
+from consensus_forms import MESSAGES
 from golden_forms import check_covered, check_fields_told_apart, structs_of
 from keeper_forms import GOLDEN, MESSAGES_BY_NAME
 from walnutpost.consensus import Message
--- a/packages/controlplane/tests/test_peers.py
+++ b/packages/controlplane/tests/test_peers.py
@@ -9,7 +9,7 @@
 
 from scripted_sockets import scripted_sockets, to
 from walnutpost.consensus import Members, Message, Snapshot
-from walnutpost.consensus.messages import Install, TakeOver
+from walnutpost.consensus.messages import InstallSnapshot, TimeoutNow
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.client import KeeperClient
 from walnutpost.controlplane.peers import Peer
@@ -45,9 +45,9 @@
 
 
 def test_a_large_state_may_take_its_time_and_a_small_message_may_not() -> None:
-    large = Install(1, "k1", Snapshot(9, 1, Members(("k1", "k2")), b"x" * 20_000_000), 1)
+    large = InstallSnapshot(1, "k1", Snapshot(9, 1, Members(("k1", "k2")), b"x" * 20_000_000), 1)
     assert posted(large, 20 * ANSWER_TIME) == (1, 0)
-    assert posted(TakeOver(1, "k1"), 20 * ANSWER_TIME) == (0, 1)
+    assert posted(TimeoutNow(1, "k1"), 20 * ANSWER_TIME) == (0, 1)
 
 
 FAULTS = [
@@ -80,15 +80,15 @@
             faults.fail(operation, number)
         else:
             faults.fail(operation, number, when=to(server.address))
-        peer.send("k2", TakeOver(1, "k1"))
+        peer.send("k2", TimeoutNow(1, "k1"))
         with loop.timeout(10_000_000):
             while not peer.lost:
                 loop.sleep(5_000)
-            peer.send("k2", TakeOver(2, "k1"))
+            peer.send("k2", TimeoutNow(2, "k1"))
             while not peer.posted:
                 loop.sleep(5_000)
         assert (peer.lost, peer.posted, faults.failed[operation]) == (1, 1, 1)
-        assert arrived[-1] == TakeOver(2, "k1")
+        assert arrived[-1] == TimeoutNow(2, "k1")
 
     with scripted_sockets() as faults:
         loop.run(body)
--- a/packages/fleet/tests/fleet_forms.py
+++ b/packages/fleet/tests/fleet_forms.py
@@ -5,11 +5,11 @@
 from pathlib import Path
 from typing import Any
 
-from agreement_forms import MEMBERS
+from consensus_forms import MEMBERS
 from golden_forms import Form, Golden, as_json, packed
 from walnutpost.configstore.messages import Op
 from walnutpost.configstore.table import Table
-from walnutpost.consensus import Entry, Kind, Members
+from walnutpost.consensus import EntryKind, LogEntry, Members
 from walnutpost.fleet import FRONT_END, WORKER, Fleet, commands
 from walnutpost.fleet.commands import (
     Acted,
@@ -161,23 +161,25 @@
     return f"asker-{number}", ASKED_AT + number
 
 
-def history(members: Members = MEMBERS) -> tuple[Entry, ...]:
+def history(members: Members = MEMBERS) -> tuple[LogEntry, ...]:
     """The history as the log holds it; at its end a command that is asked again, and one that is refused."""
     entries = [
-        Entry(1, 1, Kind.OPENING),
-        Entry(2, 1, Kind.MEMBERS, "found", b"", members),
+        LogEntry(1, 1, EntryKind.OPENING),
+        LogEntry(2, 1, EntryKind.MEMBERS, "found", b"", members),
     ]
     for index, command in enumerate(HISTORY_COMMANDS, FIRST):
         id, at = _asked(index)
-        entries.append(Entry(index, 2, Kind.COMMAND, id, encode(command, at)))
+        entries.append(LogEntry(index, 2, EntryKind.COMMAND, id, encode(command, at)))
     last = entries[-1].index
-    entries.append(Entry(last + 1, 3, Kind.COMMAND, _asked(FIRST)[0], encode(HISTORY_COMMANDS[0])))  # again
-    entries.append(Entry(last + 2, 3, Kind.COMMAND, "another-format", OF_FORMAT_2))
+    entries.append(
+        LogEntry(last + 1, 3, EntryKind.COMMAND, _asked(FIRST)[0], encode(HISTORY_COMMANDS[0]))
+    )  # again
+    entries.append(LogEntry(last + 2, 3, EntryKind.COMMAND, "another-format", OF_FORMAT_2))
     return tuple(entries)
 
 
-def applied(fleet: Fleet, entries: tuple[Entry, ...]) -> list[Answer]:
-    return [fleet.apply(e.index, e.id, e.data) for e in entries if e.kind is Kind.COMMAND]
+def applied(fleet: Fleet, entries: tuple[LogEntry, ...]) -> list[Answer]:
+    return [fleet.apply(e.index, e.id, e.data) for e in entries if e.kind is EntryKind.COMMAND]
 
 
 def rich_fleet() -> Fleet:
@@ -312,7 +314,7 @@
     "state-snapshot.after-the-history": _snapshot(rich_fleet()),
     "state-snapshot.without-table": _snapshot(_without_table(rich_fleet()), table=False),
     "state-snapshot.empty": _snapshot(Fleet()),
-    "history.entries": packed(history(), tuple[Entry, ...]),
+    "history.entries": packed(history(), tuple[LogEntry, ...]),
     "history.answers": packed(_answers(), list[Answer]),
     "names": as_json(
         {
--- a/packages/fleet/tests/test_fleet_golden.py
+++ b/packages/fleet/tests/test_fleet_golden.py
@@ -10,7 +10,7 @@
 
 from fleet_forms import COMMANDS, GOLDEN, HISTORY_COMMANDS, applied
 from golden_forms import check_covered, check_fields_told_apart, structs_of
-from walnutpost.consensus import Entry
+from walnutpost.consensus import LogEntry
 from walnutpost.fleet import (
     Command,
     Fleet,
@@ -66,14 +66,14 @@
 
 
 def test_a_golden_history_gives_the_golden_answers_and_state() -> None:
-    entries = msgspec.msgpack.decode(GOLDEN["history.entries"], type=tuple[Entry, ...])
+    entries = msgspec.msgpack.decode(GOLDEN["history.entries"], type=tuple[LogEntry, ...])
     fleet = Fleet()
     assert msgspec.msgpack.encode(applied(fleet, entries)) == GOLDEN["history.answers"]
     assert fleet.snapshot() == GOLDEN["state-snapshot.after-the-history"]
 
 
 def test_a_golden_state_goes_on_to_the_same_state_from_any_entry_of_the_history() -> None:
-    entries = msgspec.msgpack.decode(GOLDEN["history.entries"], type=tuple[Entry, ...])
+    entries = msgspec.msgpack.decode(GOLDEN["history.entries"], type=tuple[LogEntry, ...])
     for cut in range(len(entries)):
         fleet = Fleet()
         applied(fleet, entries[:cut])
--- a/packages/store/src/walnutpost/store/replica.py
+++ b/packages/store/src/walnutpost/store/replica.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from walnutpost.consensus import Entry, Kept, Members, Snapshot, Write
+from walnutpost.consensus import LogEntry, Members, PersistentState, Snapshot, Write
 from walnutpost.eventloop import Loop
 from walnutpost.store.database import Database, StoreError
 
@@ -26,7 +26,7 @@
 UNREADABLE_CODES = {sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB}  # of sqlite: no later try reads it
 PRIMARY_CODE_MASK = 0xFF  # an extended result code carries its primary one in the low byte
 _snapshots = msgspec.msgpack.Decoder(Snapshot)
-_entries = msgspec.msgpack.Decoder(Entry)
+_entries = msgspec.msgpack.Decoder(LogEntry)
 
 
 class UnreadableStateError(StoreError):
@@ -51,37 +51,37 @@
     for. `last_index` counts only entries that no unacknowledged write may have replaced."""
 
     term: int = 0
-    voted: str = ""
+    voted_for: str = ""
     snapshot_index: int = 0
     last_index: int = 0
 
     @classmethod
-    def of(cls, state: Kept) -> DurableFloor:
+    def of(cls, state: PersistentState) -> DurableFloor:
         last_index = state.snapshot.index + len(state.entries)
-        return cls(state.term, state.voted, state.snapshot.index, last_index)
+        return cls(state.term, state.voted_for, state.snapshot.index, last_index)
 
     def before(self, writes: Sequence[Write]) -> None:
         """These are about to be written, and may be done in part: they may take entries away."""
-        self.last_index = min(self.last_index, *(write.keep for write in writes))
+        self.last_index = min(self.last_index, *(write.last_retained_index for write in writes))
 
     def after(self, writes: Sequence[Write]) -> None:
         """These are durable."""
         for write in writes:
-            self.term, self.voted = write.term, write.voted
-            self.last_index = min(self.last_index, write.keep)
+            self.term, self.voted_for = write.term, write.voted_for
+            self.last_index = min(self.last_index, write.last_retained_index)
             if write.entries:
                 self.last_index = write.entries[-1].index
             if write.snapshot is not None:
                 self.snapshot_index = write.snapshot.index
                 self.last_index = max(self.last_index, self.snapshot_index)
 
-    def missing_from(self, state: Kept) -> str:
+    def missing_from(self, state: PersistentState) -> str:
         """What of it `state` lacks, for people; empty where it holds all."""
         found = DurableFloor.of(state)
         if found.term < self.term:
             return f"term: found {found.term}, wanted {self.term} at least"
-        if found.term == self.term and self.voted and found.voted != self.voted:
-            return f"vote in term {self.term}: found {found.voted!r}, wanted {self.voted!r}"
+        if found.term == self.term and self.voted_for and found.voted_for != self.voted_for:
+            return f"vote in term {self.term}: found {found.voted_for!r}, wanted {self.voted_for!r}"
         if found.snapshot_index < self.snapshot_index:
             return f"snapshot: found {found.snapshot_index}, wanted {self.snapshot_index} at least"
         if found.last_index < self.last_index:
@@ -114,7 +114,7 @@
         if busy:
             raise StoreError("checkpoint: the file is locked") from sqlite3.OperationalError("locked")
 
-    def load(self) -> tuple[str, Kept] | None:
+    def load(self) -> tuple[str, PersistentState] | None:
         """None where nothing was ever kept here. Raises StoreError: UnreadableStateError for what can't be
         read whole."""
         rows = self.select("select format, identity, term, voted, snapshot from replica")
@@ -131,13 +131,13 @@
             raise UnreadableStateError(f"a record that can't be read: {error}") from error
         if [e.index for e in entries] != list(range(kept.index + 1, kept.index + 1 + len(entries))):
             raise UnreadableStateError(f"entries that don't follow snapshot {kept.index} one by one")
-        state = Kept(term, voted, kept, entries)
+        state = PersistentState(term, voted, kept, entries)
         self.floor = DurableFloor.of(state)
         return identity, state
 
-    def make_new(self, identity: str, members: Members) -> Kept:
+    def make_new(self, identity: str, members: Members) -> PersistentState:
         """The first start; before the loop runs."""
-        kept = Kept(snapshot=Snapshot(0, 0, members, b""))
+        kept = PersistentState(snapshot=Snapshot(0, 0, members, b""))
         values = (1, FORMAT, identity, 0, "", msgspec.msgpack.encode(kept.snapshot))
         try:
             self._db.execute("insert into replica values (?, ?, ?, ?, ?, ?)", values)
@@ -150,8 +150,8 @@
 
         def change(db: sqlite3.Connection) -> None:
             for w in writes:
-                db.execute("update replica set term = ?, voted = ?", (w.term, w.voted))
-                db.execute("delete from entries where place > ?", (w.keep,))
+                db.execute("update replica set term = ?, voted = ?", (w.term, w.voted_for))
+                db.execute("delete from entries where place > ?", (w.last_retained_index,))
                 rows = [(e.index, msgspec.msgpack.encode(e)) for e in w.entries]
                 db.executemany("insert or replace into entries values (?, ?)", rows)
                 if w.snapshot is not None:
@@ -170,7 +170,7 @@
         self.change(change)
         self.floor.after(writes)
 
-    def past(self, after: int, most: int, last: int) -> tuple[int, list[Entry]]:
+    def past(self, after: int, most: int, last: int) -> tuple[int, list[LogEntry]]:
         """The oldest entry that is still here, and what follows `after`, up to `last`. Raises StoreError.
         Done while the loop runs, beside the commits: a reader of a WAL file waits for none of them."""
         both = "(select place, record from past union select place, record from entries)"
--- a/packages/store/tests/replica_forms.py
+++ b/packages/store/tests/replica_forms.py
@@ -10,9 +10,9 @@
 from typing import Any, NamedTuple, TypeVar
 
 import fleet_forms
-from agreement_forms import MEMBERS
+from consensus_forms import MEMBERS
 from golden_forms import Form, Golden
-from walnutpost.consensus import Entry, Kept, Members, Snapshot, Write
+from walnutpost.consensus import LogEntry, Members, PersistentState, Snapshot, Write
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
 from walnutpost.store.replica import ReplicaStore
@@ -25,8 +25,8 @@
 
 class Disk(NamedTuple):
     identity: str
-    kept: Kept
-    past: list[Entry]
+    kept: PersistentState
+    past: list[LogEntry]
 
 
 def disk(identity: str = IDENTITY, members: Members = MEMBERS) -> Disk:
@@ -34,11 +34,11 @@
     fleet = Fleet()
     fleet_forms.applied(fleet, entries[:SNAPSHOT_AT])
     snapshot = Snapshot(SNAPSHOT_AT, 2, members, fleet.snapshot())
-    return Disk(identity, Kept(TERM, VOTED, snapshot, entries[SNAPSHOT_AT:]), list(entries))
+    return Disk(identity, PersistentState(TERM, VOTED, snapshot, entries[SNAPSHOT_AT:]), list(entries))
 
 
 def new_disk() -> Disk:
-    return Disk(IDENTITY, Kept(0, "", Snapshot(0, 0, MEMBERS, b""), ()), [])
+    return Disk(IDENTITY, PersistentState(0, "", Snapshot(0, 0, MEMBERS, b""), ()), [])
 
 
 def with_store(path: Path, work: Callable[[ReplicaStore], T]) -> T:
@@ -71,7 +71,7 @@
             store.make_new(identity, MEMBERS)
             if past:
                 store.write([Write(1, 1, identity, 0, tuple(past))])
-                store.write([Write(2, kept.term, kept.voted, past[-1].index, (), kept.snapshot)])
+                store.write([Write(2, kept.term, kept.voted_for, past[-1].index, (), kept.snapshot)])
 
         with_store(path, work)
         return sql_of(path).encode()
--- a/packages/store/tests/test_replica_store.py
+++ b/packages/store/tests/test_replica_store.py
@@ -8,19 +8,21 @@
 
 import pytest
 
-from walnutpost.consensus import Entry, Kept, Kind, Members, Snapshot, Write
+from walnutpost.consensus import EntryKind, LogEntry, Members, PersistentState, Snapshot, Write
 from walnutpost.eventloop import Loop
 from walnutpost.store import StoreError
 from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, may_pass
 
 
-def entries(first: int, last: int, term: int = 1) -> tuple[Entry, ...]:
-    return tuple(Entry(index, term, Kind.COMMAND, f"c{index}", b"x") for index in range(first, last + 1))
+def entries(first: int, last: int, term: int = 1) -> tuple[LogEntry, ...]:
+    return tuple(
+        LogEntry(index, term, EntryKind.COMMAND, f"c{index}", b"x") for index in range(first, last + 1)
+    )
 
 
-def state(term: int, voted: str, snapshot_index: int, last_index: int) -> Kept:
+def state(term: int, voted: str, snapshot_index: int, last_index: int) -> PersistentState:
     snapshot = Snapshot(snapshot_index, 0, Members(("k1",)), b"")
-    return Kept(term, voted, snapshot, entries(snapshot_index + 1, last_index))
+    return PersistentState(term, voted, snapshot, entries(snapshot_index + 1, last_index))
 
 
 def test_once_proven_the_main_file_alone_holds_what_is_read(tmp_path: Path) -> None:
@@ -34,7 +36,7 @@
     copy = ReplicaStore(loop, alone)
     known = store.load()
     assert known is not None and known == copy.load()
-    assert (known[1].term, known[1].voted, len(known[1].entries)) == (3, "k2", 4)
+    assert (known[1].term, known[1].voted_for, len(known[1].entries)) == (3, "k2", 4)
     store.close()
     copy.close()
 
@@ -75,7 +77,7 @@
         (state(2, "k1", 3, 8), "last entry"),
     ],
 )
-def test_less_than_the_floor_is_named(found: Kept, lacks: str) -> None:
+def test_less_than_the_floor_is_named(found: PersistentState, lacks: str) -> None:
     floor = DurableFloor(2, "k1", 3, 9)
     assert not floor.missing_from(state(2, "k1", 3, 9)) and not floor.missing_from(state(3, "", 9, 9))
     assert floor.missing_from(found).startswith(lacks)
--- a/packages/store/tests/test_replica_store_golden.py
+++ b/packages/store/tests/test_replica_store_golden.py
@@ -19,7 +19,7 @@
     same_rows,
     with_store,
 )
-from walnutpost.consensus import Entry, Kind, Timing, Write
+from walnutpost.consensus import EntryKind, LogEntry, Timing, Write
 from walnutpost.controlplane import Keeper
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
@@ -67,19 +67,19 @@
     make_file(tmp_path / "k1.db", GOLDEN["disk.of-one-replica-alone"].decode())
     loop = Loop()
     addresses = {ALONE: lambda: ("127.0.0.1", 1)}
-    timing = Timing(election=50_000, heartbeat=10_000)
+    timing = Timing(election_timeout_us=50_000, heartbeat_interval_us=10_000)
 
     def run() -> Keeper:
         keeper = Keeper(loop, ALONE, addresses, ("127.0.0.1", 0), tmp_path, timing, LONG, SilentLog(), 1)
         with loop.timeout(LONG):
             while keeper.fleet.state.index < fleet_forms.history()[-1].index:
-                loop.sleep(timing.heartbeat)
+                loop.sleep(timing.heartbeat_interval_us)
         keeper.stop()
         return keeper
 
     keeper = loop.run(run)
     keeper.close()
-    assert keeper.raft.me == ALONE and keeper.raft.term > TERM
+    assert keeper.raft.replica_id == ALONE and keeper.raft.term > TERM
     assert keeper.fleet.snapshot() == fleet_forms.GOLDEN["state-snapshot.after-the-history"]
 
 
@@ -87,17 +87,17 @@
     path = tmp_path / "replica"
     make_file(path, GOLDEN[DISK].decode())
 
-    def work(store: ReplicaStore) -> tuple[str, tuple[Entry, ...]]:
+    def work(store: ReplicaStore) -> tuple[str, tuple[LogEntry, ...]]:
         loaded = store.load()
         assert loaded is not None
         last = loaded[1].entries[-1].index
-        store.write([Write(1, 5, IDENTITY, last, (Entry(last + 1, 5, Kind.OPENING),))])
+        store.write([Write(1, 5, IDENTITY, last, (LogEntry(last + 1, 5, EntryKind.OPENING),))])
         again = store.load()
         assert again is not None
-        return again[1].voted, again[1].entries[-2:]
+        return again[1].voted_for, again[1].entries[-2:]
 
     last = fleet_forms.history()[-1]
-    assert with_store(path, work) == (IDENTITY, (last, Entry(last.index + 1, 5, Kind.OPENING)))
+    assert with_store(path, work) == (IDENTITY, (last, LogEntry(last.index + 1, 5, EntryKind.OPENING)))
 
 
 def test_a_column_or_a_table_more_is_no_other_disk_and_another_name_or_value_is() -> None:
