--- a/benchmarks/scale/followers.py
+++ b/benchmarks/scale/followers.py
@@ -31,7 +31,7 @@
 from walnutpost.configstore import Op, Status, Table, encode
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.eventloop import Loop
-from walnutpost.fleet import Budget, SetBudgets
+from walnutpost.fleet import DisruptionBudget, SetBudgets
 
 SECOND = 1_000_000
 RESULTS = ROOT / "docs" / "capacity"
@@ -119,7 +119,7 @@
         """Keepers, relays, and the agreed table."""
         for name in self.keepers:
             self.spawn(name, "keeper", str(self.file), "--name", name, "--found")
-        self.command(SetBudgets((Budget("worker", share=0.05),)))
+        self.command(SetBudgets((DisruptionBudget("worker", max_unavailable_ratio=0.05),)))
         for name in self.relays:
             self.spawn(name, "relay", str(self.file), "--name", name)
         for ops in parts(entries_of(self.config.site)):
@@ -134,7 +134,7 @@
         until = time.monotonic() + 120
         while time.monotonic() < until:
             with suppress(NoAnswer):
-                if self.client.command(f"c{self._count}", command).done:
+                if self.client.command(f"c{self._count}", command).ok:
                     return
         raise TimeoutError("no quorum of keepers")
 
@@ -143,8 +143,8 @@
         self._count += 1
         began = time.monotonic()
         answer, errors = self.client.set_entries(f"s{self._count}", ops)
-        if errors or not answer.done:
-            raise ValueError(f"{answer.why} {errors}")
+        if errors or not answer.ok:
+            raise ValueError(f"{answer.error} {errors}")
         return answer.index, began, time.monotonic()
 
     def one_function(self, n: int) -> list[Op]:
--- a/benchmarks/scale/keepers.py
+++ b/benchmarks/scale/keepers.py
@@ -15,7 +15,7 @@
 from walnutpost.eventloop import Group, Loop
 from walnutpost.faultinjection.fleet_script import FleetScript
 from walnutpost.faultinjection.fleet_stage import FleetStage
-from walnutpost.fleet import FRONT_END, Enter, Keep
+from walnutpost.fleet import FRONT_END, RegisterMember, StoreVersion
 
 SECOND = 1_000_000
 ASKERS, REPORTS, LOOKS, KEEPS = 32, 2_000, 100, 5
@@ -82,7 +82,9 @@
 
         def enter(n: int) -> None:
             zone = made.ZONES[n % len(made.ZONES)]
-            client.command(f"e{n}", Enter(made.front_name(n), FRONT_END, zone, f"{n:012x}", "v", True))
+            client.command(
+                f"e{n}", RegisterMember(made.front_name(n), FRONT_END, zone, f"{n:012x}", "v", True)
+            )
 
         cpu = keepers.cpu(lambda: keepers.by_many(size, enter))
         out["commands agreed a second"] = Reading("1/s", [size / (time.monotonic() - began)])
@@ -111,7 +113,7 @@
         before = process_cpu(keepers.pid)
         for n in range(KEEPS):
             began = time.monotonic()
-            client.command(f"k{n}", Keep("v0", text + b" " * n))
+            client.command(f"k{n}", StoreVersion("v0", text + b" " * n))
             took.append((time.monotonic() - began) * 1e3)
         cpu = process_cpu(keepers.pid) - before
         return {
--- a/packages/agent/src/walnutpost/agent/process.py
+++ b/packages/agent/src/walnutpost/agent/process.py
@@ -1,4 +1,4 @@
-"""One agent: a child process, its versions on disk, the keepers it asks. `fleet.steward` decides."""
+"""One agent: a child process, its versions on disk, the keepers it asks. `fleet.agent_state` decides."""
 
 from __future__ import annotations
 
@@ -22,23 +22,23 @@
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.controlplane.wire import Report
 from walnutpost.eventloop import Event, Loop, remove_leftovers, replace_file
-from walnutpost.fleet import Command, Fleet, Keep
-from walnutpost.fleet.steward import (
-    Answered,
-    ByHand,
-    Due,
+from walnutpost.fleet import Command, Fleet, StoreVersion
+from walnutpost.fleet.agent_state import (
+    ControllerSettings,
     Effect,
-    Ended,
-    EndIt,
+    FleetStateObserved,
     Input,
-    Launch,
-    Note,
-    Ready,
-    Request,
-    Saw,
-    Steward,
-    Tell,
-    Terms,
+    InstanceController,
+    LogEvent,
+    OperatorOrder,
+    PermitAnswered,
+    ProcessExited,
+    ProcessReady,
+    SendCommand,
+    SendPermitRequest,
+    StartProcess,
+    StopProcess,
+    Tick,
 )
 
 LOOK_EVERY, POLL_EVERY = 500_000, 50_000
@@ -87,7 +87,7 @@
         first: bytes,
         folder: Path,
         keepers: Mapping[str, tuple[str, int]],
-        terms: Terms,
+        terms: ControllerSettings,
         report_every: int,
         log: Any,
         patience: int = 5_000_000,
@@ -101,7 +101,7 @@
         self._verified: set[str] = set()  # versions whose content on disk is what their name says
         self._client = KeeperClient(loop, keepers, patience, patience // 2)
         known = self._remembered(first)
-        self.steward = Steward(
+        self.steward = InstanceController(
             known["agent"],
             member,
             kind,
@@ -123,7 +123,7 @@
         self._some = Event(loop)
         self.ended = False
         current = (folder / "versions" / self.steward.current).read_bytes()
-        keep = Keep(self.steward.current, current)  # so that the fleet can go back to it
+        keep = StoreVersion(self.steward.current, current)  # so that the fleet can go back to it
         self._to_tell.append((f"keep-{keep.version}", keep))
         self._some.set()
         self._tasks = [
@@ -225,7 +225,7 @@
             **self._written,
             "current": steward.current,
             "previous": steward.previous,
-            "held": steward.held,
+            "held": steward.drain_permit,
         }
         if now != self._written:
             try:
@@ -247,17 +247,17 @@
     def _carry_out(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
-                case Launch(version):
+                case StartProcess(version):
                     self._launch(version)
-                case EndIt():
+                case StopProcess():
                     self._end()
-                case Tell(command):
+                case SendCommand(command):
                     self._to_tell.append((f"{self.steward.agent}-{secrets.token_hex(6)}", command))
                     self._some.set()
-                case Request(command):
+                case SendPermitRequest(command):
                     self._loop.spawn(self._ask, command, name="ask")
-                case Note(text):
-                    self._log.info("agent", member=self._member, text=text)
+                case LogEvent(event, fields):
+                    self._log.warning(event, member=self._member, **fields)
 
     def _ask(self, command: Command) -> None:
         """The same id until there is an answer: the question may have been granted though none came."""
@@ -267,8 +267,8 @@
                 answer = self._client.command(id, command)
             except NoAnswer:
                 continue
-            self._log.info("asked", member=self._member, permit=answer.permit, why=answer.why)
-            return self._feed(Answered(answer.permit, answer.why))
+            self._log.info("asked", member=self._member, permit=answer.permit, why=answer.error)
+            return self._feed(PermitAnswered(answer.permit, answer.error))
 
     def _tell(self) -> None:
         while True:
@@ -281,7 +281,7 @@
                 except NoAnswer:
                     continue
                 self._to_tell.popleft()
-                self._log.info("told", member=self._member, command=type(command).__name__, why=answer.why)
+                self._log.info("told", member=self._member, command=type(command).__name__, why=answer.error)
 
     def _watch(self) -> None:
         """Looks at what any keeper holds: a question is answered by the leader, who knows better."""
@@ -290,7 +290,7 @@
                 fleet = Fleet.restore(self._client.here(self._random.choice(self._names)).state)
                 # While something is to be told it may still show what has just changed.
                 if not self._to_tell and self._keep_versions(fleet):
-                    self._feed(Saw(fleet.state))
+                    self._feed(FleetStateObserved(fleet.state))
             self._loop.sleep(LOOK_EVERY + self._random.randrange(LOOK_EVERY))
 
     def _keep_versions(self, fleet: Fleet) -> bool:
@@ -323,8 +323,8 @@
             version = str(told["version"])
             if version and not (self._folder / "versions" / version).exists():
                 raise ValueError(f"version {version} is not on this disk")
-            order = ByHand(str(told["operator"]), str(told["why"]), time.time(), version)
-            self._log.warning("by hand", member=self._member, operator=order.operator, why=order.why)
+            order = OperatorOrder(str(told["operator"]), str(told["why"]), time.time(), version)
+            self._log.warning("by hand", member=self._member, operator=order.operator, why=order.reason)
             self._feed(order)
         except FileNotFoundError:
             pass
@@ -352,7 +352,7 @@
         except OSError as error:
             self._log.error("launch failed", member=self._member, why=str(error))
             self._child = None
-            self._loop.call_soon(lambda: self._feed(Ended()))
+            self._loop.call_soon(lambda: self._feed(ProcessExited()))
 
     def _end(self) -> None:
         child = self._child
@@ -370,16 +370,16 @@
         child = self._child
         if child is not None and child.poll() is not None:
             self._child, self._ready_told = None, False
-            self._feed(Ended())
+            self._feed(ProcessExited())
         elif child is not None and not self._ready_told:
             with suppress(OSError):
                 output = self._output.read_bytes()
                 if self._ready_text in output:
                     self._ready_told = True
                     said = ADDRESS.search(output)
-                    self._feed(Ready(self._incarnation, said[1].decode() if said is not None else ""))
-        if self.steward.due is not None and self._loop.now() >= self.steward.due:
-            self._feed(Due())
+                    self._feed(ProcessReady(self._incarnation, said[1].decode() if said is not None else ""))
+        if self.steward.deadline_us is not None and self._loop.now() >= self.steward.deadline_us:
+            self._feed(Tick())
         if self._write_again_at is not None and self._loop.now() >= self._write_again_at:
             self._remember()
         if not self.ended:
--- a/packages/cli/src/walnutpost/cli/fleet.py
+++ b/packages/cli/src/walnutpost/cli/fleet.py
@@ -14,7 +14,7 @@
 from walnutpost.config.base import address_of
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.eventloop import Loop
-from walnutpost.fleet import Answer
+from walnutpost.fleet import CommandResult
 
 T = TypeVar("T")
 
@@ -59,7 +59,7 @@
     end(f"no quorum of the keepers answered: {error}", code=3)
 
 
-def tell(answer: Answer) -> None:
-    if not answer.done:
-        end(f"not done: {answer.why}", code=1)
+def tell(answer: CommandResult) -> None:
+    if not answer.ok:
+        end(f"not done: {answer.error}", code=1)
     click.echo(f"agreed at {answer.index}")
--- a/packages/cli/src/walnutpost/cli/fleet_orders.py
+++ b/packages/cli/src/walnutpost/cli/fleet_orders.py
@@ -12,7 +12,17 @@
 from walnutpost.cli.fleet import fleet, tell, with_keepers
 from walnutpost.cli.keepers import keepers_of
 from walnutpost.consensus import Members
-from walnutpost.fleet import Budget, Command, Forget, Halt, Judge, Remove, Resume, Return, SetBudgets
+from walnutpost.fleet import (
+    Command,
+    DisruptionBudget,
+    EndDrain,
+    ForgetMember,
+    HaltPlan,
+    RecordStepVerdict,
+    ResumePlan,
+    RevokePermit,
+    SetBudgets,
+)
 
 
 def _do(log: Any, config: Path, id: str | None, command: Command) -> None:
@@ -33,7 +43,7 @@
 @click.pass_obj
 def halt(log: Any, config: Path, plan: str, why: str, id: str | None) -> None:
     """Nothing that has not begun begins any more; in effect begin_within_ms after it is agreed."""
-    _do(log, config, id, Halt(why, plan))
+    _do(log, config, id, HaltPlan(why, plan))
 
 
 @fleet.command()
@@ -43,7 +53,7 @@
 @click.pass_obj
 def resume(log: Any, config: Path, plan: str, id: str | None) -> None:
     """What was halted may go on."""
-    _do(log, config, id, Resume(plan))
+    _do(log, config, id, ResumePlan(plan))
 
 
 @fleet.command()
@@ -54,7 +64,7 @@
 @click.pass_obj
 def remove(log: Any, config: Path, permit: str, operator: str, id: str | None) -> None:
     """Give back a permit whose holder will never do so."""
-    _do(log, config, id, Remove(permit, operator))
+    _do(log, config, id, RevokePermit(permit, operator))
 
 
 @fleet.command("return")
@@ -65,7 +75,7 @@
 @click.pass_obj
 def bring_back(log: Any, config: Path, member: str, operator: str, id: str | None) -> None:
     """Let MEMBER, which a drain holds out, come back."""
-    _do(log, config, id, Return(member, operator))
+    _do(log, config, id, EndDrain(member, operator))
 
 
 @fleet.command()
@@ -75,7 +85,7 @@
 @click.pass_obj
 def forget(log: Any, config: Path, member: str, id: str | None) -> None:
     """MEMBER is gone for good: no budget, plan or drain waits for it any more."""
-    _do(log, config, id, Forget(member))
+    _do(log, config, id, ForgetMember(member))
 
 
 @fleet.command()
@@ -89,10 +99,14 @@
         lines = keepers_of(config).budgets
         if not lines:
             end(f"{config}: budgets: found none; wanted those that are to hold")
-        told = tuple(Budget(b.kind, b.zone, b.most, b.share) for b in lines)
+        told = tuple(DisruptionBudget(b.kind, b.zone, b.most, b.share) for b in lines)
         return _do(log, config, id, SetBudgets(told))
     for b in with_keepers(config, log, lambda client: client.state())[1].state.budgets:
-        most = f"{b.most}" if b.most is not None else f"{b.share:g} of them, one at least"
+        most = (
+            f"{b.max_unavailable}"
+            if b.max_unavailable is not None
+            else f"{b.max_unavailable_ratio:g} of them, one at least"
+        )
         where = {"": "in all", "*": "in each zone"}.get(b.zone, f"in {b.zone}")
         click.echo(f"{b.kind}s {where}: {most}")
 
@@ -109,7 +123,7 @@
     state = with_keepers(config, log, lambda client: client.state())[1].state
     if plan not in state.plans:
         end(f"no plan {plan}; there are {', '.join(state.plans) or 'none'}", code=1)
-    _do(log, config, id, Judge(plan, state.plans[plan].step, verdict == "good", why))
+    _do(log, config, id, RecordStepVerdict(plan, state.plans[plan].step, verdict == "good", why))
 
 
 @fleet.command("keepers")
--- a/packages/cli/src/walnutpost/cli/fleet_plans.py
+++ b/packages/cli/src/walnutpost/cli/fleet_plans.py
@@ -16,7 +16,7 @@
 from walnutpost.cli.keepers import AGENTS, keepers_of
 from walnutpost.controlplane import KeeperClient
 from walnutpost.eventloop import replace_file
-from walnutpost.fleet import FRONT_END, Answer, Keep, Start
+from walnutpost.fleet import FRONT_END, CommandResult, StartPlan, StoreVersion
 
 
 def _plan_name(kind: str, told: str | None) -> str:
@@ -76,13 +76,13 @@
     name = _plan_name("release", plan)
     version = version_of(data)
 
-    def work(client: KeeperClient) -> Answer:
+    def work(client: KeeperClient) -> CommandResult:
         _, agreed = client.state()
         members = {n: m for n, m in agreed.state.members.items() if m.kind == FRONT_END}
         usual = Counter(m.version for m in members.values()).most_common(1)
         before = usual[0][0] if usual and back and usual[0][0] in agreed.state.versions else ""
-        client.command(f"{name}-keep", Keep(version, data))
-        return client.command(f"{name}-start", Start(name, tuple(members), version, shares, before))
+        client.command(f"{name}-keep", StoreVersion(version, data))
+        return client.command(f"{name}-start", StartPlan(name, tuple(members), version, shares, before))
 
     answer = with_keepers(config, log, work)
     click.echo(f"plan {name}: version {version}")
@@ -113,11 +113,11 @@
         return _by_hand(config, names, version, operator, why)
     name = _plan_name("rollback", plan)
 
-    def work(client: KeeperClient) -> Answer:
+    def work(client: KeeperClient) -> CommandResult:
         state = client.state()[1].state
         wanted = names or tuple(n for n, m in state.members.items() if m.kind == FRONT_END)
-        under_way = next((p.id for p in state.plans.values() if not p.ended and p.id != name), "")
-        start = Start(name, wanted, version, replaces=under_way, judged=False)
+        under_way = next((p.id for p in state.plans.values() if not p.end_reason and p.id != name), "")
+        start = StartPlan(name, wanted, version, replaces=under_way, requires_verdict=False)
         return client.command(f"{name}-start", start)
 
     answer = with_keepers(config, log, work)
@@ -141,7 +141,7 @@
         return _by_hand(config, members, "", operator, why)
     name = _plan_name("cycle", plan)
     click.echo(f"plan {name}")
-    tell(with_keepers(config, log, lambda client: client.command(f"{name}-start", Start(name, members))))
+    tell(with_keepers(config, log, lambda client: client.command(f"{name}-start", StartPlan(name, members))))
 
 
 @fleet.command()
@@ -153,5 +153,5 @@
     """Take MEMBERS out, within the budgets, and hold each out until `fleet return`."""
     name = _plan_name("drain", plan)
     click.echo(f"plan {name}")
-    start = Start(name, members, stay=True)
+    start = StartPlan(name, members, keeps_members_out=True)
     tell(with_keepers(config, log, lambda client: client.command(f"{name}-start", start)))
--- a/packages/cli/src/walnutpost/cli/fleet_shown.py
+++ b/packages/cli/src/walnutpost/cli/fleet_shown.py
@@ -15,7 +15,7 @@
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.controlplane.wire import History, View
 from walnutpost.faultinjection.table import aligned
-from walnutpost.fleet import FRONT_END, Fleet, Plan, State
+from walnutpost.fleet import FRONT_END, CommandResult, Fleet, FleetState, Plan
 from walnutpost.fleet import budgets as rules
 
 
@@ -63,69 +63,78 @@
     permits = {p.member: p for p in state.permits.values()}
     used: dict[str, None] = {}
     for member in state.members.values():
-        for use in rules.uses(state.budgets, state.members, state.permits.values(), member.kind, member.zone):
-            used[use.told] = None
+        for use in rules.budget_usages(
+            state.budgets, state.members, state.permits.values(), member.kind, member.zone
+        ):
+            used[use.description] = None
     return {
         "index": view.index,
         "leader": view.leader,
         "term": view.term,
         "keepers": list(view.members.all),
-        "halted": state.halted,
+        "halted": state.halt_reason,
         "budgets": list(used),
         "out": [
             {
                 "member": name,
                 "holder": permits[name].holder if name in permits else "",
-                "why": permits[name].why if name in permits else "not heard of for a lease",
+                "why": permits[name].reason if name in permits else "not heard of for a lease",
                 "waits": _out_waits(state, name),
                 "permit": permits[name].id if name in permits else "",
             }
-            for name in sorted(rules.out(state.members, state.permits.values()))
+            for name in sorted(rules.unavailable_members(state.members, state.permits.values()))
         ],
         "plans": {p.id: _plan(view, state, p) for p in state.plans.values()},
-        "alone": [f"{a.member} by {a.operator}: {a.why} (to {a.version})" for a in state.alone],
+        "alone": [f"{a.member} by {a.operator}: {a.reason} (to {a.version})" for a in state.manual_changes],
     }
 
 
-def _out_waits(state: State, name: str) -> str:
+def _out_waits(state: FleetState, name: str) -> str:
     """What stands between a member that is out and its coming back."""
     permit = next((p for p in state.permits.values() if p.member == name), None)
     if permit is None:
         return "a sign of life"
-    if not permit.began:
+    if not permit.has_begun:
         return "its holder to begin"
     plan = state.plans.get(permit.plan)
-    if state.members[name].kind != FRONT_END and not permit.cleared:
-        return f"all front ends to act on {permit.at}"
+    if state.members[name].kind != FRONT_END and not permit.confirmed_index:
+        return f"all front ends to act on {permit.granted_index}"
     return (
         "an operator"
-        if plan is not None and plan.stay and not permit.returning
+        if plan is not None and plan.keeps_members_out and not permit.return_requested
         else "its process to be ready"
     )
 
 
-def _plan(view: View, state: State, p: Plan) -> dict[str, Any]:
+def _plan(view: View, state: FleetState, p: Plan) -> dict[str, Any]:
     """A plan, and what it waits for."""
     waits = ""
-    if not p.ended:
-        waits = p.halted or state.halted or view.waits.get(p.id, "")
-    if not waits and not p.ended:
-        open_now = [m for m in p.order[: p.reached()] if m not in p.done]
+    if not p.end_reason:
+        waits = p.halt_reason or state.halt_reason or view.waits.get(p.id, "")
+    if not waits and not p.end_reason:
+        open_now = [m for m in p.members[: p.eligible_count()] if m not in p.completed]
         held = {q.member for q in state.permits.values() if q.plan == p.id}
         waits = ", ".join(f"{m} ({_out_waits(state, m) if m in held else 'a permit'})" for m in open_now)
     return {
         "version": p.version,
-        "back": p.back,
+        "back": p.rollback_version,
         "step": p.step,
         "steps": p.steps,
-        "done": len(p.done),
-        "of": len(p.order),
-        "halted": p.halted,
-        "ended": p.ended,
-        "waits": waits or ("" if p.ended else "a judgement"),
+        "done": len(p.completed),
+        "of": len(p.members),
+        "halted": p.halt_reason,
+        "ended": p.end_reason,
+        "waits": waits or ("" if p.end_reason else "a judgement"),
     }
 
 
+def _result(result: CommandResult | None) -> dict[str, Any] | None:
+    """A command's result under the keys that programs read."""
+    if result is None:
+        return None
+    return {"done": result.ok, "index": result.index, "why": result.error, "permit": result.permit}
+
+
 @fleet.command("plan")
 @CONFIG
 @click.argument("name", required=False)
@@ -158,7 +167,7 @@
     """Every member: zone, version, whether it is in."""
     view, agreed = with_keepers(config, log, lambda client: client.state())
     state = agreed.state
-    out = rules.out(state.members, state.permits.values())
+    out = rules.unavailable_members(state.members, state.permits.values())
     told = [
         {
             "member": name,
@@ -170,7 +179,7 @@
             "stands": "in"
             if name not in out
             else "silent"
-            if m.silent
+            if m.unresponsive
             else f"out: {_out_waits(state, name)}",
         }
         for name, m in sorted(state.members.items())
@@ -197,7 +206,7 @@
 
     keeper, told = with_keepers(config, log, work)
     if form == "json":
-        lines = [asdict(line) | {"answer": line.answer and asdict(line.answer)} for line in told.lines]
+        lines = [asdict(line) | {"answer": _result(line.answer)} for line in told.lines]
         click.echo(json.dumps({"keeper": keeper, "first": told.first, "lines": lines}))
         return
     if told.first > after + 1:
@@ -206,6 +215,6 @@
     for line in told.lines:
         when = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(line.at)) if line.at else ""
         answer = line.answer
-        said = "" if answer is None else "yes" if answer.done else f"no: {answer.why}"
+        said = "" if answer is None else "yes" if answer.ok else f"no: {answer.error}"
         rows.append([str(line.index), when, line.what, line.told, said])
     click.echo(aligned([["index", "asked at", "what", "told", "answer"], *rows]) if rows else "nothing")
--- a/packages/cli/src/walnutpost/cli/keepers.py
+++ b/packages/cli/src/walnutpost/cli/keepers.py
@@ -20,8 +20,8 @@
 from walnutpost.config.settings import us
 from walnutpost.consensus import Timing
 from walnutpost.controlplane import Keeper, KeeperError
-from walnutpost.fleet import Terms as Step
-from walnutpost.fleet.steward import Terms
+from walnutpost.fleet import AnalysisPolicy
+from walnutpost.fleet.agent_state import ControllerSettings
 from walnutpost.relay import Relay
 from walnutpost.store import StoreError
 
@@ -89,7 +89,7 @@
             found,
             checked.log_most,
             checked.history_most,
-            Step(checked.judge.calls, checked.judge.worse, checked.judge.sure),
+            AnalysisPolicy(checked.judge.calls, checked.judge.worse, checked.judge.sure),
             failed,
             lambda table, ops: check(Held(table.entries), ops),
         )
@@ -158,7 +158,7 @@
             (config.parent / line.first).read_bytes(),
             config.parent / AGENTS,
             {k.name: address_of(k.address) for k in checked.keepers},
-            Terms(us(checked.begin_within_ms), us(line.ready_within_ms)),
+            ControllerSettings(us(checked.begin_within_ms), us(line.ready_within_ms)),
             us(checked.lease_ms) // 4,
             log,
             follows=line.follows,
--- a/packages/cli/src/walnutpost/cli/settings.py
+++ b/packages/cli/src/walnutpost/cli/settings.py
@@ -21,7 +21,7 @@
 from walnutpost.config.model import FunctionLine
 from walnutpost.configstore import ChangeSet, Op, check_change, encode
 from walnutpost.controlplane import KeeperClient
-from walnutpost.fleet import Forget
+from walnutpost.fleet import ForgetMember
 
 REST = click.argument("rest", nargs=-1, metavar="[FILE | FIELD=VALUE...]")
 
@@ -169,9 +169,9 @@
             click.echo(f"parts 2 to {len(parts)}: not checked, since they rest on the first", err=True)
             return
         answer, errors = client.set_entries(_own_id(id, part), part, dry, operator, seen)
-        if not answer.done:
+        if not answer.ok:
             stand = f"; parts before it stand, up to part {number - 1}" if number > 1 else ""
-            raise Stop(*(errors or [answer.why]), f"{which}not done, nothing of it has changed{stand}")
+            raise Stop(*(errors or [answer.error]), f"{which}not done, nothing of it has changed{stand}")
         click.echo(
             f"{which}right on revision {answer.index}; not agreed on, since --dry"
             if dry
@@ -229,7 +229,7 @@
     """MEMBER is gone for good: nothing waits for it to act on a revision, nor any budget or plan for it."""
     known = id or secrets.token_hex(8)
     click.echo(f"id {known}", err=True)
-    answer = with_keepers(config, log, lambda client: client.command(known, Forget(member)))
-    if not answer.done:
-        end(f"not done: {answer.why}", code=1)
+    answer = with_keepers(config, log, lambda client: client.command(known, ForgetMember(member)))
+    if not answer.ok:
+        end(f"not done: {answer.error}", code=1)
     click.echo(f"agreed at {answer.index}")
--- a/packages/cli/src/walnutpost/cli/settings_shown.py
+++ b/packages/cli/src/walnutpost/cli/settings_shown.py
@@ -129,12 +129,12 @@
     answer = line.answer
     if answer is None:
         entered = "?"  # too long ago for its answer to be remembered, or asked again
-    elif answer.done and answer.index == line.index:
+    elif answer.ok and answer.index == line.index:
         entered = "yes"
-    elif answer.done:
+    elif answer.ok:
         entered = f"no: again as {answer.index}"
     else:
-        entered = f"no: {answer.why}"
+        entered = f"no: {answer.error}"
     return {
         "revision": line.index,
         "asked at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(line.at)) if line.at else "",
--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -12,7 +12,7 @@
 from walnutpost.configstore.table import Table
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Loop, Task, Timeout
-from walnutpost.fleet import MEANWHILE, Answer, Fleet, SetEntries, encode
+from walnutpost.fleet import CHANGED_MEANWHILE, ApplyChangeSet, CommandResult, Fleet, encode
 
 Check = Callable[[Table, Sequence[Op]], list[str]]
 BODY_MOST = 8 * CHANGE_BYTES  # of an order: one far too large is not even read
@@ -57,7 +57,7 @@
 
     def _set(self, order: wire.SetOrder) -> wire.Told:
         for _ in range(TRIES):
-            known = self._fleet().state.answers.get(order.id)
+            known = self._fleet().state.results.get(order.id)
             if known is not None:
                 return wire.Told(known)
             table = self._fleet().table
@@ -67,12 +67,12 @@
                 told = self._confirm()
                 if told.why:
                     return told
-                if self._fleet().table.revision != base or order.id in self._fleet().state.answers:
+                if self._fleet().table.revision != base or order.id in self._fleet().state.results:
                     continue  # it was checked against a table that is no longer the newest
-                return _refused(base, errors) if errors else wire.Told(Answer(True, base))
-            command = SetEntries(order.ops, base, order.operator)
+                return _refused(base, errors) if errors else wire.Told(CommandResult(True, base))
+            command = ApplyChangeSet(order.ops, base, order.operator)
             told = self._propose(order.id, encode(command, time.time()))
-            if told.answer is None or told.answer.why != MEANWHILE:
+            if told.answer is None or told.answer.error != CHANGED_MEANWHILE:
                 return told
         return wire.Told(None, False, "other change sets came in between, over and over")
 
@@ -99,7 +99,7 @@
 
 def _refused(base: int, errors: Sequence[str]) -> wire.Told:
     why = errors[0] if len(errors) == 1 else f"{errors[0]}, and {len(errors) - 1} more"
-    return wire.Told(Answer(False, base, why), errors=tuple(errors))
+    return wire.Told(CommandResult(False, base, why), errors=tuple(errors))
 
 
 class _Turn:
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -13,7 +13,7 @@
 from walnutpost.consensus import LEADER_NOT_READY, LEADERSHIP_LOST, NOT_LEADER, Members
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Group, Loop, Timeout
-from walnutpost.fleet import Answer, Command, Fleet, encode
+from walnutpost.fleet import Command, CommandResult, Fleet, encode
 from walnutpost.http import BadMessage, Connection, Limits, Response
 
 T = TypeVar("T", bound=table.Record)
@@ -39,11 +39,11 @@
     def keepers(self) -> tuple[str, ...]:
         return tuple(self._addresses)
 
-    def command(self, id: str, command: Command) -> Answer:
+    def command(self, id: str, command: Command) -> CommandResult:
         """The agreed answer. An `id` that was used before gets the answer of then."""
         return self._answer(wire.COMMANDS, wire.encode(wire.Order(id, encode(command, time.time()))))
 
-    def change(self, id: str, members: Members) -> Answer:
+    def change(self, id: str, members: Members) -> CommandResult:
         return self._answer(wire.MEMBERS, wire.encode(wire.Membership(id, members)))
 
     def report(self, report: wire.Report) -> wire.Told:
@@ -56,7 +56,7 @@
 
     def set_entries(
         self, id: str, ops: Sequence[Op], dry: bool = False, operator: str = "", seen: int = 0
-    ) -> tuple[Answer, tuple[str, ...]]:
+    ) -> tuple[CommandResult, tuple[str, ...]]:
         """A change set for the agreed table, whole or not at all, and what its checks have against it. The
         answer's `index` is the revision that it came in with; where it is `dry` or refused, that of the table
         which it was checked against. An `id` that was used before gets the answer of then. `seen`: refused
@@ -118,7 +118,7 @@
         except (OSError, BadMessage, Timeout, wire.BadWire) as error:
             raise NoAnswer(f"{keeper}: {error}") from error
 
-    def _answer(self, target: str, body: bytes) -> Answer:
+    def _answer(self, target: str, body: bytes) -> CommandResult:
         answer = wire.decode(self._ask("POST", target, body).body, wire.Told).answer
         assert answer is not None
         return answer
@@ -145,7 +145,7 @@
                 raise NoAnswer(f"{keeper}: {response.status} {response.body[:200]!r}") from None
             why = f"{keeper}: {told.why}"
             if told.why not in (NOT_LEADER, LEADER_NOT_READY, LEADERSHIP_LOST) and told.sure:
-                return Response(200, body=wire.encode(wire.Told(Answer(False, 0, told.why))))
+                return Response(200, body=wire.encode(wire.Told(CommandResult(False, 0, told.why))))
             if told.leader in self._addresses and told.leader != keeper:
                 self._leader = told.leader
             else:
--- a/packages/controlplane/src/walnutpost/controlplane/process.py
+++ b/packages/controlplane/src/walnutpost/controlplane/process.py
@@ -12,7 +12,6 @@
 from msgspec import UNSET
 
 from walnutpost.configstore import messages as table
-from walnutpost.configstore.messages import Op
 from walnutpost.configstore.roster import Standings
 from walnutpost.configstore.table import Table
 from walnutpost.consensus import (
@@ -49,20 +48,22 @@
 from walnutpost.eventloop import Loop, Task
 from walnutpost.eventloop.timers import Timer
 from walnutpost.fleet import (
-    Ages,
-    Answer,
-    BadCommand,
-    BadState,
+    AnalysisPolicy,
+    CallCounts,
     Command,
-    Figures,
+    CommandResult,
+    EndpointAges,
     Fleet,
-    Followers,
-    Report,
-    Terms,
-    Watch,
-    decode_at,
+    FleetMonitor,
+    InvalidCommandError,
+    InvalidStateError,
+    MemberReport,
+    UpdateFollowers,
+    command_name,
+    decode_with_time,
+    describe_command,
     encode,
-    sight_of,
+    endpoint_snapshot,
 )
 from walnutpost.http import BadMessage, Exchange, Limits, Response
 from walnutpost.http.server import serve_on
@@ -75,8 +76,6 @@
 LOG_BYTES = 32 << 20  # of entries after the snapshot, where their number allows more
 NEVER = 10**15  # microseconds: the age of what nobody has vouched for
 FOLLOWERS_MOST = 500  # in one command
-TOLD_MOST = 60  # of one value, in a line for people
-KEYS_MOST = 5  # of a change set
 ANSWER_ELECTIONS = 3  # elections that an asker is kept waiting for, at the most
 LOOKS_IN_A_LEASE = 5
 DISK_FAILED = "its disk failed before it had an answer"
@@ -106,7 +105,7 @@
         found: bool = False,
         log_most: int = 5000,
         past_most: int = 100_000,
-        terms: Terms | None = None,
+        terms: AnalysisPolicy | None = None,
         failed: Callable[[KeeperError], None] | None = None,
         check: Check | None = None,
         open_store: Callable[[Loop, Path, int], ReplicaStore] = ReplicaStore,
@@ -122,7 +121,7 @@
 
         self._store = open_file()
         self._disk = DiskRecovery(loop, open_file, self._resume, self._fail, log)
-        self._terms = terms or Terms()
+        self._terms = terms or AnalysisPolicy()
         identity, kept = self._kept(found, tuple(addresses), seed)
         self._seed = seed
         self.raft = Raft(identity, kept, timing, seed)
@@ -135,9 +134,9 @@
         self._writes: list[Write] = []
         self._askers: dict[str, list[tuple[Task[Any], int]]] = {}
         self._timer: Timer | None = None
-        self._watch: Watch | None = None
+        self._watch: FleetMonitor | None = None
         self._standings: Standings | None = None
-        self._ages = Ages()
+        self._ages = EndpointAges()
         self._applied = 0
         self._uncompacted = 0  # bytes
         self._count = 0
@@ -224,7 +223,7 @@
                 if peer is not None:
                     peer.send(to, message)
             case Apply(entries):
-                revision, rolls = self.fleet.table.revision, self.fleet.rolls
+                revision, rolls = self.fleet.table.revision, self.fleet.followers_version
                 for entry in entries:
                     self._applied = entry.index
                     self._uncompacted += len(entry.data)
@@ -237,9 +236,9 @@
                             self._log_entry(entry, answer)
                     elif entry.kind is EntryKind.MEMBERS:
                         self._log.info("keepers", index=entry.index, members=entry.members.all)
-                        self._answer(entry.id, wire.Told(Answer(True, entry.index)))
-                self._ages.saw(self._loop.now(), self.fleet.state)
-                if self.fleet.rolls != rolls and self._standings is not None:
+                        self._answer(entry.id, wire.Told(CommandResult(True, entry.index)))
+                self._ages.observe(self._loop.now(), self.fleet.state)
+                if self.fleet.followers_version != rolls and self._standings is not None:
                     self._standings.agree(self._loop.now(), self.fleet.state.followers)
                 if self.fleet.table.revision != revision:
                     self.watches.changed()
@@ -250,11 +249,11 @@
             case Restore(snapshot):
                 try:
                     self.fleet, self._applied = Fleet.restore(snapshot.data), snapshot.index
-                except BadState as error:
+                except InvalidStateError as error:
                     self._fail(f"snapshot {snapshot.index}: {error}")
                     return
                 self._uncompacted = 0
-                self._ages.saw(self._loop.now(), self.fleet.state)
+                self._ages.observe(self._loop.now(), self.fleet.state)
                 self.watches.changed()
             case ReadReady(id):
                 self._answer(id, wire.Told())
@@ -267,7 +266,7 @@
                     now = self._loop.now()
                     self._standings = Standings(now, self.fleet.table.revision)
                     self._standings.agree(now, self.fleet.state.followers)
-                    self._watch = Watch(now, self._lease, self._terms)
+                    self._watch = FleetMonitor(now, self._lease, self._terms)
                     self._look(self._watch)
 
     def _write(self) -> None:
@@ -303,7 +302,7 @@
         self._store = store
         self._seed += 1
         self.raft = Raft(self.raft.replica_id, state, self._timing, self._seed)
-        self.fleet, self._ages = Fleet(), Ages()
+        self.fleet, self._ages = Fleet(), EndpointAges()
         self._applied = self._uncompacted = 0
         self.watches.changed()
         self._feed(Tick())
@@ -315,11 +314,11 @@
         if self._failed is not None:
             self._failed(KeeperError(why))
 
-    def _look(self, watch: Watch) -> None:
+    def _look(self, watch: FleetMonitor) -> None:
         """Over and over while it leads; what it proposes is logged once it is agreed on."""
         if watch is not self._watch or self.ended:
             return
-        for command in [*watch.look(self._loop.now(), self.fleet.state), *self._roll()]:
+        for command in [*watch.propose(self._loop.now(), self.fleet.state), *self._roll()]:
             self._count += 1
             id = f"{self.raft.replica_id}.{self.raft.term}.{self._count}"
             self._loop.call_soon(lambda id=id, c=command: self._feed(Propose(id, encode(c, time.time()))))  # type: ignore[misc]
@@ -332,7 +331,7 @@
         now, followers = self._loop.now(), self.fleet.state.followers
         joined = tuple(self._standings.unknown(now)[:FOLLOWERS_MOST])
         left = tuple((name, followers[name]) for name in self._standings.ended() if name in followers)
-        return [Followers(joined, left[:FOLLOWERS_MOST])] if joined or left else []
+        return [UpdateFollowers(joined, left[:FOLLOWERS_MOST])] if joined or left else []
 
     def _table(self) -> Table | None:
         """What watchers are served from; none while the disk fails: they go on at another keeper."""
@@ -415,15 +414,15 @@
     def _report(self, said: wire.Report) -> wire.Told:
         if self._watch is None:
             return wire.Told(None, True, NOT_LEADER, self._leader())
-        figures = None if said.figures is None else Figures(*said.figures)
-        report = Report(said.member, said.incarnation, said.acts, figures)
+        figures = None if said.figures is None else CallCounts(*said.figures)
+        report = MemberReport(said.member, said.incarnation, said.acts, figures)
         known = self._watch.report(self._loop.now(), report, self.fleet.state)
-        answer = Answer(
+        answer = CommandResult(
             known, self._applied, "" if known else f"{said.member} is not {said.incarnation} here"
         )
-        newer = said.acts is not None and self.fleet.state.listed > said.acts
+        newer = said.acts is not None and self.fleet.state.endpoints_index > said.acts
         return wire.Told(
-            answer, sight=sight_of(self.fleet.state, self._loop.now(), self._ages) if newer else None
+            answer, sight=endpoint_snapshot(self.fleet.state, self._loop.now(), self._ages) if newer else None
         )
 
     # The agreed table
@@ -481,17 +480,17 @@
             told = f"votes: {', '.join(entry.members.voters)}; learns: {', '.join(entry.members.learners)}"
         elif entry.kind is EntryKind.COMMAND:
             try:
-                command, at = decode_at(entry.data)
-                what, told = type(command).__name__.lower(), _in_words(command)
-            except BadCommand as error:
+                command, at = decode_with_time(entry.data)
+                what, told = command_name(command), describe_command(command)
+            except InvalidCommandError as error:
                 what, told = "unreadable", str(error)
-        answer = self.fleet.state.answers.get(entry.id) if entry.id else None
+        answer = self.fleet.state.results.get(entry.id) if entry.id else None
         return wire.Line(entry.index, entry.term, at, entry.id, what, told, answer)
 
-    def _log_entry(self, entry: LogEntry, answer: Answer) -> None:
+    def _log_entry(self, entry: LogEntry, answer: CommandResult) -> None:
         line = self._line(entry)
-        why = line.told if answer.done else f"{line.told}: {answer.why}"
-        self._log.info("agreed" if answer.done else "not agreed", index=line.index, what=line.what, why=why)
+        why = line.told if answer.ok else f"{line.told}: {answer.error}"
+        self._log.info("agreed" if answer.ok else "not agreed", index=line.index, what=line.what, why=why)
 
     def _confirm(self) -> wire.Told:
         """Whether a quorum says, after the question, that nothing newer is agreed than what is held here."""
@@ -513,7 +512,7 @@
             raft.members,
             self.fleet.snapshot(table=False),
             not here,
-            dict(self._watch.waits) if self._watch is not None else {},
+            dict(self._watch.pending_verdicts) if self._watch is not None else {},
             self._disk.reason or UNSET,
         )
         return _packed(wire.encode(view))
@@ -529,22 +528,3 @@
 
 def _packed(body: bytes) -> Response:
     return Response(200, {"Content-Type": "application/msgpack"}, body)
-
-
-def _in_words(command: Command) -> str:
-    """What a command says, short: contents of versions and long lists by their size, a change set's by their
-    keys."""
-    out = []
-    for name in command.__struct_fields__:
-        value = getattr(command, name)
-        if value and isinstance(value, tuple) and isinstance(value[0], Op):
-            keys = [op.key if op.value is not None else f"{op.key} (deleted)" for op in value[:KEYS_MOST]]
-            rest = [f"and {len(value) - KEYS_MOST} more"] if len(value) > KEYS_MOST else []
-            value = " ".join(keys + rest)
-        elif isinstance(value, bytes):
-            value = f"{len(value)} bytes"
-        elif isinstance(value, tuple) and len(str(value)) > TOLD_MOST:
-            value = f"{len(value)} of them"
-        if value not in ("", (), 0.0, None):
-            out.append(f"{name}={value}")
-    return ", ".join(out)
--- a/packages/controlplane/src/walnutpost/controlplane/wire.py
+++ b/packages/controlplane/src/walnutpost/controlplane/wire.py
@@ -8,7 +8,7 @@
 
 from walnutpost.configstore.messages import Entry, Op
 from walnutpost.consensus import Members, Message
-from walnutpost.fleet import Answer, Sight
+from walnutpost.fleet import CommandResult, EndpointSnapshot
 
 FORMAT = 1
 MESSAGES, COMMANDS, STATE, REPORTS, MEMBERS, HISTORY = (
@@ -83,11 +83,11 @@
     """An answer. `sure` is False where the command may have been agreed on and may not. `leader` is the
     keeper that may know more, or empty. `errors`: what a change set's checks have against it."""
 
-    answer: Answer | None = None
+    answer: CommandResult | None = None
     sure: bool = True
     why: str = ""
     leader: str = ""
-    sight: Sight | None = None
+    sight: EndpointSnapshot | None = None
     errors: tuple[str, ...] = ()
 
 
@@ -101,7 +101,7 @@
     id: str
     what: str
     told: str
-    answer: Answer | None
+    answer: CommandResult | None
 
 
 class History(Record, frozen=True):
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -20,7 +20,14 @@
 from walnutpost.daemon.lists import Lists
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Loop, remove_leftovers, replace_file
-from walnutpost.fleet import FRONT_END, Answer, Enter, Figures, Follower, Sight
+from walnutpost.fleet import (
+    FRONT_END,
+    CallCounts,
+    CommandResult,
+    EndpointFollower,
+    EndpointSnapshot,
+    RegisterMember,
+)
 from walnutpost.gateway import CallArrived, Final, Function, Refused, Served
 from walnutpost.interface import RequestClass
 
@@ -28,7 +35,7 @@
 class CountedCore(Core):
     """Counts how calls end, for the judgement of a release. Aims are those of `classes`."""
 
-    figures = Figures()
+    figures = CallCounts()
     functions: Mapping[str, Function] = {}
     classes: tuple[RequestClass, ...] = ()
 
@@ -51,7 +58,7 @@
     def _count(self, final: Final | None, in_aim: bool) -> None:
         served, refused = isinstance(final, Served), isinstance(final, Refused)
         failed = not served and not refused
-        self.figures += Figures(int(served), int(refused), int(failed), int(served and in_aim))
+        self.figures += CallCounts(int(served), int(refused), int(failed), int(served and in_aim))
 
 
 class Following:
@@ -71,7 +78,7 @@
         self._loop, self._core, self._lists, self._log = loop, core, lists, log
         self._zone, self._every = zone, us(line.report_ms)
         own = os.environ.get(INCARNATION)
-        self.follower = Follower(line.member, own or secrets.token_hex(6), own is not None)
+        self.follower = EndpointFollower(line.member, own or secrets.token_hex(6), own is not None)
         addresses = {name: address_of(address) for name, address in line.keepers.items()}
         patience = max(self._every, 1_000_000)
         self._client = KeeperClient(loop, addresses, patience, patience // 2)
@@ -82,16 +89,16 @@
 
     def catch_up(self) -> None:
         """Before it listens: the agreed list, or where no keeper answers, the last one it had."""
-        if self._report() or self.follower.sight is not None:
+        if self._report() or self.follower.snapshot is not None:
             return
         try:
-            sight = msgspec.msgpack.decode(self._kept.read_bytes(), type=Sight)
+            sight = msgspec.msgpack.decode(self._kept.read_bytes(), type=EndpointSnapshot)
         except FileNotFoundError:
             return
         except (OSError, msgspec.MsgspecError) as error:
             self._log.warning("agreed list", why=f"{self._kept.name} is not used: {error}")
             return
-        self._take_up(Told(Answer(False, 0), sight=sight))
+        self._take_up(Told(CommandResult(False, 0), sight=sight))
 
     def run(self) -> None:
         """Until cancelled."""
@@ -106,12 +113,12 @@
         report = Report(
             follower.member,
             follower.incarnation,
-            acts=follower.acts,
-            figures=self._core.figures.told,
+            acts=follower.applied_index,
+            figures=self._core.figures.as_tuple,
         )
         try:
-            if follower.must_enter:
-                enter = Enter(follower.member, FRONT_END, self._zone, follower.incarnation, "", True)
+            if follower.must_register:
+                enter = RegisterMember(follower.member, FRONT_END, self._zone, follower.incarnation, "", True)
                 self._client.command(f"enter-{follower.incarnation}-{secrets.token_hex(4)}", enter)
             told = self._client.report(report)
         except (NoAnswer, BadWire) as error:
@@ -122,19 +129,19 @@
         if not self._heard:
             self._heard = True
             self._log.info("keepers", why="they answer again")
-        entered = not follower.must_enter
-        return self._take_up(told) or (entered and follower.must_enter)
+        entered = not follower.must_register
+        return self._take_up(told) or (entered and follower.must_register)
 
     def _take_up(self, told: Told) -> bool:
         follower = self.follower
-        known = told.answer is not None and told.answer.done
-        if not follower.told(self._loop.now(), told.sight, known) or follower.sight is None:
+        known = told.answer is not None and told.answer.ok
+        if not follower.receive(self._loop.now(), told.sight, known) or follower.snapshot is None:
             return False
         self._lists.agreed(follower)
-        follower.acting()
-        leaving = [w.name for w in follower.sight.workers if w.leaving]
-        self._log.info("agreed list", index=follower.acts, leaving=leaving)
-        self._unsaved = msgspec.msgpack.encode(follower.sight)
+        follower.mark_applied()
+        leaving = [w.name for w in follower.snapshot.workers if w.is_draining]
+        self._log.info("agreed list", index=follower.applied_index, leaving=leaving)
+        self._unsaved = msgspec.msgpack.encode(follower.snapshot)
         self._save()
         return True
 
--- a/packages/daemon/src/walnutpost/daemon/lists.py
+++ b/packages/daemon/src/walnutpost/daemon/lists.py
@@ -10,7 +10,7 @@
 from walnutpost.config import ConfigError, Site, WorkerLine, WorkerList, load, worker_lines
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Loop
-from walnutpost.fleet.sight import Follower, Listed
+from walnutpost.fleet.endpoints import EndpointFollower, ListedEndpoint
 from walnutpost.gateway import WorkersTold
 from walnutpost.interface import ListKind
 from walnutpost.workerclient import Links
@@ -39,7 +39,7 @@
         self._version = -1  # of the list's own source
         self._told = -1
         self._base: tuple[ListKind, list[WorkerLine]] | None = None
-        self._agreed: Follower | None = None
+        self._agreed: EndpointFollower | None = None
         self._complaint = ""
         self._seen: tuple[int, int, int] | None = None
 
@@ -48,7 +48,7 @@
         self._base = kind, lines
         self._pass_on()
 
-    def agreed(self, follower: Follower) -> None:
+    def agreed(self, follower: EndpointFollower) -> None:
         """When this returns, no new work goes by a list older than what the follower was told last."""
         self._agreed = follower
         self._pass_on()
@@ -98,16 +98,17 @@
             self.read(path)
 
 
-def _with_agreed(lines: list[WorkerLine], follower: Follower, site: Site) -> list[WorkerLine]:
+def _with_agreed(lines: list[WorkerLine], follower: EndpointFollower, site: Site) -> list[WorkerLine]:
     own = {line.name: line for line in lines}
     told = [
-        Listed(w.name, w.address, w.zone, round(w.started_at * SECOND), w.state == "draining") for w in lines
+        ListedEndpoint(w.name, w.address, w.zone, round(w.started_at * SECOND), w.state == "draining")
+        for w in lines
     ]
     out = []
-    for w in follower.joined(told):
+    for w in follower.merge(told):
         zone = w.zone if w.zone in site.zones else None
         line = own.get(w.name) or WorkerLine(name=w.name, address=w.address, zone=zone)
-        state = "draining" if w.leaving else "ready"
-        changed = {"address": w.address, "state": state, "started_at": w.began / SECOND}
+        state = "draining" if w.is_draining else "ready"
+        changed = {"address": w.address, "state": state, "started_at": w.started_at_us / SECOND}
         out.append(line.model_copy(update=changed))
     return out
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
@@ -20,7 +20,7 @@
 from walnutpost.faultinjection.fleet_script import AnyAct, Break, FleetScript, Order
 from walnutpost.faultinjection.fleet_stage import FleetStage
 from walnutpost.faultinjection.script import Script
-from walnutpost.fleet import State
+from walnutpost.fleet import FleetState
 
 SECOND = 1_000_000
 
@@ -35,7 +35,7 @@
     broken: list[str]
     failures: list[str]
     most_out: dict[str, int]
-    state: State
+    state: FleetState
 
     @property
     def good(self) -> bool:
@@ -49,7 +49,7 @@
     stage = FleetStage(loop, config, script, folder)
     results: list[Result] = []
     halts: list[tuple[int, int]] = []
-    held: list[State] = []
+    held: list[FleetState] = []
 
     def main() -> None:
         stage.start()
@@ -88,13 +88,17 @@
     return lambda: stage.front_at(name)
 
 
-def _settled(state: State) -> bool:
+def _settled(state: FleetState) -> bool:
     """Nobody is on the way out or in, and no plan could go on without calls to judge it by. A drain that
     holds its members out has done what it can."""
-    stays = {p.id for p in state.plans.values() if p.stay}
-    still = all(q.plan in stays and q.cleared for q in state.permits.values())
+    stays = {p.id for p in state.plans.values() if p.keeps_members_out}
+    still = all(q.plan in stays and q.confirmed_index for q in state.permits.values())
     return still and all(
-        p.ended or p.halted or state.halted or p.stay or len(p.done) >= p.reached()
+        p.end_reason
+        or p.halt_reason
+        or state.halt_reason
+        or p.keeps_members_out
+        or len(p.completed) >= p.eligible_count()
         for p in state.plans.values()
     )
 
@@ -150,15 +154,17 @@
         case "permit" | "begun" | "cleared":
             return any(
                 act.of in ("", p.plan, p.member)
-                and {"permit": True, "begun": p.began, "cleared": bool(p.cleared)}[act.when]
+                and {"permit": True, "begun": p.has_begun, "cleared": bool(p.confirmed_index)}[act.when]
                 for p in state.permits.values()
             )
         case "plan open":
-            return any(act.of in ("", p.id) and not p.ended for p in state.plans.values())
+            return any(act.of in ("", p.id) and not p.end_reason for p in state.plans.values())
         case "halted":
-            return bool(state.halted) or any(act.of in ("", p.id) and p.halted for p in state.plans.values())
+            return bool(state.halt_reason) or any(
+                act.of in ("", p.id) and p.halt_reason for p in state.plans.values()
+            )
         case _:
-            return any(act.of in ("", p.id) and p.ended for p in state.plans.values())
+            return any(act.of in ("", p.id) and p.end_reason for p in state.plans.values())
 
 
 @contextmanager
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -22,7 +22,7 @@
 from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
 from walnutpost.faultinjection.fleet_script import FleetScript
 from walnutpost.faultinjection.mesh import Mesh
-from walnutpost.fleet import Budget, Fleet, SetBudgets, State
+from walnutpost.fleet import DisruptionBudget, Fleet, FleetState, SetBudgets
 from walnutpost.http import BadMessage, Connection
 
 SECOND = 1_000_000
@@ -139,7 +139,7 @@
         for name in self.keepers:
             self.start_keeper(name, "--found")
         self.until(lambda: all(map(self.where, self.keepers)), "keepers")
-        told = tuple(Budget(b.kind, b.zone, b.most, b.share) for b in self.script.budgets)
+        told = tuple(DisruptionBudget(b.kind, b.zone, b.most, b.share) for b in self.script.budgets)
         self.client(START_PATIENCE).command("budgets", SetBudgets(told))
         for name in self.members:
             self.start_agent(name)
@@ -231,13 +231,13 @@
         known = {n: w for n in self.keepers if (w := self.where(n)) is not None}
         return KeeperClient(self.loop, known, patience, patience // 2)
 
-    def state(self) -> State:
+    def state(self) -> FleetState:
         """What a quorum confirms; waits until one does. Raises StageError."""
         return self._confirmed()[1].state
 
-    def glance(self) -> State | None:
+    def glance(self) -> FleetState | None:
         """What any keeper holds; the newest of those that answer."""
-        found: list[State] = []
+        found: list[FleetState] = []
         client = self.client(SECOND)
         for name in client.keepers:
             with suppress(NoAnswer):
--- a/packages/faultinjection/src/walnutpost/faultinjection/table.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table.py
@@ -9,7 +9,7 @@
 from walnutpost.faultinjection.audit import BREAKS_SHOWN, Verdict
 from walnutpost.faultinjection.clients import Result, summary
 from walnutpost.faultinjection.usage import Compared
-from walnutpost.fleet import State
+from walnutpost.fleet import FleetState
 
 SECOND = 1_000_000
 LEAST, MOST, DIGITS = 1, 600_000_000, 3
@@ -48,11 +48,11 @@
     return "\n".join(lines)
 
 
-def plans_table(state: State) -> str:
+def plans_table(state: FleetState) -> str:
     rows = [["plan", "to", "done", "how it ended"]]
     for p in state.plans.values():
-        ended = p.ended or (f"halted: {p.halted}" if p.halted else "under way")
-        rows.append([p.id, p.version or "out and back", f"{len(p.done)} of {len(p.order)}", ended])
+        ended = p.end_reason or (f"halted: {p.halt_reason}" if p.halt_reason else "under way")
+        rows.append([p.id, p.version or "out and back", f"{len(p.completed)} of {len(p.members)}", ended])
     return aligned(rows)
 
 
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -222,8 +222,8 @@
         self._changes += 1
         id = f"change-{self._changes}"
         answer, errors = self._confirmed(lambda client: client.set_entries(id, ops))
-        if errors or not answer.done:
-            raise StageError(f"{id}: {errors or answer.why}")
+        if errors or not answer.ok:
+            raise StageError(f"{id}: {errors or answer.error}")
         return answer.index
 
     def questions(self) -> tuple[int, int, int]:
--- a/packages/fleet/src/walnutpost/fleet/budgets.py
+++ b/packages/fleet/src/walnutpost/fleet/budgets.py
@@ -1,55 +1,69 @@
-"""Who is out, and whether one more may be. The one place where that is decided."""
+"""Disruption budgets: which members are unavailable, and how far each budget is used up.
+
+This is the only place that decides who counts as unavailable.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from walnutpost.fleet.commands import Budget
+from walnutpost.fleet.commands import DisruptionBudget
 from walnutpost.fleet.state import Member, Permit
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
-    """One budget in one place: `out` of `allowed`, by name. `silent`: those that no permit accounts for,
-    since one that is being replaced may be silent longer than a lease, as agreed."""
+class BudgetUsage:
+    """The use of one budget in one zone, or in all where `zone` is empty.
+
+    `unavailable`: names of the members that use it up. `unplanned`: those of them that no permit explains; a
+    member that is being replaced under a permit may well be unresponsive for longer than a lease.
+    """
 
-    budget: Budget
+    budget: DisruptionBudget
     zone: str
-    allowed: int
-    out: tuple[str, ...]
-    silent: tuple[str, ...]
+    limit: int
+    unavailable: tuple[str, ...]
+    unplanned: tuple[str, ...]
 
     @property
-    def told(self) -> str:
+    def description(self) -> str:
+        """The use in words. It is stored in results and plans: replicas must agree on it."""
         where = f" in {self.zone}" if self.zone else ""
-        names = f": {', '.join(self.out)}" if self.out else ""
-        return f"{len(self.out)} of {self.allowed} {self.budget.kind}s{where} are out{names}"
+        names = f": {', '.join(self.unavailable)}" if self.unavailable else ""
+        used = f"{len(self.unavailable)} of {self.limit}"
+        return f"{used} {self.budget.kind}s{where} are out{names}"
 
 
-def out(members: Mapping[str, Member], permits: Iterable[Permit]) -> set[str]:
-    """Whoever holds a permit and is not yet back, and whoever is silent."""
-    return {p.member for p in permits} | {name for name, m in members.items() if m.silent}
+def unavailable_members(members: Mapping[str, Member], permits: Iterable[Permit]) -> set[str]:
+    """Members that a permit may take out, and members that are unresponsive."""
+    permitted = {permit.member for permit in permits}
+    return permitted | {name for name, member in members.items() if member.unresponsive}
 
 
-def uses(
-    budgets: Iterable[Budget], members: Mapping[str, Member], permits: Iterable[Permit], kind: str, zone: str
-) -> list[Use]:
-    """The budgets that a member of this kind and zone counts in."""
+def budget_usages(
+    budgets: Iterable[DisruptionBudget],
+    members: Mapping[str, Member],
+    permits: Iterable[Permit],
+    kind: str,
+    zone: str,
+) -> list[BudgetUsage]:
+    """Return the use of each budget in which a member of this kind and zone counts."""
     permits = list(permits)
-    gone, agreed, found = out(members, permits), {p.member for p in permits}, []
+    permitted = {permit.member for permit in permits}
+    unavailable = unavailable_members(members, permits)
+    usages = []
     for budget in budgets:
         if budget.kind != kind or budget.zone not in ("", "*", zone):
             continue
-        place = zone if budget.zone else ""
-        here = sorted(n for n, m in members.items() if m.kind == kind and place in ("", m.zone))
-        found.append(
-            Use(
-                budget,
-                place,
-                budget.allowed(len(here)),
-                tuple(n for n in here if n in gone),
-                tuple(n for n in here if members[n].silent and n not in agreed),
-            )
+        counted_zone = zone if budget.zone else ""
+        counted = sorted(n for n, m in members.items() if m.kind == kind and counted_zone in ("", m.zone))
+        usage = BudgetUsage(
+            budget,
+            counted_zone,
+            budget.limit(len(counted)),
+            unavailable=tuple(name for name in counted if name in unavailable),
+            unplanned=tuple(n for n in counted if members[n].unresponsive and n not in permitted),
         )
-    return found
+        usages.append(usage)
+    return usages
--- a/packages/fleet/src/walnutpost/fleet/commands.py
+++ b/packages/fleet/src/walnutpost/fleet/commands.py
@@ -1,6 +1,9 @@
-"""What the history holds: commands, each with an id of its asker's, and the answer that applying one gives.
+"""Commands of the replicated log, their encoding, and the result of applying one.
 
-A place in the fleet is *out* while its holder has a permit and is not yet back, or while it is silent.
+A command is written as an array with the tag of its type first. Tags and the order of fields are stored in
+logs and snapshots: a tag never changes, a field is only ever added at the end, with a default.
+
+A member is *unavailable* while somebody holds a permit to take it out, or while it is unresponsive.
 """
 
 from __future__ import annotations
@@ -8,65 +11,70 @@
 import msgspec
 
 from walnutpost.configstore.messages import Op
+from walnutpost.fleet.errors import InvalidCommandError
 
 FORMAT = 1
-FRONT_END, WORKER = "front_end", "worker"
-
+FRONT_END, WORKER = "front_end", "worker"  # kinds of members, as stored
 
-class BadCommand(Exception):
-    """Bytes that are no command of this format: nothing is applied, the same at every keeper."""
 
+class ArrayRecord(msgspec.Struct, frozen=True, array_like=True):
+    """An immutable value that is written as an array of its fields in order."""
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
-    """A frozen value that is written with its fields in order."""
 
+class DisruptionBudget(ArrayRecord, frozen=True):
+    """How many members of a kind may be unavailable at once.
 
-class Budget(Record, frozen=True):
-    """At most so many members of a kind are out: `most`, or `share` of the members rounded down, but one at
-    least, since nothing could ever be replaced else. `zone` empty: in all; `*`: in each zone by itself."""
+    Either `max_unavailable`, or `max_unavailable_ratio` of the members, rounded down but at least one, since
+    nothing could ever be replaced otherwise. `zone`: empty counts all zones together, `*` each by itself.
+    """
 
     kind: str
     zone: str = ""
-    most: int | None = None
-    share: float | None = None
+    max_unavailable: int | None = None
+    max_unavailable_ratio: float | None = None
 
-    def allowed(self, members: int) -> int:
-        if self.most is not None:
-            return self.most
-        return max(1, int((self.share or 0.0) * members))
+    def limit(self, members: int) -> int:
+        """How many of so many members may be unavailable."""
+        if self.max_unavailable is not None:
+            return self.max_unavailable
+        return max(1, int((self.max_unavailable_ratio or 0.0) * members))
 
 
 # Members
 
 
-class Enter(Record, frozen=True, tag=True):
-    """A process is up and ready. The same name with another incarnation is the same place, anew. `follows`:
-    it is told which workers leave, and says what it acts on. `address` is a worker's, for those who call it;
-    empty where not told."""
+class RegisterMember(ArrayRecord, frozen=True, tag="Enter"):
+    """A process is up and ready. A known name with another incarnation replaces the process of that name.
+
+    `follows_endpoints`: it acts on the fleet's list of workers and acknowledges each version of it.
+    `address`: where a worker is called; empty where it is not known.
+    """
 
     member: str
     kind: str
     zone: str
     incarnation: str
     version: str = ""
-    follows: bool = False
+    follows_endpoints: bool = False
     address: str = ""
 
 
-class Silent(Record, frozen=True, tag=True):
-    """Not heard of for a lease: this incarnation uses up the budget like one that is out."""
+class MarkUnresponsive(ArrayRecord, frozen=True, tag="Silent"):
+    """The lease of this incarnation has expired: it counts as unavailable."""
 
     member: str
     incarnation: str
 
 
-class Heard(Record, frozen=True, tag=True):
+class MarkResponsive(ArrayRecord, frozen=True, tag="Heard"):
+    """This incarnation reports again after its lease had expired."""
+
     member: str
     incarnation: str
 
 
-class Forget(Record, frozen=True, tag=True):
-    """An operator says that the place is gone for good, or who follows the table."""
+class ForgetMember(ArrayRecord, frozen=True, tag="Forget"):
+    """An operator removes a member, or a follower of the config store, for good."""
 
     member: str
 
@@ -74,64 +82,70 @@
 # Permits
 
 
-class Ask(Record, frozen=True, tag=True):
-    """May `holder` take the member out? `plan` is the one it does so for, or empty for a drain by hand."""
+class RequestPermit(ArrayRecord, frozen=True, tag="Ask"):
+    """`holder` asks to take the member out, for `plan`; an empty plan means by hand."""
 
     member: str
     holder: str
-    why: str
+    reason: str
     plan: str = ""
 
 
-class Began(Record, frozen=True, tag=True):
+class BeginPermit(ArrayRecord, frozen=True, tag="Began"):
+    """The holder has begun to take the member out."""
+
     permit: str
     holder: str
 
 
-class Unbegun(Record, frozen=True, tag=True):
+class AbandonPermit(ArrayRecord, frozen=True, tag="Unbegun"):
     """The holder has not begun, and never will under this permit."""
 
     permit: str
     holder: str
 
 
-class Acted(Record, frozen=True):
-    """This process has said that it acts on the list of workers of entry `index`."""
+class Acknowledgement(ArrayRecord, frozen=True):
+    """This process acts on the list of workers of log entry `index`."""
 
     member: str
     incarnation: str
     index: int
 
 
-class Clear(Record, frozen=True, tag=True):
-    """Every front end that is not silent acts on a list without the worker: it may end. `acted` is what the
-    leader heard, and is checked against the members as they are when this is agreed on."""
+class ConfirmPermit(ArrayRecord, frozen=True, tag="Clear"):
+    """All responsive front ends act on a list without the worker, so it may end.
+
+    `acknowledgements` is what the leader has heard; it is checked against the members when it is applied.
+    """
 
     permit: str
-    acted: tuple[Acted, ...]
+    acknowledgements: tuple[Acknowledgement, ...]
 
 
-class Return(Record, frozen=True, tag=True):
-    """An operator wants a member back in that a drain holds out."""
+class EndDrain(ArrayRecord, frozen=True, tag="Return"):
+    """An operator lets a drained member come back."""
 
     member: str
     operator: str
 
 
-class Back(Record, frozen=True, tag=True):
-    """The member is up and ready again as this incarnation: the place is in. `failed`: why the version that
-    its plan wants is not the one that runs; empty where the plan may simply ask again."""
+class CompletePermit(ArrayRecord, frozen=True, tag="Back"):
+    """The member is ready again as this incarnation, and its permit ends.
+
+    `failure`: why it does not run the version that its plan wants; empty where the plan may simply retry.
+    """
 
     permit: str
     holder: str
     incarnation: str
     version: str = ""
-    failed: str = ""
+    failure: str = ""
     address: str = ""
 
 
-class Remove(Record, frozen=True, tag=True):
-    """An operator vouches that the place is not out, whatever its holder does."""
+class RevokePermit(ArrayRecord, frozen=True, tag="Remove"):
+    """An operator vouches that the member is available, whatever the permit's holder does."""
 
     permit: str
     operator: str
@@ -140,145 +154,164 @@
 # Plans
 
 
-class Keep(Record, frozen=True, tag=True):
-    """A version's checked content, by its digest."""
+class StoreVersion(ArrayRecord, frozen=True, tag="Keep"):
+    """The content of a version, which is named by its digest."""
 
     version: str
     content: bytes
 
 
-class Start(Record, frozen=True, tag=True):
-    """Brings `members` to `version` (a release or the way back), or takes them out once (a drain, `version`
-    empty). `steps`: shares of the members that may be at it by then, ascending to 1; the first is always one
-    member. `back`: on a bad judgement go back to this version by itself. `stay`: a drain that holds them out
-    until each is asked back. `replaces`: this plan under way ends, and nothing more begins for it. `judged`
-    False: a release that no judgement holds up, such as the way back."""
+class StartPlan(ArrayRecord, frozen=True, tag="Start"):
+    """Starts a plan: a release or rollback of `members` to `version`, or a drain where `version` is empty.
+
+    `steps`: ratios of the members that may have begun by each step, ascending to 1; a first step of one
+    member precedes them. `rollback_version`: a failed step starts a rollback to it. `keeps_members_out`: a
+    drain that keeps each member out until an operator ends it. `replaces`: the running plan that ends with
+    this. `requires_verdict` False: a release without analysis of its steps, such as a rollback.
+    """
 
     plan: str
     members: tuple[str, ...]
     version: str = ""
     steps: tuple[float, ...] = (1.0,)
-    back: str = ""
-    stay: bool = False
+    rollback_version: str = ""
+    keeps_members_out: bool = False
     replaces: str = ""
-    judged: bool = True
+    requires_verdict: bool = True
 
 
-class Judge(Record, frozen=True, tag=True):
-    """The leader's judgement of a step whose members are all back, or an operator's. `before`: what the
-    members on the old version did meanwhile, for the steps that leave none of them."""
+class RecordStepVerdict(ArrayRecord, frozen=True, tag="Judge"):
+    """The verdict on a step whose members are all back, by the leader's analysis or an operator.
+
+    `baseline`: call counts of the members on the old version, for later steps that leave none of them.
+    """
 
     plan: str
     step: int
-    good: bool
-    why: str = ""
-    before: tuple[int, ...] = ()
+    passed: bool
+    reason: str = ""
+    baseline: tuple[int, ...] = ()
 
 
-class Halt(Record, frozen=True, tag=True):
-    """Nothing begins any more for this plan, or for any where it is empty."""
+class HaltPlan(ArrayRecord, frozen=True, tag="Halt"):
+    """No permit is granted any more for this plan, or for any where `plan` is empty."""
 
-    why: str
+    reason: str
     plan: str = ""
 
 
-class Resume(Record, frozen=True, tag=True):
+class ResumePlan(ArrayRecord, frozen=True, tag="Resume"):
+    """Ends the halt of this plan, or the one of all where `plan` is empty."""
+
     plan: str = ""
 
 
-class Alone(Record, frozen=True, tag=True):
-    """What an operator had an agent do without a permit, while no quorum answered; told once one does.
-    `at`: seconds by the machine's clock, a hint alone."""
+class RecordManualChange(ArrayRecord, frozen=True, tag="Alone"):
+    """What an operator had an agent do without a permit while there was no quorum, reported afterwards.
+
+    `recorded_at_s`: seconds by the agent's wall clock, for information only.
+    """
 
     member: str
     operator: str
-    why: str
+    reason: str
     version: str
-    at: float
+    recorded_at_s: float
+
 
+class SetBudgets(ArrayRecord, frozen=True, tag="SetBudgets"):
+    """Replaces all disruption budgets."""
 
-class SetBudgets(Record, frozen=True, tag=True):
-    budgets: tuple[Budget, ...]
+    budgets: tuple[DisruptionBudget, ...]
 
 
-# The agreed table
+# The config store
 
 
-class SetEntries(Record, frozen=True, tag=True):
-    """One change set of the table, checked by the leader against the table of revision `base`; refused where
-    another has entered meanwhile, and then not remembered under its id: it may be asked again."""
+class ApplyChangeSet(ArrayRecord, frozen=True, tag="SetEntries"):
+    """One change set of the config store, validated by the leader against the store at `base_revision`.
 
-    ops: tuple[Op, ...]
-    base: int
+    It is rejected where another one came first; that result is not remembered, so its id may be used again.
+    """
+
+    mutations: tuple[Op, ...]
+    base_revision: int
     operator: str = ""
 
 
-class Followers(Record, frozen=True, tag=True):
-    """Who follows the table, as name and incarnation: who came, also in place of another process of that
-    name, and who has ended by itself, where it is still the one agreed on."""
+class UpdateFollowers(ArrayRecord, frozen=True, tag="Followers"):
+    """Who follows the config store, as pairs of name and incarnation.
+
+    `joined` replaces another incarnation of the same name; `left` counts only for the incarnation known.
+    """
 
     joined: tuple[tuple[str, str], ...] = ()
     left: tuple[tuple[str, str], ...] = ()
 
 
 Command = (
-    Enter
-    | Silent
-    | Heard
-    | Forget
-    | Ask
-    | Began
-    | Unbegun
-    | Clear
-    | Return
-    | Back
-    | Remove
-    | Keep
-    | Start
-    | Judge
-    | Halt
-    | Resume
-    | Alone
+    RegisterMember
+    | MarkUnresponsive
+    | MarkResponsive
+    | ForgetMember
+    | RequestPermit
+    | BeginPermit
+    | AbandonPermit
+    | ConfirmPermit
+    | EndDrain
+    | CompletePermit
+    | RevokePermit
+    | StoreVersion
+    | StartPlan
+    | RecordStepVerdict
+    | HaltPlan
+    | ResumePlan
+    | RecordManualChange
     | SetBudgets
-    | SetEntries
-    | Followers
+    | ApplyChangeSet
+    | UpdateFollowers
 )
 
 
-class Answer(Record, frozen=True):
-    """`done` or why not; `permit` where one was granted. `index` is the entry that it rests on."""
+class CommandResult(ArrayRecord, frozen=True):
+    """Whether a command was accepted, by log entry `index`; else the `error`. `permit`: the one granted."""
 
-    done: bool
+    ok: bool
     index: int
-    why: str = ""
+    error: str = ""
     permit: str = ""
 
 
-class _Framed(Record, frozen=True):
-    """`at`: seconds by the clock of the asker's machine. A hint for people; nothing is decided by it."""
+class _CommandFrame(ArrayRecord, frozen=True):
+    """What the log holds. `sent_at_s`: seconds by the sender's wall clock, for information only."""
 
     format: int
     command: Command
-    at: float = 0.0
+    sent_at_s: float = 0.0
 
 
-_decoder = msgspec.msgpack.Decoder(_Framed)
+_decoder = msgspec.msgpack.Decoder(_CommandFrame)
 
 
-def encode(command: Command, at: float = 0.0) -> bytes:
-    return msgspec.msgpack.encode(_Framed(FORMAT, command, at))
+def encode(command: Command, sent_at_s: float = 0.0) -> bytes:
+    """Return the bytes of a log entry."""
+    return msgspec.msgpack.encode(_CommandFrame(FORMAT, command, sent_at_s))
 
 
 def decode(data: bytes) -> Command:
-    return decode_at(data)[0]
+    """Return the command of a log entry; raise InvalidCommandError."""
+    return decode_with_time(data)[0]
+
 
+def decode_with_time(data: bytes) -> tuple[Command, float]:
+    """Return a log entry's command, and when its sender sent it by its clock; raise InvalidCommandError.
 
-def decode_at(data: bytes) -> tuple[Command, float]:
-    """The command, and when its asker's clock says it was asked; raises BadCommand."""
+    The texts of the errors are results of commands, which replicas agree on and store: they must not change.
+    """
     try:
-        framed = _decoder.decode(data)
+        frame = _decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise BadCommand(f"not a command: {error}") from error
-    if framed.format != FORMAT:
-        raise BadCommand(f"format {framed.format}, wanted {FORMAT}")
-    return framed.command, framed.at
+        raise InvalidCommandError(f"not a command: {error}") from error
+    if frame.format != FORMAT:
+        raise InvalidCommandError(f"format {frame.format}, wanted {FORMAT}")
+    return frame.command, frame.sent_at_s
--- a/packages/fleet/src/walnutpost/fleet/leases.py
+++ b/packages/fleet/src/walnutpost/fleet/leases.py
@@ -1,6 +1,7 @@
-"""What a leader hears of members, and what it proposes of it. No I/O; it decides nothing that holds.
+"""What a leader hears of members, and the commands that it proposes for it.
 
-All of it is lost with its office: a new leader has heard of nobody, and waits.
+No I/O; clocks are passed in, in microseconds. Nothing here is agreed on: all of it is lost with the
+leadership, and a new leader waits for a full lease before it takes anybody for unresponsive.
 """
 
 from __future__ import annotations
@@ -8,115 +9,149 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from walnutpost.fleet.commands import Acted, Clear, Command, Heard, Judge, Silent
-from walnutpost.fleet.judgement import Figures, Step, Terms, Verdict
-from walnutpost.fleet.state import Member, State
+from walnutpost.fleet.analysis import AnalysisPolicy, CallCounts, StepAnalysis, Verdict
+from walnutpost.fleet.commands import (
+    Acknowledgement,
+    Command,
+    ConfirmPermit,
+    MarkResponsive,
+    MarkUnresponsive,
+    RecordStepVerdict,
+)
+from walnutpost.fleet.state import FleetState, Member, Plan
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
-    """What a process says of itself. `acts` is the entry whose list of workers it acts on, `figures` what it
-    has answered since it began; None from one that follows no list, such as an agent for its process."""
+class MemberReport:
+    """What a process reports of itself.
+
+    `applied_index`: the entry whose list of workers it acts on; None from one that follows no list, such as
+    an agent for its process. `call_counts`: since the process began.
+    """
 
     member: str
     incarnation: str
-    acts: int | None = None
-    figures: Figures | None = None
+    applied_index: int | None = None
+    call_counts: CallCounts | None = None
 
 
-class Leases:
-    """Who has been heard of. A front end that follows the list speaks for itself: its agent's word that the
-    process is there would hide that it is stuck."""
+class MemberLeases:
+    """Which members have reported within the lease."""
 
-    def __init__(self, began: int, lease: int) -> None:
-        self._began, self._lease = began, lease
-        self._heard: dict[str, tuple[str, int]] = {}
+    def __init__(self, began_at_us: int, lease_us: int) -> None:
+        """Begin with no reports; `began_at_us`: when the leadership began."""
+        self._began_at_us, self._lease_us = began_at_us, lease_us
+        self._reported: dict[str, tuple[str, int]] = {}  # incarnation and time, by name
 
-    def report(self, now: int, member: str, incarnation: str) -> None:
-        self._heard[member] = incarnation, now
+    def report(self, now_us: int, member: str, incarnation: str) -> None:
+        """Renew the lease of a member."""
+        self._reported[member] = incarnation, now_us
 
-    def look(self, now: int, members: Mapping[str, Member]) -> list[Command]:
-        """What is to be proposed. The same is proposed again until it is agreed on."""
-        found: list[Command] = []
+    def check(self, now_us: int, members: Mapping[str, Member]) -> list[Command]:
+        """Return the commands to propose; the same ones again until they have been applied."""
+        proposals: list[Command] = []
         for name, member in sorted(members.items()):
-            incarnation, at = self._heard.get(name, ("", self._began))
-            alive = incarnation == member.incarnation and now - at < self._lease
-            if member.silent and alive:
-                found.append(Heard(name, member.incarnation))
-            elif not member.silent and not alive and now - max(at, self._began) >= self._lease:
-                found.append(Silent(name, member.incarnation))
-        for name in [n for n in self._heard if n not in members]:
-            del self._heard[name]
-        return found
-
-
-class Watch:
-    """All that a leader hears: leases, which list each front end acts on, and what each has answered."""
-
-    def __init__(self, began: int, lease: int, terms: Terms) -> None:
-        self.leases = Leases(began, lease)
-        self._terms = terms
-        self._acts: dict[str, Acted] = {}
-        self._figures: dict[str, tuple[str, Figures]] = {}
-        self._steps: dict[str, Step] = {}
-        self.waits: dict[str, str] = {}  # by plan: why it is not judged yet
-
-    def report(self, now: int, report: Report, state: State) -> bool:
-        """Whether the member is known as this incarnation; the others' words count for nothing."""
+            incarnation, reported_at_us = self._reported.get(name, ("", self._began_at_us))
+            is_alive = incarnation == member.incarnation and now_us - reported_at_us < self._lease_us
+            silent_for_us = now_us - max(reported_at_us, self._began_at_us)
+            if member.unresponsive and is_alive:
+                proposals.append(MarkResponsive(name, member.incarnation))
+            elif not member.unresponsive and not is_alive and silent_for_us >= self._lease_us:
+                proposals.append(MarkUnresponsive(name, member.incarnation))
+        for name in [name for name in self._reported if name not in members]:
+            del self._reported[name]
+        return proposals
+
+
+class FleetMonitor:
+    """Everything that a leader hears: leases, acknowledged lists of workers, and call counts."""
+
+    def __init__(self, began_at_us: int, lease_us: int, policy: AnalysisPolicy) -> None:
+        """Begin with no reports; `began_at_us`: when the leadership began."""
+        self.leases = MemberLeases(began_at_us, lease_us)
+        self._policy = policy
+        self._acknowledgements: dict[str, Acknowledgement] = {}
+        self._call_counts: dict[str, tuple[str, CallCounts]] = {}  # with the incarnation, by name
+        self._steps: dict[str, StepAnalysis] = {}
+        self.pending_verdicts: dict[str, str] = {}  # by plan: why its step has no verdict yet
+
+    def report(self, now_us: int, report: MemberReport, state: FleetState) -> bool:
+        """Whether the member is known as this incarnation; reports of others are ignored.
+
+        A front end that follows the list renews its lease only by its own reports: those of its agent would
+        hide that it hangs.
+        """
         member = state.members.get(report.member)
         if member is None or member.incarnation != report.incarnation:
             return False
-        if report.acts is None:
-            if not member.follows:
-                self.leases.report(now, report.member, report.incarnation)
+        if report.applied_index is None:
+            if not member.follows_endpoints:
+                self.leases.report(now_us, report.member, report.incarnation)
             return True
-        self.leases.report(now, report.member, report.incarnation)
-        self._acts[report.member] = Acted(report.member, report.incarnation, report.acts)
-        if report.figures is not None:
-            self._figures[report.member] = report.incarnation, report.figures
+        self.leases.report(now_us, report.member, report.incarnation)
+        acknowledgement = Acknowledgement(report.member, report.incarnation, report.applied_index)
+        self._acknowledgements[report.member] = acknowledgement
+        if report.call_counts is not None:
+            self._call_counts[report.member] = report.incarnation, report.call_counts
         return True
 
-    def look(self, now: int, state: State) -> list[Command]:
-        found = self.leases.look(now, state.members)
-        found += self._cleared(state)
-        found += self._judged(state)
-        return found
-
-    def missing(self, state: State, at: int) -> list[str]:
-        """The front ends that have not said that they act on entry `at` or a later one."""
-        return [
-            name
-            for name, m in sorted(state.members.items())
-            if m.follows
-            and not m.silent
-            and not ((a := self._acts.get(name)) and a.incarnation == m.incarnation and a.index >= at)
+    def propose(self, now_us: int, state: FleetState) -> list[Command]:
+        """Return the commands to propose now."""
+        proposals = self.leases.check(now_us, state.members)
+        proposals += self._confirm_permits(state)
+        proposals += self._analyze_steps(state)
+        return proposals
+
+    def missing_acknowledgements(self, state: FleetState, index: int) -> list[str]:
+        """Return the responsive front ends that have not acknowledged entry `index` or a later one."""
+        followers = [
+            (name, member)
+            for name, member in sorted(state.members.items())
+            if member.follows_endpoints and not member.unresponsive
         ]
+        return [name for name, member in followers if not self._has_acknowledged(name, member, index)]
+
+    def _has_acknowledged(self, name: str, member: Member, index: int) -> bool:
+        known = self._acknowledgements.get(name)
+        return known is not None and known.incarnation == member.incarnation and known.index >= index
 
-    def _cleared(self, state: State) -> list[Command]:
-        acted = tuple(self._acts[name] for name in sorted(self._acts) if name in state.members)
+    def _confirm_permits(self, state: FleetState) -> list[Command]:
+        """For the permits that all front ends have acknowledged."""
+        names = sorted(name for name in self._acknowledgements if name in state.members)
+        known = [self._acknowledgements[name] for name in names]
         return [
-            Clear(p.id, tuple(a for a in acted if a.index >= p.at))
+            ConfirmPermit(p.id, tuple(each for each in known if each.index >= p.granted_index))
             for p in state.permits.values()
-            if p.began and not p.cleared and not self.missing(state, p.at)
+            if p.has_begun
+            and not p.confirmed_index
+            and not self.missing_acknowledgements(state, p.granted_index)
         ]
 
-    def _judged(self, state: State) -> list[Command]:
-        """The steps whose members are all back, judged by what front ends have told of their calls."""
-        open_plans = {p.id: p for p in state.plans.values() if p.judged and not p.ended and not p.halted}
-        self._steps = {id: s for id, s in self._steps.items() if id in open_plans}
-        self.waits = {id: why for id, why in self.waits.items() if id in open_plans}
-        found: list[Command] = []
-        for id, plan in open_plans.items():
-            step = self._steps.get(id)
-            if step is None or step.number != plan.step:
-                step = self._steps[id] = Step(plan.step, Figures(*plan.before))
-            step.look({n: m for n, m in state.members.items() if m.follows}, plan.version, self._figures)
-            if len(plan.done) < plan.reached():
-                self.waits[id] = f"{plan.reached() - len(plan.done)} members of step {plan.step} are not back"
-                continue
-            verdict, why = step.judge(self._terms)
-            self.waits[id] = why
-            if verdict is not Verdict.NOT_YET:
-                before = step.before
-                found.append(Judge(id, plan.step, verdict is Verdict.GOOD, why, before.told))
-        return found
+    def _analyze_steps(self, state: FleetState) -> list[Command]:
+        """Verdicts on the steps whose members are all back."""
+        running = {
+            plan.id: plan
+            for plan in state.plans.values()
+            if plan.requires_verdict and not plan.end_reason and not plan.halt_reason
+        }
+        self._steps = {id: step for id, step in self._steps.items() if id in running}
+        self.pending_verdicts = {id: why for id, why in self.pending_verdicts.items() if id in running}
+        verdicts = [self._analyze_step(plan, state) for plan in running.values()]
+        return [verdict for verdict in verdicts if verdict is not None]
+
+    def _analyze_step(self, plan: Plan, state: FleetState) -> RecordStepVerdict | None:
+        step = self._steps.get(plan.id)
+        if step is None or step.number != plan.step:
+            step = self._steps[plan.id] = StepAnalysis(plan.step, CallCounts(*plan.baseline))
+        followers = {name: member for name, member in state.members.items() if member.follows_endpoints}
+        step.update(followers, plan.version, self._call_counts)
+        missing = plan.eligible_count() - len(plan.completed)
+        if missing > 0:
+            self.pending_verdicts[plan.id] = f"{missing} members of step {plan.step} are not back"
+            return None
+        verdict, reason = step.analyze(self._policy)
+        self.pending_verdicts[plan.id] = reason
+        if verdict is Verdict.INCONCLUSIVE:
+            return None
+        baseline = step.baseline.as_tuple
+        return RecordStepVerdict(plan.id, plan.step, verdict is Verdict.PASSED, reason, baseline)
--- a/packages/fleet/src/walnutpost/fleet/state.py
+++ b/packages/fleet/src/walnutpost/fleet/state.py
@@ -1,87 +1,111 @@
-"""What the fleet has agreed on, as plain values that a snapshot holds."""
+"""The state that the replicas agree on, as plain values.
+
+They are written to snapshots as maps, under the names given by `field(name=...)` where these differ from the
+attributes' own. Neither a stored name nor the order of fields may change: replicas compare snapshots by
+bytes.
+"""
 
 from __future__ import annotations
 
 import msgspec
+from msgspec import field
 
-from walnutpost.fleet.commands import Acted, Alone, Answer, Budget
+from walnutpost.fleet.commands import Acknowledgement, CommandResult, DisruptionBudget, RecordManualChange
 
 
-class Value(msgspec.Struct):
-    """Changed by `machine.py` alone."""
+class StateRecord(msgspec.Struct):
+    """A mutable part of the state; only the handlers of commands change it."""
 
 
-class Member(Value):
-    """One place in the fleet; `incarnation` is the process that fills it."""
+class Member(StateRecord):
+    """A named place in the fleet; `incarnation` is the process that fills it now."""
 
     kind: str
     zone: str
     incarnation: str
     version: str = ""
-    silent: bool = False
-    follows: bool = False
+    unresponsive: bool = field(default=False, name="silent")
+    follows_endpoints: bool = field(default=False, name="follows")
     address: str = ""
 
 
-class Permit(Value):
-    """`at`: the entry that granted it. It comes back by proof only, never by time. `cleared`: the entry by
-    which all front ends had acted on it, 0 before; `acted`: who had said so. `returning`: an operator wants
-    the member back that a drain holds out."""
+class Permit(StateRecord):
+    """The right of `holder` to take a member out, granted by log entry `granted_index`.
+
+    It ends only by a command that proves the member available, never by time. `confirmed_index`: the entry by
+    which all front ends had acknowledged it, 0 before; `acknowledgements`: by whom. `return_requested`: an
+    operator has ended the drain.
+    """
 
     id: str
     member: str
     holder: str
-    why: str
-    at: int
+    reason: str = field(name="why")
+    granted_index: int = field(name="at")
     plan: str = ""
-    began: bool = False
-    cleared: int = 0
-    acted: tuple[Acted, ...] = ()
-    returning: bool = False
+    has_begun: bool = field(default=False, name="began")
+    confirmed_index: int = field(default=0, name="cleared")
+    acknowledgements: tuple[Acknowledgement, ...] = field(default=(), name="acted")
+    return_requested: bool = field(default=False, name="returning")
+
 
+def permit_id(index: int) -> str:
+    """Return the id of the permit that log entry `index` grants."""
+    return f"p{index}"
 
-def granted_at(permit: str) -> int:
-    """The entry that granted it, by its name: who holds an older state can't know of it."""
+
+def grant_index(permit: str) -> int:
+    """Return the log entry that granted a permit, by its id: an older state can't contain it."""
     return int(permit[1:])
 
 
-class Plan(Value):
-    """`order`: members as they are taken, spread over zones. `step`: how many judgements it has passed."""
+class Plan(StateRecord):
+    """A release, rollback or drain. `members` are in the order in which they are taken, zones interleaved.
+
+    `step`: how many steps have passed their verdict. `halt_reason` and `end_reason` are empty while it is not
+    halted or ended. `baseline`: call counts of the old version, from earlier steps.
+    """
 
     id: str
-    order: list[str]
+    members: list[str] = field(name="order")
     version: str
     steps: list[float]
-    back: str
+    rollback_version: str = field(name="back")
     step: int = 0
-    done: list[str] = []
-    halted: str = ""
-    ended: str = ""
-    stay: bool = False
-    judged: bool = True
-    before: tuple[int, ...] = ()
-
-    def reached(self) -> int:
-        """How many of the order may be at it by now: one first, and a share at each step after."""
-        if not self.judged:
-            return len(self.order)
-        share = self.steps[min(self.step, len(self.steps)) - 1] if self.step else 0.0
-        return max(1, int(share * len(self.order) + 1e-9)) if self.step < len(self.steps) else len(self.order)
-
-
-class State(Value):
-    """`listed`: the entry that last changed what front ends are told of workers. `alone`: what was done
-    without a quorum, the newest last. `followers`: who follows the table, incarnations by name. Dicts keep
-    the order in which the history filled them: the oldest go first."""
+    completed: list[str] = field(default_factory=list, name="done")
+    halt_reason: str = field(default="", name="halted")
+    end_reason: str = field(default="", name="ended")
+    keeps_members_out: bool = field(default=False, name="stay")
+    requires_verdict: bool = field(default=True, name="judged")
+    baseline: tuple[int, ...] = field(default=(), name="before")
+
+    def eligible_count(self) -> int:
+        """How many members, from the first, may have begun: one, then a ratio of them at each step."""
+        if not self.requires_verdict or self.step >= len(self.steps):
+            return len(self.members)
+        ratio = self.steps[self.step - 1] if self.step else 0.0
+        return max(1, int(ratio * len(self.members) + ROUNDING))
+
+
+ROUNDING = 1e-9  # lets ratios such as 3 * 0.1 reach the whole number that they stand for
+
+
+class FleetState(StateRecord):
+    """Everything but the config store. Dicts keep the order of the log: the oldest are trimmed first.
+
+    `endpoints_index`: the entry that last changed the list of workers. `manual_changes`: what was done
+    without a quorum, newest last. `results`: by the id of the command, newest last. `followers`: of the
+    config store, incarnations by name.
+    """
 
     index: int = 0
-    listed: int = 0
-    members: dict[str, Member] = {}
-    permits: dict[str, Permit] = {}
-    plans: dict[str, Plan] = {}
-    versions: dict[str, bytes] = {}
-    budgets: list[Budget] = []
-    halted: str = ""
-    alone: list[Alone] = []
-    answers: dict[str, Answer] = {}  # by command id, the newest last
-    followers: dict[str, str] = {}
+    endpoints_index: int = field(default=0, name="listed")
+    members: dict[str, Member] = field(default_factory=dict)
+    permits: dict[str, Permit] = field(default_factory=dict)
+    plans: dict[str, Plan] = field(default_factory=dict)
+    versions: dict[str, bytes] = field(default_factory=dict)
+    budgets: list[DisruptionBudget] = field(default_factory=list)
+    halt_reason: str = field(default="", name="halted")
+    manual_changes: list[RecordManualChange] = field(default_factory=list, name="alone")
+    results: dict[str, CommandResult] = field(default_factory=dict, name="answers")
+    followers: dict[str, str] = field(default_factory=dict)
