--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -14,31 +14,31 @@
 from rig import SAFE
 from rig import SETTINGS as BASE
 from walnutpost.gateway import (
-    AttemptDone,
+    AttemptEnded,
     CallArrived,
     Catalogue,
     Function,
     Gateway,
-    HoldDone,
-    Order,
-    Start,
-    WorkersTold,
-    WorkerTold,
+    ListedWorker,
+    LoadOrder,
+    LoadOrderEnded,
+    Send,
+    WorkersListed,
 )
 from walnutpost.interface import ListKind, Outcome, Warmth
 
 SECOND = 1_000_000
 CALLS, GAP = 10_000, 400  # microseconds between two calls
-SETTINGS = replace(BASE, classes=(replace(SAFE, deadline=5 * SECOND // 2),), report_fields=("busy",))
+SETTINGS = replace(BASE, classes=(replace(SAFE, deadline_us=5 * SECOND // 2),), report_fields=("busy",))
 CATALOGUE = Catalogue({"price": Function("price", 0, 100.0, 512.0)})
 
 
 def gateway_us(workers: int, in_flight: int) -> float:
     gateway = Gateway(SETTINGS, CATALOGUE, 1)
     now = 1_000 * SECOND
-    listed = tuple(WorkerTold(f"w{i}") for i in range(workers))
-    gateway.handle(now, WorkersTold(ListKind.CACHED, 1, listed))
-    out: deque[Start] = deque()
+    listed = tuple(ListedWorker(f"w{i}") for i in range(workers))
+    gateway.handle(now, WorkersListed(ListKind.CACHED, 1, listed))
+    out: deque[Send] = deque()
     began = 0.0
     for number in range(CALLS + in_flight):
         if number == in_flight:
@@ -47,14 +47,14 @@
         now += GAP
         effects = gateway.handle(now, CallArrived(number + 1, "price", b"{}", 5 * SECOND // 2))
         for effect in effects:
-            if isinstance(effect, Order):
-                done = HoldDone(effect.worker, "price", Outcome.OK, 1000, 1)
-                out.extend(e for e in gateway.handle(now, done) if isinstance(e, Start))
-        out.extend(e for e in effects if isinstance(e, Start))
+            if isinstance(effect, LoadOrder):
+                done = LoadOrderEnded(effect.worker, "price", Outcome.OK, 1000, 1)
+                out.extend(e for e in gateway.handle(now, done) if isinstance(e, Send))
+        out.extend(e for e in effects if isinstance(e, Send))
         if len(out) >= in_flight:
             start = out.popleft()
-            answer = AttemptDone(
-                start.call, start.attempt, Outcome.OK, 1000, b"{}", False, Warmth.STOOD, 0, (0.2,)
+            answer = AttemptEnded(
+                start.call, start.attempt, Outcome.OK, 1000, b"{}", False, Warmth.WARM, 0, (0.2,)
             )
             gateway.handle(now, answer)
     return (time.perf_counter() - began) / CALLS * 1e6
--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -37,7 +37,7 @@
     endpoint_snapshot,
 )
 from walnutpost.gateway import Gateway
-from walnutpost.gateway.catalogue import FUNCTION_BITS, Numbers
+from walnutpost.gateway.catalogue import FUNCTION_BITS, NumberedNames
 from walnutpost.interface import ListKind, Outcome, Warmth
 from walnutpost.policy import Router
 from walnutpost.workerclient import Links, LinkSettings
@@ -191,7 +191,7 @@
         sent = [a for a in router.handle(now, event) if isinstance(a, api.Send)]
         out.append(time.process_time() - began)
         for action in sent:
-            done = api.AttemptEnded(n, 0, action.worker, Outcome.OK, 1000, True, Warmth.STOOD, 0, ())
+            done = api.AttemptEnded(n, 0, action.worker, Outcome.OK, 1000, True, Warmth.WARM, 0, ())
             router.handle(now, done)
     return out
 
@@ -216,9 +216,9 @@
     with Grown() as held:
         kept = catalogue(config.site)
     out["Catalogue"] = mb(held)
-    out["Numbers made"] = ms(cpu_of(lambda: Numbers(FUNCTION_BITS, kept.functions), 3))
+    out["Numbers made"] = ms(cpu_of(lambda: NumberedNames(FUNCTION_BITS, kept.functions), 3))
     with Grown() as numbered:
-        numbers = Numbers(FUNCTION_BITS, kept.functions)
+        numbers = NumberedNames(FUNCTION_BITS, kept.functions)
     assert numbers.number(made.function_name(0))
     out["Numbers"] = mb(numbered)
     with Grown() as bytes_only:
--- a/packages/adapter/src/walnutpost/adapter/codec.py
+++ b/packages/adapter/src/walnutpost/adapter/codec.py
@@ -172,12 +172,12 @@
             class_index=cls,
             tenant=tenant,
             function=function,
-            time_left=left,
-            cost_hint=hint if flags & HINT_VALID else None,
+            time_left_us=left,
+            cost_hint_us=hint if flags & HINT_VALID else None,
             memory_mb=memory,
             lanes=lanes,
-            load_time=int(load_ms * 1000),
-            repeat=bool(flags & CLIENT_REPEAT),
+            load_time_us=int(load_ms * 1000),
+            is_repeat=bool(flags & CLIENT_REPEAT),
         )
 
     @staticmethod
@@ -202,7 +202,7 @@
         data = fields[PEER.size :]
         if len(data) != size:
             raise ProtocolError(f"{size} bytes of content told, {len(data)} there")
-        return instance, api.PeerSaid(peer, data)
+        return instance, api.PeerMessage(peer, data)
 
     @staticmethod
     def _stopped(fields: bytes) -> tuple[int, Incoming]:
@@ -213,7 +213,7 @@
     def _hold_ended(fields: bytes) -> tuple[int, Incoming]:
         instance, worker, function, how, latency, copies = HOLD_ENDED.unpack(fields)
         outcome = _lookup(OUTCOMES, how, "outcome")
-        return instance, api.HoldEnded(worker, function, outcome, latency, copies)
+        return instance, api.LoadOrderEnded(worker, function, outcome, latency, copies)
 
     @staticmethod
     def _started(fields: bytes) -> tuple[int, Incoming]:
@@ -226,7 +226,7 @@
     @staticmethod
     def _gone(fields: bytes) -> tuple[int, Incoming]:
         instance, request = GONE.unpack(fields)
-        return instance, api.RequestGone(request)
+        return instance, api.RequestCancelled(request)
 
 
 _WARMTH = {int(warmth): warmth for warmth in api.Warmth}
@@ -261,7 +261,7 @@
     match action:
         case api.Send(request, worker, timeout):
             return _record(1, "IQII", instance, request, worker, timeout)
-        case api.Refuse(request, retry_after):
+        case api.Reject(request, retry_after):
             return _record(2, "IQI", instance, request, retry_after)
         case api.Fail(request):
             return _record(3, "IQ", instance, request)
@@ -271,15 +271,15 @@
             return _record(5, "III", instance, delay, token)
         case api.Probe(worker):
             return _record(6, "II", instance, worker)
-        case api.CloseIdle(worker):
+        case api.CloseIdleConnections(worker):
             return _record(7, "II", instance, worker)
         case api.Log(text):
             return _text_record(9, instance, text)
-        case api.FollowList(on):
+        case api.WatchEndpoints(on):
             return _record(11, "IB", instance, on)
-        case api.ReadList():
+        case api.FetchEndpoints():
             return _record(12, "I", instance)
-        case api.Hold(worker, function, copies):
+        case api.LoadOrder(worker, function, copies):
             return _record(13, "IIQB", instance, worker, function, copies)
         case api.Unload(worker, function):
             return _record(14, "IIQ", instance, worker, function)
--- a/packages/adapter/src/walnutpost/adapter/host.py
+++ b/packages/adapter/src/walnutpost/adapter/host.py
@@ -37,7 +37,7 @@
         try:
             match event:
                 case codec.Started(seed, text):
-                    told = replace(settings.parse_settings(text), ideal_network=True)
+                    told = replace(settings.parse_settings(text), is_ideal_network=True)
                     self._routers[instance] = Router(told, seed)
                 case codec.Stopped():
                     del self._routers[instance]
--- a/packages/adapter/tests/test_adapter.py
+++ b/packages/adapter/tests/test_adapter.py
@@ -96,14 +96,14 @@
     (event,) = decode(request())
     assert event == api.RequestArrived(77, 0, 0, 9, 2_500_000, 12_000, 384.0, 2.0, 700_500, False)
     (event,) = decode(request(flags=2))
-    assert isinstance(event, api.RequestArrived) and event.cost_hint is None and event.repeat
+    assert isinstance(event, api.RequestArrived) and event.cost_hint_us is None and event.is_repeat
 
 
 @pytest.mark.parametrize(("wire", "outcome"), list(codec.OUTCOMES.items()))
 def test_ended_fields(wire: int, outcome: api.Outcome) -> None:
     note = 2 + 8 * 5
     (event,) = decode(record(5, "IQHIHIBBBff", 3, 77, 1, 8, wire, 900, 1, note, 2, 0.25, 0.5))
-    assert event == api.AttemptEnded(77, 1, 8, outcome, 900, True, api.Warmth.BEGAN_LOAD, 5, (0.25, 0.5))
+    assert event == api.AttemptEnded(77, 1, 8, outcome, 900, True, api.Warmth.STARTED_LOAD, 5, (0.25, 0.5))
 
 
 def test_other_events() -> None:
@@ -119,10 +119,10 @@
         api.AnswerStarted(77, 0, 8, 500),
         api.TimerDue(4),
         api.ProbeEnded(8, api.Outcome.OK, 700, (0.5,)),
-        api.PeerSaid(2, b"hi!"),
+        api.PeerMessage(2, b"hi!"),
         codec.Stopped(),
-        api.HoldEnded(8, 9, api.Outcome.FULL, 640, 2),
-        api.RequestGone(77),
+        api.LoadOrderEnded(8, 9, api.Outcome.FULL, 640, 2),
+        api.RequestCancelled(77),
     ]
 
 
@@ -139,16 +139,16 @@
     ("action", "code", "layout", "values"),
     [
         (api.Send(77, 8, 500), 1, "IQII", (3, 77, 8, 500)),
-        (api.Refuse(77, 250), 2, "IQI", (3, 77, 250)),
+        (api.Reject(77, 250), 2, "IQI", (3, 77, 250)),
         (api.Fail(77), 3, "IQ", (3, 77)),
         (api.Cancel(77, 2), 4, "IQH", (3, 77, 2)),
         (api.SetTimer(900, 1), 5, "III", (3, 900, 1)),
         (api.Probe(8), 6, "II", (3, 8)),
-        (api.CloseIdle(8), 7, "II", (3, 8)),
+        (api.CloseIdleConnections(8), 7, "II", (3, 8)),
         (api.Log("why"), 9, "IH3s", (3, 3, b"why")),
-        (api.FollowList(True), 11, "IB", (3, 1)),
-        (api.ReadList(), 12, "I", (3,)),
-        (api.Hold(8, 9, 2), 13, "IIQB", (3, 8, 9, 2)),
+        (api.WatchEndpoints(True), 11, "IB", (3, 1)),
+        (api.FetchEndpoints(), 12, "I", (3,)),
+        (api.LoadOrder(8, 9, 2), 13, "IIQB", (3, 8, 9, 2)),
         (api.Unload(8, 9), 14, "IIQ", (3, 8, 9)),
     ],
 )
@@ -210,9 +210,9 @@
 def test_settings_are_read_and_unknown_ones_skipped() -> None:
     told = settings.parse_settings(json.dumps(FACTS).encode())
     assert told.classes[1].effect is api.Effect.KEYED and told.classes[1].group is api.Group.ZONE
-    assert told.keep_alive == 8_000_000 and told.may_load and not told.loads_on_miss
+    assert told.keep_alive_us == 8_000_000 and told.may_order_loads and not told.loads_on_miss
     assert told.report_fields == ("busy", "memory_tied", "novelty")
-    assert told.guards.load_window == 0 and told.tenants == ()
+    assert told.guards.load_order_window_us == 0 and told.tenants == ()
 
 
 def test_exception_becomes_a_fault_with_its_place(
--- a/packages/adapter/tests/test_golden_adapter.py
+++ b/packages/adapter/tests/test_golden_adapter.py
@@ -174,18 +174,18 @@
 def make() -> None:
     actions: list[api.Action] = [
         api.Send(77, 8, 2_500_000, 16_000),
-        api.Refuse(1 << 40, 250_000),
+        api.Reject(1 << 40, 250_000),
         api.Fail(78),
         api.Cancel(79, 3),
         api.SetTimer(4_000, 1),
         api.Probe(8),
-        api.CloseIdle(9),
+        api.CloseIdleConnections(9),
         api.Log("worker 8 set aside as silent, \N{GREEK SMALL LETTER MU} 3 requests out"),
-        api.FollowList(True),
-        api.FollowList(False),
-        api.ReadList(),
-        api.Hold(8, 1 << 39, 2, 500),
-        api.Hold(8, 9, 0),
+        api.WatchEndpoints(True),
+        api.WatchEndpoints(False),
+        api.FetchEndpoints(),
+        api.LoadOrder(8, 1 << 39, 2, 500),
+        api.LoadOrder(8, 9, 0),
         api.Unload(8, 9),
     ]
     rows = [sent_row("action", SENDERS, 3, action) for action in actions]
--- a/packages/config/src/walnutpost/config/settings.py
+++ b/packages/config/src/walnutpost/config/settings.py
@@ -9,7 +9,7 @@
 from walnutpost.config.base import address_of
 from walnutpost.config.model import Config, FunctionLine, Metering, Site, WorkerLine
 from walnutpost.cron import Missed, Overlap, Schedule, owner_of
-from walnutpost.gateway import Catalogue, Function, WorkerTold
+from walnutpost.gateway import Catalogue, Function, ListedWorker
 from walnutpost.metering import HOUR, Action, Budget, Policy
 
 
@@ -79,19 +79,19 @@
         zone=site.zones.index(front.zone) if front.zone else 0,
         front_ends=front.front_ends,
         index=front.index,
-        tick=us(front.tick_ms),
-        keep_alive=us(site.keep_alive_ms),
-        order_timeout=us(site.order_timeout_ms),
-        may_load=True,
+        tick_us=us(front.tick_ms),
+        keep_alive_us=us(site.keep_alive_ms),
+        load_order_timeout_us=us(site.order_timeout_ms),
+        may_order_loads=True,
         loads_on_miss=site.on_absence == "load",
-        tells_warmth=True,
-        tells_crowd=True,
-        must_ask_list=False,
-        weighted=False,
-        worth_by_work=False,
-        over_share_worth=site.over_share_worth,
+        reports_warmth=True,
+        reports_crowd=True,
+        must_watch_endpoints=False,
+        has_weights=False,
+        weighs_priority_by_work=False,
+        over_share_weight=site.over_share_worth,
         report_fields=tuple(site.reports),
-        memory_by_kind=tuple(k.memory_mb for k in site.kinds.values()),
+        memory_mb_by_kind=tuple(k.memory_mb for k in site.kinds.values()),
     )
 
 
@@ -150,11 +150,11 @@
 
 def worker_lines(
     site: Site, lines: Sequence[WorkerLine]
-) -> tuple[tuple[WorkerTold, ...], dict[str, tuple[str, int]], set[str]]:
+) -> tuple[tuple[ListedWorker, ...], dict[str, tuple[str, int]], set[str]]:
     """What the gateway is told, the addresses, and which workers are leaving."""
     kinds = list(site.kinds)
     told = tuple(
-        WorkerTold(
+        ListedWorker(
             w.name,
             site.zones.index(w.zone) if w.zone in site.zones else 0,
             kinds.index(w.kind) if w.kind in kinds else 0,
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -23,14 +23,14 @@
     Final,
     Function,
     NotStored,
-    Refused,
-    Start,
+    Rejected,
+    ReplicationPending,
+    Send,
     Status,
-    UnknownName,
-    Unsure,
+    UnknownNameError,
     admit,
-    conclude,
-    resume,
+    recovery_action,
+    with_final_status,
 )
 from walnutpost.interface import Effect
 from walnutpost.journal import Told
@@ -55,7 +55,7 @@
         self.copies: Told | None = None  # how many hold it, where there is a journal
         self.ticket = 0
         self.durable = Event(loop)  # set when the store has it, or has not taken it
-        self.failed: Refused | NotStored | None = None
+        self.failed: Rejected | NotStored | None = None
 
 
 class Deferred:
@@ -96,7 +96,7 @@
         name: str | None,
         request_id: str,
         also: Change | None = None,
-    ) -> Execution | Unsure | Refused | NotStored | None:
+    ) -> Execution | ReplicationPending | Rejected | NotStored | None:
         digest = blake2b(payload + b"\0" + (tenant or "").encode(), digest_size=16).hexdigest()
         now = self._loop.now()
         name = name or request_id
@@ -116,7 +116,7 @@
             known.durable.wait()
             return known.failed or self._accepted(known)
         if arrived is None:  # a front has looked just now: only a schedule's function can be gone here
-            return Refused(f"no function {function!r}", UNKNOWN_AGAIN)
+            return Rejected(f"no function {function!r}", UNKNOWN_AGAIN)
         refused = self._journal.room(arrived, len(payload)) if self._journal is not None else None
         if refused is not None:
             return refused
@@ -136,7 +136,7 @@
         except BaseException:
             # This very task is being ended; whoever asked again must not wait for ever, and what the store
             # may hold by now is taken up at the next start.
-            entry.failed = NotStored(name, STORE_RETRY_AFTER, uncertain=True)
+            entry.failed = NotStored(name, STORE_RETRY_AFTER, is_uncertain=True)
             entry.durable.set()
             raise
         self._copied(entry, line)
@@ -150,7 +150,7 @@
         """As it is configured now; None where it isn't."""
         try:
             return self._catalogue.function(name)
-        except UnknownName:
+        except UnknownNameError:
             return None
 
     def _copied(self, entry: _Open, line: Appending | None) -> None:
@@ -160,8 +160,10 @@
             left = entry.execution.expires_at - self._loop.now()
             entry.copies = self._journal.copied(line, entry.function, left)
 
-    def _refuse_stored(self, entry: _Open, request_id: str) -> Execution | Unsure | Refused | NotStored:
-        """Refused at once, after it was stored: it must be off the disk before its client hears that."""
+    def _refuse_stored(
+        self, entry: _Open, request_id: str
+    ) -> Execution | ReplicationPending | Rejected | NotStored:
+        """Rejected at once, after it was stored: it must be off the disk before its client hears that."""
         refusal = entry.failed
         assert refusal is not None
         try:
@@ -169,7 +171,7 @@
         except StoreError as error:
             # The name stays taken until the removal is durable; a start before that would run the call.
             self._log.error("store", error=str(error), request=request_id)
-            entry.failed = refusal = NotStored(entry.execution.name, STORE_RETRY_AFTER, uncertain=True)
+            entry.failed = refusal = NotStored(entry.execution.name, STORE_RETRY_AFTER, is_uncertain=True)
             entry.durable.set()
             self._loop.spawn(self._withdraw_until_stored, entry, name="withdraw")
             return refusal
@@ -195,9 +197,9 @@
             else:
                 return self._forget(entry)
 
-    def _accepted(self, entry: _Open) -> Execution | Unsure:
+    def _accepted(self, entry: _Open) -> Execution | ReplicationPending:
         if entry.copies is not None and not entry.copies.enough:
-            return Unsure(entry.execution, entry.copies.copies)
+            return ReplicationPending(entry.execution, entry.copies.copies)
         return entry.shown
 
     def copies(self, ident: str) -> int | None:
@@ -218,7 +220,7 @@
         def done(final: Final) -> None:
             self._by_ticket.pop(entry.ticket, None)
             self._core.told(final, request_id, e.function, e.tenant)
-            if accepting and isinstance(final, Refused):
+            if accepting and isinstance(final, Rejected):
                 entry.failed = final
             else:
                 self._conclude(entry, final)
@@ -229,10 +231,10 @@
             e.payload,
             time_left,
             e.tenant,
-            durable=True,
-            stays=True,
-            barred=None if entry.durable.is_set else self._core.barred(e.function, e.tenant),
-            of=entry.function,
+            is_durable=True,
+            outlives_callers=True,
+            rejection=None if entry.durable.is_set else self._core.barred(e.function, e.tenant),
+            definition=entry.function,
         )
         self._core.arrive(call, done)
         accepting = False
@@ -241,7 +243,7 @@
         entry = self._by_ticket.get(ticket)
         return entry.execution.name if entry is not None else ""
 
-    def _intend(self, start: Start) -> None:
+    def _intend(self, start: Send) -> None:
         """Called before an unsafe call's first byte leaves. Raises LookupError where it must not leave:
         ConnectionError would say that something is wrong with the worker."""
         entry = self._by_ticket.get(start.ticket)
@@ -264,7 +266,7 @@
     # Fates
 
     def _conclude(self, entry: _Open, final: Final) -> None:
-        entry.execution = conclude(entry.execution, final, self._loop.now())
+        entry.execution = with_final_status(entry.execution, final, self._loop.now())
         self._loop.spawn(self._save, entry, name="save fate")
 
     def _save(self, entry: _Open) -> None:
@@ -350,7 +352,7 @@
             entry.function = self._function(execution.function)
             # An intent is written only where the call was not safe when it was sent, whatever its function's
             # class is now; so that one which may have run is not run again, its function is not asked.
-            what = resume(execution, Effect.UNSAFE, self._loop.now())
+            what = recovery_action(execution, Effect.UNSAFE, self._loop.now())
             if entry.function is None and not isinstance(what, Failed):
                 if not known:
                     continue
@@ -365,7 +367,7 @@
             except LookupError as error:
                 entry.failed = None
                 self._conclude(entry, Failed(Failure.RESTART, str(error)))
-            if isinstance(entry.failed, Refused):  # it was accepted: that is its fate
+            if isinstance(entry.failed, Rejected):  # it was accepted: that is its fate
                 self._conclude(entry, entry.failed)
                 entry.failed = None
 
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -28,7 +28,7 @@
     EndpointSnapshot,
     RegisterMember,
 )
-from walnutpost.gateway import CallArrived, Final, Function, Refused, Served
+from walnutpost.gateway import CallArrived, Final, Function, Rejected, Served
 from walnutpost.interface import RequestClass
 
 
@@ -40,8 +40,10 @@
     classes: tuple[RequestClass, ...] = ()
 
     def arrive(self, call: CallArrived, done: Callable[[Final], None]) -> None:
-        function = call.of or self.functions.get(call.function)
-        by = self._loop.now() + (self.classes[function.class_index].aim if function is not None else 0)
+        function = call.definition or self.functions.get(call.function)
+        by = self._loop.now() + (
+            self.classes[function.class_index].latency_objective_us if function is not None else 0
+        )
 
         def counted(final: Final) -> None:
             self._count(final, self._loop.now() <= by)
@@ -56,7 +58,7 @@
         super().leave(ticket)
 
     def _count(self, final: Final | None, in_aim: bool) -> None:
-        served, refused = isinstance(final, Served), isinstance(final, Refused)
+        served, refused = isinstance(final, Served), isinstance(final, Rejected)
         failed = not served and not refused
         self.figures += CallCounts(int(served), int(refused), int(failed), int(served and in_aim))
 
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -70,7 +70,7 @@
         followed: Functions | None = None
         if config.agreement is not None and config.agreement.relays:
             followed = Functions(self.catalogue.functions, list(site.classes))
-            self.catalogue = replace(self.catalogue, functions=followed, changing=True)
+            self.catalogue = replace(self.catalogue, functions=followed, is_changing=True)
         gateway = Gateway(
             settings, self.catalogue, seed, us(front.remember_ms), int(front.remember_mb * (1 << 20))
         )
--- a/packages/daemon/src/walnutpost/daemon/journaling.py
+++ b/packages/daemon/src/walnutpost/daemon/journaling.py
@@ -14,7 +14,7 @@
 from walnutpost.config.settings import us
 from walnutpost.eventloop import Loop
 from walnutpost.fronts.calls import Unreached
-from walnutpost.gateway import Execution, Function, Refused, Status
+from walnutpost.gateway import Execution, Function, Rejected, Status
 from walnutpost.interface import RequestClass
 from walnutpost.journal import (
     Accepted,
@@ -126,13 +126,13 @@
         """None: the function is configured no more, so which class its call was of isn't known."""
         return self._copies[function.class_index] if function is not None else self._strictest
 
-    def room(self, function: Function, size: int) -> Refused | None:
+    def room(self, function: Function, size: int) -> Rejected | None:
         """The answer where a further call can't be copied as its class asks for."""
         wanted = self._wanted(function)
         wait = self.sending.machine.waits(wanted.copies, wanted.without == "less", size)
         if wait is None:
             return None
-        return Refused(f"{wanted.copies} copies at other sites can't be made now", wait)
+        return Rejected(f"{wanted.copies} copies at other sites can't be made now", wait)
 
     def copied(self, line: Appending, function: Function | None, left: int, whole: bool = False) -> Told:
         """Waits until it is held as its class asks for, but no longer than `copy_wait_ms`, or, with `whole`,
--- a/packages/daemon/src/walnutpost/daemon/lists.py
+++ b/packages/daemon/src/walnutpost/daemon/lists.py
@@ -11,7 +11,7 @@
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Loop
 from walnutpost.fleet.endpoints import EndpointFollower, ListedEndpoint
-from walnutpost.gateway import WorkersTold
+from walnutpost.gateway import WorkersListed
 from walnutpost.interface import ListKind
 from walnutpost.workerclient import Links
 
@@ -65,7 +65,7 @@
         self._links.told(addresses, leaving, names)
         if self._on_told is not None:
             self._on_told(version, lines)
-        self._core.feed(WorkersTold(kind, version, told))
+        self._core.feed(WorkersListed(kind, version, told))
 
     def read(self, path: Path, kind: ListKind = ListKind.FULL) -> bool:
         """Passes the file's list on if it is new and whole; a broken one leaves the last one in force."""
--- a/packages/daemon/src/walnutpost/daemon/meters.py
+++ b/packages/daemon/src/walnutpost/daemon/meters.py
@@ -12,7 +12,7 @@
 from walnutpost.config.model import Metering
 from walnutpost.config.settings import budgets, meter_policy, us
 from walnutpost.eventloop import Group, Loop, Task
-from walnutpost.gateway import AttemptDone, Function, HoldDone, Order, Refused, Start
+from walnutpost.gateway import AttemptEnded, Function, LoadOrder, LoadOrderEnded, Rejected, Send
 from walnutpost.interface import Outcome
 from walnutpost.metering import HOUR, Budgets, Gap, Ledger, Sight, Size, Standing
 from walnutpost.metering.ledger import DOWN
@@ -32,7 +32,7 @@
 
     def __getitem__(self, name: str) -> Size:
         f = self._functions[name]
-        return Size(ceil(f.memory_mb), int(f.lanes), f.load_time)
+        return Size(ceil(f.memory_mb), int(f.lanes), f.load_time_us)
 
     def __iter__(self) -> Iterator[str]:
         return iter(self._functions)
@@ -86,7 +86,7 @@
 
     # What the core shows (daemon.core.Watch)
 
-    def barred(self, function: str, tenant: str | None) -> Refused | None:
+    def barred(self, function: str, tenant: str | None) -> Rejected | None:
         if not self._acts:
             return None
         name = tenant if tenant is not None else self._default
@@ -96,25 +96,25 @@
         if self.budgets.lets_in(name, self.sight.stands(now, function)):
             return None
         why = "the tenant's budget of memory is used up, and the call would need a load"
-        return Refused(why, self.budgets.ends(name, now))
+        return Rejected(why, self.budgets.ends(name, now))
 
-    def started(self, now: int, start: Start) -> None:
+    def started(self, now: int, start: Send) -> None:
         if not self._acts and not self.sight.estimates(start.worker):
             return
         tenant = start.tenant if start.tenant is not None else NAMELESS
         self._attempts[start.call, start.attempt] = (start.worker, start.function, tenant)
         self.sight.began(now, start.worker, start.function, tenant)
 
-    def done(self, now: int, done: AttemptDone) -> None:
+    def done(self, now: int, done: AttemptEnded) -> None:
         place = self._attempts.pop((done.call, done.attempt), None)
         if place is not None:
             self.sight.ended(now, *place)
 
-    def held(self, now: int, done: HoldDone) -> None:
+    def held(self, now: int, done: LoadOrderEnded) -> None:
         if done.outcome in (Outcome.OK, Outcome.FULL):
             self.sight.stood(now, done.worker, done.function, done.copies)
 
-    def lets_order(self, now: int, order: Order) -> bool:
+    def lets_order(self, now: int, order: LoadOrder) -> bool:
         if not self._acts or order.copies <= 0:
             return True
         stands = self.sight.stands(now, order.function)
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -13,7 +13,7 @@
 from walnutpost.daemon.meters import Meters
 from walnutpost.eventloop import VirtualClock
 from walnutpost.faultinjection.usage import true_usage
-from walnutpost.gateway import Order
+from walnutpost.gateway import LoadOrder
 from walnutpost.metering import HOUR, UNATTRIBUTED, Account, Amount, Batch, Gap, added
 from walnutpost.store.usage import Run
 
@@ -286,7 +286,7 @@
             meters(f).look()
             orders, send = [], f.front.links.order
 
-            def order(effect: Order, done: Any) -> None:
+            def order(effect: LoadOrder, done: Any) -> None:
                 orders.append(effect.copies)
                 send(effect, done)
 
--- a/packages/daemon/tests/test_taking_up.py
+++ b/packages/daemon/tests/test_taking_up.py
@@ -125,20 +125,23 @@
 
         router.handle = seen  # type: ignore[method-assign]
         key = f.front.core._gateway._functions.number("reserve")
-        state, belief = router._functions[key], {w: c.count for w, c in router._functions[key].copies.items()}
+        state, belief = (
+            router.functions.by_key[key],
+            {w: c.count for w, c in router.functions.by_key[key].copies.items()},
+        )
         first = f.loop.spawn(f.invoke, "price")
         f.until(lambda: f.runs("price") == 1)
         f.change(put("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"}))
-        open_calls = f.front.core._gateway._calls.values()
+        open_calls = f.front.core._gateway._calls.by_number.values()
         assert [(c.function.version, c.function.lanes) for c in open_calls] == [("1", 2.0)]
         second = f.invoke("price")
         assert (second.status, second.headers["x-amz-executed-version"]) == (200, "2")
         assert (first.join().status, first.join().headers["x-amz-executed-version"]) == (200, "1")
         asked = [e for e in events if isinstance(e, RequestArrived)]
-        told = [(e.class_index, e.memory_mb, e.lanes, e.load_time) for e in asked]
+        told = [(e.class_index, e.memory_mb, e.lanes, e.load_time_us) for e in asked]
         assert told == [(0, 400, 2.0, 300_000), (1, 512, 7.0, 80_000)]
         assert not [e for e in events if isinstance(e, WorkersListed)]
-        assert f.front.core._gateway._router is router and router._functions[key] is state
+        assert f.front.core._gateway._router is router and router.functions.by_key[key] is state
         assert {w: c.count for w, c in state.copies.items()} == belief
         assert f.warm("reserve") in {f.front.core._gateway._workers.name(w) for w in belief}
 
--- a/packages/dispatch/src/walnutpost/dispatch/__init__.py
+++ b/packages/dispatch/src/walnutpost/dispatch/__init__.py
@@ -8,45 +8,48 @@
 
 from walnutpost.eventloop import Loop, Task
 from walnutpost.gateway import (
-    Abandon,
     Answered,
-    Arm,
-    AskList,
-    AttemptDone,
+    AttemptEnded,
     CallArrived,
     CallerLeft,
-    CloseIdle,
-    Discard,
-    Due,
+    Cancel,
+    CloseIdleConnections,
     Effect,
     Failed,
     Final,
     Gateway,
-    HoldDone,
     Input,
-    Note,
-    Order,
-    Ping,
-    PingDone,
-    Refused,
+    LoadOrder,
+    LoadOrderEnded,
+    Log,
+    Probe,
+    ProbeEnded,
+    Rejected,
+    Send,
     Served,
-    Start,
+    SetTimer,
+    TimerDue,
+    Unload,
+    WatchEndpoints,
 )
 from walnutpost.interface import Outcome
 
+# Keys of the metrics.
+ANSWER_KINDS: dict[type[Final], str] = {Served: "served", Rejected: "refused", Failed: "failed"}
+
 
 class Watch(Protocol):
     """Sees what leaves and what comes back; may bar new calls and further copies."""
 
-    def barred(self, function: str, tenant: str | None) -> Refused | None: ...
+    def barred(self, function: str, tenant: str | None) -> Rejected | None: ...
 
-    def started(self, now: int, start: Start) -> None: ...
+    def started(self, now: int, start: Send) -> None: ...
 
-    def done(self, now: int, done: AttemptDone) -> None: ...
+    def done(self, now: int, done: AttemptEnded) -> None: ...
 
-    def held(self, now: int, done: HoldDone) -> None: ...
+    def held(self, now: int, done: LoadOrderEnded) -> None: ...
 
-    def lets_order(self, now: int, order: Order) -> bool: ...
+    def lets_order(self, now: int, order: LoadOrder) -> bool: ...
 
 
 class Carrier(Protocol):
@@ -54,19 +57,19 @@
 
     def start(
         self,
-        effect: Start,
-        done: Callable[[AttemptDone], None],
+        effect: Send,
+        done: Callable[[AttemptEnded], None],
         before: Callable[[], None] | None = None,
         execution: str = "",
     ) -> None: ...
 
     def abandon(self, call: int, attempt: int) -> None: ...
 
-    def order(self, effect: Order, done: Callable[[HoldDone], None]) -> None: ...
+    def order(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None: ...
 
-    def discard(self, effect: Discard) -> None: ...
+    def discard(self, effect: Unload) -> None: ...
 
-    def ping(self, effect: Ping, done: Callable[[PingDone], None]) -> None: ...
+    def ping(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None: ...
 
     def close_idle(self, worker: str) -> None: ...
 
@@ -81,7 +84,7 @@
         self._log = log
         self._tickets = 0
         self._waiting: dict[int, Callable[[Final], None]] = {}
-        self.intend: Callable[[Start], None] = lambda start: None
+        self.intend: Callable[[Send], None] = lambda start: None
         self.execution: Callable[[int], str] = lambda ticket: ""
         self.watch: Watch | None = None
         self.ask_list: Callable[[], None] = lambda: None
@@ -99,15 +102,15 @@
         """May be called from tasks and callbacks; does not wait."""
         now = self._loop.now()
         if self.watch is not None:
-            if isinstance(event, AttemptDone):
+            if isinstance(event, AttemptEnded):
                 self.watch.done(now, event)
-            elif isinstance(event, HoldDone):
+            elif isinstance(event, LoadOrderEnded):
                 self.watch.held(now, event)
         for effect in self._gateway.handle(now, event):
             # One that can't be carried out must not keep back those behind it: they are others' answers.
             self._loop.guarded("effect", partial(self._carry_out, effect))
 
-    def barred(self, function: str, tenant: str | None) -> Refused | None:
+    def barred(self, function: str, tenant: str | None) -> Rejected | None:
         """The answer to a new call that is not let in."""
         return self.watch.barred(function, tenant) if self.watch is not None else None
 
@@ -145,7 +148,7 @@
             tenant,
             repeat_key,
             repeat,
-            barred=self.barred(function, tenant),
+            rejection=self.barred(function, tenant),
         )
         task, token = self._loop.waiting()
         unarm = gone(lambda: self._wake(task, token, None))
@@ -168,7 +171,7 @@
                 return
             case None:
                 kind, why = "left", "the caller hung up"
-            case Refused(reason):
+            case Rejected(reason):
                 kind, why = "refused", reason
             case Failed(failure, message):
                 kind, why = "failed", f"{failure.value}: {message}"
@@ -177,32 +180,32 @@
     def _carry_out(self, effect: Effect) -> None:
         match effect:
             case Answered(ticket, final):
-                self.answers[type(final).__name__.lower()] += 1
+                self.answers[ANSWER_KINDS[type(final)]] += 1
                 done = self._waiting.pop(ticket, None)
                 if done is not None:
                     done(final)
-            case Start():
+            case Send():
                 if self.watch is not None:
                     self.watch.started(self._loop.now(), effect)
-                before = (lambda: self.intend(effect)) if effect.intent_first else None
+                before = (lambda: self.intend(effect)) if effect.must_persist_intent else None
                 self._links.start(effect, self.feed, before, self.execution(effect.ticket))
-            case Abandon(call, attempt):
+            case Cancel(call, attempt):
                 self._links.abandon(call, attempt)
-            case Order():
+            case LoadOrder():
                 if self.watch is None or self.watch.lets_order(self._loop.now(), effect):
                     self._links.order(effect, self.feed)
                 else:  # answered as by a worker that takes no more
-                    full = HoldDone(effect.worker, effect.function, Outcome.FULL, 0, 0, effect.copies)
+                    full = LoadOrderEnded(effect.worker, effect.function, Outcome.FULL, 0, 0, effect.copies)
                     self._loop.call_later(0, lambda: self.feed(full))
-            case Discard():
+            case Unload():
                 self._links.discard(effect)
-            case Ping():
+            case Probe():
                 self._links.ping(effect, self.feed)
-            case CloseIdle(worker):
+            case CloseIdleConnections(worker):
                 self._links.close_idle(worker)
-            case Arm(delay, token):
-                self._loop.call_later(delay, lambda: self.feed(Due(token)))
-            case AskList():
+            case SetTimer(delay, token):
+                self._loop.call_later(delay, lambda: self.feed(TimerDue(token)))
+            case WatchEndpoints():
                 self.ask_list()
-            case Note(text):
+            case Log(text):
                 self._log.warning("departure", text=text)
--- a/packages/fakes/src/walnutpost/fakes/model.py
+++ b/packages/fakes/src/walnutpost/fakes/model.py
@@ -200,11 +200,11 @@
         spec = self._functions.get(function)
         self._pressure(spec)
         if spec is None:
-            return self._reply(_Call(ref, function, Warmth.UNTOLD, 0), "miss")
+            return self._reply(_Call(ref, function, Warmth.UNREPORTED, 0), "miss")
         place = self._places.setdefault(function, _Place())
         crowd = len(place.queue) + sum(c.busy for c in place.copies)
         stood = any(c.ready for c in place.copies)
-        call = _Call(ref, function, Warmth.STOOD if stood else Warmth.AWAITED_LOAD, crowd, tenant)
+        call = _Call(ref, function, Warmth.WARM if stood else Warmth.JOINED_LOAD, crowd, tenant)
         if self.draining or self.faults.take("full") or len(self._queued()) >= self.spec.queue:
             return self._reply(call, "full")
         if not place.copies:
@@ -212,7 +212,7 @@
                 return self._reply(call, "miss")
             if not self._begin_load(function):
                 return self._reply(call, "full")
-            call.warmth = Warmth.BEGAN_LOAD
+            call.warmth = Warmth.STARTED_LOAD
         self._calls[ref] = call
         place.queue.append(call)
         self._dispatch(function)
--- a/packages/fakes/tests/test_standins.py
+++ b/packages/fakes/tests/test_standins.py
@@ -90,7 +90,7 @@
     ref = rig.call()
     rig.until(3 * SECOND)
     assert rig.answer(ref) == (SECOND + 600 * MS, "ok")
-    assert [r.warmth for _, r in rig.said if isinstance(r, Answer)] == [Warmth.BEGAN_LOAD]
+    assert [r.warmth for _, r in rig.said if isinstance(r, Answer)] == [Warmth.STARTED_LOAD]
 
 
 def test_memory_is_kept_idle_copies_give_way_and_lapse() -> None:
--- a/packages/fronts/src/walnutpost/fronts/calls.py
+++ b/packages/fronts/src/walnutpost/fronts/calls.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from walnutpost.gateway import Execution, Final, NotStored, Refused, Unsure
+from walnutpost.gateway import Execution, Final, NotStored, Rejected, ReplicationPending
 from walnutpost.store import Change, Listing
 
 
@@ -42,7 +42,7 @@
         name: str | None,
         request_id: str,
         also: Change | None = None,
-    ) -> Execution | Unsure | Refused | NotStored | None:
+    ) -> Execution | ReplicationPending | Rejected | NotStored | None:
         """The execution that stands for the call, on disk; None where the name stands for another
         payload; NotStored where the disk is at fault, not the caller's share. `also` is committed with the
         call, where it is new."""
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -9,7 +9,7 @@
 from walnutpost.cron import Fire, Planner, Schedule, Skip, execution_name
 from walnutpost.eventloop import Event, Loop
 from walnutpost.fronts.calls import DeferredCalls
-from walnutpost.gateway import Execution, Status, Unsure
+from walnutpost.gateway import Execution, ReplicationPending, Status
 from walnutpost.store import Change, FiringStore, StoreError
 
 LOOK_AT_LEAST = 1_000_000  # the wall clock may be set, or the machine sleep: never trust a longer wait
@@ -158,7 +158,7 @@
             self._firings[name] = (s.name, due)
             also = self._store.fired(s.name, due, self._wall(), name)
             got = self._calls.defer(s.function, s.tenant, s.payload, left, name, name, also)
-            if isinstance(got, Unsure):
+            if isinstance(got, ReplicationPending):
                 got = got.execution  # it is on disk with its firing, and will run
             if isinstance(got, Execution):
                 self._newest = max(self._newest, due)
@@ -171,7 +171,7 @@
                 self._commit(self._store.refused(s.name, due, self._wall(), why))
                 self.planner.ended(s.name, due)
                 return
-            self._loop.sleep(max(ASK_AGAIN, got.retry_after))
+            self._loop.sleep(max(ASK_AGAIN, got.retry_after_us))
 
     def ended(self, execution: Execution) -> None:
         """An execution's fate is on disk; it may be no firing."""
--- a/packages/fronts/src/walnutpost/fronts/invoke/front.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/front.py
@@ -16,7 +16,15 @@
     invalid,
     missing,
 )
-from walnutpost.gateway import Catalogue, Execution, Function, NotStored, Refused, UnknownName, Unsure
+from walnutpost.gateway import (
+    Catalogue,
+    Execution,
+    Function,
+    NotStored,
+    Rejected,
+    ReplicationPending,
+    UnknownNameError,
+)
 from walnutpost.http import Exchange, Response
 from walnutpost.interface import RequestClass
 from walnutpost.store import Listing, StoreError
@@ -80,7 +88,7 @@
     def _function(self, name: str, qualifier: str | None) -> Function:
         try:
             function = self._catalogue.function(name)
-        except UnknownName:
+        except UnknownNameError:
             raise missing(f"Function not found: {name}") from None
         if qualifier not in (None, "$LATEST", "$LATEST.PUBLISHED", function.version):
             raise missing(f"Function not found: {name}:{qualifier}; its version is {function.version}")
@@ -90,9 +98,9 @@
         function = self._function(call.function, call.qualifier)
         try:
             self._catalogue.tenant_index(call.tenant)
-        except UnknownName as error:
+        except UnknownNameError as error:
             raise invalid(f"X-Amz-Tenant-Id: {error}") from None
-        usual = self._classes[function.class_index].deadline
+        usual = self._classes[function.class_index].deadline_us
         if call.kind == "DryRun":
             return Response(204, {"x-amzn-requestid": request_id})
         if call.kind == "Event":
@@ -106,16 +114,16 @@
                     "DurableExecutionAlreadyStartedException",
                     f"an execution named {name} was started with another payload",
                 )
-            if isinstance(execution, Refused):
+            if isinstance(execution, Rejected):
                 raise protocol.refused(execution)
             if isinstance(execution, NotStored):
                 raise protocol.not_stored(execution)
-            if isinstance(execution, Unsure):
+            if isinstance(execution, ReplicationPending):
                 known = execution.execution.name
                 raise Problem(
                     500,
                     "ServiceException",
-                    f"the call may run, but stands in {execution.copies} copies only: ask again as {known}",
+                    f"the call may run, but stands in {execution.replicas} copies only: ask again as {known}",
                 )
             arn, copies = self._names.execution_arn(execution), self._deferred.copies(execution.id)
             return protocol.accepted(arn, function.version, request_id, copies)
--- a/packages/fronts/src/walnutpost/fronts/invoke/protocol.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/protocol.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from walnutpost.gateway import Execution, Failed, Failure, Final, NotStored, Refused, Served, Status
+from walnutpost.gateway import Execution, Failed, Failure, Final, NotStored, Rejected, Served, Status
 from walnutpost.http import BadMessage, Request, Response
 from walnutpost.store import Listing
 
@@ -264,17 +264,17 @@
     return Response(error.status, headers, json.dumps(body).encode())
 
 
-def refused(final: Refused) -> Problem:
-    return Problem(429, "TooManyRequestsException", final.reason, final.retry_after)
+def refused(final: Rejected) -> Problem:
+    return Problem(429, "TooManyRequestsException", final.reason, final.retry_after_us)
 
 
 def not_stored(found: NotStored) -> Problem:
     """The published model has 429 for the caller's share alone; a fault of ours is its ServiceException. SDKs
     ask again by themselves under the same invocation id, which names the same call here."""
     message = "the store of deferred calls took nothing"
-    if found.uncertain:
+    if found.is_uncertain:
         message = f"the store failed, and the call may run: ask again as {found.name}"
-    return Problem(500, "ServiceException", message, found.retry_after)
+    return Problem(500, "ServiceException", message, found.retry_after_us)
 
 
 def refusal(error: BadMessage) -> Response:
@@ -299,7 +299,7 @@
                 "x-amzn-requestid": request_id,
             }
             return Response(200, headers, payload)
-        case Refused():
+        case Rejected():
             return problem(refused(final), request_id)
         case Failed(failure, message, payload):
             body = payload if failure is Failure.FUNCTION and payload else error_object(failure, message)
--- a/packages/fronts/tests/test_store_faults.py
+++ b/packages/fronts/tests/test_store_faults.py
@@ -14,7 +14,7 @@
 from test_invoke import ARN, Deferred
 from test_timers import MINUTE, fates
 from test_timers import fleet as timers
-from walnutpost.gateway import CallArrived, Final, Refused
+from walnutpost.gateway import CallArrived, Final, Rejected
 from walnutpost.http import Response
 
 
@@ -130,7 +130,7 @@
         arrive = fleet.front.core.arrive
 
         def refuse(call: CallArrived, done: Callable[[Final], None], *more: Any) -> None:
-            done(Refused("no room"))
+            done(Rejected("no room"))
 
         fleet.front.core.arrive = refuse  # type: ignore[method-assign]
         calls = Deferred(fleet)
--- a/packages/fronts/tests/test_timers.py
+++ b/packages/fronts/tests/test_timers.py
@@ -16,7 +16,7 @@
 from walnutpost.config import Config, parse
 from walnutpost.config.settings import own_schedules
 from walnutpost.daemon.deferred import _Open
-from walnutpost.gateway import Refused
+from walnutpost.gateway import Rejected
 from walnutpost.store import history
 
 MINUTE = 60 * SECOND
@@ -102,7 +102,7 @@
     f = fleet(tmp_path, look={"deadline_ms": 300_000})
 
     def script() -> None:
-        refuse = Refused("no room", SECOND)
+        refuse = Rejected("no room", SECOND)
 
         def run(entry: _Open, time_left: int, request_id: str) -> None:
             entry.failed = refuse
--- a/packages/gateway/src/walnutpost/gateway/catalogue.py
+++ b/packages/gateway/src/walnutpost/gateway/catalogue.py
@@ -6,101 +6,119 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-FUNCTION_BITS, WORKER_BITS = 40, 32
-SPARE_NAMES = 256  # beyond twice the wanted ones, so that a look is paid for by many new names
+FUNCTION_BITS = 40
+WORKER_BITS = 32
+NUMBER_BYTES = 8  # of the digest that a number is the first bits of
+SPARE_NAMES = 256  # beyond twice the wanted ones, so that a cleanup is paid for by many new names
 
 
-class UnknownName(LookupError):
+class UnknownNameError(LookupError):
     """A function or tenant that isn't in the catalogue."""
 
 
 @dataclass(frozen=True, slots=True)
 class Function:
-    """`class_index` points into Settings.classes; memory of one copy in MB, lanes are calls at a time in
-    one copy, load_time in microseconds (0 where not told), cost in microseconds of a standard core or
-    None.
+    """What is configured of a function.
+
+    `class_index` points into Settings.classes; `memory_mb` is of one copy; `lanes` are calls at a time in one
+    copy; `load_time_us` is 0 and `cost_hint_us` (on a standard core) None where not configured.
     """
 
     name: str
     class_index: int
     memory_mb: float
     lanes: float
-    load_time: int = 0
-    cost: int | None = None
+    load_time_us: int = 0
+    cost_hint_us: int | None = None
     version: str = "1"
 
 
 @dataclass(frozen=True, slots=True)
 class Catalogue:
-    """`functions` may be another at each look where `changing`; a call goes by the one it arrived under."""
+    """The functions and tenants that can be named.
+
+    `functions` may be another at each reading where `is_changing`; a call goes by the one it arrived under.
+    """
 
     functions: Mapping[str, Function]
     tenants: tuple[str, ...] = ()
     default_tenant: str | None = None
-    unnamed: bool = False  # whether a call may come without a tenant where there are some: it is none of them
-    changing: bool = False  # then no function's name is kept for good
+    allows_no_tenant: bool = False  # where there are tenants, a call without one belongs to none of them
+    is_changing: bool = False  # then no function's name is remembered for good
 
     def function(self, name: str) -> Function:
+        """Return the function; raise UnknownNameError if there is none of the name."""
         try:
             return self.functions[name]
         except KeyError:
-            raise UnknownName(f"no function {name!r}") from None
+            raise UnknownNameError(f"no function {name!r}") from None
 
     def tenant_index(self, name: str | None) -> int:
-        """Its place in the settings' list, beyond its end for a call of no tenant; 0 where there are none."""
+        """Return the tenant's place in the settings' list.
+
+        That is beyond its end for a call of no tenant, and 0 where there are none. Raises UnknownNameError.
+        """
         name = name if name is not None else self.default_tenant
         if not self.tenants:
             return 0
-        if name is None and self.unnamed:
+        if name is None and self.allows_no_tenant:
             return len(self.tenants)
         if name is None:
-            raise UnknownName("no tenant named, and there is no default one")
+            raise UnknownNameError("no tenant named, and there is no default one")
         try:
             return self.tenants.index(name)
         except ValueError:
-            raise UnknownName(f"no tenant {name!r}") from None
+            raise UnknownNameError(f"no tenant {name!r}") from None
 
 
 def number_of(name: str, bits: int) -> int:
-    """The same at every front end and every start, since the shared hash order is made of it."""
-    return int.from_bytes(blake2b(name.encode(), digest_size=8).digest(), "big") >> (64 - bits)
+    """Return the name's number, the same at every front end and start, as the shared hash order needs it."""
+    digest = blake2b(name.encode(), digest_size=NUMBER_BYTES).digest()
+    return int.from_bytes(digest, "big") >> (8 * NUMBER_BYTES - bits)
+
 
+class NumberedNames:
+    """Names to numbers and back.
 
-class Numbers:
-    """Names to numbers and back. Two names with one number (of 2^32 or 2^40: a matter of luck) are told
-    apart by counting on, in the order in which they come: front ends may then differ on those two alone."""
+    Two names with one number (of 2^32 or 2^40: improbable) are told apart by counting on, in the order in
+    which they come: front ends may then differ on those two alone.
+    """
 
     def __init__(self, bits: int, names: Iterable[str] = ()) -> None:
+        """Start with the given names, which are never forgotten."""
         self._bits = bits
         self._numbers: dict[str, int] = {}
         self._names: dict[int, str] = {}
         for name in sorted(names):
             self.number(name)
-        self._lasting = frozenset(self._names)
-        self._next_look = self._room()
+        self._permanent = frozenset(self._names)
+        self._cleanup_above = self._cleanup_limit()
 
-    def _room(self) -> int:
+    def _cleanup_limit(self) -> int:
         return 2 * len(self._names) + SPARE_NAMES
 
     @property
-    def crowded(self) -> bool:
-        """Twice as many as were wanted at the last `keep`: time to look which are still wanted."""
-        return len(self._names) > self._next_look
+    def needs_cleanup(self) -> bool:
+        """Whether there are twice as many names as were wanted at the last `retain`."""
+        return len(self._names) > self._cleanup_above
 
-    def keep(self, wanted: Collection[int]) -> None:
-        """Forgets all others but those of the start. A name that comes again gets its number again."""
-        for number in [n for n in self._names if n not in wanted and n not in self._lasting]:
+    def retain(self, wanted: Collection[int]) -> None:
+        """Forget all others but those of the start. A name that comes again gets its number again."""
+        for number in [n for n in self._names if n not in wanted and n not in self._permanent]:
             del self._numbers[self._names.pop(number)]
-        self._next_look = self._room()
+        self._cleanup_above = self._cleanup_limit()
 
     def number(self, name: str) -> int:
+        """Return the name's number, a new one at its first use."""
         known = self._numbers.get(name)
         if known is None:
             known = number_of(name, self._bits)
             while known in self._names:
                 known = (known + 1) % (1 << self._bits)
-            self._numbers[name], self._names[known] = known, name
+            self._numbers[name] = known
+            self._names[known] = name
         return known
 
     def name(self, number: int) -> str:
+        """Return the name of a number that was given."""
         return self._names[number]
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -2,63 +2,44 @@
 
 from __future__ import annotations
 
-from collections.abc import Hashable
-from dataclasses import dataclass, field
-from hashlib import blake2b
+from collections.abc import Callable, Hashable
+from typing import Any
 
 from walnutpost import interface as api
-from walnutpost.gateway.catalogue import FUNCTION_BITS, WORKER_BITS, Catalogue, Function, Numbers
-from walnutpost.gateway.messages import (
-    Abandon,
+from walnutpost.gateway.calls import Call, CallTable, identity_of
+from walnutpost.gateway.catalogue import FUNCTION_BITS, WORKER_BITS, Catalogue, Function, NumberedNames
+from walnutpost.gateway.effects import (
     Answered,
-    Arm,
-    AskList,
-    AttemptDone,
+    Cancel,
+    CloseIdleConnections,
+    Effect,
+    LoadOrder,
+    Log,
+    Probe,
+    Send,
+    SetTimer,
+    Unload,
+    WatchEndpoints,
+)
+from walnutpost.gateway.inputs import (
+    AttemptEnded,
     CallArrived,
     CallerLeft,
     CallStopped,
-    CloseIdle,
-    Discard,
-    Due,
-    Effect,
-    Failed,
-    Failure,
-    Final,
-    HoldDone,
     Input,
-    Note,
-    Order,
-    Ping,
-    PingDone,
-    Refused,
-    Served,
-    ShuttingDown,
-    Start,
-    WorkersTold,
+    ListedWorker,
+    LoadOrderEnded,
+    ProbeEnded,
+    WorkersListed,
 )
-from walnutpost.gateway.repeats import Repeats
+from walnutpost.gateway.messages import Failed, Failure, Final, Rejected, Served
+from walnutpost.gateway.recent_outcomes import RecentOutcomes
 from walnutpost.interface import Outcome
-from walnutpost.policy import NEVER_RAN, Router
-
-REMEMBER_FOR, REMEMBER_BYTES = 60_000_000, 64 << 20
+from walnutpost.policy import Router
 
-
-@dataclass(slots=True, eq=False)
-class _Call:
-    number: int
-    function: Function
-    cls: api.RequestClass
-    tenant: str | None
-    payload: bytes
-    expires: int
-    key: Hashable
-    durable: bool
-    stays: bool
-    tickets: list[int]
-    workers: list[str] = field(default_factory=list)  # of each attempt
-    outcomes: list[Outcome | None] = field(default_factory=list)
-    last: str = "nothing was sent"  # how the latest attempt ended, for the message of a failure
-    done: bool = False
+OUTCOME_TTL_US = 60_000_000
+MAX_OUTCOME_BYTES = 64 << 20
+RETRY_AFTER_DIVISOR = 4  # of the latency objective: when a caller may come back where memory is short
 
 
 class Gateway:
@@ -69,247 +50,280 @@
         settings: api.Settings,
         catalogue: Catalogue,
         seed: int,
-        remember_for: int = REMEMBER_FOR,
-        remember_bytes: int = REMEMBER_BYTES,
+        outcome_ttl_us: int = OUTCOME_TTL_US,
+        max_outcome_bytes: int = MAX_OUTCOME_BYTES,
     ) -> None:
+        """Start without calls or workers; `seed` starts the Router's random generator."""
         self._settings = settings
         self._catalogue = catalogue
         self._router = Router(settings, seed)
-        self._functions = Numbers(FUNCTION_BITS, () if catalogue.changing else catalogue.functions)
-        self._workers = Numbers(WORKER_BITS)
-        self._calls: dict[int, _Call] = {}
-        self._tickets: dict[int, _Call] = {}
-        self._count = 0
-        self._repeats = Repeats(remember_for, remember_bytes)
-        self._now = 0
+        self._functions = NumberedNames(FUNCTION_BITS, () if catalogue.is_changing else catalogue.functions)
+        self._workers = NumberedNames(WORKER_BITS)
+        self._calls = CallTable()
+        self._recent = RecentOutcomes(outcome_ttl_us, max_outcome_bytes)
+        self._now_us = 0
         self._effects: list[Effect] = []
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {
+            CallArrived: self._on_call,
+            AttemptEnded: self._on_attempt_ended,
+            CallerLeft: self._on_caller_left,
+            CallStopped: self._on_call_stopped,
+            LoadOrderEnded: self._on_load_order_ended,
+            ProbeEnded: self._on_probe_ended,
+            WorkersListed: self._on_workers_listed,
+            api.TimerDue: self._route,
+            api.ShuttingDown: self._route,
+        }
 
     @property
     def open_calls(self) -> int:
-        return sum(not call.done for call in self._calls.values())
+        """How many calls have no final answer yet."""
+        return sum(not call.is_answered for call in self._calls.by_number.values())
 
     def handle(self, now: int, event: Input) -> list[Effect]:
-        """Raises UnknownName for a function or tenant that the catalogue lacks; nothing has changed then."""
-        self._now, self._effects = now, []
-        match event:
-            case CallArrived():
-                self._arrive(event)
-            case AttemptDone():
-                self._attempt_done(event)
-            case Due(token):
-                self._route(api.TimerDue(token))
-            case ShuttingDown(within):
-                self._route(api.ShuttingDown(within))
-            case CallerLeft(ticket):
-                self._caller_left(ticket)
-            case CallStopped(ticket) if ticket in self._tickets:
-                self._stop(self._tickets[ticket])
-            case HoldDone(worker, function, outcome, latency, copies, wanted):
-                wid, key = self._workers.number(worker), self._functions.number(function)
-                self._route(api.HoldEnded(wid, key, outcome, latency, copies, wanted))
-            case PingDone(worker, outcome, latency, report):
-                self._route(api.ProbeEnded(self._workers.number(worker), outcome, latency, report))
-            case WorkersTold(kind, version, workers):
-                listed = tuple(
-                    api.Worker(
-                        self._workers.number(w.name), w.zone, w.kind, w.cell, w.state, w.weight, w.started_at
-                    )
-                    for w in workers
-                )
-                self._route(api.WorkersListed(kind, version, listed))
-        if self._functions.crowded or self._workers.crowded:
+        """Decide on one input at `now` (microseconds; never runs back).
+
+        Raises UnknownNameError for a function or tenant that the catalogue lacks; nothing has changed then.
+        """
+        self._now_us = now
+        self._effects = []
+        self._handlers[type(event)](event)
+        if self._functions.needs_cleanup or self._workers.needs_cleanup:
             self._forget_names()
         effects, self._effects = self._effects, []
         return effects
 
     # Calls
 
-    def _arrive(self, e: CallArrived) -> None:
-        function = e.of or self._catalogue.function(e.function)
-        tenant = self._catalogue.tenant_index(e.tenant)
-        cls = self._settings.classes[function.class_index]
-        key: Hashable = None
-        if e.repeat_key:
-            key = (e.repeat_key, e.tenant, e.function, blake2b(e.payload, digest_size=16).digest())
-            open_call = self._repeats.open_call(key)
-            if open_call is not None:
-                self._calls[open_call].tickets.append(e.ticket)
-                self._tickets[e.ticket] = self._calls[open_call]
-                return
-            outcome = self._repeats.outcome(self._now, key)
-            if outcome is not None:
-                self._effects.append(Answered(e.ticket, outcome))
-                return
-            if not self._repeats.room(self._now, cls.effect):
-                refusal = Refused("too many recent outcomes to remember", cls.aim // 4)
-                self._effects.append(Answered(e.ticket, refusal))
-                return
-        if e.barred is not None:
-            self._effects.append(Answered(e.ticket, e.barred))
+    def _on_call(self, event: CallArrived) -> None:
+        function = event.definition or self._catalogue.function(event.function)
+        tenant_index = self._catalogue.tenant_index(event.tenant)
+        request_class = self._settings.classes[function.class_index]
+        identity = identity_of(event)
+        if identity is not None and self._answer_repeat(event.ticket, identity, request_class):
             return
-        self._count += 1
-        call = _Call(
-            self._count,
-            function,
-            cls,
-            e.tenant if e.tenant is not None else self._catalogue.default_tenant,
-            e.payload,
-            self._now + e.time_left,
-            key,
-            e.durable,
-            e.stays,
-            [e.ticket],
-        )
-        self._calls[call.number] = call
-        self._tickets[e.ticket] = call
-        if key is not None:
-            self._repeats.opened(key, call.number)
+        if event.rejection is not None:
+            self._effects.append(Answered(event.ticket, event.rejection))
+            return
+        call = self._open_call(event, function, request_class, identity)
         self._route(
             api.RequestArrived(
-                call.number,
-                function.class_index,
-                tenant,
-                self._functions.number(function.name),
-                e.time_left,
-                function.cost,
-                function.memory_mb,
-                function.lanes,
-                function.load_time,
-                e.repeat,
-                e.waited,
+                request=call.number,
+                class_index=function.class_index,
+                tenant=tenant_index,
+                function=self._functions.number(function.name),
+                time_left_us=event.time_left_us,
+                cost_hint_us=function.cost_hint_us,
+                memory_mb=function.memory_mb,
+                lanes=function.lanes,
+                load_time_us=function.load_time_us,
+                is_repeat=event.is_repeat,
+                waited_us=event.waited_us,
             )
         )
 
-    def _caller_left(self, ticket: int) -> None:
-        call = self._tickets.pop(ticket, None)
-        if call is None or call.done:
+    def _answer_repeat(self, ticket: int, identity: Hashable, request_class: api.RequestClass) -> bool:
+        """Join the open call, give the known outcome, or reject what could not be remembered."""
+        open_call = self._recent.open_call(identity)
+        if open_call is not None:
+            self._calls.join(open_call, ticket)
+            return True
+        outcome = self._recent.outcome(self._now_us, identity)
+        if outcome is None and not self._recent.has_capacity(self._now_us, request_class.effect):
+            retry_after_us = request_class.latency_objective_us // RETRY_AFTER_DIVISOR
+            outcome = Rejected("too many recent outcomes to remember", retry_after_us)
+        if outcome is None:
+            return False
+        self._effects.append(Answered(ticket, outcome))
+        return True
+
+    def _open_call(
+        self, event: CallArrived, function: Function, request_class: api.RequestClass, identity: Hashable
+    ) -> Call:
+        call = Call(
+            number=self._calls.next_number(),
+            function=function,
+            request_class=request_class,
+            tenant=event.tenant if event.tenant is not None else self._catalogue.default_tenant,
+            payload=event.payload,
+            deadline_us=self._now_us + event.time_left_us,
+            identity=identity,
+            is_durable=event.is_durable,
+            outlives_callers=event.outlives_callers,
+            tickets=[event.ticket],
+        )
+        self._calls.add(call)
+        if identity is not None:
+            self._recent.opened(identity, call.number)
+        return call
+
+    def _on_caller_left(self, event: CallerLeft) -> None:
+        """Cancel the call that nobody waits for, unless its outcome must be known to a repeat."""
+        call = self._calls.by_ticket.pop(event.ticket, None)
+        if call is None or call.is_answered:
             return
-        call.tickets.remove(ticket)
-        if call.tickets or call.stays:
+        call.tickets.remove(event.ticket)
+        if call.tickets or call.outlives_callers or call.must_know_outcome():
             return
-        bound = call.key is not None and call.cls.effect is not api.Effect.SAFE
-        if bound and self._may_have_run(call):
-            return  # its caller may ask again under the same id: then the one outcome must be known
         self._end(call, None)
-        self._route(api.RequestGone(call.number))
-
-    def _stop(self, call: _Call) -> None:
-        self._end(call, Failed(Failure.STOPPED, "stopped by its owner"))
-        self._route(api.RequestGone(call.number))
+        self._route(api.RequestCancelled(call.number))
 
-    def _may_have_run(self, call: _Call) -> bool:
-        return any(outcome not in NEVER_RAN for outcome in call.outcomes)
+    def _on_call_stopped(self, event: CallStopped) -> None:
+        call = self._calls.by_ticket.get(event.ticket)
+        if call is not None:
+            self._end(call, Failed(Failure.STOPPED, "stopped by its owner"))
+            self._route(api.RequestCancelled(call.number))
 
-    def _attempt_done(self, e: AttemptDone) -> None:
-        call = self._calls.get(e.call)
-        if call is None or e.attempt >= len(call.outcomes) or call.outcomes[e.attempt] is not None:
+    def _on_attempt_ended(self, event: AttemptEnded) -> None:
+        call = self._calls.by_number.get(event.call)
+        if call is None or event.attempt >= len(call.outcomes) or call.outcomes[event.attempt] is not None:
             return
-        outcome, worker = e.outcome, call.workers[e.attempt]
-        late = self._now > call.expires
-        if outcome is Outcome.OK and late and not call.done:
+        outcome, worker = event.outcome, call.workers[event.attempt]
+        is_late = self._now_us > call.deadline_us
+        if outcome is Outcome.OK and is_late and not call.is_answered:
             outcome = Outcome.TIMEOUT  # an answer after its caller's time is not served
-        call.outcomes[e.attempt] = outcome
-        call.last = f"{outcome.value} at {worker}"
-        if not call.done and outcome is Outcome.OK:
-            self._end(call, Served(e.payload, worker, call.function.version))
-        elif not call.done and e.by_function and not late:
+        call.outcomes[event.attempt] = outcome
+        call.last_result = f"{outcome.value} at {worker}"
+        if not call.is_answered and outcome is Outcome.OK:
+            self._end(call, Served(event.payload, worker, call.function.version))
+        elif not call.is_answered and event.is_function_error and not is_late:
             # The function's own error is its answer: another worker would only run it again.
-            self._end(call, Failed(Failure.FUNCTION, "the function raised an error", e.payload))
+            self._end(call, Failed(Failure.FUNCTION, "the function raised an error", event.payload))
         self._route(
             api.AttemptEnded(
-                call.number,
-                e.attempt,
-                self._workers.number(worker),
-                outcome,
-                e.latency,
-                call.done,
-                e.warmth,
-                e.crowd,
-                e.report,
+                request=call.number,
+                attempt=event.attempt,
+                worker=self._workers.number(worker),
+                outcome=outcome,
+                latency_us=event.latency_us,
+                is_finished=call.is_answered,
+                warmth=event.warmth,
+                crowd=event.crowd,
+                report=event.report,
             )
         )
-        self._forget(call)
+        self._calls.forget_if_ended(call)
 
-    def _end(self, call: _Call, final: Final | None) -> None:
-        """The one place where a final answer becomes final; None where nobody is owed one."""
-        if call.done:
+    def _end(self, call: Call, final: Final | None) -> None:
+        """Make an answer final: the one place for it; None where nobody gets one."""
+        if call.is_answered:
             return
-        call.done = True
-        if call.key is not None:
-            self._repeats.closed(self._now, call.key, call.cls.effect, final)
+        call.is_answered = True
+        if call.identity is not None:
+            self._recent.closed(self._now_us, call.identity, call.request_class.effect, final)
         for ticket in call.tickets:
-            self._tickets.pop(ticket, None)
+            self._calls.by_ticket.pop(ticket, None)
             if final is not None:
                 self._effects.append(Answered(ticket, final))
         call.tickets.clear()
         call.payload = b""
-        self._forget(call)
+        self._calls.forget_if_ended(call)
+
+    # Workers
 
-    def _forget(self, call: _Call) -> None:
-        if call.done and None not in call.outcomes:
-            self._calls.pop(call.number, None)
+    def _on_load_order_ended(self, event: LoadOrderEnded) -> None:
+        self._route(
+            api.LoadOrderEnded(
+                worker=self._workers.number(event.worker),
+                function=self._functions.number(event.function),
+                outcome=event.outcome,
+                latency_us=event.latency_us,
+                copies=event.copies,
+                ordered_copies=event.ordered_copies,
+            )
+        )
+
+    def _on_probe_ended(self, event: ProbeEnded) -> None:
+        worker = self._workers.number(event.worker)
+        self._route(api.ProbeEnded(worker, event.outcome, event.latency_us, event.report))
+
+    def _on_workers_listed(self, event: WorkersListed) -> None:
+        workers = tuple(map(self._numbered, event.workers))
+        self._route(api.WorkersListed(event.kind, event.version, workers))
+
+    def _numbered(self, listed: ListedWorker) -> api.Worker:
+        return api.Worker(
+            id=self._workers.number(listed.name),
+            zone=listed.zone,
+            kind=listed.kind,
+            cell=listed.cell,
+            state=listed.state,
+            weight=listed.weight,
+            started_at_us=listed.started_at_us,
+        )
 
     def _forget_names(self) -> None:
-        """Guards against memory that grows with each function and worker ever seen. An open call has its
-        names by itself."""
-        functions, workers = self._router.named()
-        self._functions.keep(functions)
-        self._workers.keep(workers)
+        """Guard against memory that grows with each function and worker ever seen.
+
+        An open call has its names by itself.
+        """
+        functions, workers = self._router.referenced_ids()
+        self._functions.retain(functions)
+        self._workers.retain(workers)
 
     # The Router
 
     def _route(self, event: api.Event) -> None:
-        for action in self._router.handle(self._now, event):
-            self._act(action)
+        for action in self._router.handle(self._now_us, event):
+            self._carry_out(action)
 
-    def _act(self, action: api.Action) -> None:
+    def _carry_out(self, action: api.Action) -> None:
+        """Turn an action on a call into its state and effects; the others are effects by name."""
         match action:
-            case api.Send(request, worker, timeout, latest):
-                call = self._calls[request]
-                name = self._workers.name(worker)
-                call.workers.append(name)
-                call.outcomes.append(None)
-                self._effects.append(
-                    Start(
-                        request,
-                        len(call.outcomes) - 1,
-                        name,
-                        call.function.name,
-                        call.tenant,
-                        call.payload,
-                        timeout,
-                        call.tickets[0] if call.tickets else 0,
-                        call.durable and call.cls.effect is not api.Effect.SAFE,
-                        latest,
-                    )
-                )
-            case api.Refuse(request, retry_after):
-                call = self._calls[request]
-                reason = f"no room: {call.last}" if self._now < call.expires else f"out of time: {call.last}"
-                self._end(call, Refused(reason, retry_after))
+            case api.Send():
+                self._effects.append(self._send(action))
+            case api.Reject(request, retry_after_us):
+                call = self._calls.by_number[request]
+                cause = "no room" if self._now_us < call.deadline_us else "out of time"
+                self._end(call, Rejected(f"{cause}: {call.last_result}", retry_after_us))
             case api.Fail(request):
-                call = self._calls[request]
-                out = None in call.outcomes
-                failure = Failure.DEADLINE if out else Failure.WORKER
-                message = "no answer in time" if out else f"it may have run: {call.last}"
-                self._end(call, Failed(failure, message))
+                self._fail(self._calls.by_number[request])
+            case _:
+                self._effects.append(self._named(action))
+
+    def _send(self, action: api.Send) -> Send:
+        call = self._calls.by_number[action.request]
+        worker = self._workers.name(action.worker)
+        is_unsafe = call.request_class.effect is not api.Effect.SAFE
+        return Send(
+            call=action.request,
+            attempt=call.begin_attempt(worker),
+            worker=worker,
+            function=call.function.name,
+            tenant=call.tenant,
+            payload=call.payload,
+            timeout_us=action.timeout_us,
+            ticket=call.tickets[0] if call.tickets else 0,
+            must_persist_intent=call.is_durable and is_unsafe,
+            begin_within_us=action.begin_within_us,
+        )
+
+    def _fail(self, call: Call) -> None:
+        if call.has_open_attempt():
+            self._end(call, Failed(Failure.DEADLINE, "no answer in time"))
+        else:
+            self._end(call, Failed(Failure.WORKER, f"it may have run: {call.last_result}"))
+
+    def _named(self, action: api.Action) -> Effect:
+        """Return the effect with names for the action's numbers."""
+        match action:
             case api.Cancel(request, attempt):
-                self._effects.append(Abandon(request, attempt))
-            case api.SetTimer(delay, token):
-                self._effects.append(Arm(delay, token))
-            case api.Hold(worker, function, copies, latest):
-                self._effects.append(
-                    Order(self._workers.name(worker), self._functions.name(function), copies, latest)
-                )
+                return Cancel(request, attempt)
+            case api.SetTimer(delay_us, token):
+                return SetTimer(delay_us, token)
+            case api.LoadOrder(worker, function, copies, begin_within_us):
+                name = self._functions.name(function)
+                return LoadOrder(self._workers.name(worker), name, copies, begin_within_us)
             case api.Unload(worker, function):
-                self._effects.append(Discard(self._workers.name(worker), self._functions.name(function)))
+                return Unload(self._workers.name(worker), self._functions.name(function))
             case api.Probe(worker):
-                self._effects.append(Ping(self._workers.name(worker)))
-            case api.CloseIdle(worker):
-                self._effects.append(CloseIdle(self._workers.name(worker)))
-            case api.FollowList(on):
-                self._effects.append(AskList(on))
-            case api.ReadList():
-                self._effects.append(AskList())
+                return Probe(self._workers.name(worker))
+            case api.CloseIdleConnections(worker):
+                return CloseIdleConnections(self._workers.name(worker))
+            case api.WatchEndpoints(is_on):
+                return WatchEndpoints(is_on)
+            case api.FetchEndpoints():
+                return WatchEndpoints()
             case api.Log(text):
-                self._effects.append(Note(text))
+                return Log(text)
+        raise TypeError(f"no effect for {action!r}")
--- a/packages/gateway/src/walnutpost/gateway/executions.py
+++ b/packages/gateway/src/walnutpost/gateway/executions.py
@@ -1,6 +1,6 @@
-"""Deferred calls: what a name stands for, what a restart does with an open one, what its fate is called.
+"""Deferred calls: what a name stands for, what a restart does with an open one, what its end is called.
 
-Decides; no I/O, no clock. Words of the AWS Lambda API, durable executions.
+Decides; no I/O, no clock. Terms of the AWS Lambda API, durable executions.
 """
 
 from __future__ import annotations
@@ -8,11 +8,13 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from walnutpost.gateway.messages import Failed, Failure, Final, Refused, Served
+from walnutpost.gateway.messages import Failed, Failure, Final, Rejected, Served
 from walnutpost.interface import Effect
 
 
 class Status(Enum):
+    """The status of a durable execution; the values are stored and in answers."""
+
     RUNNING = "RUNNING"
     SUCCEEDED = "SUCCEEDED"
     FAILED = "FAILED"
@@ -22,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """One deferred call as the store holds it. Times in microseconds since the epoch."""
+    """One deferred call as it is stored. Times in microseconds since the epoch."""
 
     id: str
     name: str
@@ -42,42 +44,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unsure:
-    """Accepted on this disk, but not yet in as many copies as its class asks for: the same name again is the
-    same call, another name may be a second one."""
+class ReplicationPending:
+    """Accepted on this disk, but not yet on as many replicas as its class asks for.
+
+    The same name again is the same call, another name may be a second one.
+    """
 
     execution: Execution
-    copies: int
+    replicas: int
 
 
 @dataclass(frozen=True, slots=True)
 class NotStored:
-    """The disk did not take the call. `uncertain`: it may have, and the next start may find and run it, so
-    that only the same name can be asked again safely; else nothing of it is left."""
+    """The disk did not take the call: the fault is ours, not the caller's.
+
+    `is_uncertain`: it may have, and the next start may find and run the call, so that only the same name can
+    be retried safely. Otherwise nothing of it is left.
+    """
 
     name: str
-    retry_after: int
-    uncertain: bool
+    retry_after_us: int
+    is_uncertain: bool
 
 
 class Admission(Enum):
+    """What a deferred call is to the execution that has its name."""
+
     NEW = "new"
     SAME = "same"
     CONFLICT = "conflict"
 
 
 def admit(known: Execution | None, digest: str) -> Admission:
-    """What a deferred call under a name is, given the execution that has the name at present."""
+    """Return what a deferred call is, given the execution that has its name at present."""
     if known is None:
         return Admission.NEW
     return Admission.SAME if known.digest == digest else Admission.CONFLICT
 
 
-def resume(execution: Execution, effect: Effect, now: int) -> int | Failed:
-    """What a restarted front end does with an open execution: the time left to run it in, or its fate.
+def recovery_action(execution: Execution, effect: Effect, now: int) -> int | Failed:
+    """Return what a restarted front end does with an open execution: run it in the time left, or fail it.
 
-    An unsafe or keyed one whose sending was intended may have run: the keyed ones' group and the time
-    since the send are lost with the process, so neither is sent again.
+    The time is in microseconds. An unsafe or keyed one whose sending was intended may have run: the keyed
+    ones' group and the time since the send are lost with the process, so neither is sent again.
     """
     if execution.intended and effect is not Effect.SAFE:
         return Failed(Failure.RESTART, "the front end restarted while the call may have been running")
@@ -86,12 +95,12 @@
     return execution.expires_at - now
 
 
-def conclude(execution: Execution, final: Final, now: int) -> Execution:
-    """The execution with its fate."""
+def with_final_status(execution: Execution, final: Final, now: int) -> Execution:
+    """Return the execution with how it ended."""
     match final:
         case Served(payload):
             return replace(execution, status=Status.SUCCEEDED, ended_at=now, result=payload)
-        case Refused(reason):
+        case Rejected(reason):
             return replace(
                 execution,
                 status=Status.TIMED_OUT if now >= execution.expires_at else Status.FAILED,
--- a/packages/gateway/tests/golden_gateway_days.py
+++ b/packages/gateway/tests/golden_gateway_days.py
@@ -35,14 +35,19 @@
     for place in range(9)
 )
 SITES: dict[str, api.Settings] = {
-    "plain": replace(SETTINGS, classes=(SAFE, UNSAFE, KEYED), keep_alive=4 * SECOND),
+    "plain": replace(SETTINGS, classes=(SAFE, UNSAFE, KEYED), keep_alive_us=4 * SECOND),
     "rationed": replace(
         SETTINGS,
         classes=(SAFE, UNSAFE, replace(KEYED, group=api.Group.ALL)),
         tenants=(api.Tenant(0.6, 0.0), api.Tenant(0.4, 0.0)),
-        guards=replace(SETTINGS.guards, free_loads=4.0, load_share=0.3, load_window=2 * SECOND),
+        guards=replace(
+            SETTINGS.guards,
+            free_load_orders=4.0,
+            load_orders_per_request=0.3,
+            load_order_window_us=2 * SECOND,
+        ),
         front_ends=3,
-        restarts_unseen=True,
+        are_restarts_unseen=True,
     ),
 }
 TENANTS = {"plain": (), "rationed": ("north", "south")}
@@ -61,7 +66,9 @@
     """The Gateway that a start row tells of."""
     _, seed, settings, functions, tenants = row
     catalogue = gw.Catalogue(
-        {function.name: function for function in from_neutral(functions)}, from_neutral(tenants), unnamed=True
+        {function.name: function for function in from_neutral(functions)},
+        from_neutral(tenants),
+        allows_no_tenant=True,
     )
     return gw.Gateway(from_neutral(settings), catalogue, seed, REMEMBER_FOR, REMEMBER_BYTES)
 
@@ -111,31 +118,31 @@
 
     def carry_out(self, effect: gw.Effect) -> None:
         match effect:
-            case gw.Start():
+            case gw.Send():
                 self.start(effect)
-            case gw.Abandon(call, attempt):
-                self.at(MS, lambda: self.end(gw.AttemptDone(call, attempt, Outcome.CANCELLED, MS)))
-            case gw.Order():
+            case gw.Cancel(call, attempt):
+                self.at(MS, lambda: self.end(gw.AttemptEnded(call, attempt, Outcome.CANCELLED, MS)))
+            case gw.LoadOrder():
                 self.order(effect)
-            case gw.Arm(delay, token):
-                self.feed_later(delay, gw.Due(token))
-            case gw.AskList():
+            case gw.SetTimer(delay, token):
+                self.feed_later(delay, gw.TimerDue(token))
+            case gw.WatchEndpoints():
                 self.at(20 * MS, lambda: self.tell_list(api.ListKind.FULL))
 
-    def end(self, done: gw.AttemptDone) -> None:
+    def end(self, done: gw.AttemptEnded) -> None:
         if (done.call, done.attempt) in self.out:
             self.out.discard((done.call, done.attempt))
             self.feed(done)
             if self.random.random() < 0.02:
                 self.feed(done)  # a second end of one attempt is passed over
 
-    def start(self, start: gw.Start) -> None:
+    def start(self, start: gw.Send) -> None:
         self.out.add((start.call, start.attempt))
         draw = self.random.random()
-        done = gw.AttemptDone(start.call, start.attempt, Outcome.OK, 2 * MS, crowd=int(draw * 4))
-        place, warmth = (start.worker, start.function), api.Warmth.STOOD
+        done = gw.AttemptEnded(start.call, start.attempt, Outcome.OK, 2 * MS, crowd=int(draw * 4))
+        place, warmth = (start.worker, start.function), api.Warmth.WARM
         if self.silent_until.get(start.worker, 0) > self.now:
-            done = self.ended(done, Outcome.TIMEOUT if draw < 0.8 else Outcome.RESET, start.timeout)
+            done = self.ended(done, Outcome.TIMEOUT if draw < 0.8 else Outcome.RESET, start.timeout_us)
         elif self.states.get(start.worker) is GONE:
             done = self.ended(done, Outcome.CONNECT_FAILED, MS)
         elif draw < 0.06:
@@ -144,18 +151,18 @@
         elif place not in self.copies:
             done = self.ended(done, Outcome.MISS, 2 * MS)
         elif draw < 0.1:
-            done = gw.AttemptDone(start.call, start.attempt, Outcome.ERROR, 9 * MS, b"raised", True, warmth)
+            done = gw.AttemptEnded(start.call, start.attempt, Outcome.ERROR, 9 * MS, b"raised", True, warmth)
         else:
             took = int((20 + self.random.expovariate(1 / 80)) * MS)
             payload = b"did " + start.payload
-            done = gw.AttemptDone(start.call, start.attempt, Outcome.OK, took, payload, False, warmth)
-        self.at(done.latency, lambda: self.end(done))
+            done = gw.AttemptEnded(start.call, start.attempt, Outcome.OK, took, payload, False, warmth)
+        self.at(done.latency_us, lambda: self.end(done))
 
     @staticmethod
-    def ended(done: gw.AttemptDone, outcome: Outcome, latency: int) -> gw.AttemptDone:
-        return gw.AttemptDone(done.call, done.attempt, outcome, latency, crowd=done.crowd)
+    def ended(done: gw.AttemptEnded, outcome: Outcome, latency: int) -> gw.AttemptEnded:
+        return gw.AttemptEnded(done.call, done.attempt, outcome, latency, crowd=done.crowd)
 
-    def order(self, order: gw.Order) -> None:
+    def order(self, order: gw.LoadOrder) -> None:
         draw, place = self.random.random(), (order.worker, order.function)
         outcome, took, copies = Outcome.OK, 2 * MS, int(place in self.copies)
         if self.silent_until.get(order.worker, 0) > self.now:
@@ -166,7 +173,7 @@
             outcome = self.random.choice([Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.MOOT])
         elif order.copies:
             took, copies = int((150 + 300 * draw) * MS), order.copies
-        done = gw.HoldDone(order.worker, order.function, outcome, took, copies, order.copies)
+        done = gw.LoadOrderEnded(order.worker, order.function, outcome, took, copies, order.copies)
 
         def end() -> None:
             if outcome is Outcome.OK and order.copies:
@@ -187,7 +194,7 @@
         self.ticket += 1
         ticket, function = self.ticket, draw.choice(FUNCTIONS[:4] if draw.random() < 0.8 else FUNCTIONS)
         key = f"key-{draw.randrange(30)}" if draw.random() < 0.3 else ""
-        carried = gw.Function("g-1", 0, 200.0, 2.0, cost=90 * MS) if draw.random() < 0.1 else None
+        carried = gw.Function("g-1", 0, 200.0, 2.0, cost_hint_us=90 * MS) if draw.random() < 0.1 else None
         self.feed(
             gw.CallArrived(
                 ticket,
@@ -199,7 +206,7 @@
                 draw.random() < 0.1,
                 draw.random() < 0.3,
                 draw.random() < 0.2,
-                gw.Refused("over quota", 5) if draw.random() < 0.02 else None,
+                gw.Rejected("over quota", 5) if draw.random() < 0.02 else None,
                 carried,
                 draw.choice([0, 700]),
             )
@@ -215,10 +222,10 @@
         self.version += 1
         told = names or tuple(name for name, state in self.states.items() if state is not GONE)
         lines = tuple(
-            gw.WorkerTold(name, len(name) % 2, 0, 0, self.states[name], 1.0, self.restarted.get(name, 0))
+            gw.ListedWorker(name, len(name) % 2, 0, 0, self.states[name], 1.0, self.restarted.get(name, 0))
             for name in told
         )
-        self.feed(gw.WorkersTold(kind, self.version, lines))
+        self.feed(gw.WorkersListed(kind, self.version, lines))
 
     def trouble(self) -> None:
         draw = self.random
@@ -242,7 +249,7 @@
                 self.states[f"w-{len(self.states)}"] = READY
                 self.tell_list(api.ListKind.FULL)
             case "ping":
-                self.feed(gw.PingDone(name, draw.choice([Outcome.OK, Outcome.TIMEOUT]), MS, ()))
+                self.feed(gw.ProbeEnded(name, draw.choice([Outcome.OK, Outcome.TIMEOUT]), MS, ()))
         self.at(draw.randrange(SECOND // 2), self.trouble)
 
 
--- a/packages/gateway/tests/test_gateway_golden.py
+++ b/packages/gateway/tests/test_gateway_golden.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 
 from golden_files import assert_as_golden, json_lines, values_of
-from walnutpost.gateway import Execution, Failed, Failure, Refused, Served, Status
+from walnutpost.gateway import Execution, Failed, Failure, Rejected, Served, Status
 from walnutpost.gateway.catalogue import number_of
-from walnutpost.gateway.executions import conclude
+from walnutpost.gateway.executions import with_final_status
 from walnutpost.gateway.messages import Final
 from walnutpost.interface import Effect
 
@@ -26,8 +26,8 @@
 )
 ENDS: dict[str, tuple[Final, int]] = {  # and when
     "served": (Served(b"result\x00", "worker-1", "4"), 50),
-    "refused": (Refused("no room", 5), 50),
-    "refused, and its time is over": (Refused("no room"), 100),
+    "refused": (Rejected("no room", 5), 50),
+    "refused, and its time is over": (Rejected("no room"), 100),
     **{f"failed: {f.value}": (Failed(f, f"message of {f.value}", b"error"), 50) for f in Failure},
     "failed without a payload": (Failed(Failure.WORKER, "reset"), 50),
 }
@@ -36,7 +36,9 @@
 def golden_files() -> dict[Path, bytes]:
     told = {
         "open": values_of(OPEN),
-        "ended": {name: values_of(conclude(OPEN, final, now)) for name, (final, now) in ENDS.items()},
+        "ended": {
+            name: values_of(with_final_status(OPEN, final, now)) for name, (final, now) in ENDS.items()
+        },
         "statuses": [word.value for word in Status],
         "failures": [word.value for word in Failure],
         "effects": [word.value for word in Effect],
@@ -47,5 +49,5 @@
     return {GOLDEN / "executions.json": json_lines(told)}
 
 
-def test_fates_and_numbers_are_told_as_before() -> None:
+def test_final_statuses_and_numbers_are_as_recorded() -> None:
     assert_as_golden(golden_files())
--- a/packages/gateway/tests/test_golden_gateway.py
+++ b/packages/gateway/tests/test_golden_gateway.py
@@ -11,7 +11,8 @@
 from golden_gateway_days import GOLDEN, RECORDED, START_ROW, make_gateway, path_of
 from walnutpost import gateway as gw
 
-NEVER_DONE = {gw.Discard, gw.Ping, gw.CloseIdle, gw.AskList}  # the Router never decides on these, or here
+# The Router never decides on these, or not here.
+NEVER_DONE = {gw.Unload, gw.Probe, gw.CloseIdleConnections, gw.WatchEndpoints}
 
 
 def first_difference(rows: list[Any]) -> str:
@@ -30,7 +31,7 @@
     assert first_difference(read_lines(path_of(site, seed))) == ""
 
 
-def test_the_days_hold_every_kind_of_input_and_effect() -> None:
+def test_the_recordings_have_every_kind_of_input_and_effect() -> None:
     seen: set[type[Any]] = set()
     for site, seed in RECORDED:
         for row in read_lines(path_of(site, seed)):
@@ -39,5 +40,5 @@
     assert {*typing.get_args(gw.Input), *typing.get_args(gw.Effect)} - NEVER_DONE == seen
 
 
-def test_no_golden_day_is_left_out() -> None:
+def test_no_golden_gateway_recording_is_left_out() -> None:
     assert {path.name for path in GOLDEN.iterdir()} == {path_of(*day).name for day in RECORDED}
--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from walnutpost.gateway import CallArrived, Failed, Final, Function, Refused, Served
+from walnutpost.gateway import CallArrived, Failed, Final, Function, Rejected, Served
 from walnutpost.node import rpc
 from walnutpost.node.client_context import OPEN_MOST, ClientContext
 from walnutpost.node.client_input import Batch, ClientInput
@@ -216,8 +216,8 @@
             call.tenant,
             "",
             call.again,
-            of=function,
-            waited=waited_us,
+            definition=function,
+            waited_us=waited_us,
         )
 
     def _answered(self, number: int, ticket: int, final: Final) -> None:
@@ -229,7 +229,7 @@
                 self._output.write(rpc.failed(number, "too many answers are not fetched"))
             case Served(payload):
                 self._output.write(rpc.served(number, payload))
-            case Refused(_, retry_after):
+            case Rejected(_, retry_after):
                 self._output.write(rpc.refused(number, retry_after))
             case Failed():
                 self._output.write(rpc.failed(number))
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -36,7 +36,7 @@
         self.log = log
         self.class_indices = {name: index for index, name in enumerate(classes)}
         self.class_deadlines_us = {
-            name: cls.deadline for name, cls in zip(classes, settings.classes, strict=True)
+            name: cls.deadline_us for name, cls in zip(classes, settings.classes, strict=True)
         }
         self.tenants = tenants
         self.requests = OpenRequests()
--- a/packages/node/src/walnutpost/node/config.py
+++ b/packages/node/src/walnutpost/node/config.py
@@ -56,7 +56,7 @@
             raise ConfigError(f"{key}: missing")
     try:
         root = Told(told["settings"], "settings.")
-        settings = replace(parse_settings(json.dumps(told["settings"]).encode()), restarts_unseen=True)
+        settings = replace(parse_settings(json.dumps(told["settings"]).encode()), are_restarts_unseen=True)
         limits, profiles = root.part("PolicyLimits"), root.parts("Profiles")
         allowed = Told(told.get("limits") or {}, "limits.")
         return Config(
@@ -69,7 +69,9 @@
             classes=tuple(str(profile.need("Name")) for profile in profiles),
             tenants=tuple(str(realm.need("Name")) for realm in root.parts("Realms")),
             names=Names(
-                tuple(map(str, root.items("Zones"))), tuple(map(str, root.items("Kinds"))), settings.weighted
+                tuple(map(str, root.items("Zones"))),
+                tuple(map(str, root.items("Kinds"))),
+                settings.has_weights,
             ),
             report_fields=tuple(map(str, root.part("Reporting").items("Fields"))),
             dial_timeout_us=limits.needed_whole("DialTimeout"),
--- a/packages/node/src/walnutpost/node/directory.py
+++ b/packages/node/src/walnutpost/node/directory.py
@@ -17,7 +17,7 @@
 import dns.rdataclass
 import dns.rdatatype
 
-from walnutpost.gateway import WorkersTold, WorkerTold
+from walnutpost.gateway import ListedWorker, WorkersListed
 from walnutpost.interface import ListKind, WorkerState
 
 SERVICE = "_api._tcp.svc.local."
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    worker: WorkerTold
+    worker: ListedWorker
     address: Address
 
 
@@ -69,12 +69,12 @@
     def addresses(self) -> Mapping[str, Address]:
         return {name: line.address for name, line in self._lines.items()}
 
-    def told(self, kind: ListKind) -> WorkersTold:
-        return WorkersTold(kind, self.serial, tuple(line.worker for line in self._lines.values()))
+    def told(self, kind: ListKind) -> WorkersListed:
+        return WorkersListed(kind, self.serial, tuple(line.worker for line in self._lines.values()))
 
     # The events of the start
 
-    def known(self, told: Any) -> WorkersTold:
+    def known(self, told: Any) -> WorkersListed:
         """Raises BadList where the events can't be read."""
         try:
             for event in told["batch"]:
@@ -95,7 +95,7 @@
     def _target(self, target: Any) -> Line:
         host, _, port = str(target["endpoint"]).rpartition(":")
         weight = float(target.get("capacity_hint") or 1.0) if self._names.weighted else 1.0
-        worker = WorkerTold(
+        worker = ListedWorker(
             str(target["uid"]),
             self._names.zone(str(target.get("az", ""))),
             self._names.kind(str(target.get("model", ""))),
@@ -122,7 +122,7 @@
         """The name server has moved: what the old one still says doesn't count."""
         self._asked.clear()
 
-    def answer(self, data: bytes) -> WorkersTold | None:
+    def answer(self, data: bytes) -> WorkersListed | None:
         """The new list, or None where nothing has changed. Raises BadList for an answer that doesn't
         count: one nobody asked for, a failure, one cut short, one that is older than the list held."""
         if len(data) < 12 or int.from_bytes(data[:2], "big") not in self._asked:
@@ -179,7 +179,7 @@
     def _line(self, record: Any, host: str, text: Mapping[str, str]) -> Line:
         labels = [label.decode("ascii", "replace") for label in record.target.labels]
         try:
-            worker = WorkerTold(
+            worker = ListedWorker(
                 labels[0],
                 self._names.zone(labels[1]),
                 self._names.kind(text.get("kind", "")),
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from walnutpost.eventloop import Loop
-from walnutpost.gateway import WorkersTold
+from walnutpost.gateway import WorkersListed
 from walnutpost.node.directory import Address, BadList, Directory
 
 PERIOD_US = 100_000  # between questions: a fraction of the time after which a change counts as told
@@ -27,7 +27,7 @@
         directory: Directory,
         address: Address,
         seed: int,
-        changed: Callable[[WorkersTold], None],
+        changed: Callable[[WorkersListed], None],
         log: Any,
     ) -> None:
         self._loop = loop
--- a/packages/node/src/walnutpost/node/pool.py
+++ b/packages/node/src/walnutpost/node/pool.py
@@ -7,7 +7,7 @@
 from functools import partial
 
 from walnutpost.eventloop import Loop
-from walnutpost.gateway import AttemptDone, Discard, HoldDone, Order, Ping, PingDone, Start
+from walnutpost.gateway import AttemptEnded, LoadOrder, LoadOrderEnded, Probe, ProbeEnded, Send, Unload
 from walnutpost.interface import Outcome
 from walnutpost.node import resp, selection
 from walnutpost.node.connection import WorkerConnection
@@ -63,8 +63,8 @@
 
     def start(
         self,
-        effect: Start,
-        done: Callable[[AttemptDone], None],
+        effect: Send,
+        done: Callable[[AttemptEnded], None],
         before: Callable[[], None] | None = None,
         execution: str = "",
     ) -> None:
@@ -72,7 +72,7 @@
         now, ticket = self.loop.now(), effect.ticket
         known = self._identity(ticket)
         id, cls, repeat_key = known or (b"", "", "")
-        deadline = now + effect.timeout
+        deadline = now + effect.timeout_us
 
         def encode(at: int) -> bytes:
             return resp.call(id, cls, effect.function, deadline - at, effect.payload, repeat_key)
@@ -82,9 +82,9 @@
             id,
             encode,
             now,
-            effect.timeout,
+            effect.timeout_us,
             partial(self._attempt_ended, effect, done),
-            effect.latest,
+            effect.begin_within_us,
             lambda: self._identity(ticket) is not None,
         )
         self._attempts[effect.call, effect.attempt] = exchange
@@ -95,8 +95,8 @@
 
     def _attempt_ended(
         self,
-        effect: Start,
-        done: Callable[[AttemptDone], None],
+        effect: Send,
+        done: Callable[[AttemptEnded], None],
         exchange: Exchange,
         outcome: Outcome,
         answer: resp.Answer | None,
@@ -105,11 +105,11 @@
         self.ends[effect.worker, outcome] += 1
         took = self.loop.now() - exchange.began_us
         if answer is None:
-            done(AttemptDone(effect.call, effect.attempt, outcome, took))
+            done(AttemptEnded(effect.call, effect.attempt, outcome, took))
             return
         body = answer.body if outcome is Outcome.OK else b""
         done(
-            AttemptDone(
+            AttemptEnded(
                 effect.call,
                 effect.attempt,
                 outcome,
@@ -132,15 +132,15 @@
             exchange.carrier.give_up(exchange)
         self.loop.call_soon(lambda: exchange.finish(Outcome.CANCELLED))
 
-    def order(self, effect: Order, done: Callable[[HoldDone], None]) -> None:
-        """Sends an order to load, or a question; its outcome is as `interface.HoldEnded` says."""
+    def order(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
+        """Sends an order to load, or a question; its outcome is as `interface.LoadOrderEnded` says."""
 
         def end(exchange: Exchange, outcome: Outcome, answer: resp.Answer | None) -> None:
             if answer is None and outcome is Outcome.ERROR and effect.copies:
                 outcome = Outcome.RESET  # malformed bytes came, and they answer nothing
             copies = answer.copies or 0 if answer is not None else 0
             took = self.loop.now() - exchange.began_us
-            done(HoldDone(effect.worker, effect.function, outcome, took, copies, effect.copies))
+            done(LoadOrderEnded(effect.worker, effect.function, outcome, took, copies, effect.copies))
 
         self.ordered += effect.copies > 0
         self.asked += not effect.copies
@@ -153,23 +153,23 @@
             self.loop.now(),
             self.limits.order_timeout_us,
             end,
-            effect.latest,
+            effect.begin_within_us,
         )
         self._begin(effect.worker, exchange)
 
-    def ping(self, effect: Ping, done: Callable[[PingDone], None]) -> None:
+    def ping(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
         """Sends a probe."""
 
         def end(exchange: Exchange, outcome: Outcome, answer: resp.Answer | None) -> None:
             report = answer.report if answer is not None else ()
-            done(PingDone(effect.worker, outcome, self.loop.now() - exchange.began_us, report))
+            done(ProbeEnded(effect.worker, outcome, self.loop.now() - exchange.began_us, report))
 
         tag = self._tag()
         command = resp.probe(tag)
         now = self.loop.now()
         self._begin(effect.worker, Exchange(Kind.PROBE, tag, lambda at: command, now, PROBE_TIMEOUT_US, end))
 
-    def discard(self, effect: Discard) -> None:
+    def discard(self, effect: Unload) -> None:
         """Tells the worker to unload idle copies; nothing comes back."""
         connection = self._pick(effect.worker, self._tag())
         if connection is not None:
--- a/packages/node/src/walnutpost/node/resp.py
+++ b/packages/node/src/walnutpost/node/resp.py
@@ -23,9 +23,9 @@
 }
 PROBES = {b"UP": Outcome.OK, b"DOWN": Outcome.ERROR}
 NOTES = {
-    "resident": Warmth.STOOD,
-    "booted": Warmth.BEGAN_LOAD,
-    "rode": Warmth.AWAITED_LOAD,
+    "resident": Warmth.WARM,
+    "booted": Warmth.STARTED_LOAD,
+    "rode": Warmth.JOINED_LOAD,
     "boot_error": Warmth.LOAD_FAILED,
 }
 # The simulator's names of report values, by the short ones that the sockets may carry.
@@ -44,7 +44,7 @@
     outcome: Outcome
     probe: bool
     body: bytes
-    warmth: Warmth = Warmth.UNTOLD
+    warmth: Warmth = Warmth.UNREPORTED
     crowd: int = 0
     copies: int | None = None
     report: tuple[float, ...] = ()
@@ -160,14 +160,14 @@
         outcome = OUTCOMES.get(word) or PROBES.get(word)
         if outcome is None:
             raise MalformedAnswer(f"found the word {word!r}")
-        warmth, crowd, copies = Warmth.UNTOLD, 0, None
+        warmth, crowd, copies = Warmth.UNREPORTED, 0, None
         report: tuple[float, ...] = ()
         if fields != b"-":
             try:
                 for pair in fields.decode("ascii").split(","):
                     name, _, value = pair.partition("=")
                     if name == "detail":
-                        warmth = NOTES.get(value, Warmth.UNTOLD)
+                        warmth = NOTES.get(value, Warmth.UNREPORTED)
                     elif name == "company":
                         crowd = int(value)
                     elif name == "slots_up":
--- a/packages/node/src/walnutpost/node/run.py
+++ b/packages/node/src/walnutpost/node/run.py
@@ -12,7 +12,7 @@
 
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Listener, Loop
-from walnutpost.gateway import Catalogue, Gateway, ShuttingDown, WorkersTold
+from walnutpost.gateway import Catalogue, Gateway, ShuttingDown, WorkersListed
 from walnutpost.interface import ListKind, Outcome
 from walnutpost.node.clients import Clients
 from walnutpost.node.config import Config, ConfigError, parse
@@ -43,17 +43,17 @@
     def __init__(self, loop: Loop, config: Config, log: Any) -> None:
         self._loop = loop
         self._log = log
-        gateway = Gateway(config.settings, Catalogue({}, config.tenants, unnamed=True), config.seed)
-        longest = max((cls.deadline for cls in config.settings.classes), default=0)
+        gateway = Gateway(config.settings, Catalogue({}, config.tenants, allows_no_tenant=True), config.seed)
+        longest = max((cls.deadline_us for cls in config.settings.classes), default=0)
         self._drain_limit_us = DRAIN_PERIOD_US + min(longest, KILL_AFTER_US) - KILL_MARGIN_US
         limits = WorkerLimits(
             config.dial_timeout_us,
             config.idle_time_us,
-            config.settings.order_timeout,
+            config.settings.load_order_timeout_us,
             config.streams,
             int(config.sockets * WORKER_SHARE),
             config.report_fields,
-            config.settings.limits.cancel,
+            config.settings.limits.may_cancel,
         )
         self.workers = WorkerPool(loop, limits, lambda ticket: self.clients.identity(ticket))
         self.core = Core(loop, gateway, self.workers, log)
@@ -76,7 +76,7 @@
     def _make_room(self) -> bool:
         return self.workers.spare_one() or self.clients.make_room()
 
-    def _listed(self, told: WorkersTold) -> None:
+    def _listed(self, told: WorkersListed) -> None:
         self.workers.update(self.directory.addresses)
         self.core.feed(told)
         if told.kind is not ListKind.CACHED:
--- a/packages/node/tests/test_client_terms.py
+++ b/packages/node/tests/test_client_terms.py
@@ -119,8 +119,8 @@
         world.loop.sleep(300 * MS)  # counts from its last byte
         client.raw(whole[20:])
         assert client.next()[2] is None
-        assert [call.waited for call in told] == [0, 0, 0, 0]
-        assert {call.time_left for call in told} == {1_000 * MS}
+        assert [call.waited_us for call in told] == [0, 0, 0, 0]
+        assert {call.time_left_us for call in told} == {1_000 * MS}
 
     run(script)
 
@@ -133,7 +133,7 @@
         client.send()
         stall(world, 300 * MS)
         assert client.next()[2] is None
-        assert [(call.waited, call.time_left) for call in told] == [(300 * MS, 700 * MS)]
+        assert [(call.waited_us, call.time_left_us) for call in told] == [(300 * MS, 700 * MS)]
         fields = dict(part.split(b"=") for part in worker.calls()[-1][2].split(b","))
         assert int(fields[b"budget"]) <= 700
 
@@ -150,7 +150,7 @@
         late = client.send(budget="200")
         stall(world, 500 * MS)
         assert client.next() == [1, late, REFUSED, None]
-        assert [(call.waited, call.time_left) for call in told] == [(500 * MS, 0)]
+        assert [(call.waited_us, call.time_left_us) for call in told] == [(500 * MS, 0)]
         following = client.send()
         assert client.next()[:3] == [1, following, None] and len(calls(world)) == 2
 
@@ -167,11 +167,11 @@
         callers = crowd(world, 80)  # takes three turns, with a poll before each
         stall(world, 400 * MS)
         world.until(lambda: len(told) == 80)
-        assert {call.waited for call in told} == {400 * MS}
+        assert {call.waited_us for call in told} == {400 * MS}
         late = world.client()
         late.send()
         world.until(lambda: len(told) == 81)
-        assert told[-1].waited == 0
+        assert told[-1].waited_us == 0
         for caller in callers:
             caller.close()
 
@@ -188,7 +188,7 @@
         world.loop.sleep(400 * MS)
         world.loop.spawn(world.node.clients.accept, world.node.listener)
         world.until(lambda: len(told) == 40)
-        assert {call.waited for call in told} == {400 * MS}
+        assert {call.waited_us for call in told} == {400 * MS}
         for caller in callers:
             caller.close()
 
@@ -206,7 +206,7 @@
         told = arrivals(world, monkeypatch)
         (caller,) = crowd(world, 1)
         world.until(lambda: told)
-        assert not failing and told[0].waited == ACCEPT_BACKOFF_US * (1 + 2 + 4)
+        assert not failing and told[0].waited_us == ACCEPT_BACKOFF_US * (1 + 2 + 4)
         caller.close()
 
     run(script)
@@ -222,7 +222,7 @@
         told = arrivals(world, monkeypatch)
         (caller,) = crowd(world, 1)
         world.until(lambda: told)
-        assert not failing and told[0].waited == 50 * MS
+        assert not failing and told[0].waited_us == 50 * MS
         caller.close()
 
     run(script)
@@ -252,10 +252,10 @@
             client.send(method="no such class")
             client.next()
         client.send()
-        assert client.next()[2] is None and told[0].waited == READ_PAUSE_US
+        assert client.next()[2] is None and told[0].waited_us == READ_PAUSE_US
         world.loop.sleep(2 * READ_PAUSE_US)
         client.send()
-        assert client.next()[2] is None and told[1].waited == 0
+        assert client.next()[2] is None and told[1].waited_us == 0
 
     run(script)
 
@@ -269,7 +269,7 @@
             client.next()
         world.loop.sleep(1_000 * MS)
         client.send()
-        assert client.next()[2] is None and told[0].waited == 0
+        assert client.next()[2] is None and told[0].waited_us == 0
 
     run(script)
 
@@ -282,7 +282,7 @@
         told = arrivals(world, monkeypatch, during=lambda: stall(world, 3 * MS))  # each takes so long
         client.raw(b"".join(request(number, bytes(900)) for number in range(2, 8)))
         world.until(lambda: len(told) == 6)
-        assert [call.waited for call in told] == [number * 3 * MS for number in range(6)]
+        assert [call.waited_us for call in told] == [number * 3 * MS for number in range(6)]
 
     run(script, workers=1)
 
@@ -772,7 +772,7 @@
         world.until(lambda: len(told) == 2)
         client.raw(request(4)[20:])
         assert sorted(client.next()[1] for _ in range(3)) == [2, 3, 4]
-        assert [call.waited for call in told] == [0, 150 * MS, 0]
+        assert [call.waited_us for call in told] == [0, 150 * MS, 0]
 
     run(script, workers=1)
 
--- a/packages/node/tests/test_crossings.py
+++ b/packages/node/tests/test_crossings.py
@@ -23,7 +23,7 @@
 from node_rig import CONFIG, PROFILE, SECOND, Client, World, config_text, listing, play, reply
 from test_node import FAILED, REFUSED, warm
 from walnutpost.eventloop import Listener, Loop, VirtualClock
-from walnutpost.gateway import HoldDone, Order
+from walnutpost.gateway import LoadOrder, LoadOrderEnded
 from walnutpost.interface import Outcome
 from walnutpost.node import run
 from walnutpost.node.client_connection import REJECTED_BEFORE_PAUSE
@@ -161,11 +161,11 @@
 
 
 def test_an_order_that_left_too_late_for_its_ration_does_not_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    held, told = Held(monkeypatch), list[HoldDone]()
+    held, told = Held(monkeypatch), list[LoadOrderEnded]()
 
     def script(world: World) -> None:
         held.shut = True
-        world.node.workers.order(Order(world.workers[0].name, FUNCTION, 1, 50 * MS), told.append)
+        world.node.workers.order(LoadOrder(world.workers[0].name, FUNCTION, 1, 50 * MS), told.append)
         world.loop.sleep(60 * MS)
         held.come_up()
         world.until(lambda: told)
--- a/packages/node/tests/test_kept.py
+++ b/packages/node/tests/test_kept.py
@@ -10,19 +10,19 @@
 from rig import SECOND, SETTINGS
 from walnutpost.gateway import (
     Answered,
-    Arm,
-    AttemptDone,
+    AttemptEnded,
     CallArrived,
     Catalogue,
-    Due,
     Effect,
     Function,
     Gateway,
-    HoldDone,
-    Order,
-    Start,
-    WorkersTold,
-    WorkerTold,
+    ListedWorker,
+    LoadOrder,
+    LoadOrderEnded,
+    Send,
+    SetTimer,
+    TimerDue,
+    WorkersListed,
 )
 from walnutpost.interface import ListKind, Outcome
 
@@ -55,14 +55,14 @@
         todo: list[Effect] = self.gateway.handle(self.now, event)
         while todo:
             match todo.pop(0):
-                case Start(call, attempt, worker, function):
+                case Send(call, attempt, worker, function):
                     there = Outcome.OK if (worker, function) in self.copies else Outcome.MISS
-                    todo += self.gateway.handle(self.now, AttemptDone(call, attempt, there, 1000))
-                case Order(worker, function, copies):
+                    todo += self.gateway.handle(self.now, AttemptEnded(call, attempt, there, 1000))
+                case LoadOrder(worker, function, copies):
                     self.copies.add((worker, function))
-                    done = HoldDone(worker, function, Outcome.OK, 1000, copies)
+                    done = LoadOrderEnded(worker, function, Outcome.OK, 1000, copies)
                     todo += self.gateway.handle(self.now, done)
-                case Arm(delay, token):
+                case SetTimer(delay, token):
                     self.due.append((self.now + delay, token))
                 case Answered():
                     self.served += 1
@@ -72,16 +72,16 @@
         while self.due and min(self.due)[0] <= until:
             self.due.remove(first := min(self.due))
             self.now = max(self.now, first[0])
-            self.feed(Due(first[1]))
+            self.feed(TimerDue(first[1]))
         self.now = until
 
     def round(self, number: int) -> None:
-        names = tuple(WorkerTold(f"w{number}-{n}") for n in range(20))
-        self.feed(WorkersTold(ListKind.FULL, number, names))
+        names = tuple(ListedWorker(f"w{number}-{n}") for n in range(20))
+        self.feed(WorkersListed(ListKind.FULL, number, names))
         for n in range(100):
             self.calls += 1
             of = Function(f"f{number}-{n}", 0, 300.0, 2.0)
-            self.feed(CallArrived(self.calls, of.name, b"", 2 * SECOND, of=of))
+            self.feed(CallArrived(self.calls, of.name, b"", 2 * SECOND, definition=of))
         self.pass_time(5 * SECOND)
         self.copies.clear()
 
--- a/packages/node/tests/test_node.py
+++ b/packages/node/tests/test_node.py
@@ -12,7 +12,7 @@
 import pytest
 
 from node_rig import SECOND, Words, Worker, World, listing, play, reply
-from walnutpost.gateway import HoldDone, Order
+from walnutpost.gateway import LoadOrder, LoadOrderEnded
 from walnutpost.interface import Outcome, WorkerState
 from walnutpost.node.client_connection import MESSAGE_TIMEOUT_US
 from walnutpost.node.client_context import OPEN_MOST
@@ -123,10 +123,10 @@
             return Worker.good(words)
 
         worker = warm(world, client)
-        told: list[HoldDone] = []
+        told: list[LoadOrderEnded] = []
         worker.answer = answer
         for copies in (0, 1):
-            world.node.workers.order(Order(worker.name, "7f3a9c21e0b4d655", copies), told.append)
+            world.node.workers.order(LoadOrder(worker.name, "7f3a9c21e0b4d655", copies), told.append)
         world.until(lambda: len(told) == 2)
         assert {t.outcome for t in told} == {Outcome.OK} and not left[0]
         worker.answer = after(b"")
@@ -154,9 +154,9 @@
 def test_a_moved_question_keeps_its_time_limit() -> None:
     def script(world: World) -> None:
         worker = warm(world, world.client())
-        told, answers = list[HoldDone](), [b""]
+        told, answers = list[LoadOrderEnded](), [b""]
         worker.answer = lambda words: answers.pop() if answers else None
-        world.node.workers.order(Order(worker.name, "7f3a9c21e0b4d655", 0), told.append)
+        world.node.workers.order(LoadOrder(worker.name, "7f3a9c21e0b4d655", 0), told.append)
         world.until(lambda: told, step=SECOND // 2)
         assert [t.outcome for t in told] == [Outcome.TIMEOUT]
 
--- a/packages/node/tests/test_node_protocols.py
+++ b/packages/node/tests/test_node_protocols.py
@@ -115,7 +115,7 @@
 
 TOLD = b"detail=rode,company=3,use=util:0.61;x0:0.25,a="
 OK = resp.command(b"r1", b"OK", TOLD, b"\r\n\x00z")
-READ = resp.Answer(b"r1", Outcome.OK, False, b"\r\n\x00z", Warmth.AWAITED_LOAD, 3, None, (0.61, 0.25))
+READ = resp.Answer(b"r1", Outcome.OK, False, b"\r\n\x00z", Warmth.JOINED_LOAD, 3, None, (0.61, 0.25))
 
 
 def answers(data: bytes) -> tuple[list[resp.Answer], resp.MalformedAnswer | None]:
@@ -210,7 +210,7 @@
     held.query(9)
     told = held.answer(reply(9, 3))
     assert told is not None and told.version == 3 and told.kind is ListKind.FULL
-    assert told.workers[0].state is WorkerState.DRAINING and told.workers[0].started_at == 5_000
+    assert told.workers[0].state is WorkerState.DRAINING and told.workers[0].started_at_us == 5_000
     assert held.addresses == {"s-1": ("10.1.0.9", 10080)}
     held.query(10)
     assert held.answer(reply(10, 3)) is None
@@ -244,7 +244,7 @@
 def test_the_configuration_is_read_whole_and_a_lack_names_its_place() -> None:
     config = parse(config_text())
     assert config.listen == ("127.0.0.1", 0) and config.seed == 0x8C1F and config.classes[1] == "reservation"
-    assert config.settings.classes[0].aim == 430_000 and config.streams == 32
+    assert config.settings.classes[0].latency_objective_us == 430_000 and config.streams == 32
     for change, place in (
         ({"dns": "nowhere"}, "dns"),
         ({"seed": "xyz"}, "seed"),
--- a/packages/node/tests/test_worker_terms.py
+++ b/packages/node/tests/test_worker_terms.py
@@ -24,7 +24,7 @@
 from node_rig import SECOND, Words, Worker, World, play, reply
 from test_crossings import FUNCTION, MS, Held, call_that_waits
 from test_node import FAILED, warm
-from walnutpost.gateway import AttemptDone, HoldDone, Order, Start
+from walnutpost.gateway import AttemptEnded, LoadOrder, LoadOrderEnded, Send
 from walnutpost.interface import Outcome
 from walnutpost.node import connection as connection_module
 from walnutpost.node import resp
@@ -71,14 +71,14 @@
     return connection
 
 
-def order(world: World, worker: str, latest: int = 0) -> list[HoldDone]:
+def order(world: World, worker: str, latest: int = 0) -> list[LoadOrderEnded]:
     """Orders one copy; where its outcomes will stand."""
-    told: list[HoldDone] = []
-    world.node.workers.order(Order(worker, ORDERED, 1, latest), told.append)
+    told: list[LoadOrderEnded] = []
+    world.node.workers.order(LoadOrder(worker, ORDERED, 1, latest), told.append)
     return told
 
 
-def outcomes(told: list[HoldDone]) -> list[Outcome]:
+def outcomes(told: list[LoadOrderEnded]) -> list[Outcome]:
     return [done.outcome for done in told]
 
 
@@ -439,16 +439,16 @@
     latest: int,
     call: int = 1_000_000,
     then: Callable[[], None] = lambda: None,
-) -> list[AttemptDone]:
+) -> list[AttemptEnded]:
     """An attempt straight from the gateway, for a client that waits; `then` runs when it has ended."""
-    told: list[AttemptDone] = []
+    told: list[AttemptEnded] = []
 
-    def done(ended: AttemptDone) -> None:
+    def done(ended: AttemptEnded) -> None:
         told.append(ended)
         then()
 
     world.node.clients.requests.identities[call] = (b"%016x" % call, "valuation", "")
-    start = Start(call, 0, worker.name, FUNCTION, None, b"body", timeout, call, False, latest)
+    start = Send(call, 0, worker.name, FUNCTION, None, b"body", timeout, call, False, latest)
     world.node.workers.start(start, done)
     return told
 
@@ -842,7 +842,7 @@
         pool = self.world.node.workers
         tag = b"t%d" % (pool._tags + 1)
         ends = self.outcomes.setdefault(tag, [])
-        effect = Order(self.worker.name, ORDERED, 1, latest)
+        effect = LoadOrder(self.worker.name, ORDERED, 1, latest)
         pool.order(effect, lambda done: ends.append((self.world.loop.now(), done.outcome)))
 
     def step(self, what: str, how: Any) -> None:
--- /dev/null
+++ b/packages/policy/src/walnutpost/policy/attempt_results.py
@@ -0,0 +1,119 @@
+"""What the end of an attempt says of its worker, of the copy, and what becomes of the request."""
+
+from walnutpost import interface as api
+from walnutpost.policy.attempts import Attempts
+from walnutpost.policy.context import DecisionContext
+from walnutpost.policy.endpoints import Endpoints
+from walnutpost.policy.failure_detection import FailureDetection
+from walnutpost.policy.functions import Copy
+from walnutpost.policy.load_orders import LoadOrders
+from walnutpost.policy.outlier_detection import OutlierDetection
+from walnutpost.policy.placement import Placement
+from walnutpost.policy.rates import TrafficRates
+from walnutpost.policy.requests import WORKER_ANSWERED, Attempt, OpenRequests, Request
+from walnutpost.policy.workers import Worker
+
+LOADED_BEHIND_REQUEST = (api.Warmth.STARTED_LOAD, api.Warmth.JOINED_LOAD)
+
+
+class AttemptResults:
+    """Takes in ended attempts."""
+
+    __slots__ = (
+        "_attempts",
+        "_context",
+        "_endpoints",
+        "_failures",
+        "_orders",
+        "_outliers",
+        "_placement",
+        "_requests",
+        "_traffic",
+    )
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        endpoints: Endpoints,
+        requests: OpenRequests,
+        traffic: TrafficRates,
+        outliers: OutlierDetection,
+        orders: LoadOrders,
+        attempts: Attempts,
+        placement: Placement,
+        failures: FailureDetection,
+    ) -> None:
+        """Work on the given parts."""
+        self._context = context
+        self._endpoints = endpoints
+        self._requests = requests
+        self._traffic = traffic
+        self._outliers = outliers
+        self._orders = orders
+        self._attempts = attempts
+        self._placement = placement
+        self._failures = failures
+
+    def handle(self, event: api.AttemptEnded) -> None:
+        """Update the worker, the copy and the request; an end that is not expected is ignored."""
+        request = self._requests.by_id.get(event.request)
+        if request is None or event.attempt >= len(request.attempts):
+            return
+        attempt = request.attempts[event.attempt]
+        if attempt.outcome is not None:
+            return
+        worker = self._endpoints.workers[attempt.worker]
+        copy = request.function.copies.get(attempt.worker)
+        attempt.outcome = event.outcome
+        self._endpoints.attempt_ended(worker)
+        request.function.attempt_ended(attempt.worker)
+        if event.outcome in WORKER_ANSWERED:
+            self._failures.record_answer(worker, self._context.now_us - event.latency_us)
+            self._outliers.record_answer(worker, request, event)
+            self._orders.count_request(request, is_genuine=event.outcome is not api.Outcome.ERROR)
+        self._update_copy(request, attempt, copy, worker, event)
+        self._conclude(request, attempt, event)
+
+    def _update_copy(
+        self, request: Request, attempt: Attempt, copy: Copy | None, worker: Worker, event: api.AttemptEnded
+    ) -> None:
+        load_failed = event.warmth is api.Warmth.LOAD_FAILED
+        # No answer had confirmed the copy, so a full worker rejected the load that the request would begin.
+        load_rejected = event.outcome is api.Outcome.FULL and copy is not None and not copy.is_confirmed
+        if event.outcome is api.Outcome.OK:
+            self._record_success(request, attempt, copy, worker, event)
+        elif event.outcome is api.Outcome.MISS or load_failed or load_rejected:
+            request.function.copies.pop(attempt.worker, None)
+            if event.outcome is api.Outcome.MISS and not load_failed:
+                request.function.missed_us[attempt.worker] = self._context.now_us
+            else:
+                self._orders.schedule_backoff(request.function, attempt.worker)
+        elif event.outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET):
+            self._failures.record_connection_failure(worker, event.outcome)
+
+    def _record_success(
+        self, request: Request, attempt: Attempt, copy: Copy | None, worker: Worker, event: api.AttemptEnded
+    ) -> None:
+        if copy is not None:
+            copy.last_used_us = self._context.now_us
+            copy.is_confirmed = True
+        self._traffic.answers.add(self._context.now_us)
+        if attempt.was_warm and event.warmth not in LOADED_BEHIND_REQUEST:
+            self._outliers.record_latency(request, worker, event.latency_us)
+
+    def _conclude(self, request: Request, attempt: Attempt, event: api.AttemptEnded) -> None:
+        """Close the request, or retry it once no attempt is in flight.
+
+        A worker that has answered is excluded from the retry, except after a plain miss: nothing ran there.
+        """
+        if event.is_finished or request.is_answered:
+            self._requests.close(request)
+            return
+        if event.outcome is not api.Outcome.MISS or event.warmth is api.Warmth.LOAD_FAILED:
+            request.excluded_workers.append(attempt.worker)
+        if not request.all_attempts_ended():
+            return
+        if self._attempts.may_retry(request):
+            self._placement.place(request)
+        else:
+            self._requests.reject_or_fail(request)
--- /dev/null
+++ b/packages/policy/src/walnutpost/policy/attempts.py
@@ -0,0 +1,109 @@
+"""The choke point for sends: rules 1 to 4 for each attempt."""
+
+from walnutpost import interface as api
+from walnutpost.policy.context import DecisionContext
+from walnutpost.policy.endpoints import Endpoints
+from walnutpost.policy.functions import Copy
+from walnutpost.policy.health_checks import HealthChecks
+from walnutpost.policy.requests import NEVER_RAN, Attempt, Request
+from walnutpost.policy.slow_start import SlowStart
+from walnutpost.policy.workers import Worker
+
+
+class Attempts:
+    """Decides whether an attempt may begin, and begins it."""
+
+    __slots__ = ("_context", "_endpoints", "_health_checks", "_slow_start")
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        endpoints: Endpoints,
+        slow_start: SlowStart,
+        health_checks: HealthChecks,
+    ) -> None:
+        """Work on the given parts."""
+        self._context = context
+        self._endpoints = endpoints
+        self._slow_start = slow_start
+        self._health_checks = health_checks
+
+    def may_send(self, request: Request, worker: Worker) -> bool:
+        """Whether the request may go to the worker now.
+
+        It must be unanswered and in time, a repeat must be allowed, the worker must stay, and the slow-start
+        budget must have room.
+        """
+        if request.is_answered or not worker.is_ready or worker.info.id in request.excluded_workers:
+            return False
+        if not self.may_retry(request):
+            return False
+        if request.request_class.effect is api.Effect.KEYED and not self._may_repeat_key(request, worker):
+            return False
+        return self._slow_start.has_budget(worker)
+
+    def may_retry(self, request: Request) -> bool:
+        """Whether another attempt is allowed at all: attempts and time are left, and a second run is safe."""
+        settings, attempts = self._context.settings, request.attempts
+        limits = settings.limits
+        if len(attempts) >= limits.max_attempts:
+            return False
+        if self._context.now_us >= request.deadline_us - settings.tick_us:
+            return False
+        if not limits.may_run_parallel_attempts and not request.all_attempts_ended():
+            return False
+        return request.request_class.effect is not api.Effect.UNSAFE or not request.may_have_run()
+
+    def send(self, request: Request, worker: Worker) -> None:
+        """Begin an attempt if it is allowed; the worker is then believed to get a copy."""
+        if not self.may_send(request, worker):
+            return
+        now_us, worker_id, function = self._context.now_us, worker.info.id, request.function
+        begin_within_us = max(1, self._latest_begin_us(request, worker) - now_us)
+        copy = function.copies.get(worker_id)
+        if copy is None:
+            copy = function.copies[worker_id] = Copy(now_us)
+        copy.last_used_us = now_us
+        request.attempts.append(Attempt(worker_id, now_us, copy.is_confirmed))
+        function.in_flight[worker_id] += 1
+        self._endpoints.attempt_started(worker)
+        if worker.in_flight == 1:
+            worker.last_heard_us = now_us
+        worker.recent_sends_us.append(now_us)
+        self._context.actions.append(
+            api.Send(request.id, worker_id, request.deadline_us - now_us, begin_within_us)
+        )
+        self._health_checks.schedule_after_send(worker)
+
+    def _may_repeat_key(self, request: Request, worker: Worker) -> bool:
+        """Whether a keyed repeat reaches workers that know the key, while they remember it."""
+        group, window_us = request.request_class.group, request.request_class.repeat_window_us
+        for attempt in request.attempts:
+            if attempt.outcome in NEVER_RAN:
+                continue
+            first = self._endpoints.workers[attempt.worker].info
+            if group is api.Group.ZONE and first.zone != worker.info.zone:
+                return False
+            if group is api.Group.CELL and first.cell != worker.info.cell:
+                return False
+            if self._context.now_us - attempt.sent_us > window_us:
+                return False
+        return True
+
+    def _latest_begin_us(self, request: Request, worker: Worker) -> int:
+        """Return until when the decision is valid by the guards' own figures (docs/design.md).
+
+        That is the deadline, the end of a key's window, the drain grace, or at a worker that is warming up
+        the grace by which its sends are counted for longer.
+        """
+        context, request_class = self._context, request.request_class
+        latest_us = request.deadline_us - context.settings.tick_us
+        if request_class.effect is api.Effect.KEYED:
+            for attempt in request.attempts:
+                if attempt.outcome not in NEVER_RAN:
+                    latest_us = min(latest_us, attempt.sent_us + request_class.repeat_window_us)
+        if context.settings.guards.drain_grace_us:
+            latest_us = min(latest_us, context.now_us + context.settings.guards.drain_grace_us)
+        if self._slow_start.is_warming_up(worker) and context.grace_us:
+            latest_us = min(latest_us, context.now_us + context.grace_us)
+        return latest_us
--- /dev/null
+++ b/packages/policy/src/walnutpost/policy/requests.py
@@ -0,0 +1,102 @@
+"""Requests and their attempts, and the choke point for final answers (rules 1 and 2)."""
+
+from dataclasses import dataclass, field
+
+from walnutpost import interface as api
+from walnutpost.policy.context import DecisionContext
+from walnutpost.policy.functions import Function
+
+NEVER_RAN = frozenset((api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT, api.Outcome.MISS))
+WORKER_ANSWERED = frozenset((api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.MISS))
+RETRY_AFTER_DIVISOR = 4  # of the class's latency objective: when a rejected client may come back
+
+
+@dataclass(slots=True, eq=False)
+class Attempt:
+    """One send of a request to a worker; `outcome` is None while it is in flight."""
+
+    worker: int
+    sent_us: int
+    was_warm: bool  # to a copy that an answer had confirmed
+    outcome: api.Outcome | None = None
+
+
+@dataclass(slots=True, eq=False)
+class Request:
+    """A request until its final answer and the end of its last attempt."""
+
+    id: int
+    request_class: api.RequestClass
+    function: Function
+    deadline_us: int
+    earliest_arrival_us: int | None  # None once the load-order limit has counted it, or must not
+    cost_hint_us: int | None
+    attempts: list[Attempt] = field(default_factory=list)
+    excluded_workers: list[int] = field(default_factory=list)
+    is_answered: bool = False
+
+    def may_have_run(self) -> bool:
+        """Whether a worker may have begun to execute it."""
+        return any(attempt.outcome not in NEVER_RAN for attempt in self.attempts)
+
+    def all_attempts_ended(self) -> bool:
+        """Whether no attempt is in flight."""
+        return all(attempt.outcome is not None for attempt in self.attempts)
+
+    def workers_in_flight(self) -> set[int]:
+        """Return the workers that have an attempt of it in flight."""
+        return {attempt.worker for attempt in self.attempts if attempt.outcome is None}
+
+
+class OpenRequests:
+    """All requests that may still get an answer or have an attempt in flight; each is answered once."""
+
+    __slots__ = ("_context", "by_id")
+
+    def __init__(self, context: DecisionContext) -> None:
+        """Start empty."""
+        self._context = context
+        self.by_id: dict[int, Request] = {}
+
+    def reject_or_fail(self, request: Request) -> None:
+        """Give the final answer: a rejection only where trying again is harmless, else a failure.
+
+        It is harmless where a second run changes nothing, where all workers drop repeats of the key together,
+        or where nothing has run.
+        """
+        if request.is_answered:
+            return
+        effect, group = request.request_class.effect, request.request_class.group
+        repeats_are_dropped = effect is api.Effect.KEYED and group is api.Group.ALL
+        if effect is api.Effect.SAFE or repeats_are_dropped or not request.may_have_run():
+            self._context.actions.append(api.Reject(request.id, self._retry_after_us(request)))
+        else:
+            self._context.actions.append(api.Fail(request.id))
+        self.close(request)
+
+    def close(self, request: Request) -> None:
+        """Cancel the attempts of a request that needs no answer any more; forget it once all have ended."""
+        is_cancellable = (
+            not request.is_answered
+            and not request.request_class.is_stream
+            and self._context.settings.limits.may_cancel
+        )
+        if is_cancellable:
+            for number, attempt in enumerate(request.attempts):
+                if attempt.outcome is None:
+                    self._context.actions.append(api.Cancel(request.id, number))
+        request.is_answered = True
+        request.function.queued.pop(request.id, None)
+        if request.all_attempts_ended():
+            del self.by_id[request.id]
+
+    def workers_referenced(self) -> set[int]:
+        """Return the workers that any attempt names; they must stay known."""
+        return {attempt.worker for request in self.by_id.values() for attempt in request.attempts}
+
+    def _retry_after_us(self, request: Request) -> int:
+        limits = self._context.settings.limits
+        if not limits.may_send_retry_after:
+            return 0
+        retry_after_us = request.request_class.latency_objective_us // RETRY_AFTER_DIVISOR
+        return min(limits.max_retry_after_us, retry_after_us)
--- a/packages/policy/src/walnutpost/policy/router.py
+++ b/packages/policy/src/walnutpost/policy/router.py
@@ -1,157 +1,190 @@
-"""The parts joined: each event to those that it concerns, and their actions back."""
+"""The facade of the policy: builds the parts, gives each event to its handler, returns their actions."""
 
-from collections import Counter
-from collections.abc import Collection
-from dataclasses import replace
+from collections.abc import Callable, Collection
+from typing import Any
 
 from walnutpost import interface as api
-from walnutpost.policy.state import HEARD_FROM, SAMPLE_SPAN, SHARE_SPAN, Function, Rate, Request, Worker
-from walnutpost.policy.watching import Watching
+from walnutpost.policy.attempt_results import AttemptResults
+from walnutpost.policy.attempts import Attempts
+from walnutpost.policy.context import DecisionContext
+from walnutpost.policy.endpoint_updates import EndpointUpdates
+from walnutpost.policy.endpoints import Endpoints
+from walnutpost.policy.failure_detection import FailureDetection
+from walnutpost.policy.functions import Function, FunctionTable
+from walnutpost.policy.health_checks import HealthChecks
+from walnutpost.policy.load_balancing import LoadBalancing
+from walnutpost.policy.load_order_limit import LoadOrderLimit
+from walnutpost.policy.load_order_results import LoadOrderResults
+from walnutpost.policy.load_orders import LoadOrders
+from walnutpost.policy.load_shedding import LoadShedding
+from walnutpost.policy.outlier_detection import OutlierDetection
+from walnutpost.policy.placement import Placement
+from walnutpost.policy.prewarming import Prewarming
+from walnutpost.policy.rates import TrafficRates
+from walnutpost.policy.requests import OpenRequests, Request
+from walnutpost.policy.scaling import Scaling
+from walnutpost.policy.slow_start import SlowStart
+from walnutpost.policy.timers import TimerKind, Timers
+from walnutpost.policy.warm_copies import WarmCopies
 
 
-class Router(Watching):
-    """One front end's decisions: events in, actions out; the same events give the same actions."""
+class Router:
+    """One front end's decisions: events in, actions out; the same events give the same actions.
+
+    The attributes without an underscore are the parts whose state tests and rigs read.
+    """
+
+    def __init__(self, settings: api.Settings, seed: int) -> None:
+        """Build the parts; `seed` starts the random generator."""
+        self.context = context = DecisionContext(settings, seed)
+        self.timers = timers = Timers(context)
+        self.traffic = traffic = TrafficRates(context.keep_alive_us, context.objective_us)
+        self.endpoints = endpoints = Endpoints(context)
+        self.functions = functions = FunctionTable(context.keep_alive_us)
+        self.requests = requests = OpenRequests(context)
+        self.load_orders = orders = LoadOrders(context, LoadOrderLimit(settings))
+        self.outliers = outliers = OutlierDetection(context, endpoints)
+        self.slow_start = SlowStart(context, endpoints, traffic)
+        self._shedding = LoadShedding(context, endpoints, requests, traffic)
+        self._copies = copies = WarmCopies(context, endpoints, outliers, traffic)
+        self._prewarming = Prewarming(context, timers, endpoints, functions, copies, orders)
+        health_checks = HealthChecks(context, timers, functions, outliers, orders)
+        attempts = Attempts(context, endpoints, self.slow_start, health_checks)
+        balancing = LoadBalancing(context, endpoints, outliers, copies, orders, attempts)
+        scaling = Scaling(context, timers, endpoints, outliers, copies, orders, self._shedding)
+        self._placement = placement = Placement(
+            context, timers, requests, outliers, copies, orders, attempts, balancing, scaling
+        )
+        self._failures = failures = FailureDetection(
+            context, timers, endpoints, functions, orders, health_checks, placement
+        )
+        self._attempt_results = AttemptResults(
+            context, endpoints, requests, traffic, outliers, orders, attempts, placement, failures
+        )
+        self._load_order_results = LoadOrderResults(
+            context, endpoints, functions, orders, placement, failures
+        )
+        self._endpoint_updates = EndpointUpdates(
+            context, timers, endpoints, functions, requests, orders, placement, failures
+        )
+        self._event_handlers = self._handlers_by_event()
+        self._timer_handlers = self._handlers_by_timer()
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        self._now, self._actions = now, []
-        if not self._began:
-            self._began = now
-            self._ration.begin(now)
-        match event:
-            case api.RequestArrived():
-                self._arrive(event)
-            case api.AttemptEnded():
-                self._attempt_ended(event)
-            case api.HoldEnded():
-                self._hold_ended(event)
-            case api.WorkersListed():
-                self._listed(event)
-            case api.RequestGone(request) if request in self._requests:
-                self._requests[request].came = None  # clients may ask and take back by the hundreds
-                self._close(self._requests[request])
-            case api.ShuttingDown(within):
-                self._ends = now + within
-                for rid in self._requests:
-                    self._later(self._ends - self._s.tick, "deadline", rid)
-            case api.AnswerStarted(request) if request in self._requests:
-                self._requests[request].done = True
-        for what, ref in self._ripe():
-            self._due(what, ref)
-        return self._actions
-
-    def named(self) -> tuple[Collection[int], Collection[int]]:
-        """Functions and workers that actions to come may name; all others may be forgotten outside, too."""
-        return self._functions.keys(), self._workers.keys()
-
-    def _due(self, what: str, ref: int) -> None:
-        fn, req = self._functions.get(ref), self._requests.get(ref)
-        if what == "watch" and ref in self._workers:
-            self._watch(self._workers[ref])
-        elif what == "list":
-            self._actions.append(api.FollowList(True))
-        elif what == "deadline" and req:
-            self._answer(req)
-        elif what == "renew" and fn:
-            self._renew(fn)
-        elif what == "wake" and fn:
-            self._release(fn)
-
-    def _arrive(self, e: api.RequestArrived) -> None:
-        now = self._now
-        fn = self._functions.setdefault(e.function, Function(e.function, Rate(SHARE_SPAN * self._keep)))
-        fn.lanes, fn.load_time = max(1, int(e.lanes)), e.load_time
-        self._renew_later(fn)
-        self._came.add(now)
-        fn.calls.add(now)
-        cls = self._s.classes[min(e.class_index, len(self._s.classes) - 1)]
-        req = Request(e.request, cls, fn, min(now + e.time_left, self._ends), now - e.waited, e.cost_hint)
-        self._requests[e.request] = req
-        self._count(req, genuine=self._s.ideal_network)
-        crowded = all(self._over(fn, w) for w in self._warm(fn))
-        if req.expires <= now or self._sheds(req, e.tenant, crowded):
-            return self._answer(req)
-        self._later(req.expires - self._s.tick, "deadline", req.id)  # out before the client leaves
-        self._place(req)
-
-    def _attempt_ended(self, e: api.AttemptEnded) -> None:
-        req = self._requests.get(e.request)
-        if req is None or e.attempt >= len(req.attempts) or req.attempts[e.attempt].outcome:
-            return
-        a, fn, now = req.attempts[e.attempt], req.fn, self._now
-        w, copy = self._workers[a.worker], fn.copies.get(a.worker)
-        a.outcome = e.outcome
-        w.out -= 1
-        self._all_out -= 1
-        fn.out -= Counter((a.worker,))
-        if e.outcome in HEARD_FROM:
-            self._hear(w, now - e.latency)
-            self._answered(w, req, e)
-            self._count(req, genuine=e.outcome is not api.Outcome.ERROR)
-        refused_load = e.outcome is api.Outcome.FULL and copy is not None and not copy.sure
-        if e.outcome is api.Outcome.OK:
-            if copy is not None:
-                copy.touched, copy.sure = now, True
-            self._served.add(now)
-            if a.warm and e.warmth not in (api.Warmth.BEGAN_LOAD, api.Warmth.AWAITED_LOAD):
-                self._pace(req, w, e.latency)
-        elif e.outcome is api.Outcome.MISS or e.warmth is api.Warmth.LOAD_FAILED or refused_load:
-            fn.copies.pop(a.worker, None)
-            if e.outcome is not api.Outcome.MISS or e.warmth is api.Warmth.LOAD_FAILED:
-                self._back_off(fn, a.worker)
-            else:
-                fn.missed[a.worker] = now
-        elif e.outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET):
-            self._broken(w, e.outcome)
-        if e.finished or req.done:
-            return self._close(req)
-        if e.outcome is not api.Outcome.MISS or e.warmth is api.Warmth.LOAD_FAILED:
-            req.avoid.append(a.worker)
-        if all(o.outcome for o in req.attempts):
-            self._place(req) if self._may_try_again(req) else self._answer(req)
-
-    def _hold_ended(self, e: api.HoldEnded) -> None:
-        w, fn = self._workers.get(e.worker), self._functions.get(e.function)
-        if e.wanted and not self._s.ideal_network:
-            self._order_ended(w, e.outcome)
-        if w is not None and e.outcome not in (api.Outcome.TIMEOUT, api.Outcome.MOOT):
-            self._hear(w, self._now - e.latency) if e.outcome in HEARD_FROM else self._broken(w, e.outcome)
-        if w is None or fn is None:
-            return
-        if e.outcome is api.Outcome.OK and not e.copies:
-            fn.copies.pop(e.worker, None) if e.worker not in fn.out else None
+        """Decide on one event at `now` (microseconds; never runs back), then on the timers that are due."""
+        context = self.context
+        context.begin_event(now)
+        if not context.began_us:
+            context.began_us = now
+            self.load_orders.limit.begin(now)
+        handler = self._event_handlers.get(type(event))
+        if handler is not None:
+            handler(event)
+        for kind, subject in self.timers.pop_due():
+            self._timer_handlers[kind](subject)
+        self.timers.arm()
+        return context.actions
+
+    def referenced_ids(self) -> tuple[Collection[int], Collection[int]]:
+        """Return the functions and workers that later actions may name; others may be forgotten outside."""
+        return self.functions.by_key.keys(), self.endpoints.workers.keys()
+
+    def _handlers_by_event(self) -> dict[type[Any], Callable[[Any], None]]:
+        """Events of other types (`TimerDue`, `ProbeEnded`, `PeerMessage`) only let due timers run."""
+        return {
+            api.RequestArrived: self._on_request,
+            api.AttemptEnded: self._attempt_results.handle,
+            api.LoadOrderEnded: self._load_order_results.handle,
+            api.WorkersListed: self._endpoint_updates.handle,
+            api.RequestCancelled: self._on_request_gone,
+            api.ShuttingDown: self._on_shutting_down,
+            api.AnswerStarted: self._on_answer_started,
+        }
+
+    def _handlers_by_timer(self) -> dict[TimerKind, Callable[[int], None]]:
+        return {
+            TimerKind.REQUEST_DEADLINE: self._on_deadline,
+            TimerKind.WATCH_ENDPOINTS: self._on_watch_endpoints,
+            TimerKind.REFRESH_COPIES: self._on_refresh_copies,
+            TimerKind.RELEASE_QUEUED: self._on_release_queued,
+            TimerKind.CHECK_WORKER: self._on_check_worker,
+        }
+
+    def _on_request(self, event: api.RequestArrived) -> None:
+        """Reject the request in shortage or when it comes too late; else place it."""
+        now_us = self.context.now_us
+        function = self.functions.get_or_create(event.function)
+        function.lanes = max(1, int(event.lanes))
+        function.load_time_us = event.load_time_us
+        self._prewarming.schedule_refresh(function)
+        self.traffic.arrivals.add(now_us)
+        function.calls.add(now_us)
+        request = self._open_request(event, function)
+        # On a network a request is counted only once a worker's answer proves it genuine.
+        self.load_orders.count_request(request, is_genuine=self.context.settings.is_ideal_network)
+        warm = self._copies.warm_workers(function)
+        no_free_lane = all(self._copies.exceeds_lanes(function, worker) for worker in warm)
+        is_late = request.deadline_us <= now_us
+        if is_late or self._shedding.should_shed(request, event.tenant, no_free_lane):
+            self.requests.reject_or_fail(request)
             return
-        ordered = fn.pending.pop(e.worker, None)
-        if e.outcome is api.Outcome.OK and w.ready:
-            self._stands(fn, e, ordered is not None)
-        elif ordered is not None:
-            self._back_off(fn, e.worker)
-        self._release(fn)
-
-    def _listed(self, e: api.WorkersListed) -> None:
-        if self._s.must_ask_list and (not self._asked_list or e.kind is api.ListKind.FAILED):
-            self._later(self._now + self._asked_list * self._s.guards.ask_within / 8, "list", 0)
-            self._asked_list = True
-        weights = {wid: w.weight for wid, w in self._workers.items()}
-        whole, named = e.kind in (api.ListKind.CACHED, api.ListKind.FULL), {info.id for info in e.workers}
-        missing = [w.info for wid, w in self._workers.items() if whole and wid not in named]
-        for info in (*(replace(info, state=api.WorkerState.GONE) for info in missing), *e.workers):
-            fresh = Worker(
-                info, info.started_at, Rate(SAMPLE_SPAN * self._keep), Rate(SAMPLE_SPAN * self._keep)
-            )
-            w = self._workers.setdefault(info.id, fresh)
-            restarted = info.started_at > w.info.started_at
-            w.info, w.ready, w.weight = info, info.state is api.WorkerState.READY, self._weight(info)
-            if restarted:  # after `ready`: what is rescued must not come back to one that drains again
-                self._forget_copies(w)
-                self._settle_late(w, info.started_at)
-                w.started, w.silent_since, w.asked = info.started_at, None, None
-                w.samples, w.strain = fresh.samples, fresh.strain
-            if not w.ready:
-                self._forget_copies(w, rescue=info.state is api.WorkerState.GONE)
-        self._forget_gone()
-        self._list_number += weights != {i: w.weight for i, w in self._workers.items()}  # else orders stay
-        self._ready = sum(w.ready for w in self._workers.values())
-        self._all_weight = sum(w.weight for w in self._workers.values())
-        for fn in list(self._functions.values()):
-            if fn.held:
-                self._release(fn)
+        self._schedule_deadline(request)
+        self._placement.place(request)
+
+    def _open_request(self, event: api.RequestArrived, function: Function) -> Request:
+        now_us, classes = self.context.now_us, self.context.settings.classes
+        request = Request(
+            id=event.request,
+            request_class=classes[min(event.class_index, len(classes) - 1)],
+            function=function,
+            deadline_us=min(now_us + event.time_left_us, self.context.shutdown_us),
+            earliest_arrival_us=now_us - event.waited_us,
+            cost_hint_us=event.cost_hint_us,
+        )
+        self.requests.by_id[event.request] = request
+        return request
+
+    def _schedule_deadline(self, request: Request) -> None:
+        """Answer a clock tick early: the answer is out before the client leaves."""
+        due_us = request.deadline_us - self.context.settings.tick_us
+        self.timers.schedule(due_us, TimerKind.REQUEST_DEADLINE, request.id)
+
+    def _on_request_gone(self, event: api.RequestCancelled) -> None:
+        request = self.requests.by_id.get(event.request)
+        if request is not None:
+            request.earliest_arrival_us = None  # clients may ask and take back by the hundreds
+            self.requests.close(request)
+
+    def _on_shutting_down(self, event: api.ShuttingDown) -> None:
+        self.context.shutdown_us = self.context.now_us + event.within_us
+        due_us = self.context.shutdown_us - self.context.settings.tick_us
+        for request_id in self.requests.by_id:
+            self.timers.schedule(due_us, TimerKind.REQUEST_DEADLINE, request_id)
+
+    def _on_answer_started(self, event: api.AnswerStarted) -> None:
+        request = self.requests.by_id.get(event.request)
+        if request is not None:
+            request.is_answered = True
+
+    def _on_deadline(self, request_id: int) -> None:
+        request = self.requests.by_id.get(request_id)
+        if request is not None:
+            self.requests.reject_or_fail(request)
+
+    def _on_watch_endpoints(self, _: int) -> None:
+        self.context.actions.append(api.WatchEndpoints(True))
+
+    def _on_refresh_copies(self, key: int) -> None:
+        function = self.functions.by_key.get(key)
+        if function is not None:
+            self._prewarming.refresh_copies(function)
+
+    def _on_release_queued(self, key: int) -> None:
+        function = self.functions.by_key.get(key)
+        if function is not None:
+            self._placement.release(function)
+
+    def _on_check_worker(self, worker_id: int) -> None:
+        worker = self.endpoints.workers.get(worker_id)
+        if worker is not None:
+            self._failures.check_worker(worker)
--- /dev/null
+++ b/packages/policy/src/walnutpost/policy/timers.py
@@ -0,0 +1,59 @@
+"""Timers of the policy: one for each kind and subject, the earliest of which is asked of the caller."""
+
+from collections.abc import Iterator
+from enum import IntEnum
+from heapq import heappop, heappush
+
+from walnutpost import interface as api
+from walnutpost.policy.context import DecisionContext
+
+TIMER_TOKEN = 1  # the policy arms one timer at a time
+
+
+class TimerKind(IntEnum):
+    """What a timer is for. Of those due at the same time the smaller value runs first."""
+
+    REQUEST_DEADLINE = 1  # subject: the request
+    WATCH_ENDPOINTS = 2  # subject: 0
+    REFRESH_COPIES = 3  # subject: the function
+    RELEASE_QUEUED = 4  # subject: the function
+    CHECK_WORKER = 5  # subject: the worker
+
+
+class Timers:
+    """A heap of due times. An earlier time for the same kind and subject takes the place of a later one."""
+
+    __slots__ = ("_armed_us", "_context", "_due_us", "_min_delay_us", "queue")
+
+    def __init__(self, context: DecisionContext) -> None:
+        """Start without timers."""
+        self._context = context
+        self._min_delay_us = max(1, context.settings.tick_us)
+        self._due_us: dict[tuple[TimerKind, int], int] = {}
+        self._armed_us: int | None = None
+        self.queue: list[tuple[int, TimerKind, int]] = []
+
+    def schedule(self, when_us: float, kind: TimerKind, subject: int) -> None:
+        """Run at `when_us` at the latest, but not within a clock tick from now."""
+        due_us = int(max(when_us, self._context.now_us + self._min_delay_us))
+        if due_us < self._due_us.get((kind, subject), due_us + 1):
+            self._due_us[kind, subject] = due_us
+            heappush(self.queue, (due_us, kind, subject))
+
+    def pop_due(self) -> Iterator[tuple[TimerKind, int]]:
+        """Remove and yield the timers that are due; one that an earlier time has replaced is dropped."""
+        now_us = self._context.now_us
+        while self.queue and self.queue[0][0] <= now_us:
+            due_us, kind, subject = heappop(self.queue)
+            if self._due_us.get((kind, subject)) == due_us:
+                del self._due_us[kind, subject]
+                yield kind, subject
+
+    def arm(self) -> None:
+        """Ask the caller for the earliest timer, unless it has one by then."""
+        if not self.queue:
+            return
+        now_us, next_us = self._context.now_us, self.queue[0][0]
+        if self._armed_us is None or self._armed_us <= now_us or next_us < self._armed_us:
+            self._armed_us = next_us
+            self._context.actions.append(api.SetTimer(next_us - now_us, TIMER_TOKEN))
--- a/packages/policy/tests/golden_days.py
+++ b/packages/policy/tests/golden_days.py
@@ -45,11 +45,13 @@
 READY, DRAINING, GONE = api.WorkerState.READY, api.WorkerState.DRAINING, api.WorkerState.GONE
 Outcome = api.Outcome
 
-STREAM = replace(SAFE, stream=True, worth=0.5, aim=SECOND // 2)
-CELL_KEYED = replace(KEYED, group=api.Group.CELL, window=SECOND // 2)
-CLASSES = (SAFE, UNSAFE, KEYED, STREAM, CELL_KEYED, replace(KEYED, group=api.Group.ALL, worth=0.3))
-RATION = replace(SETTINGS.guards, free_loads=4.0, load_share=0.25, load_window=2 * SECOND)
-BASE = replace(SETTINGS, classes=CLASSES, keep_alive=4 * SECOND, order_timeout=3 * SECOND)
+STREAM = replace(SAFE, is_stream=True, priority_weight=0.5, latency_objective_us=SECOND // 2)
+CELL_KEYED = replace(KEYED, group=api.Group.CELL, repeat_window_us=SECOND // 2)
+CLASSES = (SAFE, UNSAFE, KEYED, STREAM, CELL_KEYED, replace(KEYED, group=api.Group.ALL, priority_weight=0.3))
+RATION = replace(
+    SETTINGS.guards, free_load_orders=4.0, load_orders_per_request=0.25, load_order_window_us=2 * SECOND
+)
+BASE = replace(SETTINGS, classes=CLASSES, keep_alive_us=4 * SECOND, load_order_timeout_us=3 * SECOND)
 
 SITES: dict[str, api.Settings] = {
     "plain": BASE,
@@ -59,38 +61,42 @@
         tenants=(api.Tenant(0.5, 0.0), api.Tenant(0.3, 0.0), api.Tenant(0.2, 0.0)),
         front_ends=4,
         index=2,
-        tells_crowd=True,
+        reports_crowd=True,
         report_fields=("busy", "queue"),
     ),
     "ideal": replace(
         BASE,
-        guards=replace(RATION, ask_within=SECOND),
-        ideal_network=True,
+        guards=replace(RATION, watch_within_us=SECOND),
+        is_ideal_network=True,
         loads_on_miss=True,
         front_ends=3,
         index=1,
-        weighted=True,
-        must_ask_list=True,
+        has_weights=True,
+        must_watch_endpoints=True,
     ),
     "restarting": replace(
         BASE,
-        guards=replace(RATION, free_loads=3.0, load_share=0.4, ask_within=SECOND // 2),
+        guards=replace(
+            RATION, free_load_orders=3.0, load_orders_per_request=0.4, watch_within_us=SECOND // 2
+        ),
         limits=api.Limits(False, True, False, False, 3, SECOND),
         prices=replace(BASE.prices, probe=0.2),
         front_ends=2,
-        memory_by_kind=(512.0, 2048.0),
-        must_ask_list=True,
-        restarts_unseen=True,
+        memory_mb_by_kind=(512.0, 2048.0),
+        must_watch_endpoints=True,
+        are_restarts_unseen=True,
         report_fields=("in_flight", "busy"),
     ),
     "calm": replace(
         BASE,
-        guards=replace(RATION, free_loads=3.0, load_share=0.5),
-        tick=MS,
+        guards=replace(RATION, free_load_orders=3.0, load_orders_per_request=0.5),
+        tick_us=MS,
         front_ends=6,
         index=3,
     ),
-    "unloading": replace(BASE, may_load=False, tells_warmth=False, front_ends=12, index=5, keep_alive=0),
+    "unloading": replace(
+        BASE, may_order_loads=False, reports_warmth=False, front_ends=12, index=5, keep_alive_us=0
+    ),
 }
 
 
@@ -176,10 +182,10 @@
         match action:
             case api.Send():
                 self.attempt(action)
-            case api.Refuse(request) | api.Fail(request):
+            case api.Reject(request) | api.Fail(request):
                 self.close(request)
                 if self.random.random() < 0.3:
-                    self.at(action.retry_after if isinstance(action, api.Refuse) else MS, self.repeat_one)
+                    self.at(action.retry_after_us if isinstance(action, api.Reject) else MS, self.repeat_one)
             case api.Cancel(request, number):
                 life = self.life
                 self.at(
@@ -190,9 +196,9 @@
                 )
             case api.SetTimer(delay, token):
                 self.feed_later(delay, api.TimerDue(token))
-            case api.Hold():
+            case api.LoadOrder():
                 self.order(action)
-            case api.FollowList():
+            case api.WatchEndpoints():
                 kind = self.random.choices([api.ListKind.FULL, api.ListKind.FAILED], [4, 1])[0]
                 self.at(20 * MS, lambda: self.tell_list(kind))
 
@@ -206,7 +212,7 @@
         request.attempts.append(send.worker)
         worker.busy += 1
         outcome, latency, warmth = self.fate_of_attempt(request, worker, send)
-        if request.class_.stream and outcome is Outcome.OK and latency > 4 * MS:
+        if request.class_.is_stream and outcome is Outcome.OK and latency > 4 * MS:
             started = api.AnswerStarted(send.request, number, send.worker, latency // 2)
 
             def start() -> None:
@@ -227,15 +233,15 @@
         self, request: SyntheticRequest, worker: SyntheticWorker, send: api.Send
     ) -> tuple[Outcome, int, api.Warmth]:
         draw, function = self.random.random(), request.event.function
-        untold = api.Warmth.UNTOLD
+        untold = api.Warmth.UNREPORTED
         if worker.silent_until > self.now:
             if draw < 0.1:
                 return Outcome.RESET, 50 * MS, untold
-            return Outcome.TIMEOUT, send.timeout, untold
+            return Outcome.TIMEOUT, send.timeout_us, untold
         if worker.refuses or worker.info.state is GONE:
             return Outcome.CONNECT_FAILED, MS, untold
-        if send.latest and draw < 0.01:
-            return Outcome.MOOT, min(send.latest, send.timeout), untold
+        if send.begin_within_us and draw < 0.01:
+            return Outcome.MOOT, min(send.begin_within_us, send.timeout_us), untold
         if draw < worker.failing:
             return Outcome.ERROR, 20 * MS, untold
         if draw > 0.995:
@@ -247,17 +253,22 @@
             (base_ms + self.random.expovariate(1 / base_ms)) * MS * worker.slowness * (1 + worker.busy / 6)
         )
         if function in worker.copies:
-            return Outcome.OK, min(service, send.timeout), api.Warmth.STOOD
-        if not self.site.loads_on_miss and self.site.may_load:
+            return Outcome.OK, min(service, send.timeout_us), api.Warmth.WARM
+        if not self.site.loads_on_miss and self.site.may_order_loads:
             return Outcome.MISS, 2 * MS, untold
         if draw > 0.97:
             return Outcome.ERROR, 100 * MS, api.Warmth.LOAD_FAILED
         worker.copies.add(function)
-        warmth = api.Warmth.BEGAN_LOAD if draw < 0.8 else api.Warmth.AWAITED_LOAD
-        return Outcome.OK, min(service + SECOND // 3, send.timeout), warmth
+        warmth = api.Warmth.STARTED_LOAD if draw < 0.8 else api.Warmth.JOINED_LOAD
+        return Outcome.OK, min(service + SECOND // 3, send.timeout_us), warmth
 
     def end_attempt(
-        self, rid: int, number: int, outcome: Outcome, latency: int, warmth: api.Warmth = api.Warmth.UNTOLD
+        self,
+        rid: int,
+        number: int,
+        outcome: Outcome,
+        latency: int,
+        warmth: api.Warmth = api.Warmth.UNREPORTED,
     ) -> None:
         request = self.requests[rid]
         wid = request.attempts[number]
@@ -269,16 +280,16 @@
         worker = self.workers[wid]
         load = worker.busy / 12
         report = tuple(round(load + place, 3) for place in range(len(self.site.report_fields)))
-        told = warmth if self.site.tells_warmth else api.Warmth.UNTOLD
-        crowd = worker.busy if self.site.tells_crowd else 0
+        told = warmth if self.site.reports_warmth else api.Warmth.UNREPORTED
+        crowd = worker.busy if self.site.reports_crowd else 0
         self.feed(api.AttemptEnded(rid, number, wid, outcome, latency, request.closed, told, crowd, report))
 
-    def order(self, hold: api.Hold) -> None:
+    def order(self, hold: api.LoadOrder) -> None:
         worker, draw = self.workers[hold.worker], self.random.random()
         took, copies, outcome = 2 * MS, int(hold.function in worker.copies), Outcome.OK
         if worker.silent_until > self.now:
             outcome, took = (
-                (Outcome.TIMEOUT, self.site.order_timeout) if draw < 0.7 else (Outcome.RESET, 60 * MS)
+                (Outcome.TIMEOUT, self.site.load_order_timeout_us) if draw < 0.7 else (Outcome.RESET, 60 * MS)
             )
         elif worker.refuses or worker.info.state is GONE:
             outcome, took = Outcome.CONNECT_FAILED, MS
@@ -295,7 +306,7 @@
             if outcome is Outcome.OK and hold.copies:
                 worker.copies.add(hold.function)
             if life == self.life:
-                self.feed(api.HoldEnded(hold.worker, hold.function, outcome, took, copies, hold.copies))
+                self.feed(api.LoadOrderEnded(hold.worker, hold.function, outcome, took, copies, hold.copies))
 
         self.at(took, end)
 
@@ -314,7 +325,7 @@
         index = draw.choices(range(len(CLASSES)), [8, 3, 3, 2, 1, 1])[0]
         function = min(int(draw.paretovariate(0.8)), 24)
         class_ = self.site.classes[index]
-        left = draw.choice([class_.deadline, class_.deadline // 3, class_.aim // 2])
+        left = draw.choice([class_.deadline_us, class_.deadline_us // 3, class_.latency_objective_us // 2])
         if draw.random() < 0.01:
             left = 0
         event = api.RequestArrived(
@@ -344,7 +355,7 @@
     def leave(self, request: int) -> None:
         if not self.requests[request].closed:
             self.requests[request].closed = True
-            self.feed(api.RequestGone(request))
+            self.feed(api.RequestCancelled(request))
 
     # The fleet
 
@@ -405,14 +416,14 @@
                 report = tuple(0.5 for _ in self.site.report_fields)
                 self.feed(api.ProbeEnded(worker.info.id, outcome, MS, report))
             case "peer":
-                self.feed(api.PeerSaid(draw.randrange(4), bytes(draw.randrange(256) for _ in range(6))))
+                self.feed(api.PeerMessage(draw.randrange(4), bytes(draw.randrange(256) for _ in range(6))))
             case "list":
                 self.tell_list(draw.choice([api.ListKind.FAILED, api.ListKind.FULL]))
             case "stray":  # of things that the Router knows nothing of, or no more
                 self.feed(api.TimerDue(draw.randrange(3)))
-                self.feed(api.HoldEnded(worker.info.id, 99, Outcome.OK, MS, 1, 0))
+                self.feed(api.LoadOrderEnded(worker.info.id, 99, Outcome.OK, MS, 1, 0))
                 self.feed(
-                    api.AttemptEnded(10**9, 0, worker.info.id, Outcome.OK, MS, True, api.Warmth.STOOD, 0, ())
+                    api.AttemptEnded(10**9, 0, worker.info.id, Outcome.OK, MS, True, api.Warmth.WARM, 0, ())
                 )
         self.at(draw.randrange(4 * SECOND if self.calm else SECOND // 2), self.trouble)
 
@@ -424,7 +435,7 @@
     changed = replace(
         SITES[site],
         limits=replace(SITES[site].limits, max_attempts=4),
-        keep_alive=2 * SECOND,
+        keep_alive_us=2 * SECOND,
         front_ends=SITES[site].front_ends + 1,
     )
     day.begin(changed, seed + 1)
--- a/packages/policy/tests/golden_form.py
+++ b/packages/policy/tests/golden_form.py
@@ -22,85 +22,92 @@
     # Settings
     1: (
         api.RequestClass,
-        "aim deadline worth late_worth effect group window stream aim_stretch",
+        "latency_objective_us deadline_us priority_weight late_priority_weight effect group repeat_window_us"
+        " is_stream objective_stretch",
     ),
     2: (api.Tenant, "share quota_per_s"),
-    3: (api.Limits, "cancel probes parallel_tries retry_after max_attempts max_retry_after"),
+    3: (
+        api.Limits,
+        "may_cancel may_probe may_run_parallel_attempts may_send_retry_after max_attempts max_retry_after_us",
+    ),
     4: (
         api.Guards,
-        "answer_slack drain_grace cold_for start_capacity overload_factor overload_for ask_within"
-        " free_loads load_share load_window",
+        "answer_slack_us drain_grace_us warm_up_us start_capacity overload_factor overload_window_us"
+        " watch_within_us free_load_orders load_orders_per_request load_order_window_us",
     ),
-    5: (api.Prices, "cross_zone waste probe fetch late_fail idle_copies"),
+    5: (api.Prices, "cross_zone waste probe fetch late_failure idle_copies"),
     6: (
         api.Settings,
-        "classes tenants limits guards prices zone front_ends index tick keep_alive order_timeout may_load"
-        " loads_on_miss tells_warmth tells_crowd must_ask_list weighted worth_by_work over_share_worth"
-        " report_fields memory_by_kind ideal_network restarts_unseen",
+        "classes tenants limits guards prices zone front_ends index tick_us keep_alive_us"
+        " load_order_timeout_us may_order_loads loads_on_miss reports_warmth reports_crowd"
+        " must_watch_endpoints has_weights weighs_priority_by_work over_share_weight report_fields"
+        " memory_mb_by_kind is_ideal_network are_restarts_unseen",
     ),
     # Events
-    10: (api.Worker, "id zone kind cell state weight started_at"),
+    10: (api.Worker, "id zone kind cell state weight started_at_us"),
     11: (api.WorkersListed, "kind version workers"),
     12: (
         api.RequestArrived,
-        "request class_index tenant function time_left cost_hint memory_mb lanes load_time repeat waited",
+        "request class_index tenant function time_left_us cost_hint_us memory_mb lanes load_time_us is_repeat"
+        " waited_us",
     ),
-    13: (api.AnswerStarted, "request attempt worker latency"),
-    14: (api.AttemptEnded, "request attempt worker outcome latency finished warmth crowd report"),
-    15: (api.RequestGone, "request"),
-    16: (api.HoldEnded, "worker function outcome latency copies wanted"),
-    17: (api.ProbeEnded, "worker outcome latency report"),
+    13: (api.AnswerStarted, "request attempt worker latency_us"),
+    14: (api.AttemptEnded, "request attempt worker outcome latency_us is_finished warmth crowd report"),
+    15: (api.RequestCancelled, "request"),
+    16: (api.LoadOrderEnded, "worker function outcome latency_us copies ordered_copies"),
+    17: (api.ProbeEnded, "worker outcome latency_us report"),
     18: (api.TimerDue, "token"),
-    19: (api.ShuttingDown, "within"),
-    20: (api.PeerSaid, "peer data"),
+    19: (api.ShuttingDown, "within_us"),
+    20: (api.PeerMessage, "peer data"),
     # Actions
-    30: (api.Send, "request worker timeout latest"),
-    31: (api.Refuse, "request retry_after"),
+    30: (api.Send, "request worker timeout_us begin_within_us"),
+    31: (api.Reject, "request retry_after_us"),
     32: (api.Fail, "request"),
     33: (api.Cancel, "request attempt"),
-    34: (api.SetTimer, "delay token"),
-    35: (api.Hold, "worker function copies latest"),
+    34: (api.SetTimer, "delay_us token"),
+    35: (api.LoadOrder, "worker function copies begin_within_us"),
     36: (api.Unload, "worker function"),
     37: (api.Probe, "worker"),
-    38: (api.CloseIdle, "worker"),
-    39: (api.FollowList, "on"),
-    40: (api.ReadList, ""),
+    38: (api.CloseIdleConnections, "worker"),
+    39: (api.WatchEndpoints, "is_on"),
+    40: (api.FetchEndpoints, ""),
     41: (api.Log, "text"),
     # The gateway's inputs
-    50: (gateway.Function, "name class_index memory_mb lanes load_time cost version"),
+    50: (gateway.Function, "name class_index memory_mb lanes load_time_us cost_hint_us version"),
     51: (
         gateway.CallArrived,
-        "ticket function payload time_left tenant repeat_key repeat durable stays barred of waited",
+        "ticket function payload time_left_us tenant idempotency_key is_repeat is_durable outlives_callers"
+        " rejection definition waited_us",
     ),
     52: (gateway.CallerLeft, "ticket"),
     53: (gateway.CallStopped, "ticket"),
     54: (
-        gateway.AttemptDone,
-        "call attempt outcome latency payload by_function warmth crowd report",
+        gateway.AttemptEnded,
+        "call attempt outcome latency_us payload is_function_error warmth crowd report",
     ),
-    55: (gateway.HoldDone, "worker function outcome latency copies wanted"),
-    56: (gateway.PingDone, "worker outcome latency report"),
-    57: (gateway.WorkerTold, "name zone kind cell state weight started_at"),
-    58: (gateway.WorkersTold, "kind version workers"),
-    59: (gateway.Due, "token"),
-    60: (gateway.ShuttingDown, "within"),
+    55: (gateway.LoadOrderEnded, "worker function outcome latency_us copies ordered_copies"),
+    56: (gateway.ProbeEnded, "worker outcome latency_us report"),
+    57: (gateway.ListedWorker, "name zone kind cell state weight started_at_us"),
+    58: (gateway.WorkersListed, "kind version workers"),
+    59: (gateway.TimerDue, "token"),
+    60: (gateway.ShuttingDown, "within_us"),
     # Its effects
     70: (gateway.Served, "payload worker version"),
-    71: (gateway.Refused, "reason retry_after"),
+    71: (gateway.Rejected, "reason retry_after_us"),
     72: (gateway.Failed, "failure message payload"),
     73: (gateway.Answered, "ticket final"),
     74: (
-        gateway.Start,
-        "call attempt worker function tenant payload timeout ticket intent_first latest",
+        gateway.Send,
+        "call attempt worker function tenant payload timeout_us ticket must_persist_intent begin_within_us",
     ),
-    75: (gateway.Abandon, "call attempt"),
-    76: (gateway.Order, "worker function copies latest"),
-    77: (gateway.Discard, "worker function"),
-    78: (gateway.Ping, "worker"),
-    79: (gateway.CloseIdle, "worker"),
-    80: (gateway.Arm, "delay token"),
-    81: (gateway.AskList, "follow"),
-    82: (gateway.Note, "text"),
+    75: (gateway.Cancel, "call attempt"),
+    76: (gateway.LoadOrder, "worker function copies begin_within_us"),
+    77: (gateway.Unload, "worker function"),
+    78: (gateway.Probe, "worker"),
+    79: (gateway.CloseIdleConnections, "worker"),
+    80: (gateway.SetTimer, "delay_us token"),
+    81: (gateway.WatchEndpoints, "is_on"),
+    82: (gateway.Log, "text"),
 }
 
 ENUMS: dict[int, tuple[Enum, ...]] = {
@@ -120,10 +127,10 @@
     4: (api.WorkerState.GONE, api.WorkerState.DRAINING, api.WorkerState.READY),
     5: (api.ListKind.FAILED, api.ListKind.CACHED, api.ListKind.DELTA, api.ListKind.FULL),
     6: (
-        api.Warmth.UNTOLD,
-        api.Warmth.STOOD,
-        api.Warmth.BEGAN_LOAD,
-        api.Warmth.AWAITED_LOAD,
+        api.Warmth.UNREPORTED,
+        api.Warmth.WARM,
+        api.Warmth.STARTED_LOAD,
+        api.Warmth.JOINED_LOAD,
         api.Warmth.LOAD_FAILED,
     ),
     7: (
@@ -136,7 +143,8 @@
 }
 
 RECORD, MEMBER, SEQUENCE, BYTES, MAPPING = "k", "e", "t", "b", "m"
-_NUMBERS = {cls: number for number, (cls, _) in KINDS.items()}
+# The gateway takes two events of the interface as they are: 59 and 60 are read as 18 and 19, and written so.
+_NUMBERS = {cls: number for number, (cls, _) in reversed(KINDS.items())}
 _MEMBERS = {member: (table, place) for table, row in ENUMS.items() for place, member in enumerate(row)}
 
 
--- a/packages/policy/tests/rig.py
+++ b/packages/policy/tests/rig.py
@@ -12,8 +12,8 @@
 KEEP = 10 * SECOND
 
 SAFE = api.RequestClass(SECOND, 3 * SECOND, 1.0, 0.2, api.Effect.SAFE, api.Group.ALL, 0, False, 0.0)
-UNSAFE = replace(SAFE, worth=2.0, effect=api.Effect.UNSAFE)
-KEYED = replace(SAFE, effect=api.Effect.KEYED, group=api.Group.ZONE, window=SECOND)
+UNSAFE = replace(SAFE, priority_weight=2.0, effect=api.Effect.UNSAFE)
+KEYED = replace(SAFE, effect=api.Effect.KEYED, group=api.Group.ZONE, repeat_window_us=SECOND)
 SETTINGS = api.Settings(
     classes=(SAFE, UNSAFE, KEYED),
     tenants=(),
@@ -23,19 +23,19 @@
     zone=0,
     front_ends=1,
     index=0,
-    tick=4_000,
-    keep_alive=KEEP,
-    order_timeout=10 * SECOND,
-    may_load=True,
+    tick_us=4_000,
+    keep_alive_us=KEEP,
+    load_order_timeout_us=10 * SECOND,
+    may_order_loads=True,
     loads_on_miss=False,
-    tells_warmth=True,
-    tells_crowd=False,
-    must_ask_list=False,
-    weighted=False,
-    worth_by_work=False,
-    over_share_worth=0.1,
+    reports_warmth=True,
+    reports_crowd=False,
+    must_watch_endpoints=False,
+    has_weights=False,
+    weighs_priority_by_work=False,
+    over_share_weight=0.1,
     report_fields=(),
-    memory_by_kind=(),
+    memory_mb_by_kind=(),
 )
 
 
@@ -83,7 +83,7 @@
         worker: int,
         outcome: api.Outcome = api.Outcome.OK,
         latency: int = 100_000,
-        warmth: api.Warmth = api.Warmth.STOOD,
+        warmth: api.Warmth = api.Warmth.WARM,
     ) -> list[api.Action]:
         ok = outcome is api.Outcome.OK
         return self.feed(api.AttemptEnded(request, attempt, worker, outcome, latency, ok, warmth, 0, ()))
@@ -97,7 +97,7 @@
         wanted: int = 0,
     ) -> list[api.Action]:
         """`wanted` is above 0 where the end is that of an order of this router's, not of a question."""
-        return self.feed(api.HoldEnded(worker, function, outcome, 500_000, copies, wanted))
+        return self.feed(api.LoadOrderEnded(worker, function, outcome, 500_000, copies, wanted))
 
     def pass_time(self, span: int, step: int = 20_000) -> list[api.Action]:
         """Lets the clock run with nothing but timers; returns all that was done meanwhile."""
@@ -121,6 +121,6 @@
     return [a for a in actions if isinstance(a, kind)]
 
 
-def orders(actions: list[api.Action]) -> list[api.Hold]:
+def orders(actions: list[api.Action]) -> list[api.LoadOrder]:
     """Hold orders that count, not mere questions."""
-    return [a for a in of(api.Hold, actions) if a.copies > 0]
+    return [a for a in of(api.LoadOrder, actions) if a.copies > 0]
