--- a/benchmarks/scale/followers.py
+++ b/benchmarks/scale/followers.py
@@ -28,7 +28,7 @@
 from benchmarks.scale.machine import ROOT, about, process_cpu, process_peak, process_rss
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of
-from walnutpost.configstore import Op, Status, Table, encode
+from walnutpost.configstore import ConfigStore, Mutation, PropagationStatus, encode
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import DisruptionBudget, SetBudgets
@@ -56,11 +56,11 @@
             each.close()
 
 
-def parts(values: dict[str, bytes]) -> Iterator[list[Op]]:
+def parts(values: dict[str, bytes]) -> Iterator[list[Mutation]]:
     """As many change sets as it takes: each within the bounds of one."""
-    ops, size = list[Op](), 0
+    ops, size = list[Mutation](), 0
     for key, value in values.items():
-        op = Op(key, value)
+        op = Mutation(key, value)
         if ops and (len(ops) == 1000 or size + len(encode(op)) > SET_BYTES):
             yield ops
             ops, size = [], 0
@@ -138,7 +138,7 @@
                     return
         raise TimeoutError("no quorum of keepers")
 
-    def change(self, ops: Sequence[Op]) -> tuple[int, float, float]:
+    def change(self, ops: Sequence[Mutation]) -> tuple[int, float, float]:
         """Its revision, when it was asked for, and when it was known to be agreed on."""
         self._count += 1
         began = time.monotonic()
@@ -147,20 +147,20 @@
             raise ValueError(f"{answer.error} {errors}")
         return answer.index, began, time.monotonic()
 
-    def one_function(self, n: int) -> list[Op]:
+    def one_function(self, n: int) -> list[Mutation]:
         """Another function's cost each time, so that each change differs."""
         name = made.function_name(CALLED + n % (self.functions - CALLED))
         line = made.function_line(n) | {"cost_ms": 1 + self._count % 1000}
         text = json.dumps(line, sort_keys=True, separators=(",", ":"))
         site = {"classes": self._classes(), "functions": {name: json.loads(text)}}
         checked = parse(json.dumps({"site": site}), "one", Config)
-        return [Op(f"function/{name}", entries_of(checked.site)[f"function/{name}"])]
+        return [Mutation(f"function/{name}", entries_of(checked.site)[f"function/{name}"])]
 
     def _classes(self) -> dict[str, Any]:
         told: dict[str, Any] = json.loads(made.config_text(1))["site"]["classes"]
         return told
 
-    def status(self) -> Status:
+    def status(self) -> PropagationStatus:
         while True:
             with suppress(NoAnswer):
                 return self.client.status()
@@ -170,12 +170,17 @@
         until = time.monotonic() + seconds
         while True:
             told = self.status()
-            if told.members >= members and not told.lacks and told.lowest >= told.revision:
+            if (
+                told.member_count >= members
+                and not told.lagging_count
+                and told.min_applied_revision >= told.revision
+            ):
                 return
             if time.monotonic() > until:
                 raise TimeoutError(
-                    f"{members} members in force: found {told.members}, {told.lacks} of them behind "
-                    f"{told.revision}: {told.lacking[:3]}; relays {told.relays}"
+                    f"{members} members in force: found {told.member_count}, "
+                    f"{told.lagging_count} of them behind "
+                    f"{told.revision}: {told.lagging[:3]}; relays {told.relays}"
                 )
             self.loop.sleep(200_000)
 
@@ -185,7 +190,7 @@
         """What a member that starts again has kept."""
         revision, entries = self.client.entries()
         path = self.folder / "kept.table"
-        path.write_bytes(Table.of({e.key: e for e in entries}, revision).snapshot())
+        path.write_bytes(ConfigStore.from_entries({e.key: e for e in entries}, revision).snapshot())
         return path
 
     def child(self, name: str, kind: str, told: dict[str, Any]) -> None:
@@ -412,7 +417,9 @@
         out["peak_mb"] = {g: round(max(found) / 1e6, 1) for g, found in peaks.items() if found}
         told = at.status()
         out["same_leader"] = _leader(at) == leader
-        out["leader_timed_s"] = spread([t.took / 1e6 for t in told.timed if t.took is not None])
+        out["leader_timed_s"] = spread(
+            [t.latency_us / 1e6 for t in told.latencies if t.latency_us is not None]
+        )
         out["relays"] = {name: at.lines(name, "figures")[-1] for name in at.relays}
         out["load"] = at.told("load")
         ends = [m for name in hollow for m in at.told(name)["members"]]
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -13,8 +13,8 @@
 
 from walnutpost.cli.run import raise_descriptors
 from walnutpost.config.base import address_of
-from walnutpost.configstore import Follower, Table, Taken
-from walnutpost.configstore.choice import Choice
+from walnutpost.configstore import ApplyOutcome, ConfigStore, WatchState
+from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, Timeout
 from walnutpost.http import BadMessage, Connection
 from walnutpost.watch import Watcher
@@ -40,16 +40,18 @@
 class Member:
     """One hollow member: it acts at once on what it was told, and notes when."""
 
-    def __init__(self, loop: Loop, name: str, relays: dict[str, str], table: Table | None, log: Any) -> None:
+    def __init__(
+        self, loop: Loop, name: str, relays: dict[str, str], table: ConfigStore | None, log: Any
+    ) -> None:
         random = Random(name)
         self.name = name
         self.acted: list[tuple[int, float]] = []  # revision, and when by the machine's monotonic clock
-        self.follower = Follower(name, f"{random.getrandbits(48):012x}", loop.now())
+        self.follower = WatchState(name, f"{random.getrandbits(48):012x}", loop.now())
         if table is not None:  # as from its kept file; the entries are shared by all of this process
-            self.follower.table = Table.of(table.entries, table.revision, log_most=0)
-            self.follower.acting(table.revision)
+            self.follower.store = ConfigStore.from_entries(table.entries, table.revision, max_log_entries=0)
+            self.follower.mark_applied(table.revision)
         servers = {relay: lambda at=at: address_of(at) for relay, at in relays.items()}
-        choice = Choice(name, dict.fromkeys(relays, ""), "", random)
+        choice = RelaySelector(name, dict.fromkeys(relays, ""), "", random)
         self.watcher = Watcher(loop, servers, self.follower, choice, self._taken, log)
         self._loop, self._wait = loop, random.randrange(SPREAD)
 
@@ -57,10 +59,10 @@
         self._loop.sleep(self._wait)
         self.watcher.run()
 
-    def _taken(self, taken: Taken) -> None:
-        revision = self.follower.table.revision
-        if revision > self.follower.in_force:
-            self.follower.acting(revision)
+    def _taken(self, taken: ApplyOutcome) -> None:
+        revision = self.follower.store.revision
+        if revision > self.follower.applied_revision:
+            self.follower.mark_applied(revision)
             self.acted.append((revision, time.monotonic()))
 
     def told(self) -> dict[str, Any]:
@@ -68,9 +70,9 @@
         return {
             "member": self.name,
             "acted": self.acted,
-            "revision": self.follower.table.revision,
-            "digest": self.follower.table.digest,
-            "entries": len(self.follower.table.entries),
+            "revision": self.follower.store.revision,
+            "digest": self.follower.store.digest,
+            "entries": len(self.follower.store.entries),
             "questions": counts.questions,
             "moves": counts.moves,
             "bytes_in": counts.bytes_in,
@@ -79,7 +81,7 @@
 
 
 def members(loop: Loop, told: dict[str, Any]) -> dict[str, Any]:
-    table = Table.restore(Path(told["table"]).read_bytes()) if told["table"] else None
+    table = ConfigStore.restore(Path(told["table"]).read_bytes()) if told["table"] else None
     log = Quiet()
     all_of_them = [Member(loop, name, told["relays"], table, log) for name in told["members"]]
     tasks = [loop.spawn(member.run, name="member") for member in all_of_them]
--- a/packages/cli/src/walnutpost/cli/settings.py
+++ b/packages/cli/src/walnutpost/cli/settings.py
@@ -19,7 +19,7 @@
 from walnutpost.config.entries import FUNCTION, differences, entries_of, parts_of, value_of
 from walnutpost.config.load import error_line
 from walnutpost.config.model import FunctionLine
-from walnutpost.configstore import ChangeSet, Op, check_change, encode
+from walnutpost.configstore import ChangeSet, Mutation, encode, validate_mutations
 from walnutpost.controlplane import KeeperClient
 from walnutpost.fleet import ForgetMember
 
@@ -48,7 +48,7 @@
     return entries_of(config_of(path).site)
 
 
-def changes_of(held: Mapping[str, bytes], ops: Sequence[Op]) -> list[tuple[str, Any, Any]]:
+def changes_of(held: Mapping[str, bytes], ops: Sequence[Mutation]) -> list[tuple[str, Any, Any]]:
     """Key, what is held and what it is to be, None where there is nothing."""
     return [(op.key, _told(held.get(op.key)), _told(op.value)) for op in ops]
 
@@ -121,7 +121,7 @@
     def work(client: KeeperClient) -> None:
         if name is not None:
             revision, held = agreed(client, FUNCTION + name)
-            ops: tuple[Op, ...] = (_one(held, name, rest, delete),)
+            ops: tuple[Mutation, ...] = (_one(held, name, rest, delete),)
             ops = tuple(op for op in ops if op.value is None or held.get(op.key) != op.value)
         else:
             revision, held = agreed(client)
@@ -142,8 +142,8 @@
     with_keepers(config, log, work)
 
 
-def _fits(ops: tuple[Op, ...], source: str) -> None:
-    wrong = check_change(ops)
+def _fits(ops: tuple[Mutation, ...], source: str) -> None:
+    wrong = validate_mutations(ops)
     parts = len(parts_of(ops)) if wrong else 1
     more = f"; --in-parts makes {parts} change sets of it, each in force by itself" if parts > 1 else ""
     if wrong:
@@ -154,7 +154,7 @@
     client: KeeperClient,
     id: str,
     seen: int,
-    ops: tuple[Op, ...],
+    ops: tuple[Mutation, ...],
     dry: bool,
     in_parts: bool,
     operator: str,
@@ -179,19 +179,19 @@
         )
 
 
-def _own_id(id: str, part: tuple[Op, ...]) -> str:
+def _own_id(id: str, part: tuple[Mutation, ...]) -> str:
     """Other changes under an id that is given again, as what is left of a file in parts, are no repeat: they
     must not get the answer of the first."""
     return f"{id}-{sha256(encode(ChangeSet(0, part, 0))).hexdigest()[:12]}"
 
 
-def _one(held: Mapping[str, bytes], name: str, fields: Sequence[str], delete: bool) -> Op:
+def _one(held: Mapping[str, bytes], name: str, fields: Sequence[str], delete: bool) -> Mutation:
     """The new line of one function, checked for itself."""
     key = FUNCTION + name
     if delete:
         if key not in held:
             raise Stop(f"{key}: (top): found nothing to delete; wanted a key that is agreed on")
-        return Op(key, None)
+        return Mutation(key, None)
     line: dict[str, Any] = json.loads(held[key]) if key in held else {}
     for told in fields:
         field, sign, text = told.partition("=")
@@ -201,7 +201,7 @@
         if text:
             line[field] = _value(field, text)
     try:
-        return Op(key, value_of(FunctionLine.model_validate(line)))
+        return Mutation(key, value_of(FunctionLine.model_validate(line)))
     except ValidationError as error:
         raise Stop(*(error_line(key, dict(e)) for e in error.errors()), code=2) from None
 
--- a/packages/cli/src/walnutpost/cli/settings_shown.py
+++ b/packages/cli/src/walnutpost/cli/settings_shown.py
@@ -16,7 +16,7 @@
 from walnutpost.cli.fleet import FORM, with_keepers, with_loop
 from walnutpost.cli.settings import agreed, changes_of, config_group, in_words, wanted_by
 from walnutpost.config.entries import CLASS, FUNCTION, TENANT, differences
-from walnutpost.configstore import Entry, MemberStatus, Status
+from walnutpost.configstore import Entry, MemberStatus, PropagationStatus
 from walnutpost.controlplane import KeeperClient
 from walnutpost.controlplane.wire import Line
 from walnutpost.eventloop import Loop
@@ -173,21 +173,21 @@
         return
     if wanted > told.revision:
         end(f"--wait: found {wanted}; wanted a revision up to {told.revision}, the newest", code=1)
-    why = f"{told.lacks} of {told.members} members lack it"
-    if told.members < least:
-        many = f"{told.members} members follow" if told.members else "nobody follows"
+    why = f"{told.lagging_count} of {told.member_count} members lack it"
+    if told.member_count < least:
+        many = f"{told.member_count} members follow" if told.member_count else "nobody follows"
         why = f"{many} the table, wanted {least}"
     end(f"revision {wanted} is not in force everywhere after {within:g} s: {why}", code=1)
 
 
-def _in_force(told: Status, revision: int, least: int) -> bool:
+def _in_force(told: PropagationStatus, revision: int, least: int) -> bool:
     """Where nobody is known to follow, nobody acts on it."""
-    return told.members >= max(1, least) and told.lowest >= revision
+    return told.member_count >= max(1, least) and told.min_applied_revision >= revision
 
 
 def _status(
     loop: Loop, client: KeeperClient, wanted: int | None, least: int, within: float
-) -> tuple[Status, tuple[str, ...], int | None]:
+) -> tuple[PropagationStatus, tuple[str, ...], int | None]:
     """The status, who followed the table just before, and the revision that was waited for: for 0 that which
     is newest now."""
     names, told = _asked(client)
@@ -201,87 +201,94 @@
     return told, names, revision
 
 
-def _asked(client: KeeperClient) -> tuple[tuple[str, ...], Status]:
+def _asked(client: KeeperClient) -> tuple[tuple[str, ...], PropagationStatus]:
     """Names before the status: one who comes in between is in neither, and is not told to act on anything."""
     names = tuple(sorted(client.state()[1].state.followers))
     return names, client.status()
 
 
-def _acting(told: Status, names: Sequence[str]) -> list[str] | None:
+def _acting(told: PropagationStatus, names: Sequence[str]) -> list[str] | None:
     """Who acts on the newest revision, by name; None where not all who don't are told by name."""
-    if told.lacks > len(told.lacking):
+    if told.lagging_count > len(told.lagging):
         return None
-    lacking = {m.member for m in told.lacking}
+    lacking = {m.member for m in told.lagging}
     return [name for name in names if name not in lacking]
 
 
-def _as_dict(told: Status, names: Sequence[str]) -> dict[str, Any]:
+def _as_dict(told: PropagationStatus, names: Sequence[str]) -> dict[str, Any]:
     return {
         "revision": told.revision,
         "digest": f"{told.digest:016x}",
-        "floor": told.floor,
-        "entries": told.entries,
-        "members": told.members,
-        "in_force": told.lowest,
+        "floor": told.compacted_revision,
+        "entries": told.entry_count,
+        "members": told.member_count,
+        "in_force": told.min_applied_revision,
         "acting": _acting(told, names),
-        "lacks": told.lacks,
+        "lacks": told.lagging_count,
         "lacking": [
             {
                 "member": m.member,
                 "incarnation": m.incarnation,
-                "in_force": m.in_force,
+                "in_force": m.applied_revision,
                 "why": _why(m),
                 "relay": m.relay,
-                "heard_s": None if m.heard is None else m.heard / 1e6,
+                "heard_s": None if m.silent_for_us is None else m.silent_for_us / 1e6,
             }
-            for m in told.lacking
+            for m in told.lagging
         ],
         "relays": [
             {"relay": name, "revision": revision, "members": members, "heard_s": ago / 1e6}
             for name, revision, members, ago in told.relays
         ],
         "times": [
-            {"revision": t.revision, "took_s": None if t.took is None else t.took / 1e6} for t in told.timed
+            {"revision": t.revision, "took_s": None if t.latency_us is None else t.latency_us / 1e6}
+            for t in told.latencies
         ],
     }
 
 
 def _why(member: MemberStatus) -> str:
     """Why it lacks the newest revision, as far as anyone has said."""
-    if member.stuck:
-        return member.stuck
-    if member.heard is None:
+    if member.blocked_reason:
+        return member.blocked_reason
+    if member.silent_for_us is None:
         return "this leader has not heard of it"
     return "on its way, or its process does not answer"
 
 
-def _in_lines(told: Status, names: Sequence[str]) -> list[str]:
+def _in_lines(told: PropagationStatus, names: Sequence[str]) -> list[str]:
     lines = [
-        f"revision {told.revision}, digest {told.digest:016x}: {told.entries} entries, "
-        f"changes held after revision {told.floor}"
+        f"revision {told.revision}, digest {told.digest:016x}: {told.entry_count} entries, "
+        f"changes held after revision {told.compacted_revision}"
     ]
-    if not told.members:
+    if not told.member_count:
         lines.append("nobody follows the table")
-    elif not told.lacks:
-        lines.append(f"in force everywhere: all {told.members} members act on revision {told.revision}")
+    elif not told.lagging_count:
+        lines.append(f"in force everywhere: all {told.member_count} members act on revision {told.revision}")
     else:
         lines.append(
-            f"in force everywhere up to revision {told.lowest}; {told.lacks} of {told.members} members lack "
-            f"revision {told.revision}"
+            f"in force everywhere up to revision {told.min_applied_revision}; "
+            f"{told.lagging_count} of {told.member_count} members lack revision {told.revision}"
         )
-        rows = [[m.member, str(m.in_force), _why(m), m.relay or "-", _ago(m.heard)] for m in told.lacking]
+        rows = [
+            [m.member, str(m.applied_revision), _why(m), m.relay or "-", _ago(m.silent_for_us)]
+            for m in told.lagging
+        ]
         lines.append(columns([["lacks it", "acts on", "why", "relay", "heard of"], *rows]))
-        if told.lacks > len(told.lacking):
-            lines.append(f"and {told.lacks - len(told.lacking)} more")
+        if told.lagging_count > len(told.lagging):
+            lines.append(f"and {told.lagging_count - len(told.lagging)} more")
     acting = _acting(told, names)
     if acting:
         more = f" and {len(acting) - NAMES_SHOWN} more" if len(acting) > NAMES_SHOWN else ""
         lines.append(f"acting on revision {told.revision}: {', '.join(acting[:NAMES_SHOWN])}{more}")
     rows = [[name, str(rev), str(members), _ago(ago)] for name, rev, members, ago in told.relays]
     lines.append(columns([["relay", "holds", "members", "heard of"], *rows]) if rows else "no relay reports")
-    last = told.timed[-TIMES_SHOWN:] if told.members else ()  # with no member at all it says nothing
+    last = told.latencies[-TIMES_SHOWN:] if told.member_count else ()  # with no member at all it says nothing
     if last:
-        rows = [[str(t.revision), "not yet" if t.took is None else f"{t.took / 1e6:.3f} s"] for t in last]
+        rows = [
+            [str(t.revision), "not yet" if t.latency_us is None else f"{t.latency_us / 1e6:.3f} s"]
+            for t in last
+        ]
         lines.append(columns([["revision", "everywhere after"], *rows]))
     return lines
 
--- a/packages/cli/tests/test_settings.py
+++ b/packages/cli/tests/test_settings.py
@@ -22,7 +22,7 @@
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of, value_of
 from walnutpost.config.model import FunctionLine
-from walnutpost.configstore import OPS_MOST, Entry, MemberStatus, Op, Status
+from walnutpost.configstore import MAX_MUTATIONS, Entry, MemberStatus, Mutation, PropagationStatus
 from walnutpost.controlplane import KeeperClient
 
 SITE = BASE["site"]
@@ -192,7 +192,7 @@
 ) -> None:
     """Between the look at a line and its change someone else's change of it comes in, once."""
     asked = KeeperClient.entries
-    other = Op("function/price", value_of(FunctionLine.model_validate(PRICE | {"memory_mb": 999})))
+    other = Mutation("function/price", value_of(FunctionLine.model_validate(PRICE | {"memory_mb": 999})))
 
     def overtaken(client: KeeperClient, kind: str = "", key: str = "") -> tuple[int, list[Entry]]:
         told = asked(client, kind, key)
@@ -230,11 +230,12 @@
 
 def test_a_file_that_is_too_much_for_one_change_set_is_told_so_and_may_come_in_parts(agreed: Agreed) -> None:
     before = agreed.revision
-    many = {f"f{i:05}": PRICE for i in range(OPS_MOST + 500)}
+    many = {f"f{i:05}": PRICE for i in range(MAX_MUTATIONS + 500)}
     file = agreed.written("many.json5", {"site": {"functions": many}})
     refused = agreed("set", file)
     assert refused.exit_code == 2 and agreed.revision == before
-    says = f"{file}: change set: found {OPS_MOST + 500} keys, wanted 1 to {OPS_MOST}; --in-parts makes 2 "
+    found = f"found {MAX_MUTATIONS + 500} keys, wanted 1 to {MAX_MUTATIONS}"
+    says = f"{file}: change set: {found}; --in-parts makes 2 "
     assert any(line.startswith(says) for line in refused.stderr.splitlines()), refused.stderr
     assert not refused.stdout  # what is refused as a whole is not shown line by line
     done = agreed("set", file, "--in-parts", "--id", "again")
@@ -294,10 +295,10 @@
 
 def test_who_acts_is_told_by_name_only_where_all_who_do_not_are() -> None:
     lacking = (MemberStatus("b", "i", 4, "r1", "", 5),)
-    told = Status(5, 0, 0, 1, 3, 4, lacking, (), (), lacks=1)
+    told = PropagationStatus(5, 0, 0, 1, 3, 4, lacking, (), (), lagging_count=1)
     assert _acting(told, ("a", "b", "c")) == ["a", "c"]
-    assert _acting(replace(told, lacks=2), ("a", "b", "c")) is None
-    assert _acting(Status(5, 0, 0, 1, 2, 5, (), (), ()), ("a", "c")) == ["a", "c"]
+    assert _acting(replace(told, lagging_count=2), ("a", "b", "c")) is None
+    assert _acting(PropagationStatus(5, 0, 0, 1, 2, 5, (), (), ()), ("a", "c")) == ["a", "c"]
 
 
 def test_without_a_quorum_commands_end_with_3(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
--- a/packages/config/src/walnutpost/config/entries.py
+++ b/packages/config/src/walnutpost/config/entries.py
@@ -17,7 +17,7 @@
 from walnutpost.config.load import FOUND_MOST, error_line
 from walnutpost.config.model import CLASSES_MOST, CallClass, FunctionLine, Site, TenantLine
 from walnutpost.config.settings import function
-from walnutpost.configstore import CHANGE_BYTES, OPS_MOST, Entry, Op, encode
+from walnutpost.configstore import MAX_CHANGE_SET_BYTES, MAX_MUTATIONS, Entry, Mutation, encode
 from walnutpost.gateway import Function
 
 CLASS, FUNCTION, TENANT = "class/", "function/", "tenant/"
@@ -71,27 +71,27 @@
     return function(name, line, classes)
 
 
-def differences(held: Mapping[str, bytes], wanted: Mapping[str, bytes]) -> tuple[Op, ...]:
+def differences(held: Mapping[str, bytes], wanted: Mapping[str, bytes]) -> tuple[Mutation, ...]:
     """What makes `held` into `wanted`, in an order that any part of it from the first on may be agreed to:
     a class comes before the functions that name it, and goes after them."""
-    ops = [Op(key, value) for key, value in wanted.items() if held.get(key) != value]
-    ops += [Op(key, None) for key in held if key not in wanted]
+    ops = [Mutation(key, value) for key, value in wanted.items() if held.get(key) != value]
+    ops += [Mutation(key, None) for key in held if key not in wanted]
     return tuple(sorted(ops, key=_order))
 
 
-def _order(op: Op) -> tuple[int, str]:
+def _order(op: Mutation) -> tuple[int, str]:
     if op.key.startswith(FUNCTION):
         return (1 if op.value is not None else 2), op.key
     return (0 if op.value is not None else 3), op.key
 
 
-def parts_of(ops: Sequence[Op]) -> list[tuple[Op, ...]]:
+def parts_of(ops: Sequence[Mutation]) -> list[tuple[Mutation, ...]]:
     """Change sets, in order, none beyond what one may hold."""
-    parts: list[tuple[Op, ...]] = []
-    size = CHANGE_BYTES
+    parts: list[tuple[Mutation, ...]] = []
+    size = MAX_CHANGE_SET_BYTES
     for op in ops:
         own = len(encode(op))
-        if not parts or size + own > CHANGE_BYTES or len(parts[-1]) == OPS_MOST:
+        if not parts or size + own > MAX_CHANGE_SET_BYTES or len(parts[-1]) == MAX_MUTATIONS:
             parts.append(())
             size = SPARE
         parts[-1] += (op,)
@@ -99,7 +99,7 @@
     return parts
 
 
-def check(held: Mapping[str, bytes], ops: Sequence[Op]) -> list[str]:
+def check(held: Mapping[str, bytes], ops: Sequence[Mutation]) -> list[str]:
     """What is wrong with these changes as settings, on what is held: a line for each fault, with key, field,
     found and wanted. Reads the entries that it changes and the classes that these name; all functions only
     where a class goes, all keys where one comes."""
--- a/packages/config/tests/test_entries.py
+++ b/packages/config/tests/test_entries.py
@@ -22,7 +22,13 @@
     value_of,
 )
 from walnutpost.config.model import CLASSES_MOST, CallClass, FunctionLine
-from walnutpost.configstore import CHANGE_BYTES, OPS_MOST, Op, Table, check_change
+from walnutpost.configstore import (
+    MAX_CHANGE_SET_BYTES,
+    MAX_MUTATIONS,
+    ConfigStore,
+    Mutation,
+    validate_mutations,
+)
 
 CLASSES: dict[str, Any] = {
     "valuation": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 2500},
@@ -39,7 +45,7 @@
 PRICE = ENTRIES["function/price"]
 
 
-def applied(held: Mapping[str, bytes], ops: Sequence[Op]) -> dict[str, bytes]:
+def applied(held: Mapping[str, bytes], ops: Sequence[Mutation]) -> dict[str, bytes]:
     after = dict(held)
     for op in ops:
         if op.value is None:
@@ -61,7 +67,7 @@
     ]
     assert PRICE == b'{"class":"valuation","lanes":2,"load_ms":300.0,"memory_mb":400.0}'
     assert ENTRIES["tenant/trade"] == b"{}"
-    assert not check_change([Op(k, v) for k, v in ENTRIES.items()])
+    assert not validate_mutations([Mutation(k, v) for k, v in ENTRIES.items()])
 
 
 def test_the_same_settings_are_the_same_bytes_however_they_are_written() -> None:
@@ -96,85 +102,95 @@
 
 
 NEW_CLASS = value_of(CallClass.model_validate(CLASSES["valuation"] | {"aim_ms": 900}))
-WRONG: list[tuple[list[Op], str]] = [
+WRONG: list[tuple[list[Mutation], str]] = [
     (
-        [Op("function/new", function(**{"class": "sale"}))],
+        [Mutation("function/new", function(**{"class": "sale"}))],
         "function/new: class: found 'sale'; wanted one of ",
     ),
-    ([Op("function/price", b"[]")], "function/price: (top): found []; wanted: "),
-    ([Op("function/price", b"{")], "function/price: (top): found "),
-    ([Op("function/price", b'{"class":"valuation"}')], "function/price: memory_mb: found nothing; wanted "),
+    ([Mutation("function/price", b"[]")], "function/price: (top): found []; wanted: "),
+    ([Mutation("function/price", b"{")], "function/price: (top): found "),
+    (
+        [Mutation("function/price", b'{"class":"valuation"}')],
+        "function/price: memory_mb: found nothing; wanted ",
+    ),
     (
-        [Op("function/price", b'{"class":"valuation","lanes":0,"memory_mb":1.0}')],
+        [Mutation("function/price", b'{"class":"valuation","lanes":0,"memory_mb":1.0}')],
         "function/price: lanes: found 0; wanted: ",
     ),
     (
-        [Op("function/price", b'{"class":"valuation","lames":2,"memory_mb":1.0}')],
+        [Mutation("function/price", b'{"class":"valuation","lames":2,"memory_mb":1.0}')],
         "function/price: lames: found a key that is not known here; wanted none of that name",
     ),
     (
-        [Op("function/price", b'{"class": "valuation", "memory_mb": 1}')],
+        [Mutation("function/price", b'{"class": "valuation", "memory_mb": 1}')],
         'function/price: (top): found {"class": "valuation", "memory_mb": 1}; wanted its canonical form ',
     ),
     (
-        [Op("function/price", b'{"class":"valuation","lanes":1,"memory_mb":1.0}')],
+        [Mutation("function/price", b'{"class":"valuation","lanes":1,"memory_mb":1.0}')],
         "function/price: (top): found ",  # lanes is as its default
     ),
     (
-        [Op("class/valuation", NEW_CLASS)],
+        [Mutation("class/valuation", NEW_CLASS)],
         "class/valuation: aim_ms: found 900.0; wanted 1000.0, as agreed: taken up at a start only",
     ),
     (
-        [Op("class/valuation", None)],
+        [Mutation("class/valuation", None)],
         "class/valuation: (top): found a deletion; wanted no function to name it, as function/price does",
     ),
     (
-        [Op("tenant/trade", b'{"share":0.5}')],
+        [Mutation("tenant/trade", b'{"share":0.5}')],
         "tenant/trade: share: found 0.5; wanted its default, as agreed: taken up at a start only",
     ),
     (
-        [Op("tenant/trade", None)],
+        [Mutation("tenant/trade", None)],
         "tenant/trade: (top): found a deletion; wanted it as agreed: taken up at a start only",
     ),
-    ([Op("tenant/-", b"{}")], "tenant/-: (key): found '-'; wanted another name"),
-    ([Op("function/none", None)], "function/none: (top): found nothing to delete; wanted "),
-    ([Op("policy/x", b"{}")], "policy/x: (key): found 'policy/'; wanted one of class/NAME, function/NAME, "),
-    ([Op("nothing", b"{}")], "nothing: (key): found 'nothing'; wanted one of "),
+    ([Mutation("tenant/-", b"{}")], "tenant/-: (key): found '-'; wanted another name"),
+    ([Mutation("function/none", None)], "function/none: (top): found nothing to delete; wanted "),
+    (
+        [Mutation("policy/x", b"{}")],
+        "policy/x: (key): found 'policy/'; wanted one of class/NAME, function/NAME, ",
+    ),
+    ([Mutation("nothing", b"{}")], "nothing: (key): found 'nothing'; wanted one of "),
     (
-        [Op("function/price", None), Op("function/other", function()), Op("class/valuation", None)],
+        [
+            Mutation("function/price", None),
+            Mutation("function/other", function()),
+            Mutation("class/valuation", None),
+        ],
         "class/valuation: (top): found a deletion; wanted no function to name it, as function/other does",
     ),
 ]
 
 
 @pytest.mark.parametrize(("ops", "says"), WRONG)
-def test_a_fault_is_told_by_key_field_found_and_wanted(ops: list[Op], says: str) -> None:
+def test_a_fault_is_told_by_key_field_found_and_wanted(ops: list[Mutation], says: str) -> None:
     assert any(line.startswith(says) for line in check(ENTRIES, ops)), check(ENTRIES, ops)
 
 
 def test_all_faults_are_told_at_once() -> None:
     ops = [
-        Op("function/a", b"{}"),
-        Op("function/b", b'{"class":"sale","memory_mb":1.0}'),
-        Op("tenant/-", b"{}"),
+        Mutation("function/a", b"{}"),
+        Mutation("function/b", b'{"class":"sale","memory_mb":1.0}'),
+        Mutation("tenant/-", b"{}"),
     ]
     keys = {line.partition(":")[0] for line in check(ENTRIES, ops)}
     assert keys == {"function/a", "function/b", "tenant/-"}
 
 
-RIGHT: list[list[Op]] = [
-    [Op("function/price", function(lanes=3))],
-    [Op("function/price", None), Op("function/reserve", None)],
-    [Op("tenant/new", b"{}")],
-    [Op("tenant/trade", b"{}"), Op("class/valuation", ENTRIES["class/valuation"])],  # as they are
-    [Op("class/sale", NEW_CLASS), Op("function/new", function(**{"class": "sale"}))],
-    [Op("function/price", None), Op("class/valuation", None)],
-    [Op("function/price", function(**{"class": "reservation"})), Op("class/valuation", None)],
+RIGHT: list[list[Mutation]] = [
+    [Mutation("function/price", function(lanes=3))],
+    [Mutation("function/price", None), Mutation("function/reserve", None)],
+    [Mutation("tenant/new", b"{}")],
+    [Mutation("tenant/trade", b"{}"), Mutation("class/valuation", ENTRIES["class/valuation"])],  # as they are
+    [Mutation("class/sale", NEW_CLASS), Mutation("function/new", function(**{"class": "sale"}))],
+    [Mutation("function/price", None), Mutation("class/valuation", None)],
+    [Mutation("function/price", function(**{"class": "reservation"})), Mutation("class/valuation", None)],
 ]
 
 
 @pytest.mark.parametrize("ops", RIGHT)
-def test_what_members_act_on_while_they_run_may_change(ops: list[Op]) -> None:
+def test_what_members_act_on_while_they_run_may_change(ops: list[Mutation]) -> None:
     assert check(ENTRIES, ops) == []
     assert check(ENTRIES, ops[::-1]) == []
 
@@ -185,12 +201,12 @@
 
 def test_a_table_has_no_more_classes_than_a_file() -> None:
     held = {f"class/c{i}": NEW_CLASS for i in range(CLASSES_MOST)}
-    assert check(held, [Op("class/c0", NEW_CLASS)]) == []
-    found = check(held, [Op("class/more", NEW_CLASS)])
+    assert check(held, [Mutation("class/c0", NEW_CLASS)]) == []
+    found = check(held, [Mutation("class/more", NEW_CLASS)])
     assert found == [
         f"class/more: (top): found {CLASSES_MOST + 1} classes with it; wanted {CLASSES_MOST} at most"
     ]
-    assert check(held, [Op("class/more", NEW_CLASS), Op("class/c0", None)]) == []
+    assert check(held, [Mutation("class/more", NEW_CLASS), Mutation("class/c0", None)]) == []
 
 
 class Counted(dict[str, bytes]):
@@ -213,17 +229,21 @@
 
 def test_the_check_of_one_function_reads_no_other() -> None:
     held = Counted(ENTRIES | {f"function/f{i}": PRICE for i in range(1000)})
-    for op in (Op("function/f1", function(lanes=3)), Op("function/new", PRICE), Op("function/f1", None)):
+    for op in (
+        Mutation("function/f1", function(lanes=3)),
+        Mutation("function/new", PRICE),
+        Mutation("function/f1", None),
+    ):
         assert check(held, [op]) == []
     assert held.read < 12
 
 
 def test_a_table_is_read_where_it_stands() -> None:
-    table = Table()
-    table.change(1, differences({}, ENTRIES))
+    table = ConfigStore()
+    table.propose(1, differences({}, ENTRIES))
     held = Held(table.entries)
     assert dict(held) == ENTRIES and len(held) == len(ENTRIES)
-    assert differences(held, ENTRIES) == () and check(held, [Op("function/price", PRICE)]) == []
+    assert differences(held, ENTRIES) == () and check(held, [Mutation("function/price", PRICE)]) == []
 
 
 # Differences
@@ -289,13 +309,13 @@
 
 
 def test_parts_hold_all_ops_in_order_and_none_is_more_than_a_change_set_may_be() -> None:
-    ops = [Op(f"function/{i:05}-{'x' * (i % 120)}", PRICE * (1 + i % 7)) for i in range(5000)]
+    ops = [Mutation(f"function/{i:05}-{'x' * (i % 120)}", PRICE * (1 + i % 7)) for i in range(5000)]
     parts = parts_of(ops)
     assert [op for part in parts for op in part] == ops
     for part in parts:
-        assert check_change(part) == []
+        assert validate_mutations(part) == []
     assert parts_of([]) == []
-    sizes = [len(part) for part in parts_of([Op(f"function/{i}", b"{}") for i in range(2500)])]
-    assert sizes == [OPS_MOST, OPS_MOST, 500]
+    sizes = [len(part) for part in parts_of([Mutation(f"function/{i}", b"{}") for i in range(2500)])]
+    assert sizes == [MAX_MUTATIONS, MAX_MUTATIONS, 500]
     small = sum(len(op.key) + len(op.value or b"") for op in parts[0])
-    assert small > CHANGE_BYTES * 0.8  # no more parts than it takes
+    assert small > MAX_CHANGE_SET_BYTES * 0.8  # no more parts than it takes
--- a/packages/configstore/src/walnutpost/configstore/messages.py
+++ b/packages/configstore/src/walnutpost/configstore/messages.py
@@ -1,7 +1,10 @@
-"""What those who hold the agreed table say to each other, in msgpack. No I/O.
+"""Messages between members, relays and the control plane about the configuration store, as msgpack. No I/O.
 
-A revision is the index of the history's entry that a change set came with, so it means the same at
-every keeper and every relay: who was answered by one goes on at another."""
+A revision is the index of the log entry that committed a change set. It therefore means the same at
+each replica and each relay, and a member that moves to another server continues from its own revision.
+
+Times in messages are durations in microseconds; clocks of two machines are never compared.
+"""
 
 from __future__ import annotations
 
@@ -9,187 +12,217 @@
 
 import msgspec
 
-FORMAT = 1
-WATCH, SUMS, STATUS = "/table/1/watch", "/table/1/sums", "/table/1/status"
-AGE_HEADER = "Walnutpost-Age-Us"  # microseconds: how long ago a leader last vouched for what the answer tells
-
+from walnutpost.configstore.errors import InvalidMessageError as InvalidMessageError
 
-class BadMessage(Exception):
-    """Bytes that are not what is spoken here."""
+FORMAT = 1
+"""Version of the messages; a message of another format is rejected."""
+WATCH_PATH, PROGRESS_PATH, STATUS_PATH = "/table/1/watch", "/table/1/sums", "/table/1/status"
+AGE_HEADER = "Walnutpost-Age-Us"
+"""Response header: microseconds since a leader last confirmed that the answer's content was current."""
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """A frozen value, written with its fields in order; a later version may have more at the end. Those
-    that are held by the ten thousand are hidden from the collector: they refer to nothing that could refer
-    back."""
+    """A frozen struct, encoded as an array of its fields in order; later versions may append fields.
+
+    Types of which a process has tens of thousands are excluded from garbage collection (`gc=False`): they
+    refer to nothing that could refer back.
+    """
 
 
-class Op(Record, frozen=True, gc=False):
-    """`key` is `kind/name`. `value` None deletes."""
+class Mutation(Record, frozen=True, gc=False):
+    """Sets `key` (`kind/name`) to `value`, or deletes it where `value` is None."""
 
     key: str
     value: bytes | None
 
 
 class ChangeSet(Record, frozen=True, gc=False):
-    """Some keys at once, in force whole or not at all. `digest`: of the whole table after it."""
+    """Mutations that are applied atomically; `digest` is that of the whole store after them."""
 
     revision: int
-    ops: tuple[Op, ...]
+    mutations: tuple[Mutation, ...]
     digest: int
 
 
 class Entry(Record, frozen=True, gc=False):
-    """What stands under a key since `revision`."""
+    """The value of a key and the revision that set it."""
 
     key: str
     value: bytes
     revision: int
 
 
-class Question(Record, frozen=True):
-    """A watch. `member` empty: a reader that counts for nothing, as a relay is to a keeper.
-
-    `session` rises each time the member turns to another server, so that two of them that know the
-    member tell which word is newer. `revision`: all change sets up to here are held, and `digest` is
-    that of the table then. `in_force`: the revision acted on; `stuck`: why what came after it is not.
-    `after`: within a whole state, the last key held of it ("" at its start), None outside of one; `base`
-    is then the lowest revision of its pages so far, 0 before the first. After its last page `after` is
-    None, `revision` that of the last change set which was laid over the pages, and `base` still stands:
-    there is no digest to compare yet. `hold`: microseconds that the answer may be held where nothing is
-    newer. `buckets`: the digests of all ranges are wanted, `want`: the entries of these. `leaving`: the
-    process ends."""
+class WatchRequest(Record, frozen=True):
+    """A member's or relay's request for changes after `revision`; it also reports the member's progress.
+
+    `member`: empty for a watcher that is not registered, such as a relay at a replica.
+    `session`: increases when the member changes servers, so that of two servers that know the member the
+    one with the newer report is recognised.
+    `revision`, `digest`: the watcher's store; it has all change sets up to `revision`.
+    `applied_revision`: the revision that the member operates by.
+    `wait_timeout_us`: how long the response may be delayed while there is nothing newer (long poll).
+    `blocked_reason`: why a newer revision could not be applied; empty where none failed.
+    `after_key`: while a snapshot is loaded, the last key received ("" at the start); None otherwise.
+    `base_revision`: the lowest revision of the snapshot pages received so far, 0 before the first. After the
+    last page `after_key` is None, `revision` that of the last change set replayed over the pages, and
+    `base_revision` is still set: there is no digest to compare yet.
+    `wants_bucket_digests`: the digests of all buckets are requested.
+    `wanted_buckets`: the entries of these digest buckets are requested, to repair them.
+    `is_leaving`: the process ends.
+    """
 
     member: str
     incarnation: str
     session: int
     revision: int
-    in_force: int
+    applied_revision: int
     digest: int
-    hold: int
-    stuck: str = ""
-    after: str | None = None
-    base: int = 0
-    buckets: bool = False
-    want: tuple[int, ...] = ()
-    leaving: bool = False
+    wait_timeout_us: int
+    blocked_reason: str = ""
+    after_key: str | None = None
+    base_revision: int = 0
+    wants_bucket_digests: bool = False
+    wanted_buckets: tuple[int, ...] = ()
+    is_leaving: bool = False
     format: int = FORMAT
 
 
-class Page(Record, frozen=True):
-    """An answer to a watch; the same bytes for all who are owed the same. `revision` and `digest`: of
-    the table that answers. `changes`: the change sets that follow revision `since`, the question's, in
-    order, as many as fit. `whole`: a page of the whole state instead, `entries` by key from the first one
-    after `after`, the question's; `done`: the last one. `buckets`: digests by range. `repair`: `entries`
-    are all of `ranges`, those of the ranges asked for that fit, at `revision`."""
+class WatchResponse(Record, frozen=True):
+    """The answer to a watch request; all watchers with the same position get the same bytes.
+
+    `revision`, `digest`: the answering store.
+    `compacted_revision`: change sets up to here are no longer available one by one.
+    `changes`: the change sets after `since_revision` (the request's) in order, as many as fit.
+    `is_snapshot`: a page of the full state instead: `entries` in order of their keys, the first ones after
+    `after_key` (the request's); `is_last_page` marks the end of it.
+    `bucket_digests`: one digest for each bucket.
+    `is_repair`: `entries` are all entries of `repaired_buckets` (those of the requested ones that fit).
+    """
 
     revision: int
     digest: int
-    floor: int
+    compacted_revision: int
     changes: tuple[ChangeSet, ...] = ()
-    whole: bool = False
+    is_snapshot: bool = False
     entries: tuple[Entry, ...] = ()
-    done: bool = False
-    buckets: tuple[int, ...] = ()
-    repair: bool = False
+    is_last_page: bool = False
+    bucket_digests: tuple[int, ...] = ()
+    is_repair: bool = False
     format: int = FORMAT
-    since: int = 0
-    after: str | None = None
-    ranges: tuple[int, ...] = ()
+    since_revision: int = 0
+    after_key: str | None = None
+    repaired_buckets: tuple[int, ...] = ()
 
 
-class Standing(Record, frozen=True):
-    """One member by name, as a relay knows it from the member's own last word."""
+class MemberProgress(Record, frozen=True):
+    """The progress of one member as its relay knows it from the member's last watch request."""
 
     member: str
     incarnation: str
     session: int
-    in_force: int
-    stuck: str = ""
-    silent_for: int = 0  # microseconds since its last word
-
-
-class Sums(Record, frozen=True):
-    """What a relay tells of its members. `relay` with `incarnation` numbers its reports; `joined` and
-    `left` are what has changed since report `since`, all of them where that is 0. `lowest`: no member
-    that is not among `behind` acts on an older revision. `revision`: what the relay itself holds. `count`
-    and `lowest` are of those whom the leader knows of by this report and those before; `ended`: member and
-    incarnation of processes that have said that they end."""
+    applied_revision: int
+    blocked_reason: str = ""
+    silent_for_us: int = 0
+
+
+class ProgressSummary(Record, frozen=True):
+    """A relay's numbered report of the progress of its members, as a difference to an earlier report.
+
+    `number`: counts the reports of the relay's `incarnation`.
+    `since_number`: the report that this one adds to; 0 where this one is complete.
+    `revision`: that of the relay's own store.
+    `min_applied_revision`: each member that is not in `lagging` has applied at least this revision.
+    `member_count`: the members that `min_applied_revision` covers: those that the leader knows from this
+    report and those before it.
+    `joined`, `left`: what has changed since report `since_number`.
+    `lagging`: members reported by name: behind, blocked or silent.
+    `address`: where members reach the relay.
+    `ended_processes`: member and incarnation of processes that announced their end.
+    """
 
     relay: str
     incarnation: str
     number: int
-    since: int
+    since_number: int
     revision: int
-    lowest: int
-    count: int
-    joined: tuple[Standing, ...] = ()
+    min_applied_revision: int
+    member_count: int
+    joined: tuple[MemberProgress, ...] = ()
     left: tuple[str, ...] = ()
-    behind: tuple[Standing, ...] = ()
+    lagging: tuple[MemberProgress, ...] = ()
     address: str = ""
     format: int = FORMAT
-    ended: tuple[tuple[str, str], ...] = ()
+    ended_processes: tuple[tuple[str, str], ...] = ()
 
 
-class Heard(Record, frozen=True):
-    """The leader's answer to sums. `whole`: it lacks an earlier report, tell everything."""
+class ProgressSummaryResponse(Record, frozen=True):
+    """The leader's answer to report `number`.
+
+    `needs_full_report`: an earlier report is missing, and the next one must be complete.
+    """
 
     number: int
-    whole: bool = False
+    needs_full_report: bool = False
     format: int = FORMAT
 
 
 class MemberStatus(Record, frozen=True):
-    """`heard`: microseconds since some relay last told of it, None where this leader was never told."""
+    """One registered member in the leader's status.
+
+    `silent_for_us`: time since a relay last reported it, None where this leader has had no report of it.
+    """
 
     member: str
     incarnation: str
-    in_force: int
+    applied_revision: int
     relay: str
-    stuck: str
-    heard: int | None
+    blocked_reason: str
+    silent_for_us: int | None
 
 
-class Timed(Record, frozen=True):
-    """How long a change set took from its agreement to the last member, in microseconds; None while it
-    does."""
+class PropagationLatency(Record, frozen=True):
+    """Time from the commit of a change set until the last member applied it; None while it propagates."""
 
     revision: int
-    took: int | None
+    latency_us: int | None
+
 
+class PropagationStatus(Record, frozen=True):
+    """What the leader knows of the propagation of the store to its members.
 
-class Status(Record, frozen=True):
-    """What the leader knows of who acts on what. `lowest`: of all agreed members; `lacking`: those below
-    `revision`, by name, the first of them where they are many, `lacks` how many in all; `relays`: name,
-    revision held, members, microseconds since its word."""
+    `min_applied_revision`: all registered members have applied at least this revision.
+    `lagging`: the members below `revision`, by name and limited; `lagging_count` is their full number.
+    `relays`: for each relay its name, revision, number of members and microseconds since its last report.
+    """
 
     revision: int
     digest: int
-    floor: int
-    entries: int
-    members: int
-    lowest: int
-    lacking: tuple[MemberStatus, ...]
-    timed: tuple[Timed, ...]
+    compacted_revision: int
+    entry_count: int
+    member_count: int
+    min_applied_revision: int
+    lagging: tuple[MemberStatus, ...]
+    latencies: tuple[PropagationLatency, ...]
     relays: tuple[tuple[str, int, int, int], ...]
     format: int = FORMAT
-    lacks: int = 0
+    lagging_count: int = 0
 
 
 T = TypeVar("T", bound=Record)
 
 
 def encode(value: Record) -> bytes:
+    """Encode a message or a part of one."""
     return msgspec.msgpack.encode(value)
 
 
 def decode(data: bytes, kind: type[T]) -> T:
-    """Raises BadMessage."""
+    """Decode a message of type `kind`; raise InvalidMessageError where the bytes are not one."""
     try:
         value = msgspec.msgpack.decode(data, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise BadMessage(f"{kind.__name__}: {error}") from error
-    form = getattr(value, "format", FORMAT)
-    if form != FORMAT:
-        raise BadMessage(f"{kind.__name__}: format {form}, wanted {FORMAT}")
+        raise InvalidMessageError(f"{kind.__name__}: {error}") from error
+    found = getattr(value, "format", FORMAT)
+    if found != FORMAT:
+        raise InvalidMessageError(f"{kind.__name__}: format {found}, wanted {FORMAT}")
     return value
--- /dev/null
+++ b/packages/configstore/tests/progress_rig.py
@@ -0,0 +1,68 @@
+"""A leader with relays and members, and what they report, for tests of members' progress."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from typing import Any
+
+from walnutpost.configstore.fleet_progress import FleetProgress
+from walnutpost.configstore.member_registry import (
+    SECOND_US,
+    MemberRegistry,
+)
+from walnutpost.configstore.messages import (
+    MemberProgress,
+    ProgressSummary,
+    WatchRequest,
+    decode,
+    encode,
+)
+
+
+def ask(member: str, in_force: int, session: int = 1, incarnation: str = "", **more: Any) -> WatchRequest:
+    incarnation = incarnation or f"{member}.1"
+    return WatchRequest(member, incarnation, session, in_force, in_force, 0, 3 * SECOND_US, **more)
+
+
+def tell(now: int, roster: MemberRegistry, leader: FleetProgress, revision: int) -> list[ProgressSummary]:
+    """Reports, as read from their bytes, until all is told."""
+    told: list[ProgressSummary] = []
+    while not told or roster.has_changes:
+        told.append(decode(encode(roster.next_summary(now, revision)), ProgressSummary))
+        roster.handle_response(leader.handle_summary(now, told[-1]))
+        assert len(told) < 50
+    return told
+
+
+def names_of(members: tuple[MemberProgress, ...]) -> list[str]:
+    return [standing.member for standing in members]
+
+
+@dataclass
+class FakeStore:
+    revision: int
+    digest: int = 7
+    compacted_revision: int = 3
+    entries: list[str] = field(default_factory=lambda: ["x", "y"])
+
+
+class Fleet:
+    """Some members at each relay, all agreed and told."""
+
+    def __init__(self, members: int, relays: int = 1, in_force: int = 10) -> None:
+        self.now = 0
+        self.relays = [MemberRegistry(f"r{n}", f"r{n}.1") for n in range(relays)]
+        self.at = {f"m{n:04d}": self.relays[n % relays] for n in range(members)}
+        self.leader = FleetProgress(0, in_force)
+        self.agreed = {name: f"{name}.1" for name in self.at}
+        self.leader.set_members(0, self.agreed)
+        self.ask(in_force)
+        self.tell(in_force)
+
+    def ask(self, in_force: int, *but: str) -> None:
+        for name, relay in self.at.items():
+            if name not in but:
+                relay.observe(self.now, ask(name, in_force))
+
+    def tell(self, revision: int) -> list[ProgressSummary]:
+        return [sums for relay in self.relays for sums in tell(self.now, relay, self.leader, revision)]
--- a/packages/configstore/tests/roster_world.py
+++ b/packages/configstore/tests/progress_world.py
@@ -6,8 +6,9 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from walnutpost.configstore.messages import Heard, Question, Sums
-from walnutpost.configstore.roster import SECOND, Roster, Standings
+from walnutpost.configstore.fleet_progress import FleetProgress
+from walnutpost.configstore.member_registry import SECOND_US, MemberRegistry
+from walnutpost.configstore.messages import ProgressSummary, ProgressSummaryResponse, WatchRequest
 
 NAMES = ("a", "b", "c", "d", "e")
 RELAYS = ("r1", "r2", "r3")
@@ -24,14 +25,14 @@
     held: int = 0
     session: int = 1
     alive: bool = True
-    asked: Question | None = None
+    asked: WatchRequest | None = None
 
 
 @dataclass
 class Relay:
     name: str
     incarnation: str
-    roster: Roster
+    roster: MemberRegistry
     revision: int = 0
 
 
@@ -39,30 +40,30 @@
 class Office:
     """A leader's, with the agreed members as it knows them."""
 
-    leader: Standings
+    leader: FleetProgress
     agreed: dict[str, str]
     revision: int
     before: dict[tuple[str, str], int] = field(default_factory=dict)
 
     def agree(self, now: int, agreed: dict[str, str]) -> None:
         self.agreed = agreed
-        self.leader.agree(now, agreed)
+        self.leader.set_members(now, agreed)
         self.before = {key: claim for key, claim in self.before.items() if key in agreed.items()}
 
 
 @dataclass
 class World:
-    standings: type[Standings] = Standings
-    roster: type[Roster] = Roster
-    now: int = SECOND
+    standings: type[FleetProgress] = FleetProgress
+    roster: type[MemberRegistry] = MemberRegistry
+    now: int = SECOND_US
     revision: int = 1
     made: int = 0
     members: dict[str, Process] = field(default_factory=dict)
     former: list[Process] = field(default_factory=list)
     relays: list[Relay] = field(default_factory=list)
-    questions: list[tuple[int, Question]] = field(default_factory=list)
-    reports: list[Sums] = field(default_factory=list)
-    answers: list[tuple[str, Heard]] = field(default_factory=list)
+    questions: list[tuple[int, WatchRequest]] = field(default_factory=list)
+    reports: list[ProgressSummary] = field(default_factory=list)
+    answers: list[tuple[str, ProgressSummaryResponse]] = field(default_factory=list)
     truth: dict[tuple[str, str], int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -85,15 +86,15 @@
     # What happens. `n` chooses among the possible.
 
     def passes(self, n: int) -> None:
-        self.now += (n % 40 + 1) * SECOND // 10
+        self.now += (n % 40 + 1) * SECOND_US // 10
 
     def waits(self, n: int) -> None:
-        self.now += (n % 9) * 2 * SECOND
+        self.now += (n % 9) * 2 * SECOND_US
 
     def change(self, n: int) -> None:
         self.revision += n % 3 + 1
         self.office.revision = self.revision
-        self.office.leader.agreed(self.now, self.revision)
+        self.office.leader.revision_committed(self.now, self.revision)
 
     def relay_follows(self, n: int) -> None:
         relay = self.relays[n % len(self.relays)]
@@ -107,16 +108,16 @@
             process.in_force = max(process.in_force, self.relays[process.relay].revision)
             self.truth[name, process.incarnation] = process.in_force
 
-    def _ask(self, process: Process, **more: bool) -> Question:
+    def _ask(self, process: Process, **more: bool) -> WatchRequest:
         stuck = "no such class" if hash((process.in_force, len(process.name))) % 11 == 0 else ""
-        question = Question(
+        question = WatchRequest(
             process.name,
             process.incarnation,
             process.session,
             process.in_force,
             process.in_force,
             0,
-            3 * SECOND,
+            3 * SECOND_US,
             stuck,
             **more,  # type: ignore[arg-type]
         )
@@ -127,7 +128,7 @@
         names = NAMES if n % 4 == 0 else (NAMES[n // 4 % len(NAMES)],)
         for name in names:
             process = self.members[name]
-            self.relays[process.relay].roster.said(self.now, self._ask(process))
+            self.relays[process.relay].roster.observe(self.now, self._ask(process))
 
     def asks_slowly(self, n: int) -> None:
         process = self.members[NAMES[n % len(NAMES)]]
@@ -137,19 +138,19 @@
         """A process of which another has taken the name, and that doesn't know."""
         if self.former:
             process = self.former[n % len(self.former)]
-            self.relays[process.relay].roster.said(self.now, self._ask(process))
+            self.relays[process.relay].roster.observe(self.now, self._ask(process))
 
     def arrives(self, n: int) -> None:
         """A question that was on its way, kept on it one time in three."""
         if self.questions:
             at = n // 3 % len(self.questions)
             relay, question = self.questions[at] if n % 3 == 0 else self.questions.pop(at)
-            self.relays[relay].roster.said(self.now, question)
+            self.relays[relay].roster.observe(self.now, question)
 
     def moves(self, n: int) -> None:
         process = self.members[NAMES[n % len(NAMES)]]
         if n // 5 % 2 and process.asked is not None:
-            self.relays[process.relay].roster.gone(process.asked)
+            self.relays[process.relay].roster.connection_closed(process.asked)
         process.relay = (process.relay + 1 + n // 10 % 2) % len(self.relays)
         process.session += 1
 
@@ -162,7 +163,7 @@
         new.in_force = old.in_force // 2 if n // 10 % 2 else 0
         self.truth[name, new.incarnation] = new.in_force
         if n // 20 % 3 == 0:
-            self.relays[old.relay].roster.said(self.now, self._ask(old, leaving=True))
+            self.relays[old.relay].roster.observe(self.now, self._ask(old, is_leaving=True))
         elif n // 20 % 3 == 1:
             self.former.append(old)
 
@@ -176,7 +177,7 @@
 
     def reports_on(self, n: int) -> None:
         relay = self.relays[n % len(self.relays)]
-        self.reports.append(relay.roster.sums(self.now, relay.revision))
+        self.reports.append(relay.roster.next_summary(self.now, relay.revision))
         del self.reports[:-30]
 
     def report_arrives(self, n: int) -> None:
@@ -184,7 +185,7 @@
         if self.reports:
             at = n // 6 % len(self.reports) if n % 2 else len(self.reports) - 1
             sums = self.reports[at] if n % 3 else self.reports.pop(at)
-            self.answers.append((sums.incarnation, self.office.leader.take(self.now, sums)))
+            self.answers.append((sums.incarnation, self.office.leader.handle_summary(self.now, sums)))
             del self.answers[:-10]
 
     def answer_arrives(self, n: int) -> None:
@@ -193,23 +194,27 @@
             incarnation, heard = self.answers[at]
             for relay in self.relays:
                 if relay.incarnation == incarnation:
-                    relay.roster.heard(heard)
+                    relay.roster.handle_response(heard)
 
     def exchanges(self, n: int) -> None:
         """A report and its answer, with nothing in between."""
         relay = self.relays[n % len(self.relays)]
-        relay.roster.heard(self.office.leader.take(self.now, relay.roster.sums(self.now, relay.revision)))
+        relay.roster.handle_response(
+            self.office.leader.handle_summary(self.now, relay.roster.next_summary(self.now, relay.revision))
+        )
 
     def exchanges_with_the_deposed(self, n: int) -> None:
         """A relay turns to a leader that hasn't heard yet that it is none any more."""
         if self.deposed is not None:
             relay = self.relays[n % len(self.relays)]
-            heard = self.deposed.leader.take(self.now, relay.roster.sums(self.now, relay.revision))
+            heard = self.deposed.leader.handle_summary(
+                self.now, relay.roster.next_summary(self.now, relay.revision)
+            )
             if n // len(self.relays) % 2:
-                relay.roster.heard(heard)
+                relay.roster.handle_response(heard)
 
     def agrees(self, n: int) -> None:
-        found = dict(self.office.leader.unknown(self.now))
+        found = dict(self.office.leader.unregistered_members(self.now))
         self.office.agree(self.now, self.office.agreed | found)
 
     def agrees_unheard(self, n: int) -> None:
@@ -218,7 +223,7 @@
         self.office.agree(self.now, {**self.office.agreed, name: self.members[name].incarnation})
 
     def forgets(self, n: int) -> None:
-        gone = self.office.leader.ended() if n % 2 else [NAMES[n // 2 % len(NAMES)]]
+        gone = self.office.leader.ended_members() if n % 2 else [NAMES[n // 2 % len(NAMES)]]
         self.office.agree(self.now, {m: i for m, i in self.office.agreed.items() if m not in gone})
 
     def another_leader(self, n: int) -> None:
@@ -239,10 +244,10 @@
 
     def _check(self, office: Office) -> None:
         """Nothing is claimed of a member that it hasn't come to, and nothing is taken back of a process."""
-        proved = {key: office.leader.in_force(*key) for key in office.agreed.items()}
+        proved = {key: office.leader.applied_revision(*key) for key in office.agreed.items()}
         for key, claim in proved.items():
             assert office.before.get(key, 0) <= claim <= self.truth[key], (key, claim, self.truth[key])
-        assert office.leader.lowest == min(proved.values(), default=office.revision)
+        assert office.leader.min_applied_revision == min(proved.values(), default=office.revision)
         office.before = proved
 
     def settles(self) -> None:
@@ -250,13 +255,13 @@
         self.questions.clear()
         self.former.clear()
         for at in range(12):
-            self.now += 2 * SECOND
+            self.now += 2 * SECOND_US
             for process in self.members.values():
-                self.relays[process.relay].roster.said(self.now, self._ask(process))
+                self.relays[process.relay].roster.observe(self.now, self._ask(process))
             for relay in self.relays[: len(RELAYS)]:
                 for _ in range(4):
-                    sums = relay.roster.sums(self.now, relay.revision)
-                    relay.roster.heard(self.office.leader.take(self.now, sums))
+                    sums = relay.roster.next_summary(self.now, relay.revision)
+                    relay.roster.handle_response(self.office.leader.handle_summary(self.now, sums))
             if at > 8:
                 self.agrees(0)
             self.check()
@@ -265,8 +270,8 @@
         assert {name: self.office.agreed.get(name) for name in on} == {name: live[name] for name in on}
         self.office.agree(self.now, {name: live[name] for name in on})
         truth = [self.truth[key] for key in self.office.agreed.items()]
-        assert self.office.leader.lowest == min(truth, default=self.revision)
-        assert not self.office.leader.unknown(self.now) or len(on) < len(live)
+        assert self.office.leader.min_applied_revision == min(truth, default=self.revision)
+        assert not self.office.leader.unregistered_members(self.now) or len(on) < len(live)
 
 
 STEPS: list[Callable[[World, int], None]] = [
--- a/packages/configstore/tests/test_table_golden.py
+++ b/packages/configstore/tests/test_configstore_golden.py
@@ -4,12 +4,45 @@
 
 import pytest
 
+from configstore_forms import GOLDEN
 from golden_forms import check_covered, check_fields_told_apart, structs_of
-from table_forms import GOLDEN
-from walnutpost.configstore import choice, entries, follower, messages, roster, table, watch
-from walnutpost.configstore.table import BadTable, Table
-
-MODULES = choice, entries, follower, messages, roster, table, watch
+from walnutpost.configstore import (
+    digest_check,
+    digests,
+    errors,
+    fleet_progress,
+    member_registry,
+    messages,
+    outcome,
+    propagation,
+    relay_report,
+    relay_selection,
+    snapshot_load,
+    store,
+    validation,
+    watch,
+    watch_state,
+)
+from walnutpost.configstore.errors import InvalidSnapshotError
+from walnutpost.configstore.store import ConfigStore
+
+MODULES = (
+    digest_check,
+    digests,
+    errors,
+    fleet_progress,
+    member_registry,
+    messages,
+    outcome,
+    propagation,
+    relay_report,
+    relay_selection,
+    snapshot_load,
+    store,
+    validation,
+    watch,
+    watch_state,
+)
 
 
 @pytest.mark.parametrize("name", GOLDEN.forms)
@@ -27,7 +60,7 @@
 
 
 def test_every_type_that_is_written_has_a_golden_form() -> None:
-    held_by_snapshots_alone = {table._Kept}  # "table-snapshot...": `Table.snapshot` makes it
+    held_by_snapshots_alone = {store._StoredSnapshot}  # "table-snapshot...": `Table.snapshot` makes it
     wanted = {kind for module in MODULES for kind in structs_of(module)} - held_by_snapshots_alone
     check_covered(wanted, GOLDEN.values())
 
@@ -39,5 +72,5 @@
 def test_a_golden_table_with_one_flipped_byte_is_refused() -> None:
     data = bytearray(GOLDEN["table-snapshot.rich"])
     data[-1] ^= 1
-    with pytest.raises(BadTable, match="checksum"):
-        Table.restore(bytes(data))
+    with pytest.raises(InvalidSnapshotError, match="checksum"):
+        ConfigStore.restore(bytes(data))
--- a/packages/configstore/tests/test_orders.py
+++ b/packages/configstore/tests/test_store_orders.py
@@ -16,30 +16,31 @@
 from msgspec.structs import replace
 
 from walnutpost.configstore import (
+    ApplyOutcome,
     ChangeSet,
+    ConfigStore,
     Entry,
-    Follower,
-    Op,
-    Page,
-    Question,
-    Table,
-    Taken,
+    Mutation,
+    WatchRequest,
+    WatchResponse,
+    WatchState,
     decode,
     encode,
-    follower,
-    owed,
+    respond,
 )
+from walnutpost.configstore.outcome import SyncEventKind
+from walnutpost.configstore.snapshot_load import SnapshotLoad
 
 KEYS = [f"{kind}/{name}" for kind in ("class", "function") for name in "abcdef"]
-LIMITS = {"log_most": 5, "log_bytes": 100_000}
+LIMITS = {"max_log_entries": 5, "max_log_bytes": 100_000}
 FLIPPED = b"!flipped"
 Entries = dict[str, Entry]
 
 
-class Watched(Table):
+class Watched(ConfigStore):
     """A table that shows to `look` each state that a reader could see, also in the middle of a change set."""
 
-    look: ClassVar[Callable[[Table, Map[str, Entry]], None]] = staticmethod(lambda table, entries: None)
+    look: ClassVar[Callable[[ConfigStore, Map[str, Entry]], None]] = staticmethod(lambda table, entries: None)
 
     @property
     def entries(self) -> Map[str, Entry]:
@@ -55,7 +56,7 @@
 class Place:
     """A process that follows: what it asks, and what is on its way to it."""
 
-    follower: Follower
+    follower: WatchState
     asks: int = 0
     wire: list[bytes] = field(default_factory=list)
     seen: int = 0  # the last revision that was held
@@ -67,14 +68,14 @@
 class World:
     """What was agreed on, and who holds what of it."""
 
-    keepers_of: type[Table] = Table
-    follower_of: type[Follower] = Follower
-    owed: Callable[..., Page | None] = staticmethod(owed)
+    keepers_of: type[ConfigStore] = ConfigStore
+    follower_of: type[WatchState] = WatchState
+    owed: Callable[..., WatchResponse | None] = staticmethod(respond)
 
     def __init__(self) -> None:
         self.now = 1_000_000
         self.revision = 0
-        self.history: list[tuple[int, tuple[Op, ...]]] = []
+        self.history: list[tuple[int, tuple[Mutation, ...]]] = []
         self.states: dict[int, Entries] = {0: {}}
         self.digests: dict[int, int] = {0: 0}
         self.known: set[frozenset[Entry]] = {frozenset()}
@@ -93,16 +94,16 @@
         name = f"{member}.{self.starts}"
         if disk:
             follower = self.follower_of.restore(disk, member, name, self.now, **limits)
-            held = follower.table
-            follower.table = Watched.of(held.entries, held.revision, log_most=0)
+            held = follower.store
+            follower.store = Watched.from_entries(held.entries, held.revision, max_log_entries=0)
         else:
             follower = self.follower_of(member, name, self.now, **limits)
-            follower.table = Watched(follower.table._log_most, follower.table._log_bytes)
-        return Place(follower, seen=follower.table.revision, disk=disk)
+            follower.store = Watched(follower.store._max_log_entries, follower.store._max_log_bytes)
+        return Place(follower, seen=follower.store.revision, disk=disk)
 
     # The history
 
-    def agree(self, ops: tuple[Op, ...], skipped: int) -> None:
+    def agree(self, ops: tuple[Mutation, ...], skipped: int) -> None:
         """`skipped`: entries of the history that are of something else."""
         self.revision += 1 + skipped
         self.history.append((self.revision, ops))
@@ -113,12 +114,12 @@
                 state[op.key] = Entry(op.key, op.value, self.revision)
         self.states[self.revision] = state
         self.known.add(frozenset(state.values()))
-        self.digests[self.revision] = Table.of(state, self.revision).digest
+        self.digests[self.revision] = ConfigStore.from_entries(state, self.revision).digest
 
     def apply(self, keeper: int, number: int) -> None:
         table = self.keepers[keeper]
         for revision, ops in [h for h in self.history if h[0] > table.revision][:number]:
-            table.change(revision, ops)
+            table.propose(revision, ops)
             assert dict(table.entries) == self.states[revision]
             assert table.digest == self.digests[revision]
             taken = self.snapshots.setdefault(revision, table.snapshot())
@@ -126,43 +127,45 @@
 
     # The network
 
-    def table_asked(self, place: Place) -> Table:
+    def table_asked(self, place: Place) -> ConfigStore:
         if place in self.relays:
             return self.keepers[place.asks]
-        return self.relays[place.asks].follower.table
+        return self.relays[place.asks].follower.store
 
     def ask(self, place: Place, most: int) -> None:
-        question = decode(encode(place.follower.question(0)), Question)
-        assert place.acted == question.in_force <= place.follower.table.revision
+        question = decode(encode(place.follower.next_request(0)), WatchRequest)
+        assert place.acted == question.applied_revision <= place.follower.store.revision
         page = self.owed(self.table_asked(place), question, most)
         place.wire.append(encode(page) if page is not None else b"")
         del place.wire[:-6]
 
-    def deliver(self, place: Place, at: int, keep: bool) -> Taken:
+    def deliver(self, place: Place, at: int, keep: bool) -> ApplyOutcome:
         data = place.wire[at]
         if not keep:
             del place.wire[at]
         with self.looked_at(place):
-            taken = place.follower.answered(self.now, decode(data, Page) if data else None, 0)
+            taken = place.follower.handle_response(self.now, decode(data, WatchResponse) if data else None, 0)
         self.heard(place, taken)
         return taken
 
-    def heard(self, place: Place, taken: Taken) -> None:
-        assert self.flipped or not taken.note.startswith("diverged"), taken.note
-        if taken.elsewhere:
+    def heard(self, place: Place, taken: ApplyOutcome) -> None:
+        assert self.flipped or not any(event.kind is SyncEventKind.DIVERGED for event in taken.events), (
+            taken.events
+        )
+        if taken.is_inconsistent:
             place.asks = 1 - place.asks
-            place.follower.moved()
+            place.follower.server_changed()
         for change in taken.changes:
             assert (
-                change.revision <= place.follower.table.revision
+                change.revision <= place.follower.store.revision
                 and change.digest == self.digests[change.revision]
             )
 
     @contextmanager
     def looked_at(self, place: Place) -> Any:
-        def look(table: Table, entries: Map[str, Entry]) -> None:
+        def look(table: ConfigStore, entries: Map[str, Entry]) -> None:
             # Of the table in place: what a load has made is compared first, and seen by nobody until then.
-            if table is place.follower.table and frozenset(entries.values()) not in self.known:
+            if table is place.follower.store and frozenset(entries.values()) not in self.known:
                 assert any(self.same(place, entries, state) for state in self.states.values()), "half a state"
 
         Watched.look = staticmethod(look)
@@ -181,36 +184,36 @@
         self.heard(place, place.follower.verify(self.now, 5))
 
     def flip(self, place: Place, key: str) -> None:
-        held = place.follower.table.entries.get(key)
+        held = place.follower.store.entries.get(key)
         if held is not None:
             self.flipped = True
             place.flips.add(key)
             flipped = Entry(key, FLIPPED, held.revision)
-            place.follower.table.entries = place.follower.table.entries.set(key, flipped)
+            place.follower.store.entries = place.follower.store.entries.set(key, flipped)
 
     def act(self, place: Place, lower: int) -> None:
         """The member says what it acts on, and now and then something that is no news, or can't be."""
-        held = place.follower.table.revision
+        held = place.follower.store.revision
         said = max(0, held - lower)
-        place.follower.acting(said)
+        place.follower.mark_applied(said)
         place.acted = max(place.acted, said)
-        with pytest.raises(ValueError, match="acts on revision"):
-            place.follower.acting(held + 1)
+        with pytest.raises(ValueError, match="applied revision"):
+            place.follower.mark_applied(held + 1)
 
     # What must hold
 
     def check(self) -> None:
         for place in (*self.relays, *self.members):
-            table = place.follower.table
+            table = place.follower.store
             assert table.revision >= place.seen, "an older revision after a newer one"
             place.seen = table.revision
             assert self.same(place, table.entries, self.states[table.revision]), "not the agreed state"
             assert table.digest == self.digests[table.revision]
-            assert place.acted == place.follower.in_force <= table.revision
+            assert place.acted == place.follower.applied_revision <= table.revision
 
     def settle(self) -> None:
         """Whatever happened, once all is well every table is the keepers'."""
-        self.agree((Op(KEYS[0], b"last"),), 0)
+        self.agree((Mutation(KEYS[0], b"last"),), 0)
         for n in range(2):
             self.apply(n, 10_000)
         places = [*self.relays, *self.members]
@@ -224,20 +227,20 @@
                         break
                     self.deliver(place, 0, False)
                 self.verify(place)
-                while place.follower.verifying:
+                while place.follower.is_verifying:
                     self.verify(place)
                 self.check()
             if all(self.settled(place) for place in places):
                 return
-        raise AssertionError([(p.follower.question(0), p.follower.table.revision) for p in places])
+        raise AssertionError([(p.follower.next_request(0), p.follower.store.revision) for p in places])
 
     def settled(self, place: Place) -> bool:
-        table, keeper = place.follower.table, self.keepers[0]
+        table, keeper = place.follower.store, self.keepers[0]
         return (
-            not place.follower.loading
+            not place.follower.is_loading
             and (table.revision, table.digest, table.entries)
             == (keeper.revision, keeper.digest, keeper.entries)
-            and table.recount() == table.bucket_digests() == keeper.bucket_digests()
+            and table.compute_bucket_digests() == table.bucket_digests() == keeper.bucket_digests()
         )
 
 
@@ -269,7 +272,7 @@
 
     @rule(changed=CHANGED, skipped=TWO, applied=st.tuples(st.booleans(), st.booleans()))
     def change(self, changed: dict[str, bytes | None], skipped: int, applied: tuple[bool, bool]) -> None:
-        self.world.agree(tuple(Op(key, value) for key, value in changed.items()), skipped)
+        self.world.agree(tuple(Mutation(key, value) for key, value in changed.items()), skipped)
         for keeper, now in enumerate(applied):
             if now:
                 self.world.apply(keeper, 100)
@@ -321,8 +324,10 @@
         at = self.place(place)
         table = self.world.table_asked(at)
         agreed = [revision for revision in self.world.states if revision <= table.revision]
-        question = replace(at.follower.question(0), revision=agreed[-1 - back % len(agreed)], after=after)
-        page = owed(table, question, most)
+        question = replace(
+            at.follower.next_request(0), revision=agreed[-1 - back % len(agreed)], after_key=after
+        )
+        page = respond(table, question, most)
         if page is not None:
             at.wire.append(encode(page))
             self.world.deliver(at, -1, False)
@@ -330,7 +335,7 @@
     @rule(place=PLACES, to=TWO)
     def move(self, place: int, to: int) -> None:
         self.place(place).asks = to
-        self.place(place).follower.moved()
+        self.place(place).follower.server_changed()
 
     @rule(place=PLACES, with_disk=st.booleans())
     def start(self, place: int, with_disk: bool) -> None:
@@ -348,7 +353,7 @@
         member = self.world.members[at]
         self.world.act(member, lower)
         if not member.flips:
-            member.disk = member.follower.kept()
+            member.disk = member.follower.snapshot()
 
     @rule(place=PLACES, later=st.integers(0, 6_000_000), times=st.integers(1, 4))
     def verify(self, place: int, later: int, times: int) -> None:
@@ -398,7 +403,7 @@
 
 
 @pytest.mark.parametrize("machine", [Orders, SoundOrders])
-def test_any_order_of_events_leaves_every_table_the_keepers(machine: type[Orders]) -> None:
+def test_in_any_order_of_events_each_store_is_the_committed_one(machine: type[Orders]) -> None:
     """Looked at after each event, and at each state that a reader could see."""
     run(machine, 150)
 
@@ -408,11 +413,11 @@
 
 def halves(patch: pytest.MonkeyPatch) -> None:
     """Entries are put in place one by one."""
-    apply = Table._apply
+    apply = ConfigStore._commit
 
-    def one_by_one(self: Table, change: ChangeSet) -> None:
+    def one_by_one(self: ConfigStore, change: ChangeSet) -> None:
         before = self.entries
-        for op in change.ops[:-1]:
+        for op in change.mutations[:-1]:
             held = self.entries
             self.entries = (
                 held.set(op.key, Entry(op.key, op.value, change.revision))
@@ -424,18 +429,22 @@
         self._entries = before  # type: ignore[attr-defined]
         apply(self, change)
 
-    patch.setattr(Watched, "_apply", one_by_one)
+    patch.setattr(Watched, "_commit", one_by_one)
 
 
 def cut_in_two(patch: pytest.MonkeyPatch) -> None:
     """A change set that does not fit is sent in two pages."""
 
-    def cut(table: Table, question: Question, most: int) -> Page | None:
-        page = owed(table, question, most)
-        if page is not None and len(page.changes) == 1 and len(page.changes[0].ops) > 1:
+    def cut(table: ConfigStore, question: WatchRequest, most: int) -> WatchResponse | None:
+        page = respond(table, question, most)
+        if page is not None and len(page.changes) == 1 and len(page.changes[0].mutations) > 1:
             change = page.changes[0]
             return replace(
-                page, changes=(replace(change, ops=change.ops[:1]), replace(change, ops=change.ops[1:]))
+                page,
+                changes=(
+                    replace(change, mutations=change.mutations[:1]),
+                    replace(change, mutations=change.mutations[1:]),
+                ),
             )
         return page
 
@@ -443,35 +452,40 @@
 
 
 def takes_older_change_sets(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Table, "take", Table._apply)
+    patch.setattr(ConfigStore, "apply", ConfigStore._commit)
 
 
 def takes_change_sets_after_a_gap(patch: pytest.MonkeyPatch) -> None:
-    answered = Follower.answered
+    answered = WatchState.handle_response
 
-    def any_since(self: Follower, now: int, page: Page | None, age: int | None) -> Taken:
-        return answered(self, now, replace(page, since=0) if page is not None else None, age)
+    def any_since(self: WatchState, now: int, page: WatchResponse | None, age: int | None) -> ApplyOutcome:
+        return answered(self, now, replace(page, since_revision=0) if page is not None else None, age)
 
-    patch.setattr(Follower, "answered", any_since)
+    patch.setattr(WatchState, "handle_response", any_since)
 
 
 def takes_any_page_of_the_whole_state(patch: pytest.MonkeyPatch) -> None:
-    answered = Follower.answered
-
-    def any_after(self: Follower, now: int, page: Page | None, age: int | None) -> Taken:
-        if page is not None and page.whole and self._load is not None and self._load.after is not None:
-            page = replace(page, after=self._load.after)
+    answered = WatchState.handle_response
+
+    def any_after(self: WatchState, now: int, page: WatchResponse | None, age: int | None) -> ApplyOutcome:
+        if (
+            page is not None
+            and page.is_snapshot
+            and self._load is not None
+            and self._load.after_key is not None
+        ):
+            page = replace(page, after_key=self._load.after_key)
         return answered(self, now, page, age)
 
-    patch.setattr(Follower, "answered", any_after)
+    patch.setattr(WatchState, "handle_response", any_after)
 
 
 def in_force_before_it_is_complete(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(follower._Load, "complete", property(lambda load: load.replays))
+    patch.setattr(SnapshotLoad, "is_complete", property(lambda load: load.is_replaying))
 
 
 def not_compared(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Follower, "_agreed", staticmethod(lambda load, table: True))
+    patch.setattr(WatchState, "_has_committed_digest", staticmethod(lambda load, table: True))
 
 
 def neither_complete_nor_compared(patch: pytest.MonkeyPatch) -> None:
@@ -480,110 +494,114 @@
 
 
 def change_sets_are_not_compared(patch: pytest.MonkeyPatch) -> None:
-    apply = Table._apply
+    apply = ConfigStore._commit
 
-    def whatever(self: Table, change: ChangeSet) -> None:
-        apply(self, replace(change, digest=self._sums_with(change.revision, change.ops)[1]))
+    def whatever(self: ConfigStore, change: ChangeSet) -> None:
+        apply(self, replace(change, digest=self._digests_after(change.revision, change.mutations)[1]))
 
-    patch.setattr(Watched, "_apply", whatever)
+    patch.setattr(Watched, "_commit", whatever)
 
 
 def lays_from_the_highest_page(patch: pytest.MonkeyPatch) -> None:
-    answered = Follower.answered
+    answered = WatchState.handle_response
 
-    def highest(self: Follower, now: int, page: Page | None, age: int | None) -> Taken:
+    def highest(self: WatchState, now: int, page: WatchResponse | None, age: int | None) -> ApplyOutcome:
         taken = answered(self, now, page, age)
         load = self._load
-        if load is not None and page is not None and page.done and load.replays:
-            load.at = load.top
+        if load is not None and page is not None and page.is_last_page and load.is_replaying:
+            load.replayed_revision = load.target_revision
         return taken
 
-    patch.setattr(Follower, "answered", highest)
+    patch.setattr(WatchState, "handle_response", highest)
 
 
 def begins_from_what_is_held(patch: pytest.MonkeyPatch) -> None:
     """Then what was deleted meanwhile comes back."""
-    begin = Follower._begin
+    begin = WatchState._start_snapshot_load
 
-    def from_held(self: Follower) -> follower._Load:
+    def from_held(self: WatchState) -> SnapshotLoad:
         load = begin(self)
-        load.entries.update(self.table.entries)
+        load.entries.update(self.store.entries)
         return load
 
-    patch.setattr(Follower, "_begin", from_held)
+    patch.setattr(WatchState, "_start_snapshot_load", from_held)
 
 
 def an_older_relay_answers(patch: pytest.MonkeyPatch) -> None:
     """As if a table that differs were always the newer one; and its answer is taken."""
 
-    def whole(table: Table, question: Question, most: int) -> Page | None:
+    def whole(table: ConfigStore, question: WatchRequest, most: int) -> WatchResponse | None:
         if question.revision > table.revision > 0:
-            return owed(table, replace(question, revision=0, after=""), 100_000)
-        return owed(table, question, most)
+            return respond(table, replace(question, revision=0, after_key=""), 100_000)
+        return respond(table, question, most)
 
-    answered = Follower.answered
+    answered = WatchState.handle_response
 
-    def taken_over(self: Follower, now: int, page: Page | None, age: int | None) -> Taken:
-        if page is not None and page.whole and page.done and page.after == "":
+    def taken_over(self: WatchState, now: int, page: WatchResponse | None, age: int | None) -> ApplyOutcome:
+        if page is not None and page.is_snapshot and page.is_last_page and page.after_key == "":
             self._load = None
             entries = {entry.key: entry for entry in page.entries}
-            self.table = Watched.of(entries, page.revision, log_most=0)
-            return Taken(whole=True)
+            self.store = Watched.from_entries(entries, page.revision, max_log_entries=0)
+            return ApplyOutcome(is_replaced=True)
         return answered(self, now, page, age)
 
     patch.setattr(World, "owed", staticmethod(whole))
-    patch.setattr(Follower, "answered", taken_over)
+    patch.setattr(WatchState, "handle_response", taken_over)
 
 
 def in_force_goes_back(patch: pytest.MonkeyPatch) -> None:
-    def acting(self: Follower, revision: int) -> None:
-        if revision > self.table.revision:
-            raise ValueError(f"acts on revision {revision}")
-        self.in_force = revision
+    def acting(self: WatchState, revision: int) -> None:
+        if revision > self.store.revision:
+            raise ValueError(f"applied revision {revision}")
+        self.applied_revision = revision
 
-    patch.setattr(Follower, "acting", acting)
+    patch.setattr(WatchState, "mark_applied", acting)
 
 
 def in_force_is_what_is_held(patch: pytest.MonkeyPatch) -> None:
     """Said before the member acts on it."""
-    question = Follower.question
+    question = WatchState.next_request
     patch.setattr(
-        Follower, "question", lambda self, hold: replace(question(self, hold), in_force=self.table.revision)
+        WatchState,
+        "next_request",
+        lambda self, hold: replace(question(self, hold), applied_revision=self.store.revision),
     )
 
 
 def in_force_may_be_more_than_is_held(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Follower, "acting", lambda self, revision: setattr(self, "in_force", revision))
+    patch.setattr(
+        WatchState, "mark_applied", lambda self, revision: setattr(self, "applied_revision", revision)
+    )
 
 
 def the_floor_is_each_keepers_own(patch: pytest.MonkeyPatch) -> None:
     """It forgets the log when it starts anew."""
-    restore = Table.restore.__func__  # type: ignore[attr-defined]
+    restore = ConfigStore.restore.__func__  # type: ignore[attr-defined]
 
-    def without_log(cls: type[Table], /, data: bytes, *limits: int, **more: int) -> Table:
+    def without_log(cls: type[ConfigStore], /, data: bytes, *limits: int, **more: int) -> ConfigStore:
         table = restore(cls, data, *limits, **more)
-        return cls.of(table.entries, table.revision, (), None, *limits, **more)
+        return cls.from_entries(table.entries, table.revision, (), None, *limits, **more)
 
-    patch.setattr(Table, "restore", classmethod(without_log))
+    patch.setattr(ConfigStore, "restore", classmethod(without_log))
 
 
 def nothing_is_counted_again(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Follower, "verify", lambda self, now, most: Taken())
+    patch.setattr(WatchState, "verify", lambda self, now, most: ApplyOutcome())
 
 
 def a_range_is_added_to(patch: pytest.MonkeyPatch) -> None:
     """What stands in it and should not, stays."""
 
-    def added(self: Follower, page: Page) -> Taken:
+    def added(self: WatchState, page: WatchResponse) -> ApplyOutcome:
         load = self._load
-        if load is None or not set(page.ranges) <= load.want:
-            return Taken()
+        if load is None or not set(page.repaired_buckets) <= load.wanted_buckets:
+            return ApplyOutcome()
         load.entries |= {entry.key: entry for entry in page.entries if entry.key not in load.entries}
-        load.want -= set(page.ranges)
-        load.saw(page)
-        return self._completed(load)
+        load.wanted_buckets -= set(page.repaired_buckets)
+        load.record_position(page)
+        return self._finish_load(load)
 
-    patch.setattr(Follower, "_ranges", added)
+    patch.setattr(WatchState, "_handle_repair", added)
 
 
 @pytest.mark.parametrize(
--- /dev/null
+++ b/packages/configstore/tests/test_watch_responses.py
@@ -0,0 +1,169 @@
+"""What a watch is answered, by where the follower stands."""
+
+from __future__ import annotations
+
+import pytest
+from msgspec.structs import replace
+
+from store_rig import filled, ops
+from walnutpost.configstore import (
+    DIGEST_BUCKETS,
+    MAX_RESPONSE_BYTES,
+    MAX_VALUE_BYTES,
+    ChangeSet,
+    ConfigStore,
+    Mutation,
+    WatchRequest,
+    WatchResponse,
+    bucket_of,
+    encode,
+    pending_events,
+    respond,
+)
+
+
+def question(revision: int = 0, digest: int = 0, **more: object) -> WatchRequest:
+    return replace(WatchRequest("fe1", "fe1.1", 1, revision, revision, digest, 3_000_000), **more)
+
+
+def asked(table: ConfigStore, revision: int = 0, digest: int = 0, **more: object) -> WatchResponse:
+    page = respond(table, question(revision, digest, **more))
+    assert page is not None and (page.revision, page.digest) == (table.revision, table.digest)
+    return page
+
+
+def test_an_up_to_date_watcher_waits_until_a_change() -> None:
+    table = filled(10)
+    assert respond(table, question(20, table.digest)) is None
+    change = table.propose(31, ops("f"))
+    page = asked(table, 20, 1)
+    assert page.changes == (change,) and page.since_revision == 20
+    # The history went on with other things meanwhile, which change no table.
+    assert asked(table, 25, 1).changes == (change,)
+    assert respond(ConfigStore(), question()) is None
+
+
+def test_a_store_behind_its_watcher_has_no_response() -> None:
+    """Else a follower that turned from a newer relay would go back."""
+    table = filled(10)
+    for more in (
+        {},
+        {"wants_bucket_digests": True},
+        {"wanted_buckets": (1,)},
+        {"after_key": ""},
+        {"base_revision": 3},
+    ):
+        assert respond(table, question(21, table.digest, **more)) is None
+
+
+def test_a_watcher_behind_gets_complete_change_sets_in_order_in_pages() -> None:
+    table = filled(3)
+    for n in range(50):
+        table.propose(100 + n, ops(*map(str, range(20)), value=bytes(150)))
+    at = 0
+    got: list[ChangeSet] = []
+    while at < table.revision:
+        page = asked(table, at)
+        assert page.since_revision == at and not page.is_snapshot and not page.is_last_page
+        assert len(encode(page)) <= MAX_RESPONSE_BYTES + 200
+        got += page.changes
+        at = page.changes[-1].revision
+    assert got == table.changes_since(0) and len(got) == 53
+
+
+def test_a_change_set_larger_than_a_page_is_sent_alone() -> None:
+    table = filled(3)
+    for revision in (10, 11):
+        table.propose(revision, ops(*"abcdefg", value=bytes(MAX_VALUE_BYTES)))
+    assert [c.revision for c in asked(table, 6).changes] == [10]
+
+
+def test_a_watcher_below_the_compacted_revision_gets_a_snapshot_in_pages() -> None:
+    table = filled(2000, max_log_entries=5)
+    for revision in (0, 7, table.compacted_revision - 1):
+        page = asked(table, revision, 1)
+        assert (
+            page.is_snapshot and page.after_key == "" and page.compacted_revision == table.compacted_revision
+        )
+    got, pages = list(page.entries), 1
+    while not page.is_last_page:
+        page = asked(table, revision, after_key=got[-1].key, base_revision=page.revision)
+        assert page.after_key == got[-1].key and len(encode(page)) <= MAX_RESPONSE_BYTES + 200
+        got += page.entries
+        pages += 1
+    assert got == [table.entries[key] for key in sorted(table.entries)] and pages > 1
+    assert asked(table, table.compacted_revision).changes == tuple(
+        table.changes_since(table.compacted_revision) or ()
+    )
+
+
+def test_snapshot_pages_continue_by_key_while_keys_are_added_and_deleted() -> None:
+    table = filled(2000)
+    first = asked(table, after_key="")
+    last = first.entries[-1].key
+    table.propose(9000, (Mutation(last, None), Mutation("function/a", b""), Mutation(last + "x", b"")))
+    page = asked(table, after_key=last, base_revision=first.revision)
+    assert page.entries[0].key == last + "x" and page.revision == 9000
+
+
+def test_an_entry_larger_than_a_page_is_sent_alone_and_an_empty_store_is_one_page() -> None:
+    table = filled(3)
+    page = respond(table, question(0, after_key=""), 10)
+    assert page is not None and len(page.entries) == 1 and not page.is_last_page
+    table.propose(10, tuple(Mutation(key, None) for key in table.entries))
+    assert asked(table, after_key="") == WatchResponse(
+        10, 0, 0, is_snapshot=True, is_last_page=True, after_key=""
+    )
+
+
+def test_another_digest_at_the_same_revision_gets_the_bucket_digests() -> None:
+    table = filled(100)
+    page = asked(table, 200, table.digest ^ 1)
+    assert page == WatchResponse(200, table.digest, 0, bucket_digests=table.bucket_digests())
+    # Not where the whole state's pages wait for change sets: there is no digest yet.
+    assert respond(table, question(200, 0, base_revision=150)) is None
+    assert asked(table, 10, wants_bucket_digests=True).bucket_digests == table.bucket_digests()
+
+
+def test_wanted_buckets_are_sent_complete_as_many_as_fit() -> None:
+    table = filled(3000)
+    want = (3, 1, 200, 1, -1, 256)
+    page = asked(table, 10, wanted_buckets=want)
+    assert page.is_repair and page.repaired_buckets == (1, 3, 200)
+    assert set(page.entries) == {e for k, e in table.entries.items() if bucket_of(k) in (1, 3, 200)}
+    got: set[int] = set()
+    pages = 0
+    while got != set(range(DIGEST_BUCKETS)):
+        page = asked(table, 10, wanted_buckets=tuple(set(range(DIGEST_BUCKETS)) - got))
+        assert {bucket_of(e.key) for e in page.entries} == set(page.repaired_buckets) and not got & set(
+            page.repaired_buckets
+        )
+        assert len(encode(page)) <= MAX_RESPONSE_BYTES + 200 + 2 * DIGEST_BUCKETS
+        got |= set(page.repaired_buckets)
+        pages += 1
+    assert pages > 1
+    # One that does not fit comes alone.
+    one = respond(table, question(10, wanted_buckets=(4, 5)), 10)
+    assert one is not None and one.repaired_buckets == (4,)
+
+
+def test_pending_events_are_equal_for_watchers_at_one_position_only() -> None:
+    table = filled(20)
+    key = pending_events(table, question(4, 9))
+    assert key == pending_events(
+        table, replace(question(4, 8), member="fe2", applied_revision=3, wait_timeout_us=1)
+    )
+    assert (
+        len({key, pending_events(table, question(6)), pending_events(table, question(4, after_key="")), key})
+        == 3
+    )
+    same = ConfigStore.restore(table.snapshot())
+    assert pending_events(same, question(4)) != key  # a table that was repaired is another
+    table.propose(50, ops("f"))
+    assert pending_events(table, question(4)) != key
+
+
+@pytest.mark.parametrize("want", [(-1,), (256, 1000)])
+def test_wanted_buckets_out_of_range_get_the_bucket_digests(want: tuple[int, ...]) -> None:
+    table = filled(3)
+    assert asked(table, 3, wanted_buckets=want).bucket_digests == table.bucket_digests()
--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from walnutpost.configstore.entries import CHANGE_BYTES, check_change
-from walnutpost.configstore.messages import Op
-from walnutpost.configstore.table import Table
+from walnutpost.configstore.messages import Mutation
+from walnutpost.configstore.store import ConfigStore
+from walnutpost.configstore.validation import MAX_CHANGE_SET_BYTES, validate_mutations
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Loop, Task, Timeout
 from walnutpost.fleet import CHANGED_MEANWHILE, ApplyChangeSet, CommandResult, Fleet, encode
 
-Check = Callable[[Table, Sequence[Op]], list[str]]
-BODY_MOST = 8 * CHANGE_BYTES  # of an order: one far too large is not even read
+Check = Callable[[ConfigStore, Sequence[Mutation]], list[str]]
+BODY_MOST = 8 * MAX_CHANGE_SET_BYTES  # of an order: one far too large is not even read
 TRIES = 20  # of one order, where other change sets come in between
 
 
@@ -41,7 +41,9 @@
     def order(self, body: bytes) -> wire.Told:
         """Raises BadWire. Under an id that was used before: the answer of then."""
         if len(body) > BODY_MOST:
-            return _refused(0, [f"change set: found {len(body)} bytes, wanted {CHANGE_BYTES} at most"])
+            return _refused(
+                0, [f"change set: found {len(body)} bytes, wanted {MAX_CHANGE_SET_BYTES} at most"]
+            )
         order = wire.decode(body, wire.SetOrder)
         if not order.id:
             raise wire.BadWire("SetOrder: id: found none, wanted one of its asker's own")
@@ -76,8 +78,8 @@
                 return told
         return wire.Told(None, False, "other change sets came in between, over and over")
 
-    def _errors(self, table: Table, ops: Sequence[Op]) -> list[str]:
-        errors = check_change(ops)
+    def _errors(self, table: ConfigStore, ops: Sequence[Mutation]) -> list[str]:
+        errors = validate_mutations(ops)
         if errors or self._check is None:
             return errors
         try:
@@ -87,7 +89,7 @@
             return [f"change set: its check failed: {error!r}"]
 
 
-def _overtaken(table: Table, order: wire.SetOrder) -> list[str]:
+def _overtaken(table: ConfigStore, order: wire.SetOrder) -> list[str]:
     """Keys that have changed since the asker read them: its change set would undo what it has not seen."""
     held = [(op.key, table.entries.get(op.key)) for op in order.ops]
     return [
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -9,7 +9,13 @@
 from urllib.parse import quote
 
 from walnutpost.configstore import messages as table
-from walnutpost.configstore.messages import Entry, Heard, Op, Status, Sums
+from walnutpost.configstore.messages import (
+    Entry,
+    Mutation,
+    ProgressSummary,
+    ProgressSummaryResponse,
+    PropagationStatus,
+)
 from walnutpost.consensus import LEADER_NOT_READY, LEADERSHIP_LOST, NOT_LEADER, Members
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Group, Loop, Timeout
@@ -55,7 +61,7 @@
         return self._from(keeper, f"{wire.HISTORY}?after={after}&most={most}", wire.History)
 
     def set_entries(
-        self, id: str, ops: Sequence[Op], dry: bool = False, operator: str = "", seen: int = 0
+        self, id: str, ops: Sequence[Mutation], dry: bool = False, operator: str = "", seen: int = 0
     ) -> tuple[CommandResult, tuple[str, ...]]:
         """A change set for the agreed table, whole or not at all, and what its checks have against it. The
         answer's `index` is the revision that it came in with; where it is `dry` or refused, that of the table
@@ -73,18 +79,18 @@
         told = wire.decode(body, wire.Entries)
         return told.revision, list(told.entries)
 
-    def sums(self, sums: Sums) -> Heard:
+    def sums(self, sums: ProgressSummary) -> ProgressSummaryResponse:
         """A relay's report to whoever leads."""
-        return self._of_table("POST", table.SUMS, table.encode(sums), Heard)
+        return self._of_table("POST", table.PROGRESS_PATH, table.encode(sums), ProgressSummaryResponse)
 
-    def status(self) -> Status:
+    def status(self) -> PropagationStatus:
         """Who acts on what, by the leader's knowledge."""
-        return self._of_table("GET", table.STATUS, b"", Status)
+        return self._of_table("GET", table.STATUS_PATH, b"", PropagationStatus)
 
     def _of_table(self, method: str, target: str, body: bytes, kind: type[T]) -> T:
         try:
             return table.decode(self._ask(method, target, body).body, kind)
-        except table.BadMessage as error:
+        except table.InvalidMessageError as error:
             raise NoAnswer(str(error)) from error
 
     def state(self) -> tuple[wire.View, Fleet]:
--- a/packages/controlplane/src/walnutpost/controlplane/process.py
+++ b/packages/controlplane/src/walnutpost/controlplane/process.py
@@ -12,8 +12,8 @@
 from msgspec import UNSET
 
 from walnutpost.configstore import messages as table
-from walnutpost.configstore.roster import Standings
-from walnutpost.configstore.table import Table
+from walnutpost.configstore.fleet_progress import FleetProgress
+from walnutpost.configstore.store import ConfigStore
 from walnutpost.consensus import (
     NOT_LEADER,
     Apply,
@@ -135,7 +135,7 @@
         self._askers: dict[str, list[tuple[Task[Any], int]]] = {}
         self._timer: Timer | None = None
         self._watch: FleetMonitor | None = None
-        self._standings: Standings | None = None
+        self._standings: FleetProgress | None = None
         self._ages = EndpointAges()
         self._applied = 0
         self._uncompacted = 0  # bytes
@@ -231,7 +231,7 @@
                         answer = self.fleet.apply(entry.index, entry.id, entry.data)
                         self._answer(entry.id, wire.Told(answer))
                         if self._standings is not None:
-                            self._standings.agreed(self._loop.now(), self.fleet.table.revision)
+                            self._standings.revision_committed(self._loop.now(), self.fleet.table.revision)
                         if self.raft.role is Role.LEADER:
                             self._log_entry(entry, answer)
                     elif entry.kind is EntryKind.MEMBERS:
@@ -239,7 +239,7 @@
                         self._answer(entry.id, wire.Told(CommandResult(True, entry.index)))
                 self._ages.observe(self._loop.now(), self.fleet.state)
                 if self.fleet.followers_version != rolls and self._standings is not None:
-                    self._standings.agree(self._loop.now(), self.fleet.state.followers)
+                    self._standings.set_members(self._loop.now(), self.fleet.state.followers)
                 if self.fleet.table.revision != revision:
                     self.watches.changed()
                 since = self._applied - self.raft.log.snapshot.index
@@ -264,8 +264,8 @@
                 self._watch = self._standings = None
                 if role is Role.LEADER:
                     now = self._loop.now()
-                    self._standings = Standings(now, self.fleet.table.revision)
-                    self._standings.agree(now, self.fleet.state.followers)
+                    self._standings = FleetProgress(now, self.fleet.table.revision)
+                    self._standings.set_members(now, self.fleet.state.followers)
                     self._watch = FleetMonitor(now, self._lease, self._terms)
                     self._look(self._watch)
 
@@ -329,11 +329,11 @@
         again what is not agreed yet."""
         assert self._standings is not None
         now, followers = self._loop.now(), self.fleet.state.followers
-        joined = tuple(self._standings.unknown(now)[:FOLLOWERS_MOST])
-        left = tuple((name, followers[name]) for name in self._standings.ended() if name in followers)
+        joined = tuple(self._standings.unregistered_members(now)[:FOLLOWERS_MOST])
+        left = tuple((name, followers[name]) for name in self._standings.ended_members() if name in followers)
         return [UpdateFollowers(joined, left[:FOLLOWERS_MOST])] if joined or left else []
 
-    def _table(self) -> Table | None:
+    def _table(self) -> ConfigStore | None:
         """What watchers are served from; none while the disk fails: they go on at another keeper."""
         return None if self._disk.reason else self.fleet.table
 
@@ -393,11 +393,11 @@
                     return self._told(self._report(wire.decode(request.body, wire.Report)))
                 case "POST", wire.CHANGE:
                     return self._told(self._changes.order(request.body))
-                case "POST", table.WATCH:
+                case "POST", table.WATCH_PATH:
                     return self.watches.answer(request.body, exchange.stream)
-                case "POST", table.SUMS:
-                    return self._sums(table.decode(request.body, table.Sums))
-                case "GET", table.STATUS:
+                case "POST", table.PROGRESS_PATH:
+                    return self._sums(table.decode(request.body, table.ProgressSummary))
+                case "GET", table.STATUS_PATH:
                     return self._status()
                 case "GET", wire.ENTRIES:
                     return self._entries(target[2])
@@ -407,7 +407,7 @@
                     return self._history(target[2])
                 case "GET", wire.STATE:
                     return self._state(target[2] == "here")
-        except (wire.BadWire, table.BadMessage) as error:
+        except (wire.BadWire, table.InvalidMessageError) as error:
             return Response(400, body=str(error).encode())
         return Response(404, body=b"no such thing here")
 
@@ -427,10 +427,10 @@
 
     # The agreed table
 
-    def _sums(self, sums: table.Sums) -> Response:
+    def _sums(self, sums: table.ProgressSummary) -> Response:
         if self._standings is None:
             return self._told(wire.Told(None, True, NOT_LEADER, self._leader()))
-        return _packed(table.encode(self._standings.take(self._loop.now(), sums)))
+        return _packed(table.encode(self._standings.handle_summary(self._loop.now(), sums)))
 
     def _status(self) -> Response:
         told = self._confirm()
--- a/packages/controlplane/src/walnutpost/controlplane/wire.py
+++ b/packages/controlplane/src/walnutpost/controlplane/wire.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from walnutpost.configstore.messages import Entry, Op
+from walnutpost.configstore.messages import Entry, Mutation
 from walnutpost.consensus import Members, Message
 from walnutpost.fleet import CommandResult, EndpointSnapshot
 
@@ -53,7 +53,7 @@
     stands."""
 
     id: str
-    ops: tuple[Op, ...]
+    ops: tuple[Mutation, ...]
     dry: bool = False
     operator: str = ""
     format: int = FORMAT
--- a/packages/controlplane/tests/keeper_forms.py
+++ b/packages/controlplane/tests/keeper_forms.py
@@ -9,9 +9,8 @@
 import fleet_forms
 from consensus_forms import MEMBERS, MESSAGES
 from golden_forms import Form, Golden, as_json
-from walnutpost.configstore.messages import Entry, Op
-from walnutpost.consensus import EntryKind
-from walnutpost.consensus import LogEntry as LogEntry
+from walnutpost.configstore.messages import Entry, Mutation
+from walnutpost.consensus import EntryKind, LogEntry
 from walnutpost.controlplane import Keeper, wire
 from walnutpost.controlplane.wire import (
     Entries,
@@ -48,12 +47,12 @@
     "command-request.all-fields": Order(id="asker-1", command=b"\x00\xffcommand"),
     "table-change-request.all-fields": SetOrder(
         id="asker-2",
-        ops=(Op(key="function/f1", value=b"{}"), Op(key="tenant/t-1", value=None)),
+        ops=(Mutation(key="function/f1", value=b"{}"), Mutation(key="tenant/t-1", value=None)),
         dry=True,
         operator="ann",
         seen=201,
     ),
-    "table-change-request.defaults": SetOrder(id="asker-2", ops=(Op(key="function/f1", value=b"{}"),)),
+    "table-change-request.defaults": SetOrder(id="asker-2", ops=(Mutation(key="function/f1", value=b"{}"),)),
     "report.all-fields": Report(member="f1", incarnation="i-2", acts=202, figures=(203, 204, 205, 206)),
     "report.defaults": Report(member="f1", incarnation="i-2"),
     "membership-request.all-fields": Membership(id="asker-3", members=MEMBERS),
--- a/packages/controlplane/tests/keeper_run.py
+++ b/packages/controlplane/tests/keeper_run.py
@@ -7,14 +7,14 @@
 
 from walnutpost.cli import keepers
 from walnutpost.cli.main import main
-from walnutpost.configstore.messages import Op
-from walnutpost.configstore.table import Table
+from walnutpost.configstore.messages import Mutation
+from walnutpost.configstore.store import ConfigStore
 from walnutpost.controlplane import Keeper
 
 MOST = 1000
 
 
-def check(table: Table, ops: Sequence[Op]) -> list[str]:
+def check(table: ConfigStore, ops: Sequence[Mutation]) -> list[str]:
     """Limits are numbers up to MOST, and never lowered; all else may stand as it is."""
     wrong = []
     for op in ops:
--- a/packages/controlplane/tests/test_changes.py
+++ b/packages/controlplane/tests/test_changes.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from walnutpost.configstore.messages import Op
-from walnutpost.configstore.table import Table
+from walnutpost.configstore.messages import Mutation
+from walnutpost.configstore.store import ConfigStore
 from walnutpost.consensus import NOT_LEADER
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.changes import BODY_MOST, Changes
@@ -32,8 +32,8 @@
     def __init__(self, loop: Loop) -> None:
         self.loop, self.fleet, self.log = loop, Fleet(), Log()
         self.index = 0
-        self.before: list[Sequence[Op]] = []  # enters first, before the next proposal
-        self.while_confirming: list[Sequence[Op]] = []
+        self.before: list[Sequence[Mutation]] = []  # enters first, before the next proposal
+        self.while_confirming: list[Sequence[Mutation]] = []
         self.proposed: list[ApplyChangeSet] = []
         self.leads = True
         self.checked: list[int] = []  # against which revision
@@ -42,7 +42,7 @@
         )
         self.wait = 1000
 
-    def enter(self, ops: Sequence[Op], id: str = "") -> CommandResult:
+    def enter(self, ops: Sequence[Mutation], id: str = "") -> CommandResult:
         self.index += 1
         return self.fleet.apply(
             self.index, id, encode(ApplyChangeSet(tuple(ops), self.fleet.table.revision, "other"))
@@ -66,7 +66,7 @@
             self.enter(self.while_confirming.pop(0))
         return wire.Told() if self.leads else wire.Told(None, True, NOT_LEADER, "k2")
 
-    def check(self, table: Table, ops: Sequence[Op]) -> list[str]:
+    def check(self, table: ConfigStore, ops: Sequence[Mutation]) -> list[str]:
         """A reference must name what stands."""
         self.checked.append(table.revision)
         if any(op.value == b"fail" for op in ops):
@@ -79,7 +79,7 @@
             and op.value.decode() not in table.entries
         ]
 
-    def order(self, id: str, *ops: Op, dry: bool = False) -> wire.Told:
+    def order(self, id: str, *ops: Mutation, dry: bool = False) -> wire.Told:
         return self.changes.order(wire.encode(wire.SetOrder(id, ops, dry, "anna")))
 
 
@@ -88,8 +88,8 @@
     loop.run(lambda: script(World(loop)))
 
 
-CLASS = Op("class/a", b"1")
-REFERS = Op("function/f", b"class/a")
+CLASS = Mutation("class/a", b"1")
+REFERS = Mutation("function/f", b"class/a")
 
 
 def test_a_change_set_is_checked_against_the_table_that_it_changes() -> None:
@@ -112,11 +112,11 @@
 
     def script(world: World) -> None:
         world.order("1", CLASS)
-        world.before = [[Op("class/a", None)]]
+        world.before = [[Mutation("class/a", None)]]
         told = world.order("2", REFERS)
         assert told.answer is not None and not told.answer.ok and "wanted a class" in told.errors[0]
         assert not world.fleet.table.entries and world.checked == [0, 1, 2]
-        world.before = [[Op("class/b", b"1")], [Op("class/c", b"1")]]
+        world.before = [[Mutation("class/b", b"1")], [Mutation("class/c", b"1")]]
         told = world.order("3", CLASS)
         assert told.answer is not None and told.answer.ok and len(world.fleet.table.entries) == 3
 
@@ -130,7 +130,7 @@
         assert told.answer is not None and told.answer.ok and not told.errors
         world.leads = False
         for dry in (True, False):
-            told = world.order("2", Op("function/g", b"class/x"), dry=dry)
+            told = world.order("2", Mutation("function/g", b"class/x"), dry=dry)
             assert told == wire.Told(None, True, NOT_LEADER, "k2")
 
     played(script)
@@ -150,8 +150,8 @@
 def test_keys_that_have_changed_since_they_were_read_are_named() -> None:
     def script(world: World) -> None:
         for n in (1, 2, 3):
-            world.order(f"{n}", Op(f"class/{n}", b"1"))
-        ops = (Op("class/1", b"2"), Op("class/3", b"2"), Op("class/4", b"2"))
+            world.order(f"{n}", Mutation(f"class/{n}", b"1"))
+        ops = (Mutation("class/1", b"2"), Mutation("class/3", b"2"), Mutation("class/4", b"2"))
         told = world.changes.order(wire.encode(wire.SetOrder("x", ops, seen=2)))
         assert told.errors == ("class/3: found revision 3, wanted none after 2: it has changed meanwhile",)
         assert len(world.proposed) == 3
@@ -164,7 +164,9 @@
 
 def test_one_after_the_other_in_the_order_of_asking_each_checked_with_the_one_before_it_in() -> None:
     def script(world: World) -> None:
-        tasks = [world.loop.spawn(lambda n=n: world.order(f"{n}", Op(f"class/{n}", b"1"))) for n in range(20)]
+        tasks = [
+            world.loop.spawn(lambda n=n: world.order(f"{n}", Mutation(f"class/{n}", b"1"))) for n in range(20)
+        ]
         assert [task.join().answer for task in tasks] == [CommandResult(True, n + 1) for n in range(20)]
         assert world.checked == list(range(20)) and len(world.proposed) == 20
 
@@ -174,7 +176,7 @@
 def test_one_that_waits_too_long_for_its_turn_says_so_and_leaves_the_turn_to_others() -> None:
     def script(world: World) -> None:
         def asked(name: str) -> Task[wire.Told]:
-            return world.loop.spawn(lambda: world.order(name, Op(f"class/{name}", b"1")))
+            return world.loop.spawn(lambda: world.order(name, Mutation(f"class/{name}", b"1")))
 
         world.wait = PATIENCE + 1000
         first, second = asked("first"), asked("second")
@@ -194,7 +196,7 @@
 
 def test_a_check_that_fails_lets_nothing_in_and_the_next_one_has_its_turn() -> None:
     def script(world: World) -> None:
-        told = world.order("1", Op("function/f", b"fail"))
+        told = world.order("1", Mutation("function/f", b"fail"))
         assert told.answer is not None and not told.answer.ok and "a fault of the check" in told.errors[0]
         assert len(world.log.lines) == 1 and not world.proposed
         assert world.order("1", CLASS).answer == CommandResult(True, 1)
@@ -204,7 +206,7 @@
 
 def test_one_that_is_overtaken_for_ever_gives_up_without_a_claim() -> None:
     def script(world: World) -> None:
-        world.before = [[Op(f"class/{n}", b"1")] for n in range(1000)]
+        world.before = [[Mutation(f"class/{n}", b"1")] for n in range(1000)]
         told = world.order("1", CLASS)
         assert told.answer is None and not told.sure and "came in between" in told.why
 
--- a/packages/controlplane/tests/test_disk_recovery.py
+++ b/packages/controlplane/tests/test_disk_recovery.py
@@ -11,7 +11,7 @@
 
 from disk_rig import NAMES, SECOND, Cluster, Disk, Fault, play
 from walnutpost.configstore import messages as table
-from walnutpost.configstore.messages import Question
+from walnutpost.configstore.messages import WatchRequest
 from walnutpost.consensus import NOT_LEADER, Role
 from walnutpost.controlplane import NoAnswer, wire
 from walnutpost.fleet import FRONT_END, RegisterMember, encode
@@ -73,8 +73,8 @@
         leader = cluster.leader()
         disk, keeper = cluster.disks[leader], cluster.keepers[leader]
         held = keeper.fleet.table
-        question = table.encode(Question("", "", 1, held.revision, 0, held.digest, 10 * SECOND))
-        watcher = cluster.loop.spawn(lambda: cluster.post(leader, table.WATCH, question))
+        question = table.encode(WatchRequest("", "", 1, held.revision, 0, held.digest, 10 * SECOND))
+        watcher = cluster.loop.spawn(lambda: cluster.post(leader, table.WATCH_PATH, question))
         cluster.until(lambda: keeper.watches.held)
         disk.fail_span(Fault.UNSYNCED, commits=1)
         disk.reopen_blocked = True
--- a/packages/controlplane/tests/test_keeper_table.py
+++ b/packages/controlplane/tests/test_keeper_table.py
@@ -9,9 +9,17 @@
 import pytest
 
 from test_keeper import NAMES, SECOND, Keepers, play
-from walnutpost.configstore.follower import Follower
-from walnutpost.configstore.messages import AGE_HEADER, WATCH, Op, Page, Question, decode, encode
-from walnutpost.configstore.roster import Roster
+from walnutpost.configstore.member_registry import MemberRegistry
+from walnutpost.configstore.messages import (
+    AGE_HEADER,
+    WATCH_PATH,
+    Mutation,
+    WatchRequest,
+    WatchResponse,
+    decode,
+    encode,
+)
+from walnutpost.configstore.watch_state import WatchState
 from walnutpost.consensus import Members
 from walnutpost.controlplane import NoAnswer
 from walnutpost.eventloop import Loop, Timeout
@@ -30,8 +38,8 @@
     play(folder, script, Checking)
 
 
-def op(key: str, value: str | None) -> Op:
-    return Op(key, None if value is None else value.encode())
+def op(key: str, value: str | None) -> Mutation:
+    return Mutation(key, None if value is None else value.encode())
 
 
 class Watching:
@@ -40,11 +48,11 @@
     def __init__(self, keepers: Keepers, name: str) -> None:
         self.loop: Loop = keepers.loop
         self._keepers, self.name = keepers, name
-        self.follower = Follower("", "", self.loop.now())
+        self.follower = WatchState("", "", self.loop.now())
         self.age = 10**15
         self.seen: list[int] = []
 
-    def ask(self, hold: int = 0) -> Page | None:
+    def ask(self, hold: int = 0) -> WatchResponse | None:
         """Raises NoAnswer."""
         where = self._keepers.where(self.name)
         try:
@@ -53,17 +61,19 @@
             with self.loop.timeout(LIFE):
                 connection = Connection.open(self.loop, where, limits=Limits(body=1 << 20))
                 try:
-                    body = encode(self.follower.question(hold))
-                    response = connection.ask("POST", WATCH, {"Content-Type": "application/msgpack"}, body)
+                    body = encode(self.follower.next_request(hold))
+                    response = connection.ask(
+                        "POST", WATCH_PATH, {"Content-Type": "application/msgpack"}, body
+                    )
                 finally:
                     connection.close()
         except (OSError, BadMessage, Timeout) as error:
             raise NoAnswer(f"{self.name}: {error}") from error
         assert response.status in (200, 204), response
         self.age = int(response.headers[AGE_HEADER.lower()])
-        page = decode(response.body, Page) if response.status == 200 else None
-        self.follower.answered(self.loop.now(), page, self.age)
-        self.seen.append(self.follower.table.revision)
+        page = decode(response.body, WatchResponse) if response.status == 200 else None
+        self.follower.handle_response(self.loop.now(), page, self.age)
+        self.seen.append(self.follower.store.revision)
         assert self.seen == sorted(self.seen), "an older revision after a newer one"
         return page
 
@@ -71,7 +81,7 @@
         def reached() -> bool:
             with suppress(NoAnswer):
                 self.ask()
-            return self.follower.table.revision >= revision
+            return self.follower.store.revision >= revision
 
         self._keepers.until(reached)
 
@@ -115,7 +125,7 @@
         watching = [Watching(keepers, name) for name in NAMES]
         for each in watching:
             each.reach(later.index)
-        assert len({each.follower.table.digest for each in watching}) == 1
+        assert len({each.follower.store.digest for each in watching}) == 1
         lines = keepers.client().history(keepers.leader(), 0, 1000).lines
         asked = [line for line in lines if line.what == "setentries" and line.answer is not None]
         entered = [line.id for line in asked if line.answer == CommandResult(True, line.index)]
@@ -162,8 +172,8 @@
         first, second = (name for name in NAMES if name != leader)
         watching = Watching(keepers, first)
         watching.fresh()
-        held = watching.follower.table.revision
-        assert held > 0 and watching.follower.table.entries["limit/a"].value == b"1"
+        held = watching.follower.store.revision
+        assert held > 0 and watching.follower.store.entries["limit/a"].value == b"1"
         task = keepers.loop.spawn(lambda: watching.ask(hold=10 * SECOND))
         keepers.loop.sleep(100_000)
         keepers.kill(leader)
@@ -172,7 +182,7 @@
         if page is None:  # the election took longer than the hold
             page = watching.ask(hold=10 * SECOND)
         assert page is not None and [change.revision for change in page.changes] == [answer.index]
-        assert not page.whole and watching.follower.table.entries["limit/a"].value == b"2"
+        assert not page.is_snapshot and watching.follower.store.entries["limit/a"].value == b"2"
         task = keepers.loop.spawn(lambda: watching.ask(hold=10 * SECOND))
         keepers.loop.sleep(100_000)
         answer, _ = keepers.client(first, second).set_entries("held", [op("function/f", "x")])
@@ -211,7 +221,7 @@
         replica = keepers.replica(lost)
         watching = Watching(keepers, lost)
         watching.ask()
-        assert watching.age >= 10**15 and not watching.follower.table.entries, "nobody vouches for nothing"
+        assert watching.age >= 10**15 and not watching.follower.store.entries, "nobody vouches for nothing"
         rest = tuple(name for name in NAMES if name != lost)
         client = keepers.client()
         keepers.until(lambda: client.change("m0", Members(NAMES, (replica,))).ok)
@@ -222,12 +232,12 @@
             relay.there.rate = 0
         for n, members in enumerate((Members((*NAMES, replica)), Members((*rest, replica)))):
             keepers.until(lambda m=members, n=n: client.change(f"m{n + 1}", m).ok)  # type: ignore[misc]
-        assert len(told) == 14 * 7 and [watching.follower.table.entries[e.key] for e in told] == told
-        digests = {client.status().digest, watching.follower.table.digest}
+        assert len(told) == 14 * 7 and [watching.follower.store.entries[e.key] for e in told] == told
+        digests = {client.status().digest, watching.follower.store.digest}
         for name in rest:
             other = Watching(keepers, name)
             other.reach(revision)
-            digests.add(other.follower.table.digest)
+            digests.add(other.follower.store.digest)
         assert len(digests) == 1
         assert len(client.here(leader).state) < 100_000, "what is asked of the fleet leaves the table out"
         # All of them end at once, and come back with what their disks hold.
@@ -263,15 +273,15 @@
         for _ in range(3):
             keepers.loop.sleep(300_000)
             asked = keepers.loop.now()
-            assert watching.ask() is None and watching.follower.table.revision == agreed.index
+            assert watching.ask() is None and watching.follower.store.revision == agreed.index
             assert watching.age >= asked - since - 100_000
             ages.append(watching.age)
         assert ages[0] < ages[1] < ages[2]
-        assert watching.follower.table.entries["limit/a"].value == b"1"
+        assert watching.follower.store.entries["limit/a"].value == b"1"
         keepers.mesh.heal()
         watching.reach(answer.index)
         watching.fresh()
-        assert watching.follower.table.entries["limit/a"].value == b"2"
+        assert watching.follower.store.entries["limit/a"].value == b"2"
         assert entries(keepers) == {"limit/a": b"2"}
 
     checked(tmp_path, script)
@@ -289,18 +299,18 @@
 
     def __init__(self, keepers: Keepers, relay: str) -> None:
         self.keepers = keepers
-        self.roster = Roster(relay, f"{relay}.1")
+        self.roster = MemberRegistry(relay, f"{relay}.1")
 
     def act(self, member: str, revision: int, incarnation: str = "a", leaving: bool = False) -> None:
-        question = Question(member, incarnation, 1, revision, revision, 0, 0, leaving=leaving)
-        self.roster.said(self.keepers.loop.now(), question)
+        question = WatchRequest(member, incarnation, 1, revision, revision, 0, 0, is_leaving=leaving)
+        self.roster.observe(self.keepers.loop.now(), question)
 
     def tell(self, revision: int) -> None:
         """Until the leader has taken all of it."""
         while True:
-            heard = self.keepers.client().sums(self.roster.sums(self.keepers.loop.now(), revision))
-            self.roster.heard(heard)
-            if not heard.whole and not self.roster.news:
+            heard = self.keepers.client().sums(self.roster.next_summary(self.keepers.loop.now(), revision))
+            self.roster.handle_response(heard)
+            if not heard.needs_full_report and not self.roster.has_changes:
                 return
 
 
@@ -318,55 +328,65 @@
             two.tell(revision)
 
         tell(first.index)
-        keepers.until(lambda: client.status().members == 40)
+        keepers.until(lambda: client.status().member_count == 40)
         status = client.status()
-        assert status.lowest == first.index and not status.lacking and len(status.relays) == 2
+        assert status.min_applied_revision == first.index and not status.lagging and len(status.relays) == 2
         second, _ = client.set_entries("2", [op("limit/a", "2")])
         status = client.status()
-        assert status.revision == second.index and status.lowest == first.index and status.lacks == 40
-        assert {m.member for m in status.lacking} == set(names)
+        assert (
+            status.revision == second.index
+            and status.min_applied_revision == first.index
+            and status.lagging_count == 40
+        )
+        assert {m.member for m in status.lagging} == set(names)
         for n, name in enumerate(names[:-1]):
             (one if n % 2 else two).act(name, second.index)
 
         def named() -> bool:  # a relay names who is late, and speaks for all of its members at once before
             tell(second.index)
-            assert client.status().lowest == first.index
-            return [m.member for m in client.status().lacking] == ["f39"]
+            assert client.status().min_applied_revision == first.index
+            return [m.member for m in client.status().lagging] == ["f39"]
 
         keepers.until(named)
         status = client.status()
-        assert status.timed[-1].revision == second.index and status.timed[-1].took is None
+        assert status.latencies[-1].revision == second.index and status.latencies[-1].latency_us is None
         (one if 39 % 2 else two).act("f39", second.index)
         tell(second.index)
         status = client.status()
-        assert not status.lacking and status.lowest == second.index and status.timed[-1].took is not None
+        assert (
+            not status.lagging
+            and status.min_applied_revision == second.index
+            and status.latencies[-1].latency_us is not None
+        )
 
         # A new leader has heard of nobody, and knows by the history of whom it has to hear.
         keepers.kill(keepers.leader())
         client = keepers.client(patience=30 * SECOND)
         status = client.status()
-        assert status.members == 40 and status.lowest == 0 and status.lacks == 40
+        assert status.member_count == 40 and status.min_applied_revision == 0 and status.lagging_count == 40
         one.tell(second.index)
-        assert client.status().lacks == 20 and client.status().lowest == 0
+        assert client.status().lagging_count == 20 and client.status().min_applied_revision == 0
         two.tell(second.index)
-        assert client.status().lowest == second.index and not client.status().lacking
+        assert client.status().min_applied_revision == second.index and not client.status().lagging
 
         # One ends, one comes back as another process, one is gone for good.
         one.act("f1", second.index, leaving=True)
         one.act("f3", 0, "b")
         tell(second.index)
-        keepers.until(lambda: client.status().members == 39 and client.status().lowest == 0)
-        assert [(m.member, m.incarnation) for m in client.status().lacking] == [("f3", "b")]
-        one.roster = Roster("r1", "r1.2")  # restarted; f5 does not turn to it any more
+        keepers.until(
+            lambda: client.status().member_count == 39 and client.status().min_applied_revision == 0
+        )
+        assert [(m.member, m.incarnation) for m in client.status().lagging] == [("f3", "b")]
+        one.roster = MemberRegistry("r1", "r1.2")  # restarted; f5 does not turn to it any more
         third, _ = client.set_entries("3", [op("limit/a", "3")])
         for n, name in enumerate(names):
             if name not in ("f1", "f5"):
                 (one if n % 2 else two).act(name, third.index, "b" if name == "f3" else "a")
         tell(third.index)
         status = client.status()
-        assert [m.member for m in status.lacking] == ["f5"] and status.lowest == second.index
+        assert [m.member for m in status.lagging] == ["f5"] and status.min_applied_revision == second.index
         assert client.command("gone", ForgetMember("f5")).ok
-        assert not client.status().lacking and client.status().lowest == third.index
+        assert not client.status().lagging and client.status().min_applied_revision == third.index
         followers = client.state()[1].state.followers
         assert len(followers) == 38 and followers["f3"] == "b" and not {"f1", "f5"} & set(followers)
         other = next(name for name in keepers.running if name != keepers.leader())
@@ -394,7 +414,7 @@
                     connection.close()
             return response.status, response.body
 
-        sums = encode(Roster("r", "r.1").sums(0, 0))
+        sums = encode(MemberRegistry("r", "r.1").next_summary(0, 0))
         for method, target, body in (
             ("POST", "/table/1/sums", sums),
             ("GET", "/table/1/status", b""),
--- a/packages/daemon/src/walnutpost/daemon/settings.py
+++ b/packages/daemon/src/walnutpost/daemon/settings.py
@@ -15,8 +15,8 @@
 from walnutpost.config.base import address_of
 from walnutpost.config.entries import FUNCTION, function_of
 from walnutpost.config.model import Agreement
-from walnutpost.configstore import BadTable, Entry, Follower, Table, Taken
-from walnutpost.configstore.choice import Choice
+from walnutpost.configstore import ApplyOutcome, ConfigStore, Entry, InvalidSnapshotError, WatchState
+from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, Task, remove_leftovers, replace_file
 from walnutpost.gateway import Function
 from walnutpost.watch import Watcher
@@ -96,7 +96,7 @@
         self._loop, self._functions, self._log, self._kept = loop, functions, log, kept
         self.follower = self._restored(line.member, incarnation)
         regions = {name: line.relay_zones.get(name, "") for name in line.relays}
-        choice = Choice(line.member, regions, zone or "", Random())
+        choice = RelaySelector(line.member, regions, zone or "", Random())
         servers = {name: _reached(address) for name, address in line.relays.items()}
         self.watcher = Watcher(loop, servers, self.follower, choice, self._taken, log)
         self._seen = functions.entries  # the state that these are of:
@@ -106,7 +106,7 @@
         self._all = False  # they aren't known: the table was replaced
         self._judge: Task[None] | None = None
         self._told = ""
-        self._acted: Table | None = None
+        self._acted: ConfigStore | None = None
         self._written = 0  # revision of the file
         self._write_failed = False
         self._writer: Task[None] | None = None
@@ -115,7 +115,7 @@
     @property
     def late(self) -> bool:
         """No leader has vouched for what it acts on within 9 s."""
-        return self.follower.late(self._loop.now())
+        return self.follower.is_stale(self._loop.now())
 
     @property
     def known(self) -> bool:
@@ -126,9 +126,9 @@
 
     def catch_up(self) -> None:
         """Before it listens: the table that it kept, and what a relay tells within FIRST_ANSWER."""
-        if self.follower.table.revision:
-            self._written = self.follower.table.revision
-            self._taken(Taken(whole=True))
+        if self.follower.store.revision:
+            self._written = self.follower.store.revision
+            self._taken(ApplyOutcome(is_replaced=True))
             if self._judge is not None:
                 self._judge.join()
         self._following = self._loop.spawn(self.watcher.run, name="settings")
@@ -147,11 +147,11 @@
 
     # What was taken in. Called between an answer and the next question, which acknowledges it
 
-    def _taken(self, taken: Taken) -> None:
-        self._all |= taken.whole
-        self._changed.update(op.key for change in taken.changes for op in change.ops)
-        self._changed.update(taken.repaired)
-        if taken.repaired:
+    def _taken(self, taken: ApplyOutcome) -> None:
+        self._all |= taken.is_replaced
+        self._changed.update(op.key for change in taken.changes for op in change.mutations)
+        self._changed.update(taken.repaired_keys)
+        if taken.repaired_keys:
             self._written = 0  # what was written may have been wrong, too
         if self._judge is not None:
             return  # it will come to these
@@ -165,7 +165,7 @@
         try:
             while self._all:
                 self._all = False
-                entries = self.follower.table.entries
+                entries = self.follower.store.entries
                 count, bad = self._judged(entries)
                 self._seen, self._count, self._bad = entries, count, bad
         finally:
@@ -200,7 +200,7 @@
     def _take_up(self) -> None:
         """What has changed since `_seen`. The one place where other settings are put in place: all of one
         revision, without waiting."""
-        table = self.follower.table
+        table = self.follower.store
         for key in self._changed:
             if key.startswith(FUNCTION):
                 self._look(key, table.entries.get(key))
@@ -210,8 +210,8 @@
             return self._refuse(table.revision)
         if self._seen is not self._functions.entries:
             self._functions.put(self._seen, self._count)
-        if table.revision > self.follower.in_force:
-            self.follower.acting(table.revision)
+        if table.revision > self.follower.applied_revision:
+            self.follower.mark_applied(table.revision)
             self._told = ""
             self._log.info("settings", revision=table.revision, functions=self._count)
         if table.revision > self._written:
@@ -229,26 +229,26 @@
         why = next(iter(self._bad.values()))[:WHY_MOST]
         if len(self._bad) > 1:
             why += f"; and {len(self._bad) - 1} more"
-        self.follower.refused(revision, why)
+        self.follower.mark_blocked(revision, why)
         if why != self._told:
             self._told = why
-            acts = self.follower.in_force
+            acts = self.follower.applied_revision
             self._log.warning("settings", revision=revision, stuck=why, acting_on=acts)
 
     # On disk, for a start without relays
 
-    def _restored(self, member: str, incarnation: str) -> Follower:
+    def _restored(self, member: str, incarnation: str) -> WatchState:
         now = self._loop.now()
         remove_leftovers(self._kept)
         try:
-            return Follower.restore(self._kept.read_bytes(), member, incarnation, now)
+            return WatchState.restore(self._kept.read_bytes(), member, incarnation, now)
         except FileNotFoundError:
             pass
-        except (OSError, BadTable) as error:
+        except (OSError, InvalidSnapshotError) as error:
             self._log.warning("settings", why=f"{self._kept.name} is not used: {error}")
-        return Follower(member, incarnation, now)
+        return WatchState(member, incarnation, now)
 
-    def _to_keep(self, table: Table) -> None:
+    def _to_keep(self, table: ConfigStore) -> None:
         """`table`'s state now, which later change sets leave alone: they replace its parts as wholes."""
         self._acted = copy.copy(table)
         if self._writer is None:
@@ -277,7 +277,7 @@
         return True
 
 
-def _write_snapshot(path: Path, table: Table) -> None:
+def _write_snapshot(path: Path, table: ConfigStore) -> None:
     replace_file(path, table.snapshot())
 
 
--- a/packages/daemon/tests/relay_rig.py
+++ b/packages/daemon/tests/relay_rig.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from walnutpost.configstore import Op, Question, Table
+from walnutpost.configstore import ConfigStore, Mutation, WatchRequest
 from walnutpost.eventloop import Loop
 from walnutpost.http import BadMessage, Exchange, Response, Server
 from walnutpost.http.server import serve_on
@@ -14,9 +14,9 @@
 class Served:
     """`questions`: all that were asked, in order."""
 
-    def __init__(self, loop: Loop, table: Table) -> None:
+    def __init__(self, loop: Loop, table: ConfigStore) -> None:
         self.table = table
-        self.questions: list[Question] = []
+        self.questions: list[WatchRequest] = []
         self.watch = WatchServer(loop, lambda: self.table, lambda: 0, self.questions.append, gather_us=0)
         self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, _refusal)
         self.address = self.server.address
@@ -24,9 +24,9 @@
     def _handle(self, exchange: Exchange) -> Response:
         return self.watch.answer(exchange.request.body)
 
-    def change(self, ops: Sequence[Op]) -> int:
+    def change(self, ops: Sequence[Mutation]) -> int:
         """Agreed on: its revision."""
-        self.table.change(self.table.revision + 1, ops)
+        self.table.propose(self.table.revision + 1, ops)
         self.watch.changed()
         return self.table.revision
 
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -17,7 +17,7 @@
 from walnutpost.config import Site
 from walnutpost.config.entries import entries_of
 from walnutpost.config.model import CallClass, FunctionLine, TenantLine
-from walnutpost.configstore import Op, Table
+from walnutpost.configstore import ConfigStore, Mutation
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.seen import Seen
 from walnutpost.daemon.settings import _write_snapshot as write_table
@@ -65,12 +65,12 @@
 NEWEST, WRITTEN = NOW + 60 * SECOND, NOW + 61 * SECOND
 
 
-def agreed_table() -> Table:
+def agreed_table() -> ConfigStore:
     """Some change sets, the last of which takes an entry out."""
-    table = Table()
-    table.change(7, [Op(key, value) for key, value in entries_of(SITE).items()])
-    table.change(9, [Op("function/extra", entries_of(SITE)["function/price"])])
-    table.change(12, [Op("function/extra", None)])
+    table = ConfigStore()
+    table.propose(7, [Mutation(key, value) for key, value in entries_of(SITE).items()])
+    table.propose(9, [Mutation("function/extra", entries_of(SITE)["function/price"])])
+    table.propose(12, [Mutation("function/extra", None)])
     return table
 
 
@@ -182,11 +182,11 @@
 
 def settings_are_told(front: FrontEnd) -> None:
     assert front.settings is not None
-    table = front.settings.follower.table
+    table = front.settings.follower.store
     assert {key: entry.value for key, entry in table.entries.items()} == entries_of(SITE)
     assert {entry.revision for entry in table.entries.values()} == {7}
     assert (table.revision, table.digest) == (12, agreed_table().digest)
-    assert front.settings.follower.in_force == 12
+    assert front.settings.follower.applied_revision == 12
     assert front.catalogue.functions["price"].version == "7"
 
 
--- a/packages/daemon/tests/test_kept_files.py
+++ b/packages/daemon/tests/test_kept_files.py
@@ -12,7 +12,7 @@
 from test_functions_gone import killed
 from test_taking_up import Followed, put
 from walnutpost.config.model import Agreement
-from walnutpost.configstore import Table
+from walnutpost.configstore import ConfigStore
 from walnutpost.controlplane.wire import Told
 from walnutpost.daemon.fleet import Following
 from walnutpost.daemon.seen import Seen
@@ -40,7 +40,7 @@
             files.fails[call], ended = 0, f.loop.now()
             f.until(lambda: files.calls[-1] == "fsync folder" and files.fails[call] == 0)
             assert f.loop.now() - ended < 2 * SECOND
-            assert Table.restore(path.read_bytes()).revision == f.relay.table.revision
+            assert ConfigStore.restore(path.read_bytes()).revision == f.relay.table.revision
 
     f.play(script)
 
--- a/packages/daemon/tests/test_taking_up.py
+++ b/packages/daemon/tests/test_taking_up.py
@@ -18,7 +18,7 @@
 from test_functions_gone import ARN, EVENT, fate, killed
 from walnutpost.config.entries import FUNCTION, entries_of, value_of
 from walnutpost.config.model import FunctionLine
-from walnutpost.configstore import Entry, Op, Table
+from walnutpost.configstore import ConfigStore, Entry, Mutation
 from walnutpost.daemon.settings import DECODED_MOST, JUDGED_AT_ONCE, KEEP_EVERY, Functions, SettingsFollowing
 from walnutpost.gateway import Function
 from walnutpost.http import Connection, Response
@@ -38,12 +38,12 @@
     return value_of(FunctionLine.model_validate(told | more))
 
 
-def put(name: str, version: int = 1, **more: Any) -> Op:
-    return Op(FUNCTION + name, line(version, **more))
+def put(name: str, version: int = 1, **more: Any) -> Mutation:
+    return Mutation(FUNCTION + name, line(version, **more))
 
 
-def gone(name: str) -> Op:
-    return Op(FUNCTION + name, None)
+def gone(name: str) -> Mutation:
+    return Mutation(FUNCTION + name, None)
 
 
 class Followed(Fleet):
@@ -59,9 +59,11 @@
     def play(self, script: Callable[[], None]) -> None:
         def main() -> None:
             self.start_workers()
-            table = Table()
+            table = ConfigStore()
             if self.agreed:
-                table.change(1, [Op(key, value) for key, value in entries_of(self.config.site).items()])
+                table.propose(
+                    1, [Mutation(key, value) for key, value in entries_of(self.config.site).items()]
+                )
             self.start_relay(table)
             self.begin()
             script()
@@ -73,7 +75,7 @@
                 self.front.close()
         assert not self.errors, self.errors
 
-    def start_relay(self, table: Table) -> None:
+    def start_relay(self, table: ConfigStore) -> None:
         self.relay = Served(self.loop, table)
         self.relays = {"r1": "{}:{}".format(*self.relay.address)}
 
@@ -95,10 +97,10 @@
         assert self.front.settings is not None
         return self.front.settings
 
-    def change(self, *ops: Op) -> int:
+    def change(self, *ops: Mutation) -> int:
         """Agreed on, and in force at the front end."""
         revision = self.relay.change(list(ops))
-        self.until(lambda: self.settings.follower.in_force == revision)
+        self.until(lambda: self.settings.follower.applied_revision == revision)
         return revision
 
     def answers_as(self, function: str) -> str:
@@ -198,7 +200,7 @@
             ops.append(put("extra", version) if version % 2 else gone("extra"))
             revision = f.relay.change(ops)
             f.loop.sleep(37_000 if version % 3 == 0 else 0)
-        f.until(lambda: f.settings.follower.in_force == revision)
+        f.until(lambda: f.settings.follower.applied_revision == revision)
         f.loop.sleep(SECOND)
         over.append(True)
         for task in clients:
@@ -213,7 +215,7 @@
     f = Followed(tmp_path)
 
     def stuck() -> str:
-        return f.relay.questions[-1].stuck
+        return f.relay.questions[-1].blocked_reason
 
     def script() -> None:
         bad = put("ghost", 1, **{"class": "nowhere"})
@@ -223,12 +225,12 @@
         assert f.answers_as("left") == "1" and f.invoke("ghost").status == 404
         f.relay.change([put("right", 2)])  # which alone could be acted on, and comes after what can't
         f.until(lambda: f.relay.questions[-1].revision == 3)
-        assert f.relay.questions[-1].in_force == 1 and stuck()
+        assert f.relay.questions[-1].applied_revision == 1 and stuck()
         assert f.answers_as("left") == f.answers_as("right") == "1"
         assert f.said("settings", "nowhere") == 1
         f.change(put("ghost", 2))
         assert (f.answers_as("left"), f.answers_as("right")) == ("2", "2")
-        f.until(lambda: f.relay.questions[-1].in_force == 4 and not stuck())
+        f.until(lambda: f.relay.questions[-1].applied_revision == 4 and not stuck())
 
     f.play(script)
 
@@ -239,7 +241,7 @@
     def script() -> None:
         ghosts = [put(f"ghost{n}", 1, **{"class": "nowhere"}) for n in range(3)]
         f.relay.change([put("left", 2), *ghosts])
-        f.until(lambda: "and 2 more" in f.relay.questions[-1].stuck)
+        f.until(lambda: "and 2 more" in f.relay.questions[-1].blocked_reason)
         f.change(*(gone(f"ghost{n}") for n in range(3)))
         assert f.answers_as("left") == "2" and len(f.front.catalogue.functions) == 5
 
@@ -253,7 +255,7 @@
         f.change(put("left", 2), put("extra", 5), gone("right"))
         told = f.invoke("extra", b"9", x_amz_invocation_type=EVENT)
         killed(f)
-        assert f.relay.questions[-1].leaving
+        assert f.relay.questions[-1].is_leaving
         f.relay.end()
         before = f.loop.now()
         f.own_file_lacks("extra")
@@ -263,7 +265,7 @@
             f.answers_as("left") == "2" and f.answers_as("extra") == "5" and f.invoke("right").status == 404
         )
         f.until(lambda: fate(f, told)["Status"] == "SUCCEEDED")
-        assert f.settings.follower.in_force == 2
+        assert f.settings.follower.applied_revision == 2
         f.loop.sleep(30 * SECOND)
         assert f.settings.late and f.said("control not heard for 9 s", "") == 1
         assert f.answers_as("left") == "2"
@@ -339,7 +341,7 @@
 
     def script() -> None:
         assert f.answers_as("left") == "1" and len(f.front.catalogue.functions) == 5
-        f.change(Op("tenant/tills", b"{}"))
+        f.change(Mutation("tenant/tills", b"{}"))
         assert f.answers_as("left") == "1"
         f.change(put("extra", 7))
         assert f.answers_as("extra") == "7" and f.invoke("left").status == 404
@@ -403,9 +405,9 @@
             return wrong(entry)
 
         f.settings._wrong = counted  # type: ignore[method-assign]
-        f.relay.table = Table.of({**f.relay.table.entries, **many}, 50)
+        f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
         f.relay.watch.changed()
-        f.until(lambda: f.settings.follower.in_force == 51)
+        f.until(lambda: f.settings.follower.applied_revision == 51)
         assert f.answers_as("left") == "9" and f.invoke("f17").status == 404
         assert max(b - a for a, b in pairwise(others)) <= JUDGED_AT_ONCE and others[-1] > 2900
         names = f.front.catalogue.functions
@@ -426,19 +428,19 @@
             judged[0] += 1
             if judged[0] == 100:
                 f.relay.change([put("left", 9)])
-                f.until(lambda: f.settings.follower.table.revision == 51)
+                f.until(lambda: f.settings.follower.store.revision == 51)
             return wrong(entry)
 
         f.settings._wrong = counted  # type: ignore[method-assign]
-        f.relay.table = Table.of({**f.relay.table.entries, **many}, 50)
+        f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
         f.relay.watch.changed()
         seen = set()
         while f.relay.questions[-1].revision < 51 or f.settings._judge is not None:
-            seen.add((f.settings.follower.in_force, f.front.catalogue.functions["left"].version))
+            seen.add((f.settings.follower.applied_revision, f.front.catalogue.functions["left"].version))
             f.loop.sleep(1000)
         f.loop.sleep(5 * SECOND)
-        seen.add((f.settings.follower.in_force, f.front.catalogue.functions["left"].version))
-        assert seen == {(1, "1")} and "ghost" in f.relay.questions[-1].stuck
+        seen.add((f.settings.follower.applied_revision, f.front.catalogue.functions["left"].version))
+        assert seen == {(1, "1")} and "ghost" in f.relay.questions[-1].blocked_reason
         f.change(gone("ghost"))
         assert f.answers_as("left") == "9" and len(f.front.catalogue.functions) == 505
 
@@ -450,15 +452,15 @@
 
     def script() -> None:
         f.change(put("left", 2))
-        table = f.settings.follower.table
+        table = f.settings.follower.store
         key = FUNCTION + "left"
         flipped = Entry(key, line(3), table.entries[key].revision)
         table.entries = table.entries.set(key, flipped)
         f.change(put("right", 2))
-        f.until(lambda: f.said("table", "repaired: 1 keys") == 1)
+        f.until(lambda: f.said("config_repaired", "1 keys") == 1)
         assert (f.answers_as("left"), f.answers_as("right")) == ("2", "2")
         f.loop.sleep(30 * SECOND)
-        kept = Table.restore((tmp_path / "calls.db.table").read_bytes())
+        kept = ConfigStore.restore((tmp_path / "calls.db.table").read_bytes())
         assert kept.revision == 3 and kept.entries[key].value == line(2)
 
     f.play(script)
@@ -473,14 +475,14 @@
         f.loop.sleep(3 * KEEP_EVERY)  # counted, and written
         f.change(put("right", 2))
         f.change(put("right", 3))  # counted a few seconds after the one before
-        table, key = f.settings.follower.table, FUNCTION + "left"
+        table, key = f.settings.follower.store, FUNCTION + "left"
         table.entries = table.entries.set(key, Entry(key, line(7), table.entries[key].revision))
         f.settings._written, f.settings._acted = 0, table
         f.settings._write()
-        f.until(lambda: f.said("table", "repaired: 1 keys") == 1)
-        assert f.answers_as("left") == "2" and f.settings.follower.in_force == 4
+        f.until(lambda: f.said("config_repaired", "1 keys") == 1)
+        assert f.answers_as("left") == "2" and f.settings.follower.applied_revision == 4
         f.loop.sleep(3 * KEEP_EVERY)
-        assert Table.restore(kept.read_bytes()).entries[key].value == line(2)
+        assert ConfigStore.restore(kept.read_bytes()).entries[key].value == line(2)
 
     f.play(script)
 
@@ -489,7 +491,7 @@
     f = Followed(tmp_path)
 
     def kept() -> int:
-        return Table.restore((tmp_path / "calls.db.table").read_bytes()).revision
+        return ConfigStore.restore((tmp_path / "calls.db.table").read_bytes()).revision
 
     def script() -> None:
         f.until(lambda: (tmp_path / "calls.db.table").exists())
@@ -516,7 +518,7 @@
 def test_functions_are_decoded_as_they_are_asked_for_and_few_are_kept() -> None:
     functions = Functions({}, CLASSES)
     made = {FUNCTION + f"f{n}": Entry(FUNCTION + f"f{n}", line(n), 1) for n in range(3 * DECODED_MOST)}
-    entries = Table.of(made, 1).entries
+    entries = ConfigStore.from_entries(made, 1).entries
     functions.put(entries, len(made))
     assert not functions._decoded
     for n in range(3 * DECODED_MOST):
@@ -547,11 +549,11 @@
         for n in range(burst_of):
             number = count * burst_of + n
             changed = left.replace(b'"2"', b'"%d"' % (number + 2))
-            ops = [Op(f"{FUNCTION}come{number}", come), Op(f"{FUNCTION}left", changed)]
+            ops = [Mutation(f"{FUNCTION}come{number}", come), Mutation(f"{FUNCTION}left", changed)]
             if number >= live:
                 ops.append(gone(f"come{number - live}"))
             revision = f.relay.change(ops)
-        f.until(lambda: f.settings.follower.in_force == revision)
+        f.until(lambda: f.settings.follower.applied_revision == revision)
         calls = [f.loop.spawn(brief, f"come{number - n}") for n in range(live)]
         assert {call.join().status for call in calls} == {429}  # no workers: their records would grow
         assert f.front.catalogue.functions["left"].version == str(number + 2)
@@ -567,7 +569,7 @@
         return tracemalloc.get_traced_memory()[0], len(gc.get_objects())
 
     def script() -> None:
-        f.start_relay(Table.of(f.relay.table.entries, 1, log_most=2 * burst_of))
+        f.start_relay(ConfigStore.from_entries(f.relay.table.entries, 1, max_log_entries=2 * burst_of))
         f.front.stop()
         f.front.close()
         f.begin(listed=False)
@@ -582,7 +584,7 @@
             after = measured()
         finally:
             tracemalloc.stop()
-        assert f.settings.follower.in_force > 10_000
+        assert f.settings.follower.applied_revision > 10_000
         assert after[0] - before[0] < 100_000 and after[1] - before[1] < 500, (before, after)
 
     f.play(script)
--- a/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from walnutpost.config.base import address_of
-from walnutpost.configstore import Follower, Table, Taken
-from walnutpost.configstore.choice import Choice
+from walnutpost.configstore import ApplyOutcome, ConfigStore, WatchState
+from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Event, Loop
 from walnutpost.watch import Watcher
 
@@ -33,7 +33,7 @@
         return lambda *_, **__: None
 
 
-def twins_agree(table: Table) -> bool:
+def twins_agree(table: ConfigStore) -> bool:
     one, other = (table.entries.get(key) for key in TWINS)
     return (one.value if one else None) == (other.value if other else None)
 
@@ -46,21 +46,21 @@
     def __init__(self, loop: Loop, name: str, relays: Mapping[str, str], say: Say, fault: str) -> None:
         self._loop, self._say, self._fault = loop, say, fault
         self.incarnation = secrets.token_hex(6)
-        self.follower = Follower(name, self.incarnation, loop.now())
-        choice = Choice(name, dict.fromkeys(relays, ""), "", Random(f"{name} {self.incarnation}"))
+        self.follower = WatchState(name, self.incarnation, loop.now())
+        choice = RelaySelector(name, dict.fromkeys(relays, ""), "", Random(f"{name} {self.incarnation}"))
         servers = {relay: partial(address_of, address) for relay, address in relays.items()}
         self.watcher = Watcher(loop, servers, self.follower, choice, self._taken, NoLog())
 
-    def _taken(self, taken: Taken) -> None:
-        table = self.follower.table
-        if self._fault == "half" and taken.changes and taken.changes[-1].ops[0].key in TWINS:
+    def _taken(self, taken: ApplyOutcome) -> None:
+        table = self.follower.store
+        if self._fault == "half" and taken.changes and taken.changes[-1].mutations[0].key in TWINS:
             self._acts(table.revision, table.digest, False)
         if self._fault == "early":
             revision, digest = table.revision, table.digest
             self._loop.call_later(SECOND, lambda: self._acts(revision, digest, True))
         else:
             self._acts(table.revision, table.digest, twins_agree(table))
-        self.follower.acting(table.revision)
+        self.follower.mark_applied(table.revision)
 
     def _acts(self, revision: int, digest: int, agree: bool) -> None:
         follower = self.follower
@@ -90,7 +90,7 @@
                     "questions": sum(c.questions for c in counts),
                     "moves": sum(c.moves for c in counts),
                     "bytes_in": sum(c.bytes_in for c in counts),
-                    "late": sum(m.follower.late(loop.now()) for m in members),
+                    "late": sum(m.follower.is_stale(loop.now()) for m in members),
                     "at": loop.now(),
                 }
             )
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_run.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from random import Random
 
-from walnutpost.configstore import Status
+from walnutpost.configstore import PropagationStatus
 from walnutpost.eventloop import Loop, Task, Timeout
 from walnutpost.faultinjection.table_stage import (
     FRONTS,
@@ -72,7 +72,7 @@
     broken: list[str] = field(default_factory=list)
     back: list[tuple[str, float]] = field(default_factory=list)
     claims: int = 0
-    status: Status | None = None
+    status: PropagationStatus | None = None
     asked: float = 0.0  # questions of a hollow member within the rest
     rested: float = 0.0  # seconds, by the hollow members' clock
 
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -16,8 +16,15 @@
 
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of
-from walnutpost.configstore import BadTable, Follower, Op, Status, Table, Taken
-from walnutpost.configstore.choice import Choice
+from walnutpost.configstore import (
+    ApplyOutcome,
+    ConfigStore,
+    InvalidSnapshotError,
+    Mutation,
+    PropagationStatus,
+    WatchState,
+)
+from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.consensus import Members
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.controlplane.wire import keeper_of
@@ -56,10 +63,10 @@
     return {"classes": {"plain": CLASS}, "functions": dict.fromkeys(names, line), "keep_alive_ms": 600_000}
 
 
-def twin_ops(lanes: int) -> tuple[Op, ...]:
+def twin_ops(lanes: int) -> tuple[Mutation, ...]:
     """The change that all days are made of: both twins get the same settings at once."""
     value = json.dumps({"class": "plain", "lanes": lanes, "load_ms": 20.0, "memory_mb": 64.0}, sort_keys=True)
-    return tuple(Op(key, value.replace(" ", "").encode()) for key in TWINS)
+    return tuple(Mutation(key, value.replace(" ", "").encode()) for key in TWINS)
 
 
 @dataclass(slots=True)
@@ -94,7 +101,7 @@
         names = (*KEEPERS, *RELAYS, *FRONTS, *HOLLOW)
         self.region = {name: region for region, held in REGIONS.items() for name in held}
         self.mesh = Mesh(self.loop, names, self.where)
-        self.observer = Follower("", "observer", self.loop.now())
+        self.observer = WatchState("", "observer", self.loop.now())
 
     # Starting
 
@@ -119,7 +126,7 @@
 
     def seed(self) -> None:
         checked = self._config("f1")
-        ops = [Op(key, value) for key, value in entries_of(checked.site).items()]
+        ops = [Mutation(key, value) for key, value in entries_of(checked.site).items()]
         first = [op for op in ops if not op.key.startswith("function/padding")]
         self.change(tuple(first))
         rest = [op for op in ops if op.key.startswith("function/padding")]
@@ -217,7 +224,7 @@
         known = {n: w for n in KEEPERS if (w := self.where(n)) is not None}
         return KeeperClient(self.loop, known, patience, max(patience // 3, 300_000))
 
-    def change(self, ops: tuple[Op, ...]) -> int:
+    def change(self, ops: tuple[Mutation, ...]) -> int:
         """Asks until it is agreed on, always under one id; its revision. Raises StageError."""
         self._changes += 1
         id = f"change-{self._changes}"
@@ -234,7 +241,7 @@
         count = self.hollow // len(HOLLOW) * len(HOLLOW)
         return count, sum(told["questions"] for told in last), last[0]["at"]
 
-    def status(self) -> Status:
+    def status(self) -> PropagationStatus:
         return self._confirmed(lambda client: client.status())
 
     def leader(self) -> str:
@@ -260,17 +267,19 @@
         took, in microseconds."""
         began = self.loop.now()
         revision = revision or self.status().revision
-        self.until(lambda: self.status().lowest >= revision, f"revision {revision} to be in force")
+        self.until(
+            lambda: self.status().min_applied_revision >= revision, f"revision {revision} to be in force"
+        )
         return self.loop.now() - began
 
     # The observer
 
     def _observe(self) -> Watcher:
-        def taken(taken: Taken) -> None:
-            table = self.observer.table
+        def taken(taken: ApplyOutcome) -> None:
+            table = self.observer.store
             self.digests |= {change.revision: change.digest for change in taken.changes}
             self.digests[table.revision] = table.digest
-            self.observer.acting(table.revision)
+            self.observer.mark_applied(table.revision)
 
         def at(name: str) -> Callable[[], Address]:
             def where() -> Address:
@@ -282,7 +291,7 @@
             return where
 
         servers = {name: at(name) for name in KEEPERS}
-        choice = Choice("observer", dict.fromkeys(KEEPERS, ""), "", Random(1))
+        choice = RelaySelector("observer", dict.fromkeys(KEEPERS, ""), "", Random(1))
         return Watcher(self.loop, servers, self.observer, choice, taken, NoLog(), 500_000, 50_000_000)
 
     def read(self) -> None:
@@ -328,7 +337,7 @@
                 agreed = dict(Fleet.restore(client.state()[0].state).state.followers)
                 status = client.status()
                 self.read()
-                self._hold_against(status.lowest, agreed)
+                self._hold_against(status.min_applied_revision, agreed)
 
     def _hold_against(self, lowest: int, agreed: dict[str, str]) -> None:
         self.claims += 1
@@ -387,7 +396,7 @@
 
     def finish(self) -> None:
         """Ends the members, and compares what each holds with what was agreed on."""
-        agreed, last = self.observer.table, self.status()
+        agreed, last = self.observer.store, self.status()
         if (agreed.revision, agreed.digest) != (last.revision, last.digest):
             self.broken.append(f"the observer holds {agreed.revision}, the keepers tell {last.revision}")
         self.read()
@@ -401,8 +410,8 @@
                     self.broken.append(f"{name} ({incarnation}): another table at revision {revision}")
         for name in FRONTS:
             try:
-                held = Table.restore((self.folder / f"{name}.db.table").read_bytes())
-            except (OSError, BadTable) as error:
+                held = ConfigStore.restore((self.folder / f"{name}.db.table").read_bytes())
+            except (OSError, InvalidSnapshotError) as error:
                 self.broken.append(f"{name}: its table: {error}")
                 continue
             if (held.revision, held.digest) != (agreed.revision, agreed.digest):
--- a/packages/faultinjection/tests/test_table_days.py
+++ b/packages/faultinjection/tests/test_table_days.py
@@ -17,7 +17,7 @@
     out = play_table(played, folder)
     assert not out.broken and not out.lost, (out.broken, out.lost)
     status = out.status
-    assert status is not None and status.lowest == status.revision and not status.lacking
+    assert status is not None and status.min_applied_revision == status.revision and not status.lagging
     assert out.changes > len(played.faults) and out.calls > 10 and out.claims
     return out
 
--- a/packages/fleet/src/walnutpost/fleet/command_text.py
+++ b/packages/fleet/src/walnutpost/fleet/command_text.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Mapping
 
-from walnutpost.configstore.messages import Op
+from walnutpost.configstore.messages import Mutation
 from walnutpost.fleet.commands import (
     ApplyChangeSet,
     Command,
@@ -66,12 +66,12 @@
         return f"{len(value)} bytes"
     if not isinstance(value, tuple):
         return value
-    if value and isinstance(value[0], Op):
+    if value and isinstance(value[0], Mutation):
         return _changed_keys(value)
     return f"{len(value)} of them" if len(str(value)) > MAX_VALUE_CHARACTERS else value
 
 
-def _changed_keys(mutations: tuple[Op, ...]) -> str:
+def _changed_keys(mutations: tuple[Mutation, ...]) -> str:
     """Return the first keys of a change set, and how many more there are."""
     shown = mutations[:MAX_SHOWN_KEYS]
     keys = [op.key if op.value is not None else f"{op.key} (deleted)" for op in shown]
--- a/packages/fleet/src/walnutpost/fleet/commands.py
+++ b/packages/fleet/src/walnutpost/fleet/commands.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from walnutpost.configstore.messages import Op
+from walnutpost.configstore.messages import Mutation
 from walnutpost.fleet.errors import InvalidCommandError
 
 FORMAT = 1
@@ -234,7 +234,7 @@
     It is rejected where another one came first; that result is not remembered, so its id may be used again.
     """
 
-    mutations: tuple[Op, ...]
+    mutations: tuple[Mutation, ...]
     base_revision: int
     operator: str = ""
 
--- a/packages/fleet/src/walnutpost/fleet/context.py
+++ b/packages/fleet/src/walnutpost/fleet/context.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from walnutpost.configstore.table import Table
+from walnutpost.configstore.store import ConfigStore
 from walnutpost.fleet.commands import WORKER, CommandResult
 from walnutpost.fleet.state import FleetState
 
@@ -14,10 +14,10 @@
     It is no part of the replicated state.
     """
 
-    def __init__(self, state: FleetState | None = None, table: Table | None = None) -> None:
+    def __init__(self, state: FleetState | None = None, table: ConfigStore | None = None) -> None:
         """Empty where nothing is given."""
         self.state = state or FleetState()
-        self.table = table or Table()
+        self.table = table or ConfigStore()
         self.followers_version = 0
 
     def accepted(self, permit: str = "") -> CommandResult:
--- a/packages/fleet/src/walnutpost/fleet/machine.py
+++ b/packages/fleet/src/walnutpost/fleet/machine.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import structs
 
-from walnutpost.configstore.table import BadTable, Table
+from walnutpost.configstore import ConfigStore, InvalidSnapshotError
 from walnutpost.fleet import commands, members, permits, plans, settings
 from walnutpost.fleet.commands import Command, CommandResult, decode
 from walnutpost.fleet.context import FleetContext
@@ -74,8 +74,8 @@
         try:
             fields = structs.asdict(_decoder.decode(data))
             store = fields.pop("table")
-            table = Table.restore(store) if store else Table()
-        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, BadTable) as error:
+            table = ConfigStore.restore(store) if store else ConfigStore()
+        except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, InvalidSnapshotError) as error:
             raise InvalidStateError(str(error)) from error
         # A former version wrote its dicts sorted by key: the oldest result would no longer come first.
         fields["results"] = dict(sorted(fields["results"].items(), key=lambda item: item[1].index))
--- a/packages/fleet/src/walnutpost/fleet/settings.py
+++ b/packages/fleet/src/walnutpost/fleet/settings.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from walnutpost.configstore.table import BadChange
+from walnutpost.configstore.errors import InvalidChangeError
 from walnutpost.fleet.commands import (
     ApplyChangeSet,
     CommandResult,
@@ -41,8 +41,8 @@
     if command.base_revision != fleet.table.revision:
         return fleet.rejected(CHANGED_MEANWHILE)
     try:
-        fleet.table.change(fleet.state.index, command.mutations)
-    except BadChange as error:
+        fleet.table.propose(fleet.state.index, command.mutations)
+    except InvalidChangeError as error:
         return fleet.rejected(str(error))
     return fleet.accepted()
 
--- a/packages/fleet/tests/fleet_forms.py
+++ b/packages/fleet/tests/fleet_forms.py
@@ -7,8 +7,8 @@
 
 from consensus_forms import MEMBERS
 from golden_forms import Form, Golden, as_json, packed
-from walnutpost.configstore.messages import Op
-from walnutpost.configstore.table import Table
+from walnutpost.configstore.messages import Mutation
+from walnutpost.configstore.store import ConfigStore
 from walnutpost.consensus import EntryKind, LogEntry, Members
 from walnutpost.fleet import FRONT_END, WORKER, Fleet, commands
 from walnutpost.fleet.commands import (
@@ -112,12 +112,15 @@
         )
     ),
     "table-change.all-fields": ApplyChangeSet(
-        mutations=(Op(key="function/f1", value=b'{"weight": 2}'), Op(key="tenant/t-1", value=None)),
+        mutations=(
+            Mutation(key="function/f1", value=b'{"weight": 2}'),
+            Mutation(key="tenant/t-1", value=None),
+        ),
         base_revision=31,
         operator="ann",
     ),
     "table-change.defaults": ApplyChangeSet(
-        mutations=(Op(key="function/f1", value=b"{}"),), base_revision=31
+        mutations=(Mutation(key="function/f1", value=b"{}"),), base_revision=31
     ),
     "table-followers.all-fields": UpdateFollowers(
         joined=(("f1", "i-2"), ("f2", "i-3")), left=(("f3", "i-5"),)
@@ -142,9 +145,9 @@
     RegisterMember("f3", FRONT_END, "b", "i-f3"),
     StoreVersion("v-1", b'{"version": 1}'),
     StoreVersion("v-2", b"\x00\xffsecond"),
-    ApplyChangeSet((Op("function/f1", b'{"weight": 1}'), Op("tenant/t-1", b"{}")), 0, "ann"),
-    ApplyChangeSet((Op("function/f1", b'{"weight": 2}'), Op("tenant/t-1", None)), 12, "ann"),
-    ApplyChangeSet((Op("class/c_1", b"{}"),), 12),  # on a table that has changed meanwhile
+    ApplyChangeSet((Mutation("function/f1", b'{"weight": 1}'), Mutation("tenant/t-1", b"{}")), 0, "ann"),
+    ApplyChangeSet((Mutation("function/f1", b'{"weight": 2}'), Mutation("tenant/t-1", None)), 12, "ann"),
+    ApplyChangeSet((Mutation("class/c_1", b"{}"),), 12),  # on a table that has changed meanwhile
     UpdateFollowers((("f1", "i-f1"), ("f2", "i-f2"), ("f9", "i-f9"))),
     UpdateFollowers((("f2", "i-f2b"),), (("f9", "i-f9"),)),
     StartPlan("release-1", ("w1", "w2", "w3"), "v-2", (0.7, 1.0), "v-1"),
@@ -208,8 +211,8 @@
 
 def full_fleet() -> Fleet:
     """Each field of the state with a value of its own."""
-    table = Table()
-    table.change(61, (Op("function/f1", b"{}"),))
+    table = ConfigStore()
+    table.propose(61, (Mutation("function/f1", b"{}"),))
     return Fleet(
         FleetState(
             index=62,
@@ -303,7 +306,13 @@
     orders = [
         list(held) for held in (state.members, state.permits, state.plans, state.versions, state.results)
     ]
-    held = (table.revision, table.floor, table.digest, dict(table.entries), table.since(table.floor))
+    held = (
+        table.revision,
+        table.compacted_revision,
+        table.digest,
+        dict(table.entries),
+        table.changes_since(table.compacted_revision),
+    )
     return {"state": state, "orders": orders, "table": held}
 
 
--- a/packages/fleet/tests/test_command_text.py
+++ b/packages/fleet/tests/test_command_text.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fleet_forms import COMMANDS
-from walnutpost.configstore.messages import Op
+from walnutpost.configstore.messages import Mutation
 from walnutpost.fleet import ApplyChangeSet, ForgetMember, StartPlan, command_name, describe_command
 
 # By the golden name of a command: the name and the text that were published before the code was renamed.
@@ -69,7 +69,7 @@
 
 
 def test_command_text_when_a_change_set_is_large_shows_the_first_keys_and_how_many_follow() -> None:
-    mutations = tuple(Op(f"function/f{n}", None if n == 1 else b"{}") for n in range(7))
+    mutations = tuple(Mutation(f"function/f{n}", None if n == 1 else b"{}") for n in range(7))
     keys = "function/f0 function/f1 (deleted) function/f2 function/f3 function/f4 and 2 more"
     assert describe_command(ApplyChangeSet(mutations, 3, "ann")) == f"ops={keys}, base=3, operator=ann"
 
--- a/packages/fleet/tests/test_replicated_state.py
+++ b/packages/fleet/tests/test_replicated_state.py
@@ -13,8 +13,8 @@
 from state_machine_rig import (
     FleetRig,
 )
-from walnutpost.configstore.messages import Op
-from walnutpost.configstore.table import Table
+from walnutpost.configstore.messages import Mutation
+from walnutpost.configstore.store import ConfigStore
 from walnutpost.fleet import (
     CHANGED_MEANWHILE,
     FRONT_END,
@@ -38,8 +38,8 @@
 from walnutpost.fleet.machine import HANDLERS
 
 
-def op(name: str, value: str | None = "1") -> Op:
-    return Op(f"function/{name}", None if value is None else value.encode())
+def op(name: str, value: str | None = "1") -> Mutation:
+    return Mutation(f"function/{name}", None if value is None else value.encode())
 
 
 @dataclass
@@ -55,7 +55,7 @@
         assert len(answers) == 1
         return answers.pop()
 
-    def set(self, *ops: Op, base: int | None = None, id: str = "") -> CommandResult:
+    def set(self, *ops: Mutation, base: int | None = None, id: str = "") -> CommandResult:
         revision = self.fleets[0].table.revision
         return self.do(ApplyChangeSet(ops, revision if base is None else base, "anna"), id)
 
@@ -125,7 +125,7 @@
         for index, entry in enumerate(history.entries, 1):
             again.apply(index, *entry)
         assert again.snapshot() == history.fleet.snapshot()
-        assert sum(history.fleet.table.recount()) % 2**64 == history.fleet.table.digest
+        assert sum(history.fleet.table.compute_bucket_digests()) % 2**64 == history.fleet.table.digest
     finally:
         retention.MAX_REMEMBERED_RESULTS, retention.MAX_VERSIONS = kept
 
@@ -139,7 +139,7 @@
     assert {e.key: e.revision for e in table.entries.values()} == {"function/a": 2, "function/b": 2}
     before = table.entries
     for wrong, why in (
-        ((op("a", "2"), Op("not a key", b"")), "not a key"),
+        ((op("a", "2"), Mutation("not a key", b"")), "not a key"),
         ((op("a", "2"), op("a", "3")), "2 times"),
         ((), "0 keys"),
         ((op("c", "x" * 20_000),), "20000 bytes"),
@@ -240,11 +240,14 @@
 
 def test_config_store_when_it_compacts_does_so_at_the_same_entry_on_all_replicas() -> None:
     history = History()
-    history.fleets = [Fleet(table=Table(log_most=4)), Fleet(table=Table(log_most=4))]
+    history.fleets = [
+        Fleet(table=ConfigStore(max_log_entries=4)),
+        Fleet(table=ConfigStore(max_log_entries=4)),
+    ]
     for n in range(10):
         history.set(op(f"f{n}"))
         assert len({fleet.snapshot() for fleet in history.fleets}) == 1
-    assert history.fleet.table.floor == 6
+    assert history.fleet.table.compacted_revision == 6
 
 
 def test_command_when_repeated_gets_its_first_result_and_when_invalid_changes_nothing() -> None:
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -10,9 +10,17 @@
 from random import Random
 from typing import Any
 
-from walnutpost.configstore import LOG_BYTES, LOG_MOST, WATCH, Follower, Question, Table, Taken
-from walnutpost.configstore.choice import Choice
-from walnutpost.configstore.roster import Roster
+from walnutpost.configstore import (
+    MAX_LOG_BYTES,
+    MAX_LOG_CHANGE_SETS,
+    WATCH_PATH,
+    ApplyOutcome,
+    ConfigStore,
+    WatchRequest,
+    WatchState,
+)
+from walnutpost.configstore.member_registry import MemberRegistry
+from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.eventloop import Event, Loop, Timeout
 from walnutpost.http import BadMessage, Exchange, Limits, Response
@@ -53,12 +61,12 @@
     ) -> None:
         self.name, self.incarnation = name, f"{seed & 0xFFFF_FFFF_FFFF:012x}"
         self._loop, self._log = loop, log
-        self.follower = Follower("", self.incarnation, loop.now(), LOG_MOST, LOG_BYTES)
-        choice = Choice(name, dict.fromkeys(keepers, ""), "", Random(seed))
+        self.follower = WatchState("", self.incarnation, loop.now(), MAX_LOG_CHANGE_SETS, MAX_LOG_BYTES)
+        choice = RelaySelector(name, dict.fromkeys(keepers, ""), "", Random(seed))
         ways = {keeper: lambda at=at: at for keeper, at in keepers.items()}
         self.watcher = Watcher(loop, ways, self.follower, choice, self._taken, log, HOLD, RATE, STALE)
         self._server = serve_on(loop, listen, self._serve, self._refusal, LIMITS, role="relay", log=log)
-        self.roster = Roster(name, self.incarnation, address or "{}:{}".format(*self.address))
+        self.roster = MemberRegistry(name, self.incarnation, address or "{}:{}".format(*self.address))
         self.watches = WatchServer(loop, self._table, self.watcher.age, self._said, GATHER, gone=self._gone)
         self._client = KeeperClient(loop, keepers, PATIENCE, EACH)
         self._news = Event(loop)
@@ -88,47 +96,47 @@
 
     def _serve(self, exchange: Exchange) -> Response:
         request = exchange.request
-        if request.method == "POST" and request.target == WATCH.encode():
+        if request.method == "POST" and request.target == WATCH_PATH.encode():
             accepts = request.headers.get("accept-encoding", "")
             return self.watches.answer(request.body, exchange.stream, accepts)
         found = f"{request.method} {request.target[:100].decode('latin-1')}"
-        return Response(404, body=f"found {found}, wanted POST {WATCH}".encode())
+        return Response(404, body=f"found {found}, wanted POST {WATCH_PATH}".encode())
 
     @staticmethod
     def _refusal(error: BadMessage) -> Response:
         return Response(error.status, body=str(error).encode())
 
-    def _table(self) -> Table | None:
+    def _table(self) -> ConfigStore | None:
         """None until a whole one was held: who asks before goes to another relay."""
-        return self.follower.table if self.watcher.complete else None
+        return self.follower.store if self.watcher.complete else None
 
-    def _taken(self, taken: Taken) -> None:
-        self.follower.acting(self.follower.table.revision)
+    def _taken(self, taken: ApplyOutcome) -> None:
+        self.follower.mark_applied(self.follower.store.revision)
         self.watches.changed()
 
-    def _said(self, question: Question) -> None:
-        self.roster.said(self._loop.now(), question)
+    def _said(self, question: WatchRequest) -> None:
+        self.roster.observe(self._loop.now(), question)
         self._tell()
 
-    def _gone(self, question: Question) -> None:
-        self.roster.gone(question)
+    def _gone(self, question: WatchRequest) -> None:
+        self.roster.connection_closed(question)
         self._tell()
 
     # Upstream
 
     def _tell(self) -> None:
-        if self.roster.news:
+        if self.roster.has_changes:
             self._news.set()
 
     def _report(self) -> None:
         """Over and over: the sums to whoever leads. One that is lost is told again with the next."""
         while True:
             began = self._loop.now()
-            sums = self.roster.sums(began, self.follower.table.revision)
+            sums = self.roster.next_summary(began, self.follower.store.revision)
             try:
-                self.roster.heard(self._client.sums(sums))
+                self.roster.handle_response(self._client.sums(sums))
                 if not self._told:
-                    self._log.info("sums told", number=sums.number, members=sums.count)
+                    self._log.info("sums told", number=sums.number, members=sums.member_count)
                 self._told = True
             except NoAnswer as error:
                 if self._told:
@@ -148,7 +156,7 @@
             "figures",
             members=len(self.roster),
             held=self.watches.held,
-            revision=self.follower.table.revision,
+            revision=self.follower.store.revision,
             age_ms=self.watcher.age() // 1000 if self.watcher.complete else None,
             encoded=counts.encoded,
             answered=counts.answered,
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -8,17 +8,17 @@
 
 from walnutpost.configstore import (
     AGE_HEADER,
-    SUMS,
-    WATCH,
-    Op,
-    Question,
-    Status,
-    Sums,
-    Table,
+    PROGRESS_PATH,
+    WATCH_PATH,
+    ConfigStore,
+    Mutation,
+    ProgressSummary,
+    PropagationStatus,
+    WatchRequest,
     decode,
     encode,
 )
-from walnutpost.configstore.roster import Standings
+from walnutpost.configstore.fleet_progress import FleetProgress
 from walnutpost.consensus import NOT_LEADER
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Loop
@@ -34,16 +34,16 @@
 class Keepers:
     """Keepers as relays see them: each with its table, one that leads and takes the sums."""
 
-    def __init__(self, loop: Loop, table: Table, names: tuple[str, ...] = ("k1", "k2", "k3")) -> None:
+    def __init__(self, loop: Loop, table: ConfigStore, names: tuple[str, ...] = ("k1", "k2", "k3")) -> None:
         self.loop, self.leader = loop, names[0]
         self.tables = {name: copy(table) for name in names}
         self.vouched = dict.fromkeys(names, loop.now())
         self.alive = True
         self.cut: set[str] = set()  # from the other keepers, not from relays
-        self.asked: list[Question] = []
-        self.sums: list[tuple[int, Sums]] = []
+        self.asked: list[WatchRequest] = []
+        self.sums: list[tuple[int, ProgressSummary]] = []
         self.followers: dict[str, str] = {}
-        self.standings = Standings(loop.now(), table.revision)
+        self.standings = FleetProgress(loop.now(), table.revision)
         self.watches = {name: self._watch(name) for name in names}
         self.servers = {
             name: serve_on(loop, ("127.0.0.1", 0), lambda e, name=name: self._serve(name, e), refusal)  # type: ignore[misc]
@@ -60,47 +60,49 @@
         return {name: server.address for name, server in self.servers.items()}
 
     @property
-    def table(self) -> Table:
+    def table(self) -> ConfigStore:
         return self.tables[self.leader]
 
     def _look(self) -> None:
         """What a leader agrees with the others on."""
         if self.alive:
             self.vouched |= dict.fromkeys(self.vouched.keys() - self.cut, self.loop.now())
-            self.followers |= self.standings.unknown(self.loop.now())
-            for member in self.standings.ended():
+            self.followers |= self.standings.unregistered_members(self.loop.now())
+            for member in self.standings.ended_members():
                 self.followers.pop(member, None)
-            self.standings.agree(self.loop.now(), self.followers)
+            self.standings.set_members(self.loop.now(), self.followers)
 
     def _serve(self, name: str, exchange: Exchange) -> Response:
         body = exchange.request.body
         match exchange.request.target.decode():
-            case target if target == WATCH:
-                self.asked.append(decode(body, Question))
+            case target if target == WATCH_PATH:
+                self.asked.append(decode(body, WatchRequest))
                 return self.watches[name].answer(body, exchange.stream)
-            case target if target == SUMS:
+            case target if target == PROGRESS_PATH:
                 if name != self.leader:
                     return Response(421, body=wire.encode(wire.Told(None, True, NOT_LEADER, self.leader)))
-                self.sums.append((self.loop.now(), decode(body, Sums)))
-                return Response(200, body=encode(self.standings.take(self.loop.now(), self.sums[-1][1])))
+                self.sums.append((self.loop.now(), decode(body, ProgressSummary)))
+                return Response(
+                    200, body=encode(self.standings.handle_summary(self.loop.now(), self.sums[-1][1]))
+                )
         return Response(404)
 
-    def change(self, wanted: list[Op]) -> int:
+    def change(self, wanted: list[Mutation]) -> int:
         revision = self.table.revision + 1
         for name, table in self.tables.items():
             if name not in self.cut:
-                table.change(revision, wanted)
+                table.propose(revision, wanted)
                 self.watches[name].changed()
-        self.standings.agreed(self.loop.now(), revision)
+        self.standings.revision_committed(self.loop.now(), revision)
         return revision
 
     def elect(self, leader: str) -> None:
         """A new office knows nothing but what is agreed."""
         self.leader = leader
-        self.standings = Standings(self.loop.now(), self.table.revision)
-        self.standings.agree(self.loop.now(), self.followers)
+        self.standings = FleetProgress(self.loop.now(), self.table.revision)
+        self.standings.set_members(self.loop.now(), self.followers)
 
-    def status(self) -> Status:
+    def status(self) -> PropagationStatus:
         return self.standings.status(self.loop.now(), self.table, self.followers)
 
     def end(self) -> None:
@@ -139,29 +141,35 @@
         relay.stop()
         self.places[name] = ("127.0.0.1", 1)
 
-    def join(self, count: int, table: Table | None = None) -> list[Member]:
+    def join(self, count: int, table: ConfigStore | None = None) -> list[Member]:
         """`table`: what they hold and act on already, as front ends that were there before."""
         places: dict[str, Callable[[], Address]] = {n: lambda n=n: self.places[n] for n in self.names}  # type: ignore[misc]
         for n in range(len(self.members), len(self.members) + count):
             member = Member(self.loop, places, f"fe{n}", n)
             if table is not None:
-                member.follower.table = Table.restore(table.snapshot(), 0, 0)
-                member.follower.acting(table.revision)
+                member.follower.store = ConfigStore.restore(table.snapshot(), 0, 0)
+                member.follower.mark_applied(table.revision)
             self.members.append(member)
         return self.members[-count:]
 
     def in_force(self) -> bool:
         """Everywhere, and the leader can say so."""
         table = self.keepers.table
-        there = all(m.same(table) and m.follower.in_force == table.revision for m in self.members)
+        there = all(m.same(table) and m.follower.applied_revision == table.revision for m in self.members)
         status = self.keepers.status()
-        return there and status.members == len(self.members) and status.lowest == table.revision
+        return (
+            there
+            and status.member_count == len(self.members)
+            and status.min_applied_revision == table.revision
+        )
 
     def counts(self, field: str) -> int:
         return sum(getattr(r.watches.counts, field) for r in self.relays.values())
 
 
-def playing(script: Callable[[Keepers, Tier], Any], count: int = 10, table: Table | None = None) -> None:
+def playing(
+    script: Callable[[Keepers, Tier], Any], count: int = 10, table: ConfigStore | None = None
+) -> None:
     def main(loop: Loop) -> None:
         keepers = Keepers(loop, table if table is not None else filled(3))
         tier = Tier(loop, keepers)
@@ -183,8 +191,8 @@
             until(loop, tier.in_force)
             assert loop.now() - changed < 3 * SECOND
             assert tier.counts("encoded") - encoded == len(tier.relays)  # once at each, for all its members
-            assert dict((t.revision, t.took) for t in keepers.status().timed)[revision] is not None
-        assert not keepers.status().lacking
+            assert dict((t.revision, t.latency_us) for t in keepers.status().latencies)[revision] is not None
+        assert not keepers.status().lagging
 
     playing(script, 40)
 
@@ -234,7 +242,7 @@
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
         before = [(m.watcher.server, m.watcher.counts.moves) for m in tier.members]
-        whole = sum(t.whole for m in tier.members for t in m.taken)
+        whole = sum(t.is_replaced for m in tier.members for t in m.taken)
         tier.kill("r1")
         killed = loop.now()
         for n in range(10):
@@ -243,7 +251,7 @@
         until(loop, tier.in_force)
         assert loop.now() - killed < 9 * SECOND
         assert {m.watcher.server for m in tier.members} == {"r2"}
-        assert sum(t.whole for m in tier.members for t in m.taken) == whole
+        assert sum(t.is_replaced for m in tier.members for t in m.taken) == whole
         for member, (server, moves) in zip(tier.members, before, strict=True):
             assert member.watcher.counts.moves - moves == (server == "r1")
         assert not any(m.log.count("control not heard for 9 s") for m in tier.members)
@@ -264,18 +272,18 @@
         loop = keepers.loop
         for name in tier.names:
             tier.kill(name)
-        whole = sum(t.whole for m in tier.members for t in m.taken)
+        whole = sum(t.is_replaced for m in tier.members for t in m.taken)
         for n in range(20):
             keepers.change(ops(n))
         loop.sleep(20 * SECOND)
         assert all(m.log.count("control not heard for 9 s") == 1 for m in tier.members)
-        assert all(m.follower.in_force == keepers.table.revision - 20 for m in tier.members)
+        assert all(m.follower.applied_revision == keepers.table.revision - 20 for m in tier.members)
         for name in tier.names:
             tier.start(name)
         began = loop.now()
         until(loop, tier.in_force)
         assert loop.now() - began < 9 * SECOND
-        assert sum(t.whole for m in tier.members for t in m.taken) == whole
+        assert sum(t.is_replaced for m in tier.members for t in m.taken) == whole
         loop.sleep(SECOND)
         assert all(m.log.count("control heard again") == 1 for m in tier.members)
 
@@ -299,7 +307,7 @@
             statuses.add(answer.status)
             loop.sleep(10_000)
         assert answer.page is not None and answer.page.revision == keepers.table.revision
-        assert relay.follower.table.digest == keepers.table.digest
+        assert relay.follower.store.digest == keepers.table.digest
         relay.stop()
 
     play(main)
@@ -334,11 +342,11 @@
         keepers.end()
         loop.sleep(30 * SECOND)
         assert relay.watcher.age() >= loop.now() - cut - SECOND
-        answer = Asker(loop, relay).ask(3, relay.follower.table.digest, hold=0)
+        answer = Asker(loop, relay).ask(3, relay.follower.store.digest, hold=0)
         assert int(answer.headers[AGE_HEADER.lower()]) >= 29 * SECOND
         assert all(m.log.count("control not heard for 9 s") == 2 for m in tier.members)
         assert tier.logs["r1"].count("sums not told") == 1  # once, however often
-        assert all(m.follower.in_force == 3 for m in tier.members)  # static stability
+        assert all(m.follower.applied_revision == 3 for m in tier.members)  # static stability
 
     playing(script)
 
@@ -373,7 +381,7 @@
         keepers.elect("k3")
         revision = keepers.change(ops(1))
         until(loop, tier.in_force)
-        assert keepers.status().lowest == revision
+        assert keepers.status().min_applied_revision == revision
         assert {relay.watcher.server for relay in tier.relays.values()} == {"k3"}
         assert all(log.count("watch") >= 1 for log in tier.logs.values())
 
@@ -386,10 +394,10 @@
         loop.sleep(5 * SECOND)
         keepers.elect("k2")
         elected = loop.now()
-        assert keepers.status().lowest < keepers.table.revision
+        assert keepers.status().min_applied_revision < keepers.table.revision
         until(loop, tier.in_force)
         assert loop.now() - elected < 4 * SECOND
-        assert any(sums.since == 0 and sums.joined for at, sums in keepers.sums if at > elected)
+        assert any(sums.since_number == 0 and sums.joined for at, sums in keepers.sums if at > elected)
 
     playing(script, 20)
 
@@ -409,8 +417,8 @@
         keepers.change(ops(1))
         loop.sleep(5 * SECOND)
         # Agreed on, and told of by nobody: the leader claims nothing of it.
-        assert [m.member for m in keepers.status().lacking] == [name]
-        assert keepers.status().lowest < keepers.table.revision
+        assert [m.member for m in keepers.status().lagging] == [name]
+        assert keepers.status().min_applied_revision < keepers.table.revision
 
     playing(script)
 
@@ -432,17 +440,19 @@
         stuck = tier.members[0]
 
         def take(taken: object) -> None:
-            stuck.follower.refused(stuck.table.revision, "no class fast here")
+            stuck.follower.mark_blocked(stuck.table.revision, "no class fast here")
 
         stuck.watcher._on_taken = take
         revision = keepers.change(ops(1))
         others = tier.members[1:]
-        until(loop, lambda: all(m.follower.in_force == revision for m in others))
-        until(loop, lambda: keepers.status().lacking)
-        until(loop, lambda: keepers.status().lacking[0].stuck)
+        until(loop, lambda: all(m.follower.applied_revision == revision for m in others))
+        until(loop, lambda: keepers.status().lagging)
+        until(loop, lambda: keepers.status().lagging[0].blocked_reason)
         told = keepers.status()
-        assert [(m.member, m.stuck) for m in told.lacking] == [(stuck.follower.member, "no class fast here")]
-        assert told.lowest == revision - 1
+        assert [(m.member, m.blocked_reason) for m in told.lagging] == [
+            (stuck.follower.member, "no class fast here")
+        ]
+        assert told.min_applied_revision == revision - 1
 
     playing(script)
 
--- a/packages/relay/tests/test_with_keepers.py
+++ b/packages/relay/tests/test_with_keepers.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from walnutpost.configstore import Status
+from walnutpost.configstore import PropagationStatus
 from walnutpost.consensus import Timing
 from walnutpost.controlplane import Keeper, KeeperClient, NoAnswer
 from walnutpost.eventloop import Loop
@@ -27,7 +27,7 @@
     def where(name: str) -> Callable[[], tuple[str, int]]:
         return lambda: keepers[name].address
 
-    def status(client: KeeperClient) -> Status | None:
+    def status(client: KeeperClient) -> PropagationStatus | None:
         with suppress(NoAnswer):
             return client.status()
         return None
@@ -52,10 +52,12 @@
 
             def in_force() -> bool:
                 told = status(client)
-                return told is not None and told.members == 8 and told.lowest >= answer.index
+                return (
+                    told is not None and told.member_count == 8 and told.min_applied_revision >= answer.index
+                )
 
             until(loop, in_force, step=50_000)
-            assert {m.follower.in_force for m in members} == {answer.index}
+            assert {m.follower.applied_revision for m in members} == {answer.index}
             assert len({m.table.digest for m in members}) == 1
 
         change(1)
@@ -69,7 +71,7 @@
         assert left.fleet.table.digest == members[0].table.digest
         for member in members:
             member.watcher.stop()
-        until(loop, lambda: (told := status(client)) is not None and told.members == 0, step=50_000)
+        until(loop, lambda: (told := status(client)) is not None and told.member_count == 0, step=50_000)
         relays.pop("r2").stop()
         for name, keeper in keepers.items():
             if name != leader:
