--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -13,16 +13,16 @@
 
 from walnutpost.configstore import (
     AGE_HEADER,
-    WATCH,
-    BadMessage,
-    Follower,
-    Page,
-    Question,
-    Taken,
+    WATCH_PATH,
+    ApplyOutcome,
+    InvalidMessageError,
+    WatchRequest,
+    WatchResponse,
+    WatchState,
     decode,
     encode,
 )
-from walnutpost.configstore.choice import Choice
+from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, Task, Timeout
 from walnutpost.http import BadMessage as BadHttp
 from walnutpost.http import Connection, Limits, Response, encode_request
@@ -95,9 +95,9 @@
         self,
         loop: Loop,
         servers: Mapping[str, Callable[[], Address]],
-        follower: Follower,
-        choice: Choice,
-        on_taken: Callable[[Taken], None],
+        follower: WatchState,
+        choice: RelaySelector,
+        on_taken: Callable[[ApplyOutcome], None],
         log: Any,
         hold_us: int = 3_000_000,
         rate: int = RATE,
@@ -134,11 +134,11 @@
         self._task = self._loop.current()
         look = self._loop.every(LOOK, self._look, name="watch")
         try:
-            self._turn_to(self._choice.first(self._loop.now()))
+            self._turn_to(self._choice.start(self._loop.now()))
             while True:
                 try:
                     self._follow()
-                except (OSError, Timeout, BadHttp, BadMessage, NotServed) as error:
+                except (OSError, Timeout, BadHttp, InvalidMessageError, NotServed) as error:
                     self._move(error)
         finally:
             look.cancel()
@@ -151,7 +151,7 @@
         self._drop()  # with the question that is held there: there are never two at once
         if not self.server or not self._follower.member:
             return  # nobody knows of it
-        question = structs.replace(self._follower.question(0), leaving=True)
+        question = structs.replace(self._follower.next_request(0), is_leaving=True)
         with suppress(OSError, Timeout, BadHttp), self._loop.timeout(LEAVE_TIME):
             connection = self._opened()
             try:
@@ -160,12 +160,14 @@
                 connection.close()
 
     def _look(self) -> None:
-        late = self._follower.late(self._loop.now())
+        late = self._follower.is_stale(self._loop.now())
         if late and not self._late:
-            revision = self._follower.in_force
+            revision = self._follower.applied_revision
             self._log.warning("control not heard for 9 s", acting_on=revision, server=self.server)
         elif self._late and not late:
-            self._log.info("control heard again", acting_on=self._follower.in_force, server=self.server)
+            self._log.info(
+                "control heard again", acting_on=self._follower.applied_revision, server=self.server
+            )
         self._late = late
 
     # Servers
@@ -178,17 +180,17 @@
         """After `error`: to the next server, when its time has come."""
         if (self._heard or not self.counts.moves) and self._may_log():  # once, however many refuse after it
             self._log.warning("watch lost", server=self.server, why=f"{type(error).__name__} {error}")
-        server, wait = self._choice.failed(self._loop.now(), self.server)
+        server, wait = self._choice.record_failure(self._loop.now(), self.server)
         self._drop()
         self._loop.sleep(wait)
-        self._follower.moved()
+        self._follower.server_changed()
         self.counts.moves += 1
         self._turn_to(server)
 
     def _go_home(self) -> None:
-        server = self._choice.home(self._loop.now())
+        server = self._choice.return_to_preferred(self._loop.now())
         if server is not None and server != self.server:
-            self._follower.moved()
+            self._follower.server_changed()
             self.counts.moves += 1
             self._turn_to(server)
 
@@ -210,20 +212,22 @@
             self._go_home()
             self._verify()
             # The first question isn't held: the answer tells that there is a server, and how old it is.
-            question = self._follower.question(self._hold if self._heard else 0)
-            if question.after is not None or question.want or self._more:
+            question = self._follower.next_request(self._hold if self._heard else 0)
+            if question.after_key is not None or question.wanted_buckets or self._more:
                 self._loop.sleep(self._debt.wait(self._loop.now()))
             before, asked = _place(question), self._loop.now()
             page, age = self._ask(question)
             self._take(page, age)
-            self._judge(age, question.hold)
+            self._judge(age, question.wait_timeout_us)
             held = self._loop.now() - asked
-            if _place(self._follower.question(0)) != before or (question.hold and 2 * held >= question.hold):
+            if _place(self._follower.next_request(0)) != before or (
+                question.wait_timeout_us and 2 * held >= question.wait_timeout_us
+            ):
                 self._floor.progress()
             else:  # whoever answers at once and with nothing must not be asked at once again
                 self._loop.sleep(self._floor.nothing())
 
-    def _ask(self, question: Question) -> tuple[Page | None, int | None]:
+    def _ask(self, question: WatchRequest) -> tuple[WatchResponse | None, int | None]:
         """A page or none, and how long ago a leader vouched for what it tells, if it tells that."""
         connection = self._connection
         if connection is None or not connection.reusable:
@@ -231,7 +235,7 @@
             connection = self._connection = self._opened()
         stream, asked = connection.stream, self._loop.now()
         self.counts.questions += 1
-        with self._loop.timeout(question.hold + ANSWER_TIME):
+        with self._loop.timeout(question.wait_timeout_us + ANSWER_TIME):
             stream.send_all(_request(question))
             self._loop.wait_readable(stream.fd)
         with self._loop.timeout(BODY_TIME):
@@ -239,7 +243,7 @@
         self._debt.received(self._loop.now(), max(0, COST_LEAST - len(response.body)))
         if response.status not in (200, 204):
             raise NotServed(f"{response.status} {response.body[:200]!r}")
-        page = decode(_plain(response), Page) if response.status == 200 else None
+        page = decode(_plain(response), WatchResponse) if response.status == 200 else None
         # Counted from the asking: an answer that lay somewhere on its way, or here while this process
         # stood still, is as old as it may be.
         held, age = _number(response, HELD_HEADER), _number(response, AGE_HEADER)
@@ -248,18 +252,18 @@
         passed = self._loop.now() - asked
         return page, max(0, passed - min(held, passed)) + age
 
-    def _take(self, page: Page | None, age: int | None) -> None:
+    def _take(self, page: WatchResponse | None, age: int | None) -> None:
         now, follower = self._loop.now(), self._follower
         if not self._heard:
             self._heard = True
             if self._may_log():
-                self._log.info("watch", server=self.server, revision=follower.table.revision)
-        taken = follower.answered(now, page, age)
-        self._more = page is not None and follower.table.revision < page.revision
-        if age is not None and not self._more and not follower.loading:
+                self._log.info("watch", server=self.server, revision=follower.store.revision)
+        taken = follower.handle_response(now, page, age)
+        self._more = page is not None and follower.store.revision < page.revision
+        if age is not None and not self._more and not follower.is_loading:
             self._vouched, self._complete = max(self._vouched, now - age), True
         self._tell(taken)
-        if taken.elsewhere:
+        if taken.is_inconsistent:
             raise NotServed("what it tells does not hold together")
 
     def _judge(self, age: int | None, hold: int) -> None:
@@ -275,7 +279,7 @@
             self._stale_moves, self._stale_at = self._stale_moves + 1, now
             told = "nothing newer" if age is None else f"what was vouched for {age / 1e6:.1f} s ago"
             raise NotServed(f"it tells {told}")
-        self._choice.answered(now)
+        self._choice.record_success(now)
 
     def _may_log(self) -> bool:
         """Not more lines than say what there is to say, whatever servers do over and over."""
@@ -289,25 +293,27 @@
         """Counts the table anew, if it is time to, a part at a time: others get their turns between."""
         while True:
             self._tell(self._follower.verify(self._loop.now()))
-            if not self._follower.verifying:
+            if not self._follower.is_verifying:
                 return
             self._loop.breathe()
 
-    def _tell(self, taken: Taken) -> None:
-        if taken.note and self._may_log():
-            self._log.warning("table", server=self.server, why=taken.note)
-        if taken.changes or taken.whole or taken.repaired:
+    def _tell(self, taken: ApplyOutcome) -> None:
+        for event in taken.events:
+            if self._may_log():
+                write = self._log.info if event.is_expected else self._log.warning
+                write(event.kind.value, server=self.server, detail=event.detail)
+        if taken.changes or taken.is_replaced or taken.repaired_keys:
             # What fails in it is reported, and doesn't end the following.
             self._loop.guarded("taken", lambda: self._on_taken(taken))
 
 
-def _place(question: Question) -> tuple[int, str | None, int]:
+def _place(question: WatchRequest) -> tuple[int, str | None, int]:
     """How far its asker has come."""
-    return question.revision, question.after, len(question.want)
+    return question.revision, question.after_key, len(question.wanted_buckets)
 
 
-def _request(question: Question) -> bytes:
-    return encode_request("POST", WATCH, "localhost", HEADERS, encode(question))
+def _request(question: WatchRequest) -> bytes:
+    return encode_request("POST", WATCH_PATH, "localhost", HEADERS, encode(question))
 
 
 def _plain(response: Response) -> bytes:
@@ -318,9 +324,11 @@
     try:
         data = reader.decompress(response.body, BODY_MOST)
     except zlib.error as error:
-        raise BadMessage(f"Page: {error}") from error
+        raise InvalidMessageError(f"Page: {error}") from error
     if not reader.eof:
-        raise BadMessage(f"Page: found more than {BODY_MOST} bytes or half a page, wanted all of one")
+        raise InvalidMessageError(
+            f"Page: found more than {BODY_MOST} bytes or half a page, wanted all of one"
+        )
     return data
 
 
--- a/packages/watch/src/walnutpost/watch/serving.py
+++ b/packages/watch/src/walnutpost/watch/serving.py
@@ -10,15 +10,15 @@
 
 from walnutpost.configstore import (
     AGE_HEADER,
-    BUCKETS,
-    BadMessage,
-    Owed,
-    Question,
-    Table,
+    DIGEST_BUCKETS,
+    ConfigStore,
+    InvalidMessageError,
+    PendingEvents,
+    WatchRequest,
+    build_response,
     decode,
     encode,
-    owed_key,
-    page_of,
+    pending_events,
 )
 from walnutpost.eventloop import Loop, Stream, Task
 from walnutpost.eventloop.timers import Timer
@@ -67,19 +67,19 @@
     def __init__(
         self,
         loop: Loop,
-        table: Callable[[], Table | None],
+        table: Callable[[], ConfigStore | None],
         age: Callable[[], int],
-        said: Callable[[Question], None] | None = None,
+        said: Callable[[WatchRequest], None] | None = None,
         gather_us: int = 200_000,
         held_most: int = HELD_MOST,
-        gone: Callable[[Question], None] | None = None,
+        gone: Callable[[WatchRequest], None] | None = None,
     ) -> None:
         self._loop, self._table, self._age = loop, table, age
         self._said, self._gone = said, gone
         self._gather, self._most = gather_us, held_most
         self._held: dict[Task[Any], int] = {}
-        self._last: dict[Task[Any], Question] = {}  # of members, by connection
-        self._pages: OrderedDict[tuple[Owed, bool], _Page] = OrderedDict()
+        self._last: dict[Task[Any], WatchRequest] = {}  # of members, by connection
+        self._pages: OrderedDict[tuple[PendingEvents, bool], _Page] = OrderedDict()
         self._shown = 0  # the table's revision at the last wake
         self._woken = loop.now() - gather_us
         self._timer: Timer | None = None
@@ -108,19 +108,19 @@
         Accept-Encoding."""
         began = self._loop.now()
         try:
-            question = decode(body, Question)
+            question = decode(body, WatchRequest)
             _check(question)
-        except BadMessage as error:
+        except InvalidMessageError as error:
             self.counts.refused += 1
             return Response(400, body=str(error).encode())
         if question.member:
             self._note(question)
-        until = began + (0 if question.leaving else min(question.hold, HOLD_MOST))
+        until = began + (0 if question.is_leaving else min(question.wait_timeout_us, HOLD_MOST))
         while True:
             table = self._table()
             if table is None:
                 return self._turn_away(b"no whole table here yet")
-            owed = None if question.leaving else self._owed(table, question, CODING in accepts)
+            owed = None if question.is_leaving else self._owed(table, question, CODING in accepts)
             if owed is not None:
                 self.counts.answered += 1
                 self.counts.bytes += len(owed.body)
@@ -149,7 +149,7 @@
             HELD_HEADER: str(self._loop.now() - began),
         }
 
-    def _note(self, question: Question) -> None:
+    def _note(self, question: WatchRequest) -> None:
         if self._said is not None:
             self._said(question)
         if self._gone is not None:
@@ -187,19 +187,21 @@
         for task, token in held.items():
             self._loop.wake(task, token)
 
-    def _owed(self, table: Table, question: Question, coded: bool) -> _Page | None:
+    def _owed(self, table: ConfigStore, question: WatchRequest, coded: bool) -> _Page | None:
         """A page's bytes, made once for all who are owed the same."""
-        plain = question.after is None and not question.buckets and not question.want
+        plain = (
+            question.after_key is None and not question.wants_bucket_digests and not question.wanted_buckets
+        )
         # Who has all that was shown at the last wake waits for the next, with the others: asking again
         # at once within a burst would else bring each change alone.
         if plain and self._timer is not None and self._shown <= question.revision <= table.revision:
             return None
-        key = owed_key(table, question)
+        key = pending_events(table, question)
         if key is None:
             return None
         page = self._pages.get((key, coded))
         if page is None:
-            page = self._pages[key, coded] = _made(encode(page_of(table, key)), coded)
+            page = self._pages[key, coded] = _made(encode(build_response(table, key)), coded)
             self.counts.encoded += 1
             if len(self._pages) > PAGES_KEPT:
                 self._pages.popitem(last=False)
@@ -213,15 +215,20 @@
     return _Page(zlib.compress(data) if coded else data, coded)
 
 
-def _check(question: Question) -> None:
+def _check(question: WatchRequest) -> None:
     """Raises BadMessage for a question that no follower asks."""
-    for name in ("session", "revision", "in_force", "hold", "base"):
+    for name in ("session", "revision", "applied_revision", "wait_timeout_us", "base_revision"):
         value = getattr(question, name)
         if value < 0:
-            raise BadMessage(f"Question: {name}: found {value}, wanted 0 or more")
+            raise InvalidMessageError(f"WatchRequest: {name}: found {value}, wanted 0 or more")
     for name in ("member", "incarnation"):
         size = len(getattr(question, name))
         if size > NAME_MOST:
-            raise BadMessage(f"Question: {name}: found {size} characters, wanted {NAME_MOST} at most")
-    if len(question.want) > BUCKETS or any(not 0 <= bucket < BUCKETS for bucket in question.want):
-        raise BadMessage(f"Question: want: found {question.want[:10]}, wanted ranges 0 to {BUCKETS - 1}")
+            raise InvalidMessageError(
+                f"WatchRequest: {name}: found {size} characters, wanted {NAME_MOST} at most"
+            )
+    wanted = question.wanted_buckets
+    if len(wanted) > DIGEST_BUCKETS or any(not 0 <= bucket < DIGEST_BUCKETS for bucket in wanted):
+        raise InvalidMessageError(
+            f"WatchRequest: wanted_buckets: found {wanted[:10]}, wanted 0 to {DIGEST_BUCKETS - 1}"
+        )
--- a/packages/watch/tests/test_client.py
+++ b/packages/watch/tests/test_client.py
@@ -14,17 +14,17 @@
 
 from walnutpost.configstore import (
     AGE_HEADER,
+    ApplyOutcome,
     ChangeSet,
+    ConfigStore,
     Entry,
-    Op,
-    Page,
-    Question,
-    Table,
-    Taken,
+    Mutation,
+    WatchRequest,
+    WatchResponse,
     encode,
-    owed,
+    respond,
 )
-from walnutpost.configstore.choice import order
+from walnutpost.configstore.relay_selection import preference_order
 from walnutpost.eventloop import Listener, Loop, Stream
 from walnutpost.http import Response, encode_response
 from walnutpost.watch import HELD_HEADER
@@ -45,7 +45,7 @@
 def homed(server: str, count: int) -> list[str]:
     """Names of members that ask this one of `a` and `b` first."""
     names = (f"fe{n}" for n in range(1000))
-    return [name for name in names if order(name, {"a": "r", "b": "r"}, "r")[0] == server][:count]
+    return [name for name in names if preference_order(name, {"a": "r", "b": "r"}, "r")[0] == server][:count]
 
 
 # Following
@@ -60,7 +60,7 @@
             until(loop, lambda: served.watch.held)
             revision = served.change(ops(n, 3))
             asked = loop.now()
-            until(loop, lambda r=revision: served.questions[-1].in_force == r)  # type: ignore[misc]
+            until(loop, lambda r=revision: served.questions[-1].applied_revision == r)  # type: ignore[misc]
             assert loop.now() - asked < SECOND
         assert member.same(served.table) and member.acted == sorted(set(member.acted))
         assert len(served.server.streams) == 1 and member.watcher.counts.moves == 0
@@ -110,7 +110,7 @@
         served.change(ops(1))
         until(loop, lambda: member.same(served.table))
         loop.sleep(2 * HOLD)
-        assert served.watch.held and served.questions[-1].in_force == 0
+        assert served.watch.held and served.questions[-1].applied_revision == 0
 
     play(script, errors)
     assert errors and all(isinstance(e, ValueError) for e in errors)
@@ -124,7 +124,7 @@
         table = large(400)
         one, other = Served(loop, table), Served(loop, copy(table))
         members = [
-            Member(loop, both(one, other), f"fe{n}", n, log_most=0)
+            Member(loop, both(one, other), f"fe{n}", n, max_log_entries=0)
             if False
             else Member(loop, both(one, other), f"fe{n}", n)
             for n in range(30)
@@ -143,7 +143,7 @@
             loop.sleep(SECOND // 5)
         until(loop, lambda: all(m.same(left.table) for m in members))
         later = left.questions[asked:]
-        assert not [q for q in later if q.after is not None or q.revision < 100]
+        assert not [q for q in later if q.after_key is not None or q.revision < 100]
         # Each goes on where it was, in order, and says so with a higher session.
         assert all(m.acted == sorted(set(m.acted)) for m in members)
         moved = {q.member for q in later if q.session == 1}
@@ -172,15 +172,15 @@
 
 def test_a_server_that_says_nothing_is_left_after_the_hold() -> None:
     def script(loop: Loop) -> None:
-        def silent(question: Question) -> None:
+        def silent(question: WatchRequest) -> None:
             loop.sleep(3600 * SECOND)
 
         bad, good = Raw(loop, silent), Served(loop, filled(3))
         members = [Member(loop, both(bad, good), name, n) for n, name in enumerate(homed("a", 6))]
         until(loop, lambda: all(m.same(good.table) for m in members))
         # The first question is not held, so a silent server is known by ANSWER_TIME alone.
-        assert len(bad.questions) == 6 and {q.hold for q in bad.questions} == {0}
-        assert all(not m.follower.late(loop.now()) for m in members)
+        assert len(bad.questions) == 6 and {q.wait_timeout_us for q in bad.questions} == {0}
+        assert all(not m.follower.is_stale(loop.now()) for m in members)
 
     play(script)
 
@@ -209,8 +209,14 @@
     def script(loop: Loop) -> None:
         table = large(50)
         entries = tuple(replace(table.entries[key], value=b"other") for key in sorted(table.entries))
-        page = Page(
-            table.revision, table.digest, table.floor, whole=True, entries=entries, done=True, after=""
+        page = WatchResponse(
+            table.revision,
+            table.digest,
+            table.compacted_revision,
+            is_snapshot=True,
+            entries=entries,
+            is_last_page=True,
+            after_key="",
         )
         bad, good = Raw(loop, lambda question: Response(200, HEADERS, encode(page))), Served(loop, table)
         member = Member(loop, both(bad, good), homed("a", 1)[0])
@@ -234,7 +240,7 @@
         if behind:
             good.change(ops(1))
             for member in members:
-                member.follower.table = copy(good.table or filled(0))
+                member.follower.store = copy(good.table or filled(0))
         until(loop, lambda: good.watch.held == 6)
         assert all(m.same(good.table) for m in members)
         loop.sleep(20 * SECOND)
@@ -300,7 +306,7 @@
         open_now: set[int] = set()
         most = 0
 
-        def strange(question: Question) -> Response:
+        def strange(question: WatchRequest) -> Response:
             loop.sleep((0, 10 * SECOND, SECOND)[question.session % 3])
             return Response(503)
 
@@ -326,8 +332,10 @@
 def test_a_reset_at_each_byte_of_an_answer_changes_nothing_wrong() -> None:
     """A server cuts its answer after byte N, for each N; the next connection gets it whole."""
     table = filled(2, size=40)
-    table.change(50, [Op("function/f00000", None), Op("function/new", b"x"), Op("tenant/a", b"y")])
-    page = owed(table, Question("", "", 0, 2, 0, 0, 0))
+    table.propose(
+        50, [Mutation("function/f00000", None), Mutation("function/new", b"x"), Mutation("tenant/a", b"y")]
+    )
+    page = respond(table, WatchRequest("", "", 0, 2, 0, 0, 0))
     assert page is not None
     whole = encode_response(Response(200, HEADERS, encode(page)))
     start = filled(2, size=40)
@@ -353,8 +361,8 @@
 
             accepting = loop.spawn(serve)
             member = Member(loop, {"a": lambda address=listener.address: address})  # type: ignore[misc]
-            member.follower.table = copy(start)
-            member.follower.acting(2)
+            member.follower.store = copy(start)
+            member.follower.mark_applied(2)
             until(loop, lambda m=member: m.same(table))  # type: ignore[misc]
             assert member.acted == [50] and counts[0] == 1 + (cut < len(whole)), cut
             member.task.cancel()
@@ -381,8 +389,8 @@
 CODED = HEADERS | {"Content-Encoding": "deflate"}
 MISCODED = {
     "a bomb": zlib.compress(bytes(64 * BODY_MOST)),
-    "cut": zlib.compress(encode(Page(3, 0, 0)))[:-5],
-    "not coded": encode(Page(3, 0, 0)),
+    "cut": zlib.compress(encode(WatchResponse(3, 0, 0)))[:-5],
+    "not coded": encode(WatchResponse(3, 0, 0)),
     "nothing": b"",
 }
 
@@ -419,7 +427,7 @@
         table = filled(3)
 
         def run(pause: int) -> tuple[Member, Listener]:
-            page = owed(table, Question("", "", 0, 0, 0, 0, 0))
+            page = respond(table, WatchRequest("", "", 0, 0, 0, 0, 0))
             assert page is not None
             data = encode_response(Response(200, HEADERS, encode(page)))
             listener = Listener(loop, ("127.0.0.1", 0))
@@ -452,59 +460,67 @@
 # A server that answers rubbish
 
 
-def _old(question: Question) -> Response:
+def _old(question: WatchRequest) -> Response:
     """The same change set, whatever is asked."""
-    page = owed(filled(1), Question("", "", 0, 0, 0, 0, 0))
+    page = respond(filled(1), WatchRequest("", "", 0, 0, 0, 0, 0))
     assert page is not None
     return Response(200, HEADERS, encode(page))
 
 
-def _other_digest(question: Question) -> Response:
+def _other_digest(question: WatchRequest) -> Response:
     table = filled(3, size=21)
-    page = owed(table, replace(question, revision=3, digest=1))
+    page = respond(table, replace(question, revision=3, digest=1))
     assert page is not None
     return Response(200, HEADERS, encode(page))
 
 
-def _growing(question: Question) -> Response:
+def _growing(question: WatchRequest) -> Response:
     """A whole state without end, one small entry at a time."""
-    after = question.after or ""
+    after = question.after_key or ""
     entry = Entry(after[:20] + "a" * (len(after) - len(after[:20]) + 1), b"", 1)
-    return Response(200, HEADERS, encode(Page(9, 9, 9, whole=True, entries=(entry,), after=after)))
+    return Response(
+        200, HEADERS, encode(WatchResponse(9, 9, 9, is_snapshot=True, entries=(entry,), after_key=after))
+    )
 
 
-def _floors(question: Question) -> Response:
+def _floors(question: WatchRequest) -> Response:
     """A floor that passes the pages each time."""
     _floors.count += 1  # type: ignore[attr-defined]
     n: int = _floors.count  # type: ignore[attr-defined]
     entry = Entry("a/b", b"", n)
     return Response(
-        200, HEADERS, encode(Page(n, 9, n, whole=True, entries=(entry,), after=question.after or ""))
+        200,
+        HEADERS,
+        encode(
+            WatchResponse(n, 9, n, is_snapshot=True, entries=(entry,), after_key=question.after_key or "")
+        ),
     )
 
 
 _floors.count = 9  # type: ignore[attr-defined]
 
 
-def _false(question: Question) -> Response:
+def _false(question: WatchRequest) -> Response:
     """A change set whose digest is not that of the table with it."""
     after = question.revision
-    change = ChangeSet(after + 1, (Op("function/x", b"1"),), 77)
-    page = Page(after + 1, 77, 0, (change,), since=after)
+    change = ChangeSet(after + 1, (Mutation("function/x", b"1"),), 77)
+    page = WatchResponse(after + 1, 77, 0, (change,), since_revision=after)
     return Response(200, HEADERS, encode(page))
 
 
-RUBBISH: dict[str, Callable[[Question], Response | None]] = {
+RUBBISH: dict[str, Callable[[WatchRequest], Response | None]] = {
     "nothing at once": lambda q: Response(204, HEADERS),
     "nothing without a head": lambda q: Response(204),
-    "an empty page": lambda q: Response(200, HEADERS, encode(Page(3, 0, 0))),
+    "an empty page": lambda q: Response(200, HEADERS, encode(WatchResponse(3, 0, 0))),
     "an old page": _old,
     "no page": lambda q: Response(200, HEADERS, b"<html>"),
-    "a page without a head": lambda q: Response(200, {}, encode(Page(3, 0, 0))),
+    "a page without a head": lambda q: Response(200, {}, encode(WatchResponse(3, 0, 0))),
     "bad text": lambda q: Response(
-        200, HEADERS, encode(Page(3, 0, 0, after="\x01x")).replace(b"\x01x", b"\xffx")
+        200, HEADERS, encode(WatchResponse(3, 0, 0, after_key="\x01x")).replace(b"\x01x", b"\xffx")
+    ),
+    "nested": lambda q: Response(
+        200, HEADERS, b"\xdc\0\x20" + encode(WatchResponse(3, 0, 0))[1:] + b"\x91" * 99_999
     ),
-    "nested": lambda q: Response(200, HEADERS, b"\xdc\0\x20" + encode(Page(3, 0, 0))[1:] + b"\x91" * 99_999),
     "another digest": _other_digest,
     "a state without end": _growing,
     "a floor that runs away": _floors,
@@ -519,7 +535,7 @@
     def script(loop: Loop) -> None:
         bad = Raw(loop, RUBBISH[name])
         member = Member(loop, {"a": where(bad)})
-        member.follower.table = filled(3)
+        member.follower.store = filled(3)
         loop.sleep(60 * SECOND)
         assert 5 < len(bad.questions) < 60 * 25, len(bad.questions)
         assert not member.task.done and len(member.log.lines) < 60 * 6
@@ -575,7 +591,7 @@
         for n in range(5):  # much more than 22 KB/s
             changed = loop.now()
             revision = served.change(ops(n * 100, 100, 1000))
-            until(loop, lambda r=revision: served.questions[-1].in_force == r)  # type: ignore[misc]
+            until(loop, lambda r=revision: served.questions[-1].applied_revision == r)  # type: ignore[misc]
             assert loop.now() - changed < SECOND
         assert member.same(served.table)
 
@@ -589,14 +605,14 @@
         for n in range(100):
             served.change(ops(n * 10, 10, 600))
         member = Member(loop, {"a": where(served)})
-        member.follower.table = table
+        member.follower.store = table
         began, counts = loop.now(), member.watcher.counts
         while not member.same(served.table):
             passed = loop.now() - began
             assert counts.bytes_in <= BURST + RATE * passed // SECOND + 2 * 65_536, (counts, passed)
             assert passed < 120 * SECOND
             loop.sleep(50_000)
-        assert not [q for q in served.questions if q.after is not None]
+        assert not [q for q in served.questions if q.after_key is not None]
         assert counts.bytes_in > 600_000
         assert loop.now() - began > (counts.bytes_in - BURST - 2 * 65_536) * SECOND // RATE
 
@@ -622,7 +638,7 @@
             if changing:
                 for served in (a, b):
                     served.change(
-                        [Op(f"function/f{2 * n:05}", None), *ops(2 * n + 1, salt=n), *ops(1999 - 2 * n)]
+                        [Mutation(f"function/f{2 * n:05}", None), *ops(2 * n + 1, salt=n), *ops(1999 - 2 * n)]
                     )
             here = member.watcher.server
             for stream in list((a if here == "a" else b).server.streams):
@@ -630,9 +646,9 @@
         until(loop, lambda: member.same(a.table))
         loop.sleep(10 * SECOND)
         assert member.same(a.table) and member.same(b.table) and pages > 5
-        assert member.table.recount() == a.table.recount() if a.table else False
+        assert member.table.compute_bucket_digests() == a.table.compute_bucket_digests() if a.table else False
         assert member.watcher.counts.moves > 5
-        asked = [q.after for q in (*a.questions, *b.questions) if q.after is not None]
+        asked = [q.after_key for q in (*a.questions, *b.questions) if q.after_key is not None]
         assert len(set(asked)) > 5 and {q.member for q in a.questions} == {q.member for q in b.questions}
         # Resumed by key at the other one: the first key is asked for but a few times.
         assert asked.count("") <= 4
@@ -647,15 +663,15 @@
         member = Member(loop, {"a": where(served)})
         until(loop, lambda: member.same(table))
         loop.sleep(10 * SECOND)
-        held = member.follower.table
+        held = member.follower.store
         entry = held.entries["function/f00077"]
         held.entries = held.entries.set(entry.key, Entry(entry.key, b"flipped", entry.revision))
         served.change(ops(3))
-        until(loop, lambda: any(t.repaired == ("function/f00077",) for t in member.taken))
+        until(loop, lambda: any(t.repaired_keys == ("function/f00077",) for t in member.taken))
         until(loop, lambda: member.same(table))
         assert member.table.entries == table.entries
-        assert member.log.count("table") >= 1
-        assert not [q for q in served.questions[5:] if q.after is not None]
+        assert member.log.count("config_diverged") >= 1
+        assert not [q for q in served.questions[5:] if q.after_key is not None]
 
     play(script)
 
@@ -695,22 +711,24 @@
 
 def test_an_answer_that_lay_on_its_way_is_as_old_as_that() -> None:
     def script(loop: Loop) -> None:
-        def late(question: Question) -> Response:
-            if question.hold:
+        def late(question: WatchRequest) -> Response:
+            if question.wait_timeout_us:
                 loop.sleep(SECOND)
                 loop.clock.jump(loop.now() + SECOND)  # both stood still, with the answer on its way
-            return Response(204, {AGE_HEADER: "5", HELD_HEADER: str(SECOND if question.hold else 0)})
+            return Response(
+                204, {AGE_HEADER: "5", HELD_HEADER: str(SECOND if question.wait_timeout_us else 0)}
+            )
 
         raw = Raw(loop, late)
         member = Member(loop, {"a": where(raw)})
         ages: list[int | None] = []
-        answered = member.follower.answered
+        answered = member.follower.handle_response
 
-        def noted(now: int, page: Page | None, age: int | None) -> Taken:
-            ages.append(age)
-            return answered(now, page, age)
+        def noted(now: int, page: WatchResponse | None, age_us: int | None) -> ApplyOutcome:
+            ages.append(age_us)
+            return answered(now, page, age_us)
 
-        member.follower.answered = noted  # type: ignore[method-assign]
+        member.follower.handle_response = noted  # type: ignore[method-assign]
         until(loop, lambda: len(ages) >= 3)
         assert ages[0] is not None and ages[0] < SECOND // 10
         # Asked two seconds ago and held for one: what it tells may be a second old.
@@ -726,11 +744,11 @@
         table = filled(3)
         behind = copy(table)
         for n in range(100):
-            table.change(table.revision + 1, ops(n * 10, 10, 600))
-        for held, wanted in ((Table(), large(2000)), (behind, table)):
+            table.propose(table.revision + 1, ops(n * 10, 10, 600))
+        for held, wanted in ((ConfigStore(), large(2000)), (behind, table)):
             served = Served(loop, wanted)
             member = Member(loop, {"a": where(served)})
-            member.follower.table = held
+            member.follower.store = held
             pages = 0
             while not member.same(wanted):
                 assert not member.watcher.complete
@@ -746,7 +764,7 @@
     def script(loop: Loop) -> None:
         served = Served(loop, filled(3))
         member = Member(loop, {"a": where(served)})
-        member.follower.table = filled(5)
+        member.follower.store = filled(5)
         loop.sleep(20 * SECOND)
         assert not member.watcher.complete and member.log.count("control not heard for 9 s") == 1
         assert member.table.revision == 5 and not member.taken
@@ -809,7 +827,7 @@
         member = Member(loop, {"a": where(served)})
         until(loop, lambda: served.watch.held)
         member.watcher.stop()
-        assert served.questions[-1].leaving and served.questions[-1].in_force == 3
+        assert served.questions[-1].is_leaving and served.questions[-1].applied_revision == 3
         asked = len(served.questions)
         until(loop, lambda: not served.server.streams)
         loop.sleep(10 * HOLD)
@@ -820,7 +838,7 @@
 
 def test_stop_is_bounded_where_nobody_answers() -> None:
     def script(loop: Loop) -> None:
-        def silent(question: Question) -> None:
+        def silent(question: WatchRequest) -> None:
             loop.sleep(3600 * SECOND)
 
         for address in (Raw(loop, silent).address, ("127.0.0.1", 1)):
--- a/packages/watch/tests/test_serving.py
+++ b/packages/watch/tests/test_serving.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from walnutpost.configstore import AGE_HEADER, WATCH, Question, encode
+from walnutpost.configstore import AGE_HEADER, WATCH_PATH, WatchRequest, encode
 from walnutpost.eventloop import Group, Loop, connect
 from walnutpost.http import encode_request
 from walnutpost.watch import HELD_HEADER
@@ -118,7 +118,7 @@
         served = Served(loop, large(1000))
         served.codes = True
         asker = Asker(loop, served)
-        question = encode(Question("", "1", 0, 0, 0, 0, 0))
+        question = encode(WatchRequest("", "1", 0, 0, 0, 0, 0))
         plain, coded = asker.send(question), asker.send(question, {"Accept-Encoding": "gzip, deflate"})
         assert plain.page == coded.page and coded.headers["content-encoding"] == "deflate"
         assert "content-encoding" not in plain.headers and len(coded.body) * 3 < len(plain.body)
@@ -127,7 +127,7 @@
         assert served.watch.counts.encoded == 2
         # What is small already is not made smaller.
         served.change(ops(1))
-        small = asker.send(encode(Question("", "1", 0, 100, 0, 0, 0)), {"Accept-Encoding": "deflate"})
+        small = asker.send(encode(WatchRequest("", "1", 0, 100, 0, 0, 0)), {"Accept-Encoding": "deflate"})
         assert small.page is not None and "content-encoding" not in small.headers
 
     play(script)
@@ -191,9 +191,9 @@
         served = Served(loop, large(3000))
         assert served.table is not None
         slow = connect(loop, served.address)
-        question = Question("slow", "1", 0, 0, 0, 0, HOLD)
+        question = WatchRequest("slow", "1", 0, 0, 0, 0, HOLD)
         for _ in range(200):  # far more than buffers take: a whole state's first page each
-            slow.send_now(encode_request("POST", WATCH, "x", {}, encode(question)))
+            slow.send_now(encode_request("POST", WATCH_PATH, "x", {}, encode(question)))
         until(loop, lambda: served.watch.counts.answered > 5)
         quick = Asker(loop, served, "quick")
         revision, digest = served.table.revision, served.table.digest
@@ -217,7 +217,7 @@
 
 def test_one_who_has_gone_costs_nothing_from_then_on() -> None:
     def script(loop: Loop) -> None:
-        gone: list[Question] = []
+        gone: list[WatchRequest] = []
         served = Served(loop, filled(3), gone=gone.append)
         assert served.table is not None
         asker = Asker(loop, served, "fe1")
@@ -236,7 +236,7 @@
 
 def test_a_member_that_asks_over_a_second_connection_is_gone_only_from_the_first() -> None:
     def script(loop: Loop) -> None:
-        gone: list[Question] = []
+        gone: list[WatchRequest] = []
         served = Served(loop, filled(3), gone=gone.append)
         first, second = Asker(loop, served, "fe1"), Asker(loop, served, "fe1")
         first.ask(0, hold=0)
@@ -283,9 +283,9 @@
         served = Served(loop, filled(3))
         assert served.table is not None
         asked = loop.now()
-        answer = Asker(loop, served, "fe1").ask(3, served.table.digest, leaving=True)
+        answer = Asker(loop, served, "fe1").ask(3, served.table.digest, is_leaving=True)
         assert answer.status == 204 and answer.at - asked < SECOND
-        assert served.questions[-1].leaving
+        assert served.questions[-1].is_leaving
 
     play(script)
 
@@ -299,21 +299,24 @@
     play(script)
 
 
-GOOD = Question("fe1", "1", 0, 3, 0, 0, 0)
+GOOD = WatchRequest("fe1", "1", 0, 3, 0, 0, 0)
 BAD = {
-    "no message": (b"\xc1", "Question: "),
-    "nothing": (b"", "Question: "),
-    "another shape": (encode(Question("fe1", "1", 0, 3, 0, 0, "x")), "Expected `int`, got `str`"),  # type: ignore[arg-type]
+    "no message": (b"\xc1", "WatchRequest: "),
+    "nothing": (b"", "WatchRequest: "),
+    "another shape": (encode(WatchRequest("fe1", "1", 0, 3, 0, 0, "x")), "Expected `int`, got `str`"),  # type: ignore[arg-type]
     "no UTF-8": (encode(GOOD).replace(b"fe1", b"fe\xff"), "utf-8"),
     "nested": (b"\xdc\0\x20" + encode(GOOD)[1:] + b"\x91" * 100_000, "recursion"),
-    "cut": (encode(GOOD)[:-1], "Question: "),
-    "format": (encode(Question("fe1", "1", 0, 3, 0, 0, 0, format=9)), "found 9, wanted 1"),
-    "revision": (encode(Question("fe1", "1", 0, -1, 0, 0, 0)), "revision: found -1, wanted 0 or more"),
-    "hold": (encode(Question("fe1", "1", 0, 3, 0, 0, -5)), "hold: found -5, wanted 0 or more"),
-    "member": (encode(Question("x" * 300, "1", 0, 3, 0, 0, 0)), "member: found 300 characters, wanted 200"),
+    "cut": (encode(GOOD)[:-1], "WatchRequest: "),
+    "format": (encode(WatchRequest("fe1", "1", 0, 3, 0, 0, 0, format=9)), "found 9, wanted 1"),
+    "revision": (encode(WatchRequest("fe1", "1", 0, -1, 0, 0, 0)), "revision: found -1, wanted 0 or more"),
+    "hold": (encode(WatchRequest("fe1", "1", 0, 3, 0, 0, -5)), "wait_timeout_us: found -5, wanted 0 or more"),
+    "member": (
+        encode(WatchRequest("x" * 300, "1", 0, 3, 0, 0, 0)),
+        "member: found 300 characters, wanted 200",
+    ),
     "want": (
-        encode(Question("fe1", "1", 0, 3, 0, 0, 0, want=(256,))),
-        "want: found (256,), wanted ranges 0 to",
+        encode(WatchRequest("fe1", "1", 0, 3, 0, 0, 0, wanted_buckets=(256,))),
+        "wanted_buckets: found (256,), wanted 0 to",
     ),
 }
 
--- a/packages/watch/tests/watch_rig.py
+++ b/packages/watch/tests/watch_rig.py
@@ -9,18 +9,18 @@
 from typing import Any, Protocol
 
 from walnutpost.configstore import (
-    WATCH,
+    WATCH_PATH,
+    ApplyOutcome,
+    ConfigStore,
     Entry,
-    Follower,
-    Op,
-    Page,
-    Question,
-    Table,
-    Taken,
+    Mutation,
+    WatchRequest,
+    WatchResponse,
+    WatchState,
     decode,
     encode,
 )
-from walnutpost.configstore.choice import Choice
+from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.http import BadMessage, Connection, Exchange, Response, Server, encode_request
 from walnutpost.http.server import serve_on
@@ -34,28 +34,29 @@
     return Response(error.status, body=str(error).encode())
 
 
-def ops(first: int, count: int = 1, size: int = 20, salt: int = 0) -> list[Op]:
+def ops(first: int, count: int = 1, size: int = 20, salt: int = 0) -> list[Mutation]:
     return [
-        Op(f"function/f{n:05}", f"{salt}.{n}".encode().ljust(size, b".")) for n in range(first, first + count)
+        Mutation(f"function/f{n:05}", f"{salt}.{n}".encode().ljust(size, b"."))
+        for n in range(first, first + count)
     ]
 
 
-def filled(count: int = 10, size: int = 20, **limits: int) -> Table:
+def filled(count: int = 10, size: int = 20, **limits: int) -> ConfigStore:
     """With `count` keys, of one change set each; its log has them unless `limits` say otherwise."""
-    table = Table(**limits)
+    table = ConfigStore(**limits)
     for n in range(count):
-        table.change(table.revision + 1, ops(n, size=size))
+        table.propose(table.revision + 1, ops(n, size=size))
     return table
 
 
-def large(count: int, size: int = 200) -> Table:
+def large(count: int, size: int = 200) -> ConfigStore:
     """With `count` keys and no history: whoever has nothing is owed a whole state."""
     entries = {op.key: Entry(op.key, op.value or b"", 1) for op in ops(0, count, size)}
-    return Table.of(entries, 100)
+    return ConfigStore.from_entries(entries, 100)
 
 
-def copy(table: Table) -> Table:
-    return Table.restore(table.snapshot())
+def copy(table: ConfigStore) -> ConfigStore:
+    return ConfigStore.restore(table.snapshot())
 
 
 class Addressed(Protocol):
@@ -67,23 +68,23 @@
     """One server of a table, as a relay or a keeper has it; `table` may be changed through `change`."""
 
     def __init__(
-        self, loop: Loop, table: Table | None, age: Callable[[], int] = lambda: 0, **more: Any
+        self, loop: Loop, table: ConfigStore | None, age: Callable[[], int] = lambda: 0, **more: Any
     ) -> None:
         self.loop, self.table = loop, table
         self.codes = False
-        self.questions: list[Question] = []
+        self.questions: list[WatchRequest] = []
         self.watch = WatchServer(loop, lambda: self.table, age, self.questions.append, **more)
         self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, refusal)
         self.address = self.server.address
 
     def _handle(self, exchange: Exchange) -> Response:
-        assert (exchange.request.method, exchange.request.target) == ("POST", WATCH.encode())
+        assert (exchange.request.method, exchange.request.target) == ("POST", WATCH_PATH.encode())
         accepts = exchange.request.headers.get("accept-encoding", "") if self.codes else ""
         return self.watch.answer(exchange.request.body, exchange.stream, accepts)
 
-    def change(self, wanted: list[Op]) -> int:
+    def change(self, wanted: list[Mutation]) -> int:
         assert self.table is not None
-        self.table.change(self.table.revision + 1, wanted)
+        self.table.propose(self.table.revision + 1, wanted)
         self.watch.changed()
         return self.table.revision
 
@@ -99,7 +100,7 @@
     """What came back, when, and how it was headed."""
 
     status: int
-    page: Page | None
+    page: WatchResponse | None
     headers: dict[str, str]
     at: int
     body: bytes
@@ -113,13 +114,15 @@
         self.connection = Connection.open(loop, served.address)
 
     def ask(self, revision: int, digest: int = 0, hold: int = HOLD, **more: Any) -> Asked:
-        return self.send(encode(Question(self.member, "1", self.session, revision, 0, digest, hold, **more)))
+        return self.send(
+            encode(WatchRequest(self.member, "1", self.session, revision, 0, digest, hold, **more))
+        )
 
     def send(self, body: bytes, headers: dict[str, str] | None = None) -> Asked:
-        response = self.connection.exchange(encode_request("POST", WATCH, "x", headers or {}, body))
+        response = self.connection.exchange(encode_request("POST", WATCH_PATH, "x", headers or {}, body))
         coded = "content-encoding" in response.headers
         plain = zlib.decompress(response.body) if coded else response.body
-        page = decode(plain, Page) if response.status == 200 else None
+        page = decode(plain, WatchResponse) if response.status == 200 else None
         return Asked(response.status, page, response.headers, self.loop.now(), response.body)
 
 
@@ -163,27 +166,27 @@
         servers: Mapping[str, Callable[[], tuple[str, int]]],
         name: str = "fe1",
         seed: int = 1,
-        follower: Follower | None = None,
+        follower: WatchState | None = None,
         **more: Any,
     ) -> None:
         self.loop, self.log = loop, Log()
-        self.follower = follower or Follower(name, "1", loop.now())
-        self.choice = Choice(name, dict.fromkeys(servers, "r"), "r", Random(seed))
-        self.taken: list[Taken] = []
+        self.follower = follower or WatchState(name, "1", loop.now())
+        self.choice = RelaySelector(name, dict.fromkeys(servers, "r"), "r", Random(seed))
+        self.taken: list[ApplyOutcome] = []
         self.acted: list[int] = []  # revisions, in order
         self.watcher = Watcher(loop, servers, self.follower, self.choice, self.take, self.log, **more)
         self.task = loop.spawn(self.watcher.run, name="watch")
 
     @property
-    def table(self) -> Table:
-        return self.follower.table
+    def table(self) -> ConfigStore:
+        return self.follower.store
 
-    def take(self, taken: Taken) -> None:
+    def take(self, taken: ApplyOutcome) -> None:
         self.taken.append(taken)
         self.acted.append(self.table.revision)
-        self.follower.acting(self.table.revision)
+        self.follower.mark_applied(self.table.revision)
 
-    def same(self, table: Table | None) -> bool:
+    def same(self, table: ConfigStore | None) -> bool:
         held = self.table
         return table is not None and (held.revision, held.digest) == (table.revision, table.digest)
 
@@ -191,11 +194,11 @@
 class Raw:
     """A server that answers each question as it is told; None ends the connection."""
 
-    def __init__(self, loop: Loop, answer: Callable[[Question], Response | None]) -> None:
-        self.questions: list[Question] = []
+    def __init__(self, loop: Loop, answer: Callable[[WatchRequest], Response | None]) -> None:
+        self.questions: list[WatchRequest] = []
 
         def handle(exchange: Exchange) -> Response | None:
-            self.questions.append(decode(exchange.request.body, Question))
+            self.questions.append(decode(exchange.request.body, WatchRequest))
             return answer(self.questions[-1])
 
         self.server = serve_on(loop, ("127.0.0.1", 0), handle, refusal)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.slopes import TooFewSizes, slope
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import entries_of
-from walnutpost.configstore import Op, Question, Table
+from walnutpost.configstore import ConfigStore, Mutation, WatchRequest
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.wire import Told
 from walnutpost.eventloop import Loop
@@ -148,9 +148,9 @@
 def test_hollow_members_act_on_each_change_by_one_encoded_page(monkeypatch: pytest.MonkeyPatch) -> None:
     """The real watch over real sockets: what is sent, held and told, and that it is the same at all."""
     monkeypatch.setattr(hollow, "SPREAD", 1)
-    loop, table, said = Loop(), Table(), list[Question]()
+    loop, table, said = Loop(), ConfigStore(), list[WatchRequest]()
     values = entries_of(made.config(40).site)
-    table.change(1, [Op(key, value) for key, value in values.items()])
+    table.propose(1, [Mutation(key, value) for key, value in values.items()])
     server = WatchServer(loop, lambda: table, lambda: 0, said.append, gather_us=0)
 
     def serve(exchange: Exchange) -> Response:
@@ -163,7 +163,7 @@
 
     def script() -> None:
         at = "{}:{}".format(*serve_on(loop, ("127.0.0.1", 0), serve, lambda e: Response(400)).address)
-        kept = Table.restore(table.snapshot())
+        kept = ConfigStore.restore(table.snapshot())
         members = [hollow.Member(loop, f"h{n}", {"r1": at}, kept, hollow.Quiet()) for n in range(12)]
         tasks = [loop.spawn(member.run) for member in members]
         until(lambda: server.held == 12)
@@ -171,9 +171,12 @@
         assert answered == 0
         key = next(key for key in values if key.startswith("function/"))
         for revision in (2, 3):
-            table.change(revision, [Op(key, values[key])])
+            table.propose(revision, [Mutation(key, values[key])])
             server.changed()
-            until(lambda: server.held == 12 and all(m.follower.in_force == table.revision for m in members))
+            until(
+                lambda: server.held == 12
+                and all(m.follower.applied_revision == table.revision for m in members)
+            )
         assert server.counts.encoded - encoded == 2 and server.counts.answered == 24
         assert server.counts.bytes < 24 * 400
         told = [member.told() for member in members]
@@ -181,7 +184,7 @@
         assert {t["entries"] for t in told} == {len(values)} and {t["revision"] for t in told} == {3}
         assert [[revision for revision, _ in t["acted"]] for t in told] == [[2, 3]] * 12
         assert {question.member for question in said} == {f"h{n}" for n in range(12)}
-        assert {question.in_force for question in said if question.revision == 3} == {3}
+        assert {question.applied_revision for question in said if question.revision == 3} == {3}
         assert {t["moves"] for t in told} == {0}
         for task in tasks:
             task.cancel()
@@ -193,7 +196,7 @@
     values = entries_of(made.config(3000).site)
     sets = list(parts(values))
     assert {op.key for ops in sets for op in ops} == set(values)
-    table = Table()
+    table = ConfigStore()
     for revision, ops in enumerate(sets, 1):
-        table.change(revision, ops)
+        table.propose(revision, ops)
     assert len(table.entries) == len(values) == 3402
