--- a/benchmarks/scale/followers.py
+++ b/benchmarks/scale/followers.py
@@ -420,7 +420,7 @@
         out["leader_timed_s"] = spread(
             [t.latency_us / 1e6 for t in told.latencies if t.latency_us is not None]
         )
-        out["relays"] = {name: at.lines(name, "figures")[-1] for name in at.relays}
+        out["relays"] = {name: at.lines(name, "relay_stats")[-1] for name in at.relays}
         out["load"] = at.told("load")
         ends = [m for name in hollow for m in at.told(name)["members"]]
         acted = {m["member"]: [(r, t) for r, t in m["acted"]] for m in ends}
@@ -491,13 +491,13 @@
                 at.front(f"front-{n}", n, True)
         at.all_in_force(count, 90)
         loop.sleep(12 * SECOND)
-        before = {name: at.lines(name, "figures")[-1] for name in at.relays}
+        before = {name: at.lines(name, "relay_stats")[-1] for name in at.relays}
         cpu = at.used(list(at.relays))
         changes(at, round(seconds / 2), 2.0)
         loop.sleep(11 * SECOND)
         spent = {name: used - cpu[name] for name, used in at.used(list(at.relays)).items()}
-        after = {name: at.lines(name, "figures")[-1] for name in at.relays}
-        keys = ("answered", "quiet", "bytes", "encoded", "turned_away")
+        after = {name: at.lines(name, "relay_stats")[-1] for name in at.relays}
+        keys = ("responses", "idle_timeouts", "response_bytes", "pages_encoded", "rejected")
         told = {key: sum(after[n][key] - before[n][key] for n in at.relays) for key in keys}
         return told | {"relays_cpu_s": round(sum(spent.values()), 2)}
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -73,8 +73,8 @@
             "revision": self.follower.store.revision,
             "digest": self.follower.store.digest,
             "entries": len(self.follower.store.entries),
-            "questions": counts.questions,
-            "moves": counts.moves,
+            "questions": counts.requests,
+            "moves": counts.server_changes,
             "bytes_in": counts.bytes_in,
             "bytes_out": counts.bytes_out,
         }
--- a/packages/configstore/tests/configstore_forms.py
+++ b/packages/configstore/tests/configstore_forms.py
@@ -1,4 +1,4 @@
-"""The objects behind the golden forms of the agreed table: what watches, relays and snapshots hold of it."""
+"""The objects behind the golden forms of the configuration store: messages, snapshots, digests."""
 
 from __future__ import annotations
 
@@ -179,7 +179,7 @@
 
 
 def rich_table(max_log_entries: int = 3) -> ConfigStore:
-    """Entries put, changed and deleted; a floor that has moved, and a log that holds less than all."""
+    """Entries set, changed and deleted; a log that was compacted."""
     table = ConfigStore(max_log_entries=max_log_entries)
     table.propose(5, (Mutation("function/f1", b'{"weight": 1}'), Mutation("function/f2", OTHER_VALUE)))
     table.propose(7, (Mutation("tenant/t-1", b"{}"), Mutation("class/c_1", b"[1, 2]")))
--- a/packages/configstore/tests/progress_rig.py
+++ b/packages/configstore/tests/progress_rig.py
@@ -24,12 +24,12 @@
     return WatchRequest(member, incarnation, session, in_force, in_force, 0, 3 * SECOND_US, **more)
 
 
-def tell(now: int, roster: MemberRegistry, leader: FleetProgress, revision: int) -> list[ProgressSummary]:
-    """Reports, as read from their bytes, until all is told."""
+def tell(now: int, registry: MemberRegistry, leader: FleetProgress, revision: int) -> list[ProgressSummary]:
+    """Exchange reports, decoded from their bytes, until there are no changes left."""
     told: list[ProgressSummary] = []
-    while not told or roster.has_changes:
-        told.append(decode(encode(roster.next_summary(now, revision)), ProgressSummary))
-        roster.handle_response(leader.handle_summary(now, told[-1]))
+    while not told or registry.has_changes:
+        told.append(decode(encode(registry.next_summary(now, revision)), ProgressSummary))
+        registry.handle_response(leader.handle_summary(now, told[-1]))
         assert len(told) < 50
     return told
 
@@ -47,7 +47,7 @@
 
 
 class Fleet:
-    """Some members at each relay, all agreed and told."""
+    """Some members at each relay, all registered and reported."""
 
     def __init__(self, members: int, relays: int = 1, in_force: int = 10) -> None:
         self.now = 0
@@ -65,4 +65,4 @@
                 relay.observe(self.now, ask(name, in_force))
 
     def tell(self, revision: int) -> list[ProgressSummary]:
-        return [sums for relay in self.relays for sums in tell(self.now, relay, self.leader, revision)]
+        return [summary for relay in self.relays for summary in tell(self.now, relay, self.leader, revision)]
--- a/packages/configstore/tests/progress_world.py
+++ b/packages/configstore/tests/progress_world.py
@@ -1,5 +1,5 @@
-"""Members, relays and a leader over a network that loses, doubles and delays, beside the truth of who acts on
-what. Whoever runs it says what happens; `check` compares what the leader claims."""
+"""Members, relays and a leader over a network that loses, duplicates and delays, beside what members
+have really applied. The caller chooses the events; `check` compares the leader's claims."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class Process:
-    """One process of a member. `held`: what it could act on."""
+    """One process of a member. `held`: the revision of its store."""
 
     name: str
     incarnation: str
@@ -32,13 +32,13 @@
 class Relay:
     name: str
     incarnation: str
-    roster: MemberRegistry
+    registry: MemberRegistry
     revision: int = 0
 
 
 @dataclass
 class Office:
-    """A leader's, with the agreed members as it knows them."""
+    """A leader's term, with the registered members as it knows them."""
 
     leader: FleetProgress
     agreed: dict[str, str]
@@ -53,8 +53,8 @@
 
 @dataclass
 class World:
-    standings: type[FleetProgress] = FleetProgress
-    roster: type[MemberRegistry] = MemberRegistry
+    progress: type[FleetProgress] = FleetProgress
+    registry: type[MemberRegistry] = MemberRegistry
     now: int = SECOND_US
     revision: int = 1
     made: int = 0
@@ -67,7 +67,7 @@
     truth: dict[tuple[str, str], int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.office = Office(self.standings(self.now, self.revision), {}, self.revision)
+        self.office = Office(self.progress(self.now, self.revision), {}, self.revision)
         self.deposed: Office | None = None
         self.relays = [self._relay(name) for name in RELAYS]
         for n, name in enumerate(NAMES):
@@ -75,7 +75,7 @@
 
     def _relay(self, name: str) -> Relay:
         self.made += 1
-        return Relay(name, f"i{self.made}", self.roster(name, f"i{self.made}"), 1)
+        return Relay(name, f"i{self.made}", self.registry(name, f"i{self.made}"), 1)
 
     def _process(self, name: str, at: int) -> Process:
         self.made += 1
@@ -128,7 +128,7 @@
         names = NAMES if n % 4 == 0 else (NAMES[n // 4 % len(NAMES)],)
         for name in names:
             process = self.members[name]
-            self.relays[process.relay].roster.observe(self.now, self._ask(process))
+            self.relays[process.relay].registry.observe(self.now, self._ask(process))
 
     def asks_slowly(self, n: int) -> None:
         process = self.members[NAMES[n % len(NAMES)]]
@@ -138,19 +138,19 @@
         """A process of which another has taken the name, and that doesn't know."""
         if self.former:
             process = self.former[n % len(self.former)]
-            self.relays[process.relay].roster.observe(self.now, self._ask(process))
+            self.relays[process.relay].registry.observe(self.now, self._ask(process))
 
     def arrives(self, n: int) -> None:
         """A question that was on its way, kept on it one time in three."""
         if self.questions:
             at = n // 3 % len(self.questions)
             relay, question = self.questions[at] if n % 3 == 0 else self.questions.pop(at)
-            self.relays[relay].roster.observe(self.now, question)
+            self.relays[relay].registry.observe(self.now, question)
 
     def moves(self, n: int) -> None:
         process = self.members[NAMES[n % len(NAMES)]]
         if n // 5 % 2 and process.asked is not None:
-            self.relays[process.relay].roster.connection_closed(process.asked)
+            self.relays[process.relay].registry.connection_closed(process.asked)
         process.relay = (process.relay + 1 + n // 10 % 2) % len(self.relays)
         process.session += 1
 
@@ -163,7 +163,7 @@
         new.in_force = old.in_force // 2 if n // 10 % 2 else 0
         self.truth[name, new.incarnation] = new.in_force
         if n // 20 % 3 == 0:
-            self.relays[old.relay].roster.observe(self.now, self._ask(old, is_leaving=True))
+            self.relays[old.relay].registry.observe(self.now, self._ask(old, is_leaving=True))
         elif n // 20 % 3 == 1:
             self.former.append(old)
 
@@ -177,15 +177,15 @@
 
     def reports_on(self, n: int) -> None:
         relay = self.relays[n % len(self.relays)]
-        self.reports.append(relay.roster.next_summary(self.now, relay.revision))
+        self.reports.append(relay.registry.next_summary(self.now, relay.revision))
         del self.reports[:-30]
 
     def report_arrives(self, n: int) -> None:
         """The newest as a rule, else any; it may come again."""
         if self.reports:
             at = n // 6 % len(self.reports) if n % 2 else len(self.reports) - 1
-            sums = self.reports[at] if n % 3 else self.reports.pop(at)
-            self.answers.append((sums.incarnation, self.office.leader.handle_summary(self.now, sums)))
+            summary = self.reports[at] if n % 3 else self.reports.pop(at)
+            self.answers.append((summary.incarnation, self.office.leader.handle_summary(self.now, summary)))
             del self.answers[:-10]
 
     def answer_arrives(self, n: int) -> None:
@@ -194,13 +194,13 @@
             incarnation, heard = self.answers[at]
             for relay in self.relays:
                 if relay.incarnation == incarnation:
-                    relay.roster.handle_response(heard)
+                    relay.registry.handle_response(heard)
 
     def exchanges(self, n: int) -> None:
         """A report and its answer, with nothing in between."""
         relay = self.relays[n % len(self.relays)]
-        relay.roster.handle_response(
-            self.office.leader.handle_summary(self.now, relay.roster.next_summary(self.now, relay.revision))
+        relay.registry.handle_response(
+            self.office.leader.handle_summary(self.now, relay.registry.next_summary(self.now, relay.revision))
         )
 
     def exchanges_with_the_deposed(self, n: int) -> None:
@@ -208,10 +208,10 @@
         if self.deposed is not None:
             relay = self.relays[n % len(self.relays)]
             heard = self.deposed.leader.handle_summary(
-                self.now, relay.roster.next_summary(self.now, relay.revision)
+                self.now, relay.registry.next_summary(self.now, relay.revision)
             )
             if n // len(self.relays) % 2:
-                relay.roster.handle_response(heard)
+                relay.registry.handle_response(heard)
 
     def agrees(self, n: int) -> None:
         found = dict(self.office.leader.unregistered_members(self.now))
@@ -228,7 +228,7 @@
 
     def another_leader(self, n: int) -> None:
         self.deposed = self.office
-        self.office = Office(self.standings(self.now, self.revision), {}, self.revision)
+        self.office = Office(self.progress(self.now, self.revision), {}, self.revision)
         self.office.agree(self.now, dict(self.deposed.agreed))
 
     def run(self, steps: Sequence[tuple[int, int]]) -> None:
@@ -251,17 +251,17 @@
         office.before = proved
 
     def settles(self) -> None:
-        """No more faults: each member asks where it is, reports arrive, and the truth is told whole."""
+        """No more faults: each member sends a request, reports arrive, and the claims are complete."""
         self.questions.clear()
         self.former.clear()
         for at in range(12):
             self.now += 2 * SECOND_US
             for process in self.members.values():
-                self.relays[process.relay].roster.observe(self.now, self._ask(process))
+                self.relays[process.relay].registry.observe(self.now, self._ask(process))
             for relay in self.relays[: len(RELAYS)]:
                 for _ in range(4):
-                    sums = relay.roster.next_summary(self.now, relay.revision)
-                    relay.roster.handle_response(self.office.leader.handle_summary(self.now, sums))
+                    summary = relay.registry.next_summary(self.now, relay.revision)
+                    relay.registry.handle_response(self.office.leader.handle_summary(self.now, summary))
             if at > 8:
                 self.agrees(0)
             self.check()
--- a/packages/configstore/tests/store_rig.py
+++ b/packages/configstore/tests/store_rig.py
@@ -11,12 +11,12 @@
 
 def filled(number: int = 300, **limits: int) -> ConfigStore:
     """Entries at revisions 2, 4, 6, ...: the history has other things between them."""
-    table = ConfigStore(**limits)
+    store = ConfigStore(**limits)
     for n in range(number):
-        table.propose(2 * n + 2, ops(f"f{n:05}", value=b"%d" % n))
-    return table
+        store.propose(2 * n + 2, ops(f"f{n:05}", value=b"%d" % n))
+    return store
 
 
-def flip(table: ConfigStore, key: str, value: bytes = b"flipped") -> None:
-    held = table.entries[key]
-    table.entries = table.entries.set(key, Entry(key, value, held.revision))
+def flip(store: ConfigStore, key: str, value: bytes = b"flipped") -> None:
+    held = store.entries[key]
+    store.entries = store.entries.set(key, Entry(key, value, held.revision))
--- a/packages/configstore/tests/test_configstore_golden.py
+++ b/packages/configstore/tests/test_configstore_golden.py
@@ -1,4 +1,4 @@
-"""Servers and followers of other versions, and older disks: the bytes of the agreed table stay."""
+"""Compatibility with other versions and older disks: the bytes of messages and snapshots stay."""
 
 from __future__ import annotations
 
--- a/packages/configstore/tests/test_fleet_progress.py
+++ b/packages/configstore/tests/test_fleet_progress.py
@@ -26,17 +26,17 @@
 
 
 def test_min_applied_revision_is_over_all_registered_members() -> None:
-    leader, roster = FleetProgress(0, 10), MemberRegistry("r1", "x")
+    leader, registry = FleetProgress(0, 10), MemberRegistry("r1", "x")
     assert leader.min_applied_revision == 10
     leader.set_members(0, {"a": "a.1", "b": "b.1"})
-    roster.observe(0, ask("a", 10))
-    tell(0, roster, leader, 10)
+    registry.observe(0, ask("a", 10))
+    tell(0, registry, leader, 10)
     assert leader.min_applied_revision == 0  # b was never heard of
-    roster.observe(0, ask("b", 9))
-    tell(0, roster, leader, 10)
+    registry.observe(0, ask("b", 9))
+    tell(0, registry, leader, 10)
     assert leader.min_applied_revision == 9
-    roster.observe(0, ask("b", 10))
-    tell(0, roster, leader, 10)
+    registry.observe(0, ask("b", 10))
+    tell(0, registry, leader, 10)
     assert leader.min_applied_revision == 10
 
 
@@ -137,11 +137,11 @@
 
 
 def test_a_missed_report_requires_a_complete_one() -> None:
-    leader, roster = FleetProgress(0, 10), MemberRegistry("r1", "x")
-    roster.observe(0, ask("a", 10))
-    tell(0, roster, leader, 10)
-    tell(0, roster, leader, 10)
-    at = roster.next_summary(0, 10)
+    leader, registry = FleetProgress(0, 10), MemberRegistry("r1", "x")
+    registry.observe(0, ask("a", 10))
+    tell(0, registry, leader, 10)
+    tell(0, registry, leader, 10)
+    at = registry.next_summary(0, 10)
     assert leader.handle_summary(0, at) == ProgressSummaryResponse(at.number)
     missed = ProgressSummary("r1", "x", at.number + 5, at.number + 4, 10, 10, 1)
     assert leader.handle_summary(0, missed) == ProgressSummaryResponse(missed.number, needs_full_report=True)
@@ -157,22 +157,22 @@
 
 
 def test_an_old_or_duplicated_report_changes_nothing() -> None:
-    leader, roster = FleetProgress(0, 10), MemberRegistry("r1", "x")
+    leader, registry = FleetProgress(0, 10), MemberRegistry("r1", "x")
     leader.set_members(0, {"a": "a.2"})
-    roster.observe(0, ask("a", 5))
-    old = roster.next_summary(0, 10)
-    roster.handle_response(leader.handle_summary(0, old))
-    roster.observe(0, ask("a", 9, incarnation="a.2"))
-    new = roster.next_summary(0, 10)
-    roster.handle_response(leader.handle_summary(0, new))
+    registry.observe(0, ask("a", 5))
+    old = registry.next_summary(0, 10)
+    registry.handle_response(leader.handle_summary(0, old))
+    registry.observe(0, ask("a", 9, incarnation="a.2"))
+    new = registry.next_summary(0, 10)
+    registry.handle_response(leader.handle_summary(0, new))
     for late in (old, new, old):
         assert (
             leader.handle_summary(0, late) == ProgressSummaryResponse(new.number)
             and leader.min_applied_revision == 9
         )
-    roster.observe(0, ask("a", 10, incarnation="a.2"))
+    registry.observe(0, ask("a", 10, incarnation="a.2"))
     assert (
-        leader.handle_summary(0, roster.next_summary(0, 10)) == ProgressSummaryResponse(3)
+        leader.handle_summary(0, registry.next_summary(0, 10)) == ProgressSummaryResponse(3)
         and leader.min_applied_revision == 10
     )
 
@@ -210,8 +210,8 @@
         "revision": 10,
         "min_applied_revision": 9,
     }
-    sums = ProgressSummary(**{**fields, "member_count": 1, **change})
-    assert leader.handle_summary(0, sums) == ProgressSummaryResponse(2, needs_full_report=True)
+    summary = ProgressSummary(**{**fields, "member_count": 1, **change})
+    assert leader.handle_summary(0, summary) == ProgressSummaryResponse(2, needs_full_report=True)
     assert (leader.applied_revision("a", "a.1"), leader.applied_revision("b", "b.1")) == (5, 0)
     assert leader.handle_summary(0, ProgressSummary("r1", "x", 3, 1, 10, 6, 1)) == ProgressSummaryResponse(3)
     assert leader.applied_revision("a", "a.1") == 6
@@ -245,11 +245,11 @@
     (relay,) = fleet.relays
     relay.observe(0, ask("m0000", 10, is_leaving=True))
     relay.observe(0, ask("m0001", 10, incarnation="m0001.0", is_leaving=True))  # not the agreed process
-    sums = relay.next_summary(0, 10)
-    assert set(sums.ended_processes) == {("m0000", "m0000.1"), ("m0001", "m0001.0")} and sums.left == (
+    summary = relay.next_summary(0, 10)
+    assert set(summary.ended_processes) == {("m0000", "m0000.1"), ("m0001", "m0001.0")} and summary.left == (
         "m0000",
     )
-    assert relay.next_summary(0, 10).ended_processes == sums.ended_processes
+    assert relay.next_summary(0, 10).ended_processes == summary.ended_processes
     fleet.tell(10)
     assert fleet.leader.ended_members() == ["m0000"] and relay.next_summary(0, 10).ended_processes == ()
     assert fleet.leader.min_applied_revision == 10
@@ -267,12 +267,12 @@
 
 
 def test_ended_processes_are_remembered_up_to_a_limit() -> None:
-    roster = MemberRegistry("r1", "x")
+    registry = MemberRegistry("r1", "x")
     for n in range(member_registry.MAX_ENDED_PROCESSES + 5):
-        roster.observe(0, ask("a", 1, incarnation=f"a.{n}", is_leaving=True))
+        registry.observe(0, ask("a", 1, incarnation=f"a.{n}", is_leaving=True))
     assert (
-        roster.next_summary(0, 1).ended_processes[0] == ("a", "a.5")
-        and len(roster.next_summary(0, 1).ended_processes) == member_registry.MAX_CHANGES_PER_REPORT
+        registry.next_summary(0, 1).ended_processes[0] == ("a", "a.5")
+        and len(registry.next_summary(0, 1).ended_processes) == member_registry.MAX_CHANGES_PER_REPORT
     )
 
 
@@ -349,7 +349,7 @@
         251,
         0,
         251,
-    )  # both relays' sums are held back by some, not late yet
+    )  # both relays' summary are held back by some, not late yet
     first = status.lagging[0]
     assert (first.member, first.incarnation, first.applied_revision, first.relay) == (
         "m0000",
@@ -457,7 +457,7 @@
     assert len(set(steps)) == 1, steps
 
 
-def steps_of(leader: FleetProgress, sums: ProgressSummary) -> int:
+def steps_of(leader: FleetProgress, summary: ProgressSummary) -> int:
     """How many instructions of ours it takes to take a report."""
     count = 0
 
@@ -470,7 +470,7 @@
     before = sys.gettrace()
     sys.settrace(trace)
     try:
-        leader.handle_summary(SECOND_US, sums)
+        leader.handle_summary(SECOND_US, summary)
     finally:
         sys.settrace(before)
     return count
--- a/packages/controlplane/src/walnutpost/controlplane/process.py
+++ b/packages/controlplane/src/walnutpost/controlplane/process.py
@@ -140,7 +140,7 @@
         self._applied = 0
         self._uncompacted = 0  # bytes
         self._count = 0
-        self.watches = WatchServer(loop, self._table, self._age, gather_us=0)
+        self.watches = WatchServer(loop, self._table, self._age, batch_interval_us=0)
         self._changes = Changes(
             loop,
             lambda: self.fleet,
@@ -241,7 +241,7 @@
                 if self.fleet.followers_version != rolls and self._standings is not None:
                     self._standings.set_members(self._loop.now(), self.fleet.state.followers)
                 if self.fleet.table.revision != revision:
-                    self.watches.changed()
+                    self.watches.store_changed()
                 since = self._applied - self.raft.log.snapshot.index
                 if since > self._log_most or self._uncompacted > LOG_BYTES:
                     self._uncompacted = 0
@@ -254,7 +254,7 @@
                     return
                 self._uncompacted = 0
                 self._ages.observe(self._loop.now(), self.fleet.state)
-                self.watches.changed()
+                self.watches.store_changed()
             case ReadReady(id):
                 self._answer(id, wire.Told())
             case Rejected(id, why, leader):
@@ -294,7 +294,7 @@
             peer.discard()
         for id in list(self._askers):
             self._answer(id, wire.Told(None, False, DISK_FAILED))
-        self.watches.changed()
+        self.watches.store_changed()
 
     def _resume(self, store: ReplicaStore, state: PersistentState) -> None:
         """As after a restart: a new core on what was read back, whose stamps are its own, and an empty
@@ -304,7 +304,7 @@
         self.raft = Raft(self.raft.replica_id, state, self._timing, self._seed)
         self.fleet, self._ages = Fleet(), EndpointAges()
         self._applied = self._uncompacted = 0
-        self.watches.changed()
+        self.watches.store_changed()
         self._feed(Tick())
 
     def _fail(self, why: str) -> None:
@@ -394,7 +394,7 @@
                 case "POST", wire.CHANGE:
                     return self._told(self._changes.order(request.body))
                 case "POST", table.WATCH_PATH:
-                    return self.watches.answer(request.body, exchange.stream)
+                    return self.watches.handle(request.body, exchange.stream)
                 case "POST", table.PROGRESS_PATH:
                     return self._sums(table.decode(request.body, table.ProgressSummary))
                 case "GET", table.STATUS_PATH:
--- a/packages/controlplane/tests/test_disk_recovery.py
+++ b/packages/controlplane/tests/test_disk_recovery.py
@@ -75,7 +75,7 @@
         held = keeper.fleet.table
         question = table.encode(WatchRequest("", "", 1, held.revision, 0, held.digest, 10 * SECOND))
         watcher = cluster.loop.spawn(lambda: cluster.post(leader, table.WATCH_PATH, question))
-        cluster.until(lambda: keeper.watches.held)
+        cluster.until(lambda: keeper.watches.waiting)
         disk.fail_span(Fault.UNSYNCED, commits=1)
         disk.reopen_blocked = True
         unknown = wire.decode(cluster.post(leader, wire.COMMANDS, order("during")).body, wire.Told)
--- a/packages/daemon/src/walnutpost/daemon/settings.py
+++ b/packages/daemon/src/walnutpost/daemon/settings.py
@@ -120,7 +120,7 @@
     @property
     def known(self) -> bool:
         """Whether all that was agreed on has been heard by this process and looked at."""
-        return self.watcher.complete and self._judge is None
+        return self.watcher.is_complete and self._judge is None
 
     # Start and end
 
--- a/packages/daemon/tests/relay_rig.py
+++ b/packages/daemon/tests/relay_rig.py
@@ -17,17 +17,19 @@
     def __init__(self, loop: Loop, table: ConfigStore) -> None:
         self.table = table
         self.questions: list[WatchRequest] = []
-        self.watch = WatchServer(loop, lambda: self.table, lambda: 0, self.questions.append, gather_us=0)
+        self.watch = WatchServer(
+            loop, lambda: self.table, lambda: 0, self.questions.append, batch_interval_us=0
+        )
         self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, _refusal)
         self.address = self.server.address
 
     def _handle(self, exchange: Exchange) -> Response:
-        return self.watch.answer(exchange.request.body)
+        return self.watch.handle(exchange.request.body)
 
     def change(self, ops: Sequence[Mutation]) -> int:
         """Agreed on: its revision."""
         self.table.propose(self.table.revision + 1, ops)
-        self.watch.changed()
+        self.watch.store_changed()
         return self.table.revision
 
     def end(self) -> None:
--- a/packages/daemon/tests/test_taking_up.py
+++ b/packages/daemon/tests/test_taking_up.py
@@ -267,7 +267,7 @@
         f.until(lambda: fate(f, told)["Status"] == "SUCCEEDED")
         assert f.settings.follower.applied_revision == 2
         f.loop.sleep(30 * SECOND)
-        assert f.settings.late and f.said("control not heard for 9 s", "") == 1
+        assert f.settings.late and f.said("config_stale", "") == 1
         assert f.answers_as("left") == "2"
 
     f.play(script)
@@ -286,8 +286,8 @@
         told = f.invoke("extra", b"9", x_amz_invocation_type=EVENT, x_amz_client_context=own)
         killed(f)
         watch = f.relay.watch
-        answer = watch.answer
-        watch.answer = lambda *_: Response(503)  # type: ignore[method-assign]
+        answer = watch.handle
+        watch.handle = lambda *_: Response(503)  # type: ignore[method-assign]
         (tmp_path / "calls.db.table").unlink()
         f.own_file_lacks("extra")
         f.begin()
@@ -302,7 +302,7 @@
         else:
             if ends == "removed":
                 f.relay.change([gone("extra")])
-            watch.answer = answer  # type: ignore[method-assign]
+            watch.handle = answer  # type: ignore[method-assign]
         wanted = {"agreed": "SUCCEEDED", "removed": "FAILED", "stopped": "STOPPED", "late": "TIMED_OUT"}[ends]
         f.until(lambda: fate(f, told)["Status"] != "RUNNING")
         assert fate(f, told)["Status"] == wanted, fate(f, told)
@@ -357,7 +357,7 @@
         f.front.stop()
         f.front.close()
         (tmp_path / "calls.db.table").unlink()
-        f.relay.watch.answer = lambda *_: f.loop.sleep(3600 * SECOND)  # type: ignore[assignment, method-assign]
+        f.relay.watch.handle = lambda *_: f.loop.sleep(3600 * SECOND)  # type: ignore[assignment, method-assign]
         before = f.loop.now()
         f.begin()
         assert f.loop.now() - before <= 2 * SECOND
@@ -406,7 +406,7 @@
 
         f.settings._wrong = counted  # type: ignore[method-assign]
         f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
-        f.relay.watch.changed()
+        f.relay.watch.store_changed()
         f.until(lambda: f.settings.follower.applied_revision == 51)
         assert f.answers_as("left") == "9" and f.invoke("f17").status == 404
         assert max(b - a for a, b in pairwise(others)) <= JUDGED_AT_ONCE and others[-1] > 2900
@@ -433,7 +433,7 @@
 
         f.settings._wrong = counted  # type: ignore[method-assign]
         f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
-        f.relay.watch.changed()
+        f.relay.watch.store_changed()
         seen = set()
         while f.relay.questions[-1].revision < 51 or f.settings._judge is not None:
             seen.add((f.settings.follower.applied_revision, f.front.catalogue.functions["left"].version))
--- a/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
@@ -87,8 +87,8 @@
             counts = [m.watcher.counts for m in members]
             say(
                 {
-                    "questions": sum(c.questions for c in counts),
-                    "moves": sum(c.moves for c in counts),
+                    "questions": sum(c.requests for c in counts),
+                    "moves": sum(c.server_changes for c in counts),
                     "bytes_in": sum(c.bytes_in for c in counts),
                     "late": sum(m.follower.is_stale(loop.now()) for m in members),
                     "at": loop.now(),
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -199,7 +199,7 @@
         """Where a process listens now."""
         if name not in self.processes:
             return None
-        word = '"keeper"' if name in KEEPERS else '"relay"' if name in RELAYS else '"listening"'
+        word = '"keeper"' if name in KEEPERS else '"listening"'
         with suppress(OSError):
             for line in self._log(name).read_text().splitlines():
                 found = ADDRESS.search(line) if f'"event": {word}' in line else None
--- a/packages/relay/src/walnutpost/relay/__init__.py
+++ b/packages/relay/src/walnutpost/relay/__init__.py
@@ -1,4 +1,4 @@
-"""The process between keepers and members: carries the agreed table down, sums up what members say."""
+"""The process between the control plane and the members: distributes the configuration, reports progress."""
 
 from walnutpost.relay.process import Relay
 
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -1,11 +1,13 @@
-"""One relay: holds the agreed table once, answers its members' watches, sums up to the leader what they say.
+"""One relay: caches the configuration store, serves watches of it, reports members' progress to the leader.
 
-It has no disk, and nothing waits for it: a lost one's members go on at another from where they are."""
+It has no disk, and nothing waits for it: the members of a relay that is lost go on at another from where
+they are.
+"""
 
 from __future__ import annotations
 
 import time
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from contextlib import suppress
 from random import Random
 from typing import Any
@@ -28,66 +30,107 @@
 from walnutpost.watch import Watcher, WatchServer
 
 Address = tuple[str, int]
-SECOND = 1_000_000
-RATE = 4_000_000  # bytes a second from a keeper: a whole table within seconds of a start
-HOLD, STALE = SECOND, 5 * SECOND // 2  # short: a keeper that is lost or cut off is left before members notice
-GATHER = 200_000  # of changes in one answer
-SOON, REST = SECOND // 4, 2 * SECOND  # between two reports, where there is news and where there is none
-PATIENCE, EACH = 3 * SECOND, SECOND  # for the leader's answer to a report, and one keeper's
-FIGURES = 10 * SECOND
+SECOND_US = 1_000_000
+UPSTREAM_RATE_BYTES_PER_S = 4_000_000
+"""What a relay may receive: a full snapshot within seconds of a start."""
+UPSTREAM_WAIT_TIMEOUT_US = SECOND_US
+UPSTREAM_MAX_AGE_US = 5 * SECOND_US // 2
+"""Short: a replica that is lost or cut off is left before members notice."""
+BATCH_INTERVAL_US = 200_000
+"""Changes within this time are one response."""
+MIN_REPORT_INTERVAL_US = SECOND_US // 4
+"""Between two reports where there are changes."""
+MAX_REPORT_INTERVAL_US = 2 * SECOND_US
+"""Between two reports where there are none."""
+REPORT_TIMEOUT_US = 3 * SECOND_US
+"""For the leader's answer to a report, over all replicas."""
+REPORT_ATTEMPT_TIMEOUT_US = SECOND_US
+"""For one replica's answer."""
+STATS_INTERVAL_US = 10 * SECOND_US
 LIMITS = Limits(
     head=8 * 1024,
     body=64 * 1024,
-    head_time=5 * SECOND,
-    body_time=10 * SECOND,
-    idle_time=30 * SECOND,
+    head_time=5 * SECOND_US,
+    body_time=10 * SECOND_US,
+    idle_time=30 * SECOND_US,
 )
+INCARNATION_BITS = 0xFFFF_FFFF_FFFF
+MAX_SHOWN_TARGET_BYTES = 100
 
 
 class Relay:
-    """`keepers`: where each is reached; any of them is asked for changes, the leader is told the sums.
-    `seed` numbers this process among those of its name, so no two may have the same. `address`: what
-    the leader is told of where members reach it. Raises OSError where it can't listen."""
+    """The relay's process: a watcher upstream, a watch server downstream, and the reports to the leader."""
 
     def __init__(
         self,
         loop: Loop,
         name: str,
-        keepers: Mapping[str, Address],
+        replicas: Mapping[str, Address],
         listen: Address,
         log: Any,
         seed: int,
         address: str = "",
     ) -> None:
-        self.name, self.incarnation = name, f"{seed & 0xFFFF_FFFF_FFFF:012x}"
-        self._loop, self._log = loop, log
-        self.follower = WatchState("", self.incarnation, loop.now(), MAX_LOG_CHANGE_SETS, MAX_LOG_BYTES)
-        choice = RelaySelector(name, dict.fromkeys(keepers, ""), "", Random(seed))
-        ways = {keeper: lambda at=at: at for keeper, at in keepers.items()}
-        self.watcher = Watcher(loop, ways, self.follower, choice, self._taken, log, HOLD, RATE, STALE)
-        self._server = serve_on(loop, listen, self._serve, self._refusal, LIMITS, role="relay", log=log)
-        self.roster = MemberRegistry(name, self.incarnation, address or "{}:{}".format(*self.address))
-        self.watches = WatchServer(loop, self._table, self.watcher.age, self._said, GATHER, gone=self._gone)
-        self._client = KeeperClient(loop, keepers, PATIENCE, EACH)
-        self._news = Event(loop)
-        self._told = True  # the last report reached a leader
-        self._figured = loop.now(), time.process_time()
-        self._figures = loop.every(FIGURES, self._log_figures, name="figures")
+        """Listen and start; raises OSError where it can't listen.
+
+        `replicas`: addresses of the control plane; any of them is watched, the leader gets the reports.
+        `seed`: the incarnation of this process; no two of one name may have the same.
+        `address`: where members reach this relay, as reported to the leader.
+        """
+        self.name = name
+        self.incarnation = f"{seed & INCARNATION_BITS:012x}"
+        self._loop = loop
+        self._log = log
+        self.state = WatchState("", self.incarnation, loop.now(), MAX_LOG_CHANGE_SETS, MAX_LOG_BYTES)
+        self.watcher = self._create_watcher(replicas, seed)
+        self._server = serve_on(
+            loop, listen, self._serve, self._protocol_error, LIMITS, role="relay", log=log
+        )
+        own_address = "{}:{}".format(*self.address)
+        self.registry = MemberRegistry(name, self.incarnation, address or own_address)
+        self.watches = WatchServer(
+            loop,
+            self._store,
+            self.watcher.age_us,
+            self._member_requested,
+            BATCH_INTERVAL_US,
+            on_disconnect=self._member_disconnected,
+        )
+        self._client = KeeperClient(loop, replicas, REPORT_TIMEOUT_US, REPORT_ATTEMPT_TIMEOUT_US)
+        self._report_due = Event(loop)
+        self._is_leader_reachable = True  # the last report reached a leader
+        self._stats_at_us = loop.now()
+        self._stats_cpu_s = time.process_time()
+        self._stats_timer = loop.every(STATS_INTERVAL_US, self._log_stats, name="figures")
         self._tasks = [
             loop.spawn(self.watcher.run, name="upstream"),
-            loop.spawn(self._report, name="sums"),
+            loop.spawn(self._report_progress, name="sums"),
         ]
-        log.info("relay", relay=name, incarnation=self.incarnation, address="{}:{}".format(*self.address))
+        log.info("listening", role="relay", name=name, incarnation=self.incarnation, address=own_address)
+
+    def _create_watcher(self, replicas: Mapping[str, Address], seed: int) -> Watcher:
+        return Watcher(
+            self._loop,
+            {replica: _constant(at) for replica, at in replicas.items()},
+            self.state,
+            RelaySelector(self.name, dict.fromkeys(replicas, ""), "", Random(seed)),
+            self._store_changed,
+            self._log,
+            UPSTREAM_WAIT_TIMEOUT_US,
+            UPSTREAM_RATE_BYTES_PER_S,
+            UPSTREAM_MAX_AGE_US,
+        )
 
     @property
     def address(self) -> Address:
+        """Where this relay listens."""
         return self._server.address
 
     def stop(self) -> None:
-        """Ends; its members find another."""
+        """End; the members find another relay."""
         self._server.stop_accepting()
         self._server.group.cancel()
-        self._figures.cancel()
+        self._stats_timer.cancel()
         for task in self._tasks:
             task.cancel()
         self.watcher.stop()
@@ -97,71 +140,81 @@
     def _serve(self, exchange: Exchange) -> Response:
         request = exchange.request
         if request.method == "POST" and request.target == WATCH_PATH.encode():
-            accepts = request.headers.get("accept-encoding", "")
-            return self.watches.answer(request.body, exchange.stream, accepts)
-        found = f"{request.method} {request.target[:100].decode('latin-1')}"
-        return Response(404, body=f"found {found}, wanted POST {WATCH_PATH}".encode())
+            accept_encoding = request.headers.get("accept-encoding", "")
+            return self.watches.handle(request.body, exchange.stream, accept_encoding)
+        target = request.target[:MAX_SHOWN_TARGET_BYTES].decode("latin-1")
+        return Response(404, body=f"found {request.method} {target}, wanted POST {WATCH_PATH}".encode())
 
     @staticmethod
-    def _refusal(error: BadMessage) -> Response:
+    def _protocol_error(error: BadMessage) -> Response:
         return Response(error.status, body=str(error).encode())
 
-    def _table(self) -> ConfigStore | None:
-        """None until a whole one was held: who asks before goes to another relay."""
-        return self.follower.store if self.watcher.complete else None
+    def _store(self) -> ConfigStore | None:
+        """Return None until the store was complete once: a member that asks before goes to another relay."""
+        return self.state.store if self.watcher.is_complete else None
 
-    def _taken(self, taken: ApplyOutcome) -> None:
-        self.follower.mark_applied(self.follower.store.revision)
-        self.watches.changed()
+    def _store_changed(self, outcome: ApplyOutcome) -> None:
+        self.state.mark_applied(self.state.store.revision)
+        self.watches.store_changed()
 
-    def _said(self, question: WatchRequest) -> None:
-        self.roster.observe(self._loop.now(), question)
-        self._tell()
+    def _member_requested(self, request: WatchRequest) -> None:
+        self.registry.observe(self._loop.now(), request)
+        self._wake_if_changed()
 
-    def _gone(self, question: WatchRequest) -> None:
-        self.roster.connection_closed(question)
-        self._tell()
+    def _member_disconnected(self, last_request: WatchRequest) -> None:
+        self.registry.connection_closed(last_request)
+        self._wake_if_changed()
 
     # Upstream
 
-    def _tell(self) -> None:
-        if self.roster.has_changes:
-            self._news.set()
+    def _wake_if_changed(self) -> None:
+        if self.registry.has_changes:
+            self._report_due.set()
 
-    def _report(self) -> None:
-        """Over and over: the sums to whoever leads. One that is lost is told again with the next."""
+    def _report_progress(self) -> None:
+        """Report to the leader over and over; what a lost report had is in the next one."""
         while True:
-            began = self._loop.now()
-            sums = self.roster.next_summary(began, self.follower.store.revision)
-            try:
-                self.roster.handle_response(self._client.sums(sums))
-                if not self._told:
-                    self._log.info("sums told", number=sums.number, members=sums.member_count)
-                self._told = True
-            except NoAnswer as error:
-                if self._told:
-                    self._log.warning("sums not told", number=sums.number, why=str(error))
-                self._told = False
-            self._news = Event(self._loop)
-            self._tell()
-            with suppress(Timeout), self._loop.timeout(max(1, began + REST - self._loop.now())):
-                self._news.wait()
-            self._loop.sleep(max(0, began + SOON - self._loop.now()))
-
-    def _log_figures(self) -> None:
-        (then, used), now, using = self._figured, self._loop.now(), time.process_time()
-        self._figured = now, using
+            began_us = self._loop.now()
+            self._send_report(began_us)
+            self._report_due = Event(self._loop)
+            self._wake_if_changed()
+            pause_us = max(1, began_us + MAX_REPORT_INTERVAL_US - self._loop.now())
+            with suppress(Timeout), self._loop.timeout(pause_us):
+                self._report_due.wait()
+            self._loop.sleep(max(0, began_us + MIN_REPORT_INTERVAL_US - self._loop.now()))
+
+    def _send_report(self, now: int) -> None:
+        summary = self.registry.next_summary(now, self.state.store.revision)
+        try:
+            self.registry.handle_response(self._client.sums(summary))
+        except NoAnswer as error:
+            if self._is_leader_reachable:
+                self._log.warning("progress_report_failed", number=summary.number, error=str(error))
+            self._is_leader_reachable = False
+            return
+        if not self._is_leader_reachable:
+            self._log.info("progress_report_recovered", number=summary.number, members=summary.member_count)
+        self._is_leader_reachable = True
+
+    def _log_stats(self) -> None:
+        now, cpu_s = self._loop.now(), time.process_time()
+        passed_us, used_s = now - self._stats_at_us, cpu_s - self._stats_cpu_s
+        self._stats_at_us, self._stats_cpu_s = now, cpu_s
         counts = self.watches.counts
         self._log.info(
-            "figures",
-            members=len(self.roster),
-            held=self.watches.held,
-            revision=self.follower.store.revision,
-            age_ms=self.watcher.age() // 1000 if self.watcher.complete else None,
-            encoded=counts.encoded,
-            answered=counts.answered,
-            quiet=counts.quiet,
-            turned_away=counts.turned_away,
-            bytes=counts.bytes,
-            cpu=round((using - used) * SECOND / max(1, now - then), 4),
+            "relay_stats",
+            members=len(self.registry),
+            open_watches=self.watches.waiting,
+            revision=self.state.store.revision,
+            age_ms=self.watcher.age_us() // 1000 if self.watcher.is_complete else None,
+            pages_encoded=counts.pages_encoded,
+            responses=counts.responses,
+            idle_timeouts=counts.idle_timeouts,
+            rejected=counts.rejected,
+            response_bytes=counts.response_bytes,
+            cpu_cores=round(used_s * SECOND_US / max(1, passed_us), 4),
         )
+
+
+def _constant(address: Address) -> Callable[[], Address]:
+    return lambda: address
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -53,7 +53,7 @@
 
     def _watch(self, name: str) -> WatchServer:
         age = lambda: self.loop.now() - self.vouched[name]  # noqa: E731
-        return WatchServer(self.loop, lambda: self.tables[name], age, gather_us=0)
+        return WatchServer(self.loop, lambda: self.tables[name], age, batch_interval_us=0)
 
     @property
     def addresses(self) -> dict[str, Address]:
@@ -77,7 +77,7 @@
         match exchange.request.target.decode():
             case target if target == WATCH_PATH:
                 self.asked.append(decode(body, WatchRequest))
-                return self.watches[name].answer(body, exchange.stream)
+                return self.watches[name].handle(body, exchange.stream)
             case target if target == PROGRESS_PATH:
                 if name != self.leader:
                     return Response(421, body=wire.encode(wire.Told(None, True, NOT_LEADER, self.leader)))
@@ -92,7 +92,7 @@
         for name, table in self.tables.items():
             if name not in self.cut:
                 table.propose(revision, wanted)
-                self.watches[name].changed()
+                self.watches[name].store_changed()
         self.standings.revision_committed(self.loop.now(), revision)
         return revision
 
@@ -180,24 +180,26 @@
     play(main)
 
 
-def test_a_change_is_in_force_everywhere_and_the_leader_can_say_so() -> None:
+def test_a_change_reaches_all_members_and_the_leader_knows_it() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
-        assert sorted(len(relay.roster) for relay in tier.relays.values())[0] > 0
+        assert sorted(len(relay.registry) for relay in tier.relays.values())[0] > 0
         for n in range(5):
             loop.sleep(SECOND)
-            encoded, changed = tier.counts("encoded"), loop.now()
+            encoded, changed = tier.counts("pages_encoded"), loop.now()
             revision = keepers.change(ops(n, 3))
             until(loop, tier.in_force)
             assert loop.now() - changed < 3 * SECOND
-            assert tier.counts("encoded") - encoded == len(tier.relays)  # once at each, for all its members
+            assert tier.counts("pages_encoded") - encoded == len(
+                tier.relays
+            )  # once at each, for all its members
             assert dict((t.revision, t.latency_us) for t in keepers.status().latencies)[revision] is not None
         assert not keepers.status().lagging
 
     playing(script, 40)
 
 
-def test_what_the_leader_is_asked_does_not_grow_with_the_members() -> None:
+def test_requests_to_the_leader_do_not_grow_with_the_members() -> None:
     """The same changes, ten and eighty members: as many questions and reports."""
     counts: list[tuple[int, int, int]] = []
 
@@ -217,7 +219,7 @@
     assert asked <= few_asked + 4 and told <= few_told + 20 and size <= few_size + 200, counts
 
 
-def test_reports_are_paced_and_rest() -> None:
+def test_reports_are_paced_with_and_without_changes() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
         loop.sleep(5 * SECOND)
@@ -238,10 +240,10 @@
     playing(script)
 
 
-def test_a_killed_relay_s_members_go_on_at_the_other_with_no_whole_state() -> None:
+def test_members_of_a_killed_relay_continue_at_the_other_without_a_snapshot() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
-        before = [(m.watcher.server, m.watcher.counts.moves) for m in tier.members]
+        before = [(m.watcher.server, m.watcher.counts.server_changes) for m in tier.members]
         whole = sum(t.is_replaced for m in tier.members for t in m.taken)
         tier.kill("r1")
         killed = loop.now()
@@ -253,8 +255,8 @@
         assert {m.watcher.server for m in tier.members} == {"r2"}
         assert sum(t.is_replaced for m in tier.members for t in m.taken) == whole
         for member, (server, moves) in zip(tier.members, before, strict=True):
-            assert member.watcher.counts.moves - moves == (server == "r1")
-        assert not any(m.log.count("control not heard for 9 s") for m in tier.members)
+            assert member.watcher.counts.server_changes - moves == (server == "r1")
+        assert not any(m.log.count("config_stale") for m in tier.members)
         assert all(m.acted == sorted(set(m.acted)) for m in tier.members)
         assert {server for server, _ in before} == {"r1", "r2"}
         tier.start("r1")
@@ -265,7 +267,7 @@
     playing(script, 30, large(300))
 
 
-def test_all_relays_restarted_send_no_whole_state_to_those_behind() -> None:
+def test_restarted_relays_send_no_snapshot_to_members_behind() -> None:
     """Keepers went on meanwhile: the members are below the revision that the new relays start from."""
 
     def script(keepers: Keepers, tier: Tier) -> None:
@@ -276,7 +278,7 @@
         for n in range(20):
             keepers.change(ops(n))
         loop.sleep(20 * SECOND)
-        assert all(m.log.count("control not heard for 9 s") == 1 for m in tier.members)
+        assert all(m.log.count("config_stale") == 1 for m in tier.members)
         assert all(m.follower.applied_revision == keepers.table.revision - 20 for m in tier.members)
         for name in tier.names:
             tier.start(name)
@@ -285,12 +287,12 @@
         assert loop.now() - began < 9 * SECOND
         assert sum(t.is_replaced for m in tier.members for t in m.taken) == whole
         loop.sleep(SECOND)
-        assert all(m.log.count("control heard again") == 1 for m in tier.members)
+        assert all(m.log.count("config_fresh") == 1 for m in tier.members)
 
     playing(script, 20, filled(30))
 
 
-def test_a_relay_answers_only_once_it_holds_a_whole_table() -> None:
+def test_a_relay_rejects_requests_until_its_store_is_complete() -> None:
     def main(loop: Loop) -> None:
         keepers = Keepers(loop, large(3000))
         addresses, keepers.leader = keepers.addresses, "k2"
@@ -307,17 +309,17 @@
             statuses.add(answer.status)
             loop.sleep(10_000)
         assert answer.page is not None and answer.page.revision == keepers.table.revision
-        assert relay.follower.store.digest == keepers.table.digest
+        assert relay.state.store.digest == keepers.table.digest
         relay.stop()
 
     play(main)
 
 
-def test_a_relay_that_is_behind_never_answers_an_older_revision() -> None:
+def test_a_relay_behind_never_sends_an_older_revision() -> None:
     def main(loop: Loop) -> None:
         keepers = Keepers(loop, filled(5))
         relay = Relay(loop, "r1", keepers.addresses, ("127.0.0.1", 0), Log(), 1)
-        until(loop, lambda: relay.watcher.complete)
+        until(loop, lambda: relay.watcher.is_complete)
         asked = loop.now()
         answer = Asker(loop, relay, "fe1").ask(9, 77)
         assert answer.status == 204 and answer.at - asked >= HOLD
@@ -327,34 +329,34 @@
     play(main)
 
 
-def test_cut_off_from_the_keepers_a_relay_s_word_grows_old() -> None:
+def test_the_age_of_a_relay_cut_off_from_the_control_plane_grows() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
         relay = tier.relays["r1"]
-        assert relay.watcher.age() < 4 * SECOND
+        assert relay.watcher.age_us() < 4 * SECOND
         keepers.alive = False  # they answer, but no leader vouches for what they hold
         loop.sleep(20 * SECOND)
-        assert relay.watcher.age() >= 19 * SECOND
-        assert all(m.log.count("control not heard for 9 s") == 1 for m in tier.members)
+        assert relay.watcher.age_us() >= 19 * SECOND
+        assert all(m.log.count("config_stale") == 1 for m in tier.members)
         keepers.alive = True
-        until(loop, lambda: all(m.log.count("control heard again") == 1 for m in tier.members))
+        until(loop, lambda: all(m.log.count("config_fresh") == 1 for m in tier.members))
         cut = loop.now()
         keepers.end()
         loop.sleep(30 * SECOND)
-        assert relay.watcher.age() >= loop.now() - cut - SECOND
-        answer = Asker(loop, relay).ask(3, relay.follower.store.digest, hold=0)
+        assert relay.watcher.age_us() >= loop.now() - cut - SECOND
+        answer = Asker(loop, relay).ask(3, relay.state.store.digest, hold=0)
         assert int(answer.headers[AGE_HEADER.lower()]) >= 29 * SECOND
-        assert all(m.log.count("control not heard for 9 s") == 2 for m in tier.members)
-        assert tier.logs["r1"].count("sums not told") == 1  # once, however often
+        assert all(m.log.count("config_stale") == 2 for m in tier.members)
+        assert tier.logs["r1"].count("progress_report_failed") == 1  # once, however often
         assert all(m.follower.applied_revision == 3 for m in tier.members)  # static stability
 
     playing(script)
 
 
-def test_a_keeper_cut_off_from_the_others_is_left_before_members_notice() -> None:
+def test_a_replica_cut_off_from_the_others_is_left_before_members_are_stale() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
-        moves = [m.watcher.counts.moves for m in tier.members]
+        moves = [m.watcher.counts.server_changes for m in tier.members]
         cut = tier.relays["r1"].watcher.server
         keepers.cut.add(cut)
         if keepers.leader == cut:
@@ -364,13 +366,13 @@
         until(loop, tier.in_force)
         loop.sleep(20 * SECOND)
         assert keepers.tables[cut].revision < revision
-        assert moves == [m.watcher.counts.moves for m in tier.members]
-        assert not any(m.log.count("control not heard for 9 s") for m in tier.members)
+        assert moves == [m.watcher.counts.server_changes for m in tier.members]
+        assert not any(m.log.count("config_stale") for m in tier.members)
 
     playing(script)
 
 
-def test_a_keeper_lost_is_left_for_another() -> None:
+def test_a_relay_of_a_lost_replica_changes_to_another() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
         for name, server in keepers.servers.items():
@@ -383,12 +385,12 @@
         until(loop, tier.in_force)
         assert keepers.status().min_applied_revision == revision
         assert {relay.watcher.server for relay in tier.relays.values()} == {"k3"}
-        assert all(log.count("watch") >= 1 for log in tier.logs.values())
+        assert all(log.count("watch_connected") >= 1 for log in tier.logs.values())
 
     playing(script)
 
 
-def test_a_new_leader_is_told_everything() -> None:
+def test_a_new_leader_gets_complete_reports() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
         loop.sleep(5 * SECOND)
@@ -402,15 +404,15 @@
     playing(script, 20)
 
 
-def test_a_member_that_has_gone_is_out_of_the_sums_at_once() -> None:
+def test_a_disconnected_member_leaves_the_report_at_once() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
         member = tier.members.pop()
         name, relay = member.follower.member, tier.relays[member.watcher.server]
-        assert name in relay.roster
+        assert name in relay.registry
         member.task.cancel()
         gone = loop.now()
-        until(loop, lambda: name not in relay.roster)
+        until(loop, lambda: name not in relay.registry)
         assert loop.now() - gone < SECOND
         until(loop, lambda: name in keepers.sums[-1][1].left or name in keepers.sums[-2][1].left)
         assert loop.now() - gone < 2 * SECOND
@@ -423,7 +425,7 @@
     playing(script)
 
 
-def test_a_member_that_ends_is_told_as_ended() -> None:
+def test_a_member_that_announces_its_end_is_reported_as_ended() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         member = tier.members.pop()
         member.watcher.stop()
@@ -434,7 +436,7 @@
     playing(script)
 
 
-def test_a_stuck_member_is_named_and_holds_back_nobody() -> None:
+def test_a_blocked_member_is_listed_and_holds_back_nobody() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
         stuck = tier.members[0]
@@ -442,7 +444,7 @@
         def take(taken: object) -> None:
             stuck.follower.mark_blocked(stuck.table.revision, "no class fast here")
 
-        stuck.watcher._on_taken = take
+        stuck.watcher._on_outcome = take
         revision = keepers.change(ops(1))
         others = tier.members[1:]
         until(loop, lambda: all(m.follower.applied_revision == revision for m in others))
@@ -457,18 +459,18 @@
     playing(script)
 
 
-def test_a_relay_s_figures_are_logged() -> None:
+def test_a_relay_logs_its_stats() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         keepers.loop.sleep(21 * SECOND)
-        lines = [fields for line, fields in tier.logs["r1"].lines if line == "figures"]
-        assert len(lines) >= 2 and lines[-1]["revision"] == 3 and lines[-1]["cpu"] >= 0
-        assert lines[-1]["members"] == len(tier.relays["r1"].roster)
-        assert tier.logs["r1"].count("relay") == 1 and tier.logs["r1"].count("watch") == 1
+        lines = [fields for line, fields in tier.logs["r1"].lines if line == "relay_stats"]
+        assert len(lines) >= 2 and lines[-1]["revision"] == 3 and lines[-1]["cpu_cores"] >= 0
+        assert lines[-1]["members"] == len(tier.relays["r1"].registry)
+        assert tier.logs["r1"].count("listening") == 1 and tier.logs["r1"].count("watch_connected") == 1
 
     playing(script)
 
 
-def test_other_requests_are_told_what_is_wanted() -> None:
+def test_other_requests_are_rejected_with_what_is_wanted() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         connection = Connection.open(keepers.loop, tier.relays["r1"].address)
         answer = connection.ask("GET", "/")
@@ -477,7 +479,7 @@
     playing(script, 1)
 
 
-def test_stop_ends_all_and_members_find_another() -> None:
+def test_stop_ends_the_relay_and_members_find_another() -> None:
     def script(keepers: Keepers, tier: Tier) -> None:
         loop = keepers.loop
         relay = tier.relays.pop("r1")
@@ -487,7 +489,7 @@
         keepers.change(ops(1))
         until(loop, tier.in_force)
         loop.sleep(10 * SECOND)
-        assert relay.watches.held == 0 and not relay._server.streams
+        assert relay.watches.waiting == 0 and not relay._server.streams
         told = [sums for at, sums in keepers.sums if sums.relay == "r1"]
         loop.sleep(10 * SECOND)
         assert told == [sums for at, sums in keepers.sums if sums.relay == "r1"] and asked
--- a/packages/relay/tests/test_with_keepers.py
+++ b/packages/relay/tests/test_with_keepers.py
@@ -17,7 +17,7 @@
 TIMING = Timing(election_timeout_us=1_000_000, heartbeat_interval_us=100_000)
 
 
-def test_a_change_goes_from_the_order_to_all_members_and_back_while_a_relay_and_the_leader_are_lost(
+def test_a_change_reaches_all_members_while_a_relay_and_the_leader_are_lost(
     tmp_path: Path,
 ) -> None:
     loop = Loop()
--- a/packages/watch/src/walnutpost/watch/__init__.py
+++ b/packages/watch/src/walnutpost/watch/__init__.py
@@ -1,6 +1,7 @@
-"""Long-held watches of the agreed table over HTTP: the serving side and the following side."""
+"""Watches of the configuration store over HTTP: `serving` is the server, `client` the watching side."""
 
 from walnutpost.watch.client import Watcher
-from walnutpost.watch.serving import HELD_HEADER, WatchServer
+from walnutpost.watch.errors import UnusableServerError, WatchError
+from walnutpost.watch.serving import WAITED_HEADER, WatchServer
 
-__all__ = ["HELD_HEADER", "WatchServer", "Watcher"]
+__all__ = ["WAITED_HEADER", "UnusableServerError", "WatchError", "WatchServer", "Watcher"]
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -1,4 +1,4 @@
-"""The following side of a watch: one long-held question at a time, at one server or another."""
+"""The watching side of a watch: one long poll at a time, at one server or another."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from collections.abc import Callable, Mapping
 from contextlib import suppress
 from dataclasses import dataclass
+from functools import partial
 from typing import Any
 
 from msgspec import structs
@@ -26,46 +27,54 @@
 from walnutpost.eventloop import Loop, Task, Timeout
 from walnutpost.http import BadMessage as BadHttp
 from walnutpost.http import Connection, Limits, Response, encode_request
-from walnutpost.watch.pace import Debt, Floor
-from walnutpost.watch.serving import CODING, HELD_HEADER
+from walnutpost.watch.errors import UnusableServerError
+from walnutpost.watch.pace import IdleBackoff, TokenBucket
+from walnutpost.watch.serving import CONTENT_CODING, WAITED_HEADER
 
 Address = tuple[str, int]
-RATE = 22_000  # bytes a second that a follower may receive
-BURST = 64 * 1024
-BODY_MOST = 512 * 1024  # of an answer, coded or not: a page, or one change set larger than a page
-HEAD_MOST = 8 * 1024
-COST_LEAST = 1024  # bytes that an answer counts as, however small: small ones in a row are paced too
-CONNECT_TIME = 1_000_000  # a machine that is off says nothing: the next server is asked instead
-ANSWER_TIME = 2_000_000  # beyond the hold
-BODY_TIME = 8_000_000  # for the rest of an answer that has begun, as on a slow way
-LEAVE_TIME = 500_000
-LOOK = 500_000  # how often it is seen whether control was heard
-STALE = 5_000_000  # a server's word older than this is not enough: found out of at most one hold later
-STALE_PAUSE = 10_000_000  # between moves, once all servers were found to have nothing better
-FLOOR_LEAST, FLOOR_MOST = 50_000, 2_000_000
-NOTES_MOST, NOTES_TIME = 10, 60_000_000  # lines of the log on what was found wrong, and in which time
-HEADERS = {"Content-Type": "application/msgpack", "Accept-Encoding": CODING}
-
-
-class NotServed(Exception):
-    """A server answered, and not with what was asked for."""
+RECEIVE_RATE_BYTES_PER_S = 22_000
+"""What a watcher may receive on average."""
+RECEIVE_BURST_BYTES = 64 * 1024
+MAX_BODY_BYTES = 512 * 1024
+"""Size of a response, before and after decompression: a page, or one change set larger than a page."""
+MAX_HEAD_BYTES = 8 * 1024
+MIN_RESPONSE_COST_BYTES = 1024
+"""What a response counts as, however small, so that small ones in a row are paced too."""
+CONNECT_TIMEOUT_US = 1_000_000
+"""A machine that is off answers nothing: the next server is asked instead."""
+RESPONSE_TIMEOUT_US = 2_000_000
+"""Until the first byte of a response, beyond the wait timeout."""
+BODY_TIMEOUT_US = 8_000_000
+"""For the rest of a response, as over a slow network."""
+LEAVE_TIMEOUT_US = 500_000
+STALENESS_CHECK_INTERVAL_US = 500_000
+MAX_SERVER_AGE_US = 5_000_000
+"""A server whose confirmation is older is left; found out at most one wait timeout later."""
+STALE_FAILOVER_INTERVAL_US = 10_000_000
+"""Least time between such moves, once all servers were found to be no better."""
+MIN_IDLE_WAIT_US, MAX_IDLE_WAIT_US = 50_000, 2_000_000
+MAX_LOG_LINES, LOG_WINDOW_US = 10, 60_000_000
+"""Lines of the log about what was found wrong, and the time in which they are counted."""
+REQUEST_HEADERS = {"Content-Type": "application/msgpack", "Accept-Encoding": CONTENT_CODING}
+MAX_HEADER_DIGITS = 19
 
 
 @dataclass(slots=True)
-class Counts:
-    """Since the start: questions asked, moves to another server, bytes on the wire."""
+class WatcherCounters:
+    """Counts since the start: requests, changes of the server, bytes on the wire."""
 
-    questions: int = 0
-    moves: int = 0
+    requests: int = 0
+    server_changes: int = 0
     bytes_in: int = 0
     bytes_out: int = 0
 
 
-class _Meter:
-    """Counts a connection's bytes, those of a broken answer too."""
+class _ByteCounter:
+    """Counts a connection's bytes, those of a broken response too."""
 
-    def __init__(self, counts: Counts, received: Callable[[int], None]) -> None:
-        self._counts, self._received = counts, received
+    def __init__(self, counts: WatcherCounters, on_received: Callable[[int], None]) -> None:
+        self._counts = counts
+        self._on_received = on_received
 
     def opened(self, stream: int, role: str, local: Address, remote: Address) -> None:
         pass
@@ -73,266 +82,308 @@
     def bytes(self, stream: int, sent: bool, data: bytes) -> None:
         if sent:
             self._counts.bytes_out += len(data)
-        else:
-            self._counts.bytes_in += len(data)
-            self._received(len(data))
+            return
+        self._counts.bytes_in += len(data)
+        self._on_received(len(data))
 
     def closed(self, stream: int) -> None:
         pass
 
 
 class Watcher:
-    """Keeps `follower` up with the table. `run` is a task's body and asks over and over: the next question
-    acknowledges what came with the answer before. `on_taken` is called between the two, must not wait,
-    and tells the follower what is acted on by then.
+    """Keeps the store of `state` up to date. `run` is the body of a task.
 
-    A server that doesn't answer within the hold and ANSWER_TIME, refuses, breaks off, or whose word is
-    older than `stale_us` is left for the one that `choice` names. `servers`: where each is reached now;
-    OSError from it counts as not reached.
+    Each request acknowledges what came with the response before. A server that doesn't answer in time,
+    rejects the request, breaks off, or whose confirmation is too old is left for the one that `selector`
+    names.
     """
 
     def __init__(
         self,
         loop: Loop,
         servers: Mapping[str, Callable[[], Address]],
-        follower: WatchState,
-        choice: RelaySelector,
-        on_taken: Callable[[ApplyOutcome], None],
+        state: WatchState,
+        selector: RelaySelector,
+        on_outcome: Callable[[ApplyOutcome], None],
         log: Any,
-        hold_us: int = 3_000_000,
-        rate: int = RATE,
-        stale_us: int = STALE,
+        wait_timeout_us: int = 3_000_000,
+        rate_bytes_per_s: int = RECEIVE_RATE_BYTES_PER_S,
+        max_server_age_us: int = MAX_SERVER_AGE_US,
     ) -> None:
-        self._loop, self._servers, self._follower, self._choice = loop, servers, follower, choice
-        self._on_taken, self._log, self._hold, self._stale = on_taken, log, hold_us, stale_us
-        self._stale_moves, self._stale_at = 0, 0  # since one's word was new enough, and the last of them
-        self.counts = Counts()
-        self.server = ""  # that is asked, or was last
-        self._debt = Debt(rate, BURST, loop.now())
-        self._floor = Floor(FLOOR_LEAST, FLOOR_MOST)
-        self._meter = _Meter(self.counts, lambda size: self._debt.received(loop.now(), size))
+        """Create a watcher; nothing is sent before `run`.
+
+        `servers`: return the present address of each; OSError from one counts as unreachable.
+        `on_outcome`: called between two requests; it must not block, and marks in `state` what is applied.
+        """
+        self._loop = loop
+        self._servers = servers
+        self._state = state
+        self._selector = selector
+        self._on_outcome = on_outcome
+        self._log = log
+        self._wait_timeout_us = wait_timeout_us
+        self._max_server_age_us = max_server_age_us
+        self.counts = WatcherCounters()
+        self.server = ""  # asked now, or last
+        self._bucket = TokenBucket(rate_bytes_per_s, RECEIVE_BURST_BYTES, loop.now())
+        self._idle_backoff = IdleBackoff(MIN_IDLE_WAIT_US, MAX_IDLE_WAIT_US)
+        self._byte_counter = _ByteCounter(self.counts, self._count_received)
         self._connection: Connection | None = None
         self._task: Task[None] | None = None
-        self._vouched, self._complete = 0, False
-        self._heard = False  # the present server has answered
-        self._late = False
-        self._noted: deque[int] = deque(maxlen=NOTES_MOST)
-        self._more = False  # the last page told of more than it brought
+        self._confirmed_at_us = 0
+        self._is_complete = False
+        self._has_answered = False  # the present server
+        self._has_more = False  # the last response named a revision newer than what it brought
+        self._is_stale = False
+        self._stale_failovers = 0  # since a server's confirmation was new enough
+        self._stale_failover_at_us = 0
+        self._logged_at_us: deque[int] = deque(maxlen=MAX_LOG_LINES)
 
     @property
-    def complete(self) -> bool:
-        """Whether all that some server held has been held here, at some time."""
-        return self._complete
+    def is_complete(self) -> bool:
+        """Whether the store has had, at some time, all that some server had."""
+        return self._is_complete
+
+    def age_us(self) -> int:
+        """Return the time since a leader last confirmed that nothing is newer than the store here.
 
-    def age(self) -> int:
-        """Microseconds since a leader last vouched that nothing was newer than what is held here: for a
-        relay to pass on. A time since the epoch where none ever did."""
-        return self._loop.now() - self._vouched
+        A relay passes it on. It is a time since the epoch where none ever did.
+        """
+        return self._loop.now() - self._confirmed_at_us
 
     def run(self) -> None:
-        """Follows until cancelled or stopped."""
+        """Watch until cancelled or stopped."""
         self._task = self._loop.current()
-        look = self._loop.every(LOOK, self._look, name="watch")
+        check = self._loop.every(STALENESS_CHECK_INTERVAL_US, self._check_staleness, name="watch")
         try:
-            self._turn_to(self._choice.start(self._loop.now()))
+            self._connect_to(self._selector.start(self._loop.now()))
             while True:
                 try:
-                    self._follow()
-                except (OSError, Timeout, BadHttp, InvalidMessageError, NotServed) as error:
-                    self._move(error)
+                    self._watch_server()
+                except (OSError, Timeout, BadHttp, InvalidMessageError, UnusableServerError) as error:
+                    self._fail_over(error)
         finally:
-            look.cancel()
-            self._drop()
+            check.cancel()
+            self._close_connection()
 
     def stop(self) -> None:
-        """Ends, and tells the server that this member leaves: as well as can be done in LEAVE_TIME."""
+        """End, and announce it to the server as well as can be done within LEAVE_TIMEOUT_US."""
         if self._task is not None:
             self._task.cancel()
-        self._drop()  # with the question that is held there: there are never two at once
-        if not self.server or not self._follower.member:
-            return  # nobody knows of it
-        question = structs.replace(self._follower.next_request(0), is_leaving=True)
-        with suppress(OSError, Timeout, BadHttp), self._loop.timeout(LEAVE_TIME):
-            connection = self._opened()
+        self._close_connection()  # with the request that waits there: there are never two at once
+        if not self.server or not self._state.member:
+            return  # nobody knows this watcher
+        request = structs.replace(self._state.next_request(0), is_leaving=True)
+        with suppress(OSError, Timeout, BadHttp), self._loop.timeout(LEAVE_TIMEOUT_US):
+            connection = self._open_connection()
             try:
-                connection.exchange(_request(question))
+                connection.exchange(_encode_request(request))
             finally:
                 connection.close()
 
-    def _look(self) -> None:
-        late = self._follower.is_stale(self._loop.now())
-        if late and not self._late:
-            revision = self._follower.applied_revision
-            self._log.warning("control not heard for 9 s", acting_on=revision, server=self.server)
-        elif self._late and not late:
-            self._log.info(
-                "control heard again", acting_on=self._follower.applied_revision, server=self.server
-            )
-        self._late = late
+    def _check_staleness(self) -> None:
+        is_stale = self._state.is_stale(self._loop.now())
+        applied = self._state.applied_revision
+        if is_stale and not self._is_stale:
+            self._log.warning("config_stale", applied_revision=applied, server=self.server)
+        elif self._is_stale and not is_stale:
+            self._log.info("config_fresh", applied_revision=applied, server=self.server)
+        self._is_stale = is_stale
 
     # Servers
 
-    def _turn_to(self, server: str) -> None:
-        self._drop()
-        self.server, self._heard = server, False
-
-    def _move(self, error: Exception) -> None:
-        """After `error`: to the next server, when its time has come."""
-        if (self._heard or not self.counts.moves) and self._may_log():  # once, however many refuse after it
-            self._log.warning("watch lost", server=self.server, why=f"{type(error).__name__} {error}")
-        server, wait = self._choice.record_failure(self._loop.now(), self.server)
-        self._drop()
-        self._loop.sleep(wait)
-        self._follower.server_changed()
-        self.counts.moves += 1
-        self._turn_to(server)
-
-    def _go_home(self) -> None:
-        server = self._choice.return_to_preferred(self._loop.now())
+    def _connect_to(self, server: str) -> None:
+        """Use this server from now on; the connection is opened by the next request."""
+        self._close_connection()
+        self.server = server
+        self._has_answered = False
+
+    def _fail_over(self, error: Exception) -> None:
+        """Connect to the next server, after the delay that the selector gives."""
+        is_first_failure = self._has_answered or not self.counts.server_changes
+        if is_first_failure and self._may_log():  # once, however many servers fail after it
+            detail = f"{type(error).__name__} {error}"
+            self._log.warning("watch_disconnected", server=self.server, error=detail)
+        server, delay_us = self._selector.record_failure(self._loop.now(), self.server)
+        self._close_connection()
+        self._loop.sleep(delay_us)
+        self._change_server(server)
+
+    def _return_to_preferred(self) -> None:
+        server = self._selector.return_to_preferred(self._loop.now())
         if server is not None and server != self.server:
-            self._follower.server_changed()
-            self.counts.moves += 1
-            self._turn_to(server)
+            self._change_server(server)
+
+    def _change_server(self, server: str) -> None:
+        self._state.server_changed()
+        self.counts.server_changes += 1
+        self._connect_to(server)
 
-    def _opened(self) -> Connection:
-        limits = Limits(head=HEAD_MOST, body=BODY_MOST)
-        with self._loop.timeout(CONNECT_TIME):
-            return Connection.open(self._loop, self._servers[self.server](), self._meter, "watch", limits)
+    def _open_connection(self) -> Connection:
+        limits = Limits(head=MAX_HEAD_BYTES, body=MAX_BODY_BYTES)
+        with self._loop.timeout(CONNECT_TIMEOUT_US):
+            address = self._servers[self.server]()
+            return Connection.open(self._loop, address, self._byte_counter, "watch", limits)
 
-    def _drop(self) -> None:
+    def _close_connection(self) -> None:
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
-    # One question after another
+    def _count_received(self, size_bytes: int) -> None:
+        self._bucket.consume(self._loop.now(), size_bytes)
 
-    def _follow(self) -> None:
-        """At the present server, until it fails."""
+    # Requests
+
+    def _watch_server(self) -> None:
+        """Send one request after another to the present server until it fails."""
         while True:
-            self._go_home()
-            self._verify()
-            # The first question isn't held: the answer tells that there is a server, and how old it is.
-            question = self._follower.next_request(self._hold if self._heard else 0)
-            if question.after_key is not None or question.wanted_buckets or self._more:
-                self._loop.sleep(self._debt.wait(self._loop.now()))
-            before, asked = _place(question), self._loop.now()
-            page, age = self._ask(question)
-            self._take(page, age)
-            self._judge(age, question.wait_timeout_us)
-            held = self._loop.now() - asked
-            if _place(self._follower.next_request(0)) != before or (
-                question.wait_timeout_us and 2 * held >= question.wait_timeout_us
-            ):
-                self._floor.progress()
-            else:  # whoever answers at once and with nothing must not be asked at once again
-                self._loop.sleep(self._floor.nothing())
-
-    def _ask(self, question: WatchRequest) -> tuple[WatchResponse | None, int | None]:
-        """A page or none, and how long ago a leader vouched for what it tells, if it tells that."""
-        connection = self._connection
-        if connection is None or not connection.reusable:
-            self._drop()
-            connection = self._connection = self._opened()
-        stream, asked = connection.stream, self._loop.now()
-        self.counts.questions += 1
-        with self._loop.timeout(question.wait_timeout_us + ANSWER_TIME):
-            stream.send_all(_request(question))
+            self._return_to_preferred()
+            self._verify_store()
+            # The first response is not delayed: it shows that there is a server, and how current it is.
+            request = self._state.next_request(self._wait_timeout_us if self._has_answered else 0)
+            if request.after_key is not None or request.wanted_buckets or self._has_more:
+                self._loop.sleep(self._bucket.wait_us(self._loop.now()))
+            sent_us = self._loop.now()
+            response, age_us = self._exchange(request)
+            self._handle_response(response, age_us)
+            self._validate_freshness(age_us, request.wait_timeout_us)
+            self._pace(request, self._loop.now() - sent_us)
+
+    def _pace(self, request: WatchRequest, waited_us: int) -> None:
+        """Delay the next request after a response that came at once and brought nothing."""
+        has_progress = _position(self._state.next_request(0)) != _position(request)
+        has_waited = request.wait_timeout_us and 2 * waited_us >= request.wait_timeout_us
+        if has_progress or has_waited:
+            self._idle_backoff.reset()
+        else:
+            self._loop.sleep(self._idle_backoff.next_wait_us())
+
+    def _exchange(self, request: WatchRequest) -> tuple[WatchResponse | None, int | None]:
+        """Send a request; return the response or None for nothing newer, and the age of its content.
+
+        The age is the time since a leader confirmed the content, None where the server does not tell. It
+        counts from the sending of the request: a response that was delayed on its way, or here while this
+        process was suspended, is as old as it may be.
+        """
+        connection = self._reusable_connection()
+        stream, sent_us = connection.stream, self._loop.now()
+        self.counts.requests += 1
+        with self._loop.timeout(request.wait_timeout_us + RESPONSE_TIMEOUT_US):
+            stream.send_all(_encode_request(request))
             self._loop.wait_readable(stream.fd)
-        with self._loop.timeout(BODY_TIME):
+        with self._loop.timeout(BODY_TIMEOUT_US):
             response = connection.exchange(b"")
-        self._debt.received(self._loop.now(), max(0, COST_LEAST - len(response.body)))
+        self._bucket.consume(self._loop.now(), max(0, MIN_RESPONSE_COST_BYTES - len(response.body)))
         if response.status not in (200, 204):
-            raise NotServed(f"{response.status} {response.body[:200]!r}")
-        page = decode(_plain(response), WatchResponse) if response.status == 200 else None
-        # Counted from the asking: an answer that lay somewhere on its way, or here while this process
-        # stood still, is as old as it may be.
-        held, age = _number(response, HELD_HEADER), _number(response, AGE_HEADER)
-        if held is None or age is None:
+            raise UnusableServerError(f"{response.status} {response.body[:200]!r}")
+        page = decode(_decoded_body(response), WatchResponse) if response.status == 200 else None
+        waited_us, age_us = _header_number(response, WAITED_HEADER), _header_number(response, AGE_HEADER)
+        if waited_us is None or age_us is None:
             return page, None
-        passed = self._loop.now() - asked
-        return page, max(0, passed - min(held, passed)) + age
+        passed_us = self._loop.now() - sent_us
+        return page, max(0, passed_us - min(waited_us, passed_us)) + age_us
 
-    def _take(self, page: WatchResponse | None, age: int | None) -> None:
-        now, follower = self._loop.now(), self._follower
-        if not self._heard:
-            self._heard = True
-            if self._may_log():
-                self._log.info("watch", server=self.server, revision=follower.store.revision)
-        taken = follower.handle_response(now, page, age)
-        self._more = page is not None and follower.store.revision < page.revision
-        if age is not None and not self._more and not follower.is_loading:
-            self._vouched, self._complete = max(self._vouched, now - age), True
-        self._tell(taken)
-        if taken.is_inconsistent:
-            raise NotServed("what it tells does not hold together")
-
-    def _judge(self, age: int | None, hold: int) -> None:
-        """A server can answer and be cut off from the others, or far behind: its followers must not stay with
-        it while another one knows more. Where none does they go round, but seldom."""
-        now, others = self._loop.now(), len(self._servers) - 1
-        fresh = age is not None and age <= self._stale
-        if fresh:
-            self._stale_moves = 0
-        due = self._stale_moves < others or now - self._stale_at >= STALE_PAUSE
-        # With nothing vouched for it has a hold's time to catch up.
-        if not fresh and others and due and (age is not None or hold):
-            self._stale_moves, self._stale_at = self._stale_moves + 1, now
-            told = "nothing newer" if age is None else f"what was vouched for {age / 1e6:.1f} s ago"
-            raise NotServed(f"it tells {told}")
-        self._choice.record_success(now)
+    def _reusable_connection(self) -> Connection:
+        connection = self._connection
+        if connection is None or not connection.reusable:
+            self._close_connection()
+            connection = self._connection = self._open_connection()
+        return connection
 
-    def _may_log(self) -> bool:
-        """Not more lines than say what there is to say, whatever servers do over and over."""
-        now, noted = self._loop.now(), self._noted
-        if len(noted) == NOTES_MOST and now - noted[0] < NOTES_TIME:
-            return False
-        noted.append(now)
-        return True
+    # Responses
 
-    def _verify(self) -> None:
-        """Counts the table anew, if it is time to, a part at a time: others get their turns between."""
+    def _handle_response(self, response: WatchResponse | None, age_us: int | None) -> None:
+        now, state = self._loop.now(), self._state
+        if not self._has_answered:
+            self._has_answered = True
+            if self._may_log():
+                self._log.info("watch_connected", server=self.server, revision=state.store.revision)
+        outcome = state.handle_response(now, response, age_us)
+        self._has_more = response is not None and state.store.revision < response.revision
+        if age_us is not None and not self._has_more and not state.is_loading:
+            self._confirmed_at_us = max(self._confirmed_at_us, now - age_us)
+            self._is_complete = True
+        self._report_outcome(outcome)
+        if outcome.is_inconsistent:
+            raise UnusableServerError("its data is inconsistent")
+
+    def _validate_freshness(self, age_us: int | None, wait_timeout_us: int) -> None:
+        """Raise UnusableServerError where another server may be more current.
+
+        A server can answer and be cut off from the others, or far behind. Where no server is better the
+        watcher goes round them, but seldom.
+        """
+        now, others = self._loop.now(), len(self._servers) - 1
+        is_fresh = age_us is not None and age_us <= self._max_server_age_us
+        if is_fresh:
+            self._stale_failovers = 0
+        is_due = (
+            self._stale_failovers < others or now - self._stale_failover_at_us >= STALE_FAILOVER_INTERVAL_US
+        )
+        # Without any confirmation the server has one wait timeout to catch up.
+        if not is_fresh and others and is_due and (age_us is not None or wait_timeout_us):
+            self._stale_failovers += 1
+            self._stale_failover_at_us = now
+            if age_us is None:
+                raise UnusableServerError("its content is not confirmed by a leader")
+            raise UnusableServerError(f"its content was last confirmed {age_us / 1e6:.1f} s ago")
+        self._selector.record_success(now)
+
+    def _verify_store(self) -> None:
+        """Advance the digest check while one is due; other tasks run between its steps."""
         while True:
-            self._tell(self._follower.verify(self._loop.now()))
-            if not self._follower.is_verifying:
+            self._report_outcome(self._state.verify(self._loop.now()))
+            if not self._state.is_verifying:
                 return
             self._loop.breathe()
 
-    def _tell(self, taken: ApplyOutcome) -> None:
-        for event in taken.events:
+    def _report_outcome(self, outcome: ApplyOutcome) -> None:
+        for event in outcome.events:
             if self._may_log():
                 write = self._log.info if event.is_expected else self._log.warning
                 write(event.kind.value, server=self.server, detail=event.detail)
-        if taken.changes or taken.is_replaced or taken.repaired_keys:
-            # What fails in it is reported, and doesn't end the following.
-            self._loop.guarded("taken", lambda: self._on_taken(taken))
+        if outcome.changes or outcome.is_replaced or outcome.repaired_keys:
+            # An error in it is reported, and doesn't end the watch.
+            self._loop.guarded("taken", partial(self._on_outcome, outcome))
+
+    def _may_log(self) -> bool:
+        """Limit the lines of the log, whatever servers do over and over."""
+        now, logged = self._loop.now(), self._logged_at_us
+        if len(logged) == MAX_LOG_LINES and now - logged[0] < LOG_WINDOW_US:
+            return False
+        logged.append(now)
+        return True
 
 
-def _place(question: WatchRequest) -> tuple[int, str | None, int]:
-    """How far its asker has come."""
-    return question.revision, question.after_key, len(question.wanted_buckets)
+def _position(request: WatchRequest) -> tuple[int, str | None, int]:
+    """Return how far the watcher has come."""
+    return request.revision, request.after_key, len(request.wanted_buckets)
 
 
-def _request(question: WatchRequest) -> bytes:
-    return encode_request("POST", WATCH_PATH, "localhost", HEADERS, encode(question))
+def _encode_request(request: WatchRequest) -> bytes:
+    return encode_request("POST", WATCH_PATH, "localhost", REQUEST_HEADERS, encode(request))
 
 
-def _plain(response: Response) -> bytes:
-    """Raises BadMessage where it is not what it is said to be, or larger than a page may be."""
-    if response.headers.get("content-encoding", "") != CODING:
+def _decoded_body(response: Response) -> bytes:
+    """Return the decompressed body; raise InvalidMessageError where it is damaged or too large."""
+    if response.headers.get("content-encoding", "") != CONTENT_CODING:
         return response.body
     reader = zlib.decompressobj()
     try:
-        data = reader.decompress(response.body, BODY_MOST)
+        data = reader.decompress(response.body, MAX_BODY_BYTES)
     except zlib.error as error:
-        raise InvalidMessageError(f"Page: {error}") from error
+        raise InvalidMessageError(f"WatchResponse: {error}") from error
     if not reader.eof:
         raise InvalidMessageError(
-            f"Page: found more than {BODY_MOST} bytes or half a page, wanted all of one"
+            f"WatchResponse: found more than {MAX_BODY_BYTES} bytes or a part of them, wanted all of one"
         )
     return data
 
 
-def _number(response: Response, name: str) -> int | None:
-    """A header's whole number; None where there is none."""
+def _header_number(response: Response, name: str) -> int | None:
+    """Return a header's non-negative integer; None where there is none."""
     text = response.headers.get(name.lower(), "")
-    return int(text) if text.isascii() and text.isdigit() and len(text) < 20 else None
+    if not text.isascii() or not text.isdigit() or len(text) > MAX_HEADER_DIGITS:
+        return None
+    return int(text)
--- a/packages/watch/src/walnutpost/watch/pace.py
+++ b/packages/watch/src/walnutpost/watch/pace.py
@@ -1,42 +1,53 @@
-"""Bounds on how fast a watcher asks. No I/O."""
+"""Limits of how fast a watcher sends requests. No I/O. Times are microseconds of the caller's clock."""
 
 from __future__ import annotations
 
-SECOND = 1_000_000
+SECOND_US = 1_000_000
 
 
-class Debt:
-    """A token bucket of received bytes: `rate` a second on average, `burst` more only once. What comes is
-    never refused, it delays what is asked for next."""
+class TokenBucket:
+    """A token bucket of received bytes: a rate on average, and a burst once.
 
-    def __init__(self, rate: int, burst: int, now: int) -> None:
-        self._rate, self._owed, self._at = rate, -burst, now
+    Received bytes are never rejected; they delay the next request.
+    """
 
-    def received(self, now: int, size: int) -> None:
-        self._owed = self._left(now) + size
-        self._at = now
+    def __init__(self, rate_bytes_per_s: int, burst_bytes: int, now: int) -> None:
+        """Begin with the full burst available."""
+        self._rate = rate_bytes_per_s
+        self._debt_bytes = -burst_bytes  # negative: what is left of the burst
+        self._updated_us = now
 
-    def wait(self, now: int) -> int:
-        """Microseconds until nothing is owed."""
-        return max(0, -(-self._left(now) * SECOND // self._rate))
+    def consume(self, now: int, size_bytes: int) -> None:
+        """Count received bytes."""
+        self._debt_bytes = self._debt_at(now) + size_bytes
+        self._updated_us = now
 
-    def _left(self, now: int) -> int:
-        """Bytes. What was never owed can't be saved up: it stays what it is."""
-        if self._owed <= 0:
-            return self._owed
-        return max(0, self._owed - (now - self._at) * self._rate // SECOND)
+    def wait_us(self, now: int) -> int:
+        """Return the time until the debt is paid off, rounded up."""
+        return max(0, -(-self._debt_at(now) * SECOND_US // self._rate))
 
+    def _debt_at(self, now: int) -> int:
+        """Return the debt in bytes; the burst does not grow again."""
+        if self._debt_bytes <= 0:
+            return self._debt_bytes
+        return max(0, self._debt_bytes - (now - self._updated_us) * self._rate // SECOND_US)
 
-class Floor:
-    """The pause before asking again after an answer that changed nothing: doubles with each in a row."""
 
-    def __init__(self, least: int, most: int) -> None:
-        self._least, self._most, self._next = least, most, least
+class IdleBackoff:
+    """The delay before the next request after a response without progress: doubles with each in a row."""
 
-    def progress(self) -> None:
-        self._next = self._least
+    def __init__(self, min_wait_us: int, max_wait_us: int) -> None:
+        """Begin with the minimum."""
+        self._min_wait_us = min_wait_us
+        self._max_wait_us = max_wait_us
+        self._next_wait_us = min_wait_us
 
-    def nothing(self) -> int:
-        """Microseconds to wait."""
-        wait, self._next = self._next, min(self._most, self._next * 2)
-        return wait
+    def reset(self) -> None:
+        """Record progress."""
+        self._next_wait_us = self._min_wait_us
+
+    def next_wait_us(self) -> int:
+        """Record a response without progress; return the delay after it."""
+        wait_us = self._next_wait_us
+        self._next_wait_us = min(self._max_wait_us, wait_us * 2)
+        return wait_us
--- a/packages/watch/src/walnutpost/watch/serving.py
+++ b/packages/watch/src/walnutpost/watch/serving.py
@@ -1,4 +1,4 @@
-"""The serving side of a watch: holds a question until the table has something newer for it."""
+"""The serving side of a watch: a request waits here until the store has something newer for it."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass
+from functools import partial
 from typing import Any, NamedTuple
 
 from walnutpost.configstore import (
@@ -24,210 +25,269 @@
 from walnutpost.eventloop.timers import Timer
 from walnutpost.http import Response
 
-HELD_HEADER = "Walnutpost-Held-Us"  # microseconds between the question's arrival and its answer's leaving
-HOLD_MOST = 10_000_000  # longer holds are cut to this: what a gone follower leaves here ends with its hold
-HELD_MOST = 4_000  # questions held at once; one more is sent elsewhere
-PAGES_KEPT = 64  # encoded pages of the present revision: many followers read a whole state at once
-NAME_MOST = 200
-RETRY_SECONDS = "1"
-CODING = "deflate"  # five to six times smaller pages of settings, for 2 ms once and 0.3 ms at each follower
-CODED_LEAST = 1024  # bytes; smaller pages are sent as they are
+WAITED_HEADER = "Walnutpost-Held-Us"
+"""Response header: microseconds from the request's arrival to the response."""
+MAX_WAIT_TIMEOUT_US = 10_000_000
+"""Longer timeouts are cut to this: what a vanished watcher leaves here ends with its wait."""
+MAX_WAITING = 4_000
+"""Requests that wait at once; one more is rejected, to be sent to another server."""
+MAX_CACHED_PAGES = 64
+"""Encoded pages of the present revision: many watchers may load a snapshot at once."""
+MAX_NAME_CHARS = 200
+RETRY_AFTER_S = "1"
+CONTENT_CODING = "deflate"
+"""Makes pages of settings five to six times smaller, for 2 ms once and 0.3 ms at each watcher."""
+MIN_CODED_BYTES = 1024
+"""Smaller pages are sent uncompressed."""
+BATCH_INTERVAL_US = 200_000
+"""Waiting requests are woken at most once in this time, so that a burst of changes is a few responses."""
 
 
-class _Page(NamedTuple):
-    """As it is sent. `coded`: by CODING."""
+class _EncodedPage(NamedTuple):
+    """A response body; `is_coded`: compressed by CONTENT_CODING."""
 
     body: bytes
-    coded: bool
+    is_coded: bool
 
 
 @dataclass(slots=True)
-class Counts:
-    """Since the start. `encoded`: pages made; `answered`: answers with a page, and `bytes` of their
-    bodies; `quiet`: holds that ended with nothing newer; `refused`: bad questions; `turned_away`: 503."""
+class ServingCounters:
+    """Counts since the start.
 
-    encoded: int = 0
-    answered: int = 0
-    bytes: int = 0
-    quiet: int = 0
-    refused: int = 0
-    turned_away: int = 0
+    `pages_encoded`: response bodies made. `responses`: responses with a page. `response_bytes`: their bodies.
+    `idle_timeouts`: waits that ended with nothing newer. `invalid_requests`: 400. `rejected`: 503.
+    """
+
+    pages_encoded: int = 0
+    responses: int = 0
+    response_bytes: int = 0
+    idle_timeouts: int = 0
+    invalid_requests: int = 0
+    rejected: int = 0
 
 
 class WatchServer:
-    """Answers watches of one table, as a keeper or a relay. No state is kept for a follower between its
-    questions, and no queue: one that is slow or gone costs its own connection, and its held task to the
-    end of the hold.
+    """Answers the watches of one store, at a replica of the control plane or at a relay.
 
-    `table` gives None while there is none to tell of. `age`: microseconds since a leader last vouched for
-    it. `said` is told each member's question as it comes. `gather_us`: those held are woken at most
-    once in this time, so that a burst of changes is a few answers.
+    There is no state of a watcher between its requests, and no queue: a watcher that is slow or gone costs
+    its own connection, and its waiting task until the end of the wait.
     """
 
     def __init__(
         self,
         loop: Loop,
-        table: Callable[[], ConfigStore | None],
-        age: Callable[[], int],
-        said: Callable[[WatchRequest], None] | None = None,
-        gather_us: int = 200_000,
-        held_most: int = HELD_MOST,
-        gone: Callable[[WatchRequest], None] | None = None,
+        store: Callable[[], ConfigStore | None],
+        age_us: Callable[[], int],
+        on_request: Callable[[WatchRequest], None] | None = None,
+        batch_interval_us: int = BATCH_INTERVAL_US,
+        max_waiting: int = MAX_WAITING,
+        on_disconnect: Callable[[WatchRequest], None] | None = None,
     ) -> None:
-        self._loop, self._table, self._age = loop, table, age
-        self._said, self._gone = said, gone
-        self._gather, self._most = gather_us, held_most
-        self._held: dict[Task[Any], int] = {}
-        self._last: dict[Task[Any], WatchRequest] = {}  # of members, by connection
-        self._pages: OrderedDict[tuple[PendingEvents, bool], _Page] = OrderedDict()
-        self._shown = 0  # the table's revision at the last wake
-        self._woken = loop.now() - gather_us
-        self._timer: Timer | None = None
-        self.counts = Counts()
+        """Create a server of watches.
+
+        `store`: returns None while there is none to serve.
+        `age_us`: returns the time since a leader last confirmed that the store is current.
+        `on_request`: called with each member's request as it arrives.
+        `on_disconnect`: called with the last request of a member's connection after it ended.
+        """
+        self._loop = loop
+        self._store = store
+        self._age_us = age_us
+        self._on_request = on_request
+        self._on_disconnect = on_disconnect
+        self._batch_interval_us = batch_interval_us
+        self._max_waiting = max_waiting
+        self._waiting: dict[Task[Any], int] = {}
+        self._last_requests: dict[Task[Any], WatchRequest] = {}  # of members, by connection
+        self._pages: OrderedDict[tuple[PendingEvents, bool], _EncodedPage] = OrderedDict()
+        self._woken_revision = 0  # the store's at the last wake
+        self._woken_at_us = loop.now() - batch_interval_us
+        self._wake_timer: Timer | None = None
+        self.counts = ServingCounters()
 
     @property
-    def held(self) -> int:
-        """Questions that wait for something newer now."""
-        return len(self._held)
+    def waiting(self) -> int:
+        """The number of requests that wait for something newer."""
+        return len(self._waiting)
 
-    def changed(self) -> None:
-        """The table has changed, by a change set or as a whole: wakes those who wait, all at once."""
+    def store_changed(self) -> None:
+        """Wake all waiting requests: the store has changed, by a change set or as a whole."""
         self._pages.clear()
-        if self._timer is not None:
+        if self._wake_timer is not None:
             return
-        wait = self._woken + self._gather - self._loop.now()
-        if wait <= 0:
-            self._wake()
+        wait_us = self._woken_at_us + self._batch_interval_us - self._loop.now()
+        if wait_us <= 0:
+            self._wake_all()
         else:
-            self._timer = self._loop.call_later(wait, self._wake)
-
-    def answer(self, body: bytes, stream: Stream | None = None, accepts: str = "") -> Response:
-        """The answer to one question, in the task of its connection: 200 with a page, 204 where nothing is
-        newer at the hold's end, 400 for what is no question, 503 where another server is to be asked.
-        With the connection's `stream` a hold ends once the other end has closed. `accepts`: the request's
-        Accept-Encoding."""
-        began = self._loop.now()
+            self._wake_timer = self._loop.call_later(wait_us, self._wake_all)
+
+    def handle(self, body: bytes, stream: Stream | None = None, accept_encoding: str = "") -> Response:
+        """Answer one request, in the task of its connection.
+
+        200 with a page; 204 where nothing is newer at the end of the wait; 400 for an invalid request; 503
+        where another server is to be asked. With the connection's `stream` a wait ends once the peer has
+        closed it.
+        """
+        began_us = self._loop.now()
         try:
-            question = decode(body, WatchRequest)
-            _check(question)
+            request = decode(body, WatchRequest)
+            _validate(request)
         except InvalidMessageError as error:
-            self.counts.refused += 1
+            self.counts.invalid_requests += 1
             return Response(400, body=str(error).encode())
-        if question.member:
-            self._note(question)
-        until = began + (0 if question.is_leaving else min(question.wait_timeout_us, HOLD_MOST))
+        if request.member:
+            self._record_request(request)
+        timeout_us = 0 if request.is_leaving else min(request.wait_timeout_us, MAX_WAIT_TIMEOUT_US)
+        return self._respond_when_newer(request, began_us, timeout_us, stream, accept_encoding)
+
+    def _respond_when_newer(
+        self,
+        request: WatchRequest,
+        began_us: int,
+        timeout_us: int,
+        stream: Stream | None,
+        accept_encoding: str,
+    ) -> Response:
         while True:
-            table = self._table()
-            if table is None:
-                return self._turn_away(b"no whole table here yet")
-            owed = None if question.is_leaving else self._owed(table, question, CODING in accepts)
-            if owed is not None:
-                self.counts.answered += 1
-                self.counts.bytes += len(owed.body)
-                head = self._head(began)
-                if owed.coded:
-                    head["Content-Encoding"] = CODING
-                return Response(200, head, owed.body)
-            left = until - self._loop.now()
-            if left <= 0:
-                self.counts.quiet += 1
-                # Behind its asker this table tells nothing of what the asker holds, vouched for or not.
-                return Response(204, self._head(began) if question.revision <= table.revision else {})
-            if len(self._held) >= self._most:
-                return self._turn_away(b"%d questions are held here" % len(self._held))
-            if self._hold(left, stream):
+            store = self._store()
+            if store is None:
+                return self._reject(b"no complete store here yet")
+            page = None
+            if not request.is_leaving:
+                page = self._page_for(store, request, CONTENT_CODING in accept_encoding)
+            if page is not None:
+                return self._page_response(page, began_us)
+            remaining_us = began_us + timeout_us - self._loop.now()
+            if remaining_us <= 0:
+                return self._idle_response(store, request, began_us)
+            if len(self._waiting) >= self._max_waiting:
+                return self._reject(b"%d requests wait here" % len(self._waiting))
+            if self._wait(remaining_us, stream):
                 return Response(204, keep_alive=False)
 
-    def _turn_away(self, why: bytes) -> Response:
-        self.counts.turned_away += 1
-        return Response(503, {"Retry-After": RETRY_SECONDS}, why)
+    def _page_response(self, page: _EncodedPage, began_us: int) -> Response:
+        self.counts.responses += 1
+        self.counts.response_bytes += len(page.body)
+        headers = self._headers(began_us)
+        if page.is_coded:
+            headers["Content-Encoding"] = CONTENT_CODING
+        return Response(200, headers, page.body)
+
+    def _idle_response(self, store: ConfigStore, request: WatchRequest, began_us: int) -> Response:
+        self.counts.idle_timeouts += 1
+        if request.revision > store.revision:
+            # Behind its watcher this store confirms nothing of what the watcher has.
+            return Response(204, {})
+        return Response(204, self._headers(began_us))
+
+    def _reject(self, reason: bytes) -> Response:
+        self.counts.rejected += 1
+        return Response(503, {"Retry-After": RETRY_AFTER_S}, reason)
 
-    def _head(self, began: int) -> dict[str, str]:
+    def _headers(self, began_us: int) -> dict[str, str]:
         return {
             "Content-Type": "application/msgpack",
-            AGE_HEADER: str(max(0, self._age())),
-            HELD_HEADER: str(self._loop.now() - began),
+            AGE_HEADER: str(max(0, self._age_us())),
+            WAITED_HEADER: str(self._loop.now() - began_us),
         }
 
-    def _note(self, question: WatchRequest) -> None:
-        if self._said is not None:
-            self._said(question)
-        if self._gone is not None:
-            task = self._loop.current()
-            if task not in self._last:
-                task.watchers.append(lambda: self._connection_ended(task))
-            self._last[task] = question
+    # Members
+
+    def _record_request(self, request: WatchRequest) -> None:
+        if self._on_request is not None:
+            self._on_request(request)
+        if self._on_disconnect is None:
+            return
+        task = self._loop.current()
+        if task not in self._last_requests:
+            task.watchers.append(partial(self._connection_ended, task))
+        self._last_requests[task] = request
 
     def _connection_ended(self, task: Task[Any]) -> None:
-        assert self._gone is not None
-        self._gone(self._last.pop(task))
+        assert self._on_disconnect is not None
+        self._on_disconnect(self._last_requests.pop(task))
 
-    def _hold(self, most: int, stream: Stream | None) -> bool:
-        """Until the next wake, or `most` is over, or the asker has gone: True then."""
+    # Waiting
+
+    def _wait(self, timeout_us: int, stream: Stream | None) -> bool:
+        """Wait for the next wake or the timeout; return whether the watcher has closed its connection."""
         task, token = self._loop.waiting()
-        timer = self._loop.call_later(most, lambda: self._loop.wake(task, token))
+        timer = self._loop.call_later(timeout_us, partial(self._loop.wake, task, token))
         if stream is not None:
             stream.on_readable(lambda: stream.ended() and self._loop.wake(task, token, True))
-        self._held[task] = token
+        self._waiting[task] = token
         try:
             return self._loop.park() is True
         finally:
             timer.cancel()
-            self._held.pop(task, None)
+            self._waiting.pop(task, None)
             if stream is not None:
                 stream.on_readable(None)
 
-    def _wake(self) -> None:
-        self._timer = None
-        self._woken = self._loop.now()
-        table = self._table()
-        if table is not None:
-            self._shown = table.revision
-        held, self._held = self._held, {}
-        for task, token in held.items():
+    def _wake_all(self) -> None:
+        self._wake_timer = None
+        self._woken_at_us = self._loop.now()
+        store = self._store()
+        if store is not None:
+            self._woken_revision = store.revision
+        waiting, self._waiting = self._waiting, {}
+        for task, token in waiting.items():
             self._loop.wake(task, token)
 
-    def _owed(self, table: ConfigStore, question: WatchRequest, coded: bool) -> _Page | None:
-        """A page's bytes, made once for all who are owed the same."""
-        plain = (
-            question.after_key is None and not question.wants_bucket_digests and not question.wanted_buckets
-        )
-        # Who has all that was shown at the last wake waits for the next, with the others: asking again
-        # at once within a burst would else bring each change alone.
-        if plain and self._timer is not None and self._shown <= question.revision <= table.revision:
+    # Pages
+
+    def _page_for(self, store: ConfigStore, request: WatchRequest, is_coded: bool) -> _EncodedPage | None:
+        """Return the response's body, encoded once for all requests with the same pending events."""
+        if self._waits_for_batch(store, request):
             return None
-        key = pending_events(table, question)
-        if key is None:
+        pending = pending_events(store, request)
+        if pending is None:
             return None
-        page = self._pages.get((key, coded))
-        if page is None:
-            page = self._pages[key, coded] = _made(encode(build_response(table, key)), coded)
-            self.counts.encoded += 1
-            if len(self._pages) > PAGES_KEPT:
-                self._pages.popitem(last=False)
-        else:
-            self._pages.move_to_end((key, coded))
+        page = self._pages.get((pending, is_coded))
+        if page is not None:
+            self._pages.move_to_end((pending, is_coded))
+            return page
+        page = _encode_page(encode(build_response(store, pending)), is_coded)
+        self._pages[pending, is_coded] = page
+        self.counts.pages_encoded += 1
+        if len(self._pages) > MAX_CACHED_PAGES:
+            self._pages.popitem(last=False)
         return page
 
+    def _waits_for_batch(self, store: ConfigStore, request: WatchRequest) -> bool:
+        """Whether the watcher has all of the last wake, and another wake is due.
+
+        It waits for that one with the others: requests that are sent at once within a burst would otherwise
+        get each change alone.
+        """
+        if request.after_key is not None or request.wants_bucket_digests or request.wanted_buckets:
+            return False
+        return self._wake_timer is not None and self._woken_revision <= request.revision <= store.revision
+
 
-def _made(data: bytes, coded: bool) -> _Page:
-    coded = coded and len(data) >= CODED_LEAST
-    return _Page(zlib.compress(data) if coded else data, coded)
+def _encode_page(data: bytes, is_coded: bool) -> _EncodedPage:
+    is_coded = is_coded and len(data) >= MIN_CODED_BYTES
+    return _EncodedPage(zlib.compress(data) if is_coded else data, is_coded)
 
 
-def _check(question: WatchRequest) -> None:
-    """Raises BadMessage for a question that no follower asks."""
-    for name in ("session", "revision", "applied_revision", "wait_timeout_us", "base_revision"):
-        value = getattr(question, name)
+def _validate(request: WatchRequest) -> None:
+    """Raise InvalidMessageError for a request that no watcher sends."""
+    numbers = {
+        "session": request.session,
+        "revision": request.revision,
+        "applied_revision": request.applied_revision,
+        "wait_timeout_us": request.wait_timeout_us,
+        "base_revision": request.base_revision,
+    }
+    for name, value in numbers.items():
         if value < 0:
             raise InvalidMessageError(f"WatchRequest: {name}: found {value}, wanted 0 or more")
-    for name in ("member", "incarnation"):
-        size = len(getattr(question, name))
-        if size > NAME_MOST:
+    for name, text in (("member", request.member), ("incarnation", request.incarnation)):
+        if len(text) > MAX_NAME_CHARS:
             raise InvalidMessageError(
-                f"WatchRequest: {name}: found {size} characters, wanted {NAME_MOST} at most"
+                f"WatchRequest: {name}: found {len(text)} characters, wanted {MAX_NAME_CHARS} at most"
             )
-    wanted = question.wanted_buckets
+    wanted = request.wanted_buckets
     if len(wanted) > DIGEST_BUCKETS or any(not 0 <= bucket < DIGEST_BUCKETS for bucket in wanted):
         raise InvalidMessageError(
             f"WatchRequest: wanted_buckets: found {wanted[:10]}, wanted 0 to {DIGEST_BUCKETS - 1}"
--- a/packages/watch/tests/test_client.py
+++ b/packages/watch/tests/test_client.py
@@ -27,11 +27,11 @@
 from walnutpost.configstore.relay_selection import preference_order
 from walnutpost.eventloop import Listener, Loop, Stream
 from walnutpost.http import Response, encode_response
-from walnutpost.watch import HELD_HEADER
-from walnutpost.watch.client import BODY_MOST, BURST, RATE
+from walnutpost.watch import WAITED_HEADER
+from walnutpost.watch.client import MAX_BODY_BYTES, RECEIVE_BURST_BYTES, RECEIVE_RATE_BYTES_PER_S
 from watch_rig import HOLD, SECOND, Asker, Member, Raw, Served, copy, filled, large, ops, play, until
 
-HEADERS = {AGE_HEADER: "0", HELD_HEADER: "0"}
+HEADERS = {AGE_HEADER: "0", WAITED_HEADER: "0"}
 
 
 def where(served: Any) -> Callable[[], tuple[str, int]]:
@@ -51,51 +51,51 @@
 # Following
 
 
-def test_what_is_taken_is_acknowledged_by_the_next_question() -> None:
+def test_an_applied_revision_is_acknowledged_by_the_next_request() -> None:
     def script(loop: Loop) -> None:
-        served = Served(loop, filled(3), gather_us=0)
+        served = Served(loop, filled(3), batch_interval_us=0)
         member = Member(loop, {"a": where(served)})
         until(loop, lambda: member.same(served.table))
         for n in range(5):
-            until(loop, lambda: served.watch.held)
+            until(loop, lambda: served.watch.waiting)
             revision = served.change(ops(n, 3))
             asked = loop.now()
             until(loop, lambda r=revision: served.questions[-1].applied_revision == r)  # type: ignore[misc]
             assert loop.now() - asked < SECOND
         assert member.same(served.table) and member.acted == sorted(set(member.acted))
-        assert len(served.server.streams) == 1 and member.watcher.counts.moves == 0
+        assert len(served.server.streams) == 1 and member.watcher.counts.server_changes == 0
 
     play(script)
 
 
-def test_at_rest_there_is_one_question_in_each_hold() -> None:
+def test_without_changes_there_is_one_request_each_wait_timeout() -> None:
     def script(loop: Loop) -> None:
         served = Served(loop, filled(3))
         member = Member(loop, {"a": where(served)})
-        until(loop, lambda: served.watch.held)
-        asked, bytes_in = member.watcher.counts.questions, member.watcher.counts.bytes_in
+        until(loop, lambda: served.watch.waiting)
+        asked, bytes_in = member.watcher.counts.requests, member.watcher.counts.bytes_in
         loop.sleep(30 * HOLD)
-        assert 28 <= member.watcher.counts.questions - asked <= 31
+        assert 28 <= member.watcher.counts.requests - asked <= 31
         assert member.watcher.counts.bytes_in - bytes_in < 31 * 200
-        assert served.watch.held <= 1 and not member.log.count("watch lost")
+        assert served.watch.waiting <= 1 and not member.log.count("watch_disconnected")
 
     play(script)
 
 
-def test_bytes_are_those_on_the_wire() -> None:
+def test_counted_bytes_are_those_on_the_wire() -> None:
     def script(loop: Loop) -> None:
         served = Served(loop, filled(3))
         member = Member(loop, {"a": where(served)})
         until(loop, lambda: member.same(served.table))
         counts = member.watcher.counts
-        assert counts.bytes_in > served.watch.counts.bytes
-        assert counts.bytes_in < served.watch.counts.bytes + 300 * counts.questions
+        assert counts.bytes_in > served.watch.counts.response_bytes
+        assert counts.bytes_in < served.watch.counts.response_bytes + 300 * counts.requests
         assert counts.bytes_out > sum(len(encode(q)) for q in served.questions)
 
     play(script)
 
 
-def test_what_fails_in_taking_does_not_end_the_following() -> None:
+def test_an_error_in_on_outcome_does_not_end_the_watch() -> None:
     errors: list[BaseException] = []
 
     def script(loop: Loop) -> None:
@@ -105,12 +105,12 @@
         def fails(taken: object) -> None:
             raise ValueError("no such class")
 
-        member.watcher._on_taken = fails
-        until(loop, lambda: served.watch.held)
+        member.watcher._on_outcome = fails
+        until(loop, lambda: served.watch.waiting)
         served.change(ops(1))
         until(loop, lambda: member.same(served.table))
         loop.sleep(2 * HOLD)
-        assert served.watch.held and served.questions[-1].applied_revision == 0
+        assert served.watch.waiting and served.questions[-1].applied_revision == 0
 
     play(script, errors)
     assert errors and all(isinstance(e, ValueError) for e in errors)
@@ -119,7 +119,7 @@
 # Moves
 
 
-def test_a_killed_relay_s_followers_go_on_elsewhere_without_a_whole_state() -> None:
+def test_watchers_of_a_killed_relay_continue_elsewhere_without_a_snapshot() -> None:
     def script(loop: Loop) -> None:
         table = large(400)
         one, other = Served(loop, table), Served(loop, copy(table))
@@ -147,7 +147,7 @@
         # Each goes on where it was, in order, and says so with a higher session.
         assert all(m.acted == sorted(set(m.acted)) for m in members)
         moved = {q.member for q in later if q.session == 1}
-        assert moved == {m.follower.member for m in members if m.watcher.counts.moves}
+        assert moved == {m.follower.member for m in members if m.watcher.counts.server_changes}
         assert len(moved) == sum(home == "a" for home in [m.choice._order[0] for m in members])
 
     play(script)
@@ -157,7 +157,7 @@
 
 
 @pytest.mark.parametrize("status", STATUSES)
-def test_a_server_that_refuses_is_left(status: int) -> None:
+def test_a_server_that_rejects_requests_is_left(status: int) -> None:
     def script(loop: Loop) -> None:
         bad = Raw(loop, lambda question: Response(status, body=b"no"))
         good = Served(loop, filled(3))
@@ -170,7 +170,7 @@
     play(script)
 
 
-def test_a_server_that_says_nothing_is_left_after_the_hold() -> None:
+def test_a_server_without_a_response_is_left_after_the_timeout() -> None:
     def script(loop: Loop) -> None:
         def silent(question: WatchRequest) -> None:
             loop.sleep(3600 * SECOND)
@@ -185,27 +185,27 @@
     play(script)
 
 
-def test_a_server_that_falls_silent_while_it_holds_is_left_in_time() -> None:
+def test_a_server_that_falls_silent_during_a_wait_is_left_in_time() -> None:
     def script(loop: Loop) -> None:
         one, other = Served(loop, filled(3)), Served(loop, filled(3))
         member = Member(loop, both(one, other))
-        until(loop, lambda: one.watch.held + other.watch.held)
-        home, away = (one, other) if one.watch.held else (other, one)
+        until(loop, lambda: one.watch.waiting + other.watch.waiting)
+        home, away = (one, other) if one.watch.waiting else (other, one)
 
-        def stuck(most: int, stream: object) -> bool:
+        def stuck(timeout_us: int, stream: object) -> bool:
             loop.sleep(3600 * SECOND)
             return False
 
-        home.watch._hold = stuck  # type: ignore[method-assign]
+        home.watch._wait = stuck  # type: ignore[method-assign]
         until(loop, lambda: away.questions)
-        until(loop, lambda: away.watch.held)
-        assert not member.log.count("control not heard for 9 s")
-        assert member.watcher.counts.moves == 1
+        until(loop, lambda: away.watch.waiting)
+        assert not member.log.count("config_stale")
+        assert member.watcher.counts.server_changes == 1
 
     play(script)
 
 
-def test_a_server_whose_whole_state_is_not_the_agreed_one_is_left() -> None:
+def test_a_server_with_an_inconsistent_snapshot_is_left() -> None:
     def script(loop: Loop) -> None:
         table = large(50)
         entries = tuple(replace(table.entries[key], value=b"other") for key in sorted(table.entries))
@@ -221,14 +221,14 @@
         bad, good = Raw(loop, lambda question: Response(200, HEADERS, encode(page))), Served(loop, table)
         member = Member(loop, both(bad, good), homed("a", 1)[0])
         until(loop, lambda: member.same(table))
-        assert member.watcher.counts.moves == 1 and member.acted == [table.revision]
+        assert member.watcher.counts.server_changes == 1 and member.acted == [table.revision]
         assert member.table.entries == table.entries
 
     play(script)
 
 
 @pytest.mark.parametrize("behind", [False, True])
-def test_a_server_that_answers_and_is_cut_off_is_left_before_its_members_are_late(behind: bool) -> None:
+def test_a_server_cut_off_from_the_leader_is_left_before_its_members_are_stale(behind: bool) -> None:
     """Its word grows old, or it is behind for good; the other one is as new as can be."""
 
     def script(loop: Loop) -> None:
@@ -236,39 +236,39 @@
         cut = Served(loop, filled(3), lambda: loop.now() - vouched)
         good = Served(loop, filled(3))
         members = [Member(loop, both(cut, good), name, n) for n, name in enumerate(homed("a", 6))]
-        until(loop, lambda: cut.watch.held == 6)
+        until(loop, lambda: cut.watch.waiting == 6)
         if behind:
             good.change(ops(1))
             for member in members:
                 member.follower.store = copy(good.table or filled(0))
-        until(loop, lambda: good.watch.held == 6)
+        until(loop, lambda: good.watch.waiting == 6)
         assert all(m.same(good.table) for m in members)
         loop.sleep(20 * SECOND)
-        assert {m.watcher.counts.moves for m in members} == {1} and good.watch.held == 6
-        assert not any(m.log.count("control not heard for 9 s") for m in members)
+        assert {m.watcher.counts.server_changes for m in members} == {1} and good.watch.waiting == 6
+        assert not any(m.log.count("config_stale") for m in members)
 
     play(script)
 
 
-def test_where_nobody_s_word_is_new_enough_they_go_round_but_seldom() -> None:
+def test_with_only_stale_servers_a_watcher_changes_servers_seldom() -> None:
     def script(loop: Loop) -> None:
         began = loop.now()
         servers = [Served(loop, filled(3), lambda: loop.now() - began) for _ in range(4)]
         member = Member(loop, {f"s{n}": where(served) for n, served in enumerate(servers)})
         loop.sleep(300 * SECOND)
-        assert 25 <= member.watcher.counts.moves <= 3 + 30
+        assert 25 <= member.watcher.counts.server_changes <= 3 + 30
         assert all(served.questions for served in servers)
-        assert member.watcher.counts.questions < 300
-        assert member.log.count("control not heard for 9 s") == 1 and len(member.log.lines) < 60
+        assert member.watcher.counts.requests < 300
+        assert member.log.count("config_stale") == 1 and len(member.log.lines) < 60
         began = loop.now() + 300 * SECOND  # a leader is back
-        moves = member.watcher.counts.moves
+        moves = member.watcher.counts.server_changes
         loop.sleep(30 * SECOND)
-        assert member.watcher.counts.moves - moves <= 1 and member.log.count("control heard again") == 1
+        assert member.watcher.counts.server_changes - moves <= 1 and member.log.count("config_fresh") == 1
 
     play(script)
 
 
-def test_an_address_that_is_not_known_counts_as_not_reached() -> None:
+def test_an_unresolvable_address_counts_as_unreachable() -> None:
     def script(loop: Loop) -> None:
         def unknown() -> tuple[str, int]:
             raise OSError("no such host")
@@ -280,7 +280,7 @@
     play(script)
 
 
-def test_it_goes_home_when_home_has_been_back_for_long_enough() -> None:
+def test_a_watcher_returns_to_its_preferred_server_after_a_while() -> None:
     def script(loop: Loop) -> None:
         one, other = Served(loop, filled(3)), Served(loop, filled(3))
         places = {"a": one.address, "b": other.address}
@@ -293,13 +293,13 @@
         loop.sleep(30 * SECOND)
         assert member.watcher.server != home
         loop.sleep(120 * SECOND)
-        assert member.watcher.server == home and member.watcher.counts.moves == 2
+        assert member.watcher.server == home and member.watcher.counts.server_changes == 2
         assert (one if home == "a" else other).questions[-1].session == 2
 
     play(script)
 
 
-def test_there_are_never_two_questions_of_one_member_at_once() -> None:
+def test_a_member_never_has_two_requests_open() -> None:
     """Servers that time out, refuse and hold; what a connection asks is over before another asks."""
 
     def script(loop: Loop) -> None:
@@ -321,7 +321,7 @@
         member = Member(loop, both(one, other))
         loop.spawn(counting, one).join()
         assert most == 1 and not open_now
-        assert member.watcher.counts.questions > 10
+        assert member.watcher.counts.requests > 10
 
     play(script)
 
@@ -329,7 +329,7 @@
 # Broken answers
 
 
-def test_a_reset_at_each_byte_of_an_answer_changes_nothing_wrong() -> None:
+def test_a_reset_at_any_byte_of_a_response_corrupts_nothing() -> None:
     """A server cuts its answer after byte N, for each N; the next connection gets it whole."""
     table = filled(2, size=40)
     table.propose(
@@ -372,7 +372,7 @@
     play(script)
 
 
-def test_a_coded_whole_state_costs_its_smaller_bytes() -> None:
+def test_a_compressed_snapshot_is_paced_by_its_compressed_size() -> None:
     def script(loop: Loop) -> None:
         table = large(3000)
         served = Served(loop, table)
@@ -388,7 +388,7 @@
 
 CODED = HEADERS | {"Content-Encoding": "deflate"}
 MISCODED = {
-    "a bomb": zlib.compress(bytes(64 * BODY_MOST)),
+    "a bomb": zlib.compress(bytes(64 * MAX_BODY_BYTES)),
     "cut": zlib.compress(encode(WatchResponse(3, 0, 0)))[:-5],
     "not coded": encode(WatchResponse(3, 0, 0)),
     "nothing": b"",
@@ -396,7 +396,7 @@
 
 
 @pytest.mark.parametrize("name", MISCODED)
-def test_an_answer_that_is_miscoded_is_no_answer(name: str) -> None:
+def test_a_response_with_a_damaged_body_is_rejected(name: str) -> None:
     def script(loop: Loop) -> None:
         bad, good = Raw(loop, lambda question: Response(200, CODED, MISCODED[name])), Served(loop, filled(3))
         member = Member(loop, both(bad, good), homed("a", 1)[0])
@@ -404,25 +404,25 @@
         until(loop, lambda: member.same(good.table))
         most = tracemalloc.get_traced_memory()[1]
         tracemalloc.stop()
-        assert len(bad.questions) == 1 and member.watcher.counts.moves == 1
-        assert most < 8 * BODY_MOST
+        assert len(bad.questions) == 1 and member.watcher.counts.server_changes == 1
+        assert most < 8 * MAX_BODY_BYTES
 
     play(script)
 
 
-def test_an_answer_that_is_too_large_is_not_read_to_its_end() -> None:
+def test_a_response_that_is_too_large_is_not_read_to_its_end() -> None:
     def script(loop: Loop) -> None:
-        bad = Raw(loop, lambda question: Response(200, HEADERS, b"x" * (20 * BODY_MOST)))
+        bad = Raw(loop, lambda question: Response(200, HEADERS, b"x" * (20 * MAX_BODY_BYTES)))
         good = Served(loop, filled(3))
         members = [Member(loop, both(bad, good), name, n) for n, name in enumerate(homed("a", 6))]
         until(loop, lambda: all(m.same(good.table) for m in members))
-        assert {m.watcher.counts.moves for m in members} == {1}
-        assert all(m.watcher.counts.bytes_in < 2 * BODY_MOST for m in members)
+        assert {m.watcher.counts.server_changes for m in members} == {1}
+        assert all(m.watcher.counts.bytes_in < 2 * MAX_BODY_BYTES for m in members)
 
     play(script)
 
 
-def test_a_slow_answer_is_waited_for_and_an_endless_one_is_not() -> None:
+def test_a_slow_response_is_awaited_and_an_endless_one_is_not() -> None:
     def script(loop: Loop) -> None:
         table = filled(3)
 
@@ -449,10 +449,10 @@
 
         member, _ = run(SECOND // 10)
         until(loop, lambda: member.same(table))
-        assert member.watcher.counts.moves == 0
+        assert member.watcher.counts.server_changes == 0
         member, _ = run(SECOND)
         loop.sleep(60 * SECOND)
-        assert not member.same(table) and member.watcher.counts.moves >= 4
+        assert not member.same(table) and member.watcher.counts.server_changes >= 4
 
     play(script)
 
@@ -531,7 +531,7 @@
 
 
 @pytest.mark.parametrize("name", RUBBISH)
-def test_nobody_spins_at_a_server_that_answers_rubbish(name: str) -> None:
+def test_a_server_with_useless_responses_is_not_asked_in_a_tight_loop(name: str) -> None:
     def script(loop: Loop) -> None:
         bad = Raw(loop, RUBBISH[name])
         member = Member(loop, {"a": where(bad)})
@@ -547,7 +547,7 @@
 # Whole states
 
 
-def test_a_whole_state_is_paced() -> None:
+def test_a_snapshot_load_is_paced() -> None:
     def script(loop: Loop) -> None:
         table = large(3000)  # some 700 KB
         served = Served(loop, table)
@@ -555,39 +555,44 @@
         began, counts = loop.now(), member.watcher.counts
         while not member.same(table):
             passed = loop.now() - began
-            assert counts.bytes_in <= BURST + RATE * passed // SECOND + 2 * 65_536, (counts, passed)
+            assert (
+                counts.bytes_in
+                <= RECEIVE_BURST_BYTES + RECEIVE_RATE_BYTES_PER_S * passed // SECOND + 2 * 65_536
+            ), (counts, passed)
             assert passed < 120 * SECOND
             loop.sleep(50_000)
         assert counts.bytes_in > 600_000
         took = loop.now() - began
-        assert took > (counts.bytes_in - BURST - 2 * 65_536) * SECOND // RATE
+        assert (
+            took > (counts.bytes_in - RECEIVE_BURST_BYTES - 2 * 65_536) * SECOND // RECEIVE_RATE_BYTES_PER_S
+        )
         # What is held at last is one state, put in place once.
         assert member.acted == [table.revision]
 
     play(script)
 
 
-def test_the_burst_is_given_once() -> None:
+def test_the_receive_burst_is_available_once() -> None:
     def script(loop: Loop) -> None:
         member = Member(loop, {"a": lambda: ("127.0.0.1", 1)})
         member.task.cancel()
-        debt = member.watcher._debt
-        debt.received(loop.now(), BURST)
-        assert debt.wait(loop.now()) == 0
-        debt.received(loop.now(), RATE)
-        assert debt.wait(loop.now()) == SECOND
+        debt = member.watcher._bucket
+        debt.consume(loop.now(), RECEIVE_BURST_BYTES)
+        assert debt.wait_us(loop.now()) == 0
+        debt.consume(loop.now(), RECEIVE_RATE_BYTES_PER_S)
+        assert debt.wait_us(loop.now()) == SECOND
         loop.sleep(60 * SECOND)  # an idle minute saves nothing up
-        debt.received(loop.now(), RATE)
-        assert debt.wait(loop.now()) == SECOND
+        debt.consume(loop.now(), RECEIVE_RATE_BYTES_PER_S)
+        assert debt.wait_us(loop.now()) == SECOND
 
     play(script)
 
 
-def test_a_change_set_is_acknowledged_at_once_whatever_is_owed() -> None:
+def test_a_change_set_is_acknowledged_at_once_whatever_the_byte_debt() -> None:
     def script(loop: Loop) -> None:
         served = Served(loop, filled(3))
         member = Member(loop, {"a": where(served)})
-        until(loop, lambda: served.watch.held)
+        until(loop, lambda: served.watch.waiting)
         for n in range(5):  # much more than 22 KB/s
             changed = loop.now()
             revision = served.change(ops(n * 100, 100, 1000))
@@ -598,7 +603,7 @@
     play(script)
 
 
-def test_who_was_away_for_long_catches_up_at_its_pace() -> None:
+def test_a_watcher_far_behind_catches_up_at_its_rate() -> None:
     def script(loop: Loop) -> None:
         table = filled(3)
         served = Served(loop, copy(table))
@@ -609,18 +614,24 @@
         began, counts = loop.now(), member.watcher.counts
         while not member.same(served.table):
             passed = loop.now() - began
-            assert counts.bytes_in <= BURST + RATE * passed // SECOND + 2 * 65_536, (counts, passed)
+            assert (
+                counts.bytes_in
+                <= RECEIVE_BURST_BYTES + RECEIVE_RATE_BYTES_PER_S * passed // SECOND + 2 * 65_536
+            ), (counts, passed)
             assert passed < 120 * SECOND
             loop.sleep(50_000)
         assert not [q for q in served.questions if q.after_key is not None]
         assert counts.bytes_in > 600_000
-        assert loop.now() - began > (counts.bytes_in - BURST - 2 * 65_536) * SECOND // RATE
+        assert (
+            loop.now() - began
+            > (counts.bytes_in - RECEIVE_BURST_BYTES - 2 * 65_536) * SECOND // RECEIVE_RATE_BYTES_PER_S
+        )
 
     play(script)
 
 
 @pytest.mark.parametrize("changing", [False, True])
-def test_moved_in_the_middle_of_a_whole_state_it_ends_with_the_same_table(changing: bool) -> None:
+def test_a_snapshot_load_over_several_servers_ends_with_the_committed_store(changing: bool) -> None:
     """Two relays, and each is cut off in turn while the state's pages come, with changes meanwhile."""
 
     def script(loop: Loop) -> None:
@@ -630,8 +641,8 @@
         member = Member(loop, {"a": lambda: places["a"], "b": lambda: places["b"]})
         pages = 0
         for n in range(200):
-            before = member.watcher.counts.questions
-            until(loop, lambda k=before: member.watcher.counts.questions > k)  # type: ignore[misc]
+            before = member.watcher.counts.requests
+            until(loop, lambda k=before: member.watcher.counts.requests > k)  # type: ignore[misc]
             if member.table.revision:
                 break
             pages += 1
@@ -647,7 +658,7 @@
         loop.sleep(10 * SECOND)
         assert member.same(a.table) and member.same(b.table) and pages > 5
         assert member.table.compute_bucket_digests() == a.table.compute_bucket_digests() if a.table else False
-        assert member.watcher.counts.moves > 5
+        assert member.watcher.counts.server_changes > 5
         asked = [q.after_key for q in (*a.questions, *b.questions) if q.after_key is not None]
         assert len(set(asked)) > 5 and {q.member for q in a.questions} == {q.member for q in b.questions}
         # Resumed by key at the other one: the first key is asked for but a few times.
@@ -656,7 +667,7 @@
     play(script)
 
 
-def test_a_flipped_entry_is_found_at_the_next_change_and_mended() -> None:
+def test_a_corrupted_entry_is_found_at_the_next_change_and_repaired() -> None:
     def script(loop: Loop) -> None:
         table = large(500)
         served = Served(loop, table)
@@ -679,16 +690,16 @@
 # Age and lateness
 
 
-def test_the_age_grows_while_upstream_is_silent() -> None:
+def test_age_grows_while_upstream_is_silent() -> None:
     """A chain: what a relay passes on is as old as what it was told, and older with each moment since."""
 
     def script(loop: Loop) -> None:
         vouched = loop.now()
         keeper = Served(loop, filled(3), lambda: loop.now() - vouched)
         upstream = Member(loop, {"k": where(keeper)})
-        relay = Served(loop, None, upstream.watcher.age)
+        relay = Served(loop, None, upstream.watcher.age_us)
         assert Asker(loop, relay).ask(0, hold=0).status == 503  # nothing whole is held yet
-        until(loop, lambda: upstream.watcher.complete)
+        until(loop, lambda: upstream.watcher.is_complete)
         relay.table = upstream.table
         asker = Asker(loop, relay)
 
@@ -709,14 +720,14 @@
     play(script)
 
 
-def test_an_answer_that_lay_on_its_way_is_as_old_as_that() -> None:
+def test_a_delayed_response_is_as_old_as_its_delay() -> None:
     def script(loop: Loop) -> None:
         def late(question: WatchRequest) -> Response:
             if question.wait_timeout_us:
                 loop.sleep(SECOND)
                 loop.clock.jump(loop.now() + SECOND)  # both stood still, with the answer on its way
             return Response(
-                204, {AGE_HEADER: "5", HELD_HEADER: str(SECOND if question.wait_timeout_us else 0)}
+                204, {AGE_HEADER: "5", WAITED_HEADER: str(SECOND if question.wait_timeout_us else 0)}
             )
 
         raw = Raw(loop, late)
@@ -737,7 +748,7 @@
     play(script)
 
 
-def test_nothing_is_vouched_for_before_all_of_it_is_held() -> None:
+def test_nothing_is_confirmed_before_the_store_is_complete() -> None:
     """A relay in the middle of a whole state, and one in the middle of what it missed."""
 
     def script(loop: Loop) -> None:
@@ -751,65 +762,65 @@
             member.follower.store = held
             pages = 0
             while not member.same(wanted):
-                assert not member.watcher.complete
+                assert not member.watcher.is_complete
                 pages += 1
                 loop.sleep(SECOND)
-            until(loop, lambda m=member: m.watcher.complete)  # type: ignore[misc]
+            until(loop, lambda m=member: m.watcher.is_complete)  # type: ignore[misc]
             assert pages > 5
 
     play(script)
 
 
-def test_a_server_that_is_behind_vouches_for_nothing() -> None:
+def test_a_server_behind_its_watcher_confirms_nothing() -> None:
     def script(loop: Loop) -> None:
         served = Served(loop, filled(3))
         member = Member(loop, {"a": where(served)})
         member.follower.store = filled(5)
         loop.sleep(20 * SECOND)
-        assert not member.watcher.complete and member.log.count("control not heard for 9 s") == 1
+        assert not member.watcher.is_complete and member.log.count("config_stale") == 1
         assert member.table.revision == 5 and not member.taken
 
     play(script)
 
 
-def test_lateness_is_told_once_and_its_end_once() -> None:
+def test_staleness_is_logged_once_and_its_end_once() -> None:
     def script(loop: Loop) -> None:
         served = Served(loop, filled(3))
         places = [served.address]
         member = Member(loop, {"a": lambda: places[0], "b": lambda: places[0]})
         until(loop, lambda: member.same(served.table))
         loop.sleep(60 * SECOND)
-        assert not member.log.count("control not heard for 9 s")
+        assert not member.log.count("config_stale")
         for times in (1, 2):
             served.watch.held_most = 0  # type: ignore[attr-defined]
             places[0] = ("127.0.0.1", 1)
             for stream in list(served.server.streams):
                 stream.reset()
             loop.sleep(60 * SECOND)
-            told = [f for line, f in member.log.lines if line == "control not heard for 9 s"]
-            assert len(told) == times and told[-1]["acting_on"] == 3
-            assert member.log.count("control heard again") == times - 1
-            assert member.log.count("watch lost") == times
+            told = [f for line, f in member.log.lines if line == "config_stale"]
+            assert len(told) == times and told[-1]["applied_revision"] == 3
+            assert member.log.count("config_fresh") == times - 1
+            assert member.log.count("watch_disconnected") == times
             places[0] = served.address
-            until(loop, lambda: served.watch.held)
+            until(loop, lambda: served.watch.waiting)
             loop.sleep(SECOND)
-            assert member.log.count("control heard again") == times
+            assert member.log.count("config_fresh") == times
 
     play(script)
 
 
-def test_after_a_long_outage_all_come_back_spread_out_and_in_time() -> None:
+def test_after_a_long_outage_watchers_return_spread_out_and_in_time() -> None:
     def script(loop: Loop) -> None:
         served = Served(loop, filled(3))
         places = [("127.0.0.1", 1)]
         members = [Member(loop, {"a": lambda: places[0]}, f"fe{n}", n) for n in range(50)]
         loop.sleep(60 * SECOND)
-        assert sum(m.watcher.counts.moves for m in members) < 50 * 60 * 4
+        assert sum(m.watcher.counts.server_changes for m in members) < 50 * 60 * 4
         places[0] = served.address
         began = loop.now()
         first: dict[int, int] = {}
         while not all(m.same(served.table) for m in members):
-            first[loop.now()] = served.watch.counts.answered
+            first[loop.now()] = served.watch.counts.responses
             assert loop.now() - began < 4 * SECOND
             loop.sleep(100_000)
         steps = list(first.values())
@@ -821,22 +832,22 @@
 # The end
 
 
-def test_stop_says_that_it_leaves_and_ends() -> None:
+def test_stop_announces_the_end_to_the_server() -> None:
     def script(loop: Loop) -> None:
         served = Served(loop, filled(3))
         member = Member(loop, {"a": where(served)})
-        until(loop, lambda: served.watch.held)
+        until(loop, lambda: served.watch.waiting)
         member.watcher.stop()
         assert served.questions[-1].is_leaving and served.questions[-1].applied_revision == 3
         asked = len(served.questions)
         until(loop, lambda: not served.server.streams)
         loop.sleep(10 * HOLD)
-        assert member.task.done and len(served.questions) == asked and not served.watch.held
+        assert member.task.done and len(served.questions) == asked and not served.watch.waiting
 
     play(script)
 
 
-def test_stop_is_bounded_where_nobody_answers() -> None:
+def test_stop_without_a_response_ends_within_its_timeout() -> None:
     def script(loop: Loop) -> None:
         def silent(question: WatchRequest) -> None:
             loop.sleep(3600 * SECOND)
--- a/packages/watch/tests/test_watch_golden.py
+++ b/packages/watch/tests/test_watch_golden.py
@@ -9,7 +9,7 @@
 
 from golden_forms import Golden, as_json, structs_of
 from walnutpost.relay import process
-from walnutpost.watch import client, pace, serving
+from walnutpost.watch import client, errors, pace, serving
 
 GOLDEN = Golden(
     Path(__file__).parent / "golden" / "watch.json",
@@ -17,9 +17,9 @@
     {
         "names": as_json(
             {
-                "held": serving.HELD_HEADER,
-                "coding": serving.CODING,
-                "request headers": client.HEADERS,
+                "held": serving.WAITED_HEADER,
+                "coding": serving.CONTENT_CODING,
+                "request headers": client.REQUEST_HEADERS,
             }
         )
     },
@@ -32,4 +32,4 @@
 
 
 def test_watches_and_relays_have_no_forms_of_their_own() -> None:
-    assert not [kind for module in (client, pace, serving, process) for kind in structs_of(module)]
+    assert not [kind for module in (client, errors, pace, serving, process) for kind in structs_of(module)]
--- a/packages/watch/tests/test_watch_socket_faults.py
+++ b/packages/watch/tests/test_watch_socket_faults.py
@@ -25,9 +25,12 @@
 
 
 @pytest.mark.parametrize(("operation", "number"), FAULTS)
-def test_a_member_follows_on_whatever_its_sockets_fail_with(operation: Any, number: int) -> None:
+def test_a_watcher_continues_after_any_socket_error(operation: Any, number: int) -> None:
     def script(loop: Loop) -> None:
-        first, second = Served(loop, filled(3), gather_us=0), Served(loop, filled(3), gather_us=0)
+        first, second = (
+            Served(loop, filled(3), batch_interval_us=0),
+            Served(loop, filled(3), batch_interval_us=0),
+        )
         if operation == "socket":
             faults.fail(operation, number, times=3)
         else:
@@ -42,9 +45,9 @@
         play(script)
 
 
-def test_members_are_served_while_accepts_of_their_server_fail() -> None:
+def test_members_are_served_while_accepts_fail() -> None:
     def script(loop: Loop) -> None:
-        served = Served(loop, filled(3), gather_us=0)
+        served = Served(loop, filled(3), batch_interval_us=0)
         for after in range(0, 10, 2):
             faults.fail("accept", errno.EPROTO, after=after, when=at(served.address))
         members = [Member(loop, {"a": where(served)}) for _ in range(5)]
@@ -55,14 +58,14 @@
         play(script)
 
 
-def test_pages_that_come_a_byte_at_a_time_are_whole() -> None:
+def test_pages_that_arrive_byte_by_byte_are_complete() -> None:
     def script(loop: Loop) -> None:
-        served = Served(loop, filled(3), gather_us=0)
+        served = Served(loop, filled(3), batch_interval_us=0)
         faults.shorten("recv", 1)
         faults.shorten("send", 7)
         member = Member(loop, {"a": where(served)})
         until(loop, lambda: member.same(served.table))
-        assert member.watcher.counts.moves == 0
+        assert member.watcher.counts.server_changes == 0
 
     with scripted_sockets() as faults:
         play(script)
--- a/packages/watch/tests/watch_rig.py
+++ b/packages/watch/tests/watch_rig.py
@@ -80,12 +80,12 @@
     def _handle(self, exchange: Exchange) -> Response:
         assert (exchange.request.method, exchange.request.target) == ("POST", WATCH_PATH.encode())
         accepts = exchange.request.headers.get("accept-encoding", "") if self.codes else ""
-        return self.watch.answer(exchange.request.body, exchange.stream, accepts)
+        return self.watch.handle(exchange.request.body, exchange.stream, accepts)
 
     def change(self, wanted: list[Mutation]) -> int:
         assert self.table is not None
         self.table.propose(self.table.revision + 1, wanted)
-        self.watch.changed()
+        self.watch.store_changed()
         return self.table.revision
 
     def end(self) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -151,10 +151,10 @@
     loop, table, said = Loop(), ConfigStore(), list[WatchRequest]()
     values = entries_of(made.config(40).site)
     table.propose(1, [Mutation(key, value) for key, value in values.items()])
-    server = WatchServer(loop, lambda: table, lambda: 0, said.append, gather_us=0)
+    server = WatchServer(loop, lambda: table, lambda: 0, said.append, batch_interval_us=0)
 
     def serve(exchange: Exchange) -> Response:
-        return server.answer(exchange.request.body)
+        return server.handle(exchange.request.body)
 
     def until(ready: Callable[[], bool]) -> None:
         with loop.timeout(20_000_000):
@@ -166,19 +166,19 @@
         kept = ConfigStore.restore(table.snapshot())
         members = [hollow.Member(loop, f"h{n}", {"r1": at}, kept, hollow.Quiet()) for n in range(12)]
         tasks = [loop.spawn(member.run) for member in members]
-        until(lambda: server.held == 12)
-        encoded, answered = server.counts.encoded, server.counts.answered
+        until(lambda: server.waiting == 12)
+        encoded, answered = server.counts.pages_encoded, server.counts.responses
         assert answered == 0
         key = next(key for key in values if key.startswith("function/"))
         for revision in (2, 3):
             table.propose(revision, [Mutation(key, values[key])])
-            server.changed()
+            server.store_changed()
             until(
-                lambda: server.held == 12
+                lambda: server.waiting == 12
                 and all(m.follower.applied_revision == table.revision for m in members)
             )
-        assert server.counts.encoded - encoded == 2 and server.counts.answered == 24
-        assert server.counts.bytes < 24 * 400
+        assert server.counts.pages_encoded - encoded == 2 and server.counts.responses == 24
+        assert server.counts.response_bytes < 24 * 400
         told = [member.told() for member in members]
         assert {t["digest"] for t in told} == {table.digest}
         assert {t["entries"] for t in told} == {len(values)} and {t["revision"] for t in told} == {3}
