--- a/packages/node/src/walnutpost/node/__main__.py
+++ b/packages/node/src/walnutpost/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m walnutpost.node`: one front end, told by `NODE_CONFIG`."""
+"""`python -m walnutpost.node`: one front end, configured by `NODE_CONFIG`."""
 
 import os
 import sys
@@ -9,4 +9,6 @@
     code = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(code)  # the interpreter's own end takes 50 to 90 ms of the last 100 before SIGKILL may come
+    os._exit(
+        code
+    )  # a regular exit of the interpreter takes 50 to 90 ms of the last 100 before SIGKILL may come
--- a/packages/node/src/walnutpost/node/client_context.py
+++ b/packages/node/src/walnutpost/node/client_context.py
@@ -8,7 +8,7 @@
 from walnutpost.eventloop import Loop
 from walnutpost.node.open_requests import OpenRequests
 
-OPEN_MOST = 32  # requests on one connection
+MAX_OPEN_REQUESTS = 32  # on one connection
 
 
 class ClientContext(Protocol):
@@ -21,7 +21,7 @@
     class_deadlines_us: dict[str, int]
     tenants: tuple[str, ...]
     requests: OpenRequests
-    draining: bool  # told to end: serves on, but is not ready for more
-    ending: bool  # takes nothing new
-    bad: int  # requests that could not be used
-    unreadable: int  # connections whose bytes were no message
+    is_shutting_down: bool  # serves on, but is not ready for more
+    is_draining: bool  # accepts no new requests
+    invalid_requests: int
+    malformed_connections: int  # whose bytes were no message
--- a/packages/node/src/walnutpost/node/client_output.py
+++ b/packages/node/src/walnutpost/node/client_output.py
@@ -7,8 +7,9 @@
 
 from walnutpost.eventloop import Loop, Stream
 
-OUT_MOST = 1 << 20  # bytes of answers that a client hasn't fetched: beyond, bodies give way to errors
-OUT_HIGH_WATER = OUT_MOST // 4  # beyond, further requests are refused, or left unread where nothing is open
+MAX_PENDING_BYTES = 1 << 20  # of answers that a client hasn't fetched: beyond, bodies give way to errors
+# Beyond, further requests are rejected, or left unread where nothing is open.
+HIGH_WATER_BYTES = MAX_PENDING_BYTES // 4
 
 
 class ClientOutput:
@@ -28,43 +29,44 @@
         self._on_broken = on_broken
         self._written: list[bytes] = []  # not offered to the kernel yet
         self._unsent = b""  # offered, and not taken
-        self._flush_due = False
+        self._is_flush_due = False
 
     @property
-    def pending(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether anything is still to leave."""
         return bool(self._written or self._unsent)
 
     @property
-    def size(self) -> int:
-        """Bytes of answers that have not left."""
+    def pending_bytes(self) -> int:
+        """Size of the answers that have not left."""
         return len(self._unsent) + sum(map(len, self._written))
 
     @property
-    def above_high_water(self) -> bool:
-        """Whether the client fetches too little for more requests to be taken."""
-        return len(self._unsent) > OUT_HIGH_WATER
+    def is_above_high_water(self) -> bool:
+        """Whether the client fetches too little for more requests to be accepted."""
+        return len(self._unsent) > HIGH_WATER_BYTES
 
-    def has_room(self, size: int) -> bool:
-        """Whether so much more may wait to leave. What the kernel would take does not count."""
-        if self.size + size > OUT_MOST and self._flush_due:
+    def has_capacity(self, size: int) -> bool:
+        """Return whether so many more bytes may wait; what the kernel would take does not count."""
+        if self.pending_bytes + size > MAX_PENDING_BYTES and self._is_flush_due:
             with suppress(OSError):  # met again by the flush that is due
-                self._push()
-        return self.size + size <= OUT_MOST
+                self._send()
+        return self.pending_bytes + size <= MAX_PENDING_BYTES
 
     def write(self, data: bytes) -> None:
+        """Append an answer."""
         self._written.append(data)
-        if not self._flush_due and not self._unsent:
-            self._flush_due = True
+        if not self._is_flush_due and not self._unsent:
+            self._is_flush_due = True
             self._loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Sends what the kernel takes, and the rest once it takes more."""
-        self._flush_due = False
+        """Send what the kernel takes, and the rest once it takes more."""
+        self._is_flush_due = False
         if self._stream.closed:
             return
         try:
-            self._push()
+            self._send()
         except OSError:
             self._on_broken()
             return
@@ -73,8 +75,8 @@
         else:
             self._on_flushed()
 
-    def _push(self) -> None:
-        """Hands to the kernel what it takes. OSError if the connection broke."""
+    def _send(self) -> None:
+        """Give the kernel what it takes. Raises OSError if the connection broke."""
         self._unsent += b"".join(self._written)
         self._written.clear()
         if self._unsent:
--- a/packages/node/src/walnutpost/node/config.py
+++ b/packages/node/src/walnutpost/node/config.py
@@ -8,79 +8,97 @@
 
 from walnutpost import interface as api
 from walnutpost.adapter.settings import SettingsError, Told, parse_settings
-from walnutpost.node.directory import Address, Names
+from walnutpost.node.directory import Address, TopologyNames
+from walnutpost.node.errors import NodeError
 
-PORT_MOST = 65535
+MAX_PORT = 65535
+REQUIRED_KEYS = ("listen", "dns", "settings", "known")
 
 
-class ConfigError(Exception):
+class ConfigError(NodeError):
     """The configuration lacks or misstates something; the text names the place."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """Times in microseconds. `known` is the name server's events up to the start, as they came."""
+    """The checked configuration.
+
+    `known_events` are the name server's events up to the start, as they came; `max_descriptors` is what the
+    process may have open; `max_streams` calls may be open at once on one connection to a worker.
+    """
 
     listen: Address
     seed: int
-    sockets: int
+    max_descriptors: int
     dns: Address
-    known: dict[str, Any]
+    known_events: dict[str, Any]
     settings: api.Settings
     classes: tuple[str, ...]
     tenants: tuple[str, ...]
-    names: Names
+    topology_names: TopologyNames
     report_fields: tuple[str, ...]
-    dial_timeout_us: int
-    idle_time_us: int
-    streams: int
+    connect_timeout_us: int
+    idle_timeout_us: int
+    max_streams: int
+
+
+def parse_config(text: bytes) -> Config:
+    """Check the configuration. Raises ConfigError."""
+    root = _parse_object(text)
+    try:
+        return _parse_values(root)
+    except SettingsError as error:
+        raise ConfigError(str(error)) from error
+    except (TypeError, AttributeError, KeyError, OverflowError) as error:
+        raise ConfigError(f"the configuration: {type(error).__name__}: {error}") from error
+    except ValueError as error:
+        raise ConfigError(f"seed: found {root.get('seed')!r}, wanted hex digits") from error
 
 
-def address(text: object, where: str) -> Address:
+def parse_address(text: object, key: str) -> Address:
+    """Parse HOST:PORT. Raises ConfigError, which names `key`."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
-    if not host or not port.isdigit() or not 0 <= int(port) <= PORT_MOST:
-        raise ConfigError(f"{where}: found {text!r}, wanted HOST:PORT")
+    if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
+        raise ConfigError(f"{key}: found {text!r}, wanted HOST:PORT")
     return host, int(port)
 
 
-def parse(text: bytes) -> Config:
-    """Raises ConfigError."""
+def _parse_object(text: bytes) -> dict[str, Any]:
     try:
-        told = json.loads(text)
+        root = json.loads(text)
     except ValueError as error:
         raise ConfigError(f"the configuration is not JSON: {error}") from error
-    if not isinstance(told, dict):
+    if not isinstance(root, dict):
         raise ConfigError("the configuration: wanted an object")
-    for key in ("listen", "dns", "settings", "known"):
-        if not told.get(key):
+    for key in REQUIRED_KEYS:
+        if not root.get(key):
             raise ConfigError(f"{key}: missing")
-    try:
-        root = Told(told["settings"], "settings.")
-        settings = replace(parse_settings(json.dumps(told["settings"]).encode()), are_restarts_unseen=True)
-        limits, profiles = root.part("PolicyLimits"), root.parts("Profiles")
-        allowed = Told(told.get("limits") or {}, "limits.")
-        return Config(
-            listen=address(told["listen"], "listen"),
-            seed=int(str(told.get("seed", "0")), 16),
-            sockets=allowed.needed_whole("sockets"),
-            dns=address(told["dns"], "dns"),
-            known=told["known"],
-            settings=settings,
-            classes=tuple(str(profile.need("Name")) for profile in profiles),
-            tenants=tuple(str(realm.need("Name")) for realm in root.parts("Realms")),
-            names=Names(
-                tuple(map(str, root.items("Zones"))),
-                tuple(map(str, root.items("Kinds"))),
-                settings.has_weights,
-            ),
-            report_fields=tuple(map(str, root.part("Reporting").items("Fields"))),
-            dial_timeout_us=limits.needed_whole("DialTimeout"),
-            idle_time_us=limits.needed_whole("ConnIdle"),
-            streams=limits.needed_whole("StreamsPerConn"),
-        )
-    except SettingsError as error:
-        raise ConfigError(str(error)) from error
-    except (TypeError, AttributeError, KeyError, OverflowError) as error:
-        raise ConfigError(f"the configuration: {type(error).__name__}: {error}") from error
-    except ValueError as error:
-        raise ConfigError(f"seed: found {told.get('seed')!r}, wanted hex digits") from error
+    return root
+
+
+def _parse_values(root: dict[str, Any]) -> Config:
+    section = Told(root["settings"], "settings.")
+    settings = replace(parse_settings(json.dumps(root["settings"]).encode()), are_restarts_unseen=True)
+    policy_limits = section.part("PolicyLimits")
+    process_limits = Told(root.get("limits") or {}, "limits.")
+    return Config(
+        listen=parse_address(root["listen"], "listen"),
+        seed=int(str(root.get("seed", "0")), 16),
+        max_descriptors=process_limits.needed_whole("sockets"),
+        dns=parse_address(root["dns"], "dns"),
+        known_events=root["known"],
+        settings=settings,
+        classes=tuple(str(profile.need("Name")) for profile in section.parts("Profiles")),
+        tenants=tuple(str(realm.need("Name")) for realm in section.parts("Realms")),
+        topology_names=_parse_topology_names(section, settings.has_weights),
+        report_fields=tuple(map(str, section.part("Reporting").items("Fields"))),
+        connect_timeout_us=policy_limits.needed_whole("DialTimeout"),
+        idle_timeout_us=policy_limits.needed_whole("ConnIdle"),
+        max_streams=policy_limits.needed_whole("StreamsPerConn"),
+    )
+
+
+def _parse_topology_names(section: Told, is_weighted: bool) -> TopologyNames:
+    zones = tuple(map(str, section.items("Zones")))
+    kinds = tuple(map(str, section.items("Kinds")))
+    return TopologyNames(zones, kinds, is_weighted)
--- a/packages/node/src/walnutpost/node/directory.py
+++ b/packages/node/src/walnutpost/node/directory.py
@@ -1,12 +1,13 @@
-"""The name server's answers and the `known` events to the list of workers (PROTOCOL, "The name server").
+"""The list of workers, out of the name server's responses and the `known` events (PROTOCOL).
 
-No I/O: `Directory` makes queries and reads what comes back; `node/feed.py` carries them.
+No I/O: `Directory` makes queries and reads what comes back; `discovery.py` sends and receives them. The list
+only moves forward: a response replaces it if it is complete, asked for, and not older.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Any
 
 import dns.exception
@@ -19,175 +20,210 @@
 
 from walnutpost.gateway import ListedWorker, WorkersListed
 from walnutpost.interface import ListKind, WorkerState
+from walnutpost.node.errors import NodeError
 
 SERVICE = "_api._tcp.svc.local."
 QUESTION = dns.name.from_text(SERVICE), dns.rdatatype.SRV, dns.rdataclass.IN
-ASKED_MOST = 8  # queries whose answers still count; an older one's is of no use any more
+MAX_OPEN_QUERIES = 8  # a response to an older one is ignored
+HEADER_BYTES = 12
 STATES = {"Ready": WorkerState.READY, "Terminating": WorkerState.DRAINING, "Gone": WorkerState.GONE}
-WEIGHT_SCALE = 10  # the registry's weights are whole numbers, ten times the size
-MS = 1000
+WEIGHT_SCALE = 10  # SRV weights are whole numbers, ten times the size
+US_PER_MS = 1000
 Address = tuple[str, int]
 
 
-class BadList(Exception):
-    """An answer or event that can't be used; the list held before stands."""
+class EndpointListError(NodeError):
+    """A response or event that can't be used; the list stays as it was."""
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
-    """The settings' lists, by whose places the Router knows zones and kinds."""
+class TopologyNames:
+    """The settings' names of zones and kinds, which the policy knows by their indices."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
-    weighted: bool
+    is_weighted: bool
 
-    def zone(self, name: str) -> int:
+    def zone_index(self, name: str) -> int:
+        """Return the zone's index; one past the last for a name that the settings don't have."""
         return self.zones.index(name) if name in self.zones else len(self.zones)
 
-    def kind(self, name: str) -> int:
+    def kind_index(self, name: str) -> int:
+        """Return the kind's index; one past the last for a name that the settings don't have."""
         return self.kinds.index(name) if name in self.kinds else len(self.kinds)
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
+class Endpoint:
+    """A worker of the list, and where it listens."""
+
     worker: ListedWorker
     address: Address
 
 
+@dataclass(slots=True)
+class _Records:
+    """The resource records of one response, by what they are for."""
+
+    serial: int | None = None
+    hosts: dict[dns.name.Name, str] = field(default_factory=dict)
+    attributes: dict[dns.name.Name, dict[str, str]] = field(default_factory=dict)
+    services: list[Any] = field(default_factory=list)
+
+
 class Directory:
-    """What is held of the list, and which answers may replace it."""
+    """The list of workers, and which responses may replace it."""
 
-    def __init__(self, names: Names) -> None:
+    def __init__(self, names: TopologyNames) -> None:
+        """Start with an empty list."""
         self._names = names
-        self._lines: dict[str, Line] = {}
-        self._asked: dict[int, None] = {}
-        self._next = 0
-        self._last = b""
+        self._endpoints: dict[str, Endpoint] = {}
+        self._open_queries: dict[int, None] = {}
+        self._last_response = b""  # without its id
         self.serial = 0
 
     @property
     def addresses(self) -> Mapping[str, Address]:
-        return {name: line.address for name, line in self._lines.items()}
+        """Where each worker of the list listens."""
+        return {name: endpoint.address for name, endpoint in self._endpoints.items()}
 
-    def told(self, kind: ListKind) -> WorkersListed:
-        return WorkersListed(kind, self.serial, tuple(line.worker for line in self._lines.values()))
+    def snapshot(self, kind: ListKind) -> WorkersListed:
+        """Return the complete list as an input of the gateway."""
+        return WorkersListed(kind, self.serial, tuple(each.worker for each in self._endpoints.values()))
 
-    # The events of the start
+    # The events up to the start
 
-    def known(self, told: Any) -> WorkersListed:
-        """Raises BadList where the events can't be read."""
+    def apply_known_events(self, known: Any) -> WorkersListed:
+        """Make the list out of the configuration's events. Raises EndpointListError."""
         try:
-            for event in told["batch"]:
-                topology = event["topology"]
-                if topology["all"]:
-                    self._lines.clear()
-                for target in topology["targets"]:
-                    line = self._target(target)
-                    if line.worker.state is WorkerState.GONE:
-                        self._lines.pop(line.worker.name, None)
-                    else:
-                        self._lines[line.worker.name] = line
-            self.serial = int(told["offset"])
+            for event in known["batch"]:
+                self._apply_event(event["topology"])
+            self.serial = int(known["offset"])
         except (KeyError, TypeError, ValueError) as error:
-            raise BadList(f"known: {type(error).__name__} {error}") from error
-        return self.told(ListKind.CACHED)
-
-    def _target(self, target: Any) -> Line:
+            raise EndpointListError(f"known: {type(error).__name__} {error}") from error
+        return self.snapshot(ListKind.CACHED)
+
+    def _apply_event(self, topology: Any) -> None:
+        if topology["all"]:
+            self._endpoints.clear()
+        for target in topology["targets"]:
+            endpoint = self._parse_target(target)
+            if endpoint.worker.state is WorkerState.GONE:
+                self._endpoints.pop(endpoint.worker.name, None)
+            else:
+                self._endpoints[endpoint.worker.name] = endpoint
+
+    def _parse_target(self, target: Any) -> Endpoint:
         host, _, port = str(target["endpoint"]).rpartition(":")
-        weight = float(target.get("capacity_hint") or 1.0) if self._names.weighted else 1.0
+        weight = float(target.get("capacity_hint") or 1.0) if self._names.is_weighted else 1.0
         worker = ListedWorker(
             str(target["uid"]),
-            self._names.zone(str(target.get("az", ""))),
-            self._names.kind(str(target.get("model", ""))),
+            self._names.zone_index(str(target.get("az", ""))),
+            self._names.kind_index(str(target.get("model", ""))),
             int(target.get("pod_group") or 0),
             STATES[target["state"]],
             weight,
-            int(target.get("boot_ms") or 0) * MS,
+            int(target.get("boot_ms") or 0) * US_PER_MS,
         )
-        return Line(worker, (host, int(port)))
+        return Endpoint(worker, (host, int(port)))
 
-    # Questions and answers
+    # Queries and responses
 
-    def query(self, number: int) -> bytes:
-        """The bytes to send; `number` is a random one of 16 bits."""
-        self._asked[number] = None
-        while len(self._asked) > ASKED_MOST:
-            self._asked.pop(next(iter(self._asked)))
+    def query(self, id: int) -> bytes:
+        """Return the bytes of a new query; `id` is a random number of 16 bits."""
+        self._open_queries[id] = None
+        while len(self._open_queries) > MAX_OPEN_QUERIES:
+            self._open_queries.pop(next(iter(self._open_queries)))
         message = dns.message.make_query(SERVICE, dns.rdatatype.SRV)
-        message.id = number
+        message.id = id
         message.flags = 0
         return message.to_wire()
 
-    def forget_questions(self) -> None:
-        """The name server has moved: what the old one still says doesn't count."""
-        self._asked.clear()
-
-    def answer(self, data: bytes) -> WorkersListed | None:
-        """The new list, or None where nothing has changed. Raises BadList for an answer that doesn't
-        count: one nobody asked for, a failure, one cut short, one that is older than the list held."""
-        if len(data) < 12 or int.from_bytes(data[:2], "big") not in self._asked:
-            raise BadList("an answer that nobody asked for")
-        if data[2:] == self._last:
-            del self._asked[int.from_bytes(data[:2], "big")]
+    def forget_queries(self) -> None:
+        """Ignore what is still to come from the name server that was asked so far."""
+        self._open_queries.clear()
+
+    def apply_response(self, data: bytes) -> WorkersListed | None:
+        """Return the new list, or None where nothing has changed.
+
+        Raises EndpointListError for a response that doesn't count: one that nobody asked for, a failure, one
+        that is truncated, one that is older than the present list.
+        """
+        id = int.from_bytes(data[:2], "big")
+        if len(data) < HEADER_BYTES or id not in self._open_queries:
+            raise EndpointListError("a response that nobody asked for")
+        if data[2:] == self._last_response:
+            del self._open_queries[id]
             return None
-        try:
-            message = dns.message.from_wire(data)
-        except (dns.exception.DNSException, ValueError) as error:
-            raise BadList(f"{type(error).__name__}: {error}") from error
-        if not message.flags & dns.flags.QR or message.flags & dns.flags.TC:
-            raise BadList("cut short, or no answer at all")
-        if message.rcode() != dns.rcode.NOERROR:
-            raise BadList(f"the name server reports {dns.rcode.to_text(message.rcode())}")
-        if [(q.name, q.rdtype, q.rdclass) for q in message.question] != [QUESTION]:
-            raise BadList("an answer to another question")
-        serial, lines = self._read(message)
+        serial, endpoints = self._parse_list(_parse_message(data))
         if serial < self.serial:
-            raise BadList(f"list {serial} is older than the {self.serial} held")
-        del self._asked[message.id]
-        self._last = data[2:]
-        if serial == self.serial and lines == self._lines:
+            raise EndpointListError(f"list {serial} is older than the present one, {self.serial}")
+        del self._open_queries[id]
+        self._last_response = data[2:]
+        if serial == self.serial and endpoints == self._endpoints:
             return None
-        self.serial, self._lines = serial, lines
-        return self.told(ListKind.FULL)
-
-    def _read(self, message: dns.message.Message) -> tuple[int, dict[str, Line]]:
-        serial: int | None = None
-        hosts: dict[dns.name.Name, str] = {}
-        texts: dict[dns.name.Name, dict[str, str]] = {}
-        for rrset in (*message.answer, *message.additional, *message.authority):
-            for record in rrset:
-                if rrset.rdtype == dns.rdatatype.A:
-                    hosts[rrset.name] = record.address
-                elif rrset.rdtype == dns.rdatatype.TXT:
-                    pairs = (part.decode("ascii", "replace").partition("=") for part in record.strings)
-                    texts.setdefault(rrset.name, {}).update({key: value for key, _, value in pairs})
-                elif rrset.rdtype == dns.rdatatype.SOA:
-                    serial = record.serial
-        if serial is None:
-            raise BadList("no SOA record tells the list's number")
-        lines: dict[str, Line] = {}
-        for rrset in message.answer:
-            if rrset.rdtype != dns.rdatatype.SRV:
-                continue
-            for record in rrset:
-                if record.target not in hosts:
-                    raise BadList(f"{record.target} has no address")
-                line = self._line(record, hosts[record.target], texts.get(record.target, {}))
-                lines[line.worker.name] = line
-        return serial, lines
-
-    def _line(self, record: Any, host: str, text: Mapping[str, str]) -> Line:
-        labels = [label.decode("ascii", "replace") for label in record.target.labels]
+        self.serial = serial
+        self._endpoints = endpoints
+        return self.snapshot(ListKind.FULL)
+
+    def _parse_list(self, message: dns.message.Message) -> tuple[int, dict[str, Endpoint]]:
+        records = _collect_records(message)
+        if records.serial is None:
+            raise EndpointListError("no SOA record states the list's serial number")
+        endpoints: dict[str, Endpoint] = {}
+        for service in records.services:
+            if service.target not in records.hosts:
+                raise EndpointListError(f"{service.target} has no address")
+            attributes = records.attributes.get(service.target, {})
+            endpoint = self._parse_service(service, records.hosts[service.target], attributes)
+            endpoints[endpoint.worker.name] = endpoint
+        return records.serial, endpoints
+
+    def _parse_service(self, service: Any, host: str, attributes: Mapping[str, str]) -> Endpoint:
+        labels = [label.decode("ascii", "replace") for label in service.target.labels]
         try:
             worker = ListedWorker(
                 labels[0],
-                self._names.zone(labels[1]),
-                self._names.kind(text.get("kind", "")),
-                int(text.get("cell", "0") or 0),
-                WorkerState.DRAINING if record.priority else WorkerState.READY,
-                max(1, record.weight) / WEIGHT_SCALE if self._names.weighted else 1.0,
-                int(text.get("started", "0") or 0) * MS,
+                self._names.zone_index(labels[1]),
+                self._names.kind_index(attributes.get("kind", "")),
+                int(attributes.get("cell", "0") or 0),
+                WorkerState.DRAINING if service.priority else WorkerState.READY,
+                max(1, service.weight) / WEIGHT_SCALE if self._names.is_weighted else 1.0,
+                int(attributes.get("started", "0") or 0) * US_PER_MS,
             )
         except (ValueError, IndexError) as error:
-            raise BadList(f"{record.target}: {error}") from error
-        return Line(worker, (host, record.port))
+            raise EndpointListError(f"{service.target}: {error}") from error
+        return Endpoint(worker, (host, service.port))
+
+
+def _parse_message(data: bytes) -> dns.message.Message:
+    """Parse a response to QUESTION. Raises EndpointListError for anything else."""
+    try:
+        message = dns.message.from_wire(data)
+    except (dns.exception.DNSException, ValueError) as error:
+        raise EndpointListError(f"{type(error).__name__}: {error}") from error
+    if not message.flags & dns.flags.QR or message.flags & dns.flags.TC:
+        raise EndpointListError("truncated, or no response at all")
+    if message.rcode() != dns.rcode.NOERROR:
+        raise EndpointListError(f"the name server reports {dns.rcode.to_text(message.rcode())}")
+    if [(q.name, q.rdtype, q.rdclass) for q in message.question] != [QUESTION]:
+        raise EndpointListError("a response to another question")
+    return message
+
+
+def _collect_records(message: dns.message.Message) -> _Records:
+    records = _Records()
+    for rrset in (*message.answer, *message.additional, *message.authority):
+        for record in rrset:
+            if rrset.rdtype == dns.rdatatype.A:
+                records.hosts[rrset.name] = record.address
+            elif rrset.rdtype == dns.rdatatype.TXT:
+                pairs = (part.decode("ascii", "replace").partition("=") for part in record.strings)
+                attributes = records.attributes.setdefault(rrset.name, {})
+                attributes.update({key: value for key, _, value in pairs})
+            elif rrset.rdtype == dns.rdatatype.SOA:
+                records.serial = record.serial
+    records.services = [
+        record for rrset in message.answer if rrset.rdtype == dns.rdatatype.SRV for record in rrset
+    ]
+    return records
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -1,4 +1,8 @@
-"""The name server over UDP: asks, asks again, and follows it to another address."""
+"""Polls the name server over UDP, and follows it to another address.
+
+Whatever a socket raises, and whatever a response makes its parser raise, polling goes on: the next query is
+never further away than QUERY_INTERVAL_US.
+"""
 
 from __future__ import annotations
 
@@ -10,16 +14,17 @@
 
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import WorkersListed
-from walnutpost.node.directory import Address, BadList, Directory
+from walnutpost.node.directory import Address, Directory, EndpointListError
 
-PERIOD_US = 100_000  # between questions: a fraction of the time after which a change counts as told
-ANSWER_MOST = 9000
-READS_MOST = 16
-USELESS_TOLD = 20  # answers that don't count, of which each is a line
+QUERY_INTERVAL_US = 100_000  # a fraction of the time within which a list change must be acted on
+MAX_RESPONSE_BYTES = 9000
+MAX_READS_PER_EVENT = 16
+MAX_LOGGED_REJECTIONS = 20
+QUERY_ID_BITS = 16
 
 
 class DiscoveryClient:
-    """`changed` is called with each new list."""
+    """Keeps a `Directory` up to date."""
 
     def __init__(
         self,
@@ -27,87 +32,97 @@
         directory: Directory,
         address: Address,
         seed: int,
-        changed: Callable[[WorkersListed], None],
+        on_change: Callable[[WorkersListed], None],
         log: Any,
     ) -> None:
+        """Begin to poll at `address`; `on_change` is called with each new list."""
         self._loop = loop
         self._directory = directory
-        self._changed = changed
+        self._on_change = on_change
         self._log = log
         self._random = Random(seed)
         self._sock: socket.socket | None = None
-        self.asked = self.useless = 0
-        self._start: Address | None = address  # where to ask for the first time; None once that was done
-        self._send()
-        self.asking = loop.every(PERIOD_US, self._send, "questions to the name server")
+        self.queries = 0
+        self.rejected_responses = 0
+        self._initial_address: Address | None = address  # None once a socket has been connected
+        self._send_query()
+        self.polling = loop.every(QUERY_INTERVAL_US, self._send_query, "queries to the name server")
 
     def move(self, address: Address) -> None:
-        """Asks there from now on. Raises OSError where there is no way to that address; then it goes on
-        asking where it asked before."""
+        """Poll there from now on.
+
+        Raises OSError where there is no route to that address; polling then goes on at the former one.
+        """
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        except OSError:  # no descriptor left: the one in use is turned to the other address
+        except OSError:  # no descriptor left: the present socket is connected to the other address
             if self._sock is None:
                 raise
             self._sock.connect(address)
         else:
-            try:
-                sock.setblocking(False)
-                sock.connect(address)
-            except OSError:
-                sock.close()
-                raise
-            self._close_socket()
-            self._sock = sock
-            self._loop.on_readable(sock.fileno(), self._readable)
-        self._start = None
-        self._directory.forget_questions()
-        self._send()
+            self._replace_socket(sock, address)
+        self._initial_address = None
+        self._directory.forget_queries()
+        self._send_query()
 
     def close(self) -> None:
-        """Asks no more."""
-        self._start = None
+        """Stop polling."""
+        self._initial_address = None
         self._close_socket()
 
+    def _replace_socket(self, sock: socket.socket, address: Address) -> None:
+        try:
+            sock.setblocking(False)
+            sock.connect(address)
+        except OSError:
+            sock.close()
+            raise
+        self._close_socket()
+        self._sock = sock
+        self._loop.on_readable(sock.fileno(), self._on_readable)
+
     def _close_socket(self) -> None:
         if self._sock is not None:
             self._loop.forget(self._sock.fileno())
             self._sock.close()
             self._sock = None
 
-    def _send(self) -> None:
-        if self._start is not None:
-            with suppress(OSError):  # no way there yet, or no descriptor: tried again soon
-                self.move(self._start)
+    def _send_query(self) -> None:
+        if self._initial_address is not None:
+            with suppress(OSError):  # no route yet, or no descriptor: tried again at the next interval
+                self.move(self._initial_address)
         elif self._sock is not None:
-            self.asked += 1
-            with suppress(OSError):  # asked again soon
-                self._sock.send(self._directory.query(self._random.getrandbits(16)))
+            self.queries += 1
+            with suppress(OSError):  # sent again at the next interval
+                self._sock.send(self._directory.query(self._random.getrandbits(QUERY_ID_BITS)))
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         sock = self._sock
         if sock is None:
             return
-        self._loop.on_readable(sock.fileno(), self._readable)  # first: an error must not leave it deaf
-        for _ in range(READS_MOST):
+        self._loop.on_readable(sock.fileno(), self._on_readable)  # first: an error must not end the watching
+        for _ in range(MAX_READS_PER_EVENT):
             if self._sock is not sock:
                 return
             try:
-                data = sock.recv(ANSWER_MOST)
+                data = sock.recv(MAX_RESPONSE_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                continue  # nobody there, as an earlier question learnt
-            self._take(data)
+                continue  # an ICMP error to an earlier query
+            self._apply(data)
 
-    def _take(self, data: bytes) -> None:
+    def _apply(self, data: bytes) -> None:
         try:
-            told = self._directory.answer(data)
-        except Exception as error:  # whatever an answer makes the reader do, the list held stands
-            self.useless += 1
-            if self.useless <= USELESS_TOLD:
-                known = isinstance(error, BadList)
-                self._log.info("name server", why=str(error) if known else repr(error))
+            endpoints = self._directory.apply_response(data)
+        except Exception as error:  # whatever a response makes its parser raise, the present list stays
+            self._log_rejected(error)
             return
-        if told is not None:
-            self._changed(told)
+        if endpoints is not None:
+            self._on_change(endpoints)
+
+    def _log_rejected(self, error: Exception) -> None:
+        self.rejected_responses += 1
+        if self.rejected_responses <= MAX_LOGGED_REJECTIONS:
+            text = str(error) if isinstance(error, EndpointListError) else repr(error)
+            self._log.warning("discovery_response_rejected", error=text)
--- /dev/null
+++ b/packages/node/src/walnutpost/node/node.py
@@ -0,0 +1,115 @@
+"""One node: its parts wired together, and its graceful shutdown."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Listener, Loop
+from walnutpost.gateway import Catalogue, Gateway, ShuttingDown, WorkersListed
+from walnutpost.interface import ListKind
+from walnutpost.node.clients import Clients
+from walnutpost.node.config import Config
+from walnutpost.node.directory import Directory
+from walnutpost.node.discovery import DiscoveryClient
+from walnutpost.node.stats import STATS_INTERVAL_US, StatsReporter
+from walnutpost.node.worker_commands import WorkerCommands
+from walnutpost.node.worker_limits import WorkerLimits
+from walnutpost.node.worker_pool import WorkerPool
+
+# Of the descriptors; the rest is for files and what else is open.
+WORKER_DESCRIPTOR_RATIO, CLIENT_DESCRIPTOR_RATIO = 0.4, 0.5
+DRAIN_PERIOD_US = 700_000  # from SIGTERM: until then connections and requests keep coming
+KILL_AFTER_US = 3_000_000  # beyond that, or the longest deadline where it is less, SIGKILL may come
+KILL_MARGIN_US = 100_000  # for the last answers to get to their clients
+EXIT_TIME_US = 100_000  # for the process itself to exit, once every request has been answered
+DRAIN_POLL_INTERVAL_US = 5_000
+
+
+class Node:
+    """A front end: listens for clients as soon as it is made."""
+
+    def __init__(self, loop: Loop, config: Config, log: Any) -> None:
+        """Raise EndpointListError or OSError where the list can't be read or the address can't be had."""
+        self._loop = loop
+        self._log = log
+        gateway = Gateway(config.settings, Catalogue({}, config.tenants, allows_no_tenant=True), config.seed)
+        max_deadline_us = max((each.deadline_us for each in config.settings.classes), default=0)
+        self._drain_limit_us = DRAIN_PERIOD_US + min(max_deadline_us, KILL_AFTER_US) - KILL_MARGIN_US
+        self.pool = WorkerPool(loop, _worker_limits(config))
+        self.workers = WorkerCommands(loop, self.pool, lambda ticket: self.clients.identity(ticket))
+        self.core = Core(loop, gateway, self.workers, log)
+        self.clients = Clients(
+            loop,
+            self.core,
+            config.settings,
+            config.classes,
+            config.tenants,
+            int(config.max_descriptors * CLIENT_DESCRIPTOR_RATIO),
+            log,
+        )
+        self.directory = Directory(config.topology_names)
+        self._apply_endpoints(self.directory.apply_known_events(config.known_events))
+        self.discovery = DiscoveryClient(
+            loop, self.directory, config.dns, config.seed, self._apply_endpoints, log
+        )
+        self.listener = Listener(loop, config.listen, role="client", make_room=self._free_descriptor)
+        self._accepting = loop.spawn(self.clients.accept, self.listener, name="accept")
+        stats = StatsReporter(self.core, self.clients, self.pool, self.workers, self.discovery, log)
+        self.reporting = loop.every(STATS_INTERVAL_US, stats.report, "stats")
+
+    def _free_descriptor(self) -> bool:
+        return self.pool.evict_idle() or self.clients.evict()
+
+    def _apply_endpoints(self, endpoints: WorkersListed) -> None:
+        self.pool.update_addresses(self.directory.addresses)
+        self.core.feed(endpoints)
+        if endpoints.kind is not ListKind.CACHED:
+            states = " ".join(f"{worker.name}:{worker.state.value}" for worker in endpoints.workers)
+            self._log.info("endpoints_applied", revision=endpoints.version, workers=states)
+
+    def reload(self, config: Config) -> None:
+        """Take up what may change while the node serves: the name server's address."""
+        self.discovery.move(config.dns)
+        self._log.info("config_file_reloaded", discovery_address=config.dns)
+
+    def shut_down(self) -> None:
+        """Shut down gracefully (the work of a task).
+
+        Serves on for DRAIN_PERIOD_US, then accepts nothing new. What is open gets its final answer before the
+        process may be killed; it ends once all clients have closed their connections.
+        """
+        started_us = self._loop.now()
+        self.clients.is_shutting_down = True
+        self.core.feed(ShuttingDown(self._drain_limit_us))
+        self._loop.sleep(DRAIN_PERIOD_US)
+        self._accepting.cancel()
+        self.clients.take_queued(self.listener)
+        self.listener.close()
+        self.clients.drain()
+        while self._must_wait_for_clients(started_us + self._drain_limit_us + KILL_MARGIN_US):
+            self._loop.sleep(DRAIN_POLL_INTERVAL_US)
+        self.discovery.close()
+
+    def _must_wait_for_clients(self, killed_at_us: int) -> bool:
+        """Return whether the shutdown waits on.
+
+        For answers that are still to leave it waits up to the kill, for clients that only haven't closed
+        their connections until there is just time to exit.
+        """
+        connections = self.clients.connections
+        has_open = any(not connection.is_idle for connection in connections)
+        end_us = killed_at_us if has_open else killed_at_us - EXIT_TIME_US
+        return bool(connections) and self._loop.now() < end_us
+
+
+def _worker_limits(config: Config) -> WorkerLimits:
+    return WorkerLimits(
+        config.connect_timeout_us,
+        config.idle_timeout_us,
+        config.settings.load_order_timeout_us,
+        config.max_streams,
+        int(config.max_descriptors * WORKER_DESCRIPTOR_RATIO),
+        config.report_fields,
+        config.settings.limits.may_cancel,
+    )
--- a/packages/node/src/walnutpost/node/resp.py
+++ b/packages/node/src/walnutpost/node/resp.py
@@ -1,19 +1,24 @@
-"""Commands to workers and their answers: RESP arrays of bulk strings (PROTOCOL, "Front ends to executors").
+"""Commands to workers and their responses: RESP arrays of bulk strings (PROTOCOL, "Front ends to executors").
 
-No I/O. hiredis was weighed for the reading and left: its reader sets no bound on the elements of an array,
-so one malformed line has it reserve gigabytes.
+No I/O. hiredis is not used: its parser sets no bound on the elements of an array, so that one malformed line
+makes it reserve gigabytes.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from collections.abc import Iterable, Mapping
 
 from walnutpost.gateway.messages import Message
 from walnutpost.interface import Outcome, Warmth
-
-HEAD_MOST = 24  # bytes of a line that tells a length
-WORD_MOST, FIELDS_MOST, BODY_MOST = 64, 2048, 128 << 10
-END = b"\r\n"
+from walnutpost.node.errors import NodeError
+
+MAX_LENGTH_LINE_BYTES = 24
+MAX_LENGTH_DIGITS = 9
+RESPONSE_WORDS = 4
+MAX_WORD_BYTES, MAX_FIELDS_BYTES, MAX_BODY_BYTES = 64, 2048, 128 << 10
+MAX_BYTES_BY_POSITION = (MAX_WORD_BYTES, MAX_WORD_BYTES, MAX_FIELDS_BYTES, MAX_BODY_BYTES)
+LINE_END = b"\r\n"
+NO_FIELDS = b"-"
 OUTCOMES = {
     b"OK": Outcome.OK,
     b"MISS": Outcome.MISS,
@@ -21,28 +26,37 @@
     b"ERR": Outcome.ERROR,
     b"VOID": Outcome.MOOT,
 }
-PROBES = {b"UP": Outcome.OK, b"DOWN": Outcome.ERROR}
-NOTES = {
+PROBE_OUTCOMES = {b"UP": Outcome.OK, b"DOWN": Outcome.ERROR}
+WARMTH_BY_DETAIL = {
     "resident": Warmth.WARM,
     "booted": Warmth.STARTED_LOAD,
     "rode": Warmth.JOINED_LOAD,
     "boot_error": Warmth.LOAD_FAILED,
 }
-# The simulator's names of report values, by the short ones that the sockets may carry.
-SHORT = {"inflight": "outstanding", "queue": "backlog", "util": "utilization", "latency_ms": "recent_ms"}
-SHORT |= {"qps": "throughput", "eps": "errors_per_s"}
+# The settings' names of load report values, by the short names that workers may send.
+REPORT_FIELD_ALIASES = {
+    "inflight": "outstanding",
+    "queue": "backlog",
+    "util": "utilization",
+    "latency_ms": "recent_ms",
+    "qps": "throughput",
+    "eps": "errors_per_s",
+}
 
 
-class MalformedAnswer(Exception):
-    """What came is no answer; nothing that follows on that connection can be trusted."""
+class MalformedResponseError(NodeError):
+    """Bytes that are no response; nothing that follows on that connection can be trusted."""
 
 
-class Answer(Message, frozen=True):
-    """`copies` is absent where the answer doesn't tell any; `report` in the settings' order."""
+class Response(Message, frozen=True):
+    """A worker's response to the command with this id.
+
+    `copies` is None where the response doesn't state any; `report` is in the order of the settings.
+    """
 
     id: bytes
     outcome: Outcome
-    probe: bool
+    is_probe: bool
     body: bytes
     warmth: Warmth = Warmth.UNREPORTED
     crowd: int = 0
@@ -50,18 +64,21 @@
     report: tuple[float, ...] = ()
 
 
-def command(*words: bytes) -> bytes:
+def encode_command(*words: bytes) -> bytes:
+    """Encode an array of bulk strings."""
     parts = [b"*%d\r\n" % len(words)]
     for word in words:
         parts.append(b"$%d\r\n%b\r\n" % (len(word), word))
     return b"".join(parts)
 
 
-def call(id: bytes, queue: str, path: str, budget: int, body: bytes, repeat_key: str = "") -> bytes:
-    """`budget` in microseconds. `repeat_key` is what a worker knows a repeat of a keyed request by."""
-    fields = f"queue={queue},path={path},budget={max(1, budget // 1000)}".encode()
-    if repeat_key:
-        fields += b",uniq=" + repeat_key.encode()
+def encode_call(
+    id: bytes, request_class: str, function: str, budget_us: int, body: bytes, idempotency_key: str = ""
+) -> bytes:
+    """Encode a call; `idempotency_key` is what a worker recognizes a retry of a keyed request by."""
+    fields = f"queue={request_class},path={function},budget={max(1, budget_us // 1000)}".encode()
+    if idempotency_key:
+        fields += b",uniq=" + idempotency_key.encode()
     return b"*4\r\n$2\r\nFN\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
         len(id),
         id,
@@ -72,117 +89,130 @@
     )
 
 
-def kill(id: bytes) -> bytes:
-    return command(b"KILL", id)
-
+def encode_kill(id: bytes) -> bytes:
+    """Encode the cancellation of a call."""
+    return encode_command(b"KILL", id)
 
-def spawn(tag: bytes, path: str, copies: int) -> bytes:
-    return command(b"SPAWN", tag, f"path={path},slots_up={copies}".encode())
 
+def encode_spawn(id: bytes, function: str, copies: int) -> bytes:
+    """Encode an order to load copies; one for no copies asks how many are loaded."""
+    return encode_command(b"SPAWN", id, f"path={function},slots_up={copies}".encode())
 
-def reap(path: str) -> bytes:
-    return command(b"REAP", path.encode())
 
+def encode_reap(function: str) -> bytes:
+    """Encode the order to unload idle copies."""
+    return encode_command(b"REAP", function.encode())
 
-def probe(tag: bytes) -> bytes:
-    return command(b"TOP", tag)
 
+def encode_probe(id: bytes) -> bytes:
+    """Encode a health check."""
+    return encode_command(b"TOP", id)
 
-def _length(line: bytes, mark: bytes, most: int) -> int:
-    digits = line[1:]
-    if line[:1] != mark or not digits.isdigit() or len(digits) > 9 or int(digits) > most:
-        raise MalformedAnswer(f"found {line[:HEAD_MOST]!r}, wanted a length of at most {most}")
-    return int(digits)
 
-
-class Reader:
-    """Bytes of one connection to answers; holds no more than one answer may have."""
+class ResponseParser:
+    """Parses the bytes of one connection into responses; buffers no more than one response may have."""
 
     def __init__(self, report_fields: Iterable[str]) -> None:
+        """Take the names of the load report's values in the order of the settings."""
         self._incomplete = b""
-        self._fields = tuple(report_fields)
+        self._report_fields = tuple(report_fields)
 
     @property
-    def partial(self) -> bool:
-        """Whether an answer has come in part."""
+    def has_partial(self) -> bool:
+        """Whether a response has come in part."""
         return bool(self._incomplete)
 
-    def feed(self, data: bytes) -> tuple[list[Answer], MalformedAnswer | None]:
-        """The whole answers, and what is wrong with what follows them, if anything is."""
+    def feed(self, data: bytes) -> tuple[list[Response], MalformedResponseError | None]:
+        """Return the complete responses, and what is wrong with the bytes behind them, if anything is."""
         data = self._incomplete + data if self._incomplete else data
-        answers: list[Answer] = []
-        at = 0
+        responses: list[Response] = []
+        position = 0
         try:
-            while at < len(data):
-                whole = self._one(data, at)
-                if whole is None:
+            while position < len(data):
+                parsed = self._parse_array(data, position)
+                if parsed is None:
                     break
-                words, at = whole
-                answers.append(self._answer(words))
-        except MalformedAnswer as error:
+                words, position = parsed
+                responses.append(self._parse_response(words))
+        except MalformedResponseError as error:
             self._incomplete = b""
-            return answers, error
-        self._incomplete = data[at:]
-        return answers, None
+            return responses, error
+        self._incomplete = data[position:]
+        return responses, None
 
-    def _one(self, data: bytes, at: int) -> tuple[list[bytes], int] | None:
-        """The words of the array that begins at `at`, and where it ends; None while it isn't whole."""
-        line, at = self._line(data, at)
+    def _parse_array(self, data: bytes, position: int) -> tuple[list[bytes], int] | None:
+        """Return the words of the array that begins at `position` and its end; None while incomplete."""
+        line, position = _parse_line(data, position)
         if line is None:
             return None
-        if _length(line, b"*", 4) != 4:
-            raise MalformedAnswer(f"found an array {line!r}, wanted four words")
+        if _parse_length(line, b"*", RESPONSE_WORDS) != RESPONSE_WORDS:
+            raise MalformedResponseError(f"found an array {line!r}, wanted four words")
         words: list[bytes] = []
-        for most in (WORD_MOST, WORD_MOST, FIELDS_MOST, BODY_MOST):
-            line, at = self._line(data, at)
+        for max_bytes in MAX_BYTES_BY_POSITION:
+            line, position = _parse_line(data, position)
             if line is None:
                 return None
-            end = at + _length(line, b"$", most)
+            end = position + _parse_length(line, b"$", max_bytes)
             if len(data) < end + 2:
                 return None
-            if data[end : end + 2] != END:
-                raise MalformedAnswer("a string is longer than its length tells")
-            words.append(data[at:end])
-            at = end + 2
-        return words, at
-
-    @staticmethod
-    def _line(data: bytes, at: int) -> tuple[bytes | None, int]:
-        end = data.find(END, at, at + HEAD_MOST)
-        if end < 0:
-            if len(data) - at >= HEAD_MOST:
-                raise MalformedAnswer("a line that tells a length doesn't end")
-            return None, at
-        return data[at:end], end + 2
-
-    def _answer(self, words: list[bytes]) -> Answer:
+            if data[end : end + 2] != LINE_END:
+                raise MalformedResponseError("a string is longer than its stated length")
+            words.append(data[position:end])
+            position = end + 2
+        return words, position
+
+    def _parse_response(self, words: list[bytes]) -> Response:
         id, word, fields, body = words
-        outcome = OUTCOMES.get(word) or PROBES.get(word)
+        outcome = OUTCOMES.get(word) or PROBE_OUTCOMES.get(word)
         if outcome is None:
-            raise MalformedAnswer(f"found the word {word!r}")
+            raise MalformedResponseError(f"found the word {word!r}")
         warmth, crowd, copies = Warmth.UNREPORTED, 0, None
         report: tuple[float, ...] = ()
-        if fields != b"-":
+        if fields != NO_FIELDS:
             try:
                 for pair in fields.decode("ascii").split(","):
                     name, _, value = pair.partition("=")
                     if name == "detail":
-                        warmth = NOTES.get(value, Warmth.UNREPORTED)
+                        warmth = WARMTH_BY_DETAIL.get(value, Warmth.UNREPORTED)
                     elif name == "company":
                         crowd = int(value)
                     elif name == "slots_up":
                         copies = int(value)
                     elif name == "use":
-                        report = self._report(value)
+                        report = self._parse_report(value)
             except ValueError as error:
-                raise MalformedAnswer(f"fields {fields[:80]!r}: {error}") from error
-        return Answer(id, outcome, word in PROBES, body, warmth, crowd, copies, report)
+                raise MalformedResponseError(f"fields {fields[:80]!r}: {error}") from error
+        return Response(id, outcome, word in PROBE_OUTCOMES, body, warmth, crowd, copies, report)
 
-    def _report(self, text: str) -> tuple[float, ...]:
-        told: dict[str, float] = {}
+    def _parse_report(self, text: str) -> tuple[float, ...]:
+        """Return the values in the order of the settings; none at all where one of them is missing."""
+        values: dict[str, float] = {}
         for part in text.split(";"):
             name, _, value = part.partition(":")
-            told[SHORT.get(name, name)] = float(value)
-        if any(name not in told for name in self._fields):
-            return ()
-        return tuple(told[name] for name in self._fields)
+            values[REPORT_FIELD_ALIASES.get(name, name)] = float(value)
+        return _in_order(values, self._report_fields)
+
+
+def _in_order(values: Mapping[str, float], names: tuple[str, ...]) -> tuple[float, ...]:
+    if any(name not in values for name in names):
+        return ()
+    return tuple(values[name] for name in names)
+
+
+def _parse_line(data: bytes, position: int) -> tuple[bytes | None, int]:
+    """Return the line that begins at `position`, None while incomplete, and where the next one begins."""
+    end = data.find(LINE_END, position, position + MAX_LENGTH_LINE_BYTES)
+    if end < 0:
+        if len(data) - position >= MAX_LENGTH_LINE_BYTES:
+            raise MalformedResponseError("a line that states a length doesn't end")
+        return None, position
+    return data[position:end], end + 2
+
+
+def _parse_length(line: bytes, type_byte: bytes, max_length: int) -> int:
+    digits = line[1:]
+    is_number = digits.isdigit() and len(digits) <= MAX_LENGTH_DIGITS
+    if line[:1] != type_byte or not is_number or int(digits) > max_length:
+        found = line[:MAX_LENGTH_LINE_BYTES]
+        raise MalformedResponseError(f"found {found!r}, wanted a length of at most {max_length}")
+    return int(digits)
--- a/packages/node/src/walnutpost/node/rpc.py
+++ b/packages/node/src/walnutpost/node/rpc.py
@@ -1,5 +1,7 @@
-"""MessagePack-RPC, the server's side: bytes in, messages or one stated error out (PROTOCOL, "Clients to
-front ends"). No I/O; what is held of a connection is bounded by one message."""
+"""MessagePack-RPC, the server's side: bytes to messages or one error (PROTOCOL, "Clients to front ends").
+
+No I/O; what is buffered of a connection is bounded by one message.
+"""
 
 from __future__ import annotations
 
@@ -10,197 +12,228 @@
 import msgpack
 
 from walnutpost.gateway.messages import Message
+from walnutpost.node.errors import NodeError
 
-BODY_MOST = 16 << 10
-MESSAGE_MOST = BODY_MOST + (8 << 10)  # a body and its fields
-READ_MOST = 32 << 10  # bytes to hand over at a time
-STRING_MOST, ARRAY_MOST, MAP_MOST = 1024, 4096, 64
-NUMBER_MOST = (1 << 32) - 1
-REQUEST, NOTIFY = 0, 2
-HEX = re.compile(r"[0-9a-f]{16}")
-FIGURE = re.compile(r"\d{1,12}(\.\d{1,12})?")
-TOKEN = re.compile(r"[\w.:-]{0,64}", re.ASCII)  # goes into a list of fields as it is
-COST_MS_MOST = 1e9
-MEMORY_MOST, LANES_MOST, LOAD_MS_MOST = 1e6, 1e4, 1e7
+MAX_BODY_BYTES = 16 << 10
+MAX_MESSAGE_BYTES = MAX_BODY_BYTES + (8 << 10)  # a body and its fields
+MAX_READ_BYTES = 32 << 10  # to be given to the parser at a time
+MAX_STRING_BYTES, MAX_ARRAY_ITEMS, MAX_MAP_ITEMS = 1024, 4096, 64
+UNPACKER_READ_BYTES = 4096
+MAX_MESSAGE_ID = (1 << 32) - 1
+REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
+IDENTIFIER = re.compile(r"[0-9a-f]{16}")
+NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?")
+IDEMPOTENCY_KEY = re.compile(r"[\w.:-]{0,64}", re.ASCII)  # goes into a list of fields as it is
+MAX_COST_MS = 1e9
+MAX_MEMORY_MB, MAX_LANES, MAX_LOAD_MS = 1e6, 1e4, 1e7
+BUDGET_SLACK_MS = 1000  # the check is whether a number is sane, not how a client rounds it
 
 
-class Unreadable(Exception):
-    """No message of the protocol: the connection can't be followed any further."""
+class UnreadableMessageError(NodeError):
+    """Bytes that are no message of the protocol: the connection can't be followed any further."""
 
 
-class Bad(Message, frozen=True):
-    """A request that can be told from others but not used; an error is its answer."""
+class InvalidRequest(Message, frozen=True):
+    """A request with a valid message id that is otherwise of no use; an error is its answer."""
 
-    number: int
+    message_id: int
     reason: str
 
 
-class Call(Message, frozen=True):
-    """`budget` in microseconds; `memory_mb`, `lanes` and `load_time` (microseconds) are a copy's. `tenant`,
-    `cost` (microseconds of a standard core) and `repeat_key` are told on some platforms only."""
+class CallRequest(Message, frozen=True):
+    """A call of a function.
+
+    `memory_mb`, `lanes` and `load_time_us` are those of one copy. `tenant`, `cost_us` (of a standard core)
+    and `idempotency_key` come on some platforms only.
+    """
 
-    number: int
-    rid: str
-    cls: str
+    message_id: int
+    request_id: str
+    request_class: str
     function: str
-    budget: int
-    again: bool
+    budget_us: int
+    is_retry: bool
     memory_mb: float
     lanes: float
-    load_time: int
+    load_time_us: int
     body: bytes
     tenant: str | None = None
-    cost: int | None = None
-    repeat_key: str = ""
+    cost_us: int | None = None
+    idempotency_key: str = ""
+
 
+class CheckRequest(Message, frozen=True):
+    """Asks whether the node is ready for more."""
 
-class Check(Message, frozen=True):
-    number: int
+    message_id: int
 
 
 class Interrupt(Message, frozen=True):
-    numbers: tuple[int, ...]
+    """Cancels requests of this connection; gets no answer."""
 
+    message_ids: tuple[int, ...]
 
-Incoming = Call | Check | Interrupt | Bad
 
+Incoming = CallRequest | CheckRequest | Interrupt | InvalidRequest
 
-def served(number: int, body: bytes) -> bytes:
-    return msgpack.packb([1, number, None, [body, {}]])  # type: ignore[no-any-return]
 
+def encode_result(message_id: int, body: bytes) -> bytes:
+    """Encode the answer to a call that was served."""
+    return msgpack.packb([RESPONSE, message_id, None, [body, {}]])  # type: ignore[no-any-return]
 
-def checked(number: int, ready: bool) -> bytes:
-    return msgpack.packb([1, number, None, [ready, {}]])  # type: ignore[no-any-return]
 
+def encode_check_result(message_id: int, is_ready: bool) -> bytes:
+    """Encode the answer to a `CheckRequest`."""
+    return msgpack.packb([RESPONSE, message_id, None, [is_ready, {}]])  # type: ignore[no-any-return]
 
-def refused(number: int, backoff: int = 0) -> bytes:
-    """`backoff` in microseconds: not to come back before; 0 gives no advice."""
-    fields = {"backoff": str(max(1, backoff // 1000))} if backoff else {}
-    return msgpack.packb([1, number, ["Overloaded", fields], None])  # type: ignore[no-any-return]
 
+def encode_overloaded(message_id: int, retry_after_us: int = 0) -> bytes:
+    """Encode a rejection, which states that nothing ran; `retry_after_us` 0 gives no advice."""
+    fields = {"backoff": str(max(1, retry_after_us // 1000))} if retry_after_us else {}
+    return msgpack.packb([RESPONSE, message_id, ["Overloaded", fields], None])  # type: ignore[no-any-return]
 
-def failed(number: int, reason: str = "") -> bytes:
+
+def encode_internal_error(message_id: int, reason: str = "") -> bytes:
+    """Encode a failure: the call may have run."""
     fields = {"reason": reason} if reason else {}
-    return msgpack.packb([1, number, ["Internal", fields], None])  # type: ignore[no-any-return]
+    return msgpack.packb([RESPONSE, message_id, ["Internal", fields], None])  # type: ignore[no-any-return]
 
 
-class Reader:
-    """The messages of one connection. `classes` gives each class's longest wait in microseconds."""
+class MessageParser:
+    """Parses the bytes of one connection into messages."""
 
-    def __init__(self, classes: Mapping[str, int], tenants: Collection[str] = ()) -> None:
-        self._classes = classes
+    def __init__(self, class_deadlines_us: Mapping[str, int], tenants: Collection[str] = ()) -> None:
+        """Take each class's longest budget; without `tenants` a call's tenant is ignored."""
+        self._class_deadlines_us = class_deadlines_us
         self._tenants = tenants
-        self._rest = b""
+        self._incomplete = b""
 
     @property
-    def partial(self) -> bool:
+    def has_partial(self) -> bool:
         """Whether a message has begun and not ended."""
-        return bool(self._rest)
+        return bool(self._incomplete)
 
-    def feed(self, data: bytes) -> tuple[list[Incoming], Unreadable | None]:
-        """The whole messages of at most READ_MOST more bytes, and what is wrong with what follows."""
-        data = self._rest + data if self._rest else data
-        # A new unpacker each time: a kept one would hold its largest buffer for as long as the connection.
-        unpacker = msgpack.Unpacker(
-            read_size=min(len(data), 4096) or 1,
-            max_buffer_size=MESSAGE_MOST + READ_MOST,
-            max_str_len=STRING_MOST,
-            max_bin_len=MESSAGE_MOST,
-            max_array_len=ARRAY_MOST,
-            max_map_len=MAP_MOST,
-            max_ext_len=0,
-        )
+    def feed(self, data: bytes) -> tuple[list[Incoming], UnreadableMessageError | None]:
+        """Return the complete messages of at most MAX_READ_BYTES more, and what is wrong behind them."""
+        data = self._incomplete + data if self._incomplete else data
         messages: list[Incoming] = []
-        at = 0
+        self._incomplete = b""
         try:
-            unpacker.feed(data)
-            while True:
-                try:
-                    value = unpacker.unpack()
-                except msgpack.OutOfData:
-                    break
-                at = unpacker.tell()
-                messages.append(self._message(value))
-            if len(data) - at > MESSAGE_MOST:
-                raise Unreadable(f"a message of more than {MESSAGE_MOST} bytes")
-        except Unreadable as error:
-            self._rest = b""
+            end = self._parse_messages(data, messages)
+            if len(data) - end > MAX_MESSAGE_BYTES:
+                raise UnreadableMessageError(f"a message of more than {MAX_MESSAGE_BYTES} bytes")
+        except UnreadableMessageError as error:
             return messages, error
         except (ValueError, TypeError, RecursionError, msgpack.UnpackException) as error:
-            self._rest = b""
-            return messages, Unreadable(f"{type(error).__name__}: {error}")
-        self._rest = data[at:]
+            return messages, UnreadableMessageError(f"{type(error).__name__}: {error}")
+        self._incomplete = data[end:]
         return messages, None
 
-    def _message(self, value: Any) -> Incoming:
+    def _parse_messages(self, data: bytes, messages: list[Incoming]) -> int:
+        """Append the complete messages; return where the last of them ends."""
+        # A new unpacker each time: one that is reused keeps its largest buffer as long as the connection.
+        unpacker = msgpack.Unpacker(
+            read_size=min(len(data), UNPACKER_READ_BYTES) or 1,
+            max_buffer_size=MAX_MESSAGE_BYTES + MAX_READ_BYTES,
+            max_str_len=MAX_STRING_BYTES,
+            max_bin_len=MAX_MESSAGE_BYTES,
+            max_array_len=MAX_ARRAY_ITEMS,
+            max_map_len=MAX_MAP_ITEMS,
+            max_ext_len=0,
+        )
+        end = 0
+        unpacker.feed(data)
+        while True:
+            try:
+                value = unpacker.unpack()
+            except msgpack.OutOfData:
+                return end
+            end = unpacker.tell()
+            messages.append(self._parse_message(value))
+
+    def _parse_message(self, value: Any) -> Incoming:
         if type(value) is not list or not value:
-            raise Unreadable("found no array")
-        if value[0] == NOTIFY and len(value) == 3 and type(value[2]) is list:
-            numbers = value[2][0] if value[2] and type(value[2][0]) is list else value[2]
-            if value[1] != "interrupt" or any(type(n) is not int for n in numbers):
-                raise Unreadable(f"found a notification {value[1]!r:.40}")
-            return Interrupt(tuple(numbers))
+            raise UnreadableMessageError("found no array")
+        if value[0] == NOTIFICATION and len(value) == 3 and type(value[2]) is list:
+            return _parse_notification(value[1], value[2])
         if value[0] != REQUEST or len(value) != 4:
-            raise Unreadable("found neither a request nor a notification")
-        number, method, params = value[1:]
-        if type(number) is not int or not 0 <= number <= NUMBER_MOST:
-            raise Unreadable(f"found a message id {number!r:.40}")
+            raise UnreadableMessageError("found neither a request nor a notification")
+        message_id, method, params = value[1:]
+        if type(message_id) is not int or not 0 <= message_id <= MAX_MESSAGE_ID:
+            raise UnreadableMessageError(f"found a message id {message_id!r:.40}")
         if method == "check":
-            return Check(number)
+            return CheckRequest(message_id)
         if type(params) is not list or len(params) != 2:
-            return Bad(number, "params: wanted fields and a body")
+            return InvalidRequest(message_id, "params: wanted fields and a body")
         fields, body = params
-        if type(fields) is not dict or type(body) is not bytes or len(body) > BODY_MOST:
-            return Bad(number, f"params: wanted a map and at most {BODY_MOST} bytes")
+        if type(fields) is not dict or type(body) is not bytes or len(body) > MAX_BODY_BYTES:
+            return InvalidRequest(message_id, f"params: wanted a map and at most {MAX_BODY_BYTES} bytes")
         if any(type(k) is not str or type(v) is not str for k, v in fields.items()):
-            return Bad(number, "fields: wanted strings")
+            return InvalidRequest(message_id, "fields: wanted strings")
         try:
-            return self._call(number, method, fields, body)
+            return self._parse_call(message_id, method, fields, body)
         except ValueError as error:
-            return Bad(number, str(error))
-
-    def _call(self, number: int, method: Any, fields: Mapping[str, str], body: bytes) -> Call:
-        cls = fields.get("method", method)
-        if type(cls) is not str or cls not in self._classes:
-            raise ValueError(f"class: found {cls!r:.40}")
+            return InvalidRequest(message_id, str(error))
+
+    def _parse_call(
+        self, message_id: int, method: Any, fields: Mapping[str, str], body: bytes
+    ) -> CallRequest:
+        """Check a call's fields. Raises ValueError for the first that can't be used."""
+        request_class = fields.get("method", method)
+        if type(request_class) is not str or request_class not in self._class_deadlines_us:
+            raise ValueError(f"class: found {request_class!r:.40}")
         for name in ("rid", "obj"):
-            if not HEX.fullmatch(fields.get(name, "")):
+            if not IDENTIFIER.fullmatch(fields.get(name, "")):
                 raise ValueError(f"{name}: found {fields.get(name)!r:.40}, wanted 16 hex digits")
         if fields.get("again", "1") != "1":
             raise ValueError(f"again: found {fields['again']!r:.40}, wanted 1")
-        tenant = fields.get("acct")
-        if not self._tenants:
-            tenant = None  # nobody's share is told here
-        elif tenant is not None and tenant not in self._tenants:
-            raise ValueError(f"acct: found {tenant!r:.40}")
-        repeat_key = fields.get("token", "")
-        if not TOKEN.fullmatch(repeat_key):
-            raise ValueError(f"token: found {repeat_key!r:.80}")
-        cost = _figure(fields, "est", 0, COST_MS_MOST, 0.0)
-        figures = dict(part.partition(":")[::2] for part in fields.get("attrs", "").split(";") if part)
-        # A whole second of grace: what counts here is that a figure is sane, not how a client rounds it.
-        budget = _figure(fields, "budget", 1, self._classes[cls] / 1000 + 1000, None)
-        return Call(
-            number,
+        tenant = self._parse_tenant(fields)
+        idempotency_key = fields.get("token", "")
+        if not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
+            raise ValueError(f"token: found {idempotency_key!r:.80}")
+        cost_ms = _parse_number(fields, "est", 0, MAX_COST_MS, 0.0)
+        attributes = dict(part.partition(":")[::2] for part in fields.get("attrs", "").split(";") if part)
+        max_budget_ms = self._class_deadlines_us[request_class] / 1000 + BUDGET_SLACK_MS
+        budget_ms = _parse_number(fields, "budget", 1, max_budget_ms, None)
+        return CallRequest(
+            message_id,
             fields["rid"],
-            cls,
+            request_class,
             fields["obj"],
-            int(budget * 1000),
+            int(budget_ms * 1000),
             "again" in fields,
-            _figure(figures, "memory_mb", 0, MEMORY_MOST, 0.0),
-            _figure(figures, "lanes", 1, LANES_MOST, 1.0),
-            int(_figure(figures, "load_ms", 0, LOAD_MS_MOST, 0.0) * 1000),
+            _parse_number(attributes, "memory_mb", 0, MAX_MEMORY_MB, 0.0),
+            _parse_number(attributes, "lanes", 1, MAX_LANES, 1.0),
+            int(_parse_number(attributes, "load_ms", 0, MAX_LOAD_MS, 0.0) * 1000),
             body,
             tenant,
-            int(cost * 1000) or None,
-            repeat_key,
+            int(cost_ms * 1000) or None,
+            idempotency_key,
         )
 
+    def _parse_tenant(self, fields: Mapping[str, str]) -> str | None:
+        if not self._tenants:
+            return None
+        tenant = fields.get("acct")
+        if tenant is not None and tenant not in self._tenants:
+            raise ValueError(f"acct: found {tenant!r:.40}")
+        return tenant
+
+
+def _parse_notification(method: Any, params: list[Any]) -> Interrupt:
+    message_ids = params[0] if params and type(params[0]) is list else params
+    if method != "interrupt" or any(type(message_id) is not int for message_id in message_ids):
+        raise UnreadableMessageError(f"found a notification {method!r:.40}")
+    return Interrupt(tuple(message_ids))
+
 
-def _figure(told: Mapping[str, str], name: str, least: float, most: float, absent: float | None) -> float:
-    text = told.get(name)
-    if text is None and absent is not None:
-        return absent
-    if text is None or not FIGURE.fullmatch(text) or not least <= (value := float(text)) <= most:
-        raise ValueError(f"{name}: found {text!r:.40}, wanted a number from {least:g} to {most:g}")
+def _parse_number(
+    fields: Mapping[str, str], name: str, minimum: float, maximum: float, default: float | None
+) -> float:
+    """Return a field's value. Raises ValueError where it is out of bounds, or missing without a default."""
+    text = fields.get(name)
+    if text is None and default is not None:
+        return default
+    if text is None or not NUMBER.fullmatch(text) or not minimum <= (value := float(text)) <= maximum:
+        raise ValueError(f"{name}: found {text!r:.40}, wanted a number from {minimum:g} to {maximum:g}")
     return value
--- /dev/null
+++ b/packages/node/src/walnutpost/node/stats.py
@@ -0,0 +1,75 @@
+"""The node's periodic counts in the log."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+from walnutpost.dispatch import Core
+from walnutpost.interface import Outcome
+from walnutpost.node.clients import Clients
+from walnutpost.node.discovery import DiscoveryClient
+from walnutpost.node.worker_commands import WorkerCommands
+from walnutpost.node.worker_pool import WorkerPool
+
+STATS_INTERVAL_US = 5_000_000
+
+
+class StatsReporter:
+    """Logs counts since the start, and the outcomes of attempts since the last report."""
+
+    def __init__(
+        self,
+        core: Core,
+        clients: Clients,
+        pool: WorkerPool,
+        workers: WorkerCommands,
+        discovery: DiscoveryClient,
+        log: Any,
+    ) -> None:
+        """Take the parts whose counts are reported."""
+        self._core = core
+        self._clients = clients
+        self._pool = pool
+        self._workers = workers
+        self._discovery = discovery
+        self._log = log
+
+    def report(self) -> None:
+        """Log one `node_stats` and one `attempt_stats`."""
+        self._report_counts()
+        self._report_attempts()
+
+    def _report_counts(self) -> None:
+        answers = self._core.answers
+        self._log.info(
+            "node_stats",
+            served=answers["served"],
+            rejected=answers["refused"],
+            failed=answers["failed"],
+            cancelled=answers["left"],
+            open_requests=self._core.open_calls,
+            client_connections=len(self._clients.connections),
+            worker_connections=self._pool.connection_count,
+            connections_opened=self._pool.connections_opened,
+            load_orders=self._workers.load_orders,
+            copy_queries=self._workers.copy_queries,
+            discovery_queries=self._discovery.queries,
+            malformed_responses=self._pool.malformed_responses,
+            invalid_requests=self._clients.invalid_requests,
+            malformed_connections=self._clients.malformed_connections,
+            evicted_connections=self._clients.evicted_connections,
+            discovery_responses_rejected=self._discovery.rejected_responses,
+            cpu_seconds=round(time.process_time(), 2),
+        )
+
+    def _report_attempts(self) -> None:
+        outcomes = sorted(self._workers.attempt_outcomes.items(), key=_by_worker_and_outcome)
+        texts = (f"{worker}:{outcome.value}:{count}" for (worker, outcome), count in outcomes)
+        self._log.info("attempt_stats", outcomes=" ".join(texts))
+        self._workers.attempt_outcomes.clear()
+
+
+def _by_worker_and_outcome(item: tuple[tuple[str, Outcome], int]) -> tuple[str, str]:
+    (worker, outcome), _ = item
+    return worker, outcome.value
--- /dev/null
+++ b/packages/node/src/walnutpost/node/worker_commands.py
@@ -0,0 +1,207 @@
+"""The gateway's effects on workers as exchanges: attempts of calls, load orders, queries, probes.
+
+Implements `dispatch.Carrier`; the connections are the pool's.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Callable
+from functools import partial
+
+from walnutpost.eventloop import Loop
+from walnutpost.gateway import AttemptEnded, LoadOrder, LoadOrderEnded, Probe, ProbeEnded, Send, Unload
+from walnutpost.interface import Outcome
+from walnutpost.node import resp
+from walnutpost.node.exchange import CommandKind, Exchange, SendProgress
+from walnutpost.node.open_requests import RequestIdentity
+from walnutpost.node.worker_pool import WorkerPool
+
+PROBE_TIMEOUT_US = 1_000_000
+
+
+class WorkerCommands:
+    """Sends commands to workers, and reports the one outcome of each."""
+
+    def __init__(
+        self, loop: Loop, pool: WorkerPool, identity: Callable[[int], RequestIdentity | None]
+    ) -> None:
+        """`identity` gives what a worker is given of a ticket, and None once nobody waits for its answer."""
+        self._loop = loop
+        self._pool = pool
+        self._identity = identity
+        self._last_id = 0
+        self._attempts: dict[tuple[int, int], Exchange] = {}  # by call and attempt
+        self.load_orders = 0
+        self.copy_queries = 0
+        self.attempt_outcomes: Counter[tuple[str, Outcome]] = Counter()  # since it was last cleared
+
+    def start(
+        self,
+        effect: Send,
+        done: Callable[[AttemptEnded], None],
+        before: Callable[[], None] | None = None,
+        execution: str = "",
+    ) -> None:
+        """Send an attempt of a call; its timeout runs from now."""
+        now_us = self._loop.now()
+        identity = self._identity(effect.ticket)
+        deadline_us = now_us + effect.timeout_us
+        exchange = Exchange(
+            CommandKind.CALL,
+            b"" if identity is None else identity.request_id,
+            partial(_encode_call, identity, effect, deadline_us),
+            now_us,
+            effect.timeout_us,
+            partial(self._end_attempt, effect, done),
+            effect.begin_within_us,
+            partial(self._is_wanted, effect.ticket),
+        )
+        self._attempts[effect.call, effect.attempt] = exchange
+        if identity is None:  # the client left while this was decided
+            self._loop.call_soon(partial(exchange.finish, Outcome.MOOT))
+            return
+        self._begin(effect.worker, exchange)
+
+    def abandon(self, call: int, attempt: int) -> None:
+        """Give the attempt up, also where it has been sent."""
+        exchange = self._attempts.get((call, attempt))
+        if exchange is None:
+            return
+        exchange.is_abandoned = True
+        if exchange.carrier is not None:
+            exchange.carrier.abandon(exchange)
+        self._loop.call_soon(partial(exchange.finish, Outcome.CANCELLED))
+
+    def order(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
+        """Send a load order, or a query for copies; its outcome is as `interface.HoldEnded` says."""
+        is_query = not effect.copies
+        if is_query:
+            self.copy_queries += 1
+        else:
+            self.load_orders += 1
+        id = self._next_id()
+        exchange = Exchange(
+            CommandKind.COPY_QUERY if is_query else CommandKind.LOAD_ORDER,
+            id,
+            _as_encoded(resp.encode_spawn(id, effect.function, effect.copies)),
+            self._loop.now(),
+            self._pool.limits.order_timeout_us,
+            partial(self._end_order, effect, done),
+            effect.begin_within_us,
+        )
+        self._begin(effect.worker, exchange)
+
+    def ping(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
+        """Send a probe."""
+        id = self._next_id()
+        exchange = Exchange(
+            CommandKind.PROBE,
+            id,
+            _as_encoded(resp.encode_probe(id)),
+            self._loop.now(),
+            PROBE_TIMEOUT_US,
+            partial(self._end_probe, effect, done),
+        )
+        self._begin(effect.worker, exchange)
+
+    def discard(self, effect: Unload) -> None:
+        """Ask the worker to unload idle copies; there is no response."""
+        connection = self._pool.select(effect.worker, self._next_id())
+        if connection is not None:
+            connection.send_one_way(resp.encode_reap(effect.function))
+
+    def close_idle(self, worker: str) -> None:
+        """Close the worker's connections that carry nothing."""
+        self._pool.close_idle(worker)
+
+    # Outcomes
+
+    def _end_attempt(
+        self,
+        effect: Send,
+        done: Callable[[AttemptEnded], None],
+        exchange: Exchange,
+        outcome: Outcome,
+        response: resp.Response | None,
+    ) -> None:
+        self._attempts.pop((effect.call, effect.attempt), None)
+        self.attempt_outcomes[effect.worker, outcome] += 1
+        duration_us = self._loop.now() - exchange.decided_us
+        if response is None:
+            done(AttemptEnded(effect.call, effect.attempt, outcome, duration_us))
+            return
+        ended = AttemptEnded(
+            effect.call,
+            effect.attempt,
+            outcome,
+            duration_us,
+            response.body if outcome is Outcome.OK else b"",
+            False,
+            response.warmth,
+            response.crowd,
+            response.report,
+        )
+        done(ended)
+
+    def _end_order(
+        self,
+        effect: LoadOrder,
+        done: Callable[[LoadOrderEnded], None],
+        exchange: Exchange,
+        outcome: Outcome,
+        response: resp.Response | None,
+    ) -> None:
+        if response is None and outcome is Outcome.ERROR and effect.copies:
+            outcome = Outcome.RESET  # malformed bytes came, which answer nothing
+        copies = response.copies or 0 if response is not None else 0
+        duration_us = self._loop.now() - exchange.decided_us
+        done(LoadOrderEnded(effect.worker, effect.function, outcome, duration_us, copies, effect.copies))
+
+    def _end_probe(
+        self,
+        effect: Probe,
+        done: Callable[[ProbeEnded], None],
+        exchange: Exchange,
+        outcome: Outcome,
+        response: resp.Response | None,
+    ) -> None:
+        report = response.report if response is not None else ()
+        done(ProbeEnded(effect.worker, outcome, self._loop.now() - exchange.decided_us, report))
+
+    def _begin(self, worker: str, exchange: Exchange) -> None:
+        timeout_us = exchange.deadline_us - exchange.decided_us
+        exchange.timer = self._loop.call_later(timeout_us, partial(self._expire, exchange))
+        self._pool.assign(worker, exchange)
+
+    def _expire(self, exchange: Exchange) -> None:
+        """End an exchange whose time is over: what was not sent completely can't arrive any more."""
+        was_sent = exchange.progress is SendProgress.SENT
+        if exchange.carrier is not None:
+            exchange.carrier.abandon(exchange)
+        exchange.finish(Outcome.TIMEOUT if was_sent else Outcome.MOOT)
+
+    def _is_wanted(self, ticket: int) -> bool:
+        return self._identity(ticket) is not None
+
+    def _next_id(self) -> bytes:
+        self._last_id += 1
+        return b"t%d" % self._last_id
+
+
+def _encode_call(identity: RequestIdentity | None, effect: Send, deadline_us: int, now_us: int) -> bytes:
+    """Encode the call with the time that is left; without an identity it is never sent."""
+    request_id, request_class, idempotency_key = identity or RequestIdentity(b"", "", "")
+    budget_us = deadline_us - now_us
+    return resp.encode_call(
+        request_id, request_class, effect.function, budget_us, effect.payload, idempotency_key
+    )
+
+
+def _as_encoded(command: bytes) -> Callable[[int], bytes]:
+    """Return an `encode` for a command that states no time."""
+
+    def encode(now_us: int) -> bytes:
+        return command
+
+    return encode
--- a/packages/node/tests/node_rig.py
+++ b/packages/node/tests/node_rig.py
@@ -1,23 +1,28 @@
-"""A node among stand-ins on loopback: a worker that answers as it is told to, a name server, clients."""
+"""A node among fakes on loopback: workers that answer by script, a name server, clients."""
 
 from __future__ import annotations
 
 import json
 import socket
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 import dns.message
 import dns.rrset
 import msgpack
+import pytest
 
 from walnutpost.eventloop import Listener, Loop, Stream, VirtualClock, connect
 from walnutpost.interface import WorkerState
-from walnutpost.node.config import parse
+from walnutpost.node.config import parse_config
 from walnutpost.node.directory import SERVICE
-from walnutpost.node.run import Node
+from walnutpost.node.node import Node
+from walnutpost.node.worker_connection import WorkerConnection
 
-SECOND = 1_000_000
+MS, SECOND = 1000, 1_000_000
+FUNCTION = "7f3a9c21e0b4d655"
+REFUSED, FAILED = ["Overloaded", {}], ["Internal", {}]
 PROFILE = {"Aim": 430000, "HardLimit": 1060000, "Importance": 1.0, "Idempotency": "free", "Name": "valuation"}
 CONFIG: dict[str, Any] = {
     "name": "n0",
@@ -54,8 +59,8 @@
     return json.dumps({**CONFIG, **changes}).encode()
 
 
-class Quiet:
-    """A log that keeps its lines."""
+class RecordingLog:
+    """A log that collects its lines."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -125,8 +130,8 @@
         rest = b""
         try:
             while data := stream.recv():
-                whole, rest = words_of(rest + data)
-                for words in whole:
+                complete, rest = words_of(rest + data)
+                for words in complete:
                     self.got.append(words)
                     back = self.answer(words)
                     if back == b"":
@@ -161,6 +166,8 @@
 
 
 class Client:
+    """A client on one connection, which numbers its requests from 1."""
+
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
         self._loop = loop
         self.stream = connect(loop, address)
@@ -169,13 +176,14 @@
 
     def send(self, function: str = "7f3a9c21e0b4d655", method: str = "valuation", **fields: str) -> int:
         self._number += 1
-        told = {
+        request_fields = {
             "rid": f"{id(self) & 0xFFFFFFFF:08x}{self._number:08x}",
             "budget": "1000",
             "obj": function,
             **fields,
         }
-        self.stream.send_all(msgpack.packb([0, self._number, method, [told, b"body %d" % self._number]]))
+        params = [request_fields, b"body %d" % self._number]
+        self.stream.send_all(msgpack.packb([0, self._number, method, params]))
         return self._number
 
     def raw(self, data: bytes) -> None:
@@ -197,6 +205,8 @@
 
 
 class World:
+    """A node, its workers and its name server in one event loop."""
+
     def __init__(
         self,
         loop: Loop,
@@ -205,7 +215,7 @@
         **changes: Any,
     ) -> None:
         self.loop = loop
-        self.log = Quiet()
+        self.log = RecordingLog()
         self.workers = [make_worker(loop, f"s-{i}") for i in range(workers)]
         topology = {"all": True, "rev": 0, "targets": [w.target for w in self.workers]}
         self.name_server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -214,12 +224,13 @@
         known = {"offset": 1, "batch": [{"offset": 1, "topology": topology}]}
         dns = "{}:{}".format(*self.name_server.getsockname())
         self._changes = {"known": known, "dns": dns, **changes}
-        self.node = Node(loop, parse(config_text(**self._changes)), self.log)
+        self.node = Node(loop, parse_config(config_text(**self._changes)), self.log)
 
-    def next_life(self) -> None:
+    def restart(self) -> None:
         """A new node of the same name, address and configuration; the former one's listener is closed."""
         listen = "{}:{}".format(*self.node.listener.address)
-        self.node = Node(self.loop, parse(config_text(**{**self._changes, "listen": listen})), self.log)
+        changes = {**self._changes, "listen": listen}
+        self.node = Node(self.loop, parse_config(config_text(**changes)), self.log)
 
     def client(self) -> Client:
         return Client(self.loop, self.node.listener.address)
@@ -257,3 +268,80 @@
             world.node.discovery.close()
     if errors:
         raise errors[0]
+
+
+def settings(**changes: Any) -> dict[str, Any]:
+    """The rig's settings with parts of them changed."""
+    defaults = CONFIG["settings"]
+    changed = {
+        key: {**defaults[key], **value} if type(value) is dict else value for key, value in changes.items()
+    }
+    return {**defaults, **changed}
+
+
+class HeldConnections:
+    """Connections to workers come up for the kernel, but the node is notified by `come_up`."""
+
+    def __init__(self, patch: pytest.MonkeyPatch) -> None:
+        self.waiting: list[Callable[[], None]] = []
+        self.is_holding = False
+        on_connect_result = WorkerConnection._on_connect_result
+
+        def hold(connection: WorkerConnection) -> None:
+            if self.is_holding:
+                self.waiting.append(partial(on_connect_result, connection))
+            else:
+                on_connect_result(connection)
+
+        patch.setattr(WorkerConnection, "_on_connect_result", hold)
+
+    def come_up(self) -> None:
+        self.is_holding = False
+        while self.waiting:
+            self.waiting.pop(0)()
+
+
+def leave_by_interrupt(client: Client) -> None:
+    client.raw(msgpack.packb([2, "interrupt", [1]]))
+
+
+def leave_by_close(client: Client) -> None:
+    client.stream.close()
+
+
+def leave_by_reset(client: Client) -> None:
+    client.stream.reset()
+
+
+LEAVE = [leave_by_interrupt, leave_by_close, leave_by_reset]
+
+
+def call_that_waits(world: World, held: HeldConnections, **fields: str) -> Client:
+    """A client whose second call is on its way to a warm worker, on a connection that is coming up."""
+    client = world.client()
+    worker = warm(world, client)
+    world.node.workers.close_idle(worker.name)
+    held.is_holding = True
+    client.send(**fields)
+    world.until(lambda: held.waiting)
+    return client
+
+
+def warm(world: World, client: Any) -> Worker:
+    """One call served; the worker that did it."""
+    client.send()
+    client.next()
+    return next(worker for worker in world.workers if worker.calls())
+
+
+def after(first: bytes | None) -> Callable[[Words], bytes | None]:
+    """Answers the next call with `first`, and all else well."""
+    left = [first]
+
+    def answer(words: Words) -> bytes | None:
+        if words[0] == b"FN" and left:
+            response = left.pop()
+            return response if response is None else response.replace(b"ID", words[1])
+        return Worker.good(words)
+
+    return answer
--- a/packages/node/tests/ration_checker.py
+++ b/packages/node/tests/ration_checker.py
@@ -90,7 +90,7 @@
     ]
 
 
-def told(breaches: list[Breach]) -> str:
+def describe_breaches(breaches: list[Breach]) -> str:
     """The breaches for a failing test's output, times in seconds after the first."""
     if not breaches:
         return "no breach"
@@ -101,3 +101,6 @@
         for b in breaches
     )
     return "\n".join([f"{len(breaches)} breaches of the ration", *lines])
+
+
+told = describe_breaches  # the name that the tests of the policy import
--- /dev/null
+++ b/packages/node/tests/test_accept_faults.py
@@ -0,0 +1,46 @@
+"""Clients of a node whose `accept` fails."""
+
+from __future__ import annotations
+
+import errno
+
+import pytest
+
+from fault_rig import ids, play_with_faults
+from node_rig import MS, World, warm
+from scripted_sockets import SocketFaults, at
+from walnutpost.eventloop.sockets import ACCEPT_TRIES
+
+
+@pytest.mark.parametrize(
+    "number",
+    ids([errno.ECONNABORTED, errno.EHOSTUNREACH, errno.EINTR, errno.ENETDOWN, errno.EPERM, errno.EPROTO]),
+)
+def test_client_is_served_at_once_while_accept_fails_now_and_then(number: int) -> None:
+    def script(world: World, faults: SocketFaults) -> None:
+        warm(world, world.client())
+        began = world.loop.now()
+        faults.fail("accept", number, ACCEPT_TRIES - 1, when=at(world.node.listener.address))
+        for n in range(10):
+            faults.fail("accept", number, after=n, when=at(world.node.listener.address))
+            client = world.client()
+            client.send()
+            assert client.next()[2] is None
+            client.stream.close()
+        assert world.node.listener.accept_errors >= ACCEPT_TRIES
+        assert world.loop.now() - began < 10 * MS  # no pause of the listener is in it
+        assert any(line.startswith("accept_failed") for line in world.log.lines)
+
+    play_with_faults(script)
+
+
+def test_client_cut_off_by_a_failed_accept_is_served_when_it_reconnects() -> None:
+    def script(world: World, faults: SocketFaults) -> None:
+        faults.fail("accept", errno.EPERM, when=at(world.node.listener.address), drops=True)
+        client = world.client()
+        assert client.next() is None
+        client = world.client()
+        client.send()
+        assert client.next()[2] is None
+
+    play_with_faults(script)
--- /dev/null
+++ b/packages/node/tests/test_call_deadline.py
@@ -0,0 +1,109 @@
+"""The budget that a worker is given, and calls that are late when they would leave."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from node_rig import MS, SECOND, HeldConnections, World, call_that_waits, play, warm
+from walnutpost.interface import Outcome
+from walnutpost.node import resp
+from walnutpost.node import worker_connection as connection_module
+from worker_rig import Throttle, attempt, budget_of, one_connection
+
+
+def test_budget_after_a_slow_connect_is_what_is_left(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    held = HeldConnections(monkeypatch)
+
+    def script(world: World) -> None:
+        client = call_that_waits(world, held)
+        world.loop.sleep(180 * MS)
+        held.come_up()
+        assert client.next()[2] is None
+        assert 800 <= budget_of(world.workers[0].calls()[-1]) <= 820
+
+    play(script, workers=1)
+
+
+def test_budget_after_a_full_send_buffer_is_what_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        worker = warm(world, client)
+        throttle = Throttle(monkeypatch, one_connection(world, worker), 0)
+        client.send()
+        world.loop.sleep(300 * MS)
+        throttle.open()
+        assert client.next()[2] is None
+        assert 680 <= budget_of(worker.calls()[-1]) <= 700
+
+    play(script, workers=1)
+
+
+def test_call_that_the_kernel_takes_at_once_is_encoded_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    encoded: list[bytes] = []
+    encode = resp.encode_call
+
+    def counted(id: bytes, *args: Any) -> bytes:
+        encoded.append(id)
+        return encode(id, *args)
+
+    monkeypatch.setattr(resp, "encode_call", counted)
+
+    def script(world: World) -> None:
+        client = world.client()
+        for _ in range(5):
+            client.send()
+            assert client.next()[2] is None
+        assert len(encoded) == sum(len(worker.calls()) for worker in world.workers)
+
+    play(script)
+
+
+def test_call_expired_before_its_first_byte_is_not_begun(monkeypatch: pytest.MonkeyPatch) -> None:
+    held = HeldConnections(monkeypatch)
+
+    def script(world: World) -> None:
+        held.is_holding, worker = True, world.workers[0]
+        ended = attempt(world, worker, 50 * MS, 10 * SECOND)
+        world.until(lambda: held.waiting)
+        world.loop.clock.jump(world.loop.now() + 60 * MS)  # its timer is due, and has not run
+        held.come_up()
+        world.until(lambda: ended)
+        world.loop.sleep(SECOND)
+        assert [done.outcome for done in ended] == [Outcome.MOOT] and not worker.calls()
+
+    monkeypatch.setattr(connection_module, "POLL_BEFORE_SEND_AFTER_US", SECOND)
+    play(script, workers=1)
+
+
+def test_call_unsent_at_its_deadline_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
+    held = HeldConnections(monkeypatch)
+
+    def script(world: World) -> None:
+        held.is_holding, worker = True, world.workers[0]
+        ended = attempt(world, worker, 50 * MS, 10 * SECOND)
+        world.until(lambda: ended)
+        held.come_up()
+        world.loop.sleep(SECOND)
+        assert [done.outcome for done in ended] == [Outcome.MOOT] and not worker.calls()
+
+    play(script, workers=1)
+
+
+def test_call_without_a_latest_start_may_begin_until_its_deadline(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    held = HeldConnections(monkeypatch)
+
+    def script(world: World) -> None:
+        held.is_holding, worker = True, world.workers[0]
+        ended = attempt(world, worker, SECOND, 0)
+        world.loop.sleep(150 * MS)
+        held.come_up()
+        world.until(lambda: ended)
+        assert [done.outcome for done in ended] == [Outcome.OK] and len(worker.calls()) == 1
+
+    play(script, workers=1)
--- /dev/null
+++ b/packages/node/tests/test_client_backpressure.py
@@ -0,0 +1,117 @@
+"""Clients that fetch too little or ask too much."""
+
+from __future__ import annotations
+
+import msgpack
+import pytest
+
+from client_rig import Unfetched, only_connection, play_bounded, silence
+from node_rig import FAILED, MS, Worker, World, reply, warm
+from walnutpost.gateway import Served
+from walnutpost.node import rpc
+from walnutpost.node.client_connection import MAX_REJECTED
+from walnutpost.node.client_output import HIGH_WATER_BYTES, MAX_PENDING_BYTES
+
+
+def test_client_that_fetches_too_little_gets_errors_for_bodies_and_no_close(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        worker = warm(world, client)
+        worker.answer = lambda words: None
+        number = client.send()
+        world.until(lambda: len(worker.calls()) == 2)
+        connection = only_connection(world)
+        window = Unfetched(monkeypatch, connection)
+        before = bytes(MAX_PENDING_BYTES)
+        connection.write(msgpack.packb(before))
+        world.loop.sleep(10 * MS)
+        worker.streams[0].send_all(reply(worker.calls()[1][1], b"OK", b"-", b"body"))
+        world.until(lambda: not connection.open)
+        window.fetch()
+        assert client.next() == before
+        kind, answered, error, _ = client.next()
+        assert (kind, answered) == (1, number) and error[1]["reason"].startswith("too many")
+        following = client.send()
+        worker.answer = Worker.good
+        assert client.next()[:3] == [1, following, None]
+
+    play_bounded(script, workers=1)
+
+
+def test_many_large_answers_at_once_are_sent_while_the_kernel_takes_them(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        worker = warm(world, client)
+        silence(world)
+        for _ in range(12):
+            client.send()
+        world.until(lambda: len(worker.calls()) == 13)
+        connection, left = only_connection(world), list[bytes]()
+
+        def leaves(data: bytes) -> bytes:
+            left.append(data)
+            return b""
+
+        monkeypatch.setattr(connection._stream, "send_now", leaves)
+        large = bytes(120_000)
+        for ticket in list(connection.open.values()):
+            world.node.core._waiting[ticket](Served(large, worker.name, ""))
+        world.until(lambda: connection.is_idle)
+        unpacker = msgpack.Unpacker()
+        unpacker.feed(b"".join(left))
+        assert [answer[3][0] for answer in unpacker] == [large] * 12
+
+    play_bounded(script, workers=1)
+
+
+def test_requests_beyond_the_high_water_mark_are_read_once_answers_are_fetched(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        warm(world, client)
+        connection = only_connection(world)
+        window = Unfetched(monkeypatch, connection)
+        connection.write(msgpack.packb(bytes(HIGH_WATER_BYTES)))
+        checks = [msgpack.packb([0, number, "check", [{}]]) for number in range(2, 20_002)]
+        sending = world.loop.spawn(client.raw, b"".join(checks))
+        world.loop.sleep(2_000 * MS)
+        kept = connection._output.pending_bytes
+        assert kept < HIGH_WATER_BYTES + 3 * rpc.MAX_READ_BYTES
+        window.fetch()
+        began = world.loop.now()
+        assert len(client.next()) == HIGH_WATER_BYTES
+        assert [client.next()[1] for _ in range(6_000)] == list(range(2, 6_002))
+        assert world.loop.now() - began < 100 * MS
+        assert [client.next()[1] for _ in checks[6_000:]] == list(range(6_002, 20_002))
+        sending.join()
+
+    play_bounded(script)
+
+
+def test_flood_beside_an_open_request_ends_it_with_an_answer_at_once() -> None:
+    """What would take it back is not looked at any more."""
+
+    def script(world: World) -> None:
+        client = world.client()
+        worker = warm(world, client)
+        silence(world)
+        number = client.send()
+        world.until(lambda: len(worker.calls()) == 2)
+        began = world.loop.now()
+        flood = [
+            msgpack.packb([0, n, "no such class", [{}, b""]]) for n in range(number + 1, MAX_REJECTED + 9)
+        ]
+        client.raw(b"".join(flood))
+        answers = []
+        while (answer := client.next()) is not None:
+            answers.append(answer)
+        assert [answer for answer in answers if answer[1] == number] == [[1, number, FAILED, None]]
+        assert len(answers) == len(flood) + 1 and world.loop.now() - began < 50 * MS
+        assert world.node.core.open_calls == 0
+
+    play_bounded(script, workers=1)
--- /dev/null
+++ b/packages/node/tests/test_client_eviction.py
@@ -0,0 +1,52 @@
+"""Which client connection is closed when the node needs its descriptor."""
+
+from __future__ import annotations
+
+import msgpack
+
+from client_rig import play_bounded
+from node_rig import World, play, warm
+
+
+def test_lingering_client_is_evicted_last() -> None:
+    def script(world: World) -> None:
+        fetching, idle = world.client(), world.client()
+        for client in (fetching, idle):
+            client.send()
+            assert client.next()[2] is None
+        fetching.raw(b"\xc1")
+        clients = world.node.clients
+        world.until(lambda: any(connection.is_lingering for connection in clients.connections))
+        clients.evict()
+        assert [connection.is_lingering for connection in clients.connections] == [True]
+
+    play_bounded(script)
+
+
+def test_connections_beyond_the_limit_evict_idle_ones_and_serve_new_requests() -> None:
+    def script(world: World) -> None:
+        warm(world, world.client())
+        crowd = [world.client() for _ in range(200)]
+        late = world.client()
+        assert len(world.node.clients.connections) <= 128
+        late.send()
+        assert late.next()[2] is None and crowd
+
+    play(script)
+
+
+def test_connection_with_an_unread_request_or_a_pending_answer_is_not_evicted() -> None:
+    def script(world: World) -> None:
+        client, clients = world.client(), world.node.clients
+        warm(world, client)
+        (connection,) = clients.connections
+        client.send()  # the kernel has it, the node hasn't read it
+        clients.evict()
+        assert client.next()[2] is None
+        connection.write(msgpack.packb(7))  # leaves at the end of the round
+        clients.evict()
+        assert client.next() == 7
+        clients.evict()
+        assert client.next() is None
+
+    play(script)
--- a/packages/node/tests/test_golden_node.py
+++ b/packages/node/tests/test_golden_node.py
@@ -26,7 +26,7 @@
 )
 from walnutpost.interface import ListKind
 from walnutpost.node import resp, rpc
-from walnutpost.node.directory import BadList, Directory, Names
+from walnutpost.node.directory import Directory, EndpointListError, TopologyNames
 
 GOLDEN = Path(__file__).parent / "golden"
 SENT, RECEIVED = GOLDEN / "sent.jsonl", GOLDEN / "received.jsonl"
@@ -41,48 +41,49 @@
 
 
 def worker_answers(data: bytes) -> tuple[Any, ...]:
-    answers, error = resp.Reader(REPORT_FIELDS).feed(data)
+    answers, error = resp.ResponseParser(REPORT_FIELDS).feed(data)
     values = [
-        (a.id, a.outcome, a.probe, a.body, a.warmth, a.crowd, optional(a.copies), a.report) for a in answers
+        (a.id, a.outcome, a.is_probe, a.body, a.warmth, a.crowd, optional(a.copies), a.report)
+        for a in answers
     ]
     return (*values, "malformed") if error else tuple(values)
 
 
 def one_message(message: rpc.Incoming) -> tuple[Any, ...]:
     match message:
-        case rpc.Call():
+        case rpc.CallRequest():
             return (
                 "call",
-                message.number,
-                message.rid,
-                message.cls,
+                message.message_id,
+                message.request_id,
+                message.request_class,
                 message.function,
-                message.budget,
-                message.again,
+                message.budget_us,
+                message.is_retry,
                 message.memory_mb,
                 message.lanes,
-                message.load_time,
+                message.load_time_us,
                 message.body,
                 optional(message.tenant),
-                optional(message.cost),
-                message.repeat_key,
+                optional(message.cost_us),
+                message.idempotency_key,
             )
-        case rpc.Check(number):
+        case rpc.CheckRequest(number):
             return "check", number
         case rpc.Interrupt(numbers):
             return "interrupt", numbers
-        case rpc.Bad(number):
+        case rpc.InvalidRequest(number):
             return "bad", number
 
 
 def client_messages(data: bytes, tenants: tuple[str, ...] = TENANTS) -> tuple[Any, ...]:
-    messages, error = rpc.Reader(CLASSES, tenants).feed(data)
+    messages, error = rpc.MessageParser(CLASSES, tenants).feed(data)
     values = [one_message(message) for message in messages]
     return (*values, "unreadable") if error else tuple(values)
 
 
 def directory(weighted: bool) -> Directory:
-    return Directory(Names(("east", "west"), ("std", "large"), weighted))
+    return Directory(TopologyNames(("east", "west"), ("std", "large"), weighted))
 
 
 def query(number: int) -> bytes:
@@ -94,31 +95,31 @@
     asking = directory(weighted)
     asking.query(int.from_bytes(data[:2], "big"))
     try:
-        return optional(asking.answer(data))
-    except BadList:
+        return optional(asking.apply_response(data))
+    except EndpointListError:
         return "bad"
 
 
 def known(data: bytes) -> Any:
     learning = directory(True)
     try:
-        listed = learning.known(json.loads(data))
-    except BadList:
+        listed = learning.apply_known_events(json.loads(data))
+    except EndpointListError:
         return "bad"
     return listed, tuple((name, *address) for name, address in sorted(learning.addresses.items()))
 
 
 SENDERS: dict[str, Sender] = {
-    "command": resp.command,
-    "call": resp.call,
-    "kill": resp.kill,
-    "spawn": resp.spawn,
-    "reap": resp.reap,
-    "probe": resp.probe,
-    "served": rpc.served,
-    "checked": rpc.checked,
-    "refused": rpc.refused,
-    "failed": rpc.failed,
+    "command": resp.encode_command,
+    "call": resp.encode_call,
+    "kill": resp.encode_kill,
+    "spawn": resp.encode_spawn,
+    "reap": resp.encode_reap,
+    "probe": resp.encode_probe,
+    "served": rpc.encode_result,
+    "checked": rpc.encode_check_result,
+    "refused": rpc.encode_overloaded,
+    "failed": rpc.encode_internal_error,
     "query": query,
 }
 RECEIVERS: dict[str, Receiver] = {
@@ -136,8 +137,8 @@
 
 
 def call(number: int, word: str = "valuation", body: bytes = b"body", **fields: str) -> bytes:
-    told = {"rid": RID, "budget": "900.5", "obj": FUNCTION, **fields}
-    return msgpack.packb([0, number, word, [told, body]])  # type: ignore[no-any-return]
+    request_fields = {"rid": RID, "budget": "900.5", "obj": FUNCTION, **fields}
+    return msgpack.packb([0, number, word, [request_fields, body]])  # type: ignore[no-any-return]
 
 
 def listing(serial: int = 7, flags: str = "", **changes: str) -> bytes:
@@ -204,9 +205,10 @@
     ]
     write_rows(SENT, [sent_row(name, SENDERS, *arguments) for name, *arguments in sent])
     full = b"detail=resident,company=3,slots_up=2,use=inflight:4;x0:0.5;qps:9.25"
-    words = [answer(b"a1", word, b"-", b"body") for word in (*resp.OUTCOMES, *resp.PROBES)]
-    notes = [answer(b"a1", b"OK", b"detail=" + note.encode(), b"") for note in (*resp.NOTES, "other")]
-    spoilt = [
+    words = [answer(b"a1", word, b"-", b"body") for word in (*resp.OUTCOMES, *resp.PROBE_OUTCOMES)]
+    details = [*resp.WARMTH_BY_DETAIL, "other"]
+    notes = [answer(b"a1", b"OK", b"detail=" + detail.encode(), b"") for detail in details]
+    malformed = [
         answer(b"a1", b"WHAT", b"-", b""),
         answer(b"a1", b"OK", b"-"),
         answer(b"a1", b"OK", b"company=x", b""),
@@ -222,7 +224,7 @@
         ("worker", answer(b"a", b"OK", full, b"\0")),
     ]
     received += [("worker", long_names + lacking), ("worker", words[0] + words[1][:-4])]
-    received += [("worker", words[0] + one) for one in spoilt]
+    received += [("worker", words[0] + one) for one in malformed]
     attrs = "memory_mb:300.5;lanes:2;load_ms:700.25"
     fields = {"attrs": attrs, "acct": "south", "token": "key-1:2.3", "est": "12.5", "again": "1"}
     calls = (
@@ -264,13 +266,13 @@
         received += [(name, listing())]
     received += [("list", listing(serial=(1 << 32) - 1, cell="", started=""))]
     received += [("list", listing(cell="x")), ("list", listing(flags="TC")), ("list", query(5))]
-    told = [
+    batch = [
         events(target("s-0"), target("s-1", az="none", model="none", state="Terminating")),
         events(target("s-0", state="Gone"), all=False),
         events(target("s-2", capacity_hint=2.5, pod_group=4, boot_ms=1234), all=False),
     ]
     received += [
-        ("known", json.dumps({"offset": place, "batch": told[:place]}).encode()) for place in range(4)
+        ("known", json.dumps({"offset": place, "batch": batch[:place]}).encode()) for place in range(4)
     ]
     wrong = {"offset": 1, "batch": [events(target("s", state="Odd"))]}
     received += [("known", json.dumps(wrong).encode())]
@@ -288,17 +290,17 @@
 @pytest.mark.parametrize("size", [1, 7])
 def test_frames_in_parts_are_read_as_whole_ones(size: int) -> None:
     """The readers' state between reads changes nothing of what is read."""
-    reader, data = resp.Reader(REPORT_FIELDS), answer(b"a1", b"OK", b"slots_up=1", b"b\r\n") * 3
+    reader, data = resp.ResponseParser(REPORT_FIELDS), answer(b"a1", b"OK", b"slots_up=1", b"b\r\n") * 3
     parts = [reader.feed(data[at : at + size]) for at in range(0, len(data), size)]
-    assert [a for answers, _ in parts for a in answers] == resp.Reader(REPORT_FIELDS).feed(data)[0]
+    assert [a for answers, _ in parts for a in answers] == resp.ResponseParser(REPORT_FIELDS).feed(data)[0]
 
 
-def test_a_list_that_was_told_again_changes_nothing() -> None:
+def test_list_received_again_changes_nothing() -> None:
     asking = directory(True)
     asking.query(0x1234)
-    first = asking.answer(listing())
+    first = asking.apply_response(listing())
     asking.query(0x1234)
-    assert first is not None and first.kind is ListKind.FULL and asking.answer(listing()) is None
+    assert first is not None and first.kind is ListKind.FULL and asking.apply_response(listing()) is None
 
 
 if __name__ == "__main__":
--- a/packages/node/tests/test_interleavings.py
+++ b/packages/node/tests/test_node_interleavings.py
@@ -10,13 +10,12 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from node_rig import Client, Words, Worker, World, play, reply
-from test_crossings import MS, Held
-from test_crossings import settings as with_settings
+from node_rig import MS, Client, HeldConnections, Words, Worker, World, play, reply
+from node_rig import settings as with_settings
 
 GRACE_US, GONE_US, BUDGET_US = 100 * MS, 100 * MS, 1_000 * MS
 NEVER_RAN = ("full", "miss")
-WAYS = ("good", "silent", "error", "full", "miss", "reset", "spoilt", "twice")
+WAYS = ("good", "silent", "error", "full", "miss", "reset", "malformed", "twice")
 METHODS = ("valuation", "reservation")
 STEPS = st.one_of(
     st.tuples(st.just("ask"), st.integers(0, 2), st.sampled_from(METHODS)),
@@ -30,7 +29,7 @@
 
 
 class Day:
-    def __init__(self, world: World, held: Held) -> None:
+    def __init__(self, world: World, held: HeldConnections) -> None:
         self.world, self.held = world, held
         self.ways = ["good", "good"]
         self.left_us: dict[bytes, int] = {}  # by id of a request
@@ -58,7 +57,7 @@
             "full": reply(words[1], b"BUSY"),
             "miss": reply(words[1], b"MISS"),
             "reset": b"",
-            "spoilt": b"*4\r\n$2\r\nzz",
+            "malformed": b"*4\r\n$2\r\nzz",
             "twice": good + good,
         }[way]
 
@@ -95,10 +94,12 @@
                 self.told_us.setdefault(name, now)
             targets = [{**world.workers[one].target, "state": two}]
             serial = world.node.directory.serial + 1
-            told = {"offset": serial, "topology": {"all": False, "targets": targets}}
-            world.node._listed(world.node.directory.known({"offset": serial, "batch": [told]}))
+            event = {"offset": serial, "topology": {"all": False, "targets": targets}}
+            world.node._apply_endpoints(
+                world.node.directory.apply_known_events({"offset": serial, "batch": [event]})
+            )
         elif what == "hold":
-            self.held.shut = one
+            self.held.is_holding = one
             if not one:
                 self.held.come_up()
         elif what == "end" and not self.ended:
@@ -127,9 +128,9 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(steps=st.lists(STEPS, min_size=4, max_size=24))
-def test_the_rules_hold_in_any_order_of_events(steps: list[tuple[str, Any, Any]]) -> None:
+def test_invariants_hold_in_any_order_of_events(steps: list[tuple[str, Any, Any]]) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        held = Held(patch)
+        held = HeldConnections(patch)
 
         def script(world: World) -> None:
             day = Day(world, held)
--- a/packages/node/tests/test_kept.py
+++ b/packages/node/tests/test_node_memory.py
@@ -1,4 +1,4 @@
-"""What is kept while functions, workers, clients and connections come and go: counted, it does not grow."""
+"""What is reachable does not grow while functions, workers, clients and connections come and go."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 SHARED = (type, ModuleType, FunctionType, CodeType, FrameType)
 
 
-def kept(*roots: Any) -> int:
+def count_reachable(*roots: Any) -> int:
     """Objects that are reached from `roots`, the program's own text aside."""
     gc.collect()
     seen: dict[int, Any] = {}
@@ -86,18 +86,20 @@
         self.copies.clear()
 
 
-def test_a_gateway_keeps_nothing_of_functions_and_workers_that_are_gone() -> None:
+def test_gateway_forgets_functions_and_workers_that_are_gone() -> None:
     day = Day()
     for number in range(20):
         day.round(number)
-    early = kept(day.gateway)
+    early = count_reachable(day.gateway)
     for number in range(20, 60):
         day.round(number)
     assert day.served == day.calls == 6000
-    assert kept(day.gateway) < 1.3 * early  # names are looked through now and then: what is kept swings
+    assert (
+        count_reachable(day.gateway) < 1.3 * early
+    )  # names are looked through now and then: what is kept swings
 
 
-def test_a_node_keeps_nothing_of_clients_workers_and_connections_that_are_gone() -> None:
+def test_node_forgets_clients_workers_and_connections_that_are_gone() -> None:
     def script(world: World) -> None:
         node, count = world.node, 0
 
@@ -105,8 +107,10 @@
             nonlocal count
             for _ in range(number):
                 names = [{**w.target, "uid": f"{w.name}-{count}"} for w in world.workers]
-                told = {"offset": count + 2, "topology": {"all": True, "targets": names}}
-                node._listed(node.directory.known({"offset": count + 2, "batch": [told]}))
+                event = {"offset": count + 2, "topology": {"all": True, "targets": names}}
+                node._apply_endpoints(
+                    node.directory.apply_known_events({"offset": count + 2, "batch": [event]})
+                )
                 for n in range(10):
                     client = world.client()
                     for m in range(4):
@@ -119,7 +123,7 @@
                 worker.got.clear()
                 worker.streams.clear()
             world.log.lines.clear()
-            return kept(node, world.loop)
+            return count_reachable(node, world.loop)
 
         early = rounds(10)
         assert rounds(20) < 1.3 * early
--- /dev/null
+++ b/packages/node/tests/test_node_stats.py
@@ -0,0 +1,57 @@
+"""The node's periodic counts in the log: the events that operators and on-call pages read."""
+
+from __future__ import annotations
+
+from node_rig import SECOND, Worker, World, play
+from walnutpost.node.stats import STATS_INTERVAL_US
+
+FIELDS = (
+    "served",
+    "rejected",
+    "failed",
+    "cancelled",
+    "open_requests",
+    "client_connections",
+    "worker_connections",
+    "connections_opened",
+    "load_orders",
+    "copy_queries",
+    "discovery_queries",
+    "malformed_responses",
+    "invalid_requests",
+    "malformed_connections",
+    "evicted_connections",
+    "discovery_responses_rejected",
+    "cpu_seconds",
+)
+
+
+def reported(world: World, event: str) -> list[str]:
+    return [line for line in world.log.lines if line.startswith(f"{event} ")]
+
+
+def test_node_stats_after_one_interval_state_every_count() -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        client.send()
+        assert client.next()[2] is None
+        client.raw(b"\xc1")  # no message of the protocol
+        world.loop.sleep(STATS_INTERVAL_US)
+        line = reported(world, "node_stats")[0]
+        assert [f"'{name}'" in line for name in FIELDS] == [True] * len(FIELDS)
+        assert "'served': 1," in line and "'malformed_connections': 1," in line
+
+    play(script, workers=1)
+
+
+def test_attempt_stats_after_each_interval_state_the_outcomes_since_the_last() -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        client.send()
+        assert client.next()[2] is None
+        world.loop.sleep(STATS_INTERVAL_US)
+        assert "s-0:ok:1" in reported(world, "attempt_stats")[0]
+        world.loop.sleep(STATS_INTERVAL_US + SECOND)
+        assert "s-0:" not in reported(world, "attempt_stats")[1]
+
+    play(script, workers=1, make_worker=Worker)
--- /dev/null
+++ b/packages/node/tests/test_periodic_work.py
@@ -0,0 +1,23 @@
+"""Periodic work of a node goes on after an error."""
+
+from __future__ import annotations
+
+from node_rig import SECOND
+from walnutpost.eventloop import Loop, VirtualClock
+
+
+def test_periodic_work_that_raises_goes_on_and_counts_the_failure() -> None:
+    errors: list[BaseException] = []
+    loop, runs = Loop(VirtualClock(), lambda name, error: errors.append(error)), list[int]()
+
+    def work() -> None:
+        runs.append(1)
+        if len(runs) < 3:
+            raise ValueError("odd")
+
+    def body() -> int:
+        periodic = loop.every(SECOND, work)
+        loop.sleep(4 * SECOND + 1)
+        return periodic.failures
+
+    assert loop.run(body) == 2 and len(runs) == 4 and len(errors) == 2
--- a/packages/node/tests/test_ration_checker.py
+++ b/packages/node/tests/test_ration_checker.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ration_checker import Breach, Ration, RationLog, breaches_of, told
+from ration_checker import Breach, Ration, RationLog, breaches_of, describe_breaches
 
 SECOND = 1_000_000
 WINDOW = 2 * SECOND
@@ -75,9 +75,9 @@
     assert breaches_of(SOCKETS, "n0", [6 * SECOND] * 12, requests)
 
 
-def test_breaches_are_told_with_count_and_allowance() -> None:
-    assert told([]) == "no breach"
-    text = told(breaches_of(PLAIN, "n0", [50] * 4, range(4)))
+def test_breaches_are_described_with_count_and_allowance() -> None:
+    assert describe_breaches([]) == "no breach"
+    text = describe_breaches(breaches_of(PLAIN, "n0", [50] * 4, range(4)))
     assert "n0" in text and "4 orders" in text and "3.80 allowed" in text
 
 
--- a/packages/node/tests/test_ration_crossings.py
+++ b/packages/node/tests/test_ration_crossings.py
@@ -17,12 +17,11 @@
 import msgpack
 import pytest
 
-from node_rig import SECOND, Client, Words, Worker, World, play, reply, words_of
-from ration_checker import Ration, RationLog, told
-from test_crossings import MS, settings
+from node_rig import MS, SECOND, Client, Words, Worker, World, play, reply, settings, words_of
+from ration_checker import Ration, RationLog, describe_breaches
 from walnutpost.eventloop import Listener, Loop, Queue, Stream, Task, connect
-from walnutpost.node.connection import WorkerConnection
-from walnutpost.node.run import Node
+from walnutpost.node.node import Node
+from walnutpost.node.worker_connection import WorkerConnection
 
 FRONT_END = "n0"
 FREE_LOADS, LOAD_SHARE, LOAD_WINDOW = 4, 0.2, 2 * SECOND
@@ -151,15 +150,15 @@
     def model(self, words: Words) -> bytes | None:
         """Copies stand as soon as they are ordered, and for ever; a request that was served before is one
         that somebody copied, and ends as an error."""
-        told = dict(part.partition("=")[::2] for part in words[2].decode().split(",")) if words[2:] else {}
+        fields = dict(part.partition("=")[::2] for part in words[2].decode().split(",")) if words[2:] else {}
         if words[0] == b"SPAWN":
-            if int(told["slots_up"]):
-                self.loaded.add(told["path"])
-            copies = b"slots_up=%d" % (told["path"] in self.loaded)
+            if int(fields["slots_up"]):
+                self.loaded.add(fields["path"])
+            copies = b"slots_up=%d" % (fields["path"] in self.loaded)
             return reply(words[1], b"OK", copies)
         if words[0] != b"FN":
             return None
-        if told["path"] not in self.loaded:
+        if fields["path"] not in self.loaded:
             return reply(words[1], b"MISS")
         if words[1] in self.served:
             return reply(words[1], b"ERR")
@@ -197,9 +196,9 @@
         setattr(node.workers, effect, lambda *_, **__: None)
     node.listener.close()
     node.discovery.close()
-    for periodic in (node.reporting, node.workers.sweeping, node.clients.sweeping):
+    for periodic in (node.reporting, node.pool.sweeping, node.clients.sweeping):
         periodic.cancel()
-    for connections in list(node.workers._connections.values()):
+    for connections in list(node.pool._connections.values()):
         for connection in list(connections):
             connection.close()
     for client in list(node.clients.connections):
@@ -246,10 +245,10 @@
 
         self.loop.spawn(go_on, name="clients")
 
-    def next_life(self) -> None:
+    def restart(self) -> None:
         """The node is killed, and another begins under its name and address; clients connect anew."""
         kill(self.world.node)
-        self.world.next_life()
+        self.world.restart()
         self._sent = 0
 
     def cut(self) -> None:
@@ -283,7 +282,7 @@
     play(whole, workers, partial(Witness, log=log), settings=told_settings)
     ration = Ration.on_sockets(extra["FreeLoads"], extra["LoadShare"], extra["LoadWindow"])
     breaches = log.breaches(ration)
-    assert not breaches, told(breaches)
+    assert not breaches, describe_breaches(breaches)
 
 
 def test_without_faults_the_orders_that_arrive_keep_the_ration() -> None:
@@ -452,7 +451,7 @@
         for _ in range(FREE_LOADS + 2):
             day.ask()
         day.loop.sleep(100 * MS)
-        day.next_life()
+        day.restart()
         day.heal()
         for _ in range(FREE_LOADS + 2):
             day.ask()
@@ -467,7 +466,7 @@
     def script(day: Day) -> None:
         for life in range(4):
             if life:
-                day.next_life()
+                day.restart()
             for _ in range(FREE_LOADS):
                 day.ask()
             day.loop.sleep(200 * MS)
@@ -499,12 +498,12 @@
 
 def test_orders_that_wait_for_late_connections_keep_the_ration(monkeypatch: pytest.MonkeyPatch) -> None:
     """Forces (g): each connection to a worker comes up only after up to a second."""
-    dialled, delays = WorkerConnection._dialled, random.Random(39)
+    dialled, delays = WorkerConnection._on_connect_result, random.Random(39)
 
     def come_up_late(connection: WorkerConnection) -> None:
         connection._loop.call_later(delays.randrange(SECOND), partial(dialled, connection))
 
-    monkeypatch.setattr(WorkerConnection, "_dialled", come_up_late)
+    monkeypatch.setattr(WorkerConnection, "_on_connect_result", come_up_late)
 
     def script(day: Day) -> None:
         day.ask_on(50 * MS)
--- a/packages/node/tests/test_ration_processes.py
+++ b/packages/node/tests/test_ration_processes.py
@@ -16,9 +16,8 @@
 from contextlib import suppress
 from pathlib import Path
 
-from node_rig import SECOND, Client, config_text
-from ration_checker import Ration, RationLog, told
-from test_crossings import MS, settings
+from node_rig import MS, SECOND, Client, config_text, settings
+from ration_checker import Ration, RationLog, describe_breaches
 from test_ration_crossings import Witness
 from walnutpost.eventloop import Loop
 
@@ -32,7 +31,7 @@
 CROWD = 12  # requests at once
 STOPPED_CROWDS = 8  # so many of them while a process stands still
 NO_NAME_SERVER = "127.0.0.1:9"
-LISTENING = re.compile(r"listening address=\('127\.0\.0\.1', (\d+)\)")
+LISTENING = re.compile(r"listening role='node' address=\('127\.0\.0\.1', (\d+)\)")
 EXTRA = {
     "FreeLoads": FREE_LOADS,
     "LoadShare": LOAD_SHARE,
@@ -226,4 +225,4 @@
     assert not errors, errors
     assert all(front_end.orders for front_end in front_ends)
     breaches = log.breaches(RATION)
-    assert not breaches, told(breaches)
+    assert not breaches, describe_breaches(breaches)
--- a/packages/node/tests/test_shutdown_deadline.py
+++ b/packages/node/tests/test_shutdown_deadline.py
@@ -17,8 +17,7 @@
 
 import pytest
 
-from node_rig import CONFIG, SECOND, Client, Worker, World, config_text, play
-from test_crossings import MS, settings
+from node_rig import CONFIG, MS, SECOND, Client, Worker, World, config_text, play, settings
 from walnutpost.eventloop import Loop
 
 TAKEN_FOR = 700 * MS  # from SIGTERM: what comes until then is answered
@@ -27,8 +26,8 @@
 CONNECTIONS = 6
 START_TIMEOUT = 30 * SECOND
 DEADLINES = [200 * MS, 500 * MS, 3 * SECOND, 9 * SECOND]
-LISTENING = re.compile(r"listening address=\('127\.0\.0\.1', (\d+)\)")
-ENDING = re.compile(r"^ending", re.MULTILINE)
+LISTENING = re.compile(r"listening role='node' address=\('127\.0\.0\.1', (\d+)\)")
+STOPPING = re.compile(r"^stopping", re.MULTILINE)
 
 
 def site(deadline: int) -> dict[str, Any]:
@@ -90,7 +89,7 @@
 
 @pytest.mark.parametrize("closes", [True, False])
 @pytest.mark.parametrize("deadline", DEADLINES)
-def test_all_that_came_in_time_is_answered_when_the_kill_may_come(deadline: int, closes: bool) -> None:
+def test_requests_received_in_time_are_answered_when_the_kill_may_come(deadline: int, closes: bool) -> None:
     def script(world: World) -> None:
         for worker in world.workers:
             worker.answer = answers_every_other
@@ -143,7 +142,7 @@
 
 
 @pytest.mark.parametrize("deadline", DEADLINES[:3])
-def test_a_process_ends_by_itself_before_the_kill_and_owes_nothing(tmp_path: Path, deadline: int) -> None:
+def test_process_ends_before_the_kill_with_every_request_answered(tmp_path: Path, deadline: int) -> None:
     """The kill is real, and comes no earlier than it may: counted from when the process has heard SIGTERM."""
     errors: list[BaseException] = []
     loop = Loop(on_error=lambda name, error: errors.append(error))
@@ -165,7 +164,7 @@
                 loop.sleep(SEND_EVERY)
         last.append(loop.now() + TAKEN_FOR)  # before the signal: what came by then came in time
         node.process.send_signal(signal.SIGTERM)
-        node.until_it_says(ENDING)
+        node.until_it_says(STOPPING)
         kill_after = TAKEN_FOR + min(deadline, KILL_COUNTS_AT_MOST)
         loop.call_later(kill_after, node.process.kill)
         codes.append(node.until_it_ends())
--- /dev/null
+++ b/packages/node/tests/test_worker_connection_close.py
@@ -0,0 +1,184 @@
+"""When a connection to a worker is closed or reset, and what is not delivered any more then."""
+
+from __future__ import annotations
+
+import socket
+from contextlib import suppress
+from dataclasses import replace
+
+import pytest
+
+from node_rig import MS, Worker, World, play, reply, settings, warm
+from walnutpost.interface import Outcome
+from worker_rig import (
+    ORDER_TIMEOUT_US,
+    PLENTY,
+    attempt,
+    call_without_answer,
+    one_connection,
+    order,
+    outcomes,
+    received,
+    slow_reader,
+    spawns,
+)
+
+
+@pytest.mark.parametrize("end", ["close", "reset"])
+def test_idle_connection_with_an_unread_end_carries_no_call(end: str) -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        worker = warm(world, client)
+        client.send(method="reservation")  # the node reads this before it learns of the worker's close
+        (connection,) = world.node.clients.connections
+        getattr(worker.streams[0], end)()
+        connection.read()
+        assert client.next() == [1, 2, None, [b"did body 2", {}]]
+        assert len(worker.calls()) == 2
+
+    play(script, workers=1)
+
+
+def test_connection_idle_for_most_of_the_idle_timeout_carries_no_call() -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        worker = warm(world, client)
+        world.loop.sleep(75 * MS)
+        client.send()
+        assert client.next()[2] is None and len(worker.streams) == 2
+
+    play(script, workers=1, settings=settings(PolicyLimits={"ConnIdle": 100_000}))
+
+
+def test_kernels_bytes_of_an_abandoned_load_order_are_not_delivered() -> None:
+    def script(world: World) -> None:
+        with slow_reader(world) as (name, listener):
+            world.node.pool.limits = replace(world.node.pool.limits, order_timeout_us=ORDER_TIMEOUT_US)
+            told = order(world, name)
+            (connection,) = world.node.pool._connections[name]
+            connection._outbox._waiting.appendleft(
+                bytes(64 << 10)
+            )  # fills the reader's side, ahead of the order
+            world.until(lambda: told)
+            assert outcomes(told) == [Outcome.TIMEOUT] and not connection._outbox, "the kernel took it whole"
+            assert b"SPAWN" not in received(listener)
+
+    play(script)
+
+
+def test_kernels_bytes_are_not_delivered_once_the_process_has_ended() -> None:
+    """A killed process's sockets are closed by the kernel; its successor begins a ration of its own."""
+
+    def script(world: World) -> None:
+        with slow_reader(world) as (name, listener):
+            order(world, name)
+            (connection,) = world.node.pool._connections[name]
+            connection._outbox._waiting.appendleft(bytes(64 << 10))
+            world.until(lambda: connection.is_connected and not connection._outbox)
+            connection.stream.on_readable(None)
+            world.loop.forget(connection.stream.fd)
+            connection._sock.close()  # as the kernel does
+            assert b"SPAWN" not in received(listener)
+
+    play(script)
+
+
+def test_idle_connection_is_closed_without_a_reset() -> None:
+    def script(world: World) -> None:
+        worker = warm(world, world.client())
+        world.node.workers.close_idle(worker.name)
+        world.until(lambda: worker.ends)
+        assert worker.ends == ["closed"]
+
+    play(script, workers=1)
+
+
+def test_connection_ended_by_the_worker_delivers_no_load_order_any_more() -> None:
+    """The worker ends its sending side alone: it could still read what the kernel holds."""
+
+    def script(world: World) -> None:
+        with slow_reader(world) as (name, listener):
+            told = order(world, name)
+            (connection,) = world.node.pool._connections[name]
+            connection._outbox._waiting.appendleft(bytes(64 << 10))
+            world.until(lambda: connection.is_connected and not connection._outbox)
+            sock, _ = listener.accept()
+            sock.shutdown(socket.SHUT_WR)
+            world.until(lambda: told)
+            data = b""
+            with sock, suppress(ConnectionResetError):
+                while more := sock.recv(PLENTY):
+                    data += more
+            assert outcomes(told) == [Outcome.RESET] and b"SPAWN" not in data
+
+    play(script)
+
+
+def test_connection_with_an_abandoned_load_order_takes_nothing_new_and_ends_by_a_reset() -> None:
+    """Also where the worker has spoken since, and without taking the answer of a call beside it."""
+
+    def script(world: World) -> None:
+        client, other = world.client(), world.client()
+        worker = warm(world, client)
+        connection = one_connection(world, worker)
+        call = call_without_answer(world, worker, client)
+        told = order(world, worker.name)
+        world.until(lambda: spawns(worker))
+        worker.streams[0].send_all(reply(b"0" * 16, b"OK"))
+        world.until(lambda: told)
+        assert outcomes(told) == [Outcome.TIMEOUT] and not connection.is_closed
+        world.node.pool.limits = replace(world.node.pool.limits, max_connections=2)
+        worker.answer = Worker.good
+        other.send()
+        assert other.next()[2] is None and len(worker.streams) == 2
+        worker.streams[0].send_all(reply(call[1], b"OK", b"-", b"mine"))
+        assert client.next()[2:] == [None, [b"mine", {}]]
+        world.until(lambda: worker.ends)
+        assert worker.ends == ["reset"]
+
+    play(script, workers=1)
+
+
+def test_kernels_bytes_of_an_abandoned_call_are_not_delivered() -> None:
+    def script(world: World) -> None:
+        with slow_reader(world) as (name, listener):
+            slow = world.workers[0]
+            slow.name = name
+            told = attempt(world, slow, 300 * MS, 300 * MS)
+            (connection,) = world.node.pool._connections[name]
+            connection._outbox._waiting.appendleft(bytes(64 << 10))
+            world.until(lambda: connection.is_connected and not connection._outbox)
+            world.loop.sleep(10 * MS)
+            world.node.workers.abandon(1_000_000, 0)
+            world.until(lambda: told)
+            assert [done.outcome for done in told] == [Outcome.CANCELLED]
+            assert b"FN" not in received(listener)
+
+    play(script)
+
+
+def test_connection_closed_while_idle_costs_no_call() -> None:
+    def script(world: World) -> None:
+        client = world.client()
+        worker = warm(world, client)
+        for stream in worker.streams:
+            stream.reset()
+        number = client.send(method="reservation")
+        assert client.next() == [1, number, None, [b"did body 2", {}]]
+
+    play(script, workers=1)
+
+
+def test_connection_carries_no_more_than_its_streams() -> None:
+    def script(world: World) -> None:
+        client, other = world.client(), world.client()
+        worker = warm(world, client)
+        world.node.pool.limits = replace(world.node.pool.limits, max_connections=1, max_streams=4)
+        worker.answer = lambda words: None
+        for asking in (client, other):
+            for _ in range(5):
+                asking.send()
+        world.until(lambda: len(worker.calls()) == 11)
+        assert len(worker.streams) == 3
+
+    play(script, workers=1)
