--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -22,7 +22,7 @@
 from test_lost_site import SITES, Sites
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, encode_request
-from walnutpost.journal import Accepted, Joined, Purged
+from walnutpost.journal import CallAccepted, MergedJournal, ResultsPurged
 from walnutpost.store import Change, Database, JournalStore
 
 PAYLOAD = b'{"isbn": "' + b"0" * 1000 + b'"}'
@@ -168,12 +168,12 @@
             def fill(database: Database = database, store: JournalStore = store, count: int = count) -> None:
                 for start in range(0, count, 1000):
                     lines = [
-                        store.append(
-                            Accepted(f"{n}", f"{n}", "f", "1", None, PAYLOAD, "d", 1, 2, "unsafe", 1)
+                        store.new_append(
+                            CallAccepted(f"{n}", f"{n}", "f", "1", None, PAYLOAD, "d", 1, 2, "unsafe", 1)
                         )
                         for n in range(start, start + 1000)
                     ]
-                    database.change(together(lines))
+                    database.submit(together(lines))
 
             loop.run(fill)
             database.close()
@@ -184,9 +184,9 @@
             opened = time.perf_counter() - began
             began = time.perf_counter()
 
-            def join(store: JournalStore = store) -> Joined:
-                found = Joined()
-                found.take(*store.held(store.own))
+            def join(store: JournalStore = store) -> MergedJournal:
+                found = MergedJournal()
+                found.add(*store.read_journal(store.own_origin))
                 return found
 
             assert len(loop.run(join).calls) == count
@@ -196,7 +196,7 @@
             database.close()
             database = Database(loop, path, "")
             store = JournalStore(loop, database, "b1")
-            loop.run(partial(store.write, Purged(3)))
+            loop.run(partial(store.append_durably, ResultsPurged(3)))
             print(
                 f"| {count} | {size} | {opened:.2f} | {joined:.2f} | {time.perf_counter() - began:.2f} |",
                 flush=True,
--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -28,7 +28,7 @@
 from walnutpost.metering.records import DAY
 from walnutpost.metering.reports import figures, grouped
 from walnutpost.store import read_ledger
-from walnutpost.store.usage import SCHEMA, Run, write_batch
+from walnutpost.store.usage import SCHEMA, LedgerRun, write_batch
 
 SECOND = 1_000_000
 START = 1000 * DAY
@@ -230,7 +230,7 @@
         assert batch is not None
         middle = time.perf_counter()
         db.execute("begin")
-        write_batch(db, batch, Run())
+        write_batch(db, batch, LedgerRun())
         db.execute("commit")
         writing += time.perf_counter() - middle
         deciding += middle - began
--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -18,7 +18,7 @@
 from walnutpost.config import Config, catalogue, parse, router_settings
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.wire import Told
-from walnutpost.daemon.lists import Lists
+from walnutpost.daemon.endpoint_lists import EndpointLists
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import (
@@ -128,14 +128,14 @@
         quiet: Any = Quiet()
         links = Links(loop, LinkSettings(), "f")
         gateway = Gateway(settings, catalogue(config.site), 1)
-        lists = Lists(loop, Core(loop, gateway, links, quiet), links, config.site, quiet)
+        lists = EndpointLists(loop, Core(loop, gateway, links, quiet), links, config.site, quiet)
         follower = EndpointFollower("f", "1", True)
-        lists.tell(ListKind.CACHED, 0, [])
+        lists.set_configured(ListKind.CACHED, 0, [])
 
         def take_up() -> None:
             follower.applied_index = 0
             follower.receive(9 * SECOND, told.sight, True)
-            lists.agreed(follower)
+            lists.set_agreed(follower)
 
         with Grown() as all_of_it:
             take_up()
--- a/benchmarks/scale/followers.py
+++ b/benchmarks/scale/followers.py
@@ -429,8 +429,7 @@
             at.end(name)
             acted[name] = [
                 (line["revision"], datetime.fromisoformat(line["timestamp"]).timestamp() - shift)
-                for line in at.lines(name, "settings")
-                if "functions" in line
+                for line in at.lines(name, "config_applied")
             ]
         for phase, made_changes in (("quiet", calm), ("burst", fast)):
             out[phase] |= _in_force(made_changes, acted, following)
--- a/packages/cli/src/walnutpost/cli/main.py
+++ b/packages/cli/src/walnutpost/cli/main.py
@@ -42,7 +42,7 @@
 from walnutpost.faultinjection.run import play
 from walnutpost.faultinjection.script import Script
 from walnutpost.faultinjection.stage import StageError
-from walnutpost.store import StoreError, history
+from walnutpost.store import StoreError, read_history
 
 PARTS = fleet_orders, fleet_plans, fleet_shown, settings_shown  # their commands join groups at their import
 CAPTURE = click.option(
@@ -217,7 +217,7 @@
     """What became of past due times, newest first, as the store of CONFIG's front end has it."""
     checked = config_of(config)
     try:
-        rows = history(config.parent / checked.front.store, schedule, count)
+        rows = read_history(config.parent / checked.front.store, schedule, count)
     except StoreError as error:
         end(str(error))
     for row in rows:
--- a/packages/cli/tests/test_settings_fleet.py
+++ b/packages/cli/tests/test_settings_fleet.py
@@ -136,7 +136,7 @@
 
     second = run.set("--function", "price", "lanes=4")
     assert run.in_force(second)["digest"] != told["digest"]
-    assert [line["revision"] for line in run.lines("f0", "settings")][-1] == second
+    assert [line["revision"] for line in run.lines("f0", "config_applied")][-1] == second
 
     # The relay that the front end follows is killed in between.
     serving = next(r["relay"] for r in run.in_force(second)["relays"] if r["members"])
@@ -164,7 +164,7 @@
 
     run.start_relay(serving)
     run.in_force(fourth)
-    assert [line["revision"] for line in run.lines("f0", "settings")][-1] == fourth
+    assert [line["revision"] for line in run.lines("f0", "config_applied")][-1] == fourth
     took = json.loads(run("status", "--format", "json").stdout)["times"]
     assert took[-1]["revision"] == fourth and took[-1]["took_s"] > 0
 
--- a/packages/daemon/src/walnutpost/daemon/__init__.py
+++ b/packages/daemon/src/walnutpost/daemon/__init__.py
@@ -1,3 +1,4 @@
-"""The thin shell: opens listeners, wires fronts, core, links and store together.
+"""A front end as a process: builds and connects listeners, gateway, workers, store and configuration.
 
-Nothing is imported here: the node takes `daemon.core` alone, without what the rest would load."""
+Nothing is imported here: the node imports parts alone, without what the rest would load.
+"""
--- /dev/null
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -0,0 +1,123 @@
+"""The list of workers: configured, from a file that may be replaced at any time, or agreed on by the fleet.
+
+Each source replaces its former list; `_publish` combines them and is the only place that gives a list to the
+connections and the gateway.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from walnutpost.config import ConfigError, Site, WorkerLine, WorkerList, load, worker_lines
+from walnutpost.dispatch import Core
+from walnutpost.eventloop import Loop
+from walnutpost.fleet.endpoints import EndpointFollower, ListedEndpoint
+from walnutpost.gateway import WorkersListed
+from walnutpost.interface import ListKind
+from walnutpost.workerclient import Links
+
+SECOND = 1_000_000
+
+
+class EndpointLists:
+    """Publishes lists with ascending versions."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        core: Core,
+        links: Links,
+        site: Site,
+        log: Any,
+        on_published: Callable[[int, list[WorkerLine]], None] | None = None,
+    ) -> None:
+        """`on_published` gets each list as it is published, for captures."""
+        self._loop = loop
+        self._core = core
+        self._links = links
+        self._site = site
+        self._log = log
+        self._on_published = on_published
+        self._configured_version = -1
+        self._published_version = -1
+        self._configured: tuple[ListKind, list[WorkerLine]] | None = None
+        self._agreed: EndpointFollower | None = None
+        self._last_error = ""
+        self._read_mark: tuple[int, int, int] | None = None
+
+    def set_configured(self, kind: ListKind, version: int, lines: list[WorkerLine]) -> None:
+        """Publish a list from the configuration or its file."""
+        self._configured_version = version
+        self._configured = kind, lines
+        self._publish()
+
+    def set_agreed(self, follower: EndpointFollower) -> None:
+        """Publish the fleet's list. On return no new work goes by an older one."""
+        self._agreed = follower
+        self._publish()
+
+    def _publish(self) -> None:
+        if self._configured is None and self._agreed is None:
+            return
+        kind, lines = self._configured or (ListKind.CACHED, [])
+        if self._agreed is not None:
+            lines = _with_agreed(lines, self._agreed, self._site)
+        workers, addresses, draining = worker_lines(self._site, lines)
+        version = max(self._configured_version, self._published_version + 1)
+        self._published_version = version
+        names = {line.name: line.tls_name for line in lines if line.tls_name is not None}
+        self._links.told(addresses, draining, names)
+        if self._on_published is not None:
+            self._on_published(version, lines)
+        self._core.feed(WorkersListed(kind, version, workers))
+
+    def read_file(self, path: Path, kind: ListKind = ListKind.FULL) -> bool:
+        """Publish the file's list if it is new; an invalid one leaves the last one in use."""
+        try:
+            stat = path.stat()
+            mark = (stat.st_mtime_ns, stat.st_ino, stat.st_size)
+            if mark == self._read_mark:
+                return False
+            listed = load(path, WorkerList)
+        except (OSError, ConfigError) as error:
+            self._reject(str(error))
+            return False
+        self._read_mark = mark
+        if listed.version < self._configured_version:
+            self._reject(
+                f"{path}: version {listed.version} is older than {self._configured_version}, in force"
+            )
+            return False
+        self._last_error = ""
+        self.set_configured(kind, listed.version, listed.workers)
+        return True
+
+    def _reject(self, error: str) -> None:
+        """Log an error once, not at every poll."""
+        if error != self._last_error:
+            self._last_error = error
+            self._log.warning("worker_list_rejected", error=error)
+
+    def watch_file(self, path: Path, poll_interval_us: int) -> None:
+        """Read the file again and again; until cancelled."""
+        while True:
+            self._loop.sleep(poll_interval_us)
+            self.read_file(path)
+
+
+def _with_agreed(lines: list[WorkerLine], follower: EndpointFollower, site: Site) -> list[WorkerLine]:
+    own = {line.name: line for line in lines}
+    told = [
+        ListedEndpoint(w.name, w.address, w.zone, round(w.started_at * SECOND), w.state == "draining")
+        for w in lines
+    ]
+    out = []
+    for w in follower.merge(told):
+        zone = w.zone if w.zone in site.zones else None
+        line = own.get(w.name) or WorkerLine(name=w.name, address=w.address, zone=zone)
+        state = "draining" if w.is_draining else "ready"
+        changed = {"address": w.address, "state": state, "started_at": w.started_at_us / SECOND}
+        out.append(line.model_copy(update=changed))
+    return out
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -1,4 +1,4 @@
-"""One front end on a loop."""
+"""One front end on a loop: builds its parts, listens, and stops them in order."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 import time
 from collections.abc import Callable
 from dataclasses import replace
+from functools import partial
 from pathlib import Path
 from typing import Any, Protocol
 
@@ -14,16 +15,18 @@
 from walnutpost.config import Config, WorkerLine, catalogue, own_schedules, router_settings
 from walnutpost.config.base import address_of
 from walnutpost.config.settings import us
-from walnutpost.daemon.deferred import Deferred
-from walnutpost.daemon.fleet import CountedCore, Following
-from walnutpost.daemon.journaling import Journaling
-from walnutpost.daemon.keys import Keys
-from walnutpost.daemon.lists import Lists
-from walnutpost.daemon.meters import Meters
-from walnutpost.daemon.seen import Seen
-from walnutpost.daemon.settings import Functions, SettingsFollowing
+from walnutpost.daemon.deferred import DeferredCalls
+from walnutpost.daemon.deferred_recovery import DeferredRecovery
+from walnutpost.daemon.endpoint_lists import EndpointLists
+from walnutpost.daemon.fleet import CallCountingCore, FleetMembership
+from walnutpost.daemon.keys import CertificateReloader
+from walnutpost.daemon.metering import UsageMetering
+from walnutpost.daemon.replication import JournalReplication
+from walnutpost.daemon.result_purge import ResultPurger
+from walnutpost.daemon.schedule_progress import ScheduleProgressFile
+from walnutpost.daemon.settings_watch import AgreedFunctions, SettingsWatch
 from walnutpost.dispatch import Core
-from walnutpost.eventloop import Loop, Tap, Timeout
+from walnutpost.eventloop import Loop, Tap, Task, Timeout
 from walnutpost.fronts.cron import TimersFront
 from walnutpost.fronts.invoke import InvokeFront, Names, refusal
 from walnutpost.gateway import Gateway
@@ -33,18 +36,21 @@
 from walnutpost.store import ExecutionStore, FiringStore
 from walnutpost.workerclient import Links, LinkSettings
 
-STOP_STEP = 20_000
-STOP_METERS = 2_000_000
+STOP_POLL_INTERVAL_US = 20_000
+STOP_METERING_TIMEOUT_US = 2_000_000
+BYTES_PER_MB = 1 << 20
 
 
 def wall_time() -> int:
+    """Return the time of day in microseconds since the epoch."""
     return time.time_ns() // 1000
 
 
 class Recorder(Tap, Protocol):
-    """A tap that is also told what the front end was told of workers."""
+    """A tap that also records the endpoint lists that the front end was given."""
 
-    def told(self, version: int, lines: list[WorkerLine]) -> None: ...
+    def told(self, version: int, lines: list[WorkerLine]) -> None:
+        """Record a list."""
 
 
 class FrontEnd:
@@ -59,159 +65,279 @@
         base: Path | None = None,
         wall: Callable[[], int] | None = None,
     ) -> None:
-        """`wall` is the time of day for schedules, which may be set; the loop's own time never steps."""
-        front, site = config.front, config.site
-        base = base or Path()
+        """Build all parts and listen. Paths in `config` are relative to `base`.
+
+        `wall` is the time of day for schedules, which may be set; the loop's own time never steps.
+        """
         self._loop = loop
         self._log = log
         self._config = config
+        self._base = base or Path()
+        self._wall = wall or wall_time
+        self._tasks: list[Task[Any]] = []
+        self._build_gateway(tap)
+        self._build_deferred_calls()
+        self.endpoint_lists = EndpointLists(
+            loop, self.core, self.links, config.site, log, tap.told if tap else None
+        )
+        self._spawn_background_tasks()
+        self._build_metering()
+        self._load_endpoint_list()
+        self._build_fleet_membership()
+        self._build_settings_watch()
+        self._build_schedules()
+        self._recover_deferred_calls()
+        self._listen(tap)
+
+    # Builders, in order: each needs those before it
+
+    def _build_gateway(self, tap: Recorder | None) -> None:
+        """Build the catalogue, the connections to workers, and the core that feeds the gateway."""
+        config = self._config
+        front = config.front
         seed = front.seed if front.seed is not None else secrets.randbits(63)
-        settings, self.catalogue = router_settings(config), catalogue(site)
-        followed: Functions | None = None
-        if config.agreement is not None and config.agreement.relays:
-            followed = Functions(self.catalogue.functions, list(site.classes))
-            self.catalogue = replace(self.catalogue, functions=followed, is_changing=True)
+        self._router_settings = router_settings(config)
+        self._build_catalogue()
         gateway = Gateway(
-            settings, self.catalogue, seed, us(front.remember_ms), int(front.remember_mb * (1 << 20))
+            self._router_settings,
+            self.catalogue,
+            seed,
+            us(front.remember_ms),
+            int(front.remember_mb * BYTES_PER_MB),
         )
-        link_settings = LinkSettings(
+        self._build_links(tap)
+        self._counting_core: CallCountingCore | None = None
+        if config.agreement is None or not config.agreement.keepers:
+            self.core = Core(self._loop, gateway, self.links, self._log)
+            return
+        self._counting_core = CallCountingCore(self._loop, gateway, self.links, self._log)
+        self._counting_core.functions = self.catalogue.functions
+        self._counting_core.classes = self._router_settings.classes
+        self.core = self._counting_core
+
+    def _build_catalogue(self) -> None:
+        """Build the catalogue: the configured functions, or the agreed ones as they change."""
+        config = self._config
+        self.catalogue = catalogue(config.site)
+        self._agreed_functions: AgreedFunctions | None = None
+        if config.agreement is not None and config.agreement.relays:
+            classes = list(config.site.classes)
+            self._agreed_functions = AgreedFunctions(self.catalogue.functions, classes)
+            self.catalogue = replace(self.catalogue, functions=self._agreed_functions, is_changing=True)
+
+    def _build_links(self, tap: Recorder | None) -> None:
+        """Build the connections to workers, with certificates that are reloaded."""
+        front = self._config.front
+        site = self._config.site
+        settings = LinkSettings(
             us(front.dial_timeout_ms),
             us(site.order_timeout_ms),
             us(front.connection_idle_ms),
             report_fields=tuple(site.reports),
         )
-        keys = Keys(loop, front.tls, base, wall_time, log) if front.tls is not None else None
-        context = keys.context if keys is not None else None
+        self._certificates: CertificateReloader | None = None
+        if front.tls is not None:
+            self._certificates = CertificateReloader(self._loop, front.tls, self._base, wall_time, self._log)
+        context = self._certificates.context if self._certificates is not None else None
         prefix = f"{front.index}-{secrets.token_hex(6)}"
-        self.links = Links(loop, link_settings, prefix, tap, context, time_of_day=wall or wall_time)
-        self.core = Core(loop, gateway, self.links, log)
-        counted: CountedCore | None = None
-        if config.agreement is not None and config.agreement.keepers:
-            self.core = counted = CountedCore(loop, gateway, self.links, log)
-            counted.functions, counted.classes = self.catalogue.functions, settings.classes
-        self._store = ExecutionStore(loop, base / front.store)
-        self.journaling: Journaling | None = None
+        self.links = Links(self._loop, settings, prefix, tap, context, time_of_day=self._wall)
+
+    def _build_deferred_calls(self) -> None:
+        """Open the store and build the deferred calls, with replication if there is a journal."""
+        config = self._config
+        self._store = ExecutionStore(self._loop, self._base / config.front.store)
+        self.replication: JournalReplication | None = None
         if config.journal is not None:
-            self.journaling = Journaling(loop, config, config.journal, self._store, settings.classes, log)
-        self.deferred = Deferred(
-            loop,
+            classes = self._router_settings.classes
+            self.replication = JournalReplication(
+                self._loop, config, config.journal, self._store, classes, self._log
+            )
+        self.deferred = DeferredCalls(
+            self._loop,
             self.core,
             self._store,
             self.catalogue,
-            us(front.keep_results_ms),
-            log,
-            self.journaling,
+            self._log,
+            self.replication,
         )
-        self.lists = Lists(loop, self.core, self.links, site, log, tap.told if tap else None)
-        self._tasks = [loop.spawn(self.deferred.purge, name="purge")]
-        if self.journaling is not None:
-            self._tasks.append(loop.spawn(self.journaling.run, name="journal"))
-        if keys is not None:
-            self._tasks.append(loop.spawn(keys.follow, self.links, name="keys"))
-        self.meters: Meters | None = None
-        if config.metering is not None:
-            functions = self.catalogue.functions
-            self.meters = Meters(loop, config, config.metering, functions, self.links, log, base)
-            self.core.watch = self.meters
-            self._tasks.append(loop.spawn(self.meters.run, name="meters"))
-        if front.workers_file is not None:
-            path = base / front.workers_file
-            self.lists.read(path, ListKind.CACHED)
-            self._tasks.append(loop.spawn(self.lists.follow, path, us(front.workers_poll_ms), name="list"))
-        else:
-            self.lists.tell(ListKind.CACHED, 0, front.workers)
-        self.following: Following | None = None
-        incarnation = os.environ.get(INCARNATION) or secrets.token_hex(6)
-        if config.agreement is not None and counted is not None:
-            zone = front.zone or "all"
-            kept = base / f"{front.store}.agreed"
-            self.following = Following(loop, config.agreement, zone, counted, self.lists, log, kept)
-            self.following.catch_up()
-            incarnation = self.following.follower.incarnation
-        self.settings: SettingsFollowing | None = None
-        if config.agreement is not None and followed is not None:
-            kept = base / f"{front.store}.table"
-            self.settings = SettingsFollowing(
-                loop, config.agreement, front.zone, incarnation, followed, log, kept
-            )
-            self.settings.catch_up()
+
+    def _spawn_background_tasks(self) -> None:
+        keep_results_us = us(self._config.front.keep_results_ms)
+        purger = ResultPurger(self._loop, self._store, keep_results_us, self._log, self.replication)
+        self._spawn(purger.run, name="purge")
+        if self.replication is not None:
+            self._spawn(self.replication.run, name="journal")
+        if self._certificates is not None:
+            self._spawn(partial(self._certificates.follow, self.links), name="certificates")
+
+    def _build_metering(self) -> None:
+        section = self._config.metering
+        self.metering: UsageMetering | None = None
+        if section is None:
+            return
+        functions = self.catalogue.functions
+        self.metering = UsageMetering(
+            self._loop, self._config, section, functions, self.links, self._log, self._base
+        )
+        self.core.watch = self.metering
+        self._spawn(self.metering.run, name="metering")
+
+    def _load_endpoint_list(self) -> None:
+        """Take the list of workers from its file, which is watched, or from the configuration."""
+        front = self._config.front
+        if front.workers_file is None:
+            self.endpoint_lists.set_configured(ListKind.CACHED, 0, front.workers)
+            return
+        path = self._base / front.workers_file
+        self.endpoint_lists.read_file(path, ListKind.CACHED)
+        watch = partial(self.endpoint_lists.watch_file, path, us(front.workers_poll_ms))
+        self._spawn(watch, name="endpoint list")
+
+    def _build_fleet_membership(self) -> None:
+        """Register with the control plane if there is one, and wait for its list of endpoints."""
+        config = self._config
+        self._incarnation = os.environ.get(INCARNATION) or secrets.token_hex(6)
+        self.fleet: FleetMembership | None = None
+        if config.agreement is None or self._counting_core is None:
+            return
+        self.fleet = FleetMembership(
+            self._loop,
+            config.agreement,
+            config.front.zone or "all",
+            self._counting_core,
+            self.endpoint_lists,
+            self._log,
+            self._base / f"{config.front.store}.agreed",
+        )
+        self.fleet.catch_up()
+        self._incarnation = self.fleet.follower.incarnation
+
+    def _build_settings_watch(self) -> None:
+        """Watch the agreed settings if there are relays, and wait for their first answer."""
+        config = self._config
+        self.settings_watch: SettingsWatch | None = None
+        if config.agreement is None or self._agreed_functions is None:
+            return
+        self.settings_watch = SettingsWatch(
+            self._loop,
+            config.agreement,
+            config.front.zone,
+            self._incarnation,
+            self._agreed_functions,
+            self._log,
+            self._base / f"{config.front.store}.table",
+        )
+        self.settings_watch.catch_up()
+
+    def _build_schedules(self) -> None:
+        front = self._config.front
         firings = FiringStore(self._store)
-        self._seen = Seen(base / f"{front.store}.seen")
+        progress = ScheduleProgressFile(self._base / f"{front.store}.seen")
+        newest_mark = max(firings.load_marks().values(), default=0)
         self.timers = TimersFront(
-            loop,
-            wall or wall_time,
-            own_schedules(config),
+            self._loop,
+            self._wall,
+            own_schedules(self._config),
             self.deferred,
             firings,
-            self._seen.doubtful(max(firings.marks().values(), default=0)),
+            progress.uncertain_until(newest_mark),
             front.firings_at_once,
             front.firings_per_s,
-            log,
-            self._seen.write,
+            self._log,
+            progress.write,
         )
-        self.deferred.also_at_end = firings.ended
+        self.deferred.also_at_end = firings.record_ended
         self.deferred.on_end = self.timers.ended
-        self.recovered = self.deferred.recover(self._functions_known)
-        self._tasks.append(
-            loop.spawn(self.deferred.await_functions, self._functions_known, name="await functions")
+
+    def _recover_deferred_calls(self) -> None:
+        recovery = DeferredRecovery(
+            self._loop, self.core, self._store, self.deferred, self._are_functions_known
         )
+        self.recovered_calls = recovery.recover()
+        self._spawn(recovery.await_functions, name="await functions")
+
+    def _listen(self, tap: Recorder | None) -> None:
+        front = self._config.front
         invoke = InvokeFront(
             self.core,
             self.deferred,
             self.catalogue,
-            settings.classes,
+            self._router_settings.classes,
             Names(),
             us(front.deferred_deadline_ms),
         )
         limits = Limits(front.max_head_bytes, front.max_body_bytes, us(front.head_time_ms))
         address = address_of(front.listen)
-        self.server: Server = serve_on(loop, address, invoke.handle, refusal, limits, tap, "front", log=log)
-        self._tasks.append(loop.spawn(self.timers.run, name="timers"))
-        if self.following is not None:
-            self._tasks.append(loop.spawn(self.following.run, name="following"))
-        also = {"journal": self.journaling.address} if self.journaling is not None else {}
-        log.info("listening", address="{}:{}".format(*self.server.address), recovered=self.recovered, **also)
+        self.server: Server = serve_on(
+            self._loop, address, invoke.handle, refusal, limits, tap, "front", log=self._log
+        )
+        self._spawn(self.timers.run, name="timers")
+        if self.fleet is not None:
+            self._spawn(self.fleet.run, name="fleet")
+        fields: dict[str, object] = {"recovered_calls": self.recovered_calls}
+        if self.replication is not None:
+            fields["journal_address"] = self.replication.address
+        self._log.info("listening", role="front_end", address="{}:{}".format(*self.server.address), **fields)
+
+    def _spawn(self, function: Callable[[], None], name: str) -> None:
+        """Run a task until `stop`."""
+        self._tasks.append(self._loop.spawn(function, name=name))
+
+    # Operation
 
     @property
     def address(self) -> tuple[str, int]:
+        """Where it listens for clients."""
         return self.server.address
 
-    def _functions_known(self) -> bool:
-        """Whether a function that isn't there is none: what is agreed on, where it is followed, was heard."""
-        return self.settings is None or self.settings.known
+    def _are_functions_known(self) -> bool:
+        """Whether a function that isn't there doesn't exist: the agreed settings, if any, were received."""
+        return self.settings_watch is None or self.settings_watch.is_up_to_date
 
     def reload(self, config: Config) -> None:
-        """Takes up the schedules of a changed configuration; what else has changed waits for a restart."""
+        """Apply the schedules of a changed configuration; all other changes need a restart."""
         self.timers.replace(own_schedules(config))
 
     # The end
 
     def stop(self) -> None:
-        """No new connections; open calls get `stop_ms` to end. A deferred call that has not ended by
-        then is on disk; an unsafe one that was being sent will have to be told to have failed."""
+        """Accept no new connections, and give open calls `stop_ms` to end.
+
+        A deferred call that has not ended by then is on disk; an unsafe one that was being sent will fail at
+        the next start.
+        """
         self.server.stop_accepting()
-        until = self._loop.now() + us(self._config.front.stop_ms)
-        while self._busy() and self._loop.now() < until:
-            self._loop.sleep(STOP_STEP)
+        deadline_us = self._loop.now() + us(self._config.front.stop_ms)
+        while self._is_busy() and self._loop.now() < deadline_us:
+            self._loop.sleep(STOP_POLL_INTERVAL_US)
         for task in self._tasks:
             task.cancel()
-        if self.settings is not None:
-            self.settings.stop()
-        if self.journaling is not None:
-            self.journaling.close()
-        if self.meters is not None:
-            try:
-                with self._loop.timeout(STOP_METERS):
-                    self.meters.stop()
-            except Timeout:
-                self._log.warning("metering", why="the last books were not read in time")
-        self._log.info("stopped", open_streams=len(self.server.streams), deferred=self.deferred.open)
-
-    def _busy(self) -> bool:
-        return any(self.server.streams.values()) or self.core.open_calls > 0 or self.deferred.unsaved > 0
+        if self.settings_watch is not None:
+            self.settings_watch.stop()
+        if self.replication is not None:
+            self.replication.close()
+        self._stop_metering()
+        self._log.info(
+            "stopped",
+            open_connections=len(self.server.streams),
+            open_deferred_calls=self.deferred.running,
+        )
+
+    def _stop_metering(self) -> None:
+        if self.metering is None:
+            return
+        try:
+            with self._loop.timeout(STOP_METERING_TIMEOUT_US):
+                self.metering.stop()
+        except Timeout:
+            self._log.warning("usage_final_collection_timed_out")
+
+    def _is_busy(self) -> bool:
+        has_open_calls = any(self.server.streams.values()) or self.core.open_calls > 0
+        return has_open_calls or self.deferred.pending_writes > 0
 
     def close(self) -> None:
-        """After the loop has ended."""
+        """Close the files, after the loop has ended."""
         self._store.close()
-        if self.meters is not None:
-            self.meters.close()
+        if self.metering is not None:
+            self.metering.close()
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -1,4 +1,4 @@
-"""Keys for the way to workers: read at start, and again when their files change."""
+"""Certificates of the connections to workers: read at the start, and again when their files change."""
 
 from __future__ import annotations
 
@@ -12,51 +12,66 @@
 from walnutpost.eventloop import Loop
 from walnutpost.workerclient import Links, contexts
 
-LOOK_EVERY = 1_000_000
+POLL_INTERVAL_US = 1_000_000
 
 
-class Keys:
-    def __init__(self, loop: Loop, line: TlsLine, base: Path, wall: Callable[[], int], log: Any) -> None:
-        """Raises BadKeys: a front end doesn't start with keys that don't fit."""
-        self._loop, self._line, self._base, self._wall, self._log = loop, line, base, wall, log
-        self._names = (line.roots, line.chain, line.key)
-        mark = self._marks()
-        self.context, begins, ends = self._read()
-        self._keeper = Keeper(mark, begins, ends)
+class CertificateReloader:
+    """Reads the files of one `tls` section. Invalid files leave the certificates in use."""
+
+    def __init__(self, loop: Loop, section: TlsLine, base: Path, wall: Callable[[], int], log: Any) -> None:
+        """Raise BadKeys for files that can't be used: a front end doesn't start with these."""
+        self._loop = loop
+        self._section = section
+        self._base = base
+        self._wall = wall
+        self._log = log
+        self._names = (section.roots, section.chain, section.key)
+        mark = self._read_mark()
+        self.context, valid_from, valid_until = self._read()
+        self._keeper = Keeper(mark, valid_from, valid_until)
 
     def follow(self, links: Links) -> None:
-        """Runs until cancelled. New keys are used for new connections; calls that are out end under the old
-        ones."""
+        """Reload changed files; until cancelled.
+
+        New certificates are used for new connections; calls in flight end under the old ones.
+        """
         while True:
-            notice = self._keeper.notice(self._wall())
-            if notice is not None:
-                self._log.warning("keys", ends_in_days=round(notice.left / DAY, 2), why="renew them")
-            self._loop.sleep(LOOK_EVERY)
-            if not self._keeper.looks(self._marks()):
-                continue
-            try:
-                context, begins, ends = self._read()
-            except BadKeys as error:
-                self._log.error("keys", refused=str(error), why="those in use stay")
-                continue
-            self._keeper.accepted(begins, ends)
-            links.renew(context)
-            self._log.info("keys", taken=self._line.roots, chain=self._line.chain)
+            self._warn_before_expiry()
+            self._loop.sleep(POLL_INTERVAL_US)
+            if self._keeper.looks(self._read_mark()):
+                self._reload(links)
+
+    def _warn_before_expiry(self) -> None:
+        notice = self._keeper.notice(self._wall())
+        if notice is not None:
+            self._log.warning("certificate_expiring", expires_in_days=round(notice.left / DAY, 2))
+
+    def _reload(self, links: Links) -> None:
+        try:
+            context, valid_from, valid_until = self._read()
+        except BadKeys as error:
+            self._log.error("certificate_rejected", error=str(error))
+            return
+        self._keeper.accepted(valid_from, valid_until)
+        links.renew(context)
+        self._log.info("certificate_reloaded", roots=self._section.roots, chain=self._section.chain)
 
     def _read(self) -> tuple[ssl.SSLContext, int, int]:
+        """Return a context with the certificates, and from when until when the own one is valid, or zeros."""
         roots, chain, key = (self._base / name if name is not None else None for name in self._names)
         assert roots is not None
-        context, own = contexts.client(roots, chain, key, self._line.oldest, self._wall())
+        context, own = contexts.client(roots, chain, key, self._section.oldest, self._wall())
         return context, own.begins if own else 0, own.ends if own else 0
 
-    def _marks(self) -> Mark:
-        out = []
+    def _read_mark(self) -> Mark:
+        """Return what tells one state of the files from another."""
+        marks = []
         for name in self._names:
             if name is None:
                 continue
             try:
                 stat = (self._base / name).stat()
-                out.append((stat.st_mtime_ns, stat.st_ino, stat.st_size))
+                marks.append((stat.st_mtime_ns, stat.st_ino, stat.st_size))
             except OSError:
-                out.append((0, 0, 0))
-        return tuple(out)
+                marks.append((0, 0, 0))
+        return tuple(marks)
--- /dev/null
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -0,0 +1,263 @@
+"""Usage metering: reads the workers' usage reports, writes the ledger, and enforces budgets."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Iterator, Mapping
+from math import ceil
+from pathlib import Path
+from typing import Any
+
+from walnutpost.config import Config
+from walnutpost.config.model import Metering
+from walnutpost.config.settings import budgets, meter_policy, us
+from walnutpost.eventloop import Group, Loop, Task
+from walnutpost.gateway import AttemptEnded, Function, LoadOrder, LoadOrderEnded, Rejected, Send
+from walnutpost.interface import Outcome
+from walnutpost.metering import HOUR, Budgets, Gap, Ledger, Sight, Size, Standing
+from walnutpost.metering.ledger import DOWN
+from walnutpost.store import StoreError, UsageStore
+from walnutpost.store.usage import LedgerRun
+from walnutpost.workerclient import Links
+
+MAX_CONCURRENT_READS = 16  # workers whose reports are read at the same time
+MAX_LOGGED_INCONSISTENCIES = 5  # of one report
+US_PER_S = 1_000_000
+NO_TENANT = ""
+
+
+class FunctionSizes(Mapping[str, Size]):
+    """Sizes of functions as configured at each lookup. Memory in whole MB, rounded up, as it is metered."""
+
+    def __init__(self, functions: Mapping[str, Function]) -> None:
+        """Look sizes up in `functions`, which may change."""
+        self._functions = functions
+
+    def __getitem__(self, name: str) -> Size:
+        """Return a function's size."""
+        function = self._functions[name]
+        return Size(ceil(function.memory_mb), int(function.lanes), function.load_time_us)
+
+    def __iter__(self) -> Iterator[str]:
+        """Iterate over the functions' names."""
+        return iter(self._functions)
+
+    def __len__(self) -> int:
+        """Return the number of functions."""
+        return len(self._functions)
+
+
+class UsageMetering:
+    """The metering of one front end; it watches the core's calls and orders (dispatch.Watch).
+
+    If the ledger can't be written any more, counting goes on in memory and the log says so: calls go on.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        config: Config,
+        section: Metering,
+        functions: Mapping[str, Function],
+        links: Links,
+        log: Any,
+        base: Path,
+    ) -> None:
+        """Open the ledger. Raises StoreError."""
+        self._loop = loop
+        self._links = links
+        self._log = log
+        self._section = section
+        self._default_tenant = config.site.default_tenant
+        self._keep_alive_us = us(config.site.keep_alive_ms)
+        self._max_deadline_us = max(us(each.deadline_ms) for each in config.site.classes.values())
+        now = loop.now()
+        self._store = UsageStore(loop, base / section.file)
+        saved, last_run = self._store.load()
+        self.ledger = Ledger(meter_policy(section), saved, now)
+        self.sight = Sight(now, FunctionSizes(functions), self._keep_alive_us)
+        self.budgets = Budgets(budgets(section))
+        self._budgets_act = self.budgets.act  # only then are workers with reports sampled, too
+        self._started_us = now
+        self._attempts: dict[tuple[int, int], tuple[str, str, str]] = {}
+        self._logged_inconsistencies: dict[str, list[str]] = {}
+        self._workers_without_reports: set[str] = set()
+        self._store_error = ""
+        self._written_us = 0
+        self._writer: Task[bool] | None = None
+        if last_run.at_risk_mb:
+            self._record_crash_gap(last_run)
+
+    def _record_crash_gap(self, last_run: LedgerRun) -> None:
+        """Record a gap: the last run crashed before its samples of workers without reports were written."""
+        lost_us = us(self._section.write_ms) + self._max_deadline_us + self._keep_alive_us
+        upper_bound = last_run.at_risk_mb * lost_us
+        source = f"front end {last_run.started_us}"  # a stored word
+        self.ledger.gap(Gap(last_run.written_us // HOUR * HOUR, source, DOWN, upper_bound))
+        self._log.warning(
+            "usage_gap_recorded",
+            cause=DOWN,
+            since_us=last_run.written_us,
+            upper_bound_mb_s=upper_bound // US_PER_S,
+        )
+
+    # What the core shows (dispatch.Watch)
+
+    def barred(self, function: str, tenant: str | None) -> Rejected | None:
+        """Return the rejection of a call whose tenant's budget is used up, unless it needs no load."""
+        if not self._budgets_act:
+            return None
+        name = tenant if tenant is not None else self._default_tenant
+        if name is None or self.budgets.standing(name) is not Standing.PAST:
+            return None
+        now = self._loop.now()
+        if self.budgets.lets_in(name, self.sight.stands(now, function)):
+            return None
+        reason = "the tenant's budget of memory is used up, and the call would need a load"
+        return Rejected(reason, self.budgets.ends(name, now))
+
+    def started(self, now: int, start: Send) -> None:
+        """Sample an attempt that is being sent."""
+        if not self._budgets_act and not self.sight.estimates(start.worker):
+            return
+        tenant = start.tenant if start.tenant is not None else NO_TENANT
+        self._attempts[start.call, start.attempt] = (start.worker, start.function, tenant)
+        self.sight.began(now, start.worker, start.function, tenant)
+
+    def done(self, now: int, done: AttemptEnded) -> None:
+        """Sample the end of an attempt."""
+        attempt = self._attempts.pop((done.call, done.attempt), None)
+        if attempt is not None:
+            self.sight.ended(now, *attempt)
+
+    def held(self, now: int, done: LoadOrderEnded) -> None:
+        """Sample the end of a load order."""
+        if done.outcome in (Outcome.OK, Outcome.FULL):
+            self.sight.stood(now, done.worker, done.function, done.copies)
+
+    def lets_order(self, now: int, order: LoadOrder) -> bool:
+        """Whether the budgets of the function's tenants allow a load order."""
+        if not self._budgets_act or order.copies <= 0:
+            return True
+        loaded = self.sight.stands(now, order.function)
+        return self.budgets.lets_order(self.sight.askers(order.function), loaded)
+
+    # Collection
+
+    def run(self) -> None:
+        """Collect periodically; until cancelled."""
+        while True:
+            self._loop.sleep(us(self._section.fetch_ms))
+            self.collect()
+
+    def collect(self) -> None:
+        """Read all reports once, update the budgets, and write the ledger if that is due."""
+        self._read_all_reports()
+        now = self._loop.now()
+        self.ledger.saw(self.sight.take(now))
+        self._update_budgets(now)
+        if now - self._written_us >= us(self._section.write_ms):
+            self.write()
+
+    def _read_all_reports(self) -> None:
+        workers = list(self._links.workers)
+        with Group(self._loop) as group:
+            for _ in range(min(MAX_CONCURRENT_READS, len(workers))):
+                group.spawn(self._read_reports, workers, name="usage")
+
+    def _read_reports(self, workers: list[str]) -> None:
+        """Read reports of workers taken from a list that several tasks share."""
+        while workers:
+            self._read_report(workers.pop())
+
+    def _read_report(self, worker: str) -> None:
+        try:
+            report = self._links.usage(worker, *self.ledger.cursor(worker))
+        except OSError:
+            return  # the ledger accounts for an unreachable worker
+        except ValueError as error:
+            self._log_inconsistencies(worker, [str(error)])
+            return
+        if report is None:
+            self._log_missing_reports(worker)
+            return
+        inconsistencies = self.ledger.take(report, worker, self._loop.now())
+        if self.ledger.reports(worker):
+            self.sight.counts_itself(worker)
+        self._log_inconsistencies(worker, inconsistencies)
+
+    def _log_missing_reports(self, worker: str) -> None:
+        """Log once that a worker's usage is estimated, as it has no reports."""
+        if worker not in self._workers_without_reports:
+            self._workers_without_reports.add(worker)
+            self._log.warning("usage_reports_missing", worker=worker)
+
+    def _log_inconsistencies(self, worker: str, inconsistencies: list[str]) -> None:
+        """Log once, not at every collection; the figures in the texts may change."""
+        kinds = [re.sub(r"\d+", "", text) for text in inconsistencies]
+        if inconsistencies and kinds != self._logged_inconsistencies.get(worker):
+            self._log.warning(
+                "usage_report_inconsistent",
+                worker=worker,
+                inconsistencies=inconsistencies[:MAX_LOGGED_INCONSISTENCIES],
+                omitted=max(0, len(inconsistencies) - MAX_LOGGED_INCONSISTENCIES),
+            )
+        self._logged_inconsistencies[worker] = kinds
+
+    def _update_budgets(self, now: int) -> None:
+        if not self.budgets:
+            return
+        used = {period: self.ledger.used(now // period * period, now) for period in self.budgets.periods}
+        for change in self.budgets.look(now, used):
+            log = self._log.warning if change.now > change.before else self._log.info
+            log(
+                "budget_state_changed",
+                tenant=change.budget.tenant,
+                state=change.now.name,
+                previous_state=change.before.name,
+                used_mb_s=change.used // US_PER_S,
+                limit_mb_s=change.budget.limit // US_PER_S,
+                action=change.budget.action.value,
+            )
+
+    # Writing
+
+    def write(self, is_last: bool = False) -> bool:
+        """Write the ledger; return False if that failed: the same and more is written next time.
+
+        The writing goes on if the caller is cancelled, since what is on disk must be known.
+        """
+        while self._writer is not None and not self._writer.done:
+            self._writer.join()
+        self._writer = self._loop.spawn(self._write, is_last, name="ledger")
+        return self._writer.join()
+
+    def _write(self, is_last: bool) -> bool:
+        now = self._loop.now()
+        batch = self.ledger.batch(now)
+        if batch is None:
+            return True
+        run = LedgerRun(self._started_us, now, 0 if is_last else self.sight.at_risk(now))
+        try:
+            self._store.write(batch, run)
+        except StoreError as error:
+            if not self._store_error:
+                self._log.error("ledger_write_failed", error=str(error))
+            self._store_error = str(error)
+            return False
+        if self._store_error:
+            self._log.info("ledger_write_recovered")
+        self._store_error = ""
+        self._written_us = now
+        self.ledger.written(batch)
+        return True
+
+    def stop(self) -> None:
+        """Collect and write a last time, for as long as the caller lets it."""
+        self._read_all_reports()
+        self.ledger.saw(self.sight.take(self._loop.now()))
+        self.write(is_last=True)
+
+    def close(self) -> None:
+        """Close the ledger, after the loop has ended."""
+        self._store.close()
--- /dev/null
+++ b/packages/daemon/src/walnutpost/daemon/open_calls.py
@@ -0,0 +1,84 @@
+"""The deferred calls of this process that are not finished, indexed by id, name and ticket."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from walnutpost.eventloop import Event, Loop
+from walnutpost.gateway import Execution, Function, NotStored, Rejected, Status
+from walnutpost.journal import QuorumFailed, QuorumReached
+
+
+class OpenCall:
+    """An execution without a durable final status."""
+
+    __slots__ = ("accepted_as", "execution", "function", "rejection", "replication", "settled", "ticket")
+
+    def __init__(self, loop: Loop, execution: Execution, function: Function | None) -> None:
+        """Open a call; `function` is None if it was removed before this process started."""
+        self.execution = execution
+        self.function = function
+        self.accepted_as = execution  # shown while a final status may still be lost with the site
+        self.replication: QuorumReached | QuorumFailed | None = None  # None without a journal
+        self.ticket = 0
+        self.settled = Event(loop)  # set once the store has it, or has rejected it
+        self.rejection: Rejected | NotStored | None = None
+
+    @property
+    def has_quorum(self) -> bool:
+        """Whether no more replicas are required, as none are without a journal."""
+        return not isinstance(self.replication, QuorumFailed)
+
+
+class OpenCalls:
+    """Index of the open calls. An id, and a name among its function's, belong to one call at most."""
+
+    def __init__(self) -> None:
+        """Start empty."""
+        self._by_name: dict[tuple[str, str], OpenCall] = {}
+        self._by_id: dict[str, OpenCall] = {}
+        self._by_ticket: dict[int, OpenCall] = {}
+
+    def __len__(self) -> int:
+        """Return the number of open calls."""
+        return len(self._by_id)
+
+    def __iter__(self) -> Iterator[OpenCall]:
+        """Iterate over all open calls."""
+        return iter(self._by_id.values())
+
+    def add(self, call: OpenCall) -> None:
+        """Add a call under its id and name."""
+        self._by_name[call.execution.function, call.execution.name] = call
+        self._by_id[call.execution.id] = call
+
+    def remove(self, call: OpenCall) -> None:
+        """Free the call's id and name."""
+        self._by_name.pop((call.execution.function, call.execution.name), None)
+        self._by_id.pop(call.execution.id, None)
+
+    def by_id(self, execution_id: str) -> OpenCall | None:
+        """Return the call with an execution id."""
+        return self._by_id.get(execution_id)
+
+    def by_name(self, function: str, name: str) -> OpenCall | None:
+        """Return the call with a name among its function's."""
+        return self._by_name.get((function, name))
+
+    def by_ticket(self, ticket: int) -> OpenCall | None:
+        """Return the call that the gateway knows by a ticket."""
+        return self._by_ticket.get(ticket)
+
+    def set_ticket(self, call: OpenCall, ticket: int) -> None:
+        """Make a call known by the ticket of its dispatch."""
+        call.ticket = ticket
+        self._by_ticket[ticket] = call
+
+    def clear_ticket(self, call: OpenCall) -> None:
+        """Forget the ticket of a dispatch that has ended."""
+        self._by_ticket.pop(call.ticket, None)
+
+    @property
+    def running(self) -> int:
+        """The number of calls without a final status."""
+        return sum(call.execution.status is Status.RUNNING for call in self)
--- /dev/null
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -0,0 +1,323 @@
+"""Replication of deferred calls to other sites: which lines a call needs, and how many replicas it waits for.
+
+Times in lines are stored time (store/stored_time.py), so that one number purges lines of before and after a
+step of the wall clock, here and at the replicas, which know nothing of the step. No synchronous call passes
+through this module.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import replace
+from functools import partial
+from typing import Any
+
+from walnutpost.config import Config
+from walnutpost.config.base import address_of
+from walnutpost.config.journal import CopiesLine, Journal
+from walnutpost.config.settings import us
+from walnutpost.eventloop import Loop
+from walnutpost.fronts.calls import Unreached
+from walnutpost.gateway import Execution, Function, Rejected, Status
+from walnutpost.interface import RequestClass
+from walnutpost.journal import (
+    AttemptIntended,
+    CallAccepted,
+    CallEnded,
+    CallStage,
+    CallState,
+    CallWithdrawn,
+    IntervalSet,
+    JournalBatch,
+    MergedJournal,
+    QuorumFailed,
+    QuorumReached,
+    ReplicaHost,
+    ReplicationPolicy,
+    ResultsPurged,
+    choose_replicas,
+    plan_batch_write,
+)
+from walnutpost.replication import ReplicaServer, ReplicationSender, query_call, recover_batches
+from walnutpost.store import ExecutionStore, JournalStore, LineAppend
+
+CHECK_INTERVAL_US = 500_000  # between two checks whether a replica is unreachable for too long
+AVOID_FACTOR = 10  # a replica that was replaced is avoided for so many times `replace_after_ms`
+BYTES_PER_MB = 1 << 20
+
+
+class JournalReplication:
+    """The journal of one front end: replicates its own lines, and serves as a replica of others' journals."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        config: Config,
+        section: Journal,
+        executions: ExecutionStore,
+        classes: tuple[RequestClass, ...],
+        log: Any,
+    ) -> None:
+        """Listen, and recover lines that only replicas have, before any line is numbered."""
+        self._loop = loop
+        self._section = section
+        self._log = log
+        self._classes = classes
+        self._requirements = [section.classes.get(name, CopiesLine()) for name in config.site.classes]
+        self._strictest = max(self._requirements, key=_strictness)
+        self._hosts = {
+            holder.name: ReplicaHost(holder.name, holder.region, holder.zone) for holder in section.holders
+        }
+        self._avoided_until_us: dict[str, int] = {}
+        self._unreachable_since_us: dict[str, int] = {}
+        self._executions = executions
+        self.store = JournalStore(loop, executions, section.name)
+        self.server = ReplicaServer(loop, self.store, address_of(section.listen), log)
+        self._addresses: dict[str, Callable[[], tuple[str, int]]] = {
+            holder.name: partial(address_of, holder.address) for holder in section.holders
+        }
+        self._other_addresses = {
+            name: address for name, address in self._addresses.items() if name != section.name
+        }
+        self._timeout_us = us(section.answer_ms)
+        self._recover_lost_lines()
+        replicas = self._choose_replicas()
+        policy = _replication_policy(section)
+        self.sender = ReplicationSender(
+            loop, self.store, self._addresses, replicas, policy, self._timeout_us, log
+        )
+
+    # Recovery
+
+    def _recover_lost_lines(self) -> None:
+        """Take back the lines and calls that replicas have beyond this disk, before anything is numbered.
+
+        The disk may be older than its replicas: restored from a backup, or it lost durable lines.
+        """
+        own = self.store.own_origin
+        last = self.store.offsets[own]
+        batches, unreachable = recover_batches(self._loop, self._other_addresses, own, last, self._timeout_us)
+        if unreachable:
+            self._log.warning("journal_recovery_incomplete", unreachable=sorted(unreachable))
+        if not batches:
+            return
+        calls = self._write_recovered(batches)
+        withdrawn = [call_id for call_id, call in calls.items() if call.stage is CallStage.WITHDRAWN]
+        recovered = [_execution_of(call) for call_id, call in calls.items() if call_id not in withdrawn]
+        self._executions.replace_recovered(
+            [self._executions.with_epoch_times(each) for each in recovered if each is not None], withdrawn
+        )
+        self._log.error("journal_recovered", after_sequence=last, calls=len(calls))
+
+    def _write_recovered(self, batches: list[JournalBatch]) -> dict[str, CallState]:
+        """Write the batches to the own journal; return the state of each call that they are about."""
+        merged = MergedJournal()
+        for batch in sorted(batches, key=lambda batch: batch.after):
+            write = plan_batch_write(self.store.offsets, batch)
+            if write is not None:
+                self.store.write_batch(write)
+            merged.add(IntervalSet(), batch.lines)
+        recovered_ids = set(merged.calls)
+        covered, lines = self.store.read_journal(self.store.own_origin)
+        merged.add(covered, lines)  # of these calls, what the disk had besides
+        return {call_id: merged.calls[call_id] for call_id in recovered_ids}
+
+    # Choice of replicas
+
+    def _choose_replicas(self) -> tuple[str, ...]:
+        now = self._loop.now()
+        hosts = [host for host in self._hosts.values() if self._avoided_until_us.get(host.name, 0) <= now]
+        return choose_replicas(self._hosts[self._section.name], hosts)
+
+    def run(self) -> None:
+        """Replace replicas that stay unreachable, for a while; until cancelled."""
+        replicas = self._choose_replicas()
+        while True:
+            self._loop.sleep(CHECK_INTERVAL_US)
+            self._avoid_unreachable()
+            chosen = self._choose_replicas()
+            if chosen != replicas:
+                self._log.warning("journal_replicas_changed", previous=replicas, current=chosen)
+                replicas = chosen
+                self.sender.assign(replicas)
+
+    def _avoid_unreachable(self) -> None:
+        now = self._loop.now()
+        replace_after_us = us(self._section.replace_after_ms)
+        for name, is_reachable in self.sender.state.reachability().items():
+            since_us = self._unreachable_since_us.setdefault(name, now)
+            if is_reachable:
+                del self._unreachable_since_us[name]
+            elif now - since_us >= replace_after_us:
+                self._avoided_until_us[name] = now + AVOID_FACTOR * replace_after_us
+                del self._unreachable_since_us[name]
+
+    @property
+    def address(self) -> str:
+        """Where this front end serves as a replica, as IP:PORT."""
+        return "{}:{}".format(*self.server.server.address)
+
+    def close(self) -> None:
+        """Accept no more connections, and send nothing more."""
+        self.server.server.stop_accepting()
+        self.sender.close()
+
+    # Quorums
+
+    def _requirement_of(self, function: Function | None) -> CopiesLine:
+        """Return what the function's class requires; the strictest class's if the function was removed."""
+        return self._requirements[function.class_index] if function is not None else self._strictest
+
+    def admission_error(self, function: Function, size_bytes: int) -> Rejected | None:
+        """Return the rejection of a call that can't be replicated now as its class requires, else None."""
+        required = self._requirement_of(function)
+        accepts_fewer = _accepts_fewer(required)
+        retry_after_us = self.sender.state.retry_after_us(required.copies, accepts_fewer, size_bytes)
+        if retry_after_us is None:
+            return None
+        return Rejected(f"{required.copies} copies at other sites can't be made now", retry_after_us)
+
+    def wait_for_quorum(
+        self,
+        append: LineAppend,
+        function: Function | None,
+        time_left_us: int,
+        until_deadline: bool = False,
+    ) -> QuorumReached | QuorumFailed:
+        """Wait until a committed line has the quorum that the call's class requires.
+
+        No longer than `copy_wait_ms`, or, with `until_deadline`, than `time_left_us` if that is more. If the
+        class accepts fewer replicas, any number is a quorum.
+        """
+        self.lines_persisted(append)
+        required = self._requirement_of(function)
+        accepts_fewer = _accepts_fewer(required)
+        max_wait_us = us(self._section.copy_wait_ms)
+        timeout_us = min(max(time_left_us, 0), max_wait_us)
+        if until_deadline:
+            timeout_us = max(time_left_us, max_wait_us)
+        result = self.sender.wait_for_quorum(append.line.seq, required.copies, accepts_fewer, timeout_us)
+        if accepts_fewer:
+            return QuorumReached(result.token, result.replicas)
+        return result
+
+    def lines_persisted(self, append: LineAppend) -> None:
+        """Start the replication of a committed line."""
+        self.store.mark_durable(append)
+        self.sender.lines_persisted(append.line.seq, append.line.size_bytes)
+
+    # Queries
+
+    def find_call(self, call_id: str) -> Execution | None:
+        """Return a call that another front end accepted, as journals here and at other sites tell it.
+
+        Raises Unreached if none knows it, and some did not answer.
+        """
+        merged = MergedJournal()
+        unreachable: list[str] = []
+        merged.add(IntervalSet(), self.store.read_call_lines(call_id))
+        call = merged.calls.get(call_id, CallState())
+        if call.stage is not CallStage.ENDED:  # its origin, or another replica, may know more
+            lines, unreachable = query_call(self._loop, self._other_addresses, call_id, self._timeout_us)
+            merged.add(IntervalSet(), lines)
+            call = merged.calls.get(call_id, CallState())
+        execution = None if call.stage is CallStage.WITHDRAWN else _execution_of(call)
+        if execution is None and unreachable and call.stage is CallStage.UNKNOWN:
+            raise Unreached(
+                f"no site that can be reached knows it; not asked: {', '.join(sorted(unreachable))}"
+            )
+        return execution
+
+    # Lines, to be committed together with the change that they record
+
+    def append_accepted(self, execution: Execution, function: Function) -> LineAppend:
+        """Return the line of a call that is being accepted."""
+        required = self._requirement_of(function)
+        to_stored = self._executions.clock.to_stored
+        return self.store.new_append(
+            CallAccepted(
+                execution.id,
+                execution.name,
+                execution.function,
+                execution.version,
+                execution.tenant,
+                execution.payload,
+                execution.digest,
+                to_stored(execution.accepted_at),
+                to_stored(execution.expires_at),
+                self._classes[function.class_index].effect.value,
+                0 if _accepts_fewer(required) else required.copies,
+            )
+        )
+
+    def append_intended(self, execution: Execution, attempt: int, worker: str) -> LineAppend:
+        """Return the line of an attempt that is about to be sent."""
+        return self.store.new_append(AttemptIntended(execution.id, attempt, worker))
+
+    def append_withdrawn(self, execution: Execution) -> LineAppend:
+        """Return the line of a call that is rejected after it was stored."""
+        return self.store.new_append(CallWithdrawn(execution.id))
+
+    def append_ended(self, execution: Execution) -> LineAppend:
+        """Return the line of a call's final status."""
+        ended_at_us = self._executions.clock.to_stored(execution.ended_at)
+        record = CallEnded(
+            execution.id,
+            execution.status.value,
+            ended_at_us,
+            execution.result,
+            execution.error_type,
+            execution.error_message,
+        )
+        return self.store.new_append(record)
+
+    def append_purged(self, before_us: int) -> LineAppend:
+        """Return the line of a purge of all calls that ended before a time."""
+        return self.store.new_append(ResultsPurged(self._executions.clock.to_stored(before_us)))
+
+
+def _replication_policy(section: Journal) -> ReplicationPolicy:
+    return ReplicationPolicy(
+        replica_timeout_us=us(section.lost_after_ms),
+        retry_interval_us=us(section.pause_ms),
+        max_backlog_bytes=int(section.backlog_mb * BYTES_PER_MB),
+    )
+
+
+def _strictness(requirement: CopiesLine) -> tuple[bool, int]:
+    return requirement.without == "refuse", requirement.copies
+
+
+def _accepts_fewer(requirement: CopiesLine) -> bool:
+    """Whether a call is accepted with fewer replicas than its class asks for."""
+    return requirement.without == "less"
+
+
+def _execution_of(call: CallState) -> Execution | None:
+    """Return the call in its origin's stored time; None if the line of its acceptance is not known."""
+    accepted = call.accepted
+    if accepted is None:
+        return None
+    execution = Execution(
+        accepted.call_id,
+        accepted.name,
+        accepted.function,
+        accepted.version,
+        accepted.tenant,
+        accepted.payload,
+        accepted.digest,
+        accepted.accepted_at_us,
+        accepted.expires_at_us,
+        bool(call.intents),
+    )
+    ended = call.ended
+    if ended is None:
+        return execution
+    return replace(
+        execution,
+        status=Status(ended.status),
+        ended_at=ended.ended_at_us,
+        result=ended.result,
+        error_type=ended.error_type,
+        error_message=ended.error_message,
+    )
--- /dev/null
+++ b/packages/daemon/src/walnutpost/daemon/result_purge.py
@@ -0,0 +1,48 @@
+"""Purging of old results of deferred calls, here and in the replicas of the journal."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from walnutpost.daemon.replication import JournalReplication
+from walnutpost.eventloop import Loop
+from walnutpost.store import ExecutionStore, StoreError
+
+PURGE_INTERVAL_US = 60_000_000
+
+
+class ResultPurger:
+    """Deletes executions that ended longer ago than `keep_results_us`."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        store: ExecutionStore,
+        keep_results_us: int,
+        log: Any,
+        replication: JournalReplication | None,
+    ) -> None:
+        """Purge `store`, and with `replication` the journal."""
+        self._loop = loop
+        self._store = store
+        self._keep_results_us = keep_results_us
+        self._log = log
+        self._replication = replication
+
+    def run(self) -> None:
+        """Purge now and after each PURGE_INTERVAL_US; until cancelled."""
+        while True:
+            try:
+                self._purge()
+            except StoreError as error:
+                self._log.error("store_failed", operation="purge", error=str(error))
+            self._loop.sleep(PURGE_INTERVAL_US)
+
+    def _purge(self) -> None:
+        before_us = self._loop.now() - self._keep_results_us
+        if self._replication is None:
+            self._store.purge(before_us)
+            return
+        line = self._replication.append_purged(before_us)
+        self._store.purge(before_us, line)
+        self._replication.lines_persisted(line)
--- /dev/null
+++ b/packages/daemon/src/walnutpost/daemon/settings_watch.py
@@ -0,0 +1,307 @@
+"""The front end's watch of the agreed settings: it applies new settings of functions without a restart.
+
+The settings come from relays. No call waits for any of it.
+"""
+
+from __future__ import annotations
+
+import copy
+from collections import OrderedDict
+from collections.abc import Callable, Iterator, Mapping, Sequence
+from pathlib import Path
+from random import Random
+from typing import Any
+
+from immutables import Map
+
+from walnutpost.config.base import address_of
+from walnutpost.config.entries import FUNCTION, function_of
+from walnutpost.config.model import Agreement
+from walnutpost.configstore import ApplyOutcome, ConfigStore, Entry, InvalidSnapshotError, WatchState
+from walnutpost.configstore.relay_selection import RelaySelector
+from walnutpost.eventloop import Loop, Task, remove_leftovers, replace_file
+from walnutpost.gateway import Function
+from walnutpost.watch import Watcher
+
+SECOND = 1_000_000
+MAX_DECODED_FUNCTIONS = 1024  # functions whose entries are cache_file decoded: some 400 KB
+VALIDATION_BATCH = 50  # entries of a table, a millisecond, before other tasks run
+FIRST_ANSWER_TIMEOUT_US = SECOND  # how long a start waits for a relay
+WRITE_INTERVAL_US = 30 * SECOND  # between two writings of the table: 38,000 functions take 80 ms of a core
+WRITE_RETRY_US = SECOND  # after a write that failed
+MAX_REASON_CHARS = 300  # it is sent with each watch request until a revision can be applied
+
+
+class AgreedFunctions(Mapping[str, Function]):
+    """The functions of the agreed table at one revision, decoded at their first lookup.
+
+    As long as the table has none, the configured functions.
+    """
+
+    def __init__(self, own: Mapping[str, Function], classes: Sequence[str]) -> None:
+        """Start with `own`; `classes` are names in the order of the gateway's settings."""
+        self._own = own
+        self.classes = tuple(classes)
+        self.entries: Map[str, Entry] = Map()
+        self._count = 0
+        self._decoded: OrderedDict[str, tuple[Entry, Function]] = OrderedDict()
+
+    def put(self, entries: Map[str, Entry], count: int) -> None:
+        """Replace all entries at once: a reader sees the former revision or this one.
+
+        `count` is the number of functions among the entries, each of which `decode` accepts.
+        """
+        self.entries = entries
+        self._count = count
+
+    def decode(self, name: str, entry: Entry) -> Function:
+        """Decode an entry. Raises ValueError if the front end can't apply it."""
+        return function_of(name, entry.value, self.classes)
+
+    def __getitem__(self, name: str) -> Function:
+        """Return a function. Raises KeyError."""
+        if not self._count:
+            return self._own[name]
+        decoded = self._decoded
+        entry = self.entries.get(FUNCTION + name)
+        known = decoded.get(name)
+        if entry is None:
+            raise KeyError(name)
+        if known is not None and known[0] is entry:
+            decoded.move_to_end(name)
+            return known[1]
+        function = self.decode(name, entry)
+        decoded[name] = entry, function
+        decoded.move_to_end(name)
+        if len(decoded) > MAX_DECODED_FUNCTIONS:
+            decoded.popitem(last=False)
+        return function
+
+    def __iter__(self) -> Iterator[str]:
+        """Iterate over the functions' names."""
+        if not self._count:
+            return iter(self._own)
+        return (key[len(FUNCTION) :] for key in self.entries if key.startswith(FUNCTION))
+
+    def __len__(self) -> int:
+        """Return the number of functions."""
+        return self._count or len(self._own)
+
+
+class SettingsWatch:
+    """Validates each revision of the table, and applies those that the front end can act on.
+
+    Classes, tenants and all else come from the configuration file. A function with an unknown class blocks
+    its revision and later ones, until a later one corrects it; the reason is reported to the relays.
+    `_apply` is the only place where other settings are put in use: all of one revision, without waiting.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        line: Agreement,
+        zone: str | None,
+        incarnation: str,
+        functions: AgreedFunctions,
+        log: Any,
+        cache_file: Path,
+    ) -> None:
+        """Load the table as last applied from `cache_file`; an invalid one is logged, and not used."""
+        self._loop = loop
+        self._functions = functions
+        self._log = log
+        self._cache_file = cache_file
+        self.follower = self._load_cache(line.member, incarnation)
+        regions = {name: line.relay_zones.get(name, "") for name in line.relays}
+        choice = RelaySelector(line.member, regions, zone or "", Random())
+        servers = {name: _address_getter(address) for name, address in line.relays.items()}
+        self.watcher = Watcher(loop, servers, self.follower, choice, self._on_outcome, log)
+        self._validated_entries = functions.entries  # the state that these three describe:
+        self._count = 0  # functions
+        self._errors_by_key: dict[str, str] = {}  # by key, why the front end can't apply it
+        self._changed_keys: set[str] = set()  # keys, since `_validated_entries`
+        self._must_validate_all = False  # the table was replaced
+        self._validation: Task[None] | None = None
+        self._reported_reason = ""
+        self._applied_table: ConfigStore | None = None
+        self._written_revision = 0  # revision of the file
+        self._write_failed = False
+        self._writer: Task[None] | None = None
+        self._watch_task: Task[None] | None = None
+
+    @property
+    def is_stale(self) -> bool:
+        """Whether no leader has confirmed the applied revision within 9 s."""
+        return self.follower.is_stale(self._loop.now())
+
+    @property
+    def is_up_to_date(self) -> bool:
+        """Whether this process has received and validated all that was agreed on."""
+        return self.watcher.is_complete and self._validation is None
+
+    # Start and end
+
+    def catch_up(self) -> None:
+        """Apply the cached table, and what a relay answers within FIRST_ANSWER_TIMEOUT_US."""
+        if self.follower.store.revision:
+            self._written_revision = self.follower.store.revision
+            self._on_outcome(ApplyOutcome(is_replaced=True))
+            if self._validation is not None:
+                self._validation.join()
+        self._watch_task = self._loop.spawn(self.watcher.run, name="settings")
+        until = self._loop.now() + FIRST_ANSWER_TIMEOUT_US
+        while self._loop.now() < until and not self.is_up_to_date:
+            self._loop.sleep(10_000)
+
+    def stop(self) -> None:
+        """Stop watching, and write the applied table if it isn't on disk yet."""
+        self.watcher.stop()
+        if self._validation is not None:
+            self._validation.cancel()
+        if self._writer is not None:
+            self._writer.cancel()
+        self._write()
+
+    # Changes. _on_outcome is called between a watch response and the next request, which acknowledges it
+
+    def _on_outcome(self, taken: ApplyOutcome) -> None:
+        self._must_validate_all |= taken.is_replaced
+        self._changed_keys.update(op.key for change in taken.changes for op in change.mutations)
+        self._changed_keys.update(taken.repaired_keys)
+        if taken.repaired_keys:
+            self._written_revision = 0  # what was written may have been wrong, too
+        if self._validation is not None:
+            return  # it will validate these, too
+        if self._must_validate_all:
+            self._validation = self._loop.spawn(self._validate_all, name="judge settings")
+        else:
+            self._apply()
+
+    def _validate_all(self) -> None:
+        """Validate all functions of a replaced table, a few at a time."""
+        try:
+            while self._must_validate_all:
+                self._must_validate_all = False
+                entries = self.follower.store.entries
+                self._count, self._errors_by_key = self._validate_entries(entries)
+                self._validated_entries = entries
+        finally:
+            self._validation = None
+        self._apply()
+
+    def _validate_entries(self, entries: Map[str, Entry]) -> tuple[int, dict[str, str]]:
+        """Return how many functions there are, and the errors of those that can't be applied."""
+        count = 0
+        errors: dict[str, str] = {}
+        applied = self._functions.entries
+        for key, entry in entries.items():
+            if not key.startswith(FUNCTION):
+                continue
+            count += 1
+            if count % VALIDATION_BATCH == 0:
+                self._loop.breathe()
+                if self._must_validate_all:
+                    break  # replaced once more
+            former = applied.get(key)
+            if former is not None and former.value == entry.value:
+                continue
+            error = self._validation_error(entry)
+            if error:
+                errors[key] = error
+        return count, errors
+
+    def _validation_error(self, entry: Entry) -> str:
+        """Return why the front end can't apply an entry, "" if it can."""
+        try:
+            self._functions.decode(entry.key[len(FUNCTION) :], entry)
+        except ValueError as error:
+            return str(error)
+        return ""
+
+    def _apply(self) -> None:
+        """Validate what has changed since `_validated_entries`, and apply the revision if it is valid."""
+        table = self.follower.store
+        for key in self._changed_keys:
+            if key.startswith(FUNCTION):
+                self._validate_key(key, table.entries.get(key))
+        self._changed_keys.clear()
+        self._validated_entries = table.entries
+        if self._errors_by_key:
+            self._report_blocked(table.revision)
+            return
+        if self._validated_entries is not self._functions.entries:
+            self._functions.put(self._validated_entries, self._count)
+        if table.revision > self.follower.applied_revision:
+            self.follower.mark_applied(table.revision)
+            self._reported_reason = ""
+            self._log.info("config_applied", revision=table.revision, functions=self._count)
+        if table.revision > self._written_revision:
+            self._schedule_write(table)
+
+    def _validate_key(self, key: str, entry: Entry | None) -> None:
+        self._count += (entry is not None) - (key in self._validated_entries)
+        error = self._validation_error(entry) if entry is not None else ""
+        if error:
+            self._errors_by_key[key] = error
+        else:
+            self._errors_by_key.pop(key, None)
+
+    def _report_blocked(self, revision: int) -> None:
+        reason = next(iter(self._errors_by_key.values()))[:MAX_REASON_CHARS]
+        if len(self._errors_by_key) > 1:
+            reason += f"; and {len(self._errors_by_key) - 1} more"
+        self.follower.mark_blocked(revision, reason)
+        if reason != self._reported_reason:
+            self._reported_reason = reason
+            applied = self.follower.applied_revision
+            self._log.warning("config_blocked", revision=revision, reason=reason, applied_revision=applied)
+
+    # On disk, for a start without relays
+
+    def _load_cache(self, member: str, incarnation: str) -> WatchState:
+        now = self._loop.now()
+        remove_leftovers(self._cache_file)
+        try:
+            return WatchState.restore(self._cache_file.read_bytes(), member, incarnation, now)
+        except FileNotFoundError:
+            pass
+        except (OSError, InvalidSnapshotError) as error:
+            self._log.warning("config_cache_ignored", file=self._cache_file.name, error=str(error))
+        return WatchState(member, incarnation, now)
+
+    def _schedule_write(self, table: ConfigStore) -> None:
+        """Write the table's present state later. A shallow copy is enough: change sets replace its parts."""
+        self._applied_table = copy.copy(table)
+        if self._writer is None:
+            self._writer = self._loop.spawn(self._write_pending, name="write settings")
+
+    def _write_pending(self) -> None:
+        """Write until nothing is left, at most once each WRITE_INTERVAL_US."""
+        try:
+            while self._write():
+                self._loop.sleep(WRITE_RETRY_US if self._write_failed else WRITE_INTERVAL_US)
+        finally:
+            self._writer = None
+
+    def _write(self) -> bool:
+        """Return False if there was nothing to write. After a failed write a start may need the relays."""
+        table = self._applied_table
+        if table is None or table.revision <= self._written_revision:
+            return False
+        try:
+            self._loop.blocking(_write_snapshot, self._cache_file, table)
+        except OSError as error:
+            self._log.warning("config_cache_write_failed", error=str(error))
+            self._write_failed = True
+        else:
+            self._written_revision = table.revision
+            self._write_failed = False
+        return True
+
+
+def _write_snapshot(path: Path, table: ConfigStore) -> None:
+    replace_file(path, table.snapshot())
+
+
+def _address_getter(address: str) -> Callable[[], tuple[str, int]]:
+    return lambda: address_of(address)
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -136,7 +136,7 @@
             if w.name != name or not changed.get("gone")
         ]
         self.version += 1
-        self.front.lists.tell(ListKind.FULL, self.version, self.lines)
+        self.front.endpoint_lists.set_configured(ListKind.FULL, self.version, self.lines)
 
     def audit(self) -> Verdict:
         """What the audit says of the captures, by the honest configuration."""
--- a/packages/daemon/tests/test_kept_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -10,12 +10,12 @@
 from disk_faults import scripted_files
 from fleet_rig import SECOND, Log
 from test_functions_gone import killed
-from test_taking_up import Followed, put
+from test_settings_watch import Followed, put
 from walnutpost.config.model import Agreement
 from walnutpost.configstore import ConfigStore
 from walnutpost.controlplane.wire import Told
-from walnutpost.daemon.fleet import Following
-from walnutpost.daemon.seen import Seen
+from walnutpost.daemon.fleet import FleetMembership
+from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.fleet import CommandResult
 from walnutpost.fleet.endpoints import EndpointSnapshot
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_a_table_that_can_t_be_written_is_written_within_two_seconds_of_the_fault_s_end(
+def test_table_cache_when_writes_fail_is_written_within_two_seconds_of_the_fault_s_end(
     tmp_path: Path, call: str
 ) -> None:
     f, path = Followed(tmp_path), tmp_path / "calls.db.table"
@@ -45,7 +45,7 @@
     f.play(script)
 
 
-def test_what_a_kill_left_of_a_table_s_writing_is_removed_and_the_former_used(tmp_path: Path) -> None:
+def test_table_cache_after_a_kill_while_writing_is_the_former_without_leftovers(tmp_path: Path) -> None:
     f, path = Followed(tmp_path), tmp_path / "calls.db.table"
 
     def script() -> None:
@@ -64,19 +64,19 @@
     def __init__(self) -> None:
         self.agreed_on = 0
 
-    def agreed(self, follower: Any) -> None:
+    def set_agreed(self, follower: Any) -> None:
         self.agreed_on += 1
 
 
-def following(loop: Loop, path: Path, lists: Lists, log: Log) -> Following:
+def following(loop: Loop, path: Path, lists: Lists, log: Log) -> FleetMembership:
     line = Agreement.model_validate({"member": "f0", "keepers": {"k1": "127.0.0.1:1"}, "report_ms": 200})
     core: Any = None
     listed: Any = lists
-    return Following(loop, line, "a", core, listed, log, path)
+    return FleetMembership(loop, line, "a", core, listed, log, path)
 
 
 @pytest.mark.parametrize("content", [b"", b"\x92\x05", b"\xff"])
-def test_a_torn_agreed_list_is_said_and_not_used(tmp_path: Path, content: bytes) -> None:
+def test_endpoint_cache_when_torn_is_logged_and_not_used(tmp_path: Path, content: bytes) -> None:
     loop, log, lists, path = Loop(VirtualClock()), Log(), Lists(), tmp_path / "calls.db.agreed"
     path.write_bytes(content)
 
@@ -87,20 +87,18 @@
 
     loop.run(script)
     assert lists.agreed_on == 0
-    assert [told["why"] for event, told in log.lines if "calls.db.agreed is not used" in told["why"]]
+    assert [f["file"] for event, f in log.lines if event == "endpoint_cache_ignored"] == ["calls.db.agreed"]
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_an_agreed_list_that_can_t_be_written_is_written_with_a_later_report(
-    tmp_path: Path, call: str
-) -> None:
+def test_endpoint_cache_when_writes_fail_is_written_with_a_later_report(tmp_path: Path, call: str) -> None:
     loop, lists, path = Loop(VirtualClock()), Lists(), tmp_path / "calls.db.agreed"
 
     def script() -> None:
         first = following(loop, path, lists, Log())
         first._report = lambda: False  # type: ignore[method-assign]
         files.fails[call] = 3
-        first._take_up(Told(CommandResult(True, 1), sight=EndpointSnapshot(5, ())))
+        first._apply(Told(CommandResult(True, 1), sight=EndpointSnapshot(5, ())))
         task = loop.spawn(first.run)
         loop.sleep(2 * SECOND)
         task.cancel()
@@ -115,17 +113,17 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_the_newest_due_time_is_written_by_the_next_call(tmp_path: Path, call: str) -> None:
-    seen = Seen(tmp_path / "seen")
+def test_schedule_progress_when_a_write_fails_is_written_by_the_next_call(tmp_path: Path, call: str) -> None:
+    seen = ScheduleProgressFile(tmp_path / "seen")
     with scripted_files() as files:
         files.fails[call] = 1
         with pytest.raises(OSError):
             seen.write(7, 70)
         seen.write(7, 80)
-    assert Seen(tmp_path / "seen").doubtful(6) == 80
+    assert ScheduleProgressFile(tmp_path / "seen").uncertain_until(6) == 80
 
 
 @pytest.mark.parametrize("content", [b"", b"7", b"\xff\xff", b"7 x"])
-def test_a_torn_file_of_the_newest_due_time_shows_nothing(tmp_path: Path, content: bytes) -> None:
+def test_schedule_progress_when_torn_shows_nothing(tmp_path: Path, content: bytes) -> None:
     (tmp_path / "seen").write_bytes(content)
-    assert Seen(tmp_path / "seen").doubtful(6) == 0
+    assert ScheduleProgressFile(tmp_path / "seen").uncertain_until(6) == 0
--- a/packages/daemon/tests/test_clock_steps.py
+++ b/packages/daemon/tests/test_clock_steps.py
@@ -11,10 +11,10 @@
 
 from fleet_rig import SECOND, Fleet
 from test_functions_gone import ARN, EVENT, fate, killed
-from test_journaling import Sites
+from test_journal_replication import Sites
 from walnutpost.eventloop import BootTime, Loop, VirtualClock
 from walnutpost.http import Response
-from walnutpost.journal import Reached
+from walnutpost.journal import CallStage
 
 MINUTE, HOUR = 60 * SECOND, 3600 * SECOND
 EPOCH = 1_700_000_000 * SECOND
@@ -38,7 +38,7 @@
     def script() -> tuple[list[Response], Response]:
         ended = [f.invoke("price", b"%d" % n, x_amz_invocation_type=EVENT) for n in range(ENDED_CALLS)]
         f.until(lambda: all(fate(f, told)["Status"] == "SUCCEEDED" for told in ended))
-        f.front.lists.tell(f.front.lists._base[0], 1, [])  # type: ignore[index]
+        f.front.endpoint_lists.set_configured(f.front.endpoint_lists._configured[0], 1, [])  # type: ignore[index]
         own = base64.b64encode(b'{"custom": {"deadline-ms": %d}}' % (OPEN_SPAN // 1000)).decode()
         left = f.invoke("price", b"9", x_amz_invocation_type=EVENT, x_amz_client_context=own)
         assert left.status == 202
@@ -57,7 +57,7 @@
 @pytest.mark.parametrize("downtime", [0, 5 * MINUTE])
 @pytest.mark.parametrize("same_boot", [True, False])
 @pytest.mark.parametrize("step", [-HOUR, 0, HOUR])
-def test_a_step_over_a_restart_loses_no_fate_and_ends_no_open_call(
+def test_clock_step_over_a_restart_loses_no_result_and_ends_no_open_call(
     tmp_path: Path, step: int, same_boot: bool, downtime: int
 ) -> None:
     f = Fleet(tmp_path, MORE, clock=VirtualClock(EPOCH, BootTime("a", HOUR)))
@@ -70,7 +70,7 @@
         assert fate(g, left)["Status"] == "RUNNING"
         g.loop.sleep(3 * MINUTE)
         assert [fate(g, told)["Status"] for told in ended] == ["SUCCEEDED"] * ENDED_CALLS
-        g.front.lists.tell(g.front.lists._base[0], 1, g.lines)  # type: ignore[index]
+        g.front.endpoint_lists.set_configured(g.front.endpoint_lists._configured[0], 1, g.lines)  # type: ignore[index]
         g.until(lambda: fate(g, left)["Status"] == "SUCCEEDED")
         g.loop.sleep(12 * MINUTE)  # nothing is kept for ever
         assert {asked(g, told) for told in [*ended, left]} == {404}
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR, 0, HOUR])
-def test_a_downtime_within_one_boot_counts_whole_whatever_the_clock_was_set_to(
+def test_downtime_within_one_boot_counts_exactly_whatever_the_clock_was_set_to(
     tmp_path: Path, step: int
 ) -> None:
     f = Fleet(tmp_path, MORE, clock=VirtualClock(EPOCH, BootTime("a", HOUR)))
@@ -118,26 +118,26 @@
     def lived(self) -> int:
         return self.loop.boot_time().since_boot_us - HOUR
 
-    def fates(self) -> list[Reached]:
+    def fates(self) -> list[CallStage]:
         """What a1's holders know of its calls without it."""
-        return [call.reached for call in self.joined("a1", "b1", "c1").kept().values()]
+        return [call.stage for call in self.joined("a1", "b1", "c1").live_calls().values()]
 
 
 @pytest.mark.parametrize("step", [-HOUR, 0, HOUR])
-def test_holders_keep_the_copies_of_calls_as_long_as_the_origin_does(tmp_path: Path, step: int) -> None:
+def test_replicas_after_a_clock_step_purge_calls_when_the_origin_does(tmp_path: Path, step: int) -> None:
     first = SteppedSites(tmp_path)
 
     def before() -> None:
         told = [first.defer("a1", "price", f"n{n}") for n in range(4)]
         first.until(lambda: {first.status("a1", r) for r in told} == {"SUCCEEDED"})
-        first.until(lambda: first.fates() == [Reached.ENDED] * 4)
+        first.until(lambda: first.fates() == [CallStage.ENDED] * 4)
 
     first.play(before)
     second = SteppedSites(tmp_path, first.lived, step)
 
     def after() -> None:
         second.loop.sleep(3 * MINUTE)  # purged some times since
-        assert second.fates() == [Reached.ENDED] * 4
+        assert second.fates() == [CallStage.ENDED] * 4
         second.loop.sleep(8 * MINUTE)  # lines go by their call's deadline, which is soon here
         assert second.fates() == []
 
@@ -145,9 +145,7 @@
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
-def test_an_open_call_taken_back_from_holders_has_the_time_left_that_it_had(
-    tmp_path: Path, step: int
-) -> None:
+def test_open_call_recovered_from_replicas_has_its_former_time_left(tmp_path: Path, step: int) -> None:
     old = tmp_path / "old"
     lives = [SteppedSites(tmp_path)]
     lives[0].play(lambda: lives[0].loop.sleep(MINUTE))
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -19,14 +19,14 @@
 from walnutpost.config.model import CallClass, FunctionLine, TenantLine
 from walnutpost.configstore import ConfigStore, Mutation
 from walnutpost.daemon.front_end import FrontEnd
-from walnutpost.daemon.seen import Seen
-from walnutpost.daemon.settings import _write_snapshot as write_table
+from walnutpost.daemon.schedule_progress import ScheduleProgressFile
+from walnutpost.daemon.settings_watch import _write_snapshot as write_table
 from walnutpost.eventloop.clock import VirtualClock
 from walnutpost.fleet import EndpointSnapshot
 from walnutpost.fleet.endpoints import Endpoint as SeenWorker
 from walnutpost.gateway import Execution, Status
 from walnutpost.metering import HOUR
-from walnutpost.store import history
+from walnutpost.store import read_history
 
 GOLDEN = Path(__file__).parent / "golden"
 NOBODY = "127.0.0.1:1"  # nothing listens there: neither a keeper nor a relay is heard of
@@ -75,7 +75,7 @@
 
 
 def write_seen(path: Path) -> None:
-    Seen(path).write(NEWEST, WRITTEN)
+    ScheduleProgressFile(path).write(NEWEST, WRITTEN)
 
 
 def write_agreed(path: Path) -> None:
@@ -108,21 +108,21 @@
     return tmp_path
 
 
-def test_marks_tables_and_lists_are_written_as_before() -> None:
+def test_files_of_a_front_end_when_written_equal_the_golden_files() -> None:
     assert_as_golden(golden_files())
 
 
-def test_each_field_of_the_agreed_list_is_told() -> None:
+def test_golden_endpoint_list_sets_every_field() -> None:
     assert_every_field_tells(AGREED)
     assert_every_field_tells(AGREED.workers[0])
 
 
-def test_the_mark_of_before_shows_an_older_store(folder: Path) -> None:
-    seen = Seen(folder / "calls.db.seen")
-    assert seen.doubtful(NEWEST - 1) == WRITTEN and seen.doubtful(NEWEST) == 0
+def test_schedule_progress_when_read_from_a_golden_file_shows_an_older_store(folder: Path) -> None:
+    seen = ScheduleProgressFile(folder / "calls.db.seen")
+    assert seen.uncertain_until(NEWEST - 1) == WRITTEN and seen.uncertain_until(NEWEST) == 0
 
 
-def test_a_front_end_takes_up_the_whole_folder(folder: Path) -> None:
+def test_front_end_when_started_on_a_golden_folder_recovers_all_of_it(folder: Path) -> None:
     holder = {"name": "front-0", "address": NOBODY, "region": "east", "zone": "a"}
     copies = {name: {"copies": 0, "without": "less"} for name in SITE.classes}
     more = {
@@ -137,22 +137,22 @@
         agreed_list_is_told(front)
         settings_are_told(front)
         journals_are_told(front)
-        assert front.meters is not None
-        assert front.meters.ledger.statement(NOW - HOUR, START) == stored.BOOKED[NOW - HOUR]
+        assert front.metering is not None
+        assert front.metering.ledger.statement(NOW - HOUR, START) == stored.BOOKED[NOW - HOUR]
         # A file without time marks: how long nobody ran is not known, so no time counts as passed since then.
         offset_us = START - max(
             max(e.accepted_at, e.ended_at) for e in [*stored.CALLS, *stored.ENDED.values()]
         )
         for ended in stored.ENDED.values():
-            assert front.deferred.fate(ended.function, ended.id) == stored.shifted(ended, offset_us)
+            assert front.deferred.status(ended.function, ended.id) == stored.shifted(ended, offset_us)
 
         def fate(execution: Execution) -> Execution:
-            found = front.deferred.fate(execution.function, execution.id)
+            found = front.deferred.status(execution.function, execution.id)
             assert found is not None
             return found
 
         waiting = [e for e in stored.CALLS if e.status is Status.RUNNING]
-        assert front.recovered == len(waiting)
+        assert front.recovered_calls == len(waiting)
         f.until(lambda: all(fate(e).status is not Status.RUNNING for e in waiting))
         for execution in waiting:  # one that may have run is not run again
             found = fate(execution)
@@ -163,7 +163,7 @@
         front.stop()
 
     f.run(script)
-    assert {row.schedule: row.status for row in history(folder / stored.CALLS_FILE, None, 100)} == {
+    assert {row.schedule: row.status for row in read_history(folder / stored.CALLS_FILE, None, 100)} == {
         "nightly": "SUCCEEDED",
         "lost": "REFUSED",
         "hourly": "FAILED",
@@ -175,26 +175,26 @@
 
 
 def agreed_list_is_told(front: FrontEnd) -> None:
-    assert front.following is not None
-    follower = front.following.follower
+    assert front.fleet is not None
+    follower = front.fleet.follower
     assert follower.snapshot == AGREED and follower.applied_index == AGREED.index
 
 
 def settings_are_told(front: FrontEnd) -> None:
-    assert front.settings is not None
-    table = front.settings.follower.store
+    assert front.settings_watch is not None
+    table = front.settings_watch.follower.store
     assert {key: entry.value for key, entry in table.entries.items()} == entries_of(SITE)
     assert {entry.revision for entry in table.entries.values()} == {7}
     assert (table.revision, table.digest) == (12, agreed_table().digest)
-    assert front.settings.follower.applied_revision == 12
+    assert front.settings_watch.follower.applied_revision == 12
     assert front.catalogue.functions["price"].version == "7"
 
 
 def journals_are_told(front: FrontEnd) -> None:
-    assert front.journaling is not None
-    journal = front.journaling.store
-    assert journal.own == stored.OWN and journal.known[stored.OTHER] == stored.OTHER_UPTO
-    assert front.journaling.elsewhere("id-far") == Execution(
+    assert front.replication is not None
+    journal = front.replication.store
+    assert journal.own_origin == stored.OWN and journal.offsets[stored.OTHER] == stored.OTHER_UPTO
+    assert front.replication.find_call("id-far") == Execution(
         id="id-far",
         name="name-far",
         function="price",
@@ -211,10 +211,10 @@
         error_type="Unhandled",
         error_message="message",
     )
-    assert front.journaling.elsewhere("id-gone") is None
+    assert front.replication.find_call("id-gone") is None
 
 
-def test_a_call_s_digest_is_made_as_before(tmp_path: Path) -> None:
+def test_digest_of_a_call_equals_the_golden_one(tmp_path: Path) -> None:
     """It is stored: another one would make the same name a conflict after an upgrade."""
     f = Fleet(tmp_path)
 
--- a/packages/daemon/tests/test_lists.py
+++ b/packages/daemon/tests/test_endpoint_lists.py
@@ -12,7 +12,7 @@
 EVERY = SECOND  # well beyond the front end's own looking
 
 
-def test_a_list_file_is_followed_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
+def test_list_file_when_replaced_is_published_and_when_invalid_changes_nothing(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path, {"front": {"workers_file": "list.json"}})
     path = tmp_path / "list.json"
 
@@ -35,7 +35,7 @@
         ):
             write(version, rows, text)
             assert fleet.invoke("price").status == 200
-        told = [line["error"] for event, line in fleet.log.lines if event == "worker list"]
+        told = [line["error"] for event, line in fleet.log.lines if event == "worker_list_rejected"]
         assert len(told) == 5 and "version 1 is older than 2" in told[2]  # each once, the missing file too
         write(4, [line | {"state": "draining"} for line in lines])
         assert fleet.invoke("price").status == 429
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -11,13 +11,13 @@
 import pytest
 
 from fleet_rig import SECOND, Fleet
-from test_journaling import RUN, Sites
+from test_journal_replication import RUN, Sites
 from walnutpost.config import Config
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.gateway import Execution, Function
 from walnutpost.http import Response
-from walnutpost.journal import Reached
-from walnutpost.store import Change, history
+from walnutpost.journal import CallStage
+from walnutpost.store import Change, read_history
 
 EVENT = "Event"
 ARN = "x-amz-durable-execution-arn"
@@ -44,7 +44,7 @@
     f.front.close()
 
 
-def test_an_open_deferred_call_outlives_its_function(tmp_path: Path) -> None:
+def test_open_deferred_call_when_its_function_is_removed_still_runs(tmp_path: Path) -> None:
     f = Fleet(tmp_path, {"fleet": {"work": {"reserve": {"work_ms": 1000}}}})
 
     def script() -> None:
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("gone", [True, False])
-def test_what_changes_while_a_call_is_written_down_does_not_reach_it(tmp_path: Path, gone: bool) -> None:
+def test_call_being_stored_when_its_function_changes_runs_the_former_one(tmp_path: Path, gone: bool) -> None:
     """It is accepted under one version: it runs, and is answered, as that."""
     f = Fleet(tmp_path)
 
@@ -87,7 +87,7 @@
 def left_open(f: Fleet, function: str, sent: bool) -> Response:
     """A deferred call that the process is killed with, before or after its first byte left."""
     if not sent:
-        f.front.lists.tell(f.front.lists._base[0], 1, [])  # type: ignore[index]
+        f.front.endpoint_lists.set_configured(f.front.endpoint_lists._configured[0], 1, [])  # type: ignore[index]
     told = f.invoke(function, x_amz_invocation_type=EVENT)
     assert told.status == 202
     if sent:
@@ -114,7 +114,7 @@
         ("price", True, "no longer configured"),
     ],
 )
-def test_a_restart_without_the_function_tells_what_is_known_of_its_calls(
+def test_restart_without_the_function_gives_its_calls_their_final_status(
     tmp_path: Path, function: str, sent: bool, why: str
 ) -> None:
     f = Fleet(tmp_path, {"fleet": {"work": {function: {"work_ms": 2000}}}})
@@ -123,7 +123,7 @@
         told = left_open(f, function, sent)
         f.front_config = without(function)(f.front_config)
         f.front = f.start_front()
-        f.until(lambda: f.front.deferred.unsaved == 0)
+        f.until(lambda: f.front.deferred.pending_writes == 0)
         said = fate(f, told)
         assert said["Status"] == "FAILED" and why in said["Error"]["ErrorMessage"]
         f.loop.sleep(3 * SECOND)
@@ -132,7 +132,7 @@
     f.run(script)
 
 
-def test_an_unsafe_call_that_was_sent_is_not_run_again_because_its_function_is_safe_now(
+def test_sent_unsafe_call_after_a_restart_is_not_run_again_though_its_function_is_safe_now(
     tmp_path: Path,
 ) -> None:
     f = Fleet(tmp_path, {"fleet": {"work": {"reserve": {"work_ms": 1000}}}})
@@ -144,7 +144,7 @@
         site = f.front_config.site.model_copy(update={"functions": lines})
         f.front_config = f.front_config.model_copy(update={"site": site})
         f.front = f.start_front()
-        f.until(lambda: f.front.deferred.unsaved == 0)
+        f.until(lambda: f.front.deferred.pending_writes == 0)
         assert "may have been running" in fate(f, told)["Error"]["ErrorMessage"]
         f.loop.sleep(3 * SECOND)
         assert f.runs("reserve") == 1
@@ -152,7 +152,7 @@
     f.run(script)
 
 
-def test_with_a_journal_the_fate_of_a_function_that_is_gone_is_copied_too(tmp_path: Path) -> None:
+def test_result_of_a_removed_function_s_call_is_replicated_too(tmp_path: Path) -> None:
     """Its class isn't known any more: as many holders know its fate as the strictest class asks for."""
     sites = Sites(tmp_path, copies=1)
 
@@ -165,16 +165,16 @@
         front.close()
         sites.front_config = without(RUN)(sites.front_config)
         sites.start("a1")
-        sites.until(lambda: sites.fronts["a1"].deferred.unsaved == 0)
+        sites.until(lambda: sites.fronts["a1"].deferred.pending_writes == 0)
         sites.loop.sleep(SECOND)
         call = sites.call(sites.joined("a1", "b1", "c1"), "one")
-        assert call.reached is Reached.ENDED and call.ended is not None
+        assert call.stage is CallStage.ENDED and call.ended is not None
         assert call.ended.status == "FAILED"
 
     sites.play(script)
 
 
-def test_a_schedule_whose_function_is_gone_fires_again_once_it_is_back(tmp_path: Path) -> None:
+def test_schedule_when_its_function_is_removed_fires_again_once_it_is_back(tmp_path: Path) -> None:
     lines = {"look": {"cron": "* * * * *", "function": "price", "deadline_ms": 20_000}}
     f = Fleet(tmp_path, {"schedules": lines})
 
@@ -188,5 +188,5 @@
         assert f.runs("price") >= 1
 
     f.run(script)
-    statuses = [row.status for row in history(tmp_path / "calls.db", None, 100)]
+    statuses = [row.status for row in read_history(tmp_path / "calls.db", None, 100)]
     assert statuses.count("REFUSED") >= 1 and statuses.count("SUCCEEDED") == f.runs("price")
--- a/packages/daemon/tests/test_journaling.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -16,7 +16,7 @@
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.faultinjection.mesh import Relay
 from walnutpost.http import Connection, Response
-from walnutpost.journal import Call, Joined, Reached
+from walnutpost.journal import CallStage, CallState, MergedJournal
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
 ARN = "x-amz-durable-execution-arn"
@@ -52,7 +52,7 @@
 
     def listens(self, name: str) -> tuple[str, int] | None:
         front = self.fronts.get(name)
-        return None if front is None or front.journaling is None else address_of(front.journaling.address)
+        return None if front is None or front.replication is None else address_of(front.replication.address)
 
     def start(self, name: str) -> None:
         holders = [
@@ -96,22 +96,24 @@
     def status(self, at: str, response: Response) -> str:
         return str(json.loads(self.ask_status(at, response).body)["Status"])
 
-    def joined(self, origin: str, *holders: str) -> Joined:
+    def joined(self, origin: str, *holders: str) -> MergedJournal:
         """What the holders' copies of an origin's journal say together."""
-        found = Joined()
+        found = MergedJournal()
         for holder in holders:
-            journaling = self.fronts[holder].journaling
-            assert journaling is not None
-            for journal in [j for j in journaling.store.known if j.startswith(f"{origin}#")]:
-                found.take(*journaling.store.held(journal))
+            replication = self.fronts[holder].replication
+            assert replication is not None
+            for journal in [j for j in replication.store.offsets if j.startswith(f"{origin}#")]:
+                found.add(*replication.store.read_journal(journal))
         return found
 
-    def call(self, joined: Joined, name: str) -> Call:
+    def call(self, joined: MergedJournal, name: str) -> CallState:
         return next(c for c in joined.calls.values() if c.accepted is not None and c.accepted.name == name)
 
 
 @pytest.mark.parametrize(("copies", "holders"), [(1, 1), (2, 2)])
-def test_what_was_accepted_outlives_its_site_with_its_fate(tmp_path: Path, copies: int, holders: int) -> None:
+def test_accepted_calls_when_their_site_is_lost_are_at_replicas_with_their_results(
+    tmp_path: Path, copies: int, holders: int
+) -> None:
     sites = Sites(tmp_path, copies=copies)
 
     def script() -> None:
@@ -126,13 +128,13 @@
             assert {sites.status(site, r) for r in told.values()} == {"SUCCEEDED"}
         for part in (["b1", "c1"],) if holders == 1 else (["b1"], ["c1"]):
             joined = sites.joined("a1", *part)
-            assert {c.reached for c in joined.kept().values()} == {Reached.ENDED} and not joined.gaps
-            assert len(joined.kept()) == 12
+            assert {c.stage for c in joined.live_calls().values()} == {CallStage.ENDED} and not joined.gaps
+            assert len(joined.live_calls()) == 12
 
     sites.play(script)
 
 
-def test_nothing_is_accepted_nor_sent_that_its_holder_has_not(tmp_path: Path) -> None:
+def test_calls_when_no_replica_is_reachable_are_neither_accepted_nor_sent(tmp_path: Path) -> None:
     """The holders are cut off while a call waits for its copy: its client hears that it is not sure, and an
     unsafe one is not sent before a holder has its intent."""
     sites = Sites(tmp_path, copy_wait_ms=500)
@@ -154,13 +156,15 @@
         assert sites.defer("a1", "price", "after").status == 202
         joined = sites.joined("a1", "b1", "c1")
         # Its time was over before an intent could be copied: it never left, and is known to have ended.
-        assert sites.runs(RUN) == 1 and sites.call(joined, "unsure").reached is Reached.ENDED
+        assert sites.runs(RUN) == 1 and sites.call(joined, "unsure").stage is CallStage.ENDED
         assert not [c for c in joined.calls.values() if c.accepted and c.accepted.name == "never"]
 
     sites.play(script)
 
 
-def test_a_class_may_do_with_less_and_its_answer_says_so(tmp_path: Path) -> None:
+def test_class_that_accepts_fewer_replicas_accepts_calls_and_answers_with_their_number(
+    tmp_path: Path,
+) -> None:
     sites = Sites(tmp_path, copies=2, without="less")
 
     def script() -> None:
@@ -179,12 +183,12 @@
         sites.loop.sleep(10 * SECOND)
         for holder in ("b1", "c1"):  # resumed by number, nothing lacking
             joined = sites.joined("a1", holder)
-            assert not joined.gaps and sites.call(joined, "alone").reached is Reached.ENDED
+            assert not joined.gaps and sites.call(joined, "alone").stage is CallStage.ENDED
 
     sites.play(script)
 
 
-def test_a_holder_that_stays_away_gives_way_and_one_with_a_new_disk_is_sent_all(tmp_path: Path) -> None:
+def test_replica_when_unreachable_is_replaced_and_with_a_new_disk_is_sent_all(tmp_path: Path) -> None:
     sites = Sites(tmp_path, copies=2, replace_after_ms=3000)
 
     def script() -> None:
@@ -194,7 +198,7 @@
         sites.loop.sleep(SECOND // 4)
         sites.start("b1")
         sites.loop.sleep(3 * SECOND)
-        assert sites.call(sites.joined("a1", "b1"), "one").reached is Reached.ENDED
+        assert sites.call(sites.joined("a1", "b1"), "one").stage is CallStage.ENDED
         sites.lose("b1")
         sites.loop.sleep(8 * SECOND)
         refused = sites.defer("a1", RUN, "two")  # two sites are left, and two copies wanted besides its own
@@ -206,7 +210,7 @@
     sites.play(script)
 
 
-def test_a_fate_is_the_same_at_each_site_and_unknown_only_where_all_were_asked(
+def test_status_is_equal_at_each_site_and_unknown_only_if_all_were_asked(
     tmp_path: Path,
 ) -> None:
     sites = Sites(tmp_path, copies=2)
@@ -227,7 +231,7 @@
 
 
 @pytest.mark.parametrize("reached", [True, False])
-def test_an_origin_with_an_old_disk_takes_back_what_holders_have_or_numbers_nothing(
+def test_origin_with_an_old_disk_recovers_from_replicas_or_accepts_nothing(
     tmp_path: Path, reached: bool
 ) -> None:
     sites = Sites(tmp_path, copies=2)
@@ -251,7 +255,7 @@
         shutil.copy(tmp_path / "a1.db", old)
         two = sites.defer("a1", RUN, "two")
         sites.loop.sleep(3 * SECOND)
-        assert sites.runs(RUN) == 2 and len(sites.joined("a1", "b1").kept()) == 2
+        assert sites.runs(RUN) == 2 and len(sites.joined("a1", "b1").live_calls()) == 2
         if not reached:
             sites.relays["b1"].cut()
             sites.relays["c1"].cut()
@@ -263,13 +267,13 @@
             sites.loop.sleep(3 * SECOND)
             for holder in ("b1", "c1"):
                 joined = sites.joined("a1", holder)
-                assert not joined.gaps and len(joined.kept()) == 3
+                assert not joined.gaps and len(joined.live_calls()) == 3
             assert sites.runs(RUN) == 3
         else:
             sites.relays["b1"].heal()
             sites.relays["c1"].heal()
             sites.loop.sleep(3 * SECOND)
             assert sites.defer("a1", RUN, "three").status == 429
-            assert any("this disk does not" in line.get("why", "") for _, line in sites.log.lines)
+            assert any(event == "journal_diverged" for event, _ in sites.log.lines)
 
     sites.play(script)
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -10,12 +10,12 @@
 import pytest
 
 from fleet_rig import SECOND, Fleet
-from walnutpost.daemon.meters import Meters
+from walnutpost.daemon.metering import UsageMetering
 from walnutpost.eventloop import VirtualClock
 from walnutpost.faultinjection.usage import true_usage
 from walnutpost.gateway import LoadOrder
 from walnutpost.metering import HOUR, UNATTRIBUTED, Account, Amount, Batch, Gap, added
-from walnutpost.store.usage import Run
+from walnutpost.store.usage import LedgerRun
 
 MINUTE = 60 * SECOND
 START = 300 * HOUR - 15 * SECOND  # an hour ends soon
@@ -26,15 +26,15 @@
     return Fleet(path, {"metering": metering, **more}, clock=VirtualClock(clock))
 
 
-def meters(f: Fleet) -> Meters:
-    assert f.front.meters is not None
-    return f.front.meters
+def meters(f: Fleet) -> UsageMetering:
+    assert f.front.metering is not None
+    return f.front.metering
 
 
-def metered(f: Fleet, of: Meters | None = None) -> dict[Account, Amount]:
+def metered(f: Fleet, of: UsageMetering | None = None) -> dict[Account, Amount]:
     """All that the ledger knows, of every hour from the first."""
     m = of or meters(f)
-    m.look()
+    m.collect()
     hours = range(START // HOUR * HOUR - HOUR, f.loop.now() + HOUR, HOUR)
     return added(m.ledger.statement(hour // HOUR * HOUR, f.loop.now()) for hour in hours)
 
@@ -66,7 +66,7 @@
         f.loop.sleep(SECOND // 4)
 
 
-def test_what_is_metered_is_what_the_workers_recorded(tmp_path: Path) -> None:
+def test_metered_usage_equals_what_the_workers_recorded(tmp_path: Path) -> None:
     f = fleet(tmp_path)
 
     def script() -> None:
@@ -78,11 +78,11 @@
     f.run(script)
 
 
-def covered(f: Fleet, *ledgers: Meters) -> None:
+def covered(f: Fleet, *ledgers: UsageMetering) -> None:
     """The truth lies within what each ledger says, and what is charged to anybody is no more than it."""
     true = truth(f)
     for m in ledgers or (meters(f),):
-        m.look()
+        m.collect()
         known = metered(f, m)
         total = added([{Account("", ""): a} for a in known.values()])[Account("", "")]
         assert total.least <= sum(true.values()) <= total.most
@@ -91,7 +91,7 @@
                 assert amount.best <= true[account.tenant, account.function] + 400 * 200
 
 
-def test_a_worker_that_dies_leaves_a_gap_that_covers_what_it_did_not_report(tmp_path: Path) -> None:
+def test_worker_when_killed_leaves_a_gap_that_covers_its_unreported_usage(tmp_path: Path) -> None:
     f = fleet(tmp_path, metering={"silent_ms": 5000})
 
     def script() -> None:
@@ -118,7 +118,7 @@
     f.front = f.start_front()
 
 
-def test_a_front_end_killed_mid_period_counts_on_where_it_was(tmp_path: Path) -> None:
+def test_front_end_when_killed_continues_its_counts(tmp_path: Path) -> None:
     f = fleet(tmp_path)
 
     def script() -> None:
@@ -131,7 +131,7 @@
     f.run(script)
 
 
-def test_a_writing_whose_waiter_is_cancelled_is_not_written_again(tmp_path: Path) -> None:
+def test_ledger_write_when_its_caller_is_cancelled_is_not_repeated(tmp_path: Path) -> None:
     f = fleet(tmp_path, metering={"write_ms": 600_000})
 
     def script() -> None:
@@ -140,7 +140,7 @@
         store = meters(f)._store
         commit = store.write
 
-        def cancelled_meanwhile(batch: Batch, run: Run) -> None:
+        def cancelled_meanwhile(batch: Batch, run: LedgerRun) -> None:
             waiter.cancel()
             commit(batch, run)
 
@@ -148,14 +148,14 @@
         waiter = f.loop.spawn(meters(f).write)
         f.until(lambda: waiter.done)
         assert meters(f).write()
-        booked = added(meters(f)._store.saved()[0].booked.values())
+        booked = added(meters(f)._store.load()[0].booked.values())
         stated = meters(f).ledger.statement(START // HOUR * HOUR, f.loop.now())
         assert booked == {a: m for a, m in stated.items() if m} and booked
 
     f.run(script)
 
 
-def test_two_front_ends_with_half_of_the_calls_each_count_each_copy_once(tmp_path: Path) -> None:
+def test_two_front_ends_with_half_of_the_calls_count_each_copy_once(tmp_path: Path) -> None:
     f = fleet(tmp_path)
 
     def script() -> None:
@@ -172,7 +172,7 @@
     f.run(script)
 
 
-def test_workers_without_books_are_estimated_within_bounds_also_over_a_kill(tmp_path: Path) -> None:
+def test_workers_without_reports_are_estimated_within_bounds_also_over_a_kill(tmp_path: Path) -> None:
     f = fleet(tmp_path)
 
     def script() -> None:
@@ -189,7 +189,7 @@
     f.run(script)
 
 
-def test_a_full_disk_stops_no_call_and_loses_nothing(tmp_path: Path) -> None:
+def test_ledger_when_the_disk_is_full_stops_no_call_and_loses_nothing(tmp_path: Path) -> None:
     f = fleet(tmp_path)
 
     def script() -> None:
@@ -203,8 +203,8 @@
         assert not meters(f).write()
         traffic(f, 4)
         assert f.invoke("price").status == 200
-        complaints = [told for event, told in f.log.lines if event == "metering" and "store" in told]
-        assert len(complaints) == 1 and "full" in complaints[0]["store"]
+        complaints = [fields for event, fields in f.log.lines if event == "ledger_write_failed"]
+        assert len(complaints) == 1 and "full" in complaints[0]["error"]
         db.execute("pragma max_page_count=1000000")
         assert meters(f).write()
         agree(f)
@@ -222,7 +222,7 @@
 
 
 @pytest.mark.parametrize("name", LIES)
-def test_a_report_that_is_no_use_is_said_once_and_calls_go_on(name: str, tmp_path: Path) -> None:
+def test_report_when_invalid_is_logged_once_and_calls_go_on(name: str, tmp_path: Path) -> None:
     lie, complaint = LIES[name]
     f = fleet(tmp_path)
 
@@ -231,7 +231,7 @@
             server.lies = lie
         assert f.invoke("price").status == 200
         f.loop.sleep(5 * SECOND)
-        told = [t["contradictions"] for event, t in f.log.lines if event == "metering"]
+        told = [t["inconsistencies"] for event, t in f.log.lines if event == "usage_report_inconsistent"]
         assert len(told) == 3 and all(complaint in notes[0] for notes in told)
 
     f.run(script)
@@ -242,7 +242,7 @@
     return fleet(path, 300 * HOUR - MINUTE, metering={"budgets": {"trade": budget}})
 
 
-def test_past_its_budget_a_tenant_gets_no_new_loads_and_others_and_open_calls_do(tmp_path: Path) -> None:
+def test_tenant_past_its_budget_gets_no_new_loads_and_others_and_open_calls_do(tmp_path: Path) -> None:
     f = past_budget(tmp_path, "refuse new loads")
 
     def script() -> None:
@@ -251,8 +251,8 @@
             lambda: f.invoke("reserve", x_amz_tenant_id="trade", amz_sdk_invocation_id="8")
         )
         f.loop.sleep(100_000)
-        meters(f).look()
-        assert [t["now"] for event, t in f.log.lines if event == "budget"] == ["PAST"]
+        meters(f).collect()
+        assert [t["state"] for event, t in f.log.lines if event == "budget_state_changed"] == ["PAST"]
         # What is in goes on, asked for again or not; what stands serves; a new load is refused at once.
         again = f.invoke(
             "reserve", x_amz_tenant_id="trade", amz_sdk_invocation_id="8", amz_sdk_request="attempt=2"
@@ -269,13 +269,13 @@
         assert deferred.status == 429
         assert f.invoke("price", b"3", x_amz_tenant_id="tills").status == 200
         f.loop.sleep(MINUTE)
-        meters(f).look()
+        meters(f).collect()
         assert f.invoke("price", b"3", x_amz_tenant_id="trade").status == 200
 
     f.run(script)
 
 
-def test_past_its_budget_a_tenant_alone_gets_no_further_copies(tmp_path: Path) -> None:
+def test_tenant_past_its_budget_alone_gets_no_further_copies(tmp_path: Path) -> None:
     for action, scaled in (("no ahead loads", False), ("note", True)):
         path = tmp_path / action.replace(" ", "-")
         path.mkdir()
@@ -283,7 +283,7 @@
 
         def script(f: Fleet = f, scaled: bool = scaled) -> None:
             f.invoke("price", x_amz_tenant_id="trade")
-            meters(f).look()
+            meters(f).collect()
             orders, send = [], f.front.links.order
 
             def order(effect: LoadOrder, done: Any) -> None:
--- a/packages/daemon/tests/test_taking_up.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -19,7 +19,13 @@
 from walnutpost.config.entries import FUNCTION, entries_of, value_of
 from walnutpost.config.model import FunctionLine
 from walnutpost.configstore import ConfigStore, Entry, Mutation
-from walnutpost.daemon.settings import DECODED_MOST, JUDGED_AT_ONCE, KEEP_EVERY, Functions, SettingsFollowing
+from walnutpost.daemon.settings_watch import (
+    MAX_DECODED_FUNCTIONS,
+    VALIDATION_BATCH,
+    WRITE_INTERVAL_US,
+    AgreedFunctions,
+    SettingsWatch,
+)
 from walnutpost.gateway import Function
 from walnutpost.http import Connection, Response
 from walnutpost.interface import RequestArrived, WorkersListed
@@ -93,9 +99,9 @@
         self.front_config = self.front_config.model_copy(update={"site": site})
 
     @property
-    def settings(self) -> SettingsFollowing:
-        assert self.front.settings is not None
-        return self.front.settings
+    def settings(self) -> SettingsWatch:
+        assert self.front.settings_watch is not None
+        return self.front.settings_watch
 
     def change(self, *ops: Mutation) -> int:
         """Agreed on, and in force at the front end."""
@@ -112,7 +118,7 @@
         return sum(name == event and part in repr(told) for name, told in self.log.lines)
 
 
-def test_new_settings_hold_from_the_next_call_and_touch_nothing_else(tmp_path: Path) -> None:
+def test_new_settings_apply_from_the_next_call_and_change_nothing_else(tmp_path: Path) -> None:
     f = Followed(tmp_path, {"fleet": {"work": {"price": {"work_ms": 1000}}}})
 
     def script() -> None:
@@ -127,10 +133,8 @@
 
         router.handle = seen  # type: ignore[method-assign]
         key = f.front.core._gateway._functions.number("reserve")
-        state, belief = (
-            router.functions.by_key[key],
-            {w: c.count for w, c in router.functions.by_key[key].copies.items()},
-        )
+        state = router.functions.by_key[key]
+        belief = {w: c.count for w, c in state.copies.items()}
         first = f.loop.spawn(f.invoke, "price")
         f.until(lambda: f.runs("price") == 1)
         f.change(put("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"}))
@@ -150,7 +154,7 @@
     f.play(script)
 
 
-def test_a_removal_refuses_new_calls_as_unknown_and_lets_open_ones_end(tmp_path: Path) -> None:
+def test_removed_function_rejects_new_calls_as_unknown_and_open_ones_end(tmp_path: Path) -> None:
     f = Followed(tmp_path, {"fleet": {"work": {"price": {"work_ms": 1000}}}})
 
     def script() -> None:
@@ -170,7 +174,7 @@
     f.play(script)
 
 
-def test_calls_see_a_change_set_whole_and_none_is_refused_or_lost_by_one(tmp_path: Path) -> None:
+def test_change_set_under_load_is_seen_atomically_and_loses_no_call(tmp_path: Path) -> None:
     """Four clients call all along, each two functions in turn, whose versions change together."""
     f = Followed(tmp_path)
     seen: list[tuple[str, int]] = []
@@ -211,7 +215,7 @@
     assert len({version for _, version in seen}) > 10
 
 
-def test_what_the_front_end_cant_act_on_is_named_and_never_half_in_force(tmp_path: Path) -> None:
+def test_invalid_revision_is_reported_and_no_part_of_it_applied(tmp_path: Path) -> None:
     f = Followed(tmp_path)
 
     def stuck() -> str:
@@ -227,7 +231,7 @@
         f.until(lambda: f.relay.questions[-1].revision == 3)
         assert f.relay.questions[-1].applied_revision == 1 and stuck()
         assert f.answers_as("left") == f.answers_as("right") == "1"
-        assert f.said("settings", "nowhere") == 1
+        assert f.said("config_blocked", "nowhere") == 1
         f.change(put("ghost", 2))
         assert (f.answers_as("left"), f.answers_as("right")) == ("2", "2")
         f.until(lambda: f.relay.questions[-1].applied_revision == 4 and not stuck())
@@ -235,7 +239,7 @@
     f.play(script)
 
 
-def test_a_later_removal_mends_it_too_and_the_rest_comes_in_force(tmp_path: Path) -> None:
+def test_invalid_revision_when_corrected_by_a_removal_is_applied(tmp_path: Path) -> None:
     f = Followed(tmp_path)
 
     def script() -> None:
@@ -248,7 +252,7 @@
     f.play(script)
 
 
-def test_a_start_without_relays_acts_on_the_table_that_it_kept(tmp_path: Path) -> None:
+def test_start_without_relays_applies_the_cached_table(tmp_path: Path) -> None:
     f = Followed(tmp_path)
 
     def script() -> None:
@@ -267,14 +271,14 @@
         f.until(lambda: fate(f, told)["Status"] == "SUCCEEDED")
         assert f.settings.follower.applied_revision == 2
         f.loop.sleep(30 * SECOND)
-        assert f.settings.late and f.said("config_stale", "") == 1
+        assert f.settings.is_stale and f.said("config_stale", "") == 1
         assert f.answers_as("left") == "2"
 
     f.play(script)
 
 
 @pytest.mark.parametrize("ends", ["agreed", "removed", "stopped", "late"])
-def test_a_deferred_call_of_an_agreed_function_waits_at_a_start_that_hears_of_none(
+def test_recovered_call_of_an_agreed_function_waits_until_the_table_is_received(
     tmp_path: Path, ends: str
 ) -> None:
     """Neither relays nor a kept table: the function may stand in what is not heard of yet."""
@@ -311,7 +315,7 @@
 
 
 @pytest.mark.parametrize("harm", ["flipped", "short", "empty"])
-def test_a_kept_table_that_is_broken_is_said_and_not_used(tmp_path: Path, harm: str) -> None:
+def test_cached_table_when_corrupt_is_logged_and_not_used(tmp_path: Path, harm: str) -> None:
     f = Followed(tmp_path)
 
     def script() -> None:
@@ -325,7 +329,7 @@
             data[len(data) // 2] ^= 4
         kept.write_bytes(data if harm == "flipped" else data[: len(data) // 2] if harm == "short" else b"")
         f.begin()
-        assert f.said("settings", "calls.db.table is not used") == 1
+        assert f.said("config_cache_ignored", "calls.db.table") == 1
         assert f.answers_as("left") == "1"  # its own file's
         f.front.stop()
         f.front.close()
@@ -336,7 +340,7 @@
     f.play(script)
 
 
-def test_its_own_file_stands_until_a_function_is_agreed_on(tmp_path: Path) -> None:
+def test_configured_functions_apply_until_a_function_is_agreed_on(tmp_path: Path) -> None:
     f = Followed(tmp_path, agreed=False)
 
     def script() -> None:
@@ -350,7 +354,7 @@
     f.play(script)
 
 
-def test_a_relay_that_says_nothing_holds_up_a_start_for_a_second_and_no_call(tmp_path: Path) -> None:
+def test_silent_relay_delays_a_start_by_a_second_and_no_call(tmp_path: Path) -> None:
     f = Followed(tmp_path)
 
     def script() -> None:
@@ -363,25 +367,25 @@
         assert f.loop.now() - before <= 2 * SECOND
         before = f.loop.now()
         assert f.answers_as("left") == "1" and f.loop.now() - before < SECOND
-        assert f.front.following is None
+        assert f.front.fleet is None
 
     f.play(script)
 
 
-def test_with_keepers_too_both_are_followed(tmp_path: Path) -> None:
+def test_front_end_with_keepers_and_relays_watches_both(tmp_path: Path) -> None:
     f = Followed(tmp_path)
     f.more = {"keepers": {"k1": "127.0.0.1:1"}}
 
     def script() -> None:
-        assert f.front.following is not None
-        assert f.front.following.follower.incarnation == f.settings.follower.incarnation
+        assert f.front.fleet is not None
+        assert f.front.fleet.follower.incarnation == f.settings.follower.incarnation
         f.change(put("left", 2))
         assert f.answers_as("left") == "2" and f.front.core.figures.served == 1  # type: ignore[attr-defined]
 
     f.play(script)
 
 
-def test_whole_tables_are_judged_a_part_at_a_time_and_what_comes_meanwhile_is_not_missed(
+def test_table_when_replaced_is_validated_in_batches_and_later_changes_are_not_missed(
     tmp_path: Path,
 ) -> None:
     f = Followed(tmp_path)
@@ -389,10 +393,10 @@
     def script() -> None:
         many = {FUNCTION + f"f{n}": Entry(FUNCTION + f"f{n}", line(), 2) for n in range(3000)}
         others: list[int] = []
-        judged, wrong = [0], f.settings._wrong
+        judged, wrong = [0], f.settings._validation_error
 
         def other() -> None:
-            while f.settings._judge is not None:
+            while f.settings._validation is not None:
                 others.append(judged[0])
                 f.loop.breathe()
 
@@ -404,25 +408,25 @@
                 f.relay.change([put("left", 9), gone("f17"), put("new", 3)])
             return wrong(entry)
 
-        f.settings._wrong = counted  # type: ignore[method-assign]
+        f.settings._validation_error = counted  # type: ignore[method-assign]
         f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
         f.relay.watch.store_changed()
         f.until(lambda: f.settings.follower.applied_revision == 51)
         assert f.answers_as("left") == "9" and f.invoke("f17").status == 404
-        assert max(b - a for a, b in pairwise(others)) <= JUDGED_AT_ONCE and others[-1] > 2900
+        assert max(b - a for a, b in pairwise(others)) <= VALIDATION_BATCH and others[-1] > 2900
         names = f.front.catalogue.functions
         assert len(names) == len(list(names)) == 5 + 3000 and names["new"].version == "3"
 
     f.play(script)
 
 
-def test_what_comes_while_a_whole_table_is_judged_puts_no_part_of_it_in_force(tmp_path: Path) -> None:
+def test_changes_during_a_validation_apply_no_part_of_the_table(tmp_path: Path) -> None:
     f = Followed(tmp_path)
 
     def script() -> None:
         many = {FUNCTION + f"f{n}": Entry(FUNCTION + f"f{n}", line(2), 2) for n in range(500)}
         many[FUNCTION + "ghost"] = Entry(FUNCTION + "ghost", line(1, **{"class": "nowhere"}), 2)
-        judged, wrong = [0], f.settings._wrong
+        judged, wrong = [0], f.settings._validation_error
 
         def counted(entry: Entry) -> str:
             judged[0] += 1
@@ -431,11 +435,11 @@
                 f.until(lambda: f.settings.follower.store.revision == 51)
             return wrong(entry)
 
-        f.settings._wrong = counted  # type: ignore[method-assign]
+        f.settings._validation_error = counted  # type: ignore[method-assign]
         f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
         f.relay.watch.store_changed()
         seen = set()
-        while f.relay.questions[-1].revision < 51 or f.settings._judge is not None:
+        while f.relay.questions[-1].revision < 51 or f.settings._validation is not None:
             seen.add((f.settings.follower.applied_revision, f.front.catalogue.functions["left"].version))
             f.loop.sleep(1000)
         f.loop.sleep(5 * SECOND)
@@ -447,7 +451,7 @@
     f.play(script)
 
 
-def test_a_flipped_entry_is_loaded_anew_and_what_is_kept_is_whole_again(tmp_path: Path) -> None:
+def test_entry_when_a_bit_is_flipped_is_reloaded_and_the_cache_is_intact_again(tmp_path: Path) -> None:
     f = Followed(tmp_path)
 
     def script() -> None:
@@ -466,28 +470,28 @@
     f.play(script)
 
 
-def test_a_flipped_entry_that_was_written_is_written_anew_once_it_is_found(tmp_path: Path) -> None:
+def test_flipped_entry_in_the_cache_is_rewritten_once_it_is_found(tmp_path: Path) -> None:
     f = Followed(tmp_path)
     kept = tmp_path / "calls.db.table"
 
     def script() -> None:
         f.change(put("left", 2))
-        f.loop.sleep(3 * KEEP_EVERY)  # counted, and written
+        f.loop.sleep(3 * WRITE_INTERVAL_US)  # counted, and written
         f.change(put("right", 2))
         f.change(put("right", 3))  # counted a few seconds after the one before
         table, key = f.settings.follower.store, FUNCTION + "left"
         table.entries = table.entries.set(key, Entry(key, line(7), table.entries[key].revision))
-        f.settings._written, f.settings._acted = 0, table
+        f.settings._written_revision, f.settings._applied_table = 0, table
         f.settings._write()
         f.until(lambda: f.said("config_repaired", "1 keys") == 1)
         assert f.answers_as("left") == "2" and f.settings.follower.applied_revision == 4
-        f.loop.sleep(3 * KEEP_EVERY)
+        f.loop.sleep(3 * WRITE_INTERVAL_US)
         assert ConfigStore.restore(kept.read_bytes()).entries[key].value == line(2)
 
     f.play(script)
 
 
-def test_the_table_is_written_now_and_then_and_at_the_end(tmp_path: Path) -> None:
+def test_table_cache_is_written_periodically_and_at_the_stop(tmp_path: Path) -> None:
     f = Followed(tmp_path)
 
     def kept() -> int:
@@ -501,7 +505,7 @@
             f.loop.sleep(100_000)
             written.add(kept())
         assert len(written) <= 3
-        f.loop.sleep(3 * KEEP_EVERY)
+        f.loop.sleep(3 * WRITE_INTERVAL_US)
         assert kept() == 101
         f.change(put("left", 102))
         f.loop.sleep(100_000)
@@ -515,28 +519,32 @@
     f.play(script)
 
 
-def test_functions_are_decoded_as_they_are_asked_for_and_few_are_kept() -> None:
-    functions = Functions({}, CLASSES)
-    made = {FUNCTION + f"f{n}": Entry(FUNCTION + f"f{n}", line(n), 1) for n in range(3 * DECODED_MOST)}
+def test_functions_are_decoded_at_lookup_and_few_are_cached() -> None:
+    functions = AgreedFunctions({}, CLASSES)
+    made = {
+        FUNCTION + f"f{n}": Entry(FUNCTION + f"f{n}", line(n), 1) for n in range(3 * MAX_DECODED_FUNCTIONS)
+    }
     entries = ConfigStore.from_entries(made, 1).entries
     functions.put(entries, len(made))
     assert not functions._decoded
-    for n in range(3 * DECODED_MOST):
+    for n in range(3 * MAX_DECODED_FUNCTIONS):
         assert functions[f"f{n}"].version == str(n)
-    assert len(functions._decoded) == DECODED_MOST
-    again = functions[f"f{3 * DECODED_MOST - 1}"]
-    assert again is functions[f"f{3 * DECODED_MOST - 1}"] and isinstance(again, Function)
+    assert len(functions._decoded) == MAX_DECODED_FUNCTIONS
+    again = functions[f"f{3 * MAX_DECODED_FUNCTIONS - 1}"]
+    assert again is functions[f"f{3 * MAX_DECODED_FUNCTIONS - 1}"] and isinstance(again, Function)
     changed = entries.set(FUNCTION + "f1", Entry(FUNCTION + "f1", line(77), 2))
     assert functions["f1"].version == "1"
     functions.put(changed, len(made))
     assert functions["f1"].version == "77" and "nope" not in functions
 
 
-def test_memory_is_where_it_was_after_ten_thousand_changes(
+def test_memory_after_ten_thousand_changes_has_not_grown(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Functions come, change, are called and go; traced bytes and counted objects, not the process's size."""
-    monkeypatch.setattr("walnutpost.daemon.settings.DECODED_MOST", 16)  # reached before the first measuring
+    monkeypatch.setattr(
+        "walnutpost.daemon.settings_watch.MAX_DECODED_FUNCTIONS", 16
+    )  # reached before the first measuring
     f = Followed(tmp_path)
     live, burst_of, come, left = 30, 200, line(), line(2)
     context = base64.b64encode(b'{"custom": {"deadline-ms": 20}}').decode()
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -315,7 +315,7 @@
             self.figures.setdefault(path.name, []).append(told)
         if told.get("event") == "task failed":
             self.broken.append(f"{path.name}: {told}")
-        if "revision" not in told or (told.get("event", "settings") != "settings") or "stuck" in told:
+        if "revision" not in told or told.get("event", "config_applied") != "config_applied":
             return
         member = told.get("member", path.name.split(".")[0])
         acts = self.acts.setdefault((member, told.get("incarnation", path.name)), Acts())
--- a/packages/faultinjection/tests/test_audit.py
+++ b/packages/faultinjection/tests/test_audit.py
@@ -89,11 +89,11 @@
 
 def forget_drains(fleet: Fleet) -> None:
     def forgetting(kind: Any, version: int, lines: Any) -> None:
-        tap = fleet.front.lists._on_told
+        tap = fleet.front.endpoint_lists._on_published
         assert tap is not None
         tap(version, lines)
 
-    fleet.front.lists.tell = forgetting  # type: ignore[method-assign]
+    fleet.front.endpoint_lists.set_configured = forgetting  # type: ignore[method-assign]
 
 
 Break = Callable[[Fleet], None]
--- a/packages/fronts/src/walnutpost/fronts/calls.py
+++ b/packages/fronts/src/walnutpost/fronts/calls.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from walnutpost.gateway import Execution, Final, NotStored, Rejected, ReplicationPending
-from walnutpost.store import Change, Listing
+from walnutpost.store import Change, ExecutionQuery
 
 
 class Unreached(Exception):
@@ -47,15 +47,15 @@
         payload; NotStored where the disk is at fault, not the caller's share. `also` is committed with the
         call, where it is new."""
 
-    def copies(self, ident: str) -> int | None:
+    def replica_count(self, execution_id: str) -> int | None:
         """At how many other sites the call stands; None where that is not asked for."""
 
-    def fate(self, function: str, ident: str) -> Execution | None:
+    def status(self, function: str, execution_id: str) -> Execution | None:
         """None where nobody knows it; raises Unreached."""
 
-    def stop(self, function: str, ident: str) -> Execution | None: ...
+    def stop(self, function: str, execution_id: str) -> Execution | None: ...
 
     def stop_named(self, function: str, name: str) -> None: ...
 
-    def list(self, wanted: Listing) -> tuple[list[Execution], bool]:
+    def list(self, query: ExecutionQuery) -> tuple[list[Execution], bool]:
         """A page, and whether there is more after it."""
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -47,8 +47,8 @@
         self._log = log
         self._seen = seen
         self._schedules = list(schedules)
-        self.planner = Planner(self._schedules, store.marks(), wall(), doubtful)
-        out, self._orphans = store.out()
+        self.planner = Planner(self._schedules, store.load_marks(), wall(), doubtful)
+        out, self._orphans = store.load_unfinished()
         for row in out:
             self.planner.out(row.schedule, row.due)
         self._queue: deque[Fire] = deque()
@@ -57,7 +57,7 @@
         for row in out:
             self._firings[row.execution] = (row.schedule, row.due)
         self._wake: Event | None = None
-        self._newest = max(store.marks().values(), default=0)
+        self._newest = max(store.load_marks().values(), default=0)
 
     def replace(self, schedules: Iterable[Schedule]) -> None:
         """The configuration has changed."""
@@ -94,22 +94,24 @@
         try:
             self._loop.blocking(self._seen, self._newest, now)
         except OSError as error:
-            self._log.error("store", error=f"the newest due time is not written: {error}")
+            self._log.error(
+                "store_failed", operation="schedule", error=f"the newest due time is not written: {error}"
+            )
 
     def _begin(self) -> None:
         """New names are written down, so that what they miss while nobody looks is known to be missed."""
         now, names = self._wall(), [s.name for s in self._schedules]
         why = "the front end restarted while it was being refused"
         orphans, self._orphans = self._orphans, []
-        lost = (self._store.refused(row.schedule, row.due, now, why) for row in orphans)
-        self._commit(self._store.begin(names, now), *lost)
+        lost = (self._store.record_rejected(row.schedule, row.due, now, why) for row in orphans)
+        self._commit(self._store.register_schedules(names, now), *lost)
 
     def _commit(self, *changes: Change) -> None:
         while True:
             try:
                 return self._store.commit(*changes)
             except StoreError as error:
-                self._log.error("store", error=str(error))
+                self._log.error("store_failed", operation="schedule", error=str(error))
                 self._loop.sleep(STORE_AGAIN)
 
     def _skip(self, skips: list[Skip]) -> None:
@@ -117,7 +119,10 @@
         for start in range(0, len(skips), SKIPS_A_COMMIT):
             part = skips[start : start + SKIPS_A_COMMIT]
             self._commit(
-                *(self._store.skipped(s.schedule.name, s.due, s.last, s.count, now, s.why) for s in part)
+                *(
+                    self._store.record_skipped(s.schedule.name, s.due, s.last, s.count, now, s.why)
+                    for s in part
+                )
             )
             self._newest = max(self._newest, *(s.last for s in part))
             for s in part:
@@ -151,12 +156,12 @@
             left = until - self._loop.now()
             if left <= 0:
                 why = "refused until its time was over"
-                self._commit(self._store.refused(s.name, due, self._wall(), why))
+                self._commit(self._store.record_rejected(s.name, due, self._wall(), why))
                 self._log.warning("firing", schedule=s.name, due=due, kind="refused", why=why)
                 self.planner.ended(s.name, due)
                 return
             self._firings[name] = (s.name, due)
-            also = self._store.fired(s.name, due, self._wall(), name)
+            also = self._store.record_fired(s.name, due, self._wall(), name)
             got = self._calls.defer(s.function, s.tenant, s.payload, left, name, name, also)
             if isinstance(got, ReplicationPending):
                 got = got.execution  # it is on disk with its firing, and will run
@@ -168,7 +173,7 @@
             self._firings.pop(name, None)
             if got is None:
                 why = "its name stands for another payload: the schedule was changed while it was out"
-                self._commit(self._store.refused(s.name, due, self._wall(), why))
+                self._commit(self._store.record_rejected(s.name, due, self._wall(), why))
                 self.planner.ended(s.name, due)
                 return
             self._loop.sleep(max(ASK_AGAIN, got.retry_after_us))
--- a/packages/fronts/src/walnutpost/fronts/invoke/front.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/front.py
@@ -27,7 +27,7 @@
 )
 from walnutpost.http import Exchange, Response
 from walnutpost.interface import RequestClass
-from walnutpost.store import Listing, StoreError
+from walnutpost.store import ExecutionQuery, StoreError
 
 LATER = 1_000_000  # what a client is told to wait where a disk or other sites must be asked and don't answer
 
@@ -62,13 +62,13 @@
                 case Invoke():
                     return self._invoke(operation, exchange, request_id)
                 case GetExecution(function, ident, with_data):
-                    found = self._known(self._deferred.fate(function, ident))
+                    found = self._known(self._deferred.status(function, ident))
                     return protocol.execution_response(found, self._names, with_data, request_id)
                 case StopExecution(function, ident):
                     return protocol.stop_response(
                         self._known(self._deferred.stop(function, ident)), request_id
                     )
-                case Listing():
+                case ExecutionQuery():
                     self._function(operation.function, None)
                     rows, more = self._deferred.list(operation)
                     return protocol.list_response(rows, more, self._names, request_id)
@@ -125,7 +125,7 @@
                     "ServiceException",
                     f"the call may run, but stands in {execution.replicas} copies only: ask again as {known}",
                 )
-            arn, copies = self._names.execution_arn(execution), self._deferred.copies(execution.id)
+            arn, copies = self._names.execution_arn(execution), self._deferred.replica_count(execution.id)
             return protocol.accepted(arn, function.version, request_id, copies)
         left = min(call.own_deadline or usual, usual)
 
--- a/packages/fronts/src/walnutpost/fronts/invoke/protocol.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/protocol.py
@@ -20,7 +20,7 @@
 
 from walnutpost.gateway import Execution, Failed, Failure, Final, NotStored, Rejected, Served, Status
 from walnutpost.http import BadMessage, Request, Response
-from walnutpost.store import Listing
+from walnutpost.store import ExecutionQuery
 
 SECOND = 1_000_000
 INVOKE = re.compile(r"/2015-03-31/functions/([^/]+)/invocations")
@@ -98,7 +98,7 @@
     id: str
 
 
-Operation = Invoke | GetExecution | StopExecution | Listing
+Operation = Invoke | GetExecution | StopExecution | ExecutionQuery
 
 
 def read(request: Request) -> Operation:
@@ -197,7 +197,7 @@
     return int(left * 1000)
 
 
-def _list(name: str, query: str, request: Request) -> Listing:
+def _list(name: str, query: str, request: Request) -> ExecutionQuery:
     function, _ = function_name(name)
     told = parse_qs(query)
     try:
@@ -207,7 +207,7 @@
     most = _one(told, "MaxItems") or str(LIST_MOST)
     if not most.isdigit() or int(most) > LIST_MOST:
         raise invalid(f"MaxItems: a whole number from 0 to {LIST_MOST} is wanted")
-    return Listing(
+    return ExecutionQuery(
         function,
         _one(told, "DurableExecutionName"),
         statuses,
--- a/packages/fronts/tests/test_store_faults.py
+++ b/packages/fronts/tests/test_store_faults.py
@@ -139,7 +139,7 @@
         fleet.front.core.arrive = arrive  # type: ignore[method-assign]
         assert calls.start("reserve", b"1", "order").status == 500  # a start now would find the first one
         disk.broken = False
-        fleet.until(lambda: not fleet.front.deferred._by_id)
+        fleet.until(lambda: not fleet.front.deferred.open_calls)
         assert not calls.listed("reserve")["DurableExecutions"]
         taken = calls.start("reserve", b"1", "order")
         assert calls.fate(taken.headers[ARN])["Status"] == "SUCCEEDED" and fleet.runs("reserve") == 1
@@ -156,11 +156,11 @@
         disk = Switch(of=("update executions set intended=?",))
         script_store(first, disk)
         arn = str(Deferred(first).start("reserve", b"1", "order").headers[ARN])
-        first.until(lambda: first.front.deferred.unsaved == 1)
+        first.until(lambda: first.front.deferred.pending_writes == 1)
         first.loop.sleep(9 * SECOND)
-        assert first.front.deferred.unsaved == 1
+        assert first.front.deferred.pending_writes == 1
         disk.broken, ended = False, first.loop.now()
-        first.until(lambda: first.front.deferred.unsaved == 0)
+        first.until(lambda: first.front.deferred.pending_writes == 0)
         assert first.loop.now() - ended < 2 * SECOND and first.runs("reserve") == 1
         return arn
 
@@ -219,7 +219,7 @@
         calls = Deferred(fleet)
         arn = calls.start("price", b"1", "order").headers[ARN]
         assert calls.fate(arn)["Status"] == "SUCCEEDED"
-        fleet.until(lambda: not fleet.front.deferred._by_id)
+        fleet.until(lambda: not fleet.front.deferred.open_calls)
         disk = Switch(of=("select",))
         script_store(fleet, disk)
         assert calls.get(arn)["Status"] == "500"
--- a/packages/fronts/tests/test_timers.py
+++ b/packages/fronts/tests/test_timers.py
@@ -15,9 +15,9 @@
 from walnutpost.cli import main
 from walnutpost.config import Config, parse
 from walnutpost.config.settings import own_schedules
-from walnutpost.daemon.deferred import _Open
+from walnutpost.daemon.open_calls import OpenCall
 from walnutpost.gateway import Rejected
-from walnutpost.store import history
+from walnutpost.store import read_history
 
 MINUTE = 60 * SECOND
 TICK = {"cron": "* * * * *", "function": "price", "payload": {"all": True}}
@@ -30,7 +30,7 @@
 
 def fates(path: Path) -> list[tuple[str, int, str, int]]:
     """Schedule, due time in minutes, status and count, oldest first."""
-    rows = history(path / "calls.db", None, 100_000)
+    rows = read_history(path / "calls.db", None, 100_000)
     return [(r.schedule, r.due // MINUTE, r.status, r.count) for r in reversed(rows)]
 
 
@@ -104,10 +104,10 @@
     def script() -> None:
         refuse = Rejected("no room", SECOND)
 
-        def run(entry: _Open, time_left: int, request_id: str) -> None:
-            entry.failed = refuse
+        def run(call: OpenCall, time_left_us: int, request_id: str) -> None:
+            call.rejection = refuse
 
-        f.front.deferred._run = run  # type: ignore[method-assign]
+        f.front.deferred.dispatch = run  # type: ignore[method-assign]
         f.until(lambda: len(fates(tmp_path)) == 1)
         f.loop.sleep(2 * SECOND)
 
@@ -129,7 +129,7 @@
         changed = merged(BASE, {"schedules": {"look": TICK | {"payload": 2}, "new": TICK}})
         f.front.reload(parse(json.dumps(changed), "changed", Config))
         f.loop.sleep(2 * MINUTE)
-        f.until(lambda: not f.front._busy())
+        f.until(lambda: not f.front._is_busy())
 
     f.run(script)
     told = fates(tmp_path)
--- a/packages/journal/src/walnutpost/journal/records.py
+++ b/packages/journal/src/walnutpost/journal/records.py
@@ -1,6 +1,8 @@
-"""What a journal says of calls, one line for each thing that happened, numbered by its origin alone.
+"""The records of a journal, one line for each event in a call's life, numbered by the journal's origin alone.
 
-A line on disk or on the way carries a checksum of its bytes: a flipped bit costs that line, and is seen.
+A line on disk or on the wire carries a checksum of its bytes, so that a flipped bit costs that line only and
+is detected. Records are msgpack arrays: tags and the order of fields are stored; names of classes and fields
+are not.
 """
 
 from __future__ import annotations
@@ -10,102 +12,123 @@
 
 import msgspec
 
+from walnutpost.journal.errors import JournalError
+
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
-    """Times in microseconds by the origin's clock: hints for people and spans between its own lines."""
+    """Base of all records.
+
+    Times are microseconds of the origin's clock: hints for people, and comparable only within one journal.
+    """
+
 
+class CallAccepted(Record, frozen=True, tag="accepted"):
+    """A deferred call was accepted.
 
-class Accepted(Record, frozen=True, tag="accepted"):
-    """`effect` as in interface.Effect; `promise`: the holders that have this line, and every Intended of the
-    call, before its client is told, or an attempt leaves. Below it is only hoped for."""
+    `effect` is a value of interface.Effect. `promised_replicas` is the number of replicas that must have this
+    line, and each AttemptIntended of the call, before the client gets its answer or an attempt is sent.
+    """
 
-    call: str
+    call_id: str
     name: str
     function: str
     version: str
     tenant: str | None
     payload: bytes
     digest: str
-    accepted_at: int
-    expires_at: int
+    accepted_at_us: int
+    expires_at_us: int
     effect: str
-    promise: int
+    promised_replicas: int
 
 
-class Intended(Record, frozen=True, tag="intended"):
-    """From here on, attempt number `attempt` may have left for `worker`."""
+class AttemptIntended(Record, frozen=True, tag="intended"):
+    """From this line on, attempt number `attempt` may have been sent to `worker`."""
 
-    call: str
+    call_id: str
     attempt: int
     worker: str
 
 
-class Ended(Record, frozen=True, tag="ended"):
-    """The call's fate, in the words of gateway.Status."""
+class CallEnded(Record, frozen=True, tag="ended"):
+    """The call's final status, a value of gateway.Status, with its result or error."""
 
-    call: str
+    call_id: str
     status: str
-    ended_at: int
+    ended_at_us: int
     result: bytes | None
     error_type: str
     error_message: str
 
 
-class Withdrawn(Record, frozen=True, tag="withdrawn"):
-    """It never ran and its client was told so: the name is free again."""
+class CallWithdrawn(Record, frozen=True, tag="withdrawn"):
+    """The call never ran and its client was answered so: its name may be used again."""
 
-    call: str
+    call_id: str
 
 
-class Purged(Record, frozen=True, tag="purged"):
-    """Fates of before `ended_before` are no longer kept: a number, so that no list of the dead is."""
+class ResultsPurged(Record, frozen=True, tag="purged"):
+    """Results of calls that ended before this time are no longer stored."""
 
-    ended_before: int
+    ended_before_us: int
 
 
-Any_ = Accepted | Intended | Ended | Withdrawn | Purged
+CallRecord = CallAccepted | AttemptIntended | CallEnded | CallWithdrawn
+AnyRecord = CallRecord | ResultsPurged
 
 
-class BadLine(Exception):
-    """Bytes that are no line, or not those that were written."""
+class CorruptLineError(JournalError):
+    """The bytes of line `seq` are not a record, or not those that were written."""
 
+    def __init__(self, seq: int, reason: str) -> None:
+        """`reason` is for people."""
+        super().__init__(f"line {seq}: {reason}")
+        self.seq = seq
+        self.reason = reason
 
-_decoder = msgspec.msgpack.Decoder(Any_)
+
+_decoder = msgspec.msgpack.Decoder(AnyRecord)
 _encoder = msgspec.msgpack.Encoder()
 
 
 class Line(msgspec.Struct, frozen=True, array_like=True):
-    """`sum` covers `data` and `seq`, so that a line put back under another number is seen, too."""
+    """An encoded record under its number.
+
+    `checksum` covers `data` and `seq`, so that a line restored under another number is detected, too.
+    """
 
     seq: int
     data: bytes
-    sum: int
+    checksum: int
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
+        """Bytes of the encoded record."""
         return len(self.data)
 
-    def record(self) -> Any_:
-        """Raises BadLine."""
-        if self.sum != checksum(self.seq, self.data):
-            raise BadLine(f"line {self.seq}: its checksum is another")
+    def decode(self) -> AnyRecord:
+        """Return the record. Raises CorruptLineError."""
+        if self.checksum != line_checksum(self.seq, self.data):
+            raise CorruptLineError(self.seq, "its checksum does not match its bytes")
         try:
-            found: Any_ = _decoder.decode(self.data)
+            record: AnyRecord = _decoder.decode(self.data)
         except msgspec.MsgspecError as error:
-            raise BadLine(f"line {self.seq}: {error}") from error
-        return found
+            raise CorruptLineError(self.seq, str(error)) from error
+        return record
 
 
-def checksum(seq: int, data: bytes) -> int:
+def line_checksum(seq: int, data: bytes) -> int:
+    """Return the CRC-32 of a line's number and bytes."""
     return zlib.crc32(data, zlib.crc32(b"%d" % seq))
 
 
-def line(seq: int, record: Any_) -> Line:
+def encode_line(seq: int, record: AnyRecord) -> Line:
+    """Encode a record as line number `seq`."""
     data = _encoder.encode(record)
-    return Line(seq, data, checksum(seq, data))
+    return Line(seq, data, line_checksum(seq, data))
 
 
-def call_of(record: Any_) -> str | None:
-    """None for what concerns no single call."""
-    found: Any = getattr(record, "call", None)
-    return found if isinstance(found, str) else None
+def call_id_of(record: AnyRecord) -> str | None:
+    """Return the call that a record is about, None for a record about no single call."""
+    call_id: Any = getattr(record, "call_id", None)
+    return call_id if isinstance(call_id, str) else None
--- /dev/null
+++ b/packages/journal/tests/journal_records.py
@@ -0,0 +1,28 @@
+"""Records that tests of several modules use."""
+
+from __future__ import annotations
+
+from walnutpost.journal import AnyRecord, AttemptIntended, CallAccepted, CallEnded, CallWithdrawn, encode_line
+
+
+def accepted(call_id: str, expires_at_us: int = 100) -> CallAccepted:
+    return CallAccepted(
+        call_id, f"name-{call_id}", "f", "1", None, b"payload", "digest", 1, expires_at_us, "unsafe", 1
+    )
+
+
+def ended(call_id: str, status: str = "SUCCEEDED", ended_at_us: int = 50) -> CallEnded:
+    return CallEnded(call_id, status, ended_at_us, b"result", "", "")
+
+
+RECORDS: list[AnyRecord] = [
+    accepted("a"),
+    AttemptIntended("a", 0, "w1"),
+    AttemptIntended("a", 1, "w2"),
+    ended("a"),
+    ended("a", "FAILED"),
+    accepted("b"),
+    CallWithdrawn("b"),
+    AttemptIntended("c", 0, "w1"),
+]
+LINES = [encode_line(seq, record) for seq, record in enumerate(RECORDS, start=1)]
--- a/packages/journal/tests/test_journal_golden.py
+++ b/packages/journal/tests/test_journal_golden.py
@@ -1,4 +1,4 @@
-"""Journal records and lines as bytes: what is on disks and on the way between sites stays readable."""
+"""Journal records and lines as bytes: what is on disks and on the wire between sites stays readable."""
 
 from __future__ import annotations
 
@@ -10,47 +10,56 @@
 import pytest
 
 from golden_files import assert_as_golden, assert_every_field_tells, json_lines, write_golden_files
-from walnutpost.journal import Accepted, Ended, Intended, Line, Place, Purged, Withdrawn, chosen, line
-from walnutpost.journal.keeping import summed
-from walnutpost.journal.records import Any_ as AnyRecord
-from walnutpost.journal.records import Record
+from walnutpost.journal import (
+    AttemptIntended,
+    CallAccepted,
+    CallEnded,
+    CallWithdrawn,
+    Line,
+    ReplicaHost,
+    ResultsPurged,
+    choose_replicas,
+    encode_line,
+)
+from walnutpost.journal.batches import batch_checksum
+from walnutpost.journal.records import AnyRecord, Record
 
 GOLDEN = Path(__file__).parent / "golden"
 
 # The one place that says which object a golden record is. The first of each type: every field set.
 RECORDS: dict[str, AnyRecord] = {
-    "accepted": Accepted(
-        call="call-1",
+    "accepted": CallAccepted(
+        call_id="call-1",
         name="name-2",
         function="function-3",
         version="4",
         tenant="tenant-5",
         payload=b'{"six":\x00\xff}',
         digest="digest-7",
-        accepted_at=1_800_000_000_000_008,
-        expires_at=1_800_000_000_000_009,
+        accepted_at_us=1_800_000_000_000_008,
+        expires_at_us=1_800_000_000_000_009,
         effect="keyed",
-        promise=2,
+        promised_replicas=2,
     ),
-    "accepted-without-tenant": Accepted("call-1", "name-2", "f", "1", None, b"", "d", 1, 2, "safe", 0),
-    "intended": Intended(call="call-1", attempt=2, worker="worker-3"),
-    "ended": Ended(
-        call="call-1",
+    "accepted-without-tenant": CallAccepted("call-1", "name-2", "f", "1", None, b"", "d", 1, 2, "safe", 0),
+    "intended": AttemptIntended(call_id="call-1", attempt=2, worker="worker-3"),
+    "ended": CallEnded(
+        call_id="call-1",
         status="FAILED",
-        ended_at=1_800_000_000_000_003,
+        ended_at_us=1_800_000_000_000_003,
         result=b"\x00four",
         error_type="Unhandled",
         error_message="message six",
     ),
-    "ended-without-result": Ended("call-1", "STOPPED", 3, None, "", ""),
-    "withdrawn": Withdrawn(call="call-1"),
-    "purged": Purged(ended_before=1_800_000_000_000_001),
+    "ended-without-result": CallEnded("call-1", "STOPPED", 3, None, "", ""),
+    "withdrawn": CallWithdrawn(call_id="call-1"),
+    "purged": ResultsPurged(ended_before_us=1_800_000_000_000_001),
 }
-HOLDERS = [Place(f"front-{n}", f"region-{n % 3}", f"zone-{n % 4}") for n in range(8)]
+HOSTS = [ReplicaHost(f"front-{n}", f"region-{n % 3}", f"zone-{n % 4}") for n in range(8)]
 
 
 def lines() -> list[Line]:
-    return [line(seq, record) for seq, record in enumerate(RECORDS.values(), start=41)]
+    return [encode_line(seq, record) for seq, record in enumerate(RECORDS.values(), start=41)]
 
 
 def golden_files() -> dict[Path, bytes]:
@@ -58,29 +67,29 @@
         GOLDEN / f"{name}.record.msgpack": found.data for name, found in zip(RECORDS, lines(), strict=True)
     }
     files[GOLDEN / "lines.msgpack"] = msgspec.msgpack.encode(lines())
-    files[GOLDEN / "sum-of-lines.json"] = json_lines(summed(lines()))
-    # Which sites hold copies, first choice first: another choice would move all copies at an upgrade.
-    files[GOLDEN / "holders.json"] = json_lines({p.name: list(chosen(p, HOLDERS)) for p in HOLDERS})
+    files[GOLDEN / "sum-of-lines.json"] = json_lines(batch_checksum(lines()))
+    # The replicas of each origin, preferred first: another choice would move all replicas at an upgrade.
+    files[GOLDEN / "holders.json"] = json_lines({p.name: list(choose_replicas(p, HOSTS)) for p in HOSTS})
     return files
 
 
-def test_records_lines_sums_and_choices_are_written_as_before() -> None:
+def test_records_lines_checksums_and_placement_when_written_equal_the_golden_files() -> None:
     assert_as_golden(golden_files())
 
 
 @pytest.mark.parametrize("name", RECORDS)
-def test_a_record_of_before_is_read(name: str) -> None:
+def test_record_when_read_from_a_golden_file_equals_its_object(name: str) -> None:
     data = (GOLDEN / f"{name}.record.msgpack").read_bytes()
     assert msgspec.msgpack.decode(data, type=AnyRecord) == RECORDS[name]
 
 
-def test_lines_of_before_are_read_with_their_checksums() -> None:
+def test_lines_when_read_from_a_golden_file_have_valid_checksums() -> None:
     found = msgspec.msgpack.decode((GOLDEN / "lines.msgpack").read_bytes(), type=list[Line])
     assert found == lines()
-    assert [each.record() for each in found] == list(RECORDS.values())
+    assert [each.decode() for each in found] == list(RECORDS.values())
 
 
-def test_each_type_of_record_is_among_the_golden_ones_with_every_field_told() -> None:
+def test_golden_records_cover_each_type_with_every_field_set() -> None:
     types = {type(record) for record in RECORDS.values()}
     assert types == set(get_args(AnyRecord)) == set(Record.__subclasses__())
     for kind in types:
@@ -88,7 +97,7 @@
     assert_every_field_tells(lines()[0])
 
 
-def test_golden_files_are_not_replaced_unasked(tmp_path: Path) -> None:
+def test_golden_files_when_they_exist_are_replaced_only_on_request(tmp_path: Path) -> None:
     one, other = tmp_path / "one", tmp_path / "other"
     assert write_golden_files({one: b"1"}) == [one]
     with pytest.raises(FileExistsError, match=re.escape(str(one))):
--- a/packages/metering/tests/test_ledger.py
+++ b/packages/metering/tests/test_ledger.py
@@ -49,7 +49,7 @@
 from walnutpost.metering.records import DAY
 from walnutpost.metering.reports import Kept, compared, figures, grouped, invoice, parts, proof
 from walnutpost.store import UsageStore, read_ledger
-from walnutpost.store.usage import Run, write_batch
+from walnutpost.store.usage import LedgerRun, write_batch
 
 SECOND, MINUTE = 1_000_000, 60_000_000
 START = 1000 * HOUR + 17 * MINUTE
@@ -432,7 +432,7 @@
 
 def store_of(path: Path) -> tuple[UsageStore, Saved]:
     store = UsageStore(Loop(), path)
-    return store, store.saved()[0]
+    return store, store.load()[0]
 
 
 class Dying:
@@ -474,14 +474,14 @@
                 break
             store._db.execute("begin immediate")
             try:
-                write_batch(Dying(store._db, left), batch, Run())  # type: ignore[arg-type]
+                write_batch(Dying(store._db, left), batch, LedgerRun())  # type: ignore[arg-type]
                 store._db.execute("commit")
                 break
             except KeyboardInterrupt:
                 died += 1
                 store._db.execute("rollback")
-                assert store.saved()[0] == saved
-        saved = store.saved()[0]
+                assert store.load()[0] == saved
+        saved = store.load()[0]
         kept = read_ledger(tmp_path / "usage.db", 0, late)
         assert proof(kept, POLICY, now) == []
     assert died > 100 and whole(ledger(saved=saved), late) == whole(wanted, late)
@@ -498,12 +498,12 @@
         batch = known.batch(START + 2 * HOUR)
         assert batch is not None
         if known is one:
-            write_batch(store._db, batch, Run())
+            write_batch(store._db, batch, LedgerRun())
             known.written(batch)
         else:
             with pytest.raises(sqlite3.DatabaseError, match="found batch 1 in the ledger, wanted 0"):
-                write_batch(store._db, batch, Run())
-    assert added(store.saved()[0].booked.values()) == whole(one, START + 2 * HOUR)
+                write_batch(store._db, batch, LedgerRun())
+    assert added(store.load()[0].booked.values()) == whole(one, START + 2 * HOUR)
     store.close()
 
 
@@ -520,7 +520,7 @@
             batch = known.batch(now)
             if batch is not None:
                 store._db.execute("begin")
-                write_batch(store._db, batch, Run())
+                write_batch(store._db, batch, LedgerRun())
                 store._db.execute("commit")
                 known.written(batch)
     kept = read_ledger(tmp_path / "usage.db", 0, START + 9 * DAY)
--- a/packages/replication/src/walnutpost/replication/__init__.py
+++ b/packages/replication/src/walnutpost/replication/__init__.py
@@ -1,7 +1,19 @@
-"""Journals of calls between front ends: an origin sends, holders keep."""
+"""Replication of journals between front ends over HTTP: the origin sends, replicas acknowledge.
 
-from walnutpost.replication.asking import asked, recalled
-from walnutpost.replication.holder import Holding
-from walnutpost.replication.sending import Sending
+`sender` is the origin's side, `replica_server` a replica's, `queries` asks replicas what they have, `wire`
+defines the messages. What is sent when, and what a replica accepts, walnutpost.journal decides.
+"""
 
-__all__ = ["Holding", "Sending", "asked", "recalled"]
+from walnutpost.replication.queries import query_call, recover_batches
+from walnutpost.replication.replica_server import ReplicaServer
+from walnutpost.replication.sender import ReplicationSender
+from walnutpost.replication.wire import InvalidMessageError, ReplicationError
+
+__all__ = [
+    "InvalidMessageError",
+    "ReplicaServer",
+    "ReplicationError",
+    "ReplicationSender",
+    "query_call",
+    "recover_batches",
+]
--- a/packages/replication/src/walnutpost/replication/wire.py
+++ b/packages/replication/src/walnutpost/replication/wire.py
@@ -1,4 +1,4 @@
-"""What an origin and a holder say to each other, in msgpack over HTTP. No I/O."""
+"""The messages between an origin and its replicas: msgpack over HTTP. No I/O."""
 
 from __future__ import annotations
 
@@ -6,33 +6,40 @@
 
 import msgspec
 
-from walnutpost.journal import Batch, Have, Line
+from walnutpost.journal import JournalBatch, JournalOffset, Line
 
-COPIES, CALLS, LINES = "/journal/1/copies", "/journal/1/calls/", "/journal/1/lines/"
-BATCH_BYTES = 1 << 20  # of lines in one message; a single larger line goes alone
-BODY_MOST = 16 << 20
+BATCHES_PATH = "/journal/1/copies"  # POST JournalBatch, answered by JournalOffset
+CALLS_PATH = "/journal/1/calls/"  # GET with a call's id after it, answered by CallLines
+LINES_PATH = "/journal/1/lines/"  # GET with ORIGIN/AFTER after it, answered by JournalBatch
+MAX_BATCH_BYTES = 1 << 20  # of lines in one message; a single larger line is sent alone
+MAX_BODY_BYTES = 16 << 20
 
 
-class BadWire(Exception):
-    """Bytes that are not what is spoken here."""
+class ReplicationError(Exception):
+    """The base class of this package's errors."""
 
 
-class Said(msgspec.Struct, frozen=True):
-    """What a front end's journals say of one call."""
+class InvalidMessageError(ReplicationError):
+    """A body or an answer is not a message of this protocol."""
+
+
+class CallLines(msgspec.Struct, frozen=True):
+    """All lines about one call in the journals that a front end stores."""
 
     lines: tuple[Line, ...]
 
 
-T = TypeVar("T", Batch, Have, Said)
+MessageT = TypeVar("MessageT", JournalBatch, JournalOffset, CallLines)
 
 
-def encode(value: Batch | Have | Said) -> bytes:
-    return msgspec.msgpack.encode(value)
+def encode(message: JournalBatch | JournalOffset | CallLines) -> bytes:
+    """Return the message as msgpack."""
+    return msgspec.msgpack.encode(message)
 
 
-def decode(data: bytes, kind: type[T]) -> T:
-    """Raises BadWire."""
+def decode(data: bytes, message_type: type[MessageT]) -> MessageT:
+    """Return the message in a body. Raises InvalidMessageError."""
     try:
-        return msgspec.msgpack.decode(data, type=kind)
+        return msgspec.msgpack.decode(data, type=message_type)
     except msgspec.MsgspecError as error:
-        raise BadWire(f"{kind.__name__}: {error}") from error
+        raise InvalidMessageError(f"{message_type.__name__}: {error}") from error
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -1,4 +1,4 @@
-"""Three sites as processes, relays between them: one is killed at full load, nothing it accepted is lost."""
+"""Three sites as processes, relays between them: one is killed under load, no call it accepted is lost."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import signal
 import subprocess
 import sys
+from functools import partial
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -17,7 +18,7 @@
 from walnutpost.eventloop import Loop, Timeout
 from walnutpost.faultinjection.mesh import Relay
 from walnutpost.http import BadMessage, Connection
-from walnutpost.journal import Joined, Reached
+from walnutpost.journal import CallStage, MergedJournal
 from walnutpost.store import Database, JournalStore
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
@@ -28,7 +29,7 @@
     def __init__(self, path: Path, loop: Loop, copies: int) -> None:
         self.path, self.loop = path, loop
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.relays = {name: Relay(loop, lambda name=name: self.told(name, "journal")) for name in SITES}  # type: ignore[misc]
+        self.relays = {name: Relay(loop, partial(self.told, name, "journal_address")) for name in SITES}
         holders = [
             {"name": n, "address": "{}:{}".format(*self.relays[n].address), "region": r, "zone": z}
             for n, (r, z) in SITES.items()
@@ -106,7 +107,9 @@
 
 
 @pytest.mark.parametrize(("seed", "copies"), [(1, 1), (2, 2), (3, 2)])
-def test_what_a_killed_site_accepted_stands_at_its_neighbours(tmp_path: Path, seed: int, copies: int) -> None:
+def test_calls_accepted_by_a_site_when_it_is_killed_are_at_its_replicas(
+    tmp_path: Path, seed: int, copies: int
+) -> None:
     loop, random = Loop(), Random(seed)
     answers: dict[str, int] = {}
 
@@ -137,31 +140,33 @@
 
     loop.run(script)
     accepted = {name for name, status in answers.items() if status == 202}
-    joined = {name: held(tmp_path, [name]) for name in ("b1", "c1")} | {"both": held(tmp_path, ["b1", "c1"])}
+    merged_by = {name: merged_journal(tmp_path, [name]) for name in ("b1", "c1")}
+    merged_by["both"] = merged_journal(tmp_path, ["b1", "c1"])
     for where in ("both",) if copies == 1 else ("b1", "c1", "both"):
-        known = {c.accepted.name: c for c in joined[where].kept().values() if c.accepted is not None}
-        assert accepted <= known.keys() and not joined[where].gaps
+        known = {c.accepted.name: c for c in merged_by[where].live_calls().values() if c.accepted is not None}
+        assert accepted <= known.keys() and not merged_by[where].gaps
         unsafe = [
             c for n, c in known.items() if n in accepted and c.accepted and c.accepted.effect == "unsafe"
         ]
-        # A fate of an unsafe call that served it was never told before its intent was held.
+        # A result of an unsafe call is never answered before its intent is at the replicas.
         assert all(c.intents for c in unsafe if c.ended is not None and c.ended.status == "SUCCEEDED")
-        assert {c.reached for c in known.values()} >= {Reached.ENDED}
+        assert {c.stage for c in known.values()} >= {CallStage.ENDED}
     refused = {name for name, status in answers.items() if status == 429}
-    assert not refused & {c.accepted.name for c in joined["both"].kept().values() if c.accepted is not None}
+    live = merged_by["both"].live_calls().values()
+    assert not refused & {call.accepted.name for call in live if call.accepted is not None}
 
 
-def held(path: Path, names: list[str]) -> Joined:
-    found = Joined()
+def merged_journal(path: Path, names: list[str]) -> MergedJournal:
+    found = MergedJournal()
     for name in names:
         loop = Loop()
         database = Database(loop, path / f"{name}.db", "")
         store = JournalStore(loop, database, name)
 
         def read(store: JournalStore = store) -> list[Any]:
-            return [store.held(origin) for origin in store.known if origin.startswith("a1#")]
+            return [store.read_journal(origin) for origin in store.offsets if origin.startswith("a1#")]
 
         for covered, lines in loop.run(read):
-            found.take(covered, lines)
+            found.add(covered, lines)
         database.close()
     return found
--- /dev/null
+++ b/packages/replication/tests/test_replication_golden.py
@@ -0,0 +1,63 @@
+"""Messages between an origin and its replicas as bytes: sites of two versions understand each other."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from golden_files import assert_as_golden, assert_every_field_tells, json_lines, with_defaults
+from walnutpost.journal import (
+    AttemptIntended,
+    JournalBatch,
+    JournalOffset,
+    ResultsPurged,
+    encode_line,
+    make_batch,
+)
+from walnutpost.replication import wire
+from walnutpost.replication.wire import CallLines, decode, encode
+
+GOLDEN = Path(__file__).parent / "golden"
+LINES = (
+    encode_line(42, AttemptIntended("call-1", 2, "worker-3")),
+    encode_line(44, ResultsPurged(1_800_000_000_000_001)),
+)
+
+# The one place that says which object a golden message is.
+FULL: dict[str, JournalBatch | JournalOffset | CallLines] = {
+    "batch": JournalBatch(
+        origin="front-0#0a1b2c3d4e5f", after=41, upto=45, lines=LINES, checksum=1_234_567_890
+    ),
+    "have": JournalOffset(disk="0a1b2c3d4e5f", upto=45),
+    "said": CallLines(lines=LINES),
+}
+MESSAGES: dict[str, JournalBatch | JournalOffset | CallLines] = {
+    **FULL,
+    "batch-defaults": with_defaults(FULL["batch"]),
+    "batch-summed": make_batch("front-0#0a1b2c3d4e5f", 41, 45, LINES),
+    "said-nothing": CallLines(lines=()),
+}
+TARGETS = {"copies": wire.BATCHES_PATH, "calls": wire.CALLS_PATH, "lines": wire.LINES_PATH}
+
+
+def golden_files() -> dict[Path, bytes]:
+    files = {GOLDEN / f"{name}.msgpack": encode(message) for name, message in MESSAGES.items()}
+    return {**files, GOLDEN / "targets.json": json_lines(TARGETS)}
+
+
+def test_messages_and_targets_when_written_equal_the_golden_files() -> None:
+    assert_as_golden(golden_files())
+
+
+@pytest.mark.parametrize("name", MESSAGES)
+def test_message_when_read_from_a_golden_file_equals_its_object(name: str) -> None:
+    kind: Any = type(MESSAGES[name])
+    assert decode((GOLDEN / f"{name}.msgpack").read_bytes(), kind) == MESSAGES[name]
+
+
+def test_golden_messages_cover_each_type_with_every_field_set() -> None:
+    assert {type(message) for message in FULL.values()} == set(wire.MessageT.__constraints__)
+    for message in FULL.values():
+        assert_every_field_tells(message)
--- a/packages/store/src/walnutpost/store/__init__.py
+++ b/packages/store/src/walnutpost/store/__init__.py
@@ -1,21 +1,26 @@
-"""What must outlive a process."""
+"""What a process stores in sqlite: executions, firings, journals, the usage ledger, a replica's log.
+
+`database` commits in groups; all others are tables over it. Names of tables and columns, and stored words,
+are read by other versions and don't change.
+"""
 
 from walnutpost.store.database import Change, Database, StoreError
-from walnutpost.store.executions import ExecutionStore, Listing
-from walnutpost.store.firings import FiringStore, history
-from walnutpost.store.journal import Appending, JournalStore
+from walnutpost.store.executions import ExecutionQuery, ExecutionStore
+from walnutpost.store.firings import FiringRow, FiringStore, read_history
+from walnutpost.store.journal import JournalStore, LineAppend
 from walnutpost.store.usage import UsageStore, read_ledger
 
 __all__ = [
-    "Appending",
     "Change",
     "Database",
+    "ExecutionQuery",
     "ExecutionStore",
+    "FiringRow",
     "FiringStore",
     "JournalStore",
-    "Listing",
+    "LineAppend",
     "StoreError",
     "UsageStore",
-    "history",
+    "read_history",
     "read_ledger",
 ]
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -1,4 +1,4 @@
-"""A file of sqlite in WAL mode: one commit for all changes that wait, off the loop."""
+"""A file of sqlite in WAL mode with group commit: all changes that wait share one commit, off the loop."""
 
 from __future__ import annotations
 
@@ -11,62 +11,69 @@
 
 from walnutpost.eventloop import Event, Loop
 
-BUSY_SECONDS = 0.5  # how long another process's lock is waited for before a commit fails
+LOCK_TIMEOUT_S = 0.5  # how long another process's lock is waited for before a commit fails
 MAX_BATCH = 1_000  # changes in one commit
 # A commit of many changes writes many pages, any of which may fail; one of few changes costs a sync for few.
 # With these two, a disk on which single writes fail gets batches of which about one in four succeeds.
-SHRINK_ON_FAILURE, GROW_ON_SUCCESS = 2, 8
+SHRINK_ON_FAILURE = 2
+GROW_ON_SUCCESS = 8
 COMMIT_RETRY_US = 2_000_000  # how long a change whose commit fails is tried again, by default
 MIN_BACKOFF_US = 1_000  # between two tries
-QUICK_TRIES = 8  # in a row that fail, before the backoff doubles with each further one
+MAX_QUICK_TRIES = 8  # in a row that fail, before the backoff doubles with each further one
 MAX_BACKOFF_US = 100_000  # also the longest that a disk which works again waits for the next try
 
 
 class StoreError(Exception):
-    """The store did not take or give something. `uncertain`: its commit failed when it may have reached the
-    disk, and could not be undone: a kill before the next commit may let the next start find it."""
+    """The store could not write or read something.
 
-    def __init__(self, message: str, uncertain: bool = False) -> None:
+    `is_uncertain`: the commit failed when it may have reached the disk, and could not be undone; after a kill
+    before the next commit the next start may find the change.
+    """
+
+    def __init__(self, message: str, is_uncertain: bool = False) -> None:
+        """`message` is for people."""
         super().__init__(message)
-        self.uncertain = uncertain
+        self.is_uncertain = is_uncertain
 
 
 Change = Callable[[sqlite3.Connection], object]
+"""Part of a commit: executes statements, and may be called again if the commit fails."""
 
 
-class _Pending:
-    """A change that waits to be durable, until `give_up_at`."""
+class _PendingChange:
+    """A change that waits to be durable, until `deadline_us`."""
 
-    __slots__ = ("change", "done", "error", "give_up_at", "tried")
+    __slots__ = ("change", "deadline_us", "done", "error", "is_tried")
 
-    def __init__(self, loop: Loop, change: Change, give_up_at: int) -> None:
+    def __init__(self, loop: Loop, change: Change, deadline_us: int) -> None:
         self.change = change
         self.done = Event(loop)
         self.error: Exception | None = None
-        self.give_up_at = give_up_at
-        self.tried = False
+        self.deadline_us = deadline_us
+        self.is_tried = False
 
 
 class Database:
-    """One process's file. Changes wait until they are durable; many that wait share one commit. All sqlite
-    work of a running loop happens on its helper thread.
+    """One process's file. Changes wait until they are durable; many that wait share one commit.
 
-    A commit that fails (EIO, a full disk, a lock) is rolled back and tried again with backoff, for
-    `retry_us` a change; 0 tries once. A change must therefore be one that can be run again."""
+    All sqlite work of a running loop happens on its helper thread. A commit that fails (EIO, a full disk, a
+    lock) is rolled back and tried again with backoff, for `retry_us` a change; 0 tries once. A change must
+    therefore be one that can be run again.
+    """
 
     def __init__(self, loop: Loop, path: Path, schema: str, retry_us: int = 0) -> None:
-        """Opens or makes the file, readable by its owner alone; raises StoreError with the path."""
+        """Open or make the file, readable by its owner alone. Raises StoreError with the path."""
         self._loop = loop
         self._retry_us = retry_us
-        self._waiting: list[_Pending] = []
-        self._committing = False
+        self._pending: list[_PendingChange] = []
+        self._is_committing = False
         self._may_have_reached_disk = False  # frames of a failed commit may lie behind the log's end
         self.before_commit: Change | None = None  # made part of each commit
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
             os.close(os.open(path, os.O_CREAT | os.O_RDWR, 0o600))
             self._db = sqlite3.connect(
-                path, timeout=BUSY_SECONDS, isolation_level=None, check_same_thread=False
+                path, timeout=LOCK_TIMEOUT_S, isolation_level=None, check_same_thread=False
             )
             self._db.execute("pragma journal_mode=wal")
             self._db.execute("pragma synchronous=full")
@@ -74,73 +81,87 @@
         except (OSError, sqlite3.Error) as error:
             raise StoreError(f"{path}: {error}") from error
 
-    def change(self, change: Change, retry_us: int | None = None) -> None:
-        """Returns once it is durable; raises StoreError where it isn't within `retry_us`."""
+    def submit(self, change: Change, retry_us: int | None = None) -> None:
+        """Return once the change is durable. Raises StoreError if it isn't within `retry_us`."""
         retry_us = self._retry_us if retry_us is None else min(retry_us, self._retry_us)
-        pending = _Pending(self._loop, change, self._loop.now() + retry_us)
-        self._waiting.append(pending)
-        if not self._committing:
-            self._committing = True
-            self._loop.spawn(self._commits, name="commit")
+        pending = _PendingChange(self._loop, change, self._loop.now() + retry_us)
+        self._pending.append(pending)
+        if not self._is_committing:
+            self._is_committing = True
+            self._loop.spawn(self._commit_loop, name="commit")
         pending.done.wait()
         if pending.error is not None:
             if isinstance(pending.error, StoreError):
                 raise pending.error
             raise StoreError(str(pending.error)) from pending.error
 
-    def _commits(self) -> None:
-        """Commits what waits, oldest first. After a failure fewer share the next try: fewer pages are
-        written, and one change that can't be taken stops fewer others."""
-        size, failures = MAX_BATCH, 0
+    def _commit_loop(self) -> None:
+        """Commit pending changes, oldest first, until none is left (group commit).
+
+        After a failure fewer share the next try: fewer pages are written, and one change that can't be
+        written stops fewer others.
+        """
+        size = MAX_BATCH
+        failures = 0
         try:
-            while self._waiting:
-                batch = self._waiting[:size]
+            while self._pending:
+                batch = self._pending[:size]
                 for pending in batch:
-                    pending.tried = True
+                    pending.is_tried = True
                 try:
                     self._loop.blocking(self._commit, batch)
                 except Exception as error:
-                    size, failures = max(1, len(batch) // SHRINK_ON_FAILURE), failures + 1
-                    if self._give_up(batch, error):
+                    size = max(1, len(batch) // SHRINK_ON_FAILURE)
+                    failures += 1
+                    if self._fail_expired(batch, error):
                         continue
-                    if size == 1:  # the next one's turn: what this one wants may be more than there is
-                        self._waiting.append(self._waiting.pop(0))
+                    if size == 1:  # the next one's turn: what this one writes may be more than there is room
+                        self._pending.append(self._pending.pop(0))
                     self._loop.sleep(_backoff_us(failures))
                 else:
-                    size, failures = min(size * GROW_ON_SUCCESS, MAX_BATCH), 0
+                    size = min(size * GROW_ON_SUCCESS, MAX_BATCH)
+                    failures = 0
                     self._finish(batch)
         finally:
-            self._committing = False
-
-    def _give_up(self, batch: Sequence[_Pending], error: Exception) -> bool:
-        """Refuses those whose time is over, or all where another try can't help; False where none were."""
-        retryable, now = isinstance(error, sqlite3.OperationalError), self._loop.now()
-        over = [p for p in self._waiting if p.tried and p.give_up_at <= now] if retryable else list(batch)
-        if not over:
+            self._is_committing = False
+
+    def _fail_expired(self, batch: Sequence[_PendingChange], error: Exception) -> bool:
+        """Fail the changes past their deadline, or all of the batch if another try can't help.
+
+        Returns whether there were any.
+        """
+        is_retryable = isinstance(error, sqlite3.OperationalError)
+        now = self._loop.now()
+        failed = list(batch)
+        if is_retryable:
+            failed = [each for each in self._pending if each.is_tried and each.deadline_us <= now]
+        if not failed:
             return False
-        uncertain = self._may_have_reached_disk and not self._loop.blocking(self._overwrite_failed_commit)
-        for pending in over:
-            pending.error = StoreError(str(error), uncertain)
+        is_uncertain = self._may_have_reached_disk and not self._loop.blocking(self._overwrite_failed_commit)
+        for pending in failed:
+            pending.error = StoreError(str(error), is_uncertain)
             pending.error.__cause__ = error
-        self._finish(over)
+        self._finish(failed)
         return True
 
-    def _finish(self, ended: Sequence[_Pending]) -> None:
-        known = set(map(id, ended))
-        self._waiting = [p for p in self._waiting if id(p) not in known]
-        for pending in ended:
+    def _finish(self, finished: Sequence[_PendingChange]) -> None:
+        ids = set(map(id, finished))
+        self._pending = [each for each in self._pending if id(each) not in ids]
+        for pending in finished:
             pending.done.set()
 
-    def _commit(self, batch: Sequence[_Pending]) -> None:
-        """One transaction. A change that breaks a constraint fails alone, with all of its statements; a
-        failed commit fails all."""
+    def _commit(self, batch: Sequence[_PendingChange]) -> None:
+        """Commit one transaction.
+
+        A change that violates a constraint fails alone, with all its statements; a failed commit fails all.
+        """
         for pending in batch:
             pending.error = None
-        while not self._try_commit([p for p in batch if p.error is None]):
+        while not self._try_commit([each for each in batch if each.error is None]):
             pass
 
-    def _try_commit(self, batch: Sequence[_Pending]) -> bool:
-        """False where a change broke a constraint: its error is set, and nothing was written."""
+    def _try_commit(self, batch: Sequence[_PendingChange]) -> bool:
+        """Return False if a change violated a constraint: its error is set, and nothing was written."""
         db = self._db
         self._end_transaction()
         db.execute("begin immediate")
@@ -165,13 +186,16 @@
         return True
 
     def _end_transaction(self) -> None:
-        """sqlite rolls back by itself after some errors of a commit, and leaves it open after others."""
+        """Roll back what is open: sqlite does so itself after some errors of a commit, not after others."""
         if self._db.in_transaction:
             self._db.execute("rollback")
 
     def _overwrite_failed_commit(self) -> bool:
-        """Frames of a failed commit that reached the log are not part of it for this process, but would be
-        for the next one after a kill. Any further commit takes their place; False where that fails, too."""
+        """Overwrite frames of a failed commit that may have reached the log; return whether that succeeded.
+
+        They are not part of the log for this process, but would be for the next one after a kill. Any further
+        commit takes their place.
+        """
         try:
             self._end_transaction()
             (version,) = self._db.execute("pragma user_version").fetchone()
@@ -181,34 +205,47 @@
         self._may_have_reached_disk = False
         return True
 
-    def make(self, schema: str) -> None:
-        """Adds tables; before the loop runs."""
+    def create_tables(self, schema: str) -> None:
+        """Add tables; before the loop runs. Raises StoreError."""
         try:
             self._db.executescript(schema)
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
 
-    def change_now(self, change: Change) -> None:
-        """Before the loop runs."""
+    def commit_at_startup(self, change: Change) -> None:
+        """Commit a change before the loop runs. Raises StoreError."""
         try:
-            self._commit([_Pending(self._loop, change, 0)])
+            self._commit([_PendingChange(self._loop, change, 0)])
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
 
     def select(self, query: str, values: Sequence[object] = ()) -> list[tuple[Any, ...]]:
-        """Rows of any table; before the loop runs, or on its helper thread."""
+        """Return rows; before the loop runs, or on its helper thread. Raises StoreError."""
         try:
-            self._end_transaction()  # nothing uncommitted is shown
+            self._end_transaction()  # nothing uncommitted is read
             return self._db.execute(query, values).fetchall()
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
 
     def close(self) -> None:
-        """After the loop has ended."""
+        """Close the file, after the loop has ended."""
         self._db.close()
 
 
+def combine_changes(*changes: Change | None) -> Change | None:
+    """Return one change that makes all of these in order, None if there is nothing to do."""
+    parts = [change for change in changes if change is not None]
+    if not parts:
+        return None
+
+    def combined(db: sqlite3.Connection) -> None:
+        for part in parts:
+            part(db)
+
+    return combined
+
+
 def _backoff_us(failures: int) -> int:
-    """Before the next try, after so many in a row that failed."""
-    doublings = min(max(0, failures - QUICK_TRIES), MAX_BACKOFF_US.bit_length())
+    """Return the wait before the next try, after so many in a row that failed."""
+    doublings = min(max(0, failures - MAX_QUICK_TRIES), MAX_BACKOFF_US.bit_length())
     return min(MIN_BACKOFF_US << doublings, MAX_BACKOFF_US)
