--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -1,16 +1,20 @@
-"""Deferred calls on disk. Their times are stored time (stored_time.py), converted here alone: callers give
-and get epochs of the loop's clock."""
+"""Deferred calls on disk.
+
+Their times are stored time (stored_time.py), converted here alone: callers give and get epochs of the loop's
+clock, in microseconds.
+"""
 
 from __future__ import annotations
 
 import sqlite3
 from collections.abc import Sequence
-from dataclasses import dataclass, fields, replace
+from dataclasses import dataclass, replace
 from pathlib import Path
+from typing import Any
 
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Execution, Status
-from walnutpost.store.database import COMMIT_RETRY_US, Change, Database, StoreError
+from walnutpost.store.database import COMMIT_RETRY_US, Change, Database
 from walnutpost.store.time_marks import StoredClock
 
 # With rowids: in an index of its own, a row of a kilobyte would take a page of four besides.
@@ -25,69 +29,76 @@
 create index if not exists by_time on executions (function, accepted_at, id);
 create index if not exists by_status on executions (status, ended_at);
 """
-STORING_SHARE = 2  # half of a call's time is for its function
-COLUMNS = tuple(f.name for f in fields(Execution))
+STORING_TIME_DIVISOR = 2  # half of a call's time is for its function
+# The columns in the order of the table, as _row_of gives and _execution_of takes them.
+COLUMNS = (
+    "id, name, function, version, tenant, payload, digest, accepted_at, expires_at, intended, status,"
+    " ended_at, result, error_type, error_message"
+)
+PLACEHOLDERS = ",".join("?" * len(COLUMNS.split(",")))
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
-    """A page of one function's executions, in order of acceptance or the reverse. Times in microseconds,
-    exclusive; `marker` is acceptance and id of the last one seen."""
+class ExecutionQuery:
+    """A page of one function's executions, in order of acceptance or newest first.
+
+    Bounds are exclusive; `cursor` is acceptance time and id of the last one of the page before.
+    """
 
     function: str
     name: str | None
     statuses: frozenset[Status]
-    after: int | None
-    before: int | None
-    reverse: bool
-    marker: tuple[int, str] | None
-    most: int
+    accepted_after_us: int | None
+    accepted_before_us: int | None
+    newest_first: bool
+    cursor: tuple[int, str] | None
+    limit: int
 
 
 class ExecutionStore(Database):
     """One process's executions."""
 
     def __init__(self, loop: Loop, path: Path) -> None:
+        """Open or make the file. Raises StoreError."""
         super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
-        self.clock = StoredClock(loop, self, self._newest_epoch())
+        self.clock = StoredClock(loop, self, self._newest_epoch_us())
 
-    def _newest_epoch(self) -> int | None:
-        """When a process certainly still ran that kept no time marks."""
-        ((accepted, ended),) = self.select("select max(accepted_at), max(ended_at) from executions")
-        return None if accepted is None else max(accepted, ended)
+    def _newest_epoch_us(self) -> int | None:
+        """Return the newest time in the file: a process that wrote no time marks certainly still ran then."""
+        ((accepted_at, ended_at),) = self.select("select max(accepted_at), max(ended_at) from executions")
+        return None if accepted_at is None else max(accepted_at, ended_at)
 
-    # Changes
+    # Changes. Each returns once it is durable, and raises StoreError; `also` is part of the same commit.
 
     def add(self, execution: Execution, also: Change | None = None) -> None:
-        """`also` becomes durable with it, or not at all. A commit that fails is tried again for a part of
-        the call's own time."""
-        marks = ",".join("?" * len(COLUMNS))
-        values = self._row(execution)
+        """Insert a new execution. A commit that fails is tried again for a part of the call's own time."""
+        values = self._row_of(execution)
 
         def change(db: sqlite3.Connection) -> None:
             try:
-                db.execute(f"insert into executions values ({marks})", values)
+                db.execute(f"insert into executions values ({PLACEHOLDERS})", values)
             except sqlite3.IntegrityError:
                 if db.execute("select 1 from executions where id=?", (execution.id,)).fetchone() is None:
-                    raise  # another's name
-                return  # a commit that was reported as failed stands, and `also` with it
+                    raise  # the name is another execution's
+                return  # a commit that was reported as failed is durable, and `also` with it
             if also is not None:
                 also(db)
 
-        self.change(change, (execution.expires_at - self._loop.now()) // STORING_SHARE)
+        time_left_us = execution.expires_at - self._loop.now()
+        self.submit(change, time_left_us // STORING_TIME_DIVISOR)
 
-    def put(self, executions: Sequence[Execution], gone: Sequence[str]) -> None:
-        """These as they are, in place of what is known of them; `gone`: ids that are no longer known."""
-        marks = ",".join("?" * len(COLUMNS))
-        rows = [self._row(e) for e in executions]
+    def replace_recovered(self, executions: Sequence[Execution], withdrawn_ids: Sequence[str]) -> None:
+        """Write executions in place of what is stored of them, and delete those that were withdrawn."""
+        rows = [self._row_of(execution) for execution in executions]
 
         def change(db: sqlite3.Connection) -> None:
-            db.executemany(f"insert or replace into executions values ({marks})", rows)
-            db.executemany("delete from executions where id=?", [(ident,) for ident in gone])
+            db.executemany(f"insert or replace into executions values ({PLACEHOLDERS})", rows)
+            db.executemany("delete from executions where id=?", [(each,) for each in withdrawn_ids])
 
-        self.change(change)
+        self.submit(change)
 
     def update(self, execution: Execution, also: Change | None = None) -> None:
+        """Write an execution's status and result."""
         values = (
             int(execution.intended),
             execution.status.value,
@@ -97,110 +108,152 @@
             execution.error_message,
             execution.id,
         )
+        self._submit_statement(
+            "update executions set intended=?, status=?, ended_at=?, result=?, error_type=?,"
+            " error_message=? where id=?",
+            values,
+            also,
+        )
 
-        def change(db: sqlite3.Connection) -> None:
-            db.execute(
-                "update executions set intended=?, status=?, ended_at=?, result=?, error_type=?,"
-                " error_message=? where id=?",
-                values,
-            )
-            if also is not None:
-                also(db)
-
-        self.change(change)
-
-    def intend(self, ident: str, also: Change | None = None) -> None:
-        """Notes that an attempt may leave from now on."""
-        self._run("update executions set intended=1 where id=?", (ident,), also)
+    def record_intent(self, execution_id: str, also: Change | None = None) -> None:
+        """Record that an attempt may be sent from now on."""
+        self._submit_statement("update executions set intended=1 where id=?", (execution_id,), also)
 
-    def remove(self, ident: str, also: Change | None = None) -> None:
-        self._run("delete from executions where id=?", (ident,), also)
+    def remove(self, execution_id: str, also: Change | None = None) -> None:
+        """Delete an execution."""
+        self._submit_statement("delete from executions where id=?", (execution_id,), also)
 
-    def purge(self, ended_before: int, also: Change | None = None) -> None:
-        running = Status.RUNNING.value
-        text = "delete from executions where status<>? and ended_at<?"
-        self._run(text, (running, self.clock.to_stored(ended_before)), also)
+    def purge(self, ended_before_us: int, also: Change | None = None) -> None:
+        """Delete all executions that ended before a time."""
+        values = (Status.RUNNING.value, self.clock.to_stored(ended_before_us))
+        self._submit_statement("delete from executions where status<>? and ended_at<?", values, also)
 
-    def _run(self, text: str, values: Sequence[object], also: Change | None) -> None:
+    def _submit_statement(self, statement: str, values: Sequence[object], also: Change | None) -> None:
         def change(db: sqlite3.Connection) -> None:
-            db.execute(text, values)
+            db.execute(statement, values)
             if also is not None:
                 also(db)
 
-        self.change(change)
+        self.submit(change)
 
-    # Reading
+    # Reading. Each raises StoreError.
 
-    def open_executions(self) -> list[Execution]:
-        """All that have no fate yet, soonest deadline first; read at start, before the loop runs."""
+    def load_open(self) -> list[Execution]:
+        """Return all without a final status, soonest deadline first; at start, before the loop runs."""
         return self._select("where status=? order by expires_at", (Status.RUNNING.value,))
 
-    def find(self, ident: str) -> Execution | None:
-        return next(iter(self._read("where id=?", (ident,))), None)
+    def find(self, execution_id: str) -> Execution | None:
+        """Return an execution by its id."""
+        return next(iter(self._read("where id=?", (execution_id,))), None)
 
-    def named(self, function: str, name: str) -> Execution | None:
+    def find_by_name(self, function: str, name: str) -> Execution | None:
+        """Return the execution that has the name among its function's."""
         return next(iter(self._read("where function=? and name=?", (function, name))), None)
 
-    def page(self, wanted: Listing) -> tuple[list[Execution], bool]:
-        """Those wanted, and whether there are more after them."""
-        where, values = ["function=?"], list[object]([wanted.function])
-        if wanted.name is not None:
-            where.append("name=?")
-            values.append(wanted.name)
-        if wanted.statuses:
-            where.append(f"status in ({','.join('?' * len(wanted.statuses))})")
-            values += [s.value for s in wanted.statuses]
-        for bound, sign in ((wanted.after, ">"), (wanted.before, "<")):
-            if bound is not None:
-                where.append(f"accepted_at{sign}?")
-                values.append(self.clock.to_stored(bound))
-        if wanted.marker is not None:
-            where.append(f"(accepted_at, id) {'<' if wanted.reverse else '>'} (?, ?)")
-            accepted_at, ident = wanted.marker
-            values += (self.clock.to_stored(accepted_at), ident)
-        order = "desc" if wanted.reverse else "asc"
-        text = f"where {' and '.join(where)} order by accepted_at {order}, id {order} limit ?"
-        rows = self._read(text, (*values, wanted.most + 1))
-        return rows[: wanted.most], len(rows) > wanted.most
+    def list_page(self, query: ExecutionQuery) -> tuple[list[Execution], bool]:
+        """Return a page, and whether there are more after it."""
+        conditions, values = self._conditions_of(query)
+        order = "desc" if query.newest_first else "asc"
+        where = f"where {' and '.join(conditions)} order by accepted_at {order}, id {order} limit ?"
+        rows = self._read(where, (*values, query.limit + 1))
+        return rows[: query.limit], len(rows) > query.limit
+
+    def _conditions_of(self, query: ExecutionQuery) -> tuple[list[str], list[object]]:
+        conditions = ["function=?"]
+        values: list[object] = [query.function]
+        if query.name is not None:
+            conditions.append("name=?")
+            values.append(query.name)
+        if query.statuses:
+            conditions.append(f"status in ({','.join('?' * len(query.statuses))})")
+            values += [status.value for status in query.statuses]
+        if query.accepted_after_us is not None:
+            conditions.append("accepted_at>?")
+            values.append(self.clock.to_stored(query.accepted_after_us))
+        if query.accepted_before_us is not None:
+            conditions.append("accepted_at<?")
+            values.append(self.clock.to_stored(query.accepted_before_us))
+        if query.cursor is not None:
+            conditions.append(f"(accepted_at, id) {'<' if query.newest_first else '>'} (?, ?)")
+            accepted_at_us, execution_id = query.cursor
+            values += (self.clock.to_stored(accepted_at_us), execution_id)
+        return conditions, values
 
     def _read(self, where: str, values: Sequence[object]) -> list[Execution]:
         return self._loop.blocking(self._select, where, values)
 
     def _select(self, where: str, values: Sequence[object]) -> list[Execution]:
-        try:
-            self._end_transaction()  # nothing uncommitted is shown
-            rows = self._db.execute(f"select {','.join(COLUMNS)} from executions {where}", values).fetchall()
-        except sqlite3.Error as error:
-            raise StoreError(str(error)) from error
-        return [self._execution(row) for row in rows]
+        rows = self.select(f"select {COLUMNS} from executions {where}", values)
+        return [self.with_epoch_times(_execution_of(row)) for row in rows]
 
     # Times
 
     def _to_stored(self, epoch_us: int) -> int:
         return self.clock.to_stored(epoch_us) if epoch_us else 0  # 0: not yet
 
-    def _row(self, e: Execution) -> tuple[object, ...]:
-        accepted_at, expires_at = self._to_stored(e.accepted_at), self._to_stored(e.expires_at)
-        return _row(
-            replace(e, accepted_at=accepted_at, expires_at=expires_at, ended_at=self._to_stored(e.ended_at))
+    def _row_of(self, execution: Execution) -> tuple[object, ...]:
+        return (
+            execution.id,
+            execution.name,
+            execution.function,
+            execution.version,
+            execution.tenant,
+            execution.payload,
+            execution.digest,
+            self._to_stored(execution.accepted_at),
+            self._to_stored(execution.expires_at),
+            int(execution.intended),
+            execution.status.value,
+            self._to_stored(execution.ended_at),
+            execution.result,
+            execution.error_type,
+            execution.error_message,
         )
 
-    def _execution(self, row: Sequence[object]) -> Execution:
-        return self.read_stored(_execution(row))
-
-    def read_stored(self, e: Execution) -> Execution:
-        """One whose times are stored time, as in rows and in lines of the own journal, in epochs."""
-        read = self.clock.to_epoch
-        ended_at = read(e.ended_at) if e.ended_at else 0
-        return replace(e, accepted_at=read(e.accepted_at), expires_at=read(e.expires_at), ended_at=ended_at)
-
-
-def _row(e: Execution) -> tuple[object, ...]:
-    values = [getattr(e, column) for column in COLUMNS]
-    return tuple(v.value if isinstance(v, Status) else int(v) if isinstance(v, bool) else v for v in values)
+    def with_epoch_times(self, execution: Execution) -> Execution:
+        """Convert an execution in stored time, as in rows and in lines of the own journal, to epochs."""
+        to_epoch = self.clock.to_epoch
+        return replace(
+            execution,
+            accepted_at=to_epoch(execution.accepted_at),
+            expires_at=to_epoch(execution.expires_at),
+            ended_at=to_epoch(execution.ended_at) if execution.ended_at else 0,
+        )
 
 
-def _execution(row: Sequence[object]) -> Execution:
-    told = dict(zip(COLUMNS, row, strict=True))
-    told["status"], told["intended"] = Status(told["status"]), bool(told["intended"])
-    return Execution(**told)  # type: ignore[arg-type]
+def _execution_of(row: Sequence[Any]) -> Execution:
+    """Return the execution of a row with COLUMNS, in stored time."""
+    (
+        execution_id,
+        name,
+        function,
+        version,
+        tenant,
+        payload,
+        digest,
+        accepted_at,
+        expires_at,
+        intended,
+        status,
+        ended_at,
+        result,
+        error_type,
+        error_message,
+    ) = row
+    return Execution(
+        execution_id,
+        name,
+        function,
+        version,
+        tenant,
+        payload,
+        digest,
+        accepted_at,
+        expires_at,
+        bool(intended),
+        Status(status),
+        ended_at,
+        result,
+        error_type,
+        error_message,
+    )
--- a/packages/store/src/walnutpost/store/firings.py
+++ b/packages/store/src/walnutpost/store/firings.py
@@ -1,4 +1,4 @@
-"""What became of each due time, beside the executions in one file: a firing and its call are one commit."""
+"""The outcome of each due time of a schedule; a firing and its call's execution are one commit."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from walnutpost.gateway import Execution
-from walnutpost.store.database import Change, Database, StoreError
+from walnutpost.store.database import Change, Database, StoreError, combine_changes
 
 SCHEMA = """
 create table if not exists firings (
@@ -20,12 +20,19 @@
 create index if not exists firings_by_time on firings (decided_at);
 create table if not exists marks (schedule text primary key, mark integer not null) without rowid;
 """
-FIRED, SKIPPED, REFUSED = "RUNNING", "SKIPPED", "REFUSED"
+# Stored words of column firings.status, beside those of gateway.Status.
+FIRED = "RUNNING"
+SKIPPED = "SKIPPED"
+REFUSED = "REFUSED"
+HISTORY_LOCK_TIMEOUT_S = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """`count` due times from `due` to `last`; `status` is the execution's, SKIPPED or REFUSED."""
+class FiringRow:
+    """A row: `count` due times from `due` to `last`. The order of fields is that of the columns.
+
+    `status` is the execution's, SKIPPED or REFUSED; `why` explains it to people. Times in microseconds.
+    """
 
     schedule: str
     due: int
@@ -38,44 +45,53 @@
 
 
 class FiringStore:
-    def __init__(self, store: Database) -> None:
-        self._store = store
-        store.make(SCHEMA)
+    """Firings, and for each schedule the mark up to which its due times are decided."""
+
+    def __init__(self, database: Database) -> None:
+        """Add the tables, before the loop runs."""
+        self._database = database
+        database.create_tables(SCHEMA)
 
-    def fired(self, schedule: str, due: int, now: int, execution: str) -> Change:
-        """To be committed with the execution it stands for."""
+    # Changes, to be committed
+
+    def record_fired(self, schedule: str, due: int, now: int, execution: str) -> Change:
+        """Return the change that belongs into the commit of the execution itself."""
 
         def change(db: sqlite3.Connection) -> None:
             db.execute(
                 "insert or replace into firings values (?, ?, ?, 1, ?, ?, ?, '')",
                 (schedule, due, due, now, execution, FIRED),
             )
-            _mark(db, schedule, due)
+            _advance_mark(db, schedule, due)
 
         return change
 
-    def skipped(self, schedule: str, due: int, last: int, count: int, now: int, why: str) -> Change:
+    def record_skipped(self, schedule: str, due: int, last: int, count: int, now: int, why: str) -> Change:
+        """Return the change that records `count` due times without a call."""
+
         def change(db: sqlite3.Connection) -> None:
             db.execute(
                 "insert or ignore into firings values (?, ?, ?, ?, ?, '', ?, ?)",
                 (schedule, due, last, count, now, SKIPPED, why),
             )
-            _mark(db, schedule, last)
+            _advance_mark(db, schedule, last)
 
         return change
 
-    def refused(self, schedule: str, due: int, now: int, why: str) -> Change:
+    def record_rejected(self, schedule: str, due: int, now: int, why: str) -> Change:
+        """Return the change that records a due time whose call was rejected."""
+
         def change(db: sqlite3.Connection) -> None:
             db.execute(
                 "insert or replace into firings values (?, ?, ?, 1, ?, '', ?, ?)",
                 (schedule, due, due, now, REFUSED, why),
             )
-            _mark(db, schedule, due)
+            _advance_mark(db, schedule, due)
 
         return change
 
-    def ended(self, execution: Execution) -> Change:
-        """A firing's fate is its execution's; nothing where the execution is no firing."""
+    def record_ended(self, execution: Execution) -> Change:
+        """Return the change that gives a firing its execution's final status, if it is of a firing."""
         why = f"{execution.error_type}: {execution.error_message}" if execution.error_type else ""
 
         def change(db: sqlite3.Connection) -> None:
@@ -86,8 +102,8 @@
 
         return change
 
-    def begin(self, schedules: Sequence[str], now: int) -> Change:
-        """New schedules are known from now on, so what they miss from here on is known to be missed."""
+    def register_schedules(self, schedules: Sequence[str], now: int) -> Change:
+        """Return the change that knows schedules from now on, so that due times missed later are found."""
 
         def change(db: sqlite3.Connection) -> None:
             for name in schedules:
@@ -96,52 +112,51 @@
         return change
 
     def commit(self, *changes: Change) -> None:
-        """Waits until all are durable, as one; raises StoreError."""
+        """Return once all are durable, in one commit. Raises StoreError."""
+        change = combine_changes(*changes)
+        self._database.submit(change if change is not None else _no_change)
 
-        def change(db: sqlite3.Connection) -> None:
-            for each in changes:
-                each(db)
-
-        self._store.change(change)
-
-    def marks(self) -> dict[str, int]:
-        """Read at start, before the loop runs."""
-        return dict(self._store.select("select schedule, mark from marks"))
-
-    def out(self) -> tuple[list[Row], list[Row]]:
-        """Firings that have no fate yet, at start: those whose call is open, and those that were being
-        refused when the last process died, so that no call stands for them."""
-        there = "exists (select 1 from executions e where e.name=f.execution and e.status='RUNNING')"
-        found = [
-            [
-                Row(*row)
-                for row in self._store.select(
-                    f"select f.* from firings f where f.status='{FIRED}' and {which}"
-                )
-            ]
-            for which in (there, f"not {there}")
-        ]
-        return found[0], found[1]
-
-
-def _mark(db: sqlite3.Connection, schedule: str, due: int) -> None:
+    # Reading at start, before the loop runs
+
+    def load_marks(self) -> dict[str, int]:
+        """Return each schedule's mark."""
+        return dict(self._database.select("select schedule, mark from marks"))
+
+    def load_unfinished(self) -> tuple[list[FiringRow], list[FiringRow]]:
+        """Return the firings without an outcome: those whose call is open, and those without a call.
+
+        The latter were being rejected when the last process died.
+        """
+        has_call = "exists (select 1 from executions e where e.name=f.execution and e.status='RUNNING')"
+        return self._load_fired(has_call), self._load_fired(f"not {has_call}")
+
+    def _load_fired(self, condition: str) -> list[FiringRow]:
+        query = f"select f.* from firings f where f.status='{FIRED}' and {condition}"
+        return [FiringRow(*row) for row in self._database.select(query)]
+
+
+def _no_change(db: sqlite3.Connection) -> None:
+    """Do nothing."""
+
+
+def _advance_mark(db: sqlite3.Connection, schedule: str, due: int) -> None:
     db.execute(
         "insert into marks values (?, ?) on conflict (schedule) do update set mark=max(mark, excluded.mark)",
         (schedule, due),
     )
 
 
-def history(path: Path, schedule: str | None, most: int) -> list[Row]:
-    """The latest fates, newest first, from a store that may be in use; raises StoreError."""
+def read_history(path: Path, schedule: str | None, limit: int) -> list[FiringRow]:
+    """Return the latest firings, newest first, of a file that may be in use. Raises StoreError."""
+    where, values = ("where schedule=?", [schedule]) if schedule else ("", [])
     try:
-        db = sqlite3.connect(f"file:{path}?mode=ro", uri=True, timeout=1)
+        db = sqlite3.connect(f"file:{path}?mode=ro", uri=True, timeout=HISTORY_LOCK_TIMEOUT_S)
         try:
-            where, values = ("where schedule=?", [schedule]) if schedule else ("", [])
             rows = db.execute(
-                f"select * from firings {where} order by due desc, schedule limit ?", [*values, most]
+                f"select * from firings {where} order by due desc, schedule limit ?", [*values, limit]
             ).fetchall()
         finally:
             db.close()
     except sqlite3.Error as error:
         raise StoreError(f"{path}: {error}") from error
-    return [Row(*row) for row in rows]
+    return [FiringRow(*row) for row in rows]
--- a/packages/store/src/walnutpost/store/journal.py
+++ b/packages/store/src/walnutpost/store/journal.py
@@ -1,7 +1,7 @@
-"""Journals on disk: this process's own and those that it holds for others, in the file of the executions.
+"""Journals on disk: this process's own and its replicas of others', in the file of the executions.
 
-One commit makes a call's row and its line durable, so that neither is ever without the other. Weighed in
-docs/recovery.md against a log of files and lmdb.
+One commit makes a call's row and its journal line durable, so that neither is ever without the other.
+docs/recovery.md compares this with a log of files and with lmdb.
 """
 
 from __future__ import annotations
@@ -12,18 +12,21 @@
 
 from walnutpost.eventloop import Loop
 from walnutpost.journal import (
-    Accepted,
-    BadLine,
-    Batch,
+    AnyRecord,
+    AttemptIntended,
+    BatchWrite,
+    CallAccepted,
+    CallEnded,
+    CallWithdrawn,
+    CorruptLineError,
+    IntervalSet,
+    JournalBatch,
     Line,
-    Purged,
-    Spans,
-    Take,
-    batch,
-    call_of,
-    line,
+    ResultsPurged,
+    call_id_of,
+    encode_line,
+    make_batch,
 )
-from walnutpost.journal.records import Any_
 from walnutpost.store.database import Database, StoreError
 
 SCHEMA = """
@@ -37,142 +40,171 @@
 create index if not exists lines_by_call on lines (call, origin);
 create index if not exists lines_by_time on lines (origin, kind, at);
 """
-READ_MOST = 512  # lines read at a time
+READ_CHUNK_LINES = 512  # lines read at a time
 
+# Column lines.kind: stored words, on which _purge selects. They don't change with the names of classes.
+KINDS: dict[type[AnyRecord], str] = {
+    CallAccepted: "accepted",
+    AttemptIntended: "intended",
+    CallEnded: "ended",
+    CallWithdrawn: "withdrawn",
+    ResultsPurged: "purged",
+}
+CORRUPT_KIND = "bad"  # of a line whose bytes can't be read
 
-class Appending:
-    """A Change that gives `record` the next number; `line` is set once it is durable."""
 
-    def __init__(self, origin: str, record: Any_) -> None:
+class LineAppend:
+    """A Change that gives `record` the next number of a journal; `line` is set once it is durable."""
+
+    def __init__(self, origin: str, record: AnyRecord) -> None:
+        """Append to the journal of `origin`."""
         self._origin = origin
         self._record = record
         self.line = Line(0, b"", 0)
 
     def __call__(self, db: sqlite3.Connection) -> None:
-        # Numbered within the commit: one that fails gives its numbers back, and nobody was told of them.
+        """Write the line as part of a commit."""
+        # Numbered within the commit: one that fails gives its numbers back, and nobody was sent them.
         (seq,) = db.execute(
             "update journals set upto = upto + 1 where origin = ? returning upto", (self._origin,)
         ).fetchone()
-        self.line = line(seq, self._record)
+        self.line = encode_line(seq, self._record)
         _insert(db, self._origin, self.line, self._record)
 
 
 class JournalStore:
-    """`own`: this process's journal, by its name and its disk: another disk is another journal. `known`:
-    up to where each journal is held here without a hole."""
+    """Journals in a database's file.
+
+    `own_origin` names this process's journal by its name and its disk: another disk is another journal.
+    `offsets` says up to which number each journal is here without a gap.
+    """
 
-    def __init__(self, loop: Loop, store: Database, name: str) -> None:
+    def __init__(self, loop: Loop, database: Database, name: str) -> None:
+        """Open the journals before the loop runs. Raises StoreError if the file is another front end's."""
         self._loop = loop
-        self._store = store
-        store.make(SCHEMA)
-        rows = store.select("select origin, own, upto from journals")
-        own = [origin for origin, mine, _ in rows if mine]
+        self._database = database
+        database.create_tables(SCHEMA)
+        rows = database.select("select origin, own, upto from journals")
+        own = [origin for origin, is_own, _ in rows if is_own]
         if own and own[0].rpartition("#")[0] != name:
             raise StoreError(f"the journal here is {own[0]}'s, wanted {name}'s")
-        self.own = own[0] if own else f"{name}#{secrets.token_hex(6)}"
+        self.own_origin = own[0] if own else f"{name}#{secrets.token_hex(6)}"
         if not own:
-            store.change_now(lambda db: db.execute("insert into journals values (?, 1, 0)", (self.own,)))
-        self.known = {origin: upto for origin, _, upto in rows}
-        self.known.setdefault(self.own, 0)
+            database.commit_at_startup(
+                lambda db: db.execute("insert into journals values (?, 1, 0)", (self.own_origin,))
+            )
+        self.offsets = {origin: upto for origin, _, upto in rows}
+        self.offsets.setdefault(self.own_origin, 0)
 
     @property
-    def disk(self) -> str:
-        return self.own.rpartition("#")[2]
+    def disk_id(self) -> str:
+        """The identity of this disk, made with the file."""
+        return self.own_origin.rpartition("#")[2]
 
-    def append(self, record: Any_) -> Appending:
-        """To be committed with what it tells of; then `appended`."""
-        return Appending(self.own, record)
+    def new_append(self, record: AnyRecord) -> LineAppend:
+        """Return a change to be committed with what the record is about; then call `mark_durable`."""
+        return LineAppend(self.own_origin, record)
 
-    def appended(self, done: Appending) -> None:
-        self.known[self.own] = max(self.known[self.own], done.line.seq)
+    def mark_durable(self, append: LineAppend) -> None:
+        """Advance the own journal's offset after the commit of `append`."""
+        self.offsets[self.own_origin] = max(self.offsets[self.own_origin], append.line.seq)
 
-    def write(self, record: Any_) -> Appending:
-        """Returns once it is durable; raises StoreError."""
-        change = self.append(record)
-        self._store.change(change)
-        self.appended(change)
-        return change
+    def append_durably(self, record: AnyRecord) -> LineAppend:
+        """Append to the own journal; return once it is durable. Raises StoreError."""
+        append = self.new_append(record)
+        self._database.submit(append)
+        self.mark_durable(append)
+        return append
 
-    def take(self, take: Take) -> None:
-        """Returns once it is durable; raises StoreError."""
+    def write_batch(self, write: BatchWrite) -> None:
+        """Write lines of another's journal; return once they are durable. Raises StoreError."""
 
         def change(db: sqlite3.Connection) -> None:
             db.execute(
                 "insert into journals values (?, 0, ?) on conflict (origin)"
                 " do update set upto = excluded.upto",
-                (take.origin, take.upto),
+                (write.origin, write.upto),
             )
-            for found in take.lines:
-                _insert(db, take.origin, found, _read_line(found))
+            for line in write.lines:
+                _insert(db, write.origin, line, _decode(line))
 
-        self._store.change(change)
-        self.known[take.origin] = max(self.known.get(take.origin, 0), take.upto)
+        self._database.submit(change)
+        self.offsets[write.origin] = max(self.offsets.get(write.origin, 0), write.upto)
 
-    def batch(self, origin: str, after: int, upto: int, bytes_most: int) -> Batch:
-        """What follows `after`, no further than `upto`, which must be durable here; raises StoreError."""
-        return self._loop.blocking(self._batch, origin, after, upto, bytes_most)
+    def read_batch(self, origin: str, after: int, upto: int, max_bytes: int) -> JournalBatch:
+        """Return the lines in (after, upto], or as many as fit `max_bytes`; at least one.
 
-    def _batch(self, origin: str, after: int, upto: int, bytes_most: int) -> Batch:
-        found: list[Line] = []
-        size, last = 0, after
+        All up to `upto` must be durable here. Raises StoreError.
+        """
+        return self._loop.blocking(self._read_batch, origin, after, upto, max_bytes)
+
+    def _read_batch(self, origin: str, after: int, upto: int, max_bytes: int) -> JournalBatch:
+        lines: list[Line] = []
+        size_bytes = 0
+        last = after
         while last < upto:
-            rows = self._read(
+            chunk = self._read(
                 "where origin = ? and seq > ? and seq <= ? order by seq limit ?",
-                (origin, last, upto, READ_MOST),
+                (origin, last, upto, READ_CHUNK_LINES),
             )
-            if not rows:
-                last = upto  # the rest were of calls that are no longer kept
-            for row in rows:
-                if found and size + row.size > bytes_most:
-                    return batch(origin, after, last, found)
-                found.append(row)
-                size, last = size + row.size, row.seq
-        return batch(origin, after, max(last, upto), found)
-
-    def held(self, origin: str) -> tuple[Spans, list[Line]]:
-        """All of a journal that is here: the numbers accounted for, and the lines; raises StoreError."""
+            if not chunk:
+                last = upto  # the rest were of calls that were purged
+            for line in chunk:
+                if lines and size_bytes + line.size_bytes > max_bytes:
+                    return make_batch(origin, after, last, lines)
+                lines.append(line)
+                size_bytes += line.size_bytes
+                last = line.seq
+        return make_batch(origin, after, max(last, upto), lines)
+
+    def read_journal(self, origin: str) -> tuple[IntervalSet, list[Line]]:
+        """Return a journal as it is here: the numbers accounted for, and the lines. Raises StoreError."""
         lines = self._loop.blocking(self._read, "where origin = ? order by seq", (origin,))
-        return Spans([(0, self.known.get(origin, 0))]), lines
+        return IntervalSet([(0, self.offsets.get(origin, 0))]), lines
 
-    def of_call(self, call: str) -> list[Line]:
-        """What any journal here says of it; raises StoreError."""
-        return self._loop.blocking(self._read, "where call = ?", (call,))
+    def read_call_lines(self, call_id: str) -> list[Line]:
+        """Return the lines about a call in all journals here. Raises StoreError."""
+        return self._loop.blocking(self._read, "where call = ?", (call_id,))
 
     def _read(self, where: str, values: Sequence[object]) -> list[Line]:
-        return [Line(*row) for row in self._store.select(f"select seq, data, sum from lines {where}", values)]
+        rows = self._database.select(f"select seq, data, sum from lines {where}", values)
+        return [Line(*row) for row in rows]
 
 
-def _insert(db: sqlite3.Connection, origin: str, found: Line, record: Any_ | None) -> None:
-    """`record` is what the line says, None where it can't be read."""
+def _insert(db: sqlite3.Connection, origin: str, line: Line, record: AnyRecord | None) -> None:
+    """Insert a line with its record, None if that can't be read."""
     db.execute(
         "insert into lines values (?, ?, ?, ?, ?, ?, ?)",
         (
             origin,
-            found.seq,
-            type(record).__name__.lower() if record is not None else "bad",
-            call_of(record) if record is not None else None,
-            record.expires_at if isinstance(record, Accepted) else None,
-            found.data,
-            found.sum,
+            line.seq,
+            KINDS[type(record)] if record is not None else CORRUPT_KIND,
+            call_id_of(record) if record is not None else None,
+            record.expires_at_us if isinstance(record, CallAccepted) else None,
+            line.data,
+            line.checksum,
         ),
     )
-    if isinstance(record, Purged):
-        _purge(db, origin, record.ended_before, found.seq)
+    if isinstance(record, ResultsPurged):
+        _purge(db, origin, record.ended_before_us, line.seq)
 
 
-def _read_line(found: Line) -> Any_ | None:
+def _decode(line: Line) -> AnyRecord | None:
     try:
-        return found.record()
-    except BadLine:  # another copy may have it whole; this one keeps its place and the proof
+        return line.decode()
+    except CorruptLineError:  # another replica may have it intact; this one stores it as it came
         return None
 
 
-def _purge(db: sqlite3.Connection, origin: str, before: int, seq: int) -> None:
-    """Lines of calls whose time was over before that, not only ended: a holder that has the first line of a
-    call, and never gets the last, must be able to tell by the first alone that it is no longer open."""
+def _purge(db: sqlite3.Connection, origin: str, before_us: int, seq: int) -> None:
+    """Delete the lines of calls that expired before a time, and older purge records.
+
+    Not only of calls that ended: a replica that has the first line of a call, and never gets the last, must
+    be able to tell by the first alone that the call is no longer open.
+    """
     db.execute(
         "delete from lines where origin = ?1 and call in"
         " (select call from lines where origin = ?1 and kind = 'accepted' and at < ?2)",
-        (origin, before),
+        (origin, before_us),
     )
     db.execute("delete from lines where origin = ? and kind = 'purged' and seq < ?", (origin, seq))
--- a/packages/store/src/walnutpost/store/replica.py
+++ b/packages/store/src/walnutpost/store/replica.py
@@ -167,7 +167,7 @@
                     db.execute("delete from past where place <= ?", (w.snapshot.index - self._past_most,))
 
         self.floor.before(writes)
-        self.change(change)
+        self.submit(change)
         self.floor.after(writes)
 
     def past(self, after: int, most: int, last: int) -> tuple[int, list[LogEntry]]:
--- a/packages/store/src/walnutpost/store/stored_time.py
+++ b/packages/store/src/walnutpost/store/stored_time.py
@@ -1,4 +1,4 @@
-"""How stored times survive a step of the wall clock across a restart. Decides; no I/O, no clock.
+"""How stored times survive a step of the wall clock across a restart. No I/O, no clock.
 
 A process's clock is an epoch read once at its start and carried on by the monotonic clock, so the wall clock
 can step only between two processes. What is stored must not be aged by such a step. It is therefore written
@@ -31,20 +31,21 @@
 
     @property
     def offset_us(self) -> int:
+        """The process's epoch less stored time."""
         return self.epoch_us - self.stored_us
 
 
-def passed_us(mark: TimeMark, boot: BootTime, epoch_us: int) -> int:
-    """The time that certainly passed since `mark`, never more."""
-    elapsed_us = boot.since_boot_us - mark.boot.since_boot_us
-    if boot.boot_id and boot.boot_id == mark.boot.boot_id and elapsed_us >= 0:
-        return elapsed_us
+def elapsed_us(mark: TimeMark, boot: BootTime, epoch_us: int) -> int:
+    """Return the time that certainly passed since `mark`, never more."""
+    since_mark_us = boot.since_boot_us - mark.boot.since_boot_us
+    if boot.boot_id and boot.boot_id == mark.boot.boot_id and since_mark_us >= 0:
+        return since_mark_us
     return max(0, epoch_us - mark.epoch_us - MAX_STEP_US)
 
 
 def next_offset_us(mark: TimeMark | None, boot: BootTime, epoch_us: int) -> int:
-    """The offset of a process that starts at `epoch_us` on what another left, whose last mark is `mark`."""
+    """Return the offset of a process that starts at `epoch_us` on a file whose last mark is `mark`."""
     if mark is None:
         return 0
-    step_us = epoch_us - mark.epoch_us - passed_us(mark, boot, epoch_us)
+    step_us = epoch_us - mark.epoch_us - elapsed_us(mark, boot, epoch_us)
     return mark.offset_us + (step_us if abs(step_us) > READ_TOLERANCE_US else 0)
--- a/packages/store/src/walnutpost/store/usage.py
+++ b/packages/store/src/walnutpost/store/usage.py
@@ -1,4 +1,4 @@
-"""The ledger of memory-time on disk, in a file of its own: a full or slow disk then costs no call."""
+"""The usage ledger on disk, in a file of its own: a full or slow disk then costs no call."""
 
 from __future__ import annotations
 
@@ -52,33 +52,40 @@
 ) without rowid;
 create table if not exists state (name text primary key, value integer not null) without rowid;
 """
-_ENCODE, _DECODE = msgspec.json.Encoder().encode, msgspec.json.Decoder().decode
-SERIAL, CLOSED_TO, DROPPED, RUN, RUN_AT, AT_RISK = (
-    "serial",
-    "closed to",
-    "dropped before",
-    "run",
-    "run at",
-    "at risk",
-)
+_encode = msgspec.json.Encoder().encode
+_decode = msgspec.json.Decoder().decode
+READ_LOCK_TIMEOUT_S = 1
+SLICE_COLUMNS = 14
+# Stored words: the keys of table `state`.
+SERIAL = "serial"
+CLOSED_TO = "closed to"
+DROPPED_BEFORE = "dropped before"
+RUN_STARTED = "run"
+RUN_WRITTEN = "run at"
+RUN_AT_RISK = "at risk"
 
 
 @dataclass(frozen=True, slots=True)
-class Run:
-    """The front end's life as last written; `at_risk` MB stood then that no worker counts; 0 where it ended
-    in order."""
+class LedgerRun:
+    """The front end's incarnation that wrote the ledger last; times in microseconds.
 
-    started: int = 0
-    at: int = 0
-    at_risk: int = 0
+    `at_risk_mb` was loaded then at workers that report no usage themselves; 0 after a clean shutdown.
+    """
+
+    started_us: int = 0
+    written_us: int = 0
+    at_risk_mb: int = 0
 
 
 class UsageStore(Database):
+    """The ledger of one front end."""
+
     def __init__(self, loop: Loop, path: Path) -> None:
+        """Open or make the file. Raises StoreError."""
         super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
 
-    def saved(self) -> tuple[Saved, Run]:
-        """Read at start, before the loop runs."""
+    def load(self) -> tuple[Saved, LedgerRun]:
+        """Return the ledger's state and its last run; at start, before the loop runs. Raises StoreError."""
         try:
             state = _state(self._db)
             saved = _saved(self._db, state, 0, 1 << 62)
@@ -91,39 +98,30 @@
         for hour, tenant, function, cause, *amount in self.select(query):
             if any(amount):
                 saved.booked.setdefault(hour, {})[Account(tenant, function, cause)] = Amount(*amount)
-        return saved, Run(state.get(RUN, 0), state.get(RUN_AT, 0), state.get(AT_RISK, 0))
+        run = LedgerRun(state.get(RUN_STARTED, 0), state.get(RUN_WRITTEN, 0), state.get(RUN_AT_RISK, 0))
+        return saved, run
 
-    def write(self, batch: Batch, run: Run) -> None:
-        """Waits until all of it is durable, as one; raises StoreError, and nothing of it stands."""
-        self.change(lambda db: write_batch(db, batch, run))
+    def write(self, batch: Batch, run: LedgerRun) -> None:
+        """Return once all of it is durable, in one commit. Raises StoreError, and nothing is written."""
+        self.submit(lambda db: write_batch(db, batch, run))
 
 
-def write_batch(db: sqlite3.Connection, batch: Batch, run: Run) -> None:
-    (before,) = db.execute("select coalesce(max(value), 0) from state where name=?", (SERIAL,)).fetchone()
-    if before != batch.serial - 1:
+def write_batch(db: sqlite3.Connection, batch: Batch, run: LedgerRun) -> None:
+    """Write a batch as part of a transaction. Raises sqlite3.DatabaseError if it isn't the next in order."""
+    (last,) = db.execute("select coalesce(max(value), 0) from state where name=?", (SERIAL,)).fetchone()
+    if last != batch.serial - 1:
         # Else lines would be booked twice: another process on the same file, or one written unknown to us.
-        raise sqlite3.DatabaseError(f"found batch {before} in the ledger, wanted {batch.serial - 1}: restart")
+        raise sqlite3.DatabaseError(f"found batch {last} in the ledger, wanted {batch.serial - 1}: restart")
+    _write_observations(db, batch)
+    _write_lines(db, batch)
+    _write_state(db, batch, run)
+    _delete_old(db, batch)
+
+
+def _write_observations(db: sqlite3.Connection, batch: Batch) -> None:
     db.executemany(
-        f"insert or replace into slices values ({','.join('?' * 14)})",
-        [
-            (
-                s.worker,
-                s.started,
-                s.copy,
-                s.hour,
-                s.function,
-                s.memory_mb,
-                s.heard,
-                int(s.ended),
-                s.loading,
-                s.unused,
-                _ENCODE(s.runs).decode(),
-                _ENCODE(s.after).decode(),
-                s.first,
-                _ENCODE(sorted(s.doubts)).decode(),
-            )
-            for s in batch.slices
-        ],
+        f"insert or replace into slices values ({','.join('?' * SLICE_COLUMNS)})",
+        [_slice_row(each) for each in batch.slices],
     )
     db.executemany(
         "insert or replace into lives values (?, ?, ?, ?, ?, ?, ?)",
@@ -134,29 +132,59 @@
     )
     db.executemany(
         "insert or replace into gaps values (?, ?, ?, ?)",
-        [(g.hour, g.source, g.cause, g.most) for g in batch.gaps],
+        [(gap.hour, gap.source, gap.cause, gap.most) for gap in batch.gaps],
     )
     db.executemany(
         "insert or replace into seen values (?, ?, ?, ?, ?, ?, ?, ?)",
-        [(*s.key, s.amount.best, s.amount.least, s.amount.most) for s in batch.seen],
+        [(*seen.key, seen.amount.best, seen.amount.least, seen.amount.most) for seen in batch.seen],
     )
+
+
+def _slice_row(each: Slice) -> tuple[object, ...]:
+    return (
+        each.worker,
+        each.started,
+        each.copy,
+        each.hour,
+        each.function,
+        each.memory_mb,
+        each.heard,
+        int(each.ended),
+        each.loading,
+        each.unused,
+        _encode(each.runs).decode(),
+        _encode(each.after).decode(),
+        each.first,
+        _encode(sorted(each.doubts)).decode(),
+    )
+
+
+def _write_lines(db: sqlite3.Connection, batch: Batch) -> None:
     for line in batch.lines:
-        a, m = line.account, line.amount
-        db.execute("insert or ignore into accounts values (null, ?, ?, ?)", (a.tenant, a.function, a.cause))
+        account = line.account
+        amount = line.amount
+        key = (account.tenant, account.function, account.cause)
+        db.execute("insert or ignore into accounts values (null, ?, ?, ?)", key)
         db.execute(
             "insert into lines select ?, id, ?, ?, ?, ?, ? from accounts"
             " where tenant=? and function=? and cause=?",
-            (line.hour, line.kind, m.best, m.least, m.most, line.at, a.tenant, a.function, a.cause),
+            (line.hour, line.kind, amount.best, amount.least, amount.most, line.at, *key),
         )
+
+
+def _write_state(db: sqlite3.Connection, batch: Batch, run: LedgerRun) -> None:
     state = {
         SERIAL: batch.serial,
         CLOSED_TO: batch.closed_to,
-        DROPPED: batch.drop_before,
-        RUN: run.started,
-        RUN_AT: run.at,
-        AT_RISK: run.at_risk,
+        DROPPED_BEFORE: batch.drop_before,
+        RUN_STARTED: run.started_us,
+        RUN_WRITTEN: run.written_us,
+        RUN_AT_RISK: run.at_risk_mb,
     }
     db.executemany("insert or replace into state values (?, ?)", list(state.items()))
+
+
+def _delete_old(db: sqlite3.Connection, batch: Batch) -> None:
     for table in ("slices", "gaps", "seen"):
         db.execute(f"delete from {table} where hour<?", (batch.drop_before,))
     db.execute(
@@ -177,32 +205,48 @@
 
 
 def read_ledger(path: Path, since: int, until: int, records: bool = True) -> Kept:
-    """The hours from `since` to before `until` of a file that may be in use; raises StoreError. Without
-    `records`, workers' records are read for hours that are not closed, only."""
-    lines = (
-        "select hour, tenant, function, cause, kind, best, least, most, at from lines, accounts"
-        " where id=account and hour>=? and hour<? order by hour, id, at"
-    )
-    days = (
-        "select day, tenant, function, cause, kind, best, least, most, 0 from days, accounts"
-        " where id=account and day>=? and day<? order by day, id"
-    )
+    """Return the hours from `since` to before `until` of a file that may be in use. Raises StoreError.
+
+    Without `records`, workers' records are read only for hours that are not closed.
+    """
     try:
-        db = sqlite3.connect(f"file:{path}?mode=ro", uri=True, timeout=1)
+        db = sqlite3.connect(f"file:{path}?mode=ro", uri=True, timeout=READ_LOCK_TIMEOUT_S)
         try:
-            db.execute("begin")  # one moment for all of it
-            span = (since, until)
+            db.execute("begin")  # one snapshot for all of it
             state = _state(db)
-            kept = Kept(_saved(db, state, since if records else max(since, state.get(CLOSED_TO, 0)), until))
-            for query, out in ((lines, kept.lines), (days, kept.days)):
-                for hour, tenant, function, cause, kind, best, least, most, at in db.execute(query, span):
-                    account, amount = Account(tenant, function, cause), Amount(best, least, most)
-                    out.append(Line(hour, account, kind, amount, at))
+            records_since = since if records else max(since, state.get(CLOSED_TO, 0))
+            ledger = Kept(_saved(db, state, records_since, until))
+            ledger.lines.extend(_read_lines(db, since, until))
+            ledger.days.extend(_read_days(db, since, until))
         finally:
             db.close()
     except sqlite3.Error as error:
         raise StoreError(f"{path}: {error}") from error
-    return kept
+    return ledger
+
+
+def _read_lines(db: sqlite3.Connection, since: int, until: int) -> list[Line]:
+    rows = db.execute(
+        "select hour, tenant, function, cause, kind, best, least, most, at from lines, accounts"
+        " where id=account and hour>=? and hour<? order by hour, id, at",
+        (since, until),
+    )
+    return [_line(*row) for row in rows]
+
+
+def _read_days(db: sqlite3.Connection, since: int, until: int) -> list[Line]:
+    rows = db.execute(
+        "select day, tenant, function, cause, kind, best, least, most, 0 from days, accounts"
+        " where id=account and day>=? and day<? order by day, id",
+        (since, until),
+    )
+    return [_line(*row) for row in rows]
+
+
+def _line(
+    hour: int, tenant: str, function: str, cause: str, kind: str, best: int, least: int, most: int, at: int
+) -> Line:
+    return Line(hour, Account(tenant, function, cause), kind, Amount(best, least, most), at)
 
 
 def _state(db: sqlite3.Connection) -> dict[str, int]:
@@ -210,7 +254,7 @@
 
 
 def _saved(db: sqlite3.Connection, state: dict[str, int], since: int, until: int) -> Saved:
-    """All but what is booked."""
+    """Return the state without the booked amounts."""
     span = "where hour>=? and hour<?"
     return Saved(
         _slices(db.execute(f"select * from slices {span}", (since, until))),
@@ -218,7 +262,7 @@
         [Gap(*row) for row in db.execute(f"select * from gaps {span}", (since, until))],
         [_seen(*row) for row in db.execute(f"select * from seen {span}", (since, until))],
         closed_to=state.get(CLOSED_TO, 0),
-        drop_before=state.get(DROPPED, 0),
+        drop_before=state.get(DROPPED_BEFORE, 0),
         serial=state.get(SERIAL, 0),
     )
 
@@ -236,10 +280,18 @@
 
 
 def _slices(rows: Iterable[tuple[Any, ...]]) -> list[Slice]:
-    out = []
-    for worker, started, copy, hour, function, mb, heard, ended, *counts, runs, after, first, doubts in rows:
-        loading, unused = counts
-        s = Slice(worker, started, copy, hour, function, mb, heard, bool(ended), loading, unused)
-        runs, after, doubts = _DECODE(runs), _DECODE(after), frozenset(_DECODE(doubts))
-        out.append(msgspec.structs.replace(s, runs=runs, after=after, first=first, doubts=doubts))
-    return out
+    slices = []
+    for row in rows:
+        worker, started, copy, hour, function, memory_mb, heard, ended, loading, unused = row[:10]
+        runs, after, first, doubts = row[10:]
+        counted = Slice(worker, started, copy, hour, function, memory_mb, heard, bool(ended), loading, unused)
+        slices.append(
+            msgspec.structs.replace(
+                counted,
+                runs=_decode(runs),
+                after=_decode(after),
+                first=first,
+                doubts=frozenset(_decode(doubts)),
+            )
+        )
+    return slices
--- a/packages/store/tests/stored_state.py
+++ b/packages/store/tests/stored_state.py
@@ -11,14 +11,23 @@
 
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Execution, Status
-from walnutpost.journal import Accepted, Ended, Intended, Purged, Withdrawn, batch, line, taken
+from walnutpost.journal import (
+    AttemptIntended,
+    CallAccepted,
+    CallEnded,
+    CallWithdrawn,
+    ResultsPurged,
+    encode_line,
+    make_batch,
+    plan_batch_write,
+)
 from walnutpost.journal import Line as JournalLine
-from walnutpost.journal.records import Any_ as AnyRecord
+from walnutpost.journal.records import AnyRecord as AnyRecord
 from walnutpost.metering import HOUR, Account, Amount, Batch, Gap, Life, Line, Saved, Seen, Slice
 from walnutpost.metering.records import DAY
 from walnutpost.metering.reports import Kept
 from walnutpost.store import ExecutionStore, FiringStore, JournalStore, UsageStore
-from walnutpost.store.usage import Run
+from walnutpost.store.usage import LedgerRun
 
 GOLDEN = Path(__file__).parent / "golden"
 CALLS_DUMP, USAGE_DUMP = GOLDEN / "calls.sql", GOLDEN / "usage.sql"
@@ -61,23 +70,25 @@
 CALLS = [OPEN, replace(INTENDED, intended=True), *ENDED.values(), FIRED]
 
 OWN_RECORDS: list[AnyRecord] = [
-    Accepted("id-open", "name-open", "price", "4", "tills", b"open", "digest", 1, NOW + 60, "unsafe", 2),
-    Intended("id-open", 1, "worker-1"),
-    Accepted("id-gone", "name-gone", "price", "4", None, b"", "digest", 2, NOW + 61, "safe", 0),
-    Withdrawn("id-gone"),
-    Accepted("id-old", "name-old", "price", "4", None, b"", "digest", 2, NOW - 2000, "safe", 0),
-    Purged(NOW - 3000),
-    Ended("id-open", "SUCCEEDED", NOW + 5, b"result", "", ""),
-    Purged(NOW - 1000),
+    CallAccepted("id-open", "name-open", "price", "4", "tills", b"open", "digest", 1, NOW + 60, "unsafe", 2),
+    AttemptIntended("id-open", 1, "worker-1"),
+    CallAccepted("id-gone", "name-gone", "price", "4", None, b"", "digest", 2, NOW + 61, "safe", 0),
+    CallWithdrawn("id-gone"),
+    CallAccepted("id-old", "name-old", "price", "4", None, b"", "digest", 2, NOW - 2000, "safe", 0),
+    ResultsPurged(NOW - 3000),
+    CallEnded("id-open", "SUCCEEDED", NOW + 5, b"result", "", ""),
+    ResultsPurged(NOW - 1000),
 ]
-OWN_LINES = [line(seq, record) for seq, record in enumerate(OWN_RECORDS, start=1) if seq not in (5, 6)]
+OWN_LINES = [encode_line(seq, record) for seq, record in enumerate(OWN_RECORDS, start=1) if seq not in (5, 6)]
 OTHER_RECORDS: dict[int, AnyRecord] = {
-    3: Accepted("id-far", "name-far", "price", "4", "trade", b"far", "digest-far", 3, NOW + 62, "keyed", 1),
-    5: Intended("id-far", 2, "worker-2"),
-    6: Ended("id-far", "FAILED", NOW + 7, b"error", "Unhandled", "message"),
+    3: CallAccepted(
+        "id-far", "name-far", "price", "4", "trade", b"far", "digest-far", 3, NOW + 62, "keyed", 1
+    ),
+    5: AttemptIntended("id-far", 2, "worker-2"),
+    6: CallEnded("id-far", "FAILED", NOW + 7, b"error", "Unhandled", "message"),
 }
-DAMAGED = JournalLine(8, line(8, Withdrawn("id-damaged")).data, 123)  # its checksum is another
-OTHER_LINES = [*(line(seq, record) for seq, record in OTHER_RECORDS.items()), DAMAGED]
+DAMAGED = JournalLine(8, encode_line(8, CallWithdrawn("id-damaged")).data, 123)  # its checksum is another
+OTHER_LINES = [*(encode_line(seq, record) for seq, record in OTHER_RECORDS.items()), DAMAGED]
 OTHER_UPTO = 9
 MARKS = {"nightly": NOW, "hourly": NOW, "new": NOW + 2, "lost": NOW, "often": NOW + 9, "full": NOW + 4}
 
@@ -102,28 +113,32 @@
         def write() -> None:
             for execution in (OPEN, INTENDED, GONE):
                 executions.add(execution)
-            executions.intend(INTENDED.id)
+            executions.record_intent(INTENDED.id)
             executions.remove(GONE.id)
             for ended in ENDED.values():
                 executions.add(replace(OPEN, id=ended.id, name=ended.name, accepted_at=ended.accepted_at))
                 executions.update(ended)
-            executions.put([replace(OPEN, id="id-old", name="n", status=Status.FAILED, ended_at=NOW)], [])
+            executions.replace_recovered(
+                [replace(OPEN, id="id-old", name="n", status=Status.FAILED, ended_at=NOW)], []
+            )
             executions.purge(NOW + 1)
-            executions.add(FIRED, firings.fired("nightly", NOW, NOW + 30, FIRED.name))
-            executions.add(FIRED_AND_ENDED, firings.fired("hourly", NOW, NOW + 31, FIRED_AND_ENDED.name))
+            executions.add(FIRED, firings.record_fired("nightly", NOW, NOW + 30, FIRED.name))
+            executions.add(
+                FIRED_AND_ENDED, firings.record_fired("hourly", NOW, NOW + 31, FIRED_AND_ENDED.name)
+            )
             failed = replace(FIRED_AND_ENDED, status=Status.FAILED, error_type="T", error_message="why")
-            executions.remove(failed.id, firings.ended(failed))
+            executions.remove(failed.id, firings.record_ended(failed))
             firings.commit(
-                firings.begin(["new"], NOW + 2),
-                firings.fired("lost", NOW, NOW + 32, "cron-lost-1800000000"),
-                firings.skipped("often", NOW + 3, NOW + 9, 4, NOW + 33, "missed"),
-                firings.refused("full", NOW + 4, NOW + 34, "no room"),
+                firings.register_schedules(["new"], NOW + 2),
+                firings.record_fired("lost", NOW, NOW + 32, "cron-lost-1800000000"),
+                firings.record_skipped("often", NOW + 3, NOW + 9, 4, NOW + 33, "missed"),
+                firings.record_rejected("full", NOW + 4, NOW + 34, "no room"),
             )
             for record in OWN_RECORDS:
-                journal.write(record)
-            take = taken(journal.known, batch(OTHER, 0, OTHER_UPTO, OTHER_LINES))
+                journal.append_durably(record)
+            take = plan_batch_write(journal.offsets, make_batch(OTHER, 0, OTHER_UPTO, OTHER_LINES))
             assert take is not None
-            journal.take(take)
+            journal.write_batch(take)
 
         loop.run(write)
 
@@ -177,7 +192,7 @@
     Line(OLD_DAY, TILLS, "closed", Amount(201, 101, 401), 0),
     Line(OLD_DAY, TILLS, "correction", Amount(201, 101, 401), 0),
 ]
-RUN = Run(started=NOW - 5, at=NOW + 950 * MB_S, at_risk=1234)
+RUN = LedgerRun(started_us=NOW - 5, written_us=NOW + 950 * MB_S, at_risk_mb=1234)
 SLICES = [CLOSED_SLICE, SLICE, BARE_SLICE]
 DROP_BEFORE = NOW - 2 * HOUR
 SAVED = Saved(
--- a/packages/store/tests/test_commit_retries.py
+++ b/packages/store/tests/test_commit_retries.py
@@ -12,7 +12,7 @@
 
 from disk_faults import Fault, Script, ScriptedConnection, after_a_kill, failing
 from walnutpost.eventloop import Loop, VirtualClock
-from walnutpost.journal import Ended
+from walnutpost.journal import CallEnded
 from walnutpost.store import Change, Database, JournalStore, StoreError
 from walnutpost.store.database import COMMIT_RETRY_US
 
@@ -35,7 +35,7 @@
     database = Database(loop, path, SCHEMA, retry_us)
 
     def main() -> T:
-        database.change(insert(0))  # so that the log has a beginning
+        database.submit(insert(0))  # so that the log has a beginning
         if script is not None:
             ScriptedConnection(database, path, script)
         return work(loop, database)
@@ -57,31 +57,33 @@
     + [("commit", f) for f in Fault],
 )
 @pytest.mark.parametrize("times", [1, 4])
-def test_a_change_whose_commit_fails_for_a_while_is_durable_once(
+def test_change_when_its_commit_fails_for_a_while_is_durable_once(
     tmp_path: Path, statement: str, fault: Fault, times: int
 ) -> None:
     path = tmp_path / "calls.db"
 
     def work(loop: Loop, database: Database) -> None:
-        database.change(insert(1))
-        database.change(insert(2))
+        database.submit(insert(1))
+        database.submit(insert(2))
         assert numbers(after_a_kill(path)) == [0, 1, 2]
 
     run(path, work, failing(times, fault, statement))
 
 
-def test_a_journal_s_line_that_is_tried_again_has_one_number(tmp_path: Path) -> None:
+def test_journal_line_when_its_commit_is_retried_has_one_number(tmp_path: Path) -> None:
     def work(loop: Loop, database: Database) -> list[int]:
         store = JournalStore(loop, database, "front-0")
         ScriptedConnection(database, tmp_path / "calls.db", failing(3, Fault.ROLLED_BACK))
-        lines = [store.write(Ended(f"c{n}", "SUCCEEDED", 1, b"", "", "")).line.seq for n in range(3)]
-        assert [found.seq for found in store.held(store.own)[1]] == lines
+        lines = [
+            store.append_durably(CallEnded(f"c{n}", "SUCCEEDED", 1, b"", "", "")).line.seq for n in range(3)
+        ]
+        assert [found.seq for found in store.read_journal(store.own_origin)[1]] == lines
         return lines
 
     assert run(tmp_path / "calls.db", work) == [1, 2, 3]
 
 
-def test_a_refused_change_had_its_time_and_is_not_found_by_the_next_start(
+def test_change_when_its_time_is_over_fails_and_is_not_found_by_the_next_start(
     tmp_path: Path,
 ) -> None:
     path = tmp_path / "calls.db"
@@ -92,15 +94,15 @@
     def work(loop: Loop, database: Database) -> None:
         began = loop.now()
         with pytest.raises(StoreError) as found:
-            database.change(insert(1))
+            database.submit(insert(1))
         assert COMMIT_RETRY_US <= loop.now() - began < COMMIT_RETRY_US + SECOND
-        assert not found.value.uncertain
+        assert not found.value.is_uncertain
         assert numbers(after_a_kill(path)) == [0]
 
     run(path, work, commits)
 
 
-def test_a_change_that_could_not_be_undone_on_disk_says_so(tmp_path: Path) -> None:
+def test_change_when_it_could_not_be_undone_on_disk_fails_as_uncertain(tmp_path: Path) -> None:
     path = tmp_path / "calls.db"
 
     def all_of_them(statement: str) -> Fault | None:
@@ -108,15 +110,15 @@
 
     def work(loop: Loop, database: Database) -> None:
         with pytest.raises(StoreError) as found:
-            database.change(insert(1))
-        assert found.value.uncertain
+            database.submit(insert(1))
+        assert found.value.is_uncertain
         assert database.select("select n from other") == [(0,)]  # for this process it never was
         assert numbers(after_a_kill(path)) == [0, 1]
 
     run(path, work, all_of_them)
 
 
-def test_the_next_commit_takes_the_place_of_one_that_could_not_be_undone(tmp_path: Path) -> None:
+def test_commit_after_one_that_could_not_be_undone_overwrites_it(tmp_path: Path) -> None:
     path, broken = tmp_path / "calls.db", True
 
     def script(statement: str) -> Fault | None:
@@ -125,34 +127,34 @@
     def work(loop: Loop, database: Database) -> None:
         nonlocal broken
         with pytest.raises(StoreError):
-            database.change(insert(1))
+            database.submit(insert(1))
         broken = False
-        database.change(insert(2))
+        database.submit(insert(2))
         assert numbers(after_a_kill(path)) == [0, 2]
 
     run(path, work, script)
 
 
-def test_a_change_given_no_time_is_tried_once(tmp_path: Path) -> None:
+def test_change_without_retry_time_is_tried_once(tmp_path: Path) -> None:
     def work(loop: Loop, database: Database) -> None:
         began = loop.now()
         with pytest.raises(StoreError):
-            database.change(insert(1))
-        database.change(insert(2))
+            database.submit(insert(1))
+        database.submit(insert(2))
         assert loop.now() == began
 
     run(tmp_path / "calls.db", work, failing(1), retry_us=0)
     assert numbers(tmp_path / "calls.db") == [0, 2]
 
 
-def test_what_a_full_disk_has_room_for_is_taken_beside_what_it_has_not(tmp_path: Path) -> None:
+def test_changes_when_the_disk_is_full_are_written_if_they_fit(tmp_path: Path) -> None:
     def work(loop: Loop, database: Database) -> list[bool]:
         pages = database.select("pragma page_count")[0][0]
         database.select(f"pragma max_page_count={pages + 2}")
 
         def taken(n: int, size: int) -> bool:
             try:
-                database.change(insert(n, size))
+                database.submit(insert(n, size))
             except StoreError:
                 return False
             return True
@@ -164,13 +166,13 @@
     assert numbers(tmp_path / "calls.db") == [0, 2, 3, 5, 6]
 
 
-def test_a_change_that_breaks_a_constraint_leaves_none_of_its_statements(tmp_path: Path) -> None:
+def test_change_when_it_violates_a_constraint_leaves_none_of_its_statements(tmp_path: Path) -> None:
     def twice(db: sqlite3.Connection) -> None:
         insert(1)(db)
         insert(0)(db)
 
     def work(loop: Loop, database: Database) -> None:
-        tasks = [loop.spawn(database.change, change) for change in (insert(2), twice, insert(3))]
+        tasks = [loop.spawn(database.submit, change) for change in (insert(2), twice, insert(3))]
         tasks[0].join()
         with pytest.raises(StoreError):
             tasks[1].join()
@@ -181,7 +183,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_with_four_in_ten_commits_failing_all_changes_are_taken(tmp_path: Path, seed: int) -> None:
+def test_changes_when_four_in_ten_commits_fail_are_all_written(tmp_path: Path, seed: int) -> None:
     random = Random(seed)
 
     def script(statement: str) -> Fault | None:
@@ -190,7 +192,7 @@
     def work(loop: Loop, database: Database) -> None:
         tasks = []
         for n in range(1, 101):
-            tasks.append(loop.spawn(database.change, insert(n)))
+            tasks.append(loop.spawn(database.submit, insert(n)))
             loop.sleep(random.randrange(0, 20_000))
         for task in tasks:
             task.join()
@@ -199,7 +201,7 @@
     assert numbers(tmp_path / "calls.db") == list(range(101))
 
 
-def test_a_disk_that_works_again_is_used_within_two_seconds(tmp_path: Path) -> None:
+def test_disk_when_it_works_again_is_used_within_two_seconds(tmp_path: Path) -> None:
     broken = True
 
     def work(loop: Loop, database: Database) -> None:
@@ -209,7 +211,7 @@
             """As a fate is written: for ever."""
             while True:
                 try:
-                    database.change(insert(1))
+                    database.submit(insert(1))
                     return loop.now()
                 except StoreError:
                     loop.sleep(200_000)
--- a/packages/store/tests/test_journal_store.py
+++ b/packages/store/tests/test_journal_store.py
@@ -11,15 +11,26 @@
 import pytest
 
 from walnutpost.eventloop import Loop
-from walnutpost.journal import Accepted, Ended, Intended, Joined, Purged, Take, Withdrawn, batch, line, taken
-from walnutpost.journal.records import Any_
+from walnutpost.journal import (
+    AttemptIntended,
+    BatchWrite,
+    CallAccepted,
+    CallEnded,
+    CallWithdrawn,
+    MergedJournal,
+    ResultsPurged,
+    encode_line,
+    make_batch,
+    plan_batch_write,
+)
+from walnutpost.journal.records import AnyRecord
 from walnutpost.store import Database, JournalStore, StoreError
 
 T = TypeVar("T")
 
 
-def accepted(call: str, expires_at: int = 100, size: int = 10) -> Accepted:
-    return Accepted(call, call, "f", "1", None, b"p" * size, "d", 1, expires_at, "unsafe", 1)
+def accepted(call: str, expires_at: int = 100, size: int = 10) -> CallAccepted:
+    return CallAccepted(call, call, "f", "1", None, b"p" * size, "d", 1, expires_at, "unsafe", 1)
 
 
 def opened(path: Path, work: Callable[[Database, JournalStore], T], name: str = "front-0") -> T:
@@ -36,34 +47,38 @@
         database.close()
 
 
-def fill(records: list[Any_]) -> Callable[[Database, JournalStore], str]:
+def own_numbers(_: Database, store: JournalStore) -> list[int]:
+    return [line.seq for line in store.read_journal(store.own_origin)[1]]
+
+
+def fill(records: list[AnyRecord]) -> Callable[[Database, JournalStore], str]:
     def work(database: Database, store: JournalStore) -> str:
         for record in records:
-            store.write(record)
-        return store.own
+            store.append_durably(record)
+        return store.own_origin
 
     return work
 
 
-def test_numbers_go_on_after_a_start_and_another_name_is_another_s_disk(tmp_path: Path) -> None:
+def test_journal_after_a_restart_continues_its_numbers_and_rejects_another_name(tmp_path: Path) -> None:
     path = tmp_path / "calls.db"
-    own = opened(path, fill([accepted("a"), Intended("a", 0, "w")]))
+    own = opened(path, fill([accepted("a"), AttemptIntended("a", 0, "w")]))
     assert opened(path, fill([accepted("b")])) == own and own.startswith("front-0#")
-    assert opened(path, lambda _, s: [found.seq for found in s.held(own)[1]]) == [1, 2, 3]
+    assert opened(path, lambda _, s: [found.seq for found in s.read_journal(own)[1]]) == [1, 2, 3]
     with pytest.raises(StoreError, match=r"front-0.*wanted front-1"):
         opened(path, fill([]), name="front-1")
 
 
-def test_a_change_that_fails_takes_its_line_and_its_number_back(tmp_path: Path) -> None:
+def test_line_when_its_commit_fails_is_not_written_and_its_number_is_reused(tmp_path: Path) -> None:
     def work(database: Database, store: JournalStore) -> list[int]:
-        def both(change: Callable[[sqlite3.Connection], object], record: Any_) -> None:
-            done = store.append(record)
+        def both(change: Callable[[sqlite3.Connection], object], record: AnyRecord) -> None:
+            done = store.new_append(record)
 
             def together(db: sqlite3.Connection) -> None:
                 change(db)
                 done(db)
 
-            database.change(together)
+            database.submit(together)
 
         both(lambda db: db.execute("insert into other values (1)"), accepted("a"))
         with pytest.raises(StoreError):  # its row is there already: neither it nor its line is written
@@ -75,24 +90,26 @@
         with pytest.raises(StoreError):
             both(full, accepted("c"))
         both(lambda db: db.execute("insert into other values (2)"), accepted("d"))
-        return [found.seq for found in store.held(store.own)[1]]
+        return own_numbers(database, store)
 
     assert opened(tmp_path / "calls.db", work) == [1, 2]
 
 
-def test_a_holder_resumes_where_it_stands_and_has_each_line_once(tmp_path: Path) -> None:
+def test_replica_when_batches_are_repeated_has_each_line_once(
+    tmp_path: Path,
+) -> None:
     origin, holder = tmp_path / "origin.db", tmp_path / "holder.db"
-    records: list[Any_] = [accepted(f"c{n}", size=100) for n in range(20)]
+    records: list[AnyRecord] = [accepted(f"c{n}", size=100) for n in range(20)]
     own = opened(origin, fill(records))
 
     def pull(bytes_most: int) -> int:
         def take(_: Database, store: JournalStore) -> int:
-            after = store.known.get(own, 0)
-            sent = opened(origin, lambda _, s: s.batch(own, after, 20, bytes_most))
+            after = store.offsets.get(own, 0)
+            sent = opened(origin, lambda _, s: s.read_batch(own, after, 20, bytes_most))
             for _again in range(2):  # the answer was lost, and it is sent again
-                if (found := taken(store.known, sent)) is not None:
-                    store.take(found)
-            return int(store.known[own])
+                if (found := plan_batch_write(store.offsets, sent)) is not None:
+                    store.write_batch(found)
+            return int(store.offsets[own])
 
         return opened(holder, take, name="front-1")
 
@@ -100,64 +117,72 @@
     while seen[-1] < 20:
         seen.append(pull(500))
     assert len(seen) > 3 and seen == sorted(set(seen))
-    covered, lines = opened(holder, lambda _, s: s.held(own), name="front-1")
-    assert covered.prefix == 20 and [found.record() for found in lines] == records
+    covered, lines = opened(holder, lambda _, s: s.read_journal(own), name="front-1")
+    assert covered.contiguous_end == 20 and [found.decode() for found in lines] == records
 
 
-def test_purged_calls_leave_their_numbers_and_an_ended_one_is_never_open_again(tmp_path: Path) -> None:
+def test_purge_when_replicated_keeps_numbers_covered_and_leaves_no_ended_call_open(tmp_path: Path) -> None:
     path, holder = tmp_path / "calls.db", tmp_path / "holder.db"
-    records: list[Any_] = [
+    records: list[AnyRecord] = [
         accepted("old", 20),
         accepted("open", 90),
         accepted("late", 90),
         accepted("no", 90),
     ]
-    records += [Ended("late", "SUCCEEDED", 30, b"r", "", ""), Withdrawn("no"), Purged(10), Purged(31)]
+    records += [
+        CallEnded("late", "SUCCEEDED", 30, b"r", "", ""),
+        CallWithdrawn("no"),
+        ResultsPurged(10),
+        ResultsPurged(31),
+    ]
     own = opened(path, fill(records))
-    covered, lines = opened(path, lambda _, s: s.held(own))
-    assert [found.seq for found in lines] == [2, 3, 4, 5, 6, 8] and covered.prefix == 8
-    sent = opened(path, lambda _, s: s.batch(own, 0, 8, 1 << 20))
+    covered, lines = opened(path, lambda _, s: s.read_journal(own))
+    assert [found.seq for found in lines] == [2, 3, 4, 5, 6, 8] and covered.contiguous_end == 8
+    sent = opened(path, lambda _, s: s.read_batch(own, 0, 8, 1 << 20))
 
     def take(_: Database, store: JournalStore) -> list[int]:
         # It had the first four before: open calls, for all that it knew.
-        for found in (batch(own, 0, 4, [line(n + 1, r) for n, r in enumerate(records[:4])]), sent):
-            new = taken(store.known, found)
-            assert isinstance(new, Take)
-            store.take(new)
-        return [found.seq for found in store.held(own)[1]]
+        for found in (
+            make_batch(own, 0, 4, [encode_line(n + 1, r) for n, r in enumerate(records[:4])]),
+            sent,
+        ):
+            new = plan_batch_write(store.offsets, found)
+            assert isinstance(new, BatchWrite)
+            store.write_batch(new)
+        return [found.seq for found in store.read_journal(own)[1]]
 
     assert opened(holder, take, name="front-1") == [2, 3, 4, 5, 6, 8]
-    joined = Joined()
-    joined.take(covered, lines)
-    assert list(joined.kept()) == ["open"] and joined.gaps == []
+    joined = MergedJournal()
+    joined.add(covered, lines)
+    assert list(joined.live_calls()) == ["open"] and joined.gaps == []
 
 
-def test_a_flipped_bit_costs_its_line_alone_and_another_copy_has_it(tmp_path: Path) -> None:
+def test_line_when_a_bit_is_flipped_is_corrupt_alone_and_another_replica_has_it(tmp_path: Path) -> None:
     path = tmp_path / "calls.db"
     own = opened(path, fill([accepted("a"), accepted("b"), accepted("c")]))
-    whole = opened(path, lambda _, s: s.held(own))
+    whole = opened(path, lambda _, s: s.read_journal(own))
     with sqlite3.connect(path) as db:
         ((data,),) = db.execute("select data from lines where seq = 2")
         db.execute("update lines set data = ? where seq = 2", (data[:9] + bytes([data[9] ^ 1]) + data[10:],))
-    covered, lines = opened(path, lambda _, s: s.held(own))
-    joined = Joined()
-    joined.take(covered, lines)
+    covered, lines = opened(path, lambda _, s: s.read_journal(own))
+    joined = MergedJournal()
+    joined.add(covered, lines)
     assert sorted(joined.calls) == ["a", "c"] and joined.gaps == [(1, 2)]
-    sent = opened(path, lambda _, s: s.batch(own, 0, 3, 1 << 20))
+    sent = opened(path, lambda _, s: s.read_batch(own, 0, 3, 1 << 20))
 
     def take(_: Database, store: JournalStore) -> int:
-        new = taken(store.known, sent)
+        new = plan_batch_write(store.offsets, sent)
         assert new is not None
-        store.take(new)  # it is kept as what it is: the stream goes on
-        return int(store.known[own])
+        store.write_batch(new)  # it is kept as what it is: the stream goes on
+        return int(store.offsets[own])
 
     assert opened(tmp_path / "holder.db", take, name="front-1") == 3
-    joined.take(*whole)
+    joined.add(*whole)
     assert sorted(joined.calls) == ["a", "b", "c"] and joined.gaps == []
 
 
 @pytest.mark.parametrize("records", [1, 4])
-def test_killed_at_any_write_what_was_told_durable_is_there_without_a_hole(
+def test_journal_when_killed_at_any_write_has_all_durable_lines_without_a_gap(
     tmp_path: Path, records: int
 ) -> None:
     """The process ends without a word, its file as the system has it; the WAL is cut at any byte."""
@@ -165,7 +190,7 @@
 
     def work(database: Database, store: JournalStore) -> None:
         for n in range(records):
-            store.write(accepted(f"c{n}"))
+            store.append_durably(accepted(f"c{n}"))
         for name in ("calls.db", "calls.db-wal"):
             (tmp_path / f"{name}.copy").write_bytes((tmp_path / name).read_bytes())
 
@@ -178,7 +203,9 @@
         (torn / "calls.db").write_bytes(main)
         (torn / "calls.db-wal").write_bytes(wal[:cut])
         try:
-            numbers = opened(torn / "calls.db", lambda _, s: [found.seq for found in s.held(s.own)[1]])
+            numbers = opened(
+                torn / "calls.db", lambda _, s: [found.seq for found in s.read_journal(s.own_origin)[1]]
+            )
         except StoreError:
             assert (
                 cut < 4096 and os.path.getsize(torn / "calls.db") == 0
@@ -187,4 +214,4 @@
         assert numbers == list(range(1, len(numbers) + 1))
         counts.append(len(numbers))
     assert counts == sorted(counts) and counts[-1] == records
-    assert opened(path, lambda _, s: len(s.held(s.own)[1])) == records
+    assert opened(path, lambda _, s: len(s.read_journal(s.own_origin)[1])) == records
--- a/packages/store/tests/test_store_golden.py
+++ b/packages/store/tests/test_store_golden.py
@@ -39,11 +39,11 @@
 )
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Status
-from walnutpost.journal import Spans, batch
+from walnutpost.journal import IntervalSet, make_batch
 from walnutpost.metering import HOUR
 from walnutpost.metering.records import DAY
-from walnutpost.store import Listing, UsageStore, history, read_ledger
-from walnutpost.store.firings import Row
+from walnutpost.store import ExecutionQuery, UsageStore, read_history, read_ledger
+from walnutpost.store.firings import FiringRow
 
 WRITERS = {CALLS_DUMP: write_calls, USAGE_DUMP: write_usage}
 
@@ -66,18 +66,18 @@
     return files
 
 
-def test_the_same_content_is_written_as_before() -> None:
+def test_content_when_written_equals_the_golden_dumps() -> None:
     assert_as_golden(golden_files())
 
 
 @pytest.mark.parametrize("dump", WRITERS, ids=lambda dump: dump.name)
-def test_tables_columns_and_indexes_of_a_new_file_are_those_of_before(dump: Path, tmp_path: Path) -> None:
+def test_new_file_has_the_tables_columns_and_indexes_of_the_golden_dumps(dump: Path, tmp_path: Path) -> None:
     WRITERS[dump](tmp_path / "new.db")
     drop_marks(tmp_path / "new.db", dump)
     assert schema_of(tmp_path / "new.db") == schema_of(restore_dump(dump, tmp_path / "old.db"))
 
 
-def test_opening_a_file_of_before_changes_nothing_in_it(tmp_path: Path) -> None:
+def test_golden_file_when_opened_is_not_changed(tmp_path: Path) -> None:
     with calls_store(restore_dump(CALLS_DUMP, tmp_path / "calls.db")):
         pass
     drop_marks(tmp_path / "calls.db", CALLS_DUMP)
@@ -86,74 +86,74 @@
     assert dump_of(tmp_path / "usage.db") == USAGE_DUMP.read_bytes()
 
 
-def test_executions_of_before_are_told_with_their_fates(tmp_path: Path) -> None:
-    everything = Listing("price", None, frozenset(), None, None, False, None, 100)
+def test_executions_when_read_from_a_golden_file_have_their_outcomes(tmp_path: Path) -> None:
+    everything = ExecutionQuery("price", None, frozenset(), None, None, False, None, 100)
     with calls_store(restore_dump(CALLS_DUMP, tmp_path / "calls.db")) as (loop, executions, _, _):
         # Without time marks it is not known how long nobody ran: all its times are read shifted alike.
         calls = [shifted(e, executions.clock.offset_us) for e in CALLS]
         known = {e.id: e for e in calls}
         running = [e for e in calls if e.status is Status.RUNNING]
-        opened = executions.open_executions()
+        opened = executions.load_open()
         assert {e.id: e for e in opened} == {e.id: e for e in running}
         assert [e.expires_at for e in opened] == sorted(e.expires_at for e in running)
 
         def read() -> None:
             assert {ident: executions.find(ident) for ident in known} == known
             assert executions.find(GONE.id) is executions.find(FIRED_AND_ENDED.id) is None
-            assert executions.named(OPEN.function, FIRED.name) == known[FIRED.id]
-            page, more = executions.page(everything)
+            assert executions.find_by_name(OPEN.function, FIRED.name) == known[FIRED.id]
+            page, more = executions.list_page(everything)
             assert {e.id: e for e in page} == known and not more
             for status in Status:
-                found, _ = executions.page(replace(everything, statuses=frozenset({status})))
+                found, _ = executions.list_page(replace(everything, statuses=frozenset({status})))
                 assert {e.id for e in found} == {e.id for e in calls if e.status is status}
 
         loop.run(read)
 
 
-def test_firings_and_marks_of_before_are_told(tmp_path: Path) -> None:
+def test_firings_and_marks_when_read_from_a_golden_file_are_equal(tmp_path: Path) -> None:
     path = restore_dump(CALLS_DUMP, tmp_path / "calls.db")
-    fired = Row("nightly", NOW, NOW, 1, NOW + 30, FIRED.name, "RUNNING", "")
-    lost = Row("lost", NOW, NOW, 1, NOW + 32, "cron-lost-1800000000", "RUNNING", "")
-    ended = Row("hourly", NOW, NOW, 1, NOW + 31, FIRED_AND_ENDED.name, "FAILED", "T: why")
-    skipped = Row("often", NOW + 3, NOW + 9, 4, NOW + 33, "", "SKIPPED", "missed")
-    refused = Row("full", NOW + 4, NOW + 4, 1, NOW + 34, "", "REFUSED", "no room")
+    fired = FiringRow("nightly", NOW, NOW, 1, NOW + 30, FIRED.name, "RUNNING", "")
+    lost = FiringRow("lost", NOW, NOW, 1, NOW + 32, "cron-lost-1800000000", "RUNNING", "")
+    ended = FiringRow("hourly", NOW, NOW, 1, NOW + 31, FIRED_AND_ENDED.name, "FAILED", "T: why")
+    skipped = FiringRow("often", NOW + 3, NOW + 9, 4, NOW + 33, "", "SKIPPED", "missed")
+    refused = FiringRow("full", NOW + 4, NOW + 4, 1, NOW + 34, "", "REFUSED", "no room")
     with calls_store(path) as (_, _, _, firings):
-        assert firings.marks() == MARKS
-        assert firings.out() == ([fired], [lost])
-    assert history(path, None, 100) == [refused, skipped, ended, lost, fired]
-    assert history(path, "often", 100) == [skipped]
+        assert firings.load_marks() == MARKS
+        assert firings.load_unfinished() == ([fired], [lost])
+    assert read_history(path, None, 100) == [refused, skipped, ended, lost, fired]
+    assert read_history(path, "often", 100) == [skipped]
 
 
-def test_journals_of_before_own_and_others_are_told(tmp_path: Path) -> None:
+def test_journals_when_read_from_a_golden_file_are_equal_and_continue(tmp_path: Path) -> None:
     with calls_store(restore_dump(CALLS_DUMP, tmp_path / "calls.db")) as (loop, _, journal, _):
-        assert (journal.own, journal.disk) == (OWN, DISK)
-        assert journal.known == {OWN: len(OWN_RECORDS), OTHER: OTHER_UPTO}
+        assert (journal.own_origin, journal.disk_id) == (OWN, DISK)
+        assert journal.offsets == {OWN: len(OWN_RECORDS), OTHER: OTHER_UPTO}
 
         def read() -> None:
             for origin, lines, upto in ((OWN, OWN_LINES, len(OWN_RECORDS)), (OTHER, OTHER_LINES, OTHER_UPTO)):
-                spans, found = journal.held(origin)
-                assert found == lines and list(spans) == list(Spans([(0, upto)]))
-                assert journal.batch(origin, 0, upto, 1 << 20) == batch(origin, 0, upto, lines)
-            assert sorted(journal.of_call("id-far"), key=lambda each: each.seq) == OTHER_LINES[:3]
-            assert [each.seq for each in journal.of_call("id-open")] == [1, 2, 7]
-            assert journal.write(OWN_RECORDS[3]).line.seq == len(OWN_RECORDS) + 1  # numbers go on
+                spans, found = journal.read_journal(origin)
+                assert found == lines and list(spans) == list(IntervalSet([(0, upto)]))
+                assert journal.read_batch(origin, 0, upto, 1 << 20) == make_batch(origin, 0, upto, lines)
+            assert sorted(journal.read_call_lines("id-far"), key=lambda each: each.seq) == OTHER_LINES[:3]
+            assert [each.seq for each in journal.read_call_lines("id-open")] == [1, 2, 7]
+            assert journal.append_durably(OWN_RECORDS[3]).line.seq == len(OWN_RECORDS) + 1  # numbers go on
 
         loop.run(read)
 
 
-def test_a_ledger_of_before_is_told_with_its_totals(tmp_path: Path) -> None:
+def test_ledger_when_read_from_a_golden_file_has_its_totals(tmp_path: Path) -> None:
     path = restore_dump(USAGE_DUMP, tmp_path / "usage.db")
     assert read_ledger(path, 0, 1 << 62) == LEDGER
     assert read_ledger(path, NOW - 10 * DAY, NOW, records=False).lines == LEDGER.lines
     store = UsageStore(Loop(), path)
-    saved, run = store.saved()
+    saved, run = store.load()
     store.close()
     assert run == RUN
     assert saved == replace(SAVED, booked=BOOKED)
     assert set(BOOKED) == {NOW - HOUR}
 
 
-def test_a_damaged_line_keeps_its_place_as_before(tmp_path: Path) -> None:
+def test_corrupt_line_when_stored_keeps_its_number_as_in_the_golden_file(tmp_path: Path) -> None:
     db = sqlite3.connect(restore_dump(CALLS_DUMP, tmp_path / "calls.db"))
     kinds = db.execute("select origin, kind, count(*) from lines group by origin, kind").fetchall()
     db.close()
--- a/packages/store/tests/test_stored_time.py
+++ b/packages/store/tests/test_stored_time.py
@@ -12,8 +12,8 @@
 
 from walnutpost.eventloop import BootTime, Loop, VirtualClock
 from walnutpost.gateway import Execution, Status
-from walnutpost.store import ExecutionStore, Listing
-from walnutpost.store.stored_time import MAX_STEP_US, READ_TOLERANCE_US, TimeMark, next_offset_us, passed_us
+from walnutpost.store import ExecutionQuery, ExecutionStore
+from walnutpost.store.stored_time import MAX_STEP_US, READ_TOLERANCE_US, TimeMark, elapsed_us, next_offset_us
 
 T = TypeVar("T")
 SECOND = 1_000_000
@@ -25,11 +25,9 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("downtime", [0, 5 * MINUTE, HOUR, 30 * HOUR])
-def test_within_a_boot_the_passed_time_is_exact_whatever_the_wall_clock_says(
-    step: int, downtime: int
-) -> None:
+def test_elapsed_time_within_a_boot_is_exact_whatever_the_wall_clock_says(step: int, downtime: int) -> None:
     boot, epoch = BootTime("a", 5 * HOUR + downtime), EPOCH + downtime + step
-    assert passed_us(MARK, boot, epoch) == downtime
+    assert elapsed_us(MARK, boot, epoch) == downtime
     assert epoch - next_offset_us(MARK, boot, epoch) == MARK.stored_us + downtime
 
 
@@ -39,17 +37,17 @@
     "boot",
     [BootTime("b", 20 * SECOND), BootTime("", 90 * HOUR), BootTime("a", 4 * HOUR), BootTime("b", 9**18)],
 )
-def test_without_a_common_boot_no_more_is_counted_than_passed_and_at_most_two_hours_less(
+def test_elapsed_time_across_boots_is_never_more_than_passed_and_at_most_two_hours_less(
     step: int, downtime: int, boot: BootTime
 ) -> None:
     """Another boot, an unknown one, another machine's that has been up for long, one that ran backwards."""
     epoch = EPOCH + downtime + step
-    passed = passed_us(MARK, boot, epoch)
+    passed = elapsed_us(MARK, boot, epoch)
     assert max(0, downtime - 2 * MAX_STEP_US) <= passed <= downtime
     assert epoch - next_offset_us(MARK, boot, epoch) == MARK.stored_us + passed
 
 
-def test_what_two_reads_of_clocks_differ_by_is_no_step() -> None:
+def test_difference_within_the_read_tolerance_is_no_step() -> None:
     boot = BootTime("a", 5 * HOUR + MINUTE)
     for noise in (-READ_TOLERANCE_US, 3, READ_TOLERANCE_US):
         assert next_offset_us(MARK, boot, EPOCH + MINUTE + noise) == MARK.offset_us
@@ -81,7 +79,7 @@
 
 @pytest.mark.parametrize("step", STEPS)
 @pytest.mark.parametrize("downtime", [0, 5 * MINUTE])
-def test_ages_over_several_restarts_are_what_was_lived(tmp_path: Path, step: int, downtime: int) -> None:
+def test_ages_over_restarts_are_the_time_that_passed(tmp_path: Path, step: int, downtime: int) -> None:
     path, boot = tmp_path / "calls.db", BootTime("a", HOUR)
     opened(path, EPOCH, boot, fill)
     for n in (1, 2):  # each restart after a further step
@@ -90,18 +88,18 @@
 
         def look(loop: Loop, store: ExecutionStore, lived: int = lived) -> None:
             start = loop.now()
-            (running,) = store.open_executions()
+            (running,) = store.load_open()
             assert start - running.accepted_at == lived and running.expires_at - start == 10 * MINUTE - lived
             ended = store.find("ended")
             assert ended is not None and start - ended.ended_at == lived and running.ended_at == 0
             store.purge(start - lived)
             assert store.find("ended") is not None
-            everything = Listing("price", None, frozenset(), start - lived - 1, start, False, None, 10)
-            rows, _ = store.page(everything)
+            everything = ExecutionQuery("price", None, frozenset(), start - lived - 1, start, False, None, 10)
+            rows, _ = store.list_page(everything)
             assert [e.name for e in rows] == ["open"]
             marker = (rows[0].accepted_at, rows[0].id)
-            earlier = Listing("price", None, frozenset(), None, None, True, marker, 10)
-            assert [e.name for e in store.page(earlier)[0]] == ["ended"]
+            earlier = ExecutionQuery("price", None, frozenset(), None, None, True, marker, 10)
+            assert [e.name for e in store.list_page(earlier)[0]] == ["ended"]
             loop.sleep(MINUTE)
             store.purge(start - HOUR)
 
@@ -117,14 +115,14 @@
 
 
 @pytest.mark.parametrize("step", STEPS)
-def test_a_folder_of_an_earlier_version_opens_and_ages_by_no_step(tmp_path: Path, step: int) -> None:
+def test_file_without_marks_when_opened_ages_by_no_step(tmp_path: Path, step: int) -> None:
     path = tmp_path / "calls.db"
     opened(path, EPOCH, BootTime("a", HOUR), fill)
     with sqlite3.connect(path) as db:
         db.execute("drop table time_marks")
 
     def look(loop: Loop, store: ExecutionStore) -> int:
-        (running,) = store.open_executions()
+        (running,) = store.load_open()
         store.add(execution("new", loop.now()))
         return loop.now() - running.accepted_at
 
@@ -132,7 +130,7 @@
     assert 0 <= opened(path, EPOCH + lived + step, BootTime("a", HOUR + lived), look) <= lived
 
 
-def test_a_commit_that_fails_leaves_the_former_mark(tmp_path: Path) -> None:
+def test_commit_when_it_fails_leaves_the_former_mark(tmp_path: Path) -> None:
     path = tmp_path / "calls.db"
     opened(path, EPOCH, BootTime("a", HOUR), fill)
 
@@ -143,7 +141,7 @@
             raise sqlite3.OperationalError("disk is full")
 
         with pytest.raises(Exception, match="disk is full"):
-            store.change(broken)
+            store.submit(broken)
         assert store.select("select epoch_us from time_marks") == before
         return before
 
--- a/packages/workerclient/tests/test_tls.py
+++ b/packages/workerclient/tests/test_tls.py
@@ -281,8 +281,8 @@
     f.front_config = f.front_config.model_copy(update={"front": front})
     new = Authority(NOW, "new root")
 
-    def told() -> list[dict[str, object]]:
-        return [t for event, t in f.log.lines if event == "keys"]
+    def told() -> list[tuple[str, dict[str, object]]]:
+        return [(event, t) for event, t in f.log.lines if event.startswith("certificate_")]
 
     def script() -> None:
         asked: list[int] = []
@@ -321,8 +321,13 @@
         assert set(asked) == {200} and before > 100
 
     f.run(script)
-    assert [next(iter(t)) for t in told()] == ["taken", "refused", "taken", "taken"]
-    assert "found no whole private key" in str(told()[1]["refused"])
+    assert [event.removeprefix("certificate_") for event, _ in told()] == [
+        "reloaded",
+        "rejected",
+        "reloaded",
+        "reloaded",
+    ]
+    assert "found no whole private key" in str(told()[1][1]["error"])
     assert f.audit().kept
 
 
@@ -333,7 +338,7 @@
         f.warm("price")
         assert any(f.front.links._idle.values())
         (tmp_path / "root.pem").write_bytes(CA.root + Authority(NOW).root)
-        f.until(lambda: any(event == "keys" for event, _ in f.log.lines))
+        f.until(lambda: any(event == "certificate_reloaded" for event, _ in f.log.lines))
         assert not any(f.front.links._idle.values())
 
     f.run(script)
