--- a/packages/agent/src/walnutpost/agent/__init__.py
+++ b/packages/agent/src/walnutpost/agent/__init__.py
@@ -1,5 +1,15 @@
-"""Starts one front end or worker and takes it from version to version as the fleet has agreed."""
+"""The agent: looks after one front end or worker, and changes its version as the fleet has agreed."""
 
-from walnutpost.agent.process import INCARNATION, Agent, AgentError, order_path, version_of
+from walnutpost.agent.agent import Agent
+from walnutpost.agent.child_process import INCARNATION_VARIABLE
+from walnutpost.agent.errors import AgentError, AgentFolderError
+from walnutpost.agent.folder import manual_order_path, version_of
 
-__all__ = ["INCARNATION", "Agent", "AgentError", "order_path", "version_of"]
+__all__ = [
+    "INCARNATION_VARIABLE",
+    "Agent",
+    "AgentError",
+    "AgentFolderError",
+    "manual_order_path",
+    "version_of",
+]
--- a/packages/agent/tests/agent_forms.py
+++ b/packages/agent/tests/agent_forms.py
@@ -10,8 +10,8 @@
 from unittest.mock import patch
 
 from golden_forms import Form, Golden, as_json
-from walnutpost.agent import order_path, process, version_of
-from walnutpost.agent.process import Agent
+from walnutpost.agent import Agent, child_process, manual_order_path, version_of
+from walnutpost.agent.folder import AgentFolder, AgentState
 from walnutpost.cli.fleet_plans import _by_hand
 from walnutpost.cli.keepers import AGENTS
 from walnutpost.fleet import FRONT_END
@@ -23,14 +23,14 @@
 
 
 class Folder(NamedTuple):
-    """What an agent remembers, and the contents of the versions that it keeps."""
+    """An agent's state, and the contents of the versions that it stores."""
 
-    known: dict[str, str]
+    state: AgentState
     versions: list[bytes]
 
 
 class SilentLog:
-    """Takes an agent's lines."""
+    """Discards an agent's log."""
 
     def warning(self, *args: object, **named: object) -> None:
         pass
@@ -38,40 +38,40 @@
     error = warning
 
 
-def _agent(folder: Path) -> Agent:
-    """One that starts nothing and asks nobody: only its folder is in use."""
+def _agent(folder: AgentFolder) -> Agent:
+    """One that starts nothing and sends nothing: only its folder is in use."""
     agent = Agent.__new__(Agent)
     agent._folder, agent._member, agent._log = folder, MEMBER, SilentLog()
-    agent._verified = set()
     return agent
 
 
 def written(value: Folder) -> bytes:
-    known, versions = value
+    state, versions = value
     with TemporaryDirectory() as name:
-        folder = Path(name)
-        (folder / "versions").mkdir()
-        agent = _agent(folder)
-        if "held" not in known:  # its very first start, which makes its name up
-            with patch.object(secrets, "token_hex", lambda size: known["agent"].partition("@")[2]):
-                assert agent._remembered(versions[0]) == known
-            return _dumped(folder)
+        path = Path(name)
+        (path / "versions").mkdir()
+        folder = AgentFolder(path, MEMBER, SilentLog())
+        if state.drain_permit is None:  # its very first start, which makes its name up
+            with patch.object(secrets, "token_hex", lambda size: state.agent.partition("@")[2]):
+                assert folder.open(versions[0]) == state
+            return _dumped(path)
         for content in versions:
-            agent._kept(content)
-        agent.steward = InstanceController(
-            known["agent"],
+            folder.store_version(content)
+        agent = _agent(folder)
+        agent.controller = InstanceController(
+            state.agent,
             MEMBER,
             FRONT_END,
             "a",
-            known["current"],
+            state.current,
             ControllerSettings(1, 1),
             0,
-            drain_permit=known["held"],
+            drain_permit=state.drain_permit,
         )
-        agent.steward.previous = known["previous"]
-        agent._written = {"agent": known["agent"]}
-        agent._remember()
-        return _dumped(folder)
+        agent.controller.previous = state.previous
+        agent._saved = AgentState(state.agent, "", "")
+        agent._save()
+        return _dumped(path)
 
 
 def _dumped(folder: Path) -> bytes:
@@ -92,11 +92,12 @@
 
 def read(dumped: bytes) -> Folder:
     with TemporaryDirectory() as name:
-        folder = Path(name)
-        make_folder(folder, dumped)
-        known = _agent(folder)._remembered(b"not taken")
-        paths = [folder / "versions" / known[which] for which in ("current", "previous") if known[which]]
-        return Folder(known, [path.read_bytes() for path in paths])
+        path = Path(name)
+        make_folder(path, dumped)
+        folder = AgentFolder(path, MEMBER, SilentLog())
+        state = folder.open(b"not taken")
+        stored = [version for version in (state.current, state.previous) if version]
+        return Folder(state, [folder.version_path(version).read_bytes() for version in stored])
 
 
 def order_written(order: OperatorOrder) -> bytes:
@@ -116,15 +117,16 @@
     """As the agent takes it up; the time is that of its taking up."""
     found: list[Input] = []
     with TemporaryDirectory() as name:
-        folder = Path(name)
-        make_folder(folder, dumped)
-        (folder / "versions").mkdir()
+        path = Path(name)
+        make_folder(path, dumped)
+        (path / "versions").mkdir()
+        folder = AgentFolder(path, MEMBER, SilentLog())
+        folder.store_version(SECOND)
         agent = _agent(folder)
-        agent._kept(SECOND)
-        agent.ended = True  # so that it looks once
-        with patch.object(agent, "_feed", found.append):
-            agent._look_for_orders()
-        assert not order_path(folder, MEMBER).exists()
+        agent._has_stopped = True  # so that it looks once
+        with patch.object(agent, "_handle", found.append):
+            agent._poll_orders()
+        assert not manual_order_path(path, MEMBER).exists()
     (order,) = found
     assert isinstance(order, OperatorOrder)
     return order
@@ -139,32 +141,24 @@
     return Form(order, order_written, order_read, _without_time)
 
 
-def _folder(known: dict[str, str], versions: list[bytes]) -> Form:
-    return Form(Folder(known, versions), written, read)
+def _folder(state: AgentState, versions: list[bytes]) -> Form:
+    return Form(Folder(state, versions), written, read)
 
 
 FORMS: dict[str, Form] = {
     "folder.all-fields": _folder(
-        {
-            "agent": NAME,
-            "current": version_of(SECOND),
-            "previous": version_of(FIRST),
-            "held": "drain-1",
-        },
-        [SECOND, FIRST],
-    ),
-    "folder.first-start": _folder({"agent": NAME, "current": version_of(FIRST), "previous": ""}, [FIRST]),
-    "folder.running": _folder(
-        {"agent": NAME, "current": version_of(FIRST), "previous": "", "held": ""}, [FIRST]
+        AgentState(NAME, version_of(SECOND), version_of(FIRST), drain_permit="drain-1"), [SECOND, FIRST]
     ),
+    "folder.first-start": _folder(AgentState(NAME, version_of(FIRST), "", drain_permit=None), [FIRST]),
+    "folder.running": _folder(AgentState(NAME, version_of(FIRST), "", drain_permit=""), [FIRST]),
     "order-by-hand.release": _order(version_of(SECOND)),
     "order-by-hand.restart": _order(""),
     "names": as_json(
         {
             "version of nothing": version_of(b""),
-            "process of an agent": process.AGENT,
-            "process as it was told of": process.INCARNATION,
-            "address in its output": process.ADDRESS.pattern.decode(),
+            "process of an agent": child_process.AGENT_VARIABLE,
+            "process as it was told of": child_process.INCARNATION_VARIABLE,
+            "address in its output": child_process.ADDRESS_PATTERN.pattern.decode(),
         }
     ),
 }
--- a/packages/agent/tests/test_agent.py
+++ b/packages/agent/tests/test_agent.py
@@ -13,7 +13,7 @@
 
 from test_keeper import NAMES, Keepers
 from walnutpost.agent import version_of
-from walnutpost.agent.process import processes_of
+from walnutpost.agent.child_process import processes_of
 from walnutpost.eventloop import Loop, replace_file
 from walnutpost.fleet import FRONT_END, DisruptionBudget, FleetState, SetBudgets
 
@@ -116,7 +116,7 @@
             keepers.end()
 
 
-def test_a_release_goes_on_over_a_killed_leader_and_never_has_two_out(tmp_path: Path) -> None:
+def test_release_when_the_leader_is_killed_goes_on_with_one_member_out_at_most(tmp_path: Path) -> None:
     def script(keepers: Keepers, agents: Agents) -> None:
         agents.release("r", V2)
         agents.until(lambda: "v2" in agents.up().values())
@@ -135,7 +135,7 @@
     play(tmp_path, script)
 
 
-def test_a_release_that_does_not_start_goes_back_and_touches_nobody_else(tmp_path: Path) -> None:
+def test_release_when_its_version_does_not_start_is_rolled_back_on_that_member_alone(tmp_path: Path) -> None:
     def script(keepers: Keepers, agents: Agents) -> None:
         before = {name: agents.child(name) for name in MEMBERS}
         wrong = [sys.executable, "-m", "walnutpost.cli", "fleet", "release"]
@@ -151,7 +151,7 @@
     play(tmp_path, script)
 
 
-def test_an_agent_killed_with_a_permit_keeps_the_place_out_until_it_is_back(tmp_path: Path) -> None:
+def test_agent_when_killed_with_a_permit_completes_it_after_its_restart(tmp_path: Path) -> None:
     def script(keepers: Keepers, agents: Agents) -> None:
         agents.release("r", SLOW)
         held: list[str] = []
@@ -177,7 +177,9 @@
     play(tmp_path, script)
 
 
-def test_without_a_quorum_an_operator_is_obeyed_and_the_history_hears_of_it(tmp_path: Path) -> None:
+def test_operator_order_when_there_is_no_quorum_is_executed_and_recorded_afterwards(
+    tmp_path: Path,
+) -> None:
     def script(keepers: Keepers, agents: Agents) -> None:
         before = agents.child("f0")
         agents.operator("cycle", "f1", "--plan", "c")
@@ -202,7 +204,7 @@
     play(tmp_path, script)
 
 
-def test_a_version_that_another_agent_is_just_keeping_is_kept_all_the_same(tmp_path: Path) -> None:
+def test_version_when_another_agent_is_storing_it_is_stored_too(tmp_path: Path) -> None:
     """Four agents kept their first version at once; one found its half-written file gone, and ended."""
     (tmp_path / "version.new").mkdir()  # stands for what another has in hand
     replace_file(tmp_path / "version", b"content")
--- a/packages/agent/tests/test_agent_files.py
+++ b/packages/agent/tests/test_agent_files.py
@@ -8,12 +8,14 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import pytest
 
 from disk_faults import scripted_files
 from fleet_rig import Log
-from walnutpost.agent import Agent, version_of
-from walnutpost.agent.process import AgentError
+from walnutpost.agent import Agent, AgentFolderError, manual_order_path, version_of
+from walnutpost.agent.errors import ManualOrderError
+from walnutpost.agent.folder import AgentFolder, AgentState
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import FRONT_END
 from walnutpost.fleet.agent_state import ControllerSettings
@@ -64,34 +66,37 @@
 
 def name_of(folder: Path) -> str:
     names: list[str] = []
-    play(folder, lambda agent, loop, log: names.append(agent.steward.agent))
+    play(folder, lambda agent, loop, log: names.append(agent.controller.agent))
     return names[0]
 
 
 @pytest.mark.parametrize("content", [b"", b'{"agent": "f0', b"{}", b"[1]", b"\xff\x00"])
-def test_a_torn_file_of_its_state_is_said_and_its_copy_used(tmp_path: Path, content: bytes) -> None:
+def test_agent_when_its_state_file_is_torn_logs_it_and_uses_the_copy(tmp_path: Path, content: bytes) -> None:
     name = name_of(tmp_path)
     (tmp_path / "f0.json").write_bytes(content)
     (tmp_path / "f0.json.0a1b2c3d.new").write_bytes(b"half")
 
     def script(agent: Agent, loop: Loop, log: Log) -> None:
-        assert agent.steward.agent == name and agent.steward.current == version_of(V1)
-        assert any("f0.json is not used" in told.get("why", "") for _, told in log.lines)
+        assert agent.controller.agent == name and agent.controller.current == version_of(V1)
+        unreadable = [fields["file"] for event, fields in log.lines if event == "state_file_unreadable"]
+        assert unreadable == ["f0.json"]
         assert not (tmp_path / "f0.json.0a1b2c3d.new").exists()
 
     play(tmp_path, script)
 
 
-def test_an_agent_whose_name_is_lost_with_both_files_starts_no_second_process(tmp_path: Path) -> None:
+def test_agent_when_both_state_files_are_torn_starts_no_second_process(tmp_path: Path) -> None:
     name_of(tmp_path)
     for suffix in ("", ".copy"):
         (tmp_path / f"f0.json{suffix}").write_bytes(b"")
-    with pytest.raises(AgentError):
+    with pytest.raises(AgentFolderError):
         play(tmp_path, lambda agent, loop, log: None)
 
 
 @pytest.mark.parametrize("content", [b"", V2[:5], None])
-def test_a_torn_version_is_said_and_the_one_before_runs(tmp_path: Path, content: bytes | None) -> None:
+def test_agent_when_its_version_is_torn_logs_it_and_runs_the_previous_one(
+    tmp_path: Path, content: bytes | None
+) -> None:
     name_of(tmp_path)
     known = state(tmp_path) | {"current": version_of(V2), "previous": version_of(V1)}
     (tmp_path / "f0.json").write_text(json.dumps(known))
@@ -99,26 +104,48 @@
         (tmp_path / "versions" / version_of(V2)).write_bytes(content)
 
     def script(agent: Agent, loop: Loop, log: Log) -> None:
-        assert agent.steward.current == version_of(V1)
-        assert any(version_of(V2) in told.get("why", "") for _, told in log.lines)
-        assert agent._kept(V2) == version_of(V2)  # had again from the keepers: what is torn is replaced
+        assert agent.controller.current == version_of(V1)
+        unusable = [fields["version"] for event, fields in log.lines if event == "version_unusable"]
+        assert unusable == [version_of(V2)]
+        stored = agent._folder.store_version(V2)  # sent again by the control plane
+        assert stored == version_of(V2)
         assert (tmp_path / "versions" / version_of(V2)).read_bytes() == V2
 
     play(tmp_path, script)
 
 
 @pytest.mark.parametrize("call", ["write", "fsync", "rename", "fsync folder"])
-def test_a_state_that_can_t_be_written_is_written_once_it_can(tmp_path: Path, call: str) -> None:
+def test_agent_when_the_disk_fails_saves_its_state_once_it_works_again(tmp_path: Path, call: str) -> None:
     def script(agent: Agent, loop: Loop, log: Log) -> None:
         with scripted_files() as files:
             files.fails[call] = 1_000
-            agent.steward.previous = "before"
-            agent._remember()
+            agent.controller.previous = "before"
+            agent._save()
             until(loop, lambda: files.fails[call] < 998)  # it is tried again, and its process cared for
-            assert agent._child is not None and agent._child.poll() is None
+            assert agent.process.is_alive
             files.fails[call], ended = 0, loop.now()
-            until(loop, lambda: agent._write_again_at is None)
+            until(loop, lambda: agent._save_again_at_us is None)
             assert loop.now() - ended < 2 * SECOND
         assert state(tmp_path)["previous"] == state(tmp_path, ".copy")["previous"] == "before"
 
     play(tmp_path, script)
+
+
+def test_agent_state_when_written_by_a_later_version_keeps_its_unknown_keys() -> None:
+    data = b'{"agent": "f0@1", "current": "v2", "previous": "v1", "held": "p7", "later": "x"}'
+    assert AgentState.from_json(data).to_json() == data
+
+
+@pytest.mark.parametrize("data", [b'{"agent": "f0@1", "current": "v2"}', b'{"agent": 1}', b"[]", b""])
+def test_agent_state_when_keys_are_missing_or_malformed_raises_an_error(data: bytes) -> None:
+    with pytest.raises((ValueError, msgspec.MsgspecError)):
+        AgentState.from_json(data)
+
+
+def test_order_when_its_version_is_not_on_disk_is_rejected_and_removed(tmp_path: Path) -> None:
+    folder = AgentFolder(tmp_path, "f0", Log())
+    path = manual_order_path(tmp_path, "f0")
+    path.write_text(json.dumps({"version": "0" * 16, "operator": "ann", "why": "fire"}))
+    with pytest.raises(ManualOrderError, match="is not on this disk"):
+        folder.take_order()
+    assert not path.exists() and folder.take_order() is None
--- a/packages/cli/src/walnutpost/cli/fleet_plans.py
+++ b/packages/cli/src/walnutpost/cli/fleet_plans.py
@@ -10,7 +10,7 @@
 
 import click
 
-from walnutpost.agent import order_path, version_of
+from walnutpost.agent import manual_order_path, version_of
 from walnutpost.cli.configs import CONFIG, config_of, end
 from walnutpost.cli.fleet import fleet, tell, with_keepers
 from walnutpost.cli.keepers import AGENTS, keepers_of
@@ -48,7 +48,7 @@
         )
     click.echo("nobody has agreed to this: how many are out is not looked at", err=True)
     for name in names:
-        path = order_path(config.parent / AGENTS, name)
+        path = manual_order_path(config.parent / AGENTS, name)
         replace_file(path, json.dumps({"version": version, "operator": operator, "why": why}).encode())
         click.echo(f"{name}: left for its agent, which tells the keepers once they answer")
 
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from walnutpost.agent import INCARNATION
+from walnutpost.agent import INCARNATION_VARIABLE
 from walnutpost.config.base import address_of
 from walnutpost.config.model import Agreement
 from walnutpost.config.settings import us
@@ -86,7 +86,7 @@
         self._log = log
         self._zone = zone
         self._report_interval_us = us(line.report_ms)
-        own = os.environ.get(INCARNATION)
+        own = os.environ.get(INCARNATION_VARIABLE)
         self.follower = EndpointFollower(line.member, own or secrets.token_hex(6), own is not None)
         addresses = {name: address_of(address) for name, address in line.keepers.items()}
         patience = max(self._report_interval_us, 1_000_000)
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from walnutpost.agent import INCARNATION
+from walnutpost.agent import INCARNATION_VARIABLE
 from walnutpost.config import Config, WorkerLine, catalogue, own_schedules, router_settings
 from walnutpost.config.base import address_of
 from walnutpost.config.settings import us
@@ -196,7 +196,7 @@
     def _build_fleet_membership(self) -> None:
         """Register with the control plane if there is one, and wait for its list of endpoints."""
         config = self._config
-        self._incarnation = os.environ.get(INCARNATION) or secrets.token_hex(6)
+        self._incarnation = os.environ.get(INCARNATION_VARIABLE) or secrets.token_hex(6)
         self.fleet: FleetMembership | None = None
         if config.agreement is None or self._counting_core is None:
             return
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from walnutpost.agent.process import processes_of
+from walnutpost.agent.child_process import processes_of
 from walnutpost.config import Config
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.controlplane.wire import View
--- a/packages/fleet/tests/state_machine_rig.py
+++ b/packages/fleet/tests/state_machine_rig.py
@@ -25,6 +25,7 @@
     Effect,
     FleetStateObserved,
     InstanceController,
+    LogEvent,
     PermitAnswered,
     Phase,
     ProcessExited,
@@ -99,6 +100,7 @@
         self.now, self.index, self.start_count = 0, 0, 0
         self.bad, self.started = bad, list[str]()
         self.sent: list[Command] = []
+        self.logged: list[LogEvent] = []
         self.fleet = Fleet()
         self.controller = self.agent()
         for command in (
@@ -135,6 +137,8 @@
                 case SendCommand(command):
                     self.sent.append(command)
                     self.apply(command)
+                case LogEvent():
+                    self.logged.append(effect)
                 case SendPermitRequest(command) if answer:
                     sent = self.apply(command)
                     self.handle(PermitAnswered("", sent) if sent.startswith("no") else PermitAnswered(sent))
--- a/packages/fleet/tests/test_agent_state.py
+++ b/packages/fleet/tests/test_agent_state.py
@@ -25,6 +25,7 @@
 )
 from walnutpost.fleet.agent_state import (
     FleetStateObserved,
+    LogEvent,
     OperatorOrder,
     PermitAnswered,
     Phase,
@@ -202,3 +203,18 @@
     rig.handle(OperatorOrder("jo", "no quorum", 7.0, "v2"))
     rig.pass_time(60 * SECOND)
     assert rig.controller.current == "v1" and rig.current_phase() is Phase.RUNNING
+
+
+def test_controller_when_it_reverts_a_version_or_ignores_an_order_logs_it_with_its_fields() -> None:
+    rig = AgentRig(bad=("v2",))
+    release(rig)
+    rig.observe()
+    rig.handle(OperatorOrder("jo", "no quorum", 7.0))
+    rig.pass_time(60 * SECOND)
+    rig.handle(OperatorOrder("jo", "no quorum", 7.0, "v1"))
+    change = {"operator": "jo", "reason": "no quorum", "version": "v1"}
+    assert rig.logged == [
+        LogEvent("manual_order_ignored", {"phase": "backing_off"}),
+        LogEvent("version_reverted", {"version": "v2", "current": "v1"}),
+        LogEvent("manual_change_started", change),
+    ]
