--- a/packages/consensus/src/walnutpost/consensus/raft.py
+++ b/packages/consensus/src/walnutpost/consensus/raft.py
@@ -437,6 +437,8 @@
                 leading.peers.setdefault(name, _PeerProgress(self.log.last_index, last_heard_us=self._now_us))
         for name in [n for n in leading.peers if n not in self.log.members.all]:
             del leading.peers[name]
+        if leading.transfer is not None and leading.transfer.target not in leading.peers:
+            leading.transfer = None  # its target was removed while it lagged: this leader goes on
 
     def _replicate_to(self, name: str) -> None:
         """What this replica lacks, as far as is known; a question for a sign of life if that is nothing."""
--- a/packages/consensus/tests/test_agreement.py
+++ b/packages/consensus/tests/test_agreement.py
@@ -553,6 +553,19 @@
     assert cluster.leader == "b" and [r.id for r in cluster.rejected] == [id]
 
 
+def test_transfer_whose_target_is_removed_while_it_lags_ends_and_the_leader_goes_on() -> None:
+    cluster = Cluster(THREE)
+    cluster.elect("a")
+    cluster.propose("a")  # "b" has not got it yet: the transfer waits for that
+    cluster.feed("a", TransferLeadership("b"))
+    cluster.feed("a", ChangeMembership("m", Members(("a", "c"))))
+    cluster.settle("a", "c")
+    id = cluster.propose("a")
+    cluster.settle("a", "c")
+    assert cluster.leader == "a" and not cluster.rejected
+    assert cluster.replicas["a"].state[-1] == id
+
+
 def test_nothing_is_sent_or_answered_before_what_it_rests_on_is_durable() -> None:
     cluster = Cluster(THREE)
     cluster.elect("a")
