--- a/packages/controlplane/tests/test_keeper_table.py
+++ b/packages/controlplane/tests/test_keeper_table.py
@@ -167,10 +167,11 @@
 
 def test_a_watch_at_a_follower_goes_on_after_the_leader_was_killed(tmp_path: Path) -> None:
     def script(keepers: Keepers) -> None:
-        keepers.client().set_entries("1", [op("limit/a", "1")])
+        entered, _ = keepers.client().set_entries("1", [op("limit/a", "1")])
         leader = keepers.leader()
         first, second = (name for name in NAMES if name != leader)
         watching = Watching(keepers, first)
+        watching.reach(entered.index)  # one that is fresh within a second may still lack it
         watching.fresh()
         held = watching.follower.store.revision
         assert held > 0 and watching.follower.store.entries["limit/a"].value == b"1"
