--- a/packages/adapter/tests/test_golden_adapter.py
+++ b/packages/adapter/tests/test_adapter_golden.py
@@ -13,7 +13,6 @@
 from pathlib import Path
 from typing import Any
 
-from golden_form import KINDS, to_neutral
 from golden_frames import (
     Sender,
     differences_received,
@@ -23,6 +22,7 @@
     sent_row,
     write_rows,
 )
+from neutral_form import KINDS, to_neutral
 from walnutpost import interface as api
 from walnutpost.adapter import codec, host, settings
 
--- a/packages/agent/tests/agent_forms.py
+++ b/packages/agent/tests/agent_forms.py
@@ -16,6 +16,7 @@
 from walnutpost.cli.keepers import AGENTS
 from walnutpost.fleet import FRONT_END
 from walnutpost.fleet.agent_state import ControllerSettings, Input, InstanceController, OperatorOrder
+from watch_rig import Log
 
 MEMBER, NAME = "f1", "f1@0a1b2c3d"
 FIRST, SECOND = b'{"version": 1}', b'{"version": 2}'
@@ -29,19 +30,10 @@
     versions: list[bytes]
 
 
-class SilentLog:
-    """Discards an agent's log."""
-
-    def warning(self, *args: object, **named: object) -> None:
-        pass
-
-    error = warning
-
-
 def _agent(folder: AgentFolder) -> Agent:
     """One that starts nothing and sends nothing: only its folder is in use."""
     agent = Agent.__new__(Agent)
-    agent._folder, agent._member, agent._log = folder, MEMBER, SilentLog()
+    agent._folder, agent._member, agent._log = folder, MEMBER, Log()
     return agent
 
 
@@ -50,7 +42,7 @@
     with TemporaryDirectory() as name:
         path = Path(name)
         (path / "versions").mkdir()
-        folder = AgentFolder(path, MEMBER, SilentLog())
+        folder = AgentFolder(path, MEMBER, Log())
         if state.drain_permit is None:  # its very first start, which makes its name up
             with patch.object(secrets, "token_hex", lambda size: state.agent.partition("@")[2]):
                 assert folder.open(versions[0]) == state
@@ -94,7 +86,7 @@
     with TemporaryDirectory() as name:
         path = Path(name)
         make_folder(path, dumped)
-        folder = AgentFolder(path, MEMBER, SilentLog())
+        folder = AgentFolder(path, MEMBER, Log())
         state = folder.open(b"not taken")
         stored = [version for version in (state.current, state.previous) if version]
         return Folder(state, [folder.version_path(version).read_bytes() for version in stored])
@@ -120,7 +112,7 @@
         path = Path(name)
         make_folder(path, dumped)
         (path / "versions").mkdir()
-        folder = AgentFolder(path, MEMBER, SilentLog())
+        folder = AgentFolder(path, MEMBER, Log())
         folder.store_version(SECOND)
         agent = _agent(folder)
         agent._has_stopped = True  # so that it looks once
--- a/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
@@ -39,6 +39,11 @@
         self._stopped = False
         self.reason = ""  # of the last failure, while the replica is out of service
 
+    @property
+    def is_failing(self) -> bool:
+        """Whether the replica is out of service, since its disk failed and nothing was read back yet."""
+        return bool(self.reason)
+
     def begin(self, store: ReplicaStore, identity: str, error: StoreError) -> None:
         """`store` failed with `error`, and is closed."""
         if not may_pass(error):
--- a/packages/controlplane/src/walnutpost/controlplane/process.py
+++ b/packages/controlplane/src/walnutpost/controlplane/process.py
@@ -192,7 +192,7 @@
     # The replica
 
     def _feed(self, event: Input) -> None:
-        if self.ended or self._disk.reason:
+        if self.ended or self._disk.is_failing:
             return  # what comes while the disk fails is lost, as a message may be
         self._inbox.append(event)
         if self._busy:
@@ -335,7 +335,7 @@
 
     def _table(self) -> ConfigStore | None:
         """What watchers are served from; none while the disk fails: they go on at another keeper."""
-        return None if self._disk.reason else self.fleet.table
+        return None if self._disk.is_failing else self.fleet.table
 
     def _age(self) -> int:
         """Microseconds since a leader last vouched for what is held here."""
@@ -346,7 +346,7 @@
 
     def _leader(self) -> str:
         """The keeper that may know more; none is known while the disk fails."""
-        return "" if self._disk.reason else wire.keeper_of(self.raft.leader)
+        return "" if self._disk.is_failing else wire.keeper_of(self.raft.leader)
 
     def _answer(self, id: str, told: wire.Told) -> None:
         for task, token in self._askers.pop(id, ()):
@@ -354,7 +354,7 @@
 
     def _ask(self, id: str, event: Input) -> wire.Told:
         """Waits for the answer to `id`. What gets none in time may have been agreed on all the same."""
-        if self.ended or self._disk.reason:
+        if self.ended or self._disk.is_failing:
             return wire.Told(None, True, NOT_LEADER)
         task, token = self._loop.waiting()
         self._askers.setdefault(id, []).append((task, token))
@@ -401,7 +401,7 @@
                     return self._status()
                 case "GET", wire.ENTRIES:
                     return self._entries(target[2])
-                case "GET", wire.HISTORY if self._disk.reason:
+                case "GET", wire.HISTORY if self._disk.is_failing:
                     return Response(503, body=DISK_FAILED.encode())
                 case "GET", wire.HISTORY:
                     return self._history(target[2])
--- a/packages/controlplane/tests/disk_rig.py
+++ b/packages/controlplane/tests/disk_rig.py
@@ -18,6 +18,7 @@
 from walnutpost.http import Connection, Response
 from walnutpost.store import StoreError
 from walnutpost.store.replica import ReplicaStore
+from watch_rig import Log
 
 SECOND = 1_000_000
 NAMES = ("k1", "k2", "k3")
@@ -140,19 +141,6 @@
             side.unlink(missing_ok=True)
 
 
-class Log:
-    def __init__(self) -> None:
-        self.lines: list[tuple[str, dict[str, Any]]] = []
-
-    def info(self, event: str, **fields: Any) -> None:
-        self.lines.append((event, fields))
-
-    warning = error = info
-
-    def fields(self, event: str) -> list[dict[str, Any]]:
-        return [fields for name, fields in self.lines if name == event]
-
-
 class ObservedKeeper(Keeper):
     """Its votes, as they leave: for whom, by term."""
 
--- a/packages/controlplane/tests/test_peers.py
+++ b/packages/controlplane/tests/test_peers.py
@@ -2,12 +2,11 @@
 
 from __future__ import annotations
 
-import errno
 from typing import Any
 
 import pytest
 
-from scripted_sockets import scripted_sockets, to
+from scripted_sockets import CONNECTION_FAULTS, scripted_sockets, to
 from walnutpost.consensus import Members, Message, Snapshot
 from walnutpost.consensus.messages import InstallSnapshot, TimeoutNow
 from walnutpost.controlplane import wire
@@ -50,19 +49,7 @@
     assert posted(TimeoutNow(1, "k1"), 20 * ANSWER_TIME) == (0, 1)
 
 
-FAULTS = [
-    pytest.param(operation, number, id=f"{operation}-{errno.errorcode[number]}")
-    for operation, numbers in {
-        "socket": (errno.EMFILE, errno.ENFILE, errno.ENOBUFS),
-        "connect": (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENETUNREACH, errno.EPERM),
-        "send": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS),
-        "recv": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN),
-    }.items()
-    for number in numbers
-]
-
-
-@pytest.mark.parametrize(("operation", "number"), FAULTS)
+@pytest.mark.parametrize(("operation", "number"), CONNECTION_FAULTS)
 def test_a_message_that_met_an_error_counts_as_lost_and_the_next_one_arrives(
     operation: Any, number: int
 ) -> None:
@@ -94,7 +81,7 @@
         loop.run(body)
 
 
-@pytest.mark.parametrize(("operation", "number"), FAULTS)
+@pytest.mark.parametrize(("operation", "number"), CONNECTION_FAULTS)
 def test_a_question_that_met_an_error_is_asked_of_the_next_keeper(operation: Any, number: int) -> None:
     loop = Loop(VirtualClock())
 
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -233,7 +233,7 @@
     def append_accepted(self, execution: Execution, function: Function) -> LineAppend:
         """Return the line of a call that is being accepted."""
         required = self._requirement_of(function)
-        to_stored = self._executions.clock.to_stored
+        execution = self._executions.with_stored_times(execution)
         return self.store.new_append(
             CallAccepted(
                 execution.id,
@@ -243,8 +243,8 @@
                 execution.tenant,
                 execution.payload,
                 execution.digest,
-                to_stored(execution.accepted_at),
-                to_stored(execution.expires_at),
+                execution.accepted_at,
+                execution.expires_at,
                 self._classes[function.class_index].effect.value,
                 0 if _accepts_fewer(required) else required.copies,
             )
@@ -260,11 +260,11 @@
 
     def append_ended(self, execution: Execution) -> LineAppend:
         """Return the line of a call's final status."""
-        ended_at_us = self._executions.clock.to_stored(execution.ended_at)
+        execution = self._executions.with_stored_times(execution)
         record = CallEnded(
             execution.id,
             execution.status.value,
-            ended_at_us,
+            execution.ended_at,
             execution.result,
             execution.error_type,
             execution.error_message,
--- a/packages/daemon/src/walnutpost/daemon/settings_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/settings_watch.py
@@ -24,7 +24,7 @@
 from walnutpost.watch import Watcher
 
 SECOND = 1_000_000
-MAX_DECODED_FUNCTIONS = 1024  # functions whose entries are cache_file decoded: some 400 KB
+MAX_DECODED_FUNCTIONS = 1024  # functions whose decoded entries are cached: some 400 KB
 VALIDATION_BATCH = 50  # entries of a table, a millisecond, before other tasks run
 FIRST_ANSWER_TIMEOUT_US = SECOND  # how long a start waits for a relay
 WRITE_INTERVAL_US = 30 * SECOND  # between two writings of the table: 38,000 functions take 80 ms of a core
@@ -125,7 +125,6 @@
         self._reported_reason = ""
         self._applied_table: ConfigStore | None = None
         self._written_revision = 0  # revision of the file
-        self._write_failed = False
         self._writer: Task[None] | None = None
         self._watch_task: Task[None] | None = None
 
@@ -278,25 +277,26 @@
     def _write_pending(self) -> None:
         """Write until nothing is left, at most once each WRITE_INTERVAL_US."""
         try:
-            while self._write():
-                self._loop.sleep(WRITE_RETRY_US if self._write_failed else WRITE_INTERVAL_US)
+            while (delay_us := self._write()) is not None:
+                self._loop.sleep(delay_us)
         finally:
             self._writer = None
 
-    def _write(self) -> bool:
-        """Return False if there was nothing to write. After a failed write a start may need the relays."""
+    def _write(self) -> int | None:
+        """Return the wait until the next write, None if there was nothing to write.
+
+        After a failed write a start may need the relays.
+        """
         table = self._applied_table
         if table is None or table.revision <= self._written_revision:
-            return False
+            return None
         try:
             self._loop.blocking(_write_snapshot, self._cache_file, table)
         except OSError as error:
             self._log.warning("config_cache_write_failed", error=str(error))
-            self._write_failed = True
-        else:
-            self._written_revision = table.revision
-            self._write_failed = False
-        return True
+            return WRITE_RETRY_US
+        self._written_revision = table.revision
+        return WRITE_INTERVAL_US
 
 
 def _write_snapshot(path: Path, table: ConfigStore) -> None:
--- a/packages/eventloop/tests/scripted_sockets.py
+++ b/packages/eventloop/tests/scripted_sockets.py
@@ -11,6 +11,7 @@
 
 from __future__ import annotations
 
+import errno
 import os
 import socket
 from collections import Counter
@@ -20,10 +21,24 @@
 from typing import Any, Literal
 from unittest import mock
 
+import pytest
+
 Operation = Literal["socket", "bind", "connect", "accept", "send", "recv"]
 Address = tuple[str, int]
 FOREVER = 1 << 60
 
+# What Linux documents for the calls of a client's connection, as parameters (operation, error number).
+CONNECTION_FAULTS = [
+    pytest.param(operation, number, id=f"{operation}-{errno.errorcode[number]}")
+    for operation, numbers in {
+        "socket": (errno.EMFILE, errno.ENFILE, errno.ENOBUFS),
+        "connect": (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENETUNREACH, errno.EPERM),
+        "send": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS),
+        "recv": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN),
+    }.items()
+    for number in numbers
+]
+
 
 @dataclass
 class _Fault:
--- a/packages/gateway/tests/golden_gateway_days.py
+++ b/packages/gateway/tests/golden_gateway_days.py
@@ -4,19 +4,18 @@
     PYTHONPATH=packages/policy/tests python packages/gateway/tests/golden_gateway_days.py
 
 A recorded row is `[start, seed, settings, functions, tenants]` where a Gateway begins, else `[microseconds
-since the row before, input, [effects]]`, all in the neutral form of `golden_form`.
+since the row before, input, [effects]]`, all in the neutral form of `neutral_form`.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import replace
-from heapq import heappop, heappush
 from pathlib import Path
 from random import Random
 from typing import Any
 
-from golden_form import from_neutral, neutral_of_each, to_neutral, write_lines
+from neutral_form import from_neutral, to_neutral, write_lines
+from recorded_day import RecordedDay
 from rig import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
 from walnutpost import gateway as gw
 from walnutpost import interface as api
@@ -73,17 +72,16 @@
     return gw.Gateway(from_neutral(settings), catalogue, seed, REMEMBER_FOR, REMEMBER_BYTES)
 
 
-class Day:
+class Day(RecordedDay):
     """One Gateway in its world on virtual time. Every choice is the seed's."""
 
     def __init__(self, site: str, seed: int) -> None:
+        super().__init__(START)
         self.random = Random(seed * 104_729 + 5)
-        self.rows: list[Any] = [start_row(site, seed)]
+        self.rows.append(start_row(site, seed))
         self.gateway = make_gateway(self.rows[0])
         self.tenants = TENANTS[site]
-        self.now, self.last_row_at, self.inputs = START, 0, 0
-        self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.scheduled, self.ticket, self.version = 0, 0, 0
+        self.ticket, self.version = 0, 0
         self.states = {f"w-{place}": READY for place in range(6)}
         self.copies: set[tuple[str, str]] = set()
         self.silent_until: dict[str, int] = {}
@@ -93,21 +91,9 @@
         self.at(0, self.arrivals)
         self.at(SECOND, self.trouble)
 
-    def at(self, delay: int, act: Callable[[], None]) -> None:
-        self.scheduled += 1
-        heappush(self.queue, (self.now + delay, self.scheduled, act))
-
-    def run(self, inputs: int) -> None:
-        end = self.inputs + inputs
-        while self.inputs < end:
-            self.now, _, act = heappop(self.queue)
-            act()
-
     def feed(self, event: gw.Input) -> None:
-        self.inputs += 1
         effects = self.gateway.handle(self.now, event)
-        self.rows.append([self.now - self.last_row_at, to_neutral(event), neutral_of_each(effects)])
-        self.last_row_at = self.now
+        self.record(event, effects)
         for effect in effects:
             self.carry_out(effect)
 
--- a/packages/gateway/tests/test_golden_gateway.py
+++ b/packages/gateway/tests/test_gateway_decisions_golden.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from golden_form import KINDS, from_neutral, neutral_of_each, read_lines
 from golden_gateway_days import GOLDEN, RECORDED, START_ROW, make_gateway, path_of
+from neutral_form import KINDS, from_neutral, neutral_of_each, read_lines
 from walnutpost import gateway as gw
 
 # The Router never decides on these, or not here.
--- a/packages/node/tests/ration_checker.py
+++ b/packages/node/tests/ration_checker.py
@@ -101,6 +101,3 @@
         for b in breaches
     )
     return "\n".join([f"{len(breaches)} breaches of the ration", *lines])
-
-
-told = describe_breaches  # the name that the tests of the policy import
--- a/packages/policy/tests/golden_days.py
+++ b/packages/policy/tests/golden_days.py
@@ -5,19 +5,18 @@
     python packages/policy/tests/golden_days.py
 
 A recorded row is `[start, seed, settings]` where a Router begins, else `[microseconds since the row before,
-event, [actions]]`, all in the neutral form of `golden_form`.
+event, [actions]]`, all in the neutral form of `neutral_form`.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import dataclass, field, replace
-from heapq import heappop, heappush
 from pathlib import Path
 from random import Random
 from typing import Any
 
-from golden_form import neutral_of_each, to_neutral, write_lines
+from neutral_form import to_neutral, write_lines
+from recorded_day import RecordedDay
 from rig import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
 from walnutpost import interface as api
 from walnutpost.policy import Router
@@ -119,22 +118,17 @@
     closed: bool = False
 
 
-class Day:
+class Day(RecordedDay):
     """One Router in its world on virtual time. Every choice is the seed's."""
 
     def __init__(self, site: api.Settings, seed: int, calm: bool = False) -> None:
         """`calm`: few requests, fast answers, and now and then most workers silent at once."""
+        super().__init__(START)
         self.random = Random(seed * 7919 + 11)
         self.calm = calm
-        self.now = START
-        self.rows: list[Any] = []
-        self.last_row_at = 0
-        self.queue: list[tuple[int, int, Callable[[], None]]] = []
-        self.scheduled = 0
         self.next_request = 0
         self.next_worker = 0
         self.version = 0
-        self.inputs = 0
         self.workers: dict[int, SyntheticWorker] = {}
         self.requests: dict[int, SyntheticRequest] = {}
         self.begin(site, seed)
@@ -153,22 +147,9 @@
         self.requests.clear()
         self.rows.append([START_ROW, seed, to_neutral(site)])
 
-    def at(self, delay: int, act: Callable[[], None]) -> None:
-        self.scheduled += 1
-        heappush(self.queue, (self.now + delay, self.scheduled, act))
-
-    def run(self, inputs: int) -> None:
-        end = self.inputs + inputs
-        while self.inputs < end:
-            self.now, _, act = heappop(self.queue)
-            act()
-
     def feed(self, event: api.Event) -> None:
-        self.inputs += 1
         actions = self.router.handle(self.now, event)
-        row = [self.now - self.last_row_at, to_neutral(event), neutral_of_each(actions)]
-        self.last_row_at = self.now
-        self.rows.append(row)
+        self.record(event, actions)
         for action in actions:
             self.carry_out(action)
 
--- a/packages/policy/tests/test_load_order_limit.py
+++ b/packages/policy/tests/test_load_order_limit.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from ration_checker import Ration, RationLog, breaches_of, told
+from ration_checker import Ration, RationLog, breaches_of, describe_breaches
 from rig import SECOND, SETTINGS, Rig, orders, worker
 from walnutpost import interface as api
 from walnutpost.policy.load_balancing import ATTEMPTS_FOR_COPIES
@@ -80,7 +80,7 @@
     count_request(next_one, START + 3)
     arrive(next_one, START + 3)
     found = log.breaches(Ration(2.5, 0.5, WINDOW))
-    assert not found, told(found)
+    assert not found, describe_breaches(found)
 
 
 def test_an_open_order_counts_for_as_long_as_it_is_unanswered() -> None:
@@ -379,7 +379,7 @@
     rig.now += WINDOW + 2 * rig.router.context.grace_us
     arrived = len(late) + len(rig.ordered(30))  # the cut heals now
     found = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW), "front", [rig.now] * arrived, [])
-    assert not found, told(found)
+    assert not found, describe_breaches(found)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
--- a/packages/policy/tests/test_load_order_limit_properties.py
+++ b/packages/policy/tests/test_load_order_limit_properties.py
@@ -11,7 +11,7 @@
 from hypothesis import HealthCheck, Phase, example, find, given, settings
 from hypothesis import strategies as st
 
-from ration_checker import Ration, RationLog, told
+from ration_checker import Ration, RationLog, describe_breaches
 from rig import SECOND, SETTINGS, worker
 from walnutpost import interface as api
 from walnutpost.policy import Router
@@ -415,7 +415,7 @@
     """Told for a failing test; empty if the ration holds."""
     make = Ration.on_sockets if slack else Ration
     found = arrivals_of(day, router_type).breaches(make(day.free_loads, day.load_share, WINDOW))
-    return told(found) if found else ""
+    return describe_breaches(found) if found else ""
 
 
 STEP_KINDS = (
--- a/packages/policy/tests/test_golden_router.py
+++ b/packages/policy/tests/test_router_golden.py
@@ -9,7 +9,7 @@
 import pytest
 
 from golden_days import GOLDEN, RECORDED, START_ROW, path_of
-from golden_form import KINDS, from_neutral, neutral_of_each, read_lines
+from neutral_form import KINDS, from_neutral, neutral_of_each, read_lines
 from walnutpost import interface as api
 from walnutpost.policy import Router
 
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 import sqlite3
-from collections.abc import Sequence
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, replace
 from pathlib import Path
 from typing import Any
@@ -99,10 +99,11 @@
 
     def update(self, execution: Execution, also: Change | None = None) -> None:
         """Write an execution's status and result."""
+        execution = self.with_stored_times(execution)
         values = (
             int(execution.intended),
             execution.status.value,
-            self._to_stored(execution.ended_at),
+            execution.ended_at,
             execution.result,
             execution.error_type,
             execution.error_message,
@@ -188,10 +189,8 @@
 
     # Times
 
-    def _to_stored(self, epoch_us: int) -> int:
-        return self.clock.to_stored(epoch_us) if epoch_us else 0  # 0: not yet
-
     def _row_of(self, execution: Execution) -> tuple[object, ...]:
+        execution = self.with_stored_times(execution)
         return (
             execution.id,
             execution.name,
@@ -200,11 +199,11 @@
             execution.tenant,
             execution.payload,
             execution.digest,
-            self._to_stored(execution.accepted_at),
-            self._to_stored(execution.expires_at),
+            execution.accepted_at,
+            execution.expires_at,
             int(execution.intended),
             execution.status.value,
-            self._to_stored(execution.ended_at),
+            execution.ended_at,
             execution.result,
             execution.error_type,
             execution.error_message,
@@ -212,48 +211,24 @@
 
     def with_epoch_times(self, execution: Execution) -> Execution:
         """Convert an execution in stored time, as in rows and in lines of the own journal, to epochs."""
-        to_epoch = self.clock.to_epoch
-        return replace(
-            execution,
-            accepted_at=to_epoch(execution.accepted_at),
-            expires_at=to_epoch(execution.expires_at),
-            ended_at=to_epoch(execution.ended_at) if execution.ended_at else 0,
-        )
+        return _with_times(execution, self.clock.to_epoch)
+
+    def with_stored_times(self, execution: Execution) -> Execution:
+        """Convert an execution with epochs to stored time, for rows and for lines of the own journal."""
+        return _with_times(execution, self.clock.to_stored)
+
+
+def _with_times(execution: Execution, convert: Callable[[int], int]) -> Execution:
+    return replace(
+        execution,
+        accepted_at=convert(execution.accepted_at),
+        expires_at=convert(execution.expires_at),
+        ended_at=convert(execution.ended_at) if execution.ended_at else 0,  # 0: it has not ended
+    )
 
 
 def _execution_of(row: Sequence[Any]) -> Execution:
     """Return the execution of a row with COLUMNS, in stored time."""
-    (
-        execution_id,
-        name,
-        function,
-        version,
-        tenant,
-        payload,
-        digest,
-        accepted_at,
-        expires_at,
-        intended,
-        status,
-        ended_at,
-        result,
-        error_type,
-        error_message,
-    ) = row
-    return Execution(
-        execution_id,
-        name,
-        function,
-        version,
-        tenant,
-        payload,
-        digest,
-        accepted_at,
-        expires_at,
-        bool(intended),
-        Status(status),
-        ended_at,
-        result,
-        error_type,
-        error_message,
-    )
+    *identity, intended, status, ended_at, result, error_type, error_message = row
+    values = [*identity, bool(intended), Status(status), ended_at, result, error_type, error_message]
+    return Execution(*values)
--- a/packages/store/tests/test_replica_store_golden.py
+++ b/packages/store/tests/test_replica_store_golden.py
@@ -24,6 +24,7 @@
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
 from walnutpost.store.replica import ReplicaStore
+from watch_rig import Log
 
 LONG = 60_000_000  # microseconds: a lease, and the time after which a test gives up
 DISK = "disk.with-log-and-snapshot"
@@ -52,15 +53,6 @@
     assert tuple(past) == fleet_forms.history()
 
 
-class SilentLog:
-    """Takes a keeper's lines."""
-
-    def info(self, *args: object, **named: object) -> None:
-        pass
-
-    warning = error = info
-
-
 def test_a_process_over_a_golden_folder_applies_its_log_and_leads_with_the_golden_state(
     tmp_path: Path,
 ) -> None:
@@ -70,7 +62,7 @@
     timing = Timing(election_timeout_us=50_000, heartbeat_interval_us=10_000)
 
     def run() -> Keeper:
-        keeper = Keeper(loop, ALONE, addresses, ("127.0.0.1", 0), tmp_path, timing, LONG, SilentLog(), 1)
+        keeper = Keeper(loop, ALONE, addresses, ("127.0.0.1", 0), tmp_path, timing, LONG, Log(), 1)
         with loop.timeout(LONG):
             while keeper.fleet.state.index < fleet_forms.history()[-1].index:
                 loop.sleep(timing.heartbeat_interval_us)
--- a/packages/watch/tests/test_client.py
+++ b/packages/watch/tests/test_client.py
@@ -792,7 +792,6 @@
         loop.sleep(60 * SECOND)
         assert not member.log.count("config_stale")
         for times in (1, 2):
-            served.watch.held_most = 0  # type: ignore[attr-defined]
             places[0] = ("127.0.0.1", 1)
             for stream in list(served.server.streams):
                 stream.reset()
--- a/packages/watch/tests/test_watch_socket_faults.py
+++ b/packages/watch/tests/test_watch_socket_faults.py
@@ -7,24 +7,13 @@
 
 import pytest
 
-from scripted_sockets import at, scripted_sockets, to
+from scripted_sockets import CONNECTION_FAULTS, at, scripted_sockets, to
 from test_client import both, homed, where
 from walnutpost.eventloop import Loop
 from watch_rig import Member, Served, filled, ops, play, until
 
-FAULTS = [
-    pytest.param(operation, number, id=f"{operation}-{errno.errorcode[number]}")
-    for operation, numbers in {
-        "socket": (errno.EMFILE, errno.ENFILE, errno.ENOBUFS),
-        "connect": (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENETUNREACH, errno.EPERM),
-        "send": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS),
-        "recv": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN),
-    }.items()
-    for number in numbers
-]
 
-
-@pytest.mark.parametrize(("operation", "number"), FAULTS)
+@pytest.mark.parametrize(("operation", "number"), CONNECTION_FAULTS)
 def test_a_watcher_continues_after_any_socket_error(operation: Any, number: int) -> None:
     def script(loop: Loop) -> None:
         first, second = (
--- a/packages/watch/tests/watch_rig.py
+++ b/packages/watch/tests/watch_rig.py
@@ -156,6 +156,9 @@
     def count(self, event: str) -> int:
         return sum(line == event for line, _ in self.lines)
 
+    def fields(self, event: str) -> list[dict[str, Any]]:
+        return [fields for line, fields in self.lines if line == event]
+
 
 class Member:
     """A follower with its watcher, acting on what it has at once, as a front end does."""
--- a/packages/workerclient/tests/test_golden_links.py
+++ b/packages/workerclient/tests/test_worker_protocol_golden.py
@@ -12,12 +12,15 @@
 from typing import Any
 
 import msgspec
+import pytest
 
 from golden_frames import Sender, differences_received, differences_sent, received_row, sent_row, write_rows
+from test_metering_golden import REPORTS
 from walnutpost.http import Response
 from walnutpost.workerclient import codec, orca
 
 GOLDEN = Path(__file__).parent / "golden" / "frames"
+REPORTS_FOLDER = Path(__file__).parents[2] / "metering" / "tests" / "golden"
 SENT, RECEIVED = GOLDEN / "sent.jsonl", GOLDEN / "received.jsonl"
 FIELDS = ("busy", "memory_tied", "queue")
 ORCA_FORMS = ("text", "json", "binary")
@@ -117,6 +120,12 @@
         ("unload", "a/b"),
         ("usage", 1_700_000_000, 17),
         ("ready",),
+        ("call", "function/1", "tenant-2", b"payload\x00\xff", "call-4", 5, 6_007_008, "execution-7"),
+        ("call", "function", None, b"", "call", 0, 1_000),
+        ("load", "function/1", 2),
+        ("load", "function", 0),
+        ("unload", "function/1"),
+        ("usage", 1_800_000_000_000_001, 2),
     ]
     rows = [sent_row(name, SENDERS, *arguments) for name, *arguments in sent]
     rows += [sent_row("report", SENDERS, REPORT, form) for form in ("text", "json")]
@@ -159,6 +168,12 @@
     write_rows(RECEIVED, [received_row(name, RECEIVERS, data) for name, data in received])
 
 
+@pytest.mark.parametrize("name", REPORTS)
+def test_a_worker_s_report_of_a_former_release_is_read(name: str) -> None:
+    body = (REPORTS_FOLDER / f"{name}.json").read_bytes()
+    assert codec.read_usage(Response(200, body=body)) == REPORTS[name]
+
+
 def test_requests_are_written_as_recorded() -> None:
     assert differences_sent(SENT, SENDERS) == []
 
