--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -29,6 +29,7 @@
 START_PATIENCE = 60 * SECOND
 OPERATOR_TIMEOUT_S = 60  # of one `walnutpost fleet`, which gives up sooner by itself
 LOOK_EVERY, ASK_WITHIN = 30_000, 1_000_000
+MAX_LOG_TAIL_BYTES = 2_000  # of an ended process, in the reason of a wait that ended in vain
 ADDRESS = re.compile(r"address\W+([\d.]+):(\d+)")
 Address = tuple[str, int]
 T = TypeVar("T")
@@ -83,10 +84,26 @@
     return answers[0]
 
 
-def ended_processes(processes: Mapping[str, subprocess.Popen[bytes]]) -> str:
-    """Those that have ended though they should run, for a reason."""
-    codes = {name: process.poll() for name, process in processes.items()}
-    return ", ".join(f"{name} ended with {code}" for name, code in codes.items() if code is not None)
+def ended_processes(
+    processes: Mapping[str, subprocess.Popen[bytes]], log_of: Callable[[str], Path] | None = None
+) -> str:
+    """Names the processes that have ended though they should run, each with its exit code and the end of its
+    log, since the folder of a run that failed elsewhere is often gone."""
+    ended = []
+    for name, process in processes.items():
+        code = process.poll()
+        if code is None:
+            continue
+        tail = _log_tail(log_of(name)) if log_of is not None else ""
+        ended.append(f"{name} ended with {code}{f' ({tail})' if tail else ''}")
+    return ", ".join(ended)
+
+
+def _log_tail(log: Path) -> str:
+    try:
+        return log.read_bytes()[-MAX_LOG_TAIL_BYTES:].decode(errors="replace").strip()
+    except OSError:
+        return ""
 
 
 @dataclass(slots=True)
@@ -252,7 +269,7 @@
         return confirmed(self.loop, lambda: self.client(5 * SECOND).state(), self.folder, self._ended)
 
     def _ended(self) -> str:
-        return ended_processes(self.processes)
+        return ended_processes(self.processes, self._log)
 
     def operator(self, *words: str) -> str:
         """What `walnutpost fleet` prints, by a configuration beside the relays."""
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -256,7 +256,7 @@
         return confirmed(self.loop, lambda: ask(self.client(3 * SECOND)), self.folder, self._ended)
 
     def _ended(self) -> str:
-        return ended_processes(self.processes)
+        return ended_processes(self.processes, self._log)
 
     def all_agreed(self) -> bool:
         self.read()
--- a/packages/faultinjection/tests/test_stage_waits.py
+++ b/packages/faultinjection/tests/test_stage_waits.py
@@ -84,6 +84,23 @@
     assert "a quorum's answer: nobody was asked; k1 ended with 1" in why
 
 
+@pytest.mark.parametrize("stage_of", [_fleet_stage, TableStage])
+def test_a_wait_shows_the_end_of_the_log_of_a_process_that_ended(
+    tmp_path: Path, stage_of: Callable[[Loop, Path], FleetStage | TableStage]
+) -> None:
+    loop = Loop(VirtualClock())
+
+    def wait() -> None:
+        stage = stage_of(loop, tmp_path)
+        (tmp_path / "f2.1.log").write_text("listening\nOSError: no space left\n")
+        process = subprocess.Popen([sys.executable, "-c", "raise SystemExit(1)"])
+        process.wait()
+        stage.processes["f2"], stage.starts["f2"] = process, 1
+        stage.until(lambda: False, "front ends")
+
+    assert "front ends: f2 ended with 1 (listening\nOSError: no space left)" in waits(loop, wait)
+
+
 def test_a_trial_of_the_table_without_a_quorum_ends(tmp_path: Path) -> None:
     loop = Loop(VirtualClock())
     asks: list[Callable[[TableStage], object]] = [
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -4,6 +4,7 @@
 
 import os
 import sqlite3
+import threading
 from collections.abc import Callable, Sequence
 from contextlib import suppress
 from pathlib import Path
@@ -56,9 +57,10 @@
 class Database:
     """One process's file. Changes wait until they are durable; many that wait share one commit.
 
-    All sqlite work of a running loop happens on its helper thread. A commit that fails (EIO, a full disk, a
-    lock) is rolled back and tried again with backoff, for `retry_us` a change; 0 tries once. A change must
-    therefore be one that can be run again.
+    Changes are committed on the loop's helper thread. Other accesses wait for a commit to end, so they belong
+    on that thread, too, except while a process starts: its first tasks may commit before it has read all.
+    A commit that fails (EIO, a full disk, a lock) is rolled back and tried again with backoff, for `retry_us`
+    a change; 0 tries once. A change must therefore be one that can be run again.
     """
 
     def __init__(self, loop: Loop, path: Path, schema: str, retry_us: int = 0) -> None:
@@ -68,6 +70,7 @@
         self._pending: list[_PendingChange] = []
         self._is_committing = False
         self._may_have_reached_disk = False  # frames of a failed commit may lie behind the log's end
+        self._access_lock = threading.RLock()  # held by the one thread that uses the connection
         self.before_commit: Change | None = None  # made part of each commit
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
@@ -162,29 +165,32 @@
 
     def _try_commit(self, batch: Sequence[_PendingChange]) -> bool:
         """Return False if a change violated a constraint: its error is set, and nothing was written."""
-        db = self._db
-        self._end_transaction()
-        db.execute("begin immediate")
-        try:
-            for pending in batch:
-                try:
-                    pending.change(db)
-                except sqlite3.IntegrityError as error:
-                    pending.error = error
-                    return False
-            if self.before_commit is not None:
-                self.before_commit(db)
+        with self._access_lock:
+            self._end_transaction()
+            self._db.execute("begin immediate")
             try:
-                db.execute("commit")
-            except BaseException:
-                self._may_have_reached_disk = True
-                raise
-            self._may_have_reached_disk = False
-        finally:
-            with suppress(sqlite3.Error):  # else it is ended before the next statement
-                self._end_transaction()
+                for pending in batch:
+                    try:
+                        pending.change(self._db)
+                    except sqlite3.IntegrityError as error:
+                        pending.error = error
+                        return False
+                if self.before_commit is not None:
+                    self.before_commit(self._db)
+                self._end_with_commit()
+            finally:
+                with suppress(sqlite3.Error):  # else it is ended before the next statement
+                    self._end_transaction()
         return True
 
+    def _end_with_commit(self) -> None:
+        try:
+            self._db.execute("commit")
+        except BaseException:
+            self._may_have_reached_disk = True
+            raise
+        self._may_have_reached_disk = False
+
     def _end_transaction(self) -> None:
         """Roll back what is open: sqlite does so itself after some errors of a commit, not after others."""
         if self._db.in_transaction:
@@ -197,33 +203,36 @@
         commit takes their place.
         """
         try:
-            self._end_transaction()
-            (version,) = self._db.execute("pragma user_version").fetchone()
-            self._db.execute(f"pragma user_version = {version}")
+            with self._access_lock:
+                self._end_transaction()
+                (version,) = self._db.execute("pragma user_version").fetchone()
+                self._db.execute(f"pragma user_version = {version}")
         except sqlite3.Error:
             return False
         self._may_have_reached_disk = False
         return True
 
     def create_tables(self, schema: str) -> None:
-        """Add tables; before the loop runs. Raises StoreError."""
+        """Add tables, while the process starts. Raises StoreError."""
         try:
-            self._db.executescript(schema)
+            with self._access_lock:
+                self._db.executescript(schema)
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
 
     def commit_at_startup(self, change: Change) -> None:
-        """Commit a change before the loop runs. Raises StoreError."""
+        """Commit a change, while the process starts. Raises StoreError."""
         try:
             self._commit([_PendingChange(self._loop, change, 0)])
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
 
     def select(self, query: str, values: Sequence[object] = ()) -> list[tuple[Any, ...]]:
-        """Return rows; before the loop runs, or on its helper thread. Raises StoreError."""
+        """Return rows; while the process starts, or on the loop's helper thread. Raises StoreError."""
         try:
-            self._end_transaction()  # nothing uncommitted is read
-            return self._db.execute(query, values).fetchall()
+            with self._access_lock:
+                self._end_transaction()  # nothing uncommitted is read
+                return self._db.execute(query, values).fetchall()
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
 
