--- a/packages/cli/src/walnutpost/cli/run.py
+++ b/packages/cli/src/walnutpost/cli/run.py
@@ -125,7 +125,7 @@
             server.restart()
         log.info("listening", worker=line.name, address="{}:{}".format(*server.address))
         stop.wait()
-        server.leave(us(config.site.rules.drain_grace_ms))
+        server.drain(us(config.site.rules.drain_grace_ms))
 
     loop.run(run)
 
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -174,7 +174,7 @@
 
     def running(self) -> WorkerServer:
         """The worker on which something runs."""
-        return next(w for w in self.workers.values() if w.model.running)
+        return next(w for w in self.workers.values() if w.model.running_count)
 
     def until(self, true: Callable[[], bool], within: int = 60 * SECOND) -> None:
         """Waits on a condition in virtual time."""
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -42,7 +42,7 @@
 def truth(f: Fleet) -> dict[tuple[str, str], Fraction]:
     out: dict[tuple[str, str], Fraction] = {}
     for worker in f.workers.values():
-        for account, amount in true_usage(worker.model.lived, f.loop.now()).items():
+        for account, amount in true_usage(worker.model.copy_events, f.loop.now()).items():
             out[account] = out.get(account, Fraction(0)) + amount
     return out
 
@@ -228,7 +228,7 @@
 
     def script() -> None:
         for server in f.workers.values():
-            server.lies = lie
+            server.alter_usage_report = lie
         assert f.invoke("price").status == 200
         f.loop.sleep(5 * SECOND)
         told = [t["inconsistencies"] for event, t in f.log.lines if event == "usage_report_inconsistent"]
--- a/packages/fakes/src/walnutpost/fakes/fleet.py
+++ b/packages/fakes/src/walnutpost/fakes/fleet.py
@@ -1,61 +1,69 @@
-"""Builds stand-in workers from a configuration."""
+"""Builds fake workers from a configuration."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Callable
 from pathlib import Path
+from ssl import SSLContext
 
 from walnutpost.config import Config, StandIn
 from walnutpost.config.base import address_of
 from walnutpost.config.model import FunctionWork
 from walnutpost.config.settings import us
 from walnutpost.eventloop import Loop
-from walnutpost.fakes.model import FunctionSpec, WorkerModel, WorkerSpec
+from walnutpost.fakes.model import WorkerModel
+from walnutpost.fakes.model_runner import Recorder
+from walnutpost.fakes.specs import FunctionSpec, WorkerSpec
 from walnutpost.fakes.store import LocalStore, PackageStore
-from walnutpost.fakes.worker import Recorder, WorkerServer
+from walnutpost.fakes.worker import WorkerServer
 from walnutpost.gateway.catalogue import number_of
 from walnutpost.workerclient import contexts
 
+SEED_BITS = 32
+
 
 def function_specs(config: Config) -> dict[str, FunctionSpec]:
-    site, work = config.site, config.fleet.work if config.fleet else {}
-    out = {}
-    for name, f in site.functions.items():
-        w = work.get(name, FunctionWork())
-        out[name] = FunctionSpec(
-            name,
-            f.memory_mb,
-            f.lanes,
-            us(w.work_ms),
-            us(w.wait_ms),
-            w.spread,
-            us(w.load_ms),
-            w.fetch_share,
-            site.classes[f.class_].effect,
+    """Return the functions by name, with what they cost in the fakes."""
+    works = config.fleet.work if config.fleet else {}
+    specs = {}
+    for name, function in config.site.functions.items():
+        work = works.get(name, FunctionWork())
+        specs[name] = FunctionSpec(
+            name=name,
+            memory_mb=function.memory_mb,
+            lanes=function.lanes,
+            work_us=us(work.work_ms),
+            wait_us=us(work.wait_ms),
+            work_spread=work.spread,
+            load_us=us(work.load_ms),
+            fetch_share=work.fetch_share,
         )
-    return out
+    return specs
 
 
 def worker_spec(config: Config, line: StandIn) -> WorkerSpec:
-    site, rules = config.site, config.site.rules
+    """Return a worker as the configuration has it."""
+    site = config.site
+    rules = site.rules
     return WorkerSpec(
-        line.name,
-        line.cores,
-        line.speed,
-        line.memory_mb,
-        line.loads_at_once,
-        line.queue,
-        us(site.keep_alive_ms),
-        site.on_absence == "load",
-        rules.start_capacity,
-        us(rules.cold_ms),
-        rules.overload_factor,
-        us(rules.overload_for_ms),
+        name=line.name,
+        cores=line.cores,
+        speed=line.speed,
+        memory_mb=line.memory_mb,
+        max_concurrent_loads=line.loads_at_once,
+        max_queued=line.queue,
+        keep_alive_us=us(site.keep_alive_ms),
+        loads_when_absent=site.on_absence == "load",
+        start_capacity=rules.start_capacity,
+        warm_up_us=us(rules.cold_ms),
+        overload_factor=rules.overload_factor,
+        overload_window_us=us(rules.overload_for_ms),
     )
 
 
 def local_store(loop: Loop, config: Config) -> LocalStore:
+    """Return the package store of a configuration with a fleet."""
     assert config.fleet is not None
     return LocalStore(loop, config.fleet.store.fetches_at_once, config.fleet.store.fetch_limit)
 
@@ -68,12 +76,25 @@
     tap: Callable[[str], Recorder] | None = None,
     base: Path | None = None,
 ) -> WorkerServer:
+    """Start a worker of the fleet; `tap` makes its recorder, `base` is the configuration's folder.
+
+    Raises OSError where its address is in use.
+    """
     assert config.fleet is not None
-    context = None
-    if config.fleet.tls is not None:
-        folder, now = (base or Path()) / config.fleet.tls.folder, time.time_ns() // 1000
-        own = (folder / f"{line.name}.pem", folder / f"{line.name}.key")
-        context = contexts.server(*own, folder / "root.pem", config.fleet.tls.clients, now)
-    seed = config.fleet.seed ^ number_of(line.name, 32)
+    context = _tls_context(config, line, base or Path())
+    seed = config.fleet.seed ^ number_of(line.name, SEED_BITS)
     model = WorkerModel(worker_spec(config, line), function_specs(config), seed, loop.now())
-    return WorkerServer(loop, model, store, address_of(line.listen), tap(line.name) if tap else None, context)
+    recorder = tap(line.name) if tap else None
+    return WorkerServer(loop, model, store, address_of(line.listen), recorder, context)
+
+
+def _tls_context(config: Config, line: StandIn, base: Path) -> SSLContext | None:
+    assert config.fleet is not None
+    tls = config.fleet.tls
+    if tls is None:
+        return None
+    folder = base / tls.folder
+    now_us = time.time_ns() // 1000
+    certificate = folder / f"{line.name}.pem"
+    key = folder / f"{line.name}.key"
+    return contexts.server(certificate, key, folder / "root.pem", tls.clients, now_us)
--- a/packages/fakes/src/walnutpost/fakes/model.py
+++ b/packages/fakes/src/walnutpost/fakes/model.py
@@ -1,510 +1,297 @@
-"""What a stand-in worker does, as a state machine: copies, lanes, memory, loads, cores, cold start,
-drain.
+"""What a fake worker does, as a state machine: copies, lanes, memory, loads, cores, cold starts, drains.
 
 No I/O and no clock: times (microseconds) come in with each event, and reactions come out.
 """
 
 from __future__ import annotations
 
-from collections import deque
-from dataclasses import dataclass, field
+from itertools import count
 from math import ceil
 from random import Random
 
+from walnutpost.fakes.calls import Call, OpenCalls
+from walnutpost.fakes.cold_start import NEVER_RESTARTED_US, ColdStart
+from walnutpost.fakes.copies import Copy, CopyPool, CopyRecord
+from walnutpost.fakes.faults import Faults
+from walnutpost.fakes.load_orders import LoadOrder, OpenLoadOrders
+from walnutpost.fakes.load_reports import LoadReports
+from walnutpost.fakes.processor import Processor
+from walnutpost.fakes.reactions import (
+    CallEnded,
+    CallOutcome,
+    CallStarted,
+    CopyEvent,
+    CopyEventKind,
+    LoadOrderEnded,
+    LoadOrderOutcome,
+    Reaction,
+)
+from walnutpost.fakes.specs import FunctionSpec, WorkerSpec
 from walnutpost.interface import Warmth
 from walnutpost.metering import Book
 
-REVIEW = 50_000  # how often, while it is cold and busy, a worker's growing strength is taken into account
-
-
-@dataclass(frozen=True, slots=True)
-class FunctionSpec:
-    """Work in microseconds of a core of speed 1, then waiting on other systems; memory in MB."""
-
-    name: str
-    memory_mb: float
-    lanes: int
-    work: int
-    wait: int
-    spread: float
-    load: int
-    fetch_share: float
-    effect: str = "safe"
-
-
-@dataclass(frozen=True, slots=True)
-class WorkerSpec:
-    name: str
-    cores: int
-    speed: float
-    memory_mb: float
-    loads_at_once: int
-    queue: int
-    keep_alive: int
-    loads_on_absence: bool = False
-    start_capacity: float = 1.0
-    cold_for: int = 0
-    overload_factor: float = 0.0
-    overload_for: int = 0
-
-
-@dataclass(slots=True)
-class Faults:
-    """What the worker is told to do wrong. Counts are of calls still to be treated so; -1 is all of them."""
-
-    silent: bool = False
-    reset_before: int = 0
-    reset_while: int = 0
-    reset_after: int = 0
-    half_answer: int = 0
-    garbage: int = 0
-    errors: int = 0
-    full: int = 0
-    fail_loads: int = 0
-    slow: float = 1.0
-    heavy_share: float = 0.0  # of the calls, that cost heavy_factor times the usual work
-    heavy_factor: float = 1.0
-    reports: dict[str, float] | None = None  # said instead of the truth
-    reports_by: int = 0  # microseconds that reports are late by
-    report_form: str = "text"
-
-    def take(self, name: str) -> bool:
-        left: int = getattr(self, name)
-        if left > 0:
-            setattr(self, name, left - 1)
-        return left != 0
-
-
-@dataclass(frozen=True, slots=True)
-class Ran:
-    """A call began to run: from here on it has had its effect."""
-
-    ref: int
-    run: int
-
-
-@dataclass(frozen=True, slots=True)
-class Answer:
-    """`kind` is ok, full, miss, load_failed or error; `run` is 0 where it never ran."""
-
-    ref: int
-    kind: str
-    run: int
-    warmth: Warmth
-    crowd: int
-
-
-@dataclass(frozen=True, slots=True)
-class Held:
-    """The answer to an order; `kind` is ok, full or error."""
-
-    ref: int
-    kind: str
-    copies: int
-
-
-@dataclass(frozen=True, slots=True)
-class Fetch:
-    """Ask the store for the function's package, and say `fetched` when it has answered."""
-
-    load: int
-    function: str
-    usual: int
-
-
-@dataclass(frozen=True, slots=True)
-class Lived:
-    """What happened to a copy, for the worker's own record, which is no part of what it reports: begun,
-    ready, ran, rested, gone, or died, which ends all copies."""
-
-    at: int
-    what: str
-    copy: int = 0
-    function: str = ""
-    memory_mb: int = 0
-    tenant: str = ""
-
-
-Reaction = Ran | Answer | Held | Fetch
-
-
-@dataclass(slots=True, eq=False)
-class _Copy:
-    number: int
-    function: str
-    ready: bool = False
-    busy: int = 0
-    idle_since: int = 0
-    starts_at: int | None = None  # end of the start phase, once fetched
-
-
-@dataclass(slots=True, eq=False)
-class _Call:
-    ref: int
-    function: str
-    warmth: Warmth
-    crowd: int
-    tenant: str = ""
-    copy: _Copy | None = None
-    run: int = 0
-    work_left: float = 0.0
-    until: int | None = None  # end of waiting on other systems
-    wait: int = 0
-
-
-@dataclass(slots=True)
-class _Order:
-    ref: int
-    function: str
-    copies: int
-
-
-@dataclass(slots=True)
-class _Place:
-    copies: list[_Copy] = field(default_factory=list)
-    queue: deque[_Call] = field(default_factory=deque)
-
 
 class WorkerModel:
-    def __init__(self, spec: WorkerSpec, functions: dict[str, FunctionSpec], seed: int, now: int) -> None:
+    """One worker, through its restarts. Each event returns the reactions to it, in order."""
+
+    def __init__(self, spec: WorkerSpec, functions: dict[str, FunctionSpec], seed: int, now_us: int) -> None:
+        """Begin warm and empty; `seed` draws how much work each call is."""
         self.spec = spec
+        self.faults = Faults()
+        self.has_collapsed = False
+        self.is_draining = False
+        self.copy_events: list[CopyEvent] = []
         self._functions = functions
         self._rng = Random(seed)
-        self.faults = Faults()
-        self.runs = 0
-        self.loads = 0
-        self.fallen = False
-        self.draining = False
-        self.lived: list[Lived] = []
-        self._clear(now, 0)
-
-    def _clear(self, now: int, started: int) -> None:
-        self.started_at = started
-        self._now = now
-        self._places: dict[str, _Place] = {}
-        self._calls: dict[int, _Call] = {}
-        self._running: list[_Call] = []
-        self._waiting: list[_Call] = []  # on other systems
-        self._orders: list[_Order] = []
-        self._loading: dict[int, _Copy] = {}
-        self._load_queue: deque[_Copy] = deque()
-        self._arrived: deque[tuple[int, float]] = deque()
-        self._told: deque[tuple[int, dict[str, float]]] = deque()
-        self._out: list[Reaction] = []
-        self.book = Book(self.spec.name, now, ceil(self.spec.memory_mb))
+        self._run_numbers = count(1)
+        self._copy_numbers = count(1)
+        self._reset(now_us, NEVER_RESTARTED_US)
+
+    def _reset(self, now_us: int, restarted_us: int) -> None:
+        self._now_us = now_us
+        self._reactions: list[Reaction] = []
+        self.book = Book(self.spec.name, now_us, ceil(self.spec.memory_mb))
+        self._record = CopyRecord(self.book, self._functions, self.copy_events)
+        self._copies = CopyPool(
+            self.spec, self._functions, self.faults, self._record, self._copy_numbers, self._emit
+        )
+        self._calls = OpenCalls()
+        self._orders = OpenLoadOrders()
+        self._cold_start = ColdStart(self.spec, restarted_us)
+        self._processor = Processor(self.spec, self.faults, self._cold_start)
+        self._load_reports = LoadReports(self.faults)
 
     # Events
 
-    def call(self, now: int, ref: int, function: str, tenant: str = "") -> list[Reaction]:
-        self._advance(now)
+    def call(self, now_us: int, request_id: int, function: str, tenant: str = "") -> list[Reaction]:
+        """Take a call: it runs, is queued, or is rejected."""
+        self._advance(now_us)
         spec = self._functions.get(function)
-        self._pressure(spec)
+        if self._cold_start.collapses_under(self._now_us, spec.work_us if spec else 0):
+            self.has_collapsed = True
         if spec is None:
-            return self._reply(_Call(ref, function, Warmth.UNREPORTED, 0), "miss")
-        place = self._places.setdefault(function, _Place())
-        crowd = len(place.queue) + sum(c.busy for c in place.copies)
-        stood = any(c.ready for c in place.copies)
-        call = _Call(ref, function, Warmth.WARM if stood else Warmth.JOINED_LOAD, crowd, tenant)
-        if self.draining or self.faults.take("full") or len(self._queued()) >= self.spec.queue:
-            return self._reply(call, "full")
-        if not place.copies:
-            if not self.spec.loads_on_absence:
-                return self._reply(call, "miss")
-            if not self._begin_load(function):
-                return self._reply(call, "full")
-            call.warmth = Warmth.STARTED_LOAD
-        self._calls[ref] = call
-        place.queue.append(call)
+            return self._reject(Call(request_id, function, Warmth.UNREPORTED, 0), CallOutcome.MISS)
+        copies = self._copies.copies_of(function)
+        queue = self._calls.queue_of(function)
+        crowd = len(queue) + sum(copy.running for copy in copies)
+        warmth = Warmth.WARM if any(copy.is_ready for copy in copies) else Warmth.JOINED_LOAD
+        call = Call(request_id, function, warmth, crowd, tenant)
+        rejection = self._rejection(call, has_copies=bool(copies))
+        if rejection is not None:
+            return self._reject(call, rejection)
+        self._calls.enqueue(call)
         self._dispatch(function)
-        lanes = spec.lanes * len(place.copies)
-        if len(place.queue) and crowd + 1 > lanes:
-            self._begin_load(function)  # all lanes are taken: another copy, if there is room
-        return self._take()
-
-    def hold(self, now: int, ref: int, function: str, copies: int) -> list[Reaction]:
-        self._advance(now)
-        place = self._places.setdefault(function, _Place())
+        lanes = spec.lanes * len(copies)
+        if queue and crowd + 1 > lanes:
+            self._copies.begin_load(now_us, function)  # all lanes are in use: another copy, if one fits
+        return self._take_reactions()
+
+    def order_load(self, now_us: int, request_id: int, function: str, copies: int) -> list[Reaction]:
+        """Take an order to have so many copies ready; one for none only asks how many there are."""
+        self._advance(now_us)
+        present = self._copies.copies_of(function)
         if copies <= 0:
-            self._out.append(Held(ref, "ok", sum(c.ready for c in place.copies)))
-            return self._take()
-        if self.draining or function not in self._functions:
-            self._out.append(Held(ref, "full" if self.draining else "error", 0))
-            return self._take()
-        for copy in place.copies:
-            copy.idle_since = now
-        while len(place.copies) < copies:
-            if not self._begin_load(function):
-                self._out.append(Held(ref, "full", sum(c.ready for c in place.copies)))
-                return self._take()
-        self._orders.append(_Order(ref, function, copies))
+            ready = self._copies.ready_count(function)
+            return self._end_order(request_id, LoadOrderOutcome.OK, ready)
+        if self.is_draining:
+            return self._end_order(request_id, LoadOrderOutcome.FULL, 0)
+        if function not in self._functions:
+            return self._end_order(request_id, LoadOrderOutcome.ERROR, 0)
+        for copy in present:
+            copy.idle_since_us = now_us
+        while len(present) < copies:
+            if not self._copies.begin_load(now_us, function):
+                ready = self._copies.ready_count(function)
+                return self._end_order(request_id, LoadOrderOutcome.FULL, ready)
+        self._orders.add(LoadOrder(request_id, function, copies))
         self._settle_orders()
-        return self._take()
-
-    def unload(self, now: int, function: str) -> list[Reaction]:
-        self._advance(now)
-        place = self._places.get(function)
-        if place is not None:
-            self._remove([c for c in place.copies if c.ready and not c.busy])
-        return self._take()
-
-    def fetched(self, now: int, load: int, came: bool) -> list[Reaction]:
-        self._advance(now)
-        copy = self._loading.get(load)
-        if copy is not None:
-            spec = self._functions[copy.function]
-            if not came or self.faults.take("fail_loads"):
-                self._load_failed(copy)
-            else:
-                copy.starts_at = now + round(spec.load * (1 - spec.fetch_share) * self.faults.slow)
-        return self._take()
-
-    def dropped(self, now: int, ref: int) -> list[Reaction]:
-        """The caller has gone: waiting work is dropped, running work goes on."""
-        self._advance(now)
-        call = self._calls.get(ref)
-        if call is not None and call.run == 0:
-            del self._calls[ref]
-            self._places[call.function].queue.remove(call)
-        self._orders = [o for o in self._orders if o.ref != ref]
-        return self._take()
-
-    def void(self, now: int, functions: set[str]) -> list[Reaction]:
-        """The functions are released anew: idle copies are worth nothing; busy ones end their work first."""
-        self._advance(now)
-        for name in functions & set(self._places):
-            self._remove([c for c in self._places[name].copies if c.ready and not c.busy])
-        return self._take()
-
-    def restart(self, now: int) -> None:
-        """Everything is lost, and the worker is cold."""
-        self.fallen = self.draining = False
+        return self._take_reactions()
+
+    def unload(self, now_us: int, function: str) -> list[Reaction]:
+        """Remove the idle copies of a function."""
+        self._advance(now_us)
+        self._copies.remove_idle(now_us, function)
+        return self._take_reactions()
+
+    def on_fetched(self, now_us: int, copy: int, succeeded: bool) -> list[Reaction]:
+        """Take the store's answer to a FetchPackage."""
+        self._advance(now_us)
+        failed = self._copies.on_fetched(now_us, copy, succeeded)
+        if failed is not None:
+            self._fail_load(failed)
+        return self._take_reactions()
+
+    def cancel(self, now_us: int, request_id: int) -> list[Reaction]:
+        """Drop what a caller who has gone had queued; what runs goes on."""
+        self._advance(now_us)
+        self._calls.cancel(request_id)
+        self._orders.cancel(request_id)
+        return self._take_reactions()
+
+    def invalidate(self, now_us: int, functions: set[str]) -> list[Reaction]:
+        """Take a new release of functions: their idle copies go; busy ones first end their work."""
+        self._advance(now_us)
+        for name in functions & self._copies.functions:
+            self._copies.remove_idle(now_us, name)
+        return self._take_reactions()
+
+    def restart(self, now_us: int) -> None:
+        """Lose everything, faults too, and warm up anew."""
+        self.has_collapsed = False
+        self.is_draining = False
         self.faults = Faults()
-        self.lived.append(Lived(now, "died"))
-        self._clear(now, now)
-
-    def due(self, now: int) -> list[Reaction]:
-        self._advance(now)
-        return self._take()
-
-    def next_due(self) -> int | None:
-        """When `due` is wanted next, if nothing comes before."""
-        times = [c.until for c in self._waiting if c.until is not None]
-        if self._running:
-            rate = self._rate()
-            soonest = min(c.work_left for c in self._running)
-            times.append(self._now + max(1, round(soonest / rate)))
-            if self._cold():
-                times.append(self._now + REVIEW)
-        times += [c.starts_at for c in self._loading.values() if c.starts_at is not None]
-        times += [
-            c.idle_since + self.spec.keep_alive
-            for p in self._places.values()
-            for c in p.copies
-            if c.ready and not c.busy
-        ]
-        return max(self._now + 1, min(times)) if times else None
+        self.copy_events.append(CopyEvent(now_us, CopyEventKind.DIED))
+        self._reset(now_us, now_us)
+
+    def advance(self, now_us: int) -> list[Reaction]:
+        """Do what is due by now."""
+        self._advance(now_us)
+        return self._take_reactions()
+
+    # Queries
+
+    def next_due_us(self) -> int | None:
+        """Return when `advance` is wanted next, if nothing comes before."""
+        times = self._processor.due_times_us(self._now_us) + self._copies.due_times_us()
+        return max(self._now_us + 1, min(times)) if times else None
 
     def report(self) -> dict[str, float]:
-        """Named as in ORCA."""
+        """Return the load report, named as in ORCA (Open Request Cost Aggregation)."""
         if self.faults.reports is not None:
             return dict(self.faults.reports)
-        truth = self._truth()
-        self._told.append((self._now, truth))
-        while len(self._told) > 1 and self._told[1][0] <= self._now - self.faults.reports_by:
-            self._told.popleft()
-        return dict(self._told[0][1])
-
-    def _truth(self) -> dict[str, float]:
-        busy = min(1.0, len(self._running) / self.spec.cores)
-        tied = sum(
-            self._functions[c.function].memory_mb
-            for p in self._places.values()
-            for c in p.copies
-            if c.busy or not c.ready
-        )
-        return {
-            "cpu_utilization": round(busy, 4),
-            "mem_utilization": round(min(1.0, tied / self.spec.memory_mb), 4),
-            "queue": float(len(self._queued())),
-            "loads": float(len(self._loading) + len(self._load_queue)),
+        tied = min(1.0, self._copies.busy_memory_mb / self.spec.memory_mb)
+        truth = {
+            "cpu_utilization": round(self._processor.utilization, 4),
+            "mem_utilization": round(tied, 4),
+            "queue": float(self._calls.queued_count),
+            "loads": float(self._copies.load_count),
         }
+        return self._load_reports.report(self._now_us, truth)
+
+    @property
+    def function_names(self) -> set[str]:
+        """The functions that it can load."""
+        return set(self._functions)
 
     @property
-    def running(self) -> int:
-        return len(self._running) + len(self._waiting)
+    def running_count(self) -> int:
+        """How many calls run."""
+        return self._processor.call_count
 
-    def standing(self, function: str) -> int:
-        place = self._places.get(function)
-        return sum(c.ready for c in place.copies) if place else 0
+    def ready_count(self, function: str) -> int:
+        """Return how many copies of a function are ready."""
+        return self._copies.ready_count(function)
+
+    def capacity_ratio(self) -> float:
+        """Return the part of its capacity that it has, below 1 while it warms up."""
+        return self._cold_start.capacity_ratio(self._now_us)
 
     # Inside
 
-    def _take(self) -> list[Reaction]:
-        out, self._out = self._out, []
-        return out
-
-    def _reply(self, call: _Call, kind: str) -> list[Reaction]:
-        self._calls.pop(call.ref, None)
-        self._out.append(Answer(call.ref, kind, call.run, call.warmth, call.crowd))
-        return self._take()
-
-    def _queued(self) -> list[_Call]:
-        return [c for c in self._calls.values() if c.run == 0]
-
-    def _cold(self) -> bool:
-        return bool(self.started_at) and self._now - self.started_at < self.spec.cold_for
-
-    def strength(self) -> float:
-        if not self._cold():
-            return 1.0
-        begun = (self._now - self.started_at) / self.spec.cold_for
-        return self.spec.start_capacity + (1 - self.spec.start_capacity) * begun
-
-    def _rate(self) -> float:
-        """Of work done for one running call in a microsecond."""
-        share = min(1.0, self.spec.cores / max(1, len(self._running)))
-        return max(1e-6, share * self.spec.speed * self.strength() / self.faults.slow)
-
-    def _pressure(self, spec: FunctionSpec | None) -> None:
-        """All work that arrives weighs on a cold worker, refused work too; too much of it and it falls
-        over."""
-        s = self.spec
-        if not self._cold() or s.overload_for <= 0 or s.overload_factor <= 0:
-            return
-        self._arrived.append((self._now, float(spec.work if spec else 0)))
-        while self._arrived[0][0] < self._now - s.overload_for:
-            self._arrived.popleft()
-        bears = s.cores * s.speed * self.strength() * s.overload_for * s.overload_factor
-        if sum(w for _, w in self._arrived) > bears:
-            self.fallen = True
-
-    def _advance(self, now: int) -> None:
-        """Brings everything to `now`, each end at its own time."""
-        while self._now < now:
-            due = self.next_due()
-            step = min(now, due) if due is not None else now
-            self._step(step)
-        self._step(now)
-
-    def _step(self, now: int) -> None:
-        done = (now - self._now) * self._rate()
-        self._now = now
-        for call in self._running:
-            call.work_left -= done
-        for call in [c for c in self._running if c.work_left <= 1e-6]:
-            self._running.remove(call)
-            call.until = now + call.wait
-            self._waiting.append(call)
-        for call in [c for c in self._waiting if c.until is not None and c.until <= now]:
-            self._waiting.remove(call)
+    def _emit(self, reaction: Reaction) -> None:
+        self._reactions.append(reaction)
+
+    def _take_reactions(self) -> list[Reaction]:
+        reactions = self._reactions
+        self._reactions = []
+        return reactions
+
+    def _rejection(self, call: Call, has_copies: bool) -> CallOutcome | None:
+        """Why a call can't be queued; begins a load for one that is the first of its function."""
+        if self.is_draining or self.faults.consume("full"):
+            return CallOutcome.FULL
+        if self._calls.queued_count >= self.spec.max_queued:
+            return CallOutcome.FULL
+        if has_copies:
+            return None
+        if not self.spec.loads_when_absent:
+            return CallOutcome.MISS
+        if not self._copies.begin_load(self._now_us, call.function):
+            return CallOutcome.FULL
+        call.warmth = Warmth.STARTED_LOAD
+        return None
+
+    def _reject(self, call: Call, outcome: CallOutcome) -> list[Reaction]:
+        self._calls.close(call)
+        self._emit(CallEnded(call.request_id, outcome, call.run, call.warmth, call.crowd))
+        return self._take_reactions()
+
+    def _end_order(self, request_id: int, outcome: LoadOrderOutcome, copies: int) -> list[Reaction]:
+        self._emit(LoadOrderEnded(request_id, outcome, copies))
+        return self._take_reactions()
+
+    def _advance(self, now_us: int) -> None:
+        """Bring everything to now, each end at its own time."""
+        while self._now_us < now_us:
+            due_us = self.next_due_us()
+            self._step(min(now_us, due_us) if due_us is not None else now_us)
+        self._step(now_us)
+
+    def _step(self, now_us: int) -> None:
+        self._processor.advance(self._now_us, now_us)
+        self._now_us = now_us
+        for call in self._processor.pop_ended(now_us):
             self._finish(call)
-        for copy in [c for c in self._loading.values() if c.starts_at is not None and c.starts_at <= now]:
-            del self._loading[copy.number]
-            copy.ready, copy.idle_since = True, now
-            self.book.ready(now, copy.number)
-            self._note("ready", copy)
+        for copy in self._copies.ended_loads(now_us):
+            self._copies.mark_ready(now_us, copy)
             self._dispatch(copy.function)
-            self._next_loads()
-        for place in self._places.values():
-            self._remove([c for c in place.copies if self._lapsed(c)])
+            self._copies.start_loads()
+        self._copies.remove_expired(now_us)
         self._settle_orders()
 
-    def _remove(self, copies: list[_Copy]) -> None:
-        for copy in copies:
-            self._places[copy.function].copies.remove(copy)
-            self.book.gone(self._now, copy.number)
-            self._note("gone", copy)
-
-    def _note(self, what: str, copy: _Copy, tenant: str = "") -> None:
-        memory = ceil(self._functions[copy.function].memory_mb)
-        self.lived.append(Lived(self._now, what, copy.number, copy.function, memory, tenant))
-
-    def _lapsed(self, c: _Copy) -> bool:
-        return c.ready and not c.busy and self._now - c.idle_since >= self.spec.keep_alive
-
-    def _finish(self, call: _Call) -> None:
+    def _dispatch(self, function: str) -> None:
+        """Start queued calls of a function, as long as lanes are free."""
+        queue = self._calls.queue_of(function)
+        while queue:
+            copy = self._copies.free_lane(function)
+            if copy is None:
+                return
+            call = queue.popleft()
+            call.copy = copy
+            copy.running += 1
+            self._record.call_started(self._now_us, copy, call.tenant)
+            call.run = next(self._run_numbers)
+            self._set_work(call)
+            self._processor.start(call)
+            self._emit(CallStarted(call.request_id, call.run))
+
+    def _set_work(self, call: Call) -> None:
+        spec = self._functions[call.function]
+        factor = 1 + spec.work_spread * (2 * self._rng.random() - 1)
+        if self.faults.heavy_share and self._rng.random() < self.faults.heavy_share:
+            factor *= self.faults.heavy_factor
+        call.work_left_us = spec.work_us * factor
+        call.wait_us = spec.wait_us
+
+    def _finish(self, call: Call) -> None:
         assert call.copy is not None
-        call.copy.busy -= 1
-        call.copy.idle_since = self._now
-        self.book.rested(self._now, call.copy.number, call.tenant)
-        self._note("rested", call.copy, call.tenant)
-        self._calls.pop(call.ref, None)
-        kind = "error" if self.faults.take("errors") else "ok"
-        self._out.append(Answer(call.ref, kind, call.run, call.warmth, call.crowd))
+        call.copy.running -= 1
+        call.copy.idle_since_us = self._now_us
+        self._record.call_ended(self._now_us, call.copy, call.tenant)
+        self._calls.close(call)
+        outcome = CallOutcome.ERROR if self.faults.consume("errors") else CallOutcome.OK
+        self._emit(CallEnded(call.request_id, outcome, call.run, call.warmth, call.crowd))
         self._dispatch(call.function)
 
-    def _dispatch(self, function: str) -> None:
-        place, spec = self._places[function], self._functions[function]
-        while place.queue:
-            free = [c for c in place.copies if c.ready and c.busy < spec.lanes]
-            if not free:
-                return
-            call = place.queue.popleft()
-            call.copy = min(free, key=lambda c: c.busy)
-            call.copy.busy += 1
-            self.book.ran(self._now, call.copy.number, call.tenant)
-            self._note("ran", call.copy, call.tenant)
-            self.runs += 1
-            call.run = self.runs
-            factor = 1 + spec.spread * (2 * self._rng.random() - 1)
-            if self.faults.heavy_share and self._rng.random() < self.faults.heavy_share:
-                factor *= self.faults.heavy_factor
-            call.work_left, call.wait = spec.work * factor, spec.wait
-            self._running.append(call)
-            self._out.append(Ran(call.ref, call.run))
-
-    def _begin_load(self, function: str) -> bool:
-        spec = self._functions[function]
-        if len(self._load_queue) >= 2 * self.spec.loads_at_once or not self._make_room(spec):
-            return False
-        self.loads += 1
-        copy = _Copy(self.loads, function)
-        self.book.begin(self._now, copy.number, function, ceil(spec.memory_mb))
-        self._note("begun", copy)
-        self._places.setdefault(function, _Place()).copies.append(copy)
-        self._load_queue.append(copy)
-        self._next_loads()
-        return True
-
-    def _next_loads(self) -> None:
-        while self._load_queue and len(self._loading) < self.spec.loads_at_once:
-            copy = self._load_queue.popleft()
-            self._loading[copy.number] = copy
-            spec = self._functions[copy.function]
-            usual = round(spec.load * spec.fetch_share * self.faults.slow)
-            self._out.append(Fetch(copy.number, copy.function, usual))
-
-    def _make_room(self, spec: FunctionSpec) -> bool:
-        held = [c for p in self._places.values() for c in p.copies]
-        used = sum(self._functions[c.function].memory_mb for c in held)
-        idle = sorted(
-            (c for c in held if c.ready and not c.busy and c.function != spec.name),
-            key=lambda c: c.idle_since,
-        )
-        for copy in idle:
-            if used + spec.memory_mb <= self.spec.memory_mb:
-                break
-            self._remove([copy])
-            used -= self._functions[copy.function].memory_mb
-        return used + spec.memory_mb <= self.spec.memory_mb
-
-    def _load_failed(self, copy: _Copy) -> None:
-        del self._loading[copy.number]
-        place = self._places[copy.function]
-        self._remove([copy])
-        if not place.copies:
-            while place.queue:
-                call = place.queue.popleft()
-                self._calls.pop(call.ref, None)
-                self._out.append(Answer(call.ref, "load_failed", 0, Warmth.LOAD_FAILED, call.crowd))
-        for order in [o for o in self._orders if o.function == copy.function]:
-            self._orders.remove(order)
-            self._out.append(Held(order.ref, "error", sum(c.ready for c in place.copies)))
-        self._next_loads()
+    def _fail_load(self, copy: Copy) -> None:
+        """End what waited for a load that has failed."""
+        queue = self._calls.queue_of(copy.function)
+        while queue and not self._copies.copies_of(copy.function):
+            call = queue.popleft()
+            self._calls.close(call)
+            failed = CallEnded(call.request_id, CallOutcome.LOAD_FAILED, 0, Warmth.LOAD_FAILED, call.crowd)
+            self._emit(failed)
+        ready = self._copies.ready_count(copy.function)
+        for order in self._orders:
+            if order.function == copy.function:
+                self._orders.close(order)
+                self._emit(LoadOrderEnded(order.request_id, LoadOrderOutcome.ERROR, ready))
+        self._copies.start_loads()
 
     def _settle_orders(self) -> None:
-        for order in list(self._orders):
-            ready = sum(c.ready for c in self._places[order.function].copies)
+        """Answer the orders whose copies are ready."""
+        for order in self._orders:
+            ready = self._copies.ready_count(order.function)
             if ready >= order.copies:
-                self._orders.remove(order)
-                self._out.append(Held(order.ref, "ok", ready))
+                self._orders.close(order)
+                self._emit(LoadOrderEnded(order.request_id, LoadOrderOutcome.OK, ready))
--- a/packages/fakes/src/walnutpost/fakes/store.py
+++ b/packages/fakes/src/walnutpost/fakes/store.py
@@ -1,4 +1,4 @@
-"""The package store that all workers share: slower when crowded, refusing past a limit."""
+"""The package store that all workers share: slower when crowded, rejecting past a limit."""
 
 from __future__ import annotations
 
@@ -8,74 +8,82 @@
 from walnutpost.http import BadMessage, Connection, Exchange, Response, Server
 from walnutpost.http.server import serve_on
 
-FETCH_TIMEOUT = 60_000_000
+FETCH_TIMEOUT_US = 60_000_000
 
 
 class PackageStore(Protocol):
-    def fetch(self, function: str, usual: int) -> bool:
-        """Waits for a fetch that takes `usual` microseconds when nothing is in its way; False if turned
-        away."""
+    """Where workers fetch the packages of functions."""
+
+    def fetch(self, function: str, usual_us: int) -> bool:
+        """Wait for a fetch that takes `usual_us` on an idle store; False if it was rejected or failed."""
 
 
 class LocalStore:
-    """In this process. `slow` stretches every fetch."""
+    """A store in this process. `slowdown` is the factor by which every fetch takes longer."""
 
-    def __init__(self, loop: Loop, at_once: int, limit: int) -> None:
+    def __init__(self, loop: Loop, max_concurrent: int, limit: int) -> None:
+        """Take the number of fetches at full speed, and the number past which fetches are rejected."""
         self._loop = loop
-        self._at_once = at_once
+        self._max_concurrent = max_concurrent
         self._limit = limit
-        self._now = 0
-        self.slow = 1.0
-        self.fetches = 0
-        self.refused = 0
-
-    def fetch(self, function: str, usual: int) -> bool:
-        if self._now >= self._limit:
-            self.refused += 1
+        self._open_fetches = 0
+        self.slowdown = 1.0
+
+    def fetch(self, function: str, usual_us: int) -> bool:
+        """Wait for a fetch; False if too many are open."""
+        if self._open_fetches >= self._limit:
             return False
-        self._now += 1
-        self.fetches += 1
+        self._open_fetches += 1
         try:
-            self._loop.sleep(round(usual * self.slow * max(1.0, self._now / self._at_once)))
+            crowding = max(1.0, self._open_fetches / self._max_concurrent)
+            self._loop.sleep(round(usual_us * self.slowdown * crowding))
         finally:
-            self._now -= 1
+            self._open_fetches -= 1
         return True
 
 
 class StoreServer:
-    """A LocalStore behind HTTP, for fleets of several processes. `POST /fetch/{function}?{usual}`
-    answers when the fetch is over; `POST /slow/{factor}` stretches fetches from then on."""
+    """A LocalStore behind HTTP, for fleets of several processes.
+
+    `POST /fetch/{function}?{usual}` answers when the fetch is over, with 503 if it was rejected;
+    `POST /slow/{factor}` slows fetches down from then on.
+    """
 
     def __init__(self, loop: Loop, store: LocalStore, address: tuple[str, int]) -> None:
+        """Listen at the address; raises OSError."""
         self._store = store
-        self.server: Server = serve_on(loop, address, self._handle, _refusal)
+        self.server: Server = serve_on(loop, address, self._handle, _bad_request)
 
     def _handle(self, exchange: Exchange) -> Response:
         path, _, usual = exchange.request.target.decode("latin-1").partition("?")
-        _, what, name = [*path.split("/", 2), "", ""][:3]
-        if what == "slow":
-            self._store.slow = float(name)
+        _, action, name = [*path.split("/", 2), "", ""][:3]
+        if action == "slow":
+            self._store.slowdown = float(name)
             return Response(200)
-        if what == "fetch" and usual.isdigit():
+        if action == "fetch" and usual.isdigit():
             return Response(200 if self._store.fetch(name, int(usual)) else 503)
         return Response(404)
 
 
-def _refusal(error: BadMessage) -> Response:
+def _bad_request(error: BadMessage) -> Response:
     return Response(error.status, body=str(error).encode())
 
 
 class RemoteStore:
+    """A StoreServer, seen from a worker."""
+
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
+        """Take the server's address; each fetch opens a connection."""
         self._loop = loop
         self._address = address
 
-    def fetch(self, function: str, usual: int) -> bool:
+    def fetch(self, function: str, usual_us: int) -> bool:
+        """Wait for a fetch; False if it was rejected or failed."""
         try:
-            with self._loop.timeout(FETCH_TIMEOUT):
+            with self._loop.timeout(FETCH_TIMEOUT_US):
                 connection = Connection.open(self._loop, self._address)
                 try:
-                    return connection.ask("POST", f"/fetch/{function}?{usual}").status == 200
+                    return connection.ask("POST", f"/fetch/{function}?{usual_us}").status == 200
                 finally:
                     connection.close()
         except (OSError, Timeout, BadMessage):
--- a/packages/faultinjection/src/walnutpost/faultinjection/capture.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/capture.py
@@ -30,7 +30,7 @@
 from walnutpost.config import WorkerLine
 from walnutpost.eventloop import write_all
 from walnutpost.eventloop.sockets import Address
-from walnutpost.fakes.model import Lived
+from walnutpost.fakes import CopyEvent
 
 LENGTH = 4
 
@@ -86,8 +86,9 @@
     def started(self, cold: bool) -> None:
         self._write("started", cold)
 
-    def lived(self, event: Lived) -> None:
-        self._write("lived", event.at, event.what, event.copy, event.function, event.memory_mb, event.tenant)
+    def lived(self, event: CopyEvent) -> None:
+        copy = (event.copy, event.function, event.memory_mb, event.tenant)
+        self._write("lived", event.at_us, event.kind, *copy)
 
     def close(self) -> None:
         os.close(self._fd)
--- a/packages/faultinjection/src/walnutpost/faultinjection/usage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/usage.py
@@ -13,7 +13,7 @@
 
 from walnutpost.config import Config
 from walnutpost.config.settings import meter_policy
-from walnutpost.fakes.model import Lived
+from walnutpost.fakes import CopyEvent, CopyEventKind
 from walnutpost.faultinjection.capture import read
 from walnutpost.faultinjection.facts import SUFFIX
 from walnutpost.metering.reports import figures, grouped, parts
@@ -23,38 +23,38 @@
 NOBODY = "-"
 
 
-def true_usage(events: Iterable[Lived], until: int) -> Truth:
+def true_usage(events: Iterable[CopyEvent], until: int) -> Truth:
     """One worker's record, in order. What stands at `until` is counted to then. Idle time is its last
     user's, loading and unused time its first user's."""
     out: Truth = defaultdict(Fraction)
-    standing: dict[int, list[Lived]] = defaultdict(list)
+    standing: dict[int, list[CopyEvent]] = defaultdict(list)
     for event in events:
-        if event.what == "died":
+        if event.kind is CopyEventKind.DIED:
             for life in standing.values():
-                _copy(life, event.at, out)
+                _copy(life, event.at_us, out)
             standing.clear()
         else:
             standing[event.copy].append(event)
-            if event.what == "gone":
-                _copy(standing.pop(event.copy), event.at, out)
+            if event.kind is CopyEventKind.REMOVED:
+                _copy(standing.pop(event.copy), event.at_us, out)
     for life in standing.values():
         _copy(life, until, out)
     return dict(out)
 
 
-def _copy(life: list[Lived], end: int, out: Truth) -> None:
+def _copy(life: list[CopyEvent], end: int, out: Truth) -> None:
     function, memory = life[0].function, life[0].memory_mb
-    users = [e.tenant for e in life if e.what == "ran"]
+    users = [e.tenant for e in life if e.kind is CopyEventKind.CALL_STARTED]
     first = users[0] if users else NOBODY
     running: list[str] = []
     last: str | None = None
-    for event, at in zip(life, [*(e.at for e in life[1:]), end], strict=True):
-        if event.what == "ran":
+    for event, at in zip(life, [*(e.at_us for e in life[1:]), end], strict=True):
+        if event.kind is CopyEventKind.CALL_STARTED:
             running.append(event.tenant)
-        elif event.what == "rested":
+        elif event.kind is CopyEventKind.CALL_ENDED:
             running.remove(event.tenant)
             last = event.tenant
-        time = Fraction(at - event.at)
+        time = Fraction(at - event.at_us)
         for tenant in running or [last if last is not None else first]:
             out[tenant, function] += memory * time / max(1, len(running))
 
@@ -63,7 +63,7 @@
     """By worker, from the captures of a trial; `ends` says when each was killed, which it can't record."""
     out: dict[str, Truth] = {}
     for path in sorted(folder.glob(f"*{SUFFIX}")):
-        events: list[Lived] = []
+        events: list[CopyEvent] = []
         name = ""
         kills: Iterator[int] = iter(())
         for at, what, *rest in read(path):
@@ -71,12 +71,13 @@
                 if rest[0] != "worker":
                     break
                 if name:  # another process, after the kill of the last one
-                    events.append(Lived(next(kills, at), "died"))
+                    events.append(CopyEvent(next(kills, at), CopyEventKind.DIED))
                 else:
                     name = rest[1]
                     kills = iter(ends.get(name, ()))
             elif what == "lived":
-                events.append(Lived(*rest))
+                kind = CopyEventKind(rest[1])
+                events.append(CopyEvent(rest[0], kind, *rest[2:]))
         if name:
             out[name] = true_usage(events, until)
     return out
--- a/packages/faultinjection/tests/test_capture_golden.py
+++ b/packages/faultinjection/tests/test_capture_golden.py
@@ -12,7 +12,7 @@
 
 from golden_files import assert_as_golden
 from walnutpost.config import Config, WorkerLine, load
-from walnutpost.fakes.model import Lived
+from walnutpost.fakes import CopyEvent, CopyEventKind
 from walnutpost.faultinjection.audit import Facts
 from walnutpost.faultinjection.capture import LENGTH, Capture, read
 from walnutpost.faultinjection.facts import FACTS, facts_of, write_facts
@@ -47,7 +47,7 @@
     (["started", True], lambda c: c.started(True)),
     (
         ["lived", 1, "ran", 3, "function-4", 5, "tenant-6"],
-        lambda c: c.lived(Lived(1, "ran", 3, "function-4", 5, "tenant-6")),
+        lambda c: c.lived(CopyEvent(1, CopyEventKind.CALL_STARTED, 3, "function-4", 5, "tenant-6")),
     ),
 ]
 RECORDS: list[list[Any]] = [["begin", "worker", "worker-1"], *(record for record, _ in WRITES)]
--- a/packages/metering/tests/test_ledger.py
+++ b/packages/metering/tests/test_ledger.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 
 from walnutpost.eventloop import Loop
-from walnutpost.fakes.model import Lived
+from walnutpost.fakes import CopyEvent, CopyEventKind
 from walnutpost.faultinjection.usage import true_usage
 from walnutpost.metering import (
     HOUR,
@@ -62,13 +62,14 @@
 
     def __init__(self, rng: Random, name: str = "w", started: int = START, kept: int = 20_000) -> None:
         self.rng, self.now, self.book = rng, started, Book(name, started, 4096, kept)
-        self.lived: list[Lived] = []
+        self.lived: list[CopyEvent] = []
         self.copies: dict[int, list[str]] = {}
         self.ready: set[int] = set()
         self.count = 0
 
     def note(self, what: str, copy: int, tenant: str = "") -> None:
-        self.lived.append(Lived(self.now, what, copy, f"f{copy % 3}", 100 + copy % 3, tenant))
+        kind = CopyEventKind(what)
+        self.lived.append(CopyEvent(self.now, kind, copy, f"f{copy % 3}", 100 + copy % 3, tenant))
 
     def step(self) -> None:
         self.now += self.rng.choice((0, 1, 7 * SECOND, 3 * MINUTE, 20 * MINUTE)) + self.rng.randrange(100)
@@ -559,13 +560,13 @@
     sizes = {"f": Size(100, lanes, load)}
     sights = [Sight(n, sizes, keep) for n in (1, 2)]
     ledgers = [ledger(), ledger()]
-    lived: list[Lived] = []
+    lived: list[CopyEvent] = []
     copies: dict[int, tuple[list[str], int]] = {}  # running, and idle since
     out: list[tuple[int, int, Sight, str]] = []
     now, count = START, 0
 
     def note(what: str, copy: int, tenant: str = "", at: int = 0) -> None:
-        lived.append(Lived(at or now, what, copy, "f", 100, tenant))
+        lived.append(CopyEvent(at or now, CopyEventKind(what), copy, "f", 100, tenant))
 
     for turn in range(150):
         now += rng.choice(
@@ -596,7 +597,7 @@
         if rng.random() < 0.2:
             for sight, known in zip(sights, ledgers, strict=True):
                 known.saw(sight.take(now))
-    lived.sort(key=lambda e: e.at)
+    lived.sort(key=lambda e: e.at_us)
     for sight, known in zip(sights, ledgers, strict=True):
         known.saw(sight.take(now))
     true = true_usage(lived, now)
--- a/packages/workerclient/tests/test_tls.py
+++ b/packages/workerclient/tests/test_tls.py
@@ -20,7 +20,7 @@
 from walnutpost.certificates import BadKeys, Keeper, Ration, RationSettings, examine, trusted
 from walnutpost.cli import main
 from walnutpost.eventloop import Loop, Secure, Timeout, TlsStream, VirtualClock
-from walnutpost.fakes.authority import Authority, Issued
+from walnutpost.fakes.authority import Authority, IssuedCertificate
 from walnutpost.http import Connection, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
 
@@ -31,7 +31,7 @@
 GOOD = CA.issue(NAME)
 
 
-def served(issued: Issued, path: Path) -> ssl.SSLContext:
+def served(issued: IssuedCertificate, path: Path) -> ssl.SSLContext:
     issued.write(path, "served")
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.load_cert_chain(path / "served.pem", path / "served.key")
@@ -76,7 +76,7 @@
     run(script)
 
 
-REFUSED: dict[str, tuple[Issued, Authority]] = {
+REFUSED: dict[str, tuple[IssuedCertificate, Authority]] = {
     "another's name": (CA.issue("worker-8.example.org"), CA),
     "expired": (CA.issue(NAME, -3 * DAY, -DAY), CA),
     "not yet valid": (CA.issue(NAME, DAY, 3 * DAY), CA),
@@ -158,7 +158,9 @@
     return round(moment.timestamp() * 1_000_000)
 
 
-def bad(issued: Issued, chain: bytes | None = None, key: bytes | None = None, roots: bytes = CA.root) -> str:
+def bad(
+    issued: IssuedCertificate, chain: bytes | None = None, key: bytes | None = None, roots: bytes = CA.root
+) -> str:
     with pytest.raises(BadKeys) as error:
         examine(chain if chain is not None else issued.chain, key or issued.key, roots, us(NOW))
     assert "PRIVATE" not in str(error.value)
@@ -240,7 +242,7 @@
 # A fleet under TLS
 
 
-def secured(path: Path, **wrong: Issued) -> Fleet:
+def secured(path: Path, **wrong: IssuedCertificate) -> Fleet:
     (path / "root.pem").write_bytes(CA.root)
     for name in ("worker-1", "worker-2", "worker-3", "front"):
         wrong.get(name.replace("-", "_"), CA.issue(name)).write(path, name)
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -41,9 +41,12 @@
     "policy",
     "interface",
 ]
-# trials.capture is a tap that the shell hands down; standins may use the worker protocol's words.
+# faultinjection.capture is a tap that the shell hands down; fakes may use the worker protocol's words.
 NO_IO = ["consensus", "fleet", "gateway", "journal", "metering", "cron", "configstore", "certificates"]
 NO_IO += ["policy", "interface"]
+# The modules of fakes that make up the state machine of a worker.
+FAKE_MODELS = ["model", "calls", "cold_start", "copies", "faults", "load_orders", "load_reports", "processor"]
+FAKE_MODELS += ["reactions", "specs"]
 MAX_POLICY_MODULE_LINES = 220
 MAX_POLICY_FUNCTION_LINES = 40  # with its signature and doc string
 IO_MODULES = {
@@ -144,8 +147,9 @@
 
 
 def test_what_decides_does_no_input_or_output() -> None:
-    model = MEMBERS["fakes"] / "src" / "walnutpost" / "fakes" / "model.py"
-    files = [model, *(path for member in NO_IO for path in sources(member))]
+    fakes = MEMBERS["fakes"] / "src" / "walnutpost" / "fakes"
+    models = [fakes / f"{name}.py" for name in FAKE_MODELS]
+    files = [*models, *(path for member in NO_IO for path in sources(member))]
     wrong = [(p.name, n) for p in files for n in imports(p) if n.split(".")[0] in IO_MODULES]
     assert len(files) > 8 and not wrong
 
