--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -14,8 +14,8 @@
 from functools import partial
 from random import Random
 
-from test_schedules import START, brute_force, live_through, random_cron
-from walnutpost.cron import BadSchedule, Planner, Schedule, check_cron, due_times
+from cron_rig import START_US, count_decisions, list_matches, make_random_cron
+from walnutpost.cron import InvalidScheduleError, Planner, Schedule, check_cron, iterate_due_times
 from walnutpost.eventloop.timers import WheelTimers
 
 SECOND = 1_000_000
@@ -33,19 +33,19 @@
 
 
 def heap(schedules: list[Schedule]) -> Callable[[int], int]:
-    planner = Planner(schedules, {}, START)
+    planner = Planner(schedules, {}, START_US)
 
     def look(now: int) -> int:
-        decisions = planner.plan(now)
+        decisions = planner.decide(now)
         for d in decisions:
-            planner.ended(d.schedule.name, d.due)
+            planner.mark_ended(d.schedule.name, d.due_us)
         return len(decisions)
 
     return look
 
 
 def scan(schedules: list[Schedule]) -> Callable[[int], int]:
-    times = [due_times(s, START) for s in schedules]
+    times = [iterate_due_times(s, START_US) for s in schedules]
     upcoming = [next(t) for t in times]
 
     def look(now: int) -> int:
@@ -60,7 +60,7 @@
 
 
 def wheel(schedules: list[Schedule]) -> Callable[[int], int]:
-    timers = WheelTimers(START)
+    timers = WheelTimers(START_US)
     found = [0]
 
     def come(times: object, due: int) -> None:
@@ -69,7 +69,7 @@
         timers.add(following, partial(come, times, following))
 
     for schedule in schedules:
-        times = due_times(schedule, START)
+        times = iterate_due_times(schedule, START_US)
         due = next(times)
         timers.add(due, partial(come, times, due))
 
@@ -96,9 +96,9 @@
             fired = 0
             for minute in range(1, LOOKS + 1):
                 began = time.perf_counter()
-                fired += look(START + minute * MINUTE)
+                fired += look(START_US + minute * MINUTE)
                 middle = time.perf_counter()
-                look(START + minute * MINUTE + 30 * SECOND)
+                look(START_US + minute * MINUTE + 30 * SECOND)
                 due, idle = due + middle - began, idle + time.perf_counter() - middle
             print(
                 f"| {count} | {make.__name__} | {idle / LOOKS * 1e6:.1f} | {due / max(1, fired) * 1e6:.1f} |"
@@ -111,14 +111,14 @@
     """One random schedule through a year with restarts and deaths before commits at random points; how
     many due times it had, 0 where its expression never comes due."""
     rng = Random(seed)
-    cron, sets = random_cron(rng)
+    cron, fields = make_random_cron(rng)
     try:
         check_cron(cron)
-    except BadSchedule:
+    except InvalidScheduleError:
         return 0
     schedule = Schedule("s", cron, "UTC", "f", None, b"1", MINUTE)
-    found = live_through(schedule, START, START + 365 * DAY, rng)
-    wanted = brute_force(sets, START + MINUTE, START + 365 * DAY + 1)
+    found = count_decisions(schedule, START_US, START_US + 365 * DAY, rng)
+    wanted = list_matches(fields, START_US + MINUTE, START_US + 365 * DAY + 1)
     assert set(found) == wanted and set(found.values()) <= {1}, cron
     return len(found)
 
--- a/packages/cli/src/walnutpost/cli/main.py
+++ b/packages/cli/src/walnutpost/cli/main.py
@@ -33,7 +33,7 @@
     parse,
     schedules,
 )
-from walnutpost.cron import owner_of
+from walnutpost.cron import select_owner
 from walnutpost.faultinjection import days, table
 from walnutpost.faultinjection.facts import audit_folder
 from walnutpost.faultinjection.fleet_run import play_fleet
@@ -203,8 +203,8 @@
     now = time.time_ns() // 1000
     coming = upcoming(schedules(checked) if everyone else own_schedules(checked), now, count)
     for when, due, schedule in coming:
-        owner = owner_of(schedule, checked.front.front_ends)
-        paused = "  (paused)" if schedule.paused else ""
+        owner = select_owner(schedule, checked.front.front_ends)
+        paused = "  (paused)" if schedule.is_paused else ""
         times = f"{local(when, schedule.zone)}  {schedule.name}  due {local(due, schedule.zone)}"
         click.echo(f"{times}  front end {owner}{paused}")
 
--- a/packages/cli/src/walnutpost/cli/times.py
+++ b/packages/cli/src/walnutpost/cli/times.py
@@ -8,7 +8,7 @@
 from itertools import islice
 from zoneinfo import ZoneInfo
 
-from walnutpost.cron import Schedule, due_times, fires_at
+from walnutpost.cron import Schedule, compute_fire_time_us, iterate_due_times
 
 
 def local(at: int, zone: str) -> str:
@@ -19,7 +19,10 @@
 def upcoming(schedules: Iterable[Schedule], now: int, count: int) -> list[tuple[int, int, Schedule]]:
     """The next firings: when with jitter, due time, schedule; in order."""
     lines = [
-        sorted(((fires_at(s, due), due, s) for due in islice(due_times(s, now), count)), key=lambda f: f[:2])
+        sorted(
+            ((compute_fire_time_us(s, due), due, s) for due in islice(iterate_due_times(s, now), count)),
+            key=lambda f: f[:2],
+        )
         for s in schedules
     ]
     return list(islice(merge(*lines, key=lambda f: f[:2]), count))
--- a/packages/config/src/walnutpost/config/settings.py
+++ b/packages/config/src/walnutpost/config/settings.py
@@ -8,7 +8,7 @@
 from walnutpost import interface as api
 from walnutpost.config.base import address_of
 from walnutpost.config.model import Config, FunctionLine, Metering, Site, WorkerLine
-from walnutpost.cron import Missed, Overlap, Schedule, owner_of
+from walnutpost.cron import MissedPolicy, OverlapPolicy, Schedule, select_owner
 from walnutpost.gateway import Catalogue, Function, ListedWorker
 from walnutpost.metering import HOUR, Action, Budget, Policy
 
@@ -111,9 +111,9 @@
                 json.dumps(line.payload).encode(),
                 us(line.deadline_ms),
                 us(line.jitter_ms),
-                Missed(line.missed),
+                MissedPolicy(line.missed),
                 us(line.missed_age_ms),
-                Overlap(line.overlap),
+                OverlapPolicy(line.overlap),
                 line.pause,
                 line.owner,
                 effect != "safe",
@@ -125,7 +125,7 @@
 def own_schedules(config: Config) -> list[Schedule]:
     """Those that this front end fires."""
     front = config.front
-    return [s for s in schedules(config) if owner_of(s, front.front_ends) == front.index]
+    return [s for s in schedules(config) if select_owner(s, front.front_ends) == front.index]
 
 
 def meter_policy(line: Metering) -> Policy:
--- a/packages/cron/src/walnutpost/cron/__init__.py
+++ b/packages/cron/src/walnutpost/cron/__init__.py
@@ -1,32 +1,35 @@
-"""Cron schedules: what is due, what was missed, what overlaps, whose it is. Decides; no I/O, no clock."""
+"""Cron schedules: what is due, missed or overlapping, and which front end fires it. No I/O, no clock."""
 
-from walnutpost.cron.planner import Decision, Fire, Planner, Skip
+from walnutpost.cron.decisions import Decision, Fire, Skip, SkipReason
+from walnutpost.cron.errors import CronError, InvalidScheduleError
+from walnutpost.cron.planner import Planner
 from walnutpost.cron.schedule import (
-    BadSchedule,
-    Missed,
-    Overlap,
+    MissedPolicy,
+    OverlapPolicy,
     Schedule,
     check_cron,
     check_zone,
-    due_times,
-    execution_name,
-    fires_at,
-    owner_of,
+    compute_fire_time_us,
+    format_execution_name,
+    iterate_due_times,
+    select_owner,
 )
 
 __all__ = [
-    "BadSchedule",
+    "CronError",
     "Decision",
     "Fire",
-    "Missed",
-    "Overlap",
+    "InvalidScheduleError",
+    "MissedPolicy",
+    "OverlapPolicy",
     "Planner",
     "Schedule",
     "Skip",
+    "SkipReason",
     "check_cron",
     "check_zone",
-    "due_times",
-    "execution_name",
-    "fires_at",
-    "owner_of",
+    "compute_fire_time_us",
+    "format_execution_name",
+    "iterate_due_times",
+    "select_owner",
 ]
--- a/packages/cron/src/walnutpost/cron/planner.py
+++ b/packages/cron/src/walnutpost/cron/planner.py
@@ -1,161 +1,210 @@
-"""What to do with each due time. Decides; no I/O, no clock: the wall time comes in, and may jump either
-way."""
+"""The planner: decides on each due time of each schedule once.
+
+No I/O and no clock: the time of day comes in, and may jump either way. Times are microseconds since the
+epoch.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Iterator, Mapping
+from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 from heapq import heapify, heappop, heappush
-from itertools import chain
-
-from walnutpost.cron.schedule import SECOND, Missed, Overlap, Schedule, due_times, fires_at
-
-ON_TIME = 60 * SECOND  # a due time is a minute; what is fired later than that after it was missed
-
 
-@dataclass(frozen=True, slots=True)
-class Fire:
-    """`stop`: due times of earlier firings to be stopped first."""
+from walnutpost.cron.decisions import Decision, Fire, Skip, SkipReason
+from walnutpost.cron.schedule import (
+    SECOND_US,
+    MissedPolicy,
+    OverlapPolicy,
+    Schedule,
+    compute_fire_time_us,
+    iterate_due_times,
+)
 
-    schedule: Schedule
-    due: int
-    stop: tuple[int, ...] = ()
+# Due times are full minutes: what is a minute late was missed.
+MAX_DELAY_US = 60 * SECOND_US
 
 
-@dataclass(frozen=True, slots=True)
-class Skip:
-    """The fate of `count` due times from `due` to `last`, all for one reason."""
+@dataclass(slots=True)
+class _DueTimes:
+    """Due times of one schedule that have come, split by whether they are on time."""
 
-    schedule: Schedule
-    due: int
-    last: int
-    count: int
-    why: str
+    missed_us: list[int]
+    on_time_us: list[int]
 
 
-Decision = Fire | Skip
+class _ScheduleCursor:
+    """The next due time of one schedule."""
 
+    __slots__ = ("_due_times", "generation", "next_due_us", "schedule")
 
-class _Line:
-    """One schedule's place in time."""
-
-    __slots__ = ("due", "generation", "schedule", "times")
-
-    def __init__(self, schedule: Schedule, mark: int, generation: int) -> None:
+    def __init__(self, schedule: Schedule, mark_us: int, generation: int) -> None:
         self.schedule = schedule
         self.generation = generation
-        self.times: Iterator[int] = due_times(schedule, mark)
-        self.due: int | None = next(self.times, None)
+        self._due_times: Iterator[int] = iterate_due_times(schedule, mark_us)
+        self.next_due_us: int | None = next(self._due_times, None)
+
+    def advance(self) -> None:
+        self.next_due_us = next(self._due_times, None)
 
 
 class Planner:
-    """Each due time after a schedule's mark gets one decision, and then the mark is at it: a clock that
-    steps back brings none again. `doubtful`: up to then firings may have gone out that the state does
-    not know of, so unsafe functions are not fired for them."""
+    """Decides on each due time of each schedule exactly once.
+
+    `marks` holds, by name of the schedule, the latest due time that was decided on; a clock that steps back
+    makes nothing before it due again.
+    """
 
     def __init__(
-        self, schedules: Iterable[Schedule], marks: Mapping[str, int], now: int, doubtful: int = 0
+        self,
+        schedules: Iterable[Schedule],
+        marks: Mapping[str, int],
+        now_us: int,
+        uncertain_until_us: int = 0,
     ) -> None:
-        """A schedule without a mark is new: it begins now, and has missed nothing."""
+        """Begin with the marks of an earlier process. A schedule without one is new and has missed nothing.
+
+        Up to `uncertain_until_us` there may have been firings that the marks do not include, so schedules
+        of unsafe functions are not fired for these times.
+        """
         self.marks = dict(marks)
-        self._doubtful = doubtful
-        self._lines: dict[str, _Line] = {}
-        self._out: dict[str, dict[int, None]] = {}
-        self._heap: list[tuple[int, int, str]] = []
+        self._uncertain_until_us = uncertain_until_us
+        self._cursors: dict[str, _ScheduleCursor] = {}
+        self._running: dict[str, dict[int, None]] = {}  # due times by schedule, in order
+        self._heap: list[tuple[int, int, str]] = []  # fire time, generation, name
         self._generation = 0
-        self.replace(schedules, now)
-
-    def replace(self, schedules: Iterable[Schedule], now: int) -> None:
-        """Other schedules from now on. Firings that are out stay out; one whose schedule is gone or
-        changed ends as it would have. A changed schedule goes on from its mark, a new name begins now."""
-        wanted = {s.name: s for s in schedules}
-        lines, self._lines = self._lines, {}
-        for name, schedule in wanted.items():
-            known = lines.get(name)
-            if known is not None and known.schedule == schedule:
-                self._lines[name] = known
-                continue
-            self._generation += 1
-            # What a changed schedule would have had due before now was not asked for then.
-            mark = max(self.marks.get(name, now), now) if known is not None else self.marks.get(name, now)
-            self.marks[name] = mark
-            self._lines[name] = _Line(schedule, mark, self._generation)
+        self.replace_schedules(schedules, now_us)
+
+    def replace_schedules(self, schedules: Iterable[Schedule], now_us: int) -> None:
+        """Replace all schedules. Firings that are running go on, whether or not their schedule remains.
+
+        A changed schedule continues from its mark, a new one begins now.
+        """
+        previous = self._cursors
+        self._cursors = {
+            schedule.name: self._cursor_for(schedule, previous.get(schedule.name), now_us)
+            for schedule in {schedule.name: schedule for schedule in schedules}.values()
+        }
         self._heap = [
-            (fires_at(line.schedule, line.due), line.generation, name)
-            for name, line in self._lines.items()
-            if line.due is not None
+            (compute_fire_time_us(cursor.schedule, cursor.next_due_us), cursor.generation, name)
+            for name, cursor in self._cursors.items()
+            if cursor.next_due_us is not None
         ]
         heapify(self._heap)
 
-    def next(self) -> int | None:
-        """When something is due next."""
+    def next_fire_time_us(self) -> int | None:
+        """Return when something is due next; None if never."""
         return self._heap[0][0] if self._heap else None
 
-    def out(self, name: str, due: int) -> None:
-        """A firing is out, as after a restart."""
-        self._out.setdefault(name, {})[due] = None
+    def mark_running(self, schedule_name: str, due_us: int) -> None:
+        """Record that a firing is running, for example after a restart."""
+        self._running.setdefault(schedule_name, {})[due_us] = None
 
-    def ended(self, name: str, due: int) -> None:
-        out = self._out.get(name)
-        if out is not None:
-            out.pop(due, None)
-            if not out:
-                del self._out[name]
+    def mark_ended(self, schedule_name: str, due_us: int) -> None:
+        """Record that a firing has ended; an unknown one is ignored."""
+        running = self._running.get(schedule_name)
+        if running is None:
+            return
+        running.pop(due_us, None)
+        if not running:
+            del self._running[schedule_name]
 
-    def plan(self, now: int, most: int | None = None) -> list[Decision]:
-        """Decides on what has come due, earliest first, for so many schedules at the most; firings are
-        out from then on. Where more is due, `next` is not later than `now`."""
+    def decide(self, now_us: int, max_schedules: int | None = None) -> list[Decision]:
+        """Decide on what has come due, earliest first, for at most `max_schedules` schedules.
+
+        Firings count as running from then on. If more is due, `next_fire_time_us` is not later than now.
+        """
         decisions: list[Decision] = []
-        left = most if most is not None else len(self._heap)
-        while left > 0 and self._heap and self._heap[0][0] <= now:
-            left -= 1
+        remaining = max_schedules if max_schedules is not None else len(self._heap)
+        while remaining > 0 and self._heap and self._heap[0][0] <= now_us:
+            remaining -= 1
             _, generation, name = heappop(self._heap)
-            line = self._lines.get(name)
-            if line is None or line.generation != generation:
+            cursor = self._cursors.get(name)
+            if cursor is None or cursor.generation != generation:
                 continue
-            decisions += self._come(line, now)
-            if line.due is not None:
-                heappush(self._heap, (fires_at(line.schedule, line.due), generation, name))
+            decisions += self._decide_on(cursor, now_us)
+            if cursor.next_due_us is not None:
+                fire_time_us = compute_fire_time_us(cursor.schedule, cursor.next_due_us)
+                heappush(self._heap, (fire_time_us, generation, name))
         return decisions
 
-    def _come(self, line: _Line, now: int) -> list[Decision]:
-        """All due times of one schedule up to now."""
-        s = line.schedule
-        missed: list[int] = []
-        on_time: list[int] = []
-        while line.due is not None and fires_at(s, line.due) <= now:
-            (missed if now - fires_at(s, line.due) > ON_TIME else on_time).append(line.due)
-            self.marks[s.name] = line.due
-            line.due = next(line.times, None)
-        if s.paused:
-            return list(_skips(s, [*missed, *on_time], "paused"))
-        doubtful = [due for due in (*missed, *on_time) if s.unsafe and due <= self._doubtful]
-        missed = [due for due in missed if due not in doubtful]
-        on_time = [due for due in on_time if due not in doubtful]
-        old = [due for due in missed if s.missed is not Missed.SKIP and now - due > s.missed_age]
-        young = missed[len(old) :]
-        late: list[int] = []
-        if s.missed is Missed.ALL:
-            late = young
-        elif s.missed is Missed.ONCE:
-            late = young[-1:]
-        passed = young[: len(young) - len(late)]
-        passed_why = "missed" if s.missed is Missed.SKIP else "missed, and a later one stands for it"
-        skipped = chain(
-            _skips(s, doubtful, "the state is an older copy: it may have been fired"),
-            _skips(s, old, "missed, and too old"),
-            _skips(s, passed, passed_why),
-        )
-        return [*skipped, *(self._fire(s, due) for due in (*late, *on_time))]
-
-    def _fire(self, s: Schedule, due: int) -> Decision:
-        out = tuple(self._out.get(s.name, ()))
-        if out and s.overlap is Overlap.FORBID:
-            return Skip(s, due, due, 1, "an earlier firing is still out")
-        self.out(s.name, due)
-        return Fire(s, due, out if s.overlap is Overlap.REPLACE else ())
-
-
-def _skips(schedule: Schedule, dues: list[int], why: str) -> Iterator[Skip]:
-    if dues:
-        yield Skip(schedule, dues[0], dues[-1], len(dues), why)
+    def _cursor_for(self, schedule: Schedule, known: _ScheduleCursor | None, now_us: int) -> _ScheduleCursor:
+        if known is not None and known.schedule == schedule:
+            return known
+        self._generation += 1
+        mark_us = self.marks.get(schedule.name, now_us)
+        if known is not None:
+            # The changed schedule was not in force before now: what it would have had due then is not missed.
+            mark_us = max(mark_us, now_us)
+        self.marks[schedule.name] = mark_us
+        return _ScheduleCursor(schedule, mark_us, self._generation)
+
+    def _decide_on(self, cursor: _ScheduleCursor, now_us: int) -> list[Decision]:
+        """Decide on all due times of one schedule up to now."""
+        schedule = cursor.schedule
+        due = self._take_due(cursor, now_us)
+        if schedule.is_paused:
+            return list(_skip([*due.missed_us, *due.on_time_us], schedule, SkipReason.PAUSED))
+        decisions: list[Decision] = []
+        if schedule.is_unsafe:
+            decisions += _skip(self._remove_uncertain(due), schedule, SkipReason.UNCERTAIN)
+        too_old_us = _too_old(due.missed_us, schedule, now_us)
+        decisions += _skip(too_old_us, schedule, SkipReason.TOO_OLD)
+        recent_us = due.missed_us[len(too_old_us) :]
+        late_us = _select_late(recent_us, schedule.missed_policy)
+        reason = SkipReason.MISSED if schedule.missed_policy is MissedPolicy.SKIP else SkipReason.SUPERSEDED
+        decisions += _skip(recent_us[: len(recent_us) - len(late_us)], schedule, reason)
+        decisions += [self._fire(schedule, due_us) for due_us in (*late_us, *due.on_time_us)]
+        return decisions
+
+    def _take_due(self, cursor: _ScheduleCursor, now_us: int) -> _DueTimes:
+        """Move the mark of one schedule up to now; return the due times before it."""
+        due = _DueTimes([], [])
+        while cursor.next_due_us is not None:
+            fire_time_us = compute_fire_time_us(cursor.schedule, cursor.next_due_us)
+            if fire_time_us > now_us:
+                break
+            is_missed = now_us - fire_time_us > MAX_DELAY_US
+            (due.missed_us if is_missed else due.on_time_us).append(cursor.next_due_us)
+            self.marks[cursor.schedule.name] = cursor.next_due_us
+            cursor.advance()
+        return due
+
+    def _remove_uncertain(self, due: _DueTimes) -> list[int]:
+        """Remove and return the due times that may have been fired already."""
+        uncertain_us = [
+            due_us for due_us in (*due.missed_us, *due.on_time_us) if due_us <= self._uncertain_until_us
+        ]
+        due.missed_us = [due_us for due_us in due.missed_us if due_us > self._uncertain_until_us]
+        due.on_time_us = [due_us for due_us in due.on_time_us if due_us > self._uncertain_until_us]
+        return uncertain_us
+
+    def _fire(self, schedule: Schedule, due_us: int) -> Decision:
+        running_us = tuple(self._running.get(schedule.name, ()))
+        if running_us and schedule.overlap_policy is OverlapPolicy.FORBID:
+            return Skip(schedule, due_us, due_us, 1, SkipReason.OVERLAPPING)
+        self.mark_running(schedule.name, due_us)
+        is_replacing = schedule.overlap_policy is OverlapPolicy.REPLACE
+        return Fire(schedule, due_us, running_us if is_replacing else ())
+
+
+def _too_old(missed_us: Sequence[int], schedule: Schedule, now_us: int) -> list[int]:
+    if schedule.missed_policy is MissedPolicy.SKIP:
+        return []
+    return [due_us for due_us in missed_us if now_us - due_us > schedule.max_missed_age_us]
+
+
+def _select_late(missed_us: list[int], policy: MissedPolicy) -> list[int]:
+    """Return those of the missed due times that are fired late."""
+    match policy:
+        case MissedPolicy.SKIP:
+            return []
+        case MissedPolicy.ONCE:
+            return missed_us[-1:]
+        case MissedPolicy.ALL:
+            return missed_us
+
+
+def _skip(due_times_us: Sequence[int], schedule: Schedule, reason: SkipReason) -> Iterator[Skip]:
+    """Return one decision for all of the due times, if there are any."""
+    if due_times_us:
+        yield Skip(schedule, due_times_us[0], due_times_us[-1], len(due_times_us), reason)
--- a/packages/cron/src/walnutpost/cron/schedule.py
+++ b/packages/cron/src/walnutpost/cron/schedule.py
@@ -1,5 +1,8 @@
-"""One schedule: its due times, its jitter, its owner, the names of its firings. Times are microseconds
-(UTC)."""
+"""One schedule: its due times, its jitter, its owner, the names of its firings.
+
+Times are microseconds since the epoch. A due time is a full minute at which the cron expression matches;
+the fire time is the due time and the jitter.
+"""
 
 from __future__ import annotations
 
@@ -12,33 +15,39 @@
 
 from cronsim import CronSim, CronSimError
 
-SECOND = 1_000_000
-
+from walnutpost.cron.errors import InvalidScheduleError
 
-class BadSchedule(ValueError):
-    """A cron expression or a time zone that is none."""
+SECOND_US = 1_000_000
+HOUR_US = 3600 * SECOND_US
+CRON_FIELD_COUNT = 5
+HASH_BYTES = 8
+# From here on an expression is searched for its first due time. Any date does.
+CHECK_START = datetime(2024, 1, 1, tzinfo=UTC)
 
 
-class Missed(Enum):
-    """What becomes of due times that passed while nobody looked."""
+class MissedPolicy(Enum):
+    """What is done about due times that passed while the front end was not running."""
 
     SKIP = "skip"
-    ONCE = "once"  # the latest of them that is young enough
-    ALL = "all"  # each that is young enough
+    ONCE = "once"  # the latest one that is not too old is fired
+    ALL = "all"  # each one that is not too old is fired
 
 
-class Overlap(Enum):
-    """What a due time means while an earlier firing is out."""
+class OverlapPolicy(Enum):
+    """What is done about a due time while an earlier firing is still running."""
 
     ALLOW = "allow"
-    FORBID = "forbid"  # it is skipped
-    REPLACE = "replace"  # the earlier one is stopped
+    FORBID = "forbid"  # the due time is skipped
+    REPLACE = "replace"  # the earlier firing is stopped
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """`jitter` is the window that firings are spread over, `missed_age` how old a missed one may be,
-    `owner` the front end by configuration; `unsafe`: a second run of its function is not harmless."""
+    """A cron schedule and the call that it fires.
+
+    Firings are spread over `jitter_us`. `owner_index` is the front end that fires it, if configured.
+    `is_unsafe`: a second run of the function may do harm.
+    """
 
     name: str
     cron: str
@@ -46,68 +55,77 @@
     function: str
     tenant: str | None
     payload: bytes
-    deadline: int
-    jitter: int = 0
-    missed: Missed = Missed.SKIP
-    missed_age: int = 3600 * SECOND
-    overlap: Overlap = Overlap.ALLOW
-    paused: bool = False
-    owner: int | None = None
-    unsafe: bool = False
+    deadline_us: int
+    jitter_us: int = 0
+    missed_policy: MissedPolicy = MissedPolicy.SKIP
+    max_missed_age_us: int = HOUR_US
+    overlap_policy: OverlapPolicy = OverlapPolicy.ALLOW
+    is_paused: bool = False
+    owner_index: int | None = None
+    is_unsafe: bool = False
 
 
 def check_zone(name: str) -> ZoneInfo:
+    """Return the time zone; raise InvalidScheduleError if the IANA database has none of that name."""
     try:
         return ZoneInfo(name)
     except (OSError, ValueError, LookupError):
-        raise BadSchedule(f"an IANA time zone as Europe/Dublin, not {name!r}") from None
+        raise InvalidScheduleError(name, f"an IANA time zone as Europe/Dublin, not {name!r}") from None
+
 
+def check_cron(expression: str) -> None:
+    """Raise InvalidScheduleError unless it has five fields and matches some day.
 
-def check_cron(text: str) -> None:
-    """Five fields, with names, lists, ranges and steps; an expression that never comes due is none."""
-    if len(text.split()) != 5:
-        raise BadSchedule(f"a cron expression of five fields, not {len(text.split())}")
+    Fields may have names, lists, ranges and steps.
+    """
+    field_count = len(expression.split())
+    if field_count != CRON_FIELD_COUNT:
+        raise InvalidScheduleError(expression, f"a cron expression of five fields, not {field_count}")
     try:
-        next(CronSim(text, datetime(2024, 1, 1, tzinfo=UTC)))
+        next(CronSim(expression, CHECK_START))
     except CronSimError as error:
-        raise BadSchedule(f"a cron expression of five fields: {error}") from None
+        raise InvalidScheduleError(expression, f"a cron expression of five fields: {error}") from None
     except StopIteration:
-        raise BadSchedule("a cron expression that comes due some day") from None
+        raise InvalidScheduleError(expression, "a cron expression that comes due some day") from None
 
 
-def due_times(schedule: Schedule, after: int) -> Iterator[int]:
-    """Its due times later than `after`, in order.
+def iterate_due_times(schedule: Schedule, after_us: int) -> Iterator[int]:
+    """Return the due times later than `after_us`, in order.
 
-    At changes of the clocks as Debian's cron does: what is asked for at fixed times runs once, at the
-    change if its time does not exist and at the first of two if it comes twice; what is asked for every
-    hour or by steps of the hour follows real time.
+    Changes to and from daylight saving time are treated as by Debian's cron: a schedule at fixed times
+    runs once, at the change if its time does not exist, at the first of two if its time comes twice; a
+    schedule for every hour or with steps of hours follows real time.
     """
-    begin = datetime.fromtimestamp(after // SECOND, check_zone(schedule.zone))
-    for moment in CronSim(schedule.cron, begin):
-        due = int(moment.timestamp()) * SECOND
-        if due > after:
-            yield due
+    start = datetime.fromtimestamp(after_us // SECOND_US, check_zone(schedule.zone))
+    for moment in CronSim(schedule.cron, start):
+        due_us = int(moment.timestamp()) * SECOND_US
+        if due_us > after_us:
+            yield due_us
 
 
-def _hash(*parts: object) -> int:
-    return int.from_bytes(blake2b("\0".join(map(str, parts)).encode(), digest_size=8).digest(), "big")
+def compute_fire_time_us(schedule: Schedule, due_us: int) -> int:
+    """Return the due time and its jitter: the same for a schedule and due time at each start."""
+    if schedule.jitter_us <= 0:
+        return due_us
+    return due_us + _hash("jitter", schedule.name, due_us) % schedule.jitter_us
 
 
-def fires_at(schedule: Schedule, due: int) -> int:
-    """The due time and its jitter: a function of schedule and due time, so the same at each start."""
-    if schedule.jitter <= 0:
-        return due
-    return due + _hash("jitter", schedule.name, due) % schedule.jitter
+def select_owner(schedule: Schedule, front_end_count: int) -> int:
+    """Return the index of the front end that fires the schedule.
 
+    Without a configured one it is chosen by rendezvous hashing, so that few schedules move when the number
+    of front ends changes.
+    """
+    if schedule.owner_index is not None:
+        return schedule.owner_index
+    return max(range(front_end_count), key=lambda index: _hash("owner", schedule.name, index))
 
-def owner_of(schedule: Schedule, front_ends: int) -> int:
-    """The front end that fires it: as configured, else by rendezvous hash, so that a changed number of
-    front ends moves as few schedules as can be."""
-    if schedule.owner is not None:
-        return schedule.owner
-    return max(range(front_ends), key=lambda index: _hash("owner", schedule.name, index))
 
+def format_execution_name(schedule_name: str, due_us: int) -> str:
+    """Return the execution name of one firing. Seconds are enough, since due times are full minutes."""
+    return f"cron-{schedule_name}-{due_us // SECOND_US}"
 
-def execution_name(schedule: str, due: int) -> str:
-    """The execution of one firing; seconds are enough, since due times are whole minutes."""
-    return f"cron-{schedule}-{due // SECOND}"
+
+def _hash(*parts: object) -> int:
+    text = "\0".join(map(str, parts))
+    return int.from_bytes(blake2b(text.encode(), digest_size=HASH_BYTES).digest(), "big")
--- /dev/null
+++ b/packages/cron/tests/cron_rig.py
@@ -0,0 +1,116 @@
+"""Schedules for tests and benchmarks: random ones, their matches by brute force, planners that restart."""
+
+from __future__ import annotations
+
+from collections import Counter
+from dataclasses import dataclass
+from datetime import datetime
+from itertools import islice
+from random import Random
+from zoneinfo import ZoneInfo
+
+from walnutpost.cron import Decision, Planner, Schedule, Skip, iterate_due_times
+
+SECOND_US = 1_000_000
+MINUTE_US, HOUR_US, DAY_US = 60 * SECOND_US, 3600 * SECOND_US, 86_400 * SECOND_US
+START_US = 1_800_000_000 * SECOND_US  # 2027-01-15T08:00:00Z
+EVERY_MINUTE = Schedule("m", "* * * * *", "UTC", "f", None, b"1", HOUR_US)
+UTC = ZoneInfo("UTC")
+
+
+@dataclass(frozen=True)
+class CronFields:
+    """The values that the fields of an expression match; None is any.
+
+    Both day fields must match, but either is enough if neither of them begins with a star.
+    """
+
+    minutes: set[int] | None
+    hours: set[int] | None
+    days: set[int] | None
+    months: set[int] | None
+    weekdays: set[int] | None
+    has_starred_day: bool
+
+    def matches(self, moment: datetime) -> bool:
+        """Whether the expression matches at a minute."""
+        is_day = self.days is None or moment.day in self.days
+        is_weekday = self.weekdays is None or moment.isoweekday() % 7 in self.weekdays
+        return (
+            (self.minutes is None or moment.minute in self.minutes)
+            and (self.hours is None or moment.hour in self.hours)
+            and (self.months is None or moment.month in self.months)
+            and ((is_day and is_weekday) if self.has_starred_day else (is_day or is_weekday))
+        )
+
+
+def make_random_cron(rng: Random) -> tuple[str, CronFields]:
+    """Return an expression and what its fields match."""
+
+    def make_field(low: int, high: int, any_probability: float) -> tuple[str, set[int] | None]:
+        kind = rng.random()
+        if kind < any_probability:
+            return "*", None
+        if kind < any_probability + 0.15:
+            step = rng.randint(2, (high - low) // 2)
+            return f"*/{step}", set(range(low, high + 1, step))
+        if kind < any_probability + 0.3:
+            first, last = sorted(rng.sample(range(low, high + 1), 2))
+            return f"{first}-{last}", set(range(first, last + 1))
+        some = sorted(rng.sample(range(low, high + 1), rng.randint(1, 3)))
+        return ",".join(map(str, some)), set(some)
+
+    minute, minutes = make_field(0, 59, 0.05)
+    hour, hours = make_field(0, 23, 0.3)
+    day, days = make_field(1, 31, 0.6)
+    month, months = make_field(1, 12, 0.6)
+    weekday, weekdays = make_field(0, 6, 0.6)
+    has_starred_day = day.startswith("*") or weekday.startswith("*")
+    fields = CronFields(minutes, hours, days, months, weekdays, has_starred_day)
+    return f"{minute} {hour} {day} {month} {weekday}", fields
+
+
+def list_matches(fields: CronFields, start_us: int, end_us: int) -> set[int]:
+    """Return the matching minutes, by brute force."""
+    return {
+        now_us
+        for now_us in range(start_us, end_us, MINUTE_US)
+        if fields.matches(datetime.fromtimestamp(now_us / SECOND_US, UTC))
+    }
+
+
+def list_due_times(schedule: Schedule, decision: Decision) -> list[int]:
+    """Return the due times that a decision is for."""
+    if not isinstance(decision, Skip):
+        return [decision.due_us]
+    due_times = list(islice(iterate_due_times(schedule, decision.due_us - 1), decision.count))
+    assert decision.last_due_us == max(due_times)
+    return due_times
+
+
+def count_decisions(schedule: Schedule, start_us: int, end_us: int, rng: Random) -> Counter[int]:
+    """Return how often each due time was decided on, with restarts and suspensions at random.
+
+    A planner that crashed before its decisions were committed is followed by one that decides again.
+    """
+    counts: Counter[int] = Counter()
+    marks = {schedule.name: start_us}
+    planner = Planner([schedule], marks, start_us)
+    now_us = start_us
+    while now_us < end_us:
+        step_us = rng.choice([30 * SECOND_US, MINUTE_US, HOUR_US, 7 * HOUR_US, 3 * DAY_US])
+        now_us = min(end_us, now_us + step_us)
+        if rng.random() < 0.3:
+            planner = Planner([schedule], marks, now_us)
+        decisions = planner.decide(now_us)
+        if rng.random() < 0.1:  # crashes before the commit
+            planner = Planner([schedule], marks, now_us)
+            continue
+        for decision in decisions:
+            counts.update(list_due_times(schedule, decision))
+            if not isinstance(decision, Skip):
+                planner.mark_ended(schedule.name, decision.due_us)
+        marks = dict(planner.marks)
+    for decision in Planner([schedule], marks, now_us).decide(now_us):  # what the last crash left
+        counts.update(list_due_times(schedule, decision))
+    return counts
--- /dev/null
+++ b/packages/cron/tests/test_schedule.py
@@ -0,0 +1,129 @@
+"""Schedules: due times through changes of the clocks, checks, jitter and owners."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from datetime import datetime
+from itertools import islice
+from zoneinfo import ZoneInfo
+
+import pytest
+
+from cron_rig import EVERY_MINUTE, MINUTE_US, SECOND_US, START_US
+from walnutpost.cron import (
+    InvalidScheduleError,
+    check_cron,
+    check_zone,
+    compute_fire_time_us,
+    iterate_due_times,
+    select_owner,
+)
+
+
+def epoch_us(text: str, zone: str) -> int:
+    return round(datetime.fromisoformat(text).replace(tzinfo=ZoneInfo(zone)).timestamp()) * SECOND_US
+
+
+def list_next(cron: str, zone: str, after: str, count: int) -> list[str]:
+    schedule = replace(EVERY_MINUTE, cron=cron, zone=zone)
+    dues = islice(iterate_due_times(schedule, epoch_us(after, zone)), count)
+    return [datetime.fromtimestamp(due / SECOND_US, ZoneInfo(zone)).isoformat() for due in dues]
+
+
+CLOCK_CHANGES = [
+    # A time that does not exist runs at the change, once; one that comes twice runs at the first.
+    (
+        "30 1 * * *",
+        "Europe/Dublin",
+        "2027-03-27T12:00",
+        ["2027-03-28T02:00:00+01:00", "2027-03-29T01:30:00+01:00"],
+    ),
+    (
+        "30 1 * * *",
+        "Europe/Dublin",
+        "2027-10-30T12:00",
+        ["2027-10-31T01:30:00+01:00", "2027-11-01T01:30:00+00:00"],
+    ),
+    (
+        "30 3 * * *",
+        "Europe/Sofia",
+        "2027-03-27T12:00",
+        ["2027-03-28T04:00:00+03:00", "2027-03-29T03:30:00+03:00"],
+    ),
+    (
+        "30 3 * * *",
+        "Europe/Sofia",
+        "2027-10-30T12:00",
+        ["2027-10-31T03:30:00+03:00", "2027-11-01T03:30:00+02:00"],
+    ),
+    (
+        "15 2 * * *",
+        "America/St_Johns",
+        "2027-03-13T12:00",
+        ["2027-03-14T03:00:00-02:30", "2027-03-15T02:15:00-02:30"],
+    ),
+    (
+        "15 1 * * *",
+        "America/St_Johns",
+        "2027-11-06T12:00",
+        ["2027-11-07T01:15:00-02:30", "2027-11-08T01:15:00-03:30"],
+    ),
+    # Every hour, or steps of it, follows real time through both.
+    (
+        "0 * * * *",
+        "Europe/Dublin",
+        "2027-10-31T00:30",
+        ["2027-10-31T01:00:00+01:00", "2027-10-31T01:00:00+00:00"],
+    ),
+    (
+        "0 * * * *",
+        "Europe/Dublin",
+        "2027-03-28T00:30",
+        ["2027-03-28T02:00:00+01:00", "2027-03-28T03:00:00+01:00"],
+    ),
+    ("0 9 29 2 *", "UTC", "2027-01-01T00:00", ["2028-02-29T09:00:00+00:00", "2032-02-29T09:00:00+00:00"]),
+    ("0 9 * jan mon", "UTC", "2027-01-01T00:00", ["2027-01-04T09:00:00+00:00", "2027-01-11T09:00:00+00:00"]),
+]
+
+
+@pytest.mark.parametrize(("cron", "zone", "after", "wanted"), CLOCK_CHANGES)
+def test_due_times_follow_changes_of_the_clocks(cron: str, zone: str, after: str, wanted: list[str]) -> None:
+    assert list_next(cron, zone, after, len(wanted)) == wanted
+
+
+@pytest.mark.parametrize(
+    "cron", ["", "* * * *", "* * * * * *", "60 * * * *", "* * 30 2 *", "a * * * *", "*/0 * * * *"]
+)
+def test_an_invalid_cron_expression_raises(cron: str) -> None:
+    with pytest.raises(InvalidScheduleError) as caught:
+        check_cron(cron)
+    assert caught.value.text == cron
+
+
+@pytest.mark.parametrize("zone", ["", "Europe/Nowhere", "../etc", "UTC+1:30"])
+def test_an_unknown_zone_raises(zone: str) -> None:
+    with pytest.raises(InvalidScheduleError) as caught:
+        check_zone(zone)
+    assert caught.value.text == zone
+
+
+def test_jitter_is_the_same_at_each_start_and_spread_over_its_window() -> None:
+    schedule = replace(EVERY_MINUTE, jitter_us=30 * SECOND_US)
+    due_times = [START_US + minute * MINUTE_US for minute in range(200)]
+    offsets = [compute_fire_time_us(schedule, due_us) - due_us for due_us in due_times]
+    assert offsets == [compute_fire_time_us(schedule, due_us) - due_us for due_us in due_times]
+    assert 0 <= min(offsets) < 2 * SECOND_US and 28 * SECOND_US < max(offsets) < 30 * SECOND_US
+
+
+def test_owners_are_spread_and_few_change_with_another_front_end() -> None:
+    schedules = [replace(EVERY_MINUTE, name=f"s{n}") for n in range(600)]
+    owners_of_three = [select_owner(schedule, 3) for schedule in schedules]
+    owners_of_four = [select_owner(schedule, 4) for schedule in schedules]
+    assert owners_of_three == [select_owner(schedule, 3) for schedule in schedules]
+    assert all(150 < owners_of_three.count(index) < 250 for index in range(3))
+    moved = sum(before != after for before, after in zip(owners_of_three, owners_of_four, strict=True))
+    assert moved < 200  # a quarter, not three quarters, go to the fourth
+
+
+def test_a_configured_owner_is_taken() -> None:
+    assert select_owner(replace(EVERY_MINUTE, owner_index=2), 3) == 2
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -330,7 +330,10 @@
     # Queries and stops
 
     def status(self, function: str, execution_id: str) -> Execution | None:
-        """Return an execution as a client may see it, None if nobody knows it. Raises Unreached."""
+        """Return an execution as a client may see it, None if nobody has it.
+
+        Raises SitesUnreachableError.
+        """
         call = self.open_calls.by_id(execution_id)
         execution = self._visible(call) if call is not None else self._store.find(execution_id)
         if execution is None and self._replication is not None:
@@ -357,7 +360,7 @@
             self.stop(function, call.execution.id)
 
     def stop(self, function: str, execution_id: str) -> Execution | None:
-        """Stop a call if it is open, and return its execution. Raises Unreached."""
+        """Stop a call if it is open, and return its execution. Raises SitesUnreachableError."""
         call = self.open_calls.by_id(execution_id)
         if call is None or call.execution.function != function:
             return self.status(function, execution_id)
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -27,8 +27,8 @@
 from walnutpost.daemon.settings_watch import AgreedFunctions, SettingsWatch
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Loop, Tap, Task, Timeout
-from walnutpost.fronts.cron import TimersFront
-from walnutpost.fronts.invoke import InvokeFront, Names, refusal
+from walnutpost.fronts.cron import CronFront, FiringLimits
+from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
 from walnutpost.gateway import Gateway
 from walnutpost.http import Limits, Server
 from walnutpost.http.server import serve_on
@@ -234,20 +234,19 @@
         firings = FiringStore(self._store)
         progress = ScheduleProgressFile(self._base / f"{front.store}.seen")
         newest_mark = max(firings.load_marks().values(), default=0)
-        self.timers = TimersFront(
+        self.cron = CronFront(
             self._loop,
             self._wall,
             own_schedules(self._config),
             self.deferred,
             firings,
             progress.uncertain_until(newest_mark),
-            front.firings_at_once,
-            front.firings_per_s,
+            FiringLimits(front.firings_at_once, front.firings_per_s),
             self._log,
             progress.write,
         )
         self.deferred.also_at_end = firings.record_ended
-        self.deferred.on_end = self.timers.ended
+        self.deferred.on_end = self.cron.handle_ended
 
     def _recover_deferred_calls(self) -> None:
         recovery = DeferredRecovery(
@@ -263,15 +262,22 @@
             self.deferred,
             self.catalogue,
             self._router_settings.classes,
-            Names(),
+            ArnFormat(),
             us(front.deferred_deadline_ms),
         )
         limits = Limits(front.max_head_bytes, front.max_body_bytes, us(front.head_time_ms))
         address = address_of(front.listen)
         self.server: Server = serve_on(
-            self._loop, address, invoke.handle, refusal, limits, tap, "front", log=self._log
+            self._loop,
+            address,
+            invoke.handle,
+            build_bad_message_response,
+            limits,
+            tap,
+            "front",
+            log=self._log,
         )
-        self._spawn(self.timers.run, name="timers")
+        self._spawn(self.cron.run, name="cron")
         if self.fleet is not None:
             self._spawn(self.fleet.run, name="fleet")
         fields: dict[str, object] = {"recovered_calls": self.recovered_calls}
@@ -296,7 +302,7 @@
 
     def reload(self, config: Config) -> None:
         """Apply the schedules of a changed configuration; all other changes need a restart."""
-        self.timers.replace(own_schedules(config))
+        self.cron.replace_schedules(own_schedules(config))
 
     # The end
 
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -17,7 +17,7 @@
 from walnutpost.config.journal import CopiesLine, Journal
 from walnutpost.config.settings import us
 from walnutpost.eventloop import Loop
-from walnutpost.fronts.calls import Unreached
+from walnutpost.fronts.errors import SitesUnreachableError
 from walnutpost.gateway import Execution, Function, Rejected, Status
 from walnutpost.interface import RequestClass
 from walnutpost.journal import (
@@ -211,7 +211,7 @@
     def find_call(self, call_id: str) -> Execution | None:
         """Return a call that another front end accepted, as journals here and at other sites tell it.
 
-        Raises Unreached if none knows it, and some did not answer.
+        Raises SitesUnreachableError if none knows it, and some did not answer.
         """
         merged = MergedJournal()
         unreachable: list[str] = []
@@ -223,9 +223,7 @@
             call = merged.calls.get(call_id, CallState())
         execution = None if call.stage is CallStage.WITHDRAWN else _execution_of(call)
         if execution is None and unreachable and call.stage is CallStage.UNKNOWN:
-            raise Unreached(
-                f"no site that can be reached knows it; not asked: {', '.join(sorted(unreachable))}"
-            )
+            raise SitesUnreachableError(unreachable)
         return execution
 
     # Lines, to be committed together with the change that they record
--- a/packages/fronts/src/walnutpost/fronts/__init__.py
+++ b/packages/fronts/src/walnutpost/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: each turns its own protocol into calls for the core, and final answers back."""
+"""Front ends of protocols: each turns its own requests into calls for the core, and outcomes into answers."""
--- a/packages/fronts/src/walnutpost/fronts/calls.py
+++ b/packages/fronts/src/walnutpost/fronts/calls.py
@@ -1,4 +1,7 @@
-"""What the fronts need of the core. Every method may wait."""
+"""Interfaces of the core that the fronts need. Every method may block the calling task.
+
+Durations are microseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +11,11 @@
 from walnutpost.gateway import Execution, Final, NotStored, Rejected, ReplicationPending
 from walnutpost.store import Change, ExecutionQuery
 
-
-class Unreached(Exception):
-    """Whether a call is known can't be told now: sites that may know it don't answer."""
+Callback = Callable[[], None]
+# Registers a callback for the caller's hang-up; returns what ends the registration.
+WatchHangup = Callable[[Callback], Callback]
+# What became of a deferred call; None if its name stands for an execution with another payload.
+DeferOutcome = Execution | ReplicationPending | Rejected | NotStored | None
 
 
 class Calls(Protocol):
@@ -21,41 +26,46 @@
         function: str,
         tenant: str | None,
         payload: bytes,
-        time_left: int,
-        repeat_key: str,
-        repeat: bool,
+        time_left_us: int,
+        idempotency_key: str,
+        is_repeat: bool,
         request_id: str,
-        gone: Callable[[Callable[[], None]], Callable[[], None]],
+        watch_hangup: WatchHangup,
+        /,
     ) -> Final | None:
-        """The final answer, or None if the caller left; `gone` arms a callback for that, returns its end."""
+        """Return the outcome, or None if the caller hung up."""
 
 
 class DeferredCalls(Protocol):
-    """Deferred calls, whoever names them: a client or a schedule."""
+    """Deferred calls (durable executions) of clients and of schedules."""
 
     def defer(
         self,
         function: str,
         tenant: str | None,
         payload: bytes,
-        time_left: int,
+        time_left_us: int,
         name: str | None,
         request_id: str,
         also: Change | None = None,
-    ) -> Execution | ReplicationPending | Rejected | NotStored | None:
-        """The execution that stands for the call, on disk; None where the name stands for another
-        payload; NotStored where the disk is at fault, not the caller's share. `also` is committed with the
-        call, where it is new."""
+        /,
+    ) -> DeferOutcome:
+        """Return the execution that stands for the call, once it is durable.
+
+        `also` is committed together with the call if that is new.
+        """
 
     def replica_count(self, execution_id: str) -> int | None:
-        """At how many other sites the call stands; None where that is not asked for."""
+        """Return how many replicas have the call; None if its class does not ask for replicas."""
 
     def status(self, function: str, execution_id: str) -> Execution | None:
-        """None where nobody knows it; raises Unreached."""
+        """Return the execution, None if there is none. Raises SitesUnreachableError."""
 
-    def stop(self, function: str, execution_id: str) -> Execution | None: ...
+    def stop(self, function: str, execution_id: str) -> Execution | None:
+        """Stop the execution if it is running, and return it. Raises SitesUnreachableError."""
 
-    def stop_named(self, function: str, name: str) -> None: ...
+    def stop_named(self, function: str, name: str) -> None:
+        """Stop the execution with a name if it is running."""
 
     def list(self, query: ExecutionQuery) -> tuple[list[Execution], bool]:
-        """A page, and whether there is more after it."""
+        """Return a page of executions, and whether there are more after it."""
--- a/packages/fronts/src/walnutpost/fronts/cron/__init__.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/__init__.py
@@ -1,5 +1,6 @@
-"""The timer front: cron schedules fire deferred calls on the same core."""
+"""The cron front: schedules fire deferred calls on the same core as clients do."""
 
-from walnutpost.fronts.cron.front import TimersFront
+from walnutpost.fronts.cron.front import CronFront
+from walnutpost.fronts.cron.pacer import FiringLimits
 
-__all__ = ["TimersFront"]
+__all__ = ["CronFront", "FiringLimits"]
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -1,194 +1,215 @@
-"""Fires what the planner decides, as deferred calls, and writes down what became of each due time."""
+"""Carries out what the planner decides: sends firings as deferred calls and records each due time's outcome.
+
+Times are microseconds; due times are since the epoch.
+"""
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Iterable
+from dataclasses import dataclass
 from typing import Any
 
-from walnutpost.cron import Fire, Planner, Schedule, Skip, execution_name
+from walnutpost.cron import Fire, Planner, Schedule, Skip, format_execution_name
 from walnutpost.eventloop import Event, Loop
-from walnutpost.fronts.calls import DeferredCalls
+from walnutpost.fronts.calls import DeferOutcome, DeferredCalls
+from walnutpost.fronts.cron.pacer import FiringLimits, Pacer
+from walnutpost.fronts.cron.recorder import MAX_SKIPS_PER_COMMIT, FiringRecorder, RejectionReason
 from walnutpost.gateway import Execution, ReplicationPending, Status
-from walnutpost.store import Change, FiringStore, StoreError
+from walnutpost.store import FiringStore
+
+# The time of day may be set and the machine may sleep, so a longer wait cannot be relied on.
+MAX_DECISION_INTERVAL_US = 1_000_000
+# Finding the next due time takes some 60 us: ten thousand in one go would block the loop for half a second.
+MAX_SCHEDULES_PER_DECISION = 20
+MIN_DECISION_INTERVAL_US = 5_000
+# After a rejection without a time to wait.
+MIN_RETRY_INTERVAL_US = 250_000
+# The status of firings without an execution in the log, as in the store.
+REJECTED_STATUS = "REFUSED"
+
 
-LOOK_AT_LEAST = 1_000_000  # the wall clock may be set, or the machine sleep: never trust a longer wait
-ASK_AGAIN = 250_000  # after a refusal that names no time
-STORE_AGAIN = 500_000
-SKIPS_A_COMMIT = 500
-# The next due time takes some 60 us to find: ten thousand at once would hold up everything for half a second.
-PLAN_AT_ONCE, PLAN_GAP = 20, 5_000
+@dataclass(frozen=True, slots=True)
+class Firing:
+    """One due time of one schedule."""
 
+    schedule_name: str
+    due_us: int
 
-class TimersFront:
-    """`wall` is the time of day in microseconds; it may jump either way. `seen` is told the newest due
-    time that has a fate or a call on disk."""
+
+class CronFront:
+    """Fires the schedules of one front end.
+
+    `on_progress` is called from another thread with the newest due time that has an outcome or an execution
+    on disk, and the time of day; it may raise OSError, and is then called again.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        wall: Callable[[], int],
+        epoch_us: Callable[[], int],
         schedules: Iterable[Schedule],
         calls: DeferredCalls,
         store: FiringStore,
-        doubtful: int,
-        at_once: int,
-        per_s: float,
+        uncertain_until_us: int,
+        limits: FiringLimits,
         log: Any,
-        seen: Callable[[int, int], None] = lambda newest, now: None,
+        on_progress: Callable[[int, int], None],
     ) -> None:
+        """Read the store, before the loop runs.
+
+        `epoch_us` gives the time of day, which may jump either way. Up to `uncertain_until_us` there may have
+        been firings that the store does not have.
+        """
         self._loop = loop
-        self._wall = wall
+        self._epoch_us = epoch_us
         self._calls = calls
-        self._store = store
-        self._at_once = at_once
-        self._gap = round(1_000_000 / per_s)
-        self._slot = 0  # before which no further firing is sent
         self._log = log
-        self._seen = seen
+        self._on_progress = on_progress
+        self._recorder = FiringRecorder(loop, store, epoch_us, log)
+        self._max_concurrent = limits.max_concurrent
+        self._pacer = Pacer(loop, limits.per_s)
         self._schedules = list(schedules)
-        self.planner = Planner(self._schedules, store.load_marks(), wall(), doubtful)
-        out, self._orphans = store.load_unfinished()
-        for row in out:
-            self.planner.out(row.schedule, row.due)
+        marks = store.load_marks()
+        self._newest_due_us = max(marks.values(), default=0)
+        self._planner = Planner(self._schedules, marks, epoch_us(), uncertain_until_us)
+        running, self._rejected_by_restart = store.load_unfinished()
+        self._firings: dict[str, Firing] = {}  # by name of the execution
+        for row in running:
+            self._planner.mark_running(row.schedule, row.due)
+            self._firings[row.execution] = Firing(row.schedule, row.due)
         self._queue: deque[Fire] = deque()
-        self._firing = 0
-        self._firings: dict[str, tuple[str, int]] = {}
-        for row in out:
-            self._firings[row.execution] = (row.schedule, row.due)
+        self._sender_count = 0
         self._wake: Event | None = None
-        self._newest = max(store.load_marks().values(), default=0)
 
-    def replace(self, schedules: Iterable[Schedule]) -> None:
-        """The configuration has changed."""
+    def replace_schedules(self, schedules: Iterable[Schedule]) -> None:
+        """Apply a changed configuration."""
         self._schedules = list(schedules)
-        self.planner.replace(self._schedules, self._wall())
-        self._loop.spawn(self._begin, name="new schedules")
+        self._planner.replace_schedules(self._schedules, self._epoch_us())
+        self._loop.spawn(self._register_schedules, name="register schedules")
         if self._wake is not None:
             self._wake.set()
 
     def run(self) -> None:
-        """Until cancelled."""
-        self._begin()
+        """Fire until cancelled."""
+        self._register_schedules()
         while True:
-            now = self._wall()
-            decisions = self.planner.plan(now, PLAN_AT_ONCE)
-            self._skip([d for d in decisions if isinstance(d, Skip)])
-            self._queue.extend(d for d in decisions if isinstance(d, Fire))
-            while self._queue and self._firing < self._at_once:
-                self._firing += 1
-                self._loop.spawn(self._fire_queue, name="firings")
-            self._note_newest(now)
-            upcoming = self.planner.next()
-            wait = LOOK_AT_LEAST if upcoming is None else min(LOOK_AT_LEAST, upcoming - self._wall())
-            self._wake = Event(self._loop)
-            timer = self._loop.call_later(max(PLAN_GAP, wait), self._wake.set)
-            try:
-                self._wake.wait()
-            finally:
-                timer.cancel()
-
-    def _note_newest(self, now: int) -> None:
-        """On the helper thread, as it is synced. A disk that takes nothing is asked again at the next look,
-        and stops no firing."""
+            now_us = self._epoch_us()
+            decisions = self._planner.decide(now_us, MAX_SCHEDULES_PER_DECISION)
+            self._skip([decision for decision in decisions if isinstance(decision, Skip)])
+            self._queue.extend(decision for decision in decisions if isinstance(decision, Fire))
+            self._start_senders()
+            self._write_progress(now_us)
+            self._wait_for_due_time()
+
+    def handle_ended(self, execution: Execution) -> None:
+        """Note that an execution's final status is durable; it may be no firing."""
+        firing = self._firings.pop(execution.name, None)
+        if firing is None:
+            return
+        self._planner.mark_ended(firing.schedule_name, firing.due_us)
+        if execution.status is not Status.SUCCEEDED:
+            self._log_failed(firing, execution.status.value, execution.error_message)
+
+    def _register_schedules(self) -> None:
+        rejected = self._rejected_by_restart
+        self._rejected_by_restart = []
+        self._recorder.register([schedule.name for schedule in self._schedules], rejected)
+
+    def _wait_for_due_time(self) -> None:
+        """Return when something is due, the schedules were replaced, or the clock must be read again."""
+        wait_us = MAX_DECISION_INTERVAL_US
+        next_us = self._planner.next_fire_time_us()
+        if next_us is not None:
+            wait_us = min(wait_us, next_us - self._epoch_us())
+        self._wake = Event(self._loop)
+        timer = self._loop.call_later(max(MIN_DECISION_INTERVAL_US, wait_us), self._wake.set)
         try:
-            self._loop.blocking(self._seen, self._newest, now)
+            self._wake.wait()
+        finally:
+            timer.cancel()
+
+    def _write_progress(self, now_us: int) -> None:
+        """Report progress on the helper thread, as it is synced. A failure stops no firing."""
+        try:
+            self._loop.blocking(self._on_progress, self._newest_due_us, now_us)
         except OSError as error:
-            self._log.error(
-                "store_failed", operation="schedule", error=f"the newest due time is not written: {error}"
-            )
-
-    def _begin(self) -> None:
-        """New names are written down, so that what they miss while nobody looks is known to be missed."""
-        now, names = self._wall(), [s.name for s in self._schedules]
-        why = "the front end restarted while it was being refused"
-        orphans, self._orphans = self._orphans, []
-        lost = (self._store.record_rejected(row.schedule, row.due, now, why) for row in orphans)
-        self._commit(self._store.register_schedules(names, now), *lost)
-
-    def _commit(self, *changes: Change) -> None:
-        while True:
-            try:
-                return self._store.commit(*changes)
-            except StoreError as error:
-                self._log.error("store_failed", operation="schedule", error=str(error))
-                self._loop.sleep(STORE_AGAIN)
+            self._recorder.log_store_error(f"the newest due time is not written: {error}")
 
     def _skip(self, skips: list[Skip]) -> None:
-        now = self._wall()
-        for start in range(0, len(skips), SKIPS_A_COMMIT):
-            part = skips[start : start + SKIPS_A_COMMIT]
-            self._commit(
-                *(
-                    self._store.record_skipped(s.schedule.name, s.due, s.last, s.count, now, s.why)
-                    for s in part
+        for start in range(0, len(skips), MAX_SKIPS_PER_COMMIT):
+            part = skips[start : start + MAX_SKIPS_PER_COMMIT]
+            self._recorder.record_skipped(part)
+            for skip in part:
+                self._newest_due_us = max(self._newest_due_us, skip.last_due_us)
+                self._log.info(
+                    "firing_skipped",
+                    schedule=skip.schedule.name,
+                    due_us=skip.due_us,
+                    count=skip.count,
+                    reason=skip.reason.value,
                 )
-            )
-            self._newest = max(self._newest, *(s.last for s in part))
-            for s in part:
-                self._log.info("skipped", schedule=s.schedule.name, due=s.due, count=s.count, why=s.why)
 
-    def _fire_queue(self) -> None:
+    def _start_senders(self) -> None:
+        while self._queue and self._sender_count < self._max_concurrent:
+            self._sender_count += 1
+            self._loop.spawn(self._send_queue, name="firings")
+
+    def _send_queue(self) -> None:
         try:
             while self._queue:
                 fire = self._queue.popleft()
-                self._pace()
+                self._pacer.wait()
                 self._fire(fire)
         finally:
-            self._firing -= 1
-
-    def _pace(self) -> None:
-        """Waits for the next free slot. Guards clients' calls against thousands of firings due in one
-        second: a firing can wait, its time begins when it is sent. Harm: the last of many are late."""
-        now = self._loop.now()
-        slot, self._slot = max(now, self._slot), max(now, self._slot) + self._gap
-        if slot > now:
-            self._loop.sleep(slot - now)
+            self._sender_count -= 1
 
     def _fire(self, fire: Fire) -> None:
-        """Asks as a client does, and again after a refusal, until the firing's own time is over."""
-        s, due = fire.schedule, fire.due
-        name = execution_name(s.name, due)
-        for earlier in fire.stop:
-            self._calls.stop_named(s.function, execution_name(s.name, earlier))
-        until = self._loop.now() + s.deadline
-        while True:
-            left = until - self._loop.now()
-            if left <= 0:
-                why = "refused until its time was over"
-                self._commit(self._store.record_rejected(s.name, due, self._wall(), why))
-                self._log.warning("firing", schedule=s.name, due=due, kind="refused", why=why)
-                self.planner.ended(s.name, due)
+        """Send a firing as a client does, and retry after rejections until its own deadline."""
+        schedule = fire.schedule
+        firing = Firing(schedule.name, fire.due_us)
+        for earlier_us in fire.stop_due_us:
+            self._calls.stop_named(schedule.function, format_execution_name(schedule.name, earlier_us))
+        deadline_us = self._loop.now() + schedule.deadline_us
+        while (time_left_us := deadline_us - self._loop.now()) > 0:
+            outcome = self._defer(schedule, firing, time_left_us)
+            if isinstance(outcome, ReplicationPending):
+                outcome = outcome.execution  # it is on disk with its firing, and will run
+            if isinstance(outcome, Execution):
+                self._handle_accepted(firing, outcome)
                 return
-            self._firings[name] = (s.name, due)
-            also = self._store.record_fired(s.name, due, self._wall(), name)
-            got = self._calls.defer(s.function, s.tenant, s.payload, left, name, name, also)
-            if isinstance(got, ReplicationPending):
-                got = got.execution  # it is on disk with its firing, and will run
-            if isinstance(got, Execution):
-                self._newest = max(self._newest, due)
-                if got.status is not Status.RUNNING:
-                    self.ended(got)
+            if outcome is None:
+                self._reject(firing, RejectionReason.NAME_TAKEN)
                 return
+            self._loop.sleep(max(MIN_RETRY_INTERVAL_US, outcome.retry_after_us))
+        self._reject(firing, RejectionReason.TIMED_OUT)
+        self._log_failed(firing, REJECTED_STATUS, RejectionReason.TIMED_OUT.value)
+
+    def _defer(self, schedule: Schedule, firing: Firing, time_left_us: int) -> DeferOutcome:
+        name = format_execution_name(schedule.name, firing.due_us)
+        self._firings[name] = firing  # the execution may end before its acceptance is known here
+        change = self._recorder.fired_change(schedule.name, firing.due_us, name)
+        outcome = self._calls.defer(
+            schedule.function, schedule.tenant, schedule.payload, time_left_us, name, name, change
+        )
+        if not isinstance(outcome, Execution | ReplicationPending):
             self._firings.pop(name, None)
-            if got is None:
-                why = "its name stands for another payload: the schedule was changed while it was out"
-                self._commit(self._store.record_rejected(s.name, due, self._wall(), why))
-                self.planner.ended(s.name, due)
-                return
-            self._loop.sleep(max(ASK_AGAIN, got.retry_after_us))
-
-    def ended(self, execution: Execution) -> None:
-        """An execution's fate is on disk; it may be no firing."""
-        firing = self._firings.pop(execution.name, None)
-        if firing is None:
-            return
-        self.planner.ended(*firing)
-        if execution.status is not Status.SUCCEEDED:
-            self._log.warning(
-                "firing",
-                schedule=firing[0],
-                due=firing[1],
-                kind=execution.status.value,
-                why=execution.error_message,
-            )
+        return outcome
+
+    def _handle_accepted(self, firing: Firing, execution: Execution) -> None:
+        self._newest_due_us = max(self._newest_due_us, firing.due_us)
+        if execution.status is not Status.RUNNING:
+            self.handle_ended(execution)
+
+    def _reject(self, firing: Firing, reason: RejectionReason) -> None:
+        self._recorder.record_rejected(firing.schedule_name, firing.due_us, reason)
+        self._planner.mark_ended(firing.schedule_name, firing.due_us)
+
+    def _log_failed(self, firing: Firing, status: str, reason: str) -> None:
+        self._log.warning(
+            "firing_failed",
+            schedule=firing.schedule_name,
+            due_us=firing.due_us,
+            status=status,
+            reason=reason,
+        )
--- /dev/null
+++ b/packages/fronts/src/walnutpost/fronts/cron/recorder.py
@@ -0,0 +1,78 @@
+"""Records what became of due times, until the store accepts it. Times are microseconds since the epoch."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable, Sequence
+from enum import Enum
+from typing import Any
+
+from walnutpost.cron import Skip
+from walnutpost.eventloop import Loop
+from walnutpost.store import Change, FiringRow, FiringStore, StoreError
+
+STORE_RETRY_INTERVAL_US = 500_000
+MAX_SKIPS_PER_COMMIT = 500
+
+
+class RejectionReason(Enum):
+    """Why a firing has no execution. The values are stored, and shown to people."""
+
+    RESTARTED = "the front end restarted while it was being refused"
+    TIMED_OUT = "refused until its time was over"
+    NAME_TAKEN = "its name stands for another payload: the schedule was changed while it was out"
+
+
+class FiringRecorder:
+    """Commits outcomes of due times, and retries until they are durable."""
+
+    def __init__(self, loop: Loop, store: FiringStore, epoch_us: Callable[[], int], log: Any) -> None:
+        """`epoch_us` gives the time of day, which may jump either way."""
+        self._loop = loop
+        self._store = store
+        self._epoch_us = epoch_us
+        self._log = log
+
+    def register(self, schedule_names: Sequence[str], rejected: Iterable[FiringRow] = ()) -> None:
+        """Record that schedules are known, so that what is due while no front end runs counts as missed.
+
+        `rejected` are firings that were waiting for acceptance when the last process ended.
+        """
+        now_us = self._epoch_us()
+        changes = [
+            self._store.record_rejected(row.schedule, row.due, now_us, RejectionReason.RESTARTED.value)
+            for row in rejected
+        ]
+        self._commit(self._store.register_schedules(schedule_names, now_us), *changes)
+
+    def record_skipped(self, skips: Sequence[Skip]) -> None:
+        """Record due times that are not fired, all in one commit."""
+        now_us = self._epoch_us()
+        self._commit(*(self._skipped(skip, now_us) for skip in skips))
+
+    def record_rejected(self, schedule_name: str, due_us: int, reason: RejectionReason) -> None:
+        """Record a due time without an execution."""
+        now_us = self._epoch_us()
+        self._commit(self._store.record_rejected(schedule_name, due_us, now_us, reason.value))
+
+    def fired_change(self, schedule_name: str, due_us: int, execution_name: str) -> Change:
+        """Return the change that is committed together with a firing's execution."""
+        return self._store.record_fired(schedule_name, due_us, self._epoch_us(), execution_name)
+
+    def log_store_error(self, error: str) -> None:
+        """Log that something was not written."""
+        self._log.error("store_failed", operation="schedule", error=error)
+
+    def _skipped(self, skip: Skip, now_us: int) -> Change:
+        return self._store.record_skipped(
+            skip.schedule.name, skip.due_us, skip.last_due_us, skip.count, now_us, skip.reason.value
+        )
+
+    def _commit(self, *changes: Change) -> None:
+        while True:
+            try:
+                self._store.commit(*changes)
+            except StoreError as error:
+                self.log_store_error(str(error))
+                self._loop.sleep(STORE_RETRY_INTERVAL_US)
+                continue
+            return
--- a/packages/fronts/src/walnutpost/fronts/invoke/__init__.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/__init__.py
@@ -1,6 +1,8 @@
-"""The invoke front: the AWS Lambda API's Invoke and durable-execution operations."""
+"""The invoke front: the Invoke and durable-execution operations of the AWS Lambda API."""
 
+from walnutpost.fronts.invoke.arns import ArnFormat
+from walnutpost.fronts.invoke.errors import ApiError
 from walnutpost.fronts.invoke.front import InvokeFront
-from walnutpost.fronts.invoke.protocol import Names, Problem, refusal
+from walnutpost.fronts.invoke.responses import build_bad_message_response
 
-__all__ = ["InvokeFront", "Names", "Problem", "refusal"]
+__all__ = ["ApiError", "ArnFormat", "InvokeFront", "build_bad_message_response"]
--- a/packages/fronts/src/walnutpost/fronts/invoke/front.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/front.py
@@ -1,20 +1,39 @@
-"""Serves the invoke API: reads a request, asks the core, writes the answer."""
+"""Serves the invoke API: parses a request, makes the call, builds the response."""
 
 from __future__ import annotations
 
 import uuid
-from collections.abc import Callable
 
-from walnutpost.fronts.calls import Calls, DeferredCalls, Unreached
-from walnutpost.fronts.invoke import protocol
-from walnutpost.fronts.invoke.protocol import (
+from walnutpost.fronts.calls import Callback, Calls, DeferredCalls
+from walnutpost.fronts.errors import SitesUnreachableError
+from walnutpost.fronts.invoke.arns import LATEST_QUALIFIERS, ArnFormat, is_execution_name
+from walnutpost.fronts.invoke.errors import (
+    ApiError,
+    already_started,
+    invalid_parameter,
+    not_found,
+    not_stored,
+    replication_pending,
+    service_error,
+    too_many_requests,
+)
+from walnutpost.fronts.invoke.operations import (
     GetExecution,
+    InvocationType,
     Invoke,
-    Names,
-    Problem,
+    ListExecutions,
+    Operation,
     StopExecution,
-    invalid,
-    missing,
+)
+from walnutpost.fronts.invoke.requests import parse_request
+from walnutpost.fronts.invoke.responses import (
+    build_accepted_response,
+    build_dry_run_response,
+    build_error_response,
+    build_execution_response,
+    build_invoke_response,
+    build_list_response,
+    build_stop_response,
 )
 from walnutpost.gateway import (
     Catalogue,
@@ -27,13 +46,15 @@
 )
 from walnutpost.http import Exchange, Response
 from walnutpost.interface import RequestClass
-from walnutpost.store import ExecutionQuery, StoreError
+from walnutpost.store import StoreError
 
-LATER = 1_000_000  # what a client is told to wait where a disk or other sites must be asked and don't answer
+# How long a client waits when a disk or other sites did not answer.
+UNAVAILABLE_RETRY_AFTER_US = 1_000_000
+REQUEST_ID_PREFIX_CHARACTERS = 23
 
 
 class InvokeFront:
-    """A handler for http.Server. Callers are not verified."""
+    """A handler for http.Server. Callers are not authenticated."""
 
     def __init__(
         self,
@@ -41,109 +62,143 @@
         deferred: DeferredCalls,
         catalogue: Catalogue,
         classes: tuple[RequestClass, ...],
-        names: Names,
-        deferred_most: int,
+        arns: ArnFormat,
+        max_deferred_deadline_us: int,
     ) -> None:
+        """Take the core's interfaces and what it knows of functions."""
         self._calls = calls
         self._deferred = deferred
         self._catalogue = catalogue
         self._classes = classes
-        self._names = names
-        self._deferred_most = deferred_most
-        # Request ids: shaped as UUIDs are, random for this start, counted within it.
-        self._prefix, self._count = str(uuid.uuid4())[:23], 0
+        self._arns = arns
+        self._max_deferred_deadline_us = max_deferred_deadline_us
+        # Request ids have the form of UUIDs: random for this process, counted within it.
+        self._prefix = str(uuid.uuid4())[:REQUEST_ID_PREFIX_CHARACTERS]
+        self._count = 0
 
     def handle(self, exchange: Exchange) -> Response | None:
+        """Return the response to a request; None if the client hung up."""
         self._count += 1
         request_id = f"{self._prefix}-{self._count:012x}"
         try:
-            operation = protocol.read(exchange.request)
-            match operation:
-                case Invoke():
-                    return self._invoke(operation, exchange, request_id)
-                case GetExecution(function, ident, with_data):
-                    found = self._known(self._deferred.status(function, ident))
-                    return protocol.execution_response(found, self._names, with_data, request_id)
-                case StopExecution(function, ident):
-                    return protocol.stop_response(
-                        self._known(self._deferred.stop(function, ident)), request_id
-                    )
-                case ExecutionQuery():
-                    self._function(operation.function, None)
-                    rows, more = self._deferred.list(operation)
-                    return protocol.list_response(rows, more, self._names, request_id)
-        except Unreached as error:
-            return protocol.problem(Problem(503, "ServiceException", str(error), LATER), request_id)
-        except StoreError as error:  # what is asked about can't be read now; nothing was changed
-            return protocol.problem(Problem(500, "ServiceException", str(error), LATER), request_id)
-        except Problem as error:
-            return protocol.problem(error, request_id)
-
-    @staticmethod
-    def _known(execution: Execution | None) -> Execution:
-        if execution is None:
-            raise missing("no such durable execution here, or its time to be kept is over")
-        return execution
-
-    def _function(self, name: str, qualifier: str | None) -> Function:
+            return self._execute(parse_request(exchange.request), exchange, request_id)
+        except SitesUnreachableError as error:
+            api_error = service_error(str(error), 503, UNAVAILABLE_RETRY_AFTER_US)
+        except StoreError as error:  # a read failed; nothing was changed
+            api_error = service_error(str(error), 500, UNAVAILABLE_RETRY_AFTER_US)
+        except ApiError as error:
+            api_error = error
+        return build_error_response(api_error, request_id)
+
+    def _execute(self, operation: Operation, exchange: Exchange, request_id: str) -> Response | None:
+        match operation:
+            case Invoke():
+                return self._invoke(operation, exchange, request_id)
+            case GetExecution(function, execution_id, includes_data):
+                execution = _require(self._deferred.status(function, execution_id))
+                return build_execution_response(execution, self._arns, includes_data, request_id)
+            case StopExecution(function, execution_id):
+                execution = _require(self._deferred.stop(function, execution_id))
+                return build_stop_response(execution, request_id)
+            case ListExecutions(query):
+                self._find_function(query.function, None)
+                executions, has_more = self._deferred.list(query)
+                return build_list_response(executions, has_more, self._arns, request_id)
+
+    def _find_function(self, name: str, qualifier: str | None) -> Function:
         try:
             function = self._catalogue.function(name)
         except UnknownNameError:
-            raise missing(f"Function not found: {name}") from None
-        if qualifier not in (None, "$LATEST", "$LATEST.PUBLISHED", function.version):
-            raise missing(f"Function not found: {name}:{qualifier}; its version is {function.version}")
-        return function
+            raise not_found(f"Function not found: {name}") from None
+        if qualifier is None or qualifier in LATEST_QUALIFIERS or qualifier == function.version:
+            return function
+        raise not_found(f"Function not found: {name}:{qualifier}; its version is {function.version}")
 
-    def _invoke(self, call: Invoke, exchange: Exchange, request_id: str) -> Response | None:
-        function = self._function(call.function, call.qualifier)
+    def _invoke(self, request: Invoke, exchange: Exchange, request_id: str) -> Response | None:
+        function = self._find_function(request.function, request.qualifier)
         try:
-            self._catalogue.tenant_index(call.tenant)
+            self._catalogue.tenant_index(request.tenant)
         except UnknownNameError as error:
-            raise invalid(f"X-Amz-Tenant-Id: {error}") from None
-        usual = self._classes[function.class_index].deadline_us
-        if call.kind == "DryRun":
-            return Response(204, {"x-amzn-requestid": request_id})
-        if call.kind == "Event":
-            left = min(call.own_deadline or usual, self._deferred_most)
-            # A deferred call that an SDK repeats by itself is the same call, as with a synchronous one.
-            name = call.name or (f"sdk-{call.repeat_key}" if _plain(call.repeat_key) else None)
-            execution = self._deferred.defer(call.function, call.tenant, call.payload, left, name, request_id)
-            if execution is None:
-                raise Problem(
-                    409,
-                    "DurableExecutionAlreadyStartedException",
-                    f"an execution named {name} was started with another payload",
-                )
-            if isinstance(execution, Rejected):
-                raise protocol.refused(execution)
-            if isinstance(execution, NotStored):
-                raise protocol.not_stored(execution)
-            if isinstance(execution, ReplicationPending):
-                known = execution.execution.name
-                raise Problem(
-                    500,
-                    "ServiceException",
-                    f"the call may run, but stands in {execution.replicas} copies only: ask again as {known}",
-                )
-            arn, copies = self._names.execution_arn(execution), self._deferred.replica_count(execution.id)
-            return protocol.accepted(arn, function.version, request_id, copies)
-        left = min(call.own_deadline or usual, usual)
-
-        def gone(leave: Callable[[], None]) -> Callable[[], None]:
-            def readable() -> None:
-                if exchange.stream.ended():
-                    leave()
-
-            exchange.stream.on_readable(readable)
-            return lambda: exchange.stream.on_readable(None)
+            raise invalid_parameter(f"X-Amz-Tenant-Id: {error}") from None
+        match request.invocation_type:
+            case InvocationType.DRY_RUN:
+                return build_dry_run_response(request_id)
+            case InvocationType.EVENT:
+                return self._invoke_deferred(request, function, request_id)
+            case InvocationType.REQUEST_RESPONSE:
+                return self._invoke_synchronous(request, function, exchange, request_id)
+
+    def _invoke_synchronous(
+        self, request: Invoke, function: Function, exchange: Exchange, request_id: str
+    ) -> Response | None:
+        max_deadline_us = self._classes[function.class_index].deadline_us
+
+        def watch_hangup(on_hangup: Callback) -> Callback:
+            return _watch_hangup(exchange, on_hangup)
 
         final = self._calls.call(
-            call.function, call.tenant, call.payload, left, call.repeat_key, call.repeat, request_id, gone
+            request.function,
+            request.tenant,
+            request.payload,
+            min(request.client_deadline_us or max_deadline_us, max_deadline_us),
+            request.idempotency_key,
+            request.is_retry,
+            request_id,
+            watch_hangup,
         )
         if final is None:
             return None
-        return protocol.final_response(final, function.version, request_id)
-
-
-def _plain(key: str) -> bool:
-    return bool(key) and protocol.EXECUTION_NAME.fullmatch(f"sdk-{key}") is not None
+        return build_invoke_response(final, function.version, request_id)
+
+    def _invoke_deferred(self, request: Invoke, function: Function, request_id: str) -> Response:
+        deadline_us = request.client_deadline_us or self._classes[function.class_index].deadline_us
+        name = _execution_name(request)
+        outcome = self._deferred.defer(
+            request.function,
+            request.tenant,
+            request.payload,
+            min(deadline_us, self._max_deferred_deadline_us),
+            name,
+            request_id,
+        )
+        match outcome:
+            case None:
+                raise already_started(name)
+            case Rejected():
+                raise too_many_requests(outcome)
+            case NotStored():
+                raise not_stored(outcome)
+            case ReplicationPending():
+                raise replication_pending(outcome)
+            case Execution():
+                arn = self._arns.format_execution(outcome)
+                replica_count = self._deferred.replica_count(outcome.id)
+                return build_accepted_response(arn, function.version, request_id, replica_count)
+
+
+def _require(execution: Execution | None) -> Execution:
+    if execution is None:
+        raise not_found("no such durable execution here, or its time to be kept is over")
+    return execution
+
+
+def _execution_name(request: Invoke) -> str | None:
+    """Return the name under which a deferred call is one execution; None if each request is a new one.
+
+    A call that an SDK retries by itself is the same call, as with a synchronous one.
+    """
+    if request.execution_name:
+        return request.execution_name
+    name = f"sdk-{request.idempotency_key}"
+    return name if request.idempotency_key and is_execution_name(name) else None
+
+
+def _watch_hangup(exchange: Exchange, on_hangup: Callback) -> Callback:
+    """Call back when the client closes its connection; return what ends the watch."""
+
+    def check() -> None:
+        if exchange.stream.ended():
+            on_hangup()
+
+    exchange.stream.on_readable(check)
+    return lambda: exchange.stream.on_readable(None)
--- a/packages/fronts/tests/test_invoke.py
+++ b/packages/fronts/tests/test_invoke.py
@@ -1,14 +1,11 @@
-"""The invoke front on a whole path: client, front end, workers."""
+"""Synchronous calls on a complete path: client, front end, workers."""
 
 from __future__ import annotations
 
 import base64
 import json
-import sqlite3
 import threading
-from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 from urllib.parse import quote
 
 import boto3
@@ -20,22 +17,24 @@
 from walnutpost.http import Response
 
 
-def test_a_call_is_served_and_says_where(tmp_path: Path) -> None:
+def test_a_call_is_served_with_the_executed_version(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
 
     def script() -> None:
         answer = fleet.invoke("price", b'{"isbn": 5}')
         assert answer.status == 200
-        told = json.loads(answer.body)
-        assert (told["function"], told["payload"], told["run"]) == ("price", {"isbn": 5}, 1)
+        body = json.loads(answer.body)
+        assert (body["function"], body["payload"], body["run"]) == ("price", {"isbn": 5}, 1)
         assert answer.headers["x-amz-executed-version"] == "1"
         assert fleet.runs() == 1
 
     fleet.run(script)
 
 
-def test_a_reservation_on_a_silent_worker_runs_once_however_often_it_is_asked_for(tmp_path: Path) -> None:
-    """The client hangs up and asks again under the same id: it joins the call, and gets its one outcome."""
+def test_an_unsafe_call_on_an_unresponsive_worker_runs_once_however_often_it_is_retried(
+    tmp_path: Path,
+) -> None:
+    """The client hangs up and retries under the same id: it joins the call, and gets its one outcome."""
     fleet = Fleet(tmp_path)
 
     def ask() -> Response:
@@ -57,7 +56,7 @@
     fleet.run(script)
 
 
-def test_a_client_that_hangs_up_frees_what_it_held(tmp_path: Path) -> None:
+def test_a_client_that_hangs_up_frees_its_lane(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
 
     def script() -> None:
@@ -67,12 +66,12 @@
         call.cancel()
         fleet.until(lambda: fleet.front.links.out == 0)
         assert fleet.front.core.open_calls == 0 and fleet.front.core.answers["left"] == 1
-        assert ("answer", "left") in [(event, told.get("kind")) for event, told in fleet.log.lines]
+        assert ("answer", "left") in [(event, fields.get("kind")) for event, fields in fleet.log.lines]
 
     fleet.run(script)
 
 
-def test_a_workers_answer_after_the_final_one_changes_nothing(tmp_path: Path) -> None:
+def test_a_worker_s_answer_after_the_final_one_changes_nothing(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path, {"fleet": {"work": {"reserve": {"work_ms": 2600}}}})
 
     def script() -> None:
@@ -81,7 +80,7 @@
         fleet.loop.sleep(5 * SECOND)
         again = fleet.invoke("reserve", b'"not-for-the-log"', amz_sdk_invocation_id="a")
         assert again.body == answer.body and fleet.runs("reserve") == 1
-        logged = [told for event, told in fleet.log.lines if event == "answer"]
+        logged = [fields for event, fields in fleet.log.lines if event == "answer"]
         assert logged[0]["kind"] == "failed" and logged[0]["request"] == answer.headers["x-amzn-requestid"]
         assert "not-for-the-log" not in repr(fleet.log.lines)
 
@@ -139,7 +138,7 @@
 ]
 
 
-def test_bad_requests_get_the_published_error_and_cost_nobody_else(tmp_path: Path) -> None:
+def test_bad_requests_get_the_published_error_and_others_are_served(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
 
     def script() -> None:
@@ -153,7 +152,7 @@
     fleet.run(script)
 
 
-def test_names_qualifiers_and_arns_of_one_function(tmp_path: Path) -> None:
+def test_a_function_is_called_by_name_qualifier_or_arn(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
 
     def script() -> None:
@@ -170,173 +169,7 @@
     fleet.run(script)
 
 
-class Deferred:
-    """Deferred calls as a client sees them."""
-
-    def __init__(self, fleet: Fleet) -> None:
-        self.fleet = fleet
-
-    def start(self, function: str, payload: bytes, name: str) -> Response:
-        headers = {"x-amz-invocation-type": "Event", "x-amz-durable-execution-name": name}
-        return self.fleet.invoke(function, payload, **headers)
-
-    def get(self, arn: str) -> dict[str, Any]:
-        answer = self.fleet.ask("GET", f"/2025-12-01/durable-executions/{quote(arn, safe='')}")
-        return json.loads(answer.body) if answer.status == 200 else {"Status": f"{answer.status}"}
-
-    def fate(self, arn: str) -> dict[str, Any]:
-        self.fleet.until(lambda: self.get(arn)["Status"] != "RUNNING")
-        return self.get(arn)
-
-    def listed(self, function: str, query: str = "") -> dict[str, Any]:
-        answer = self.fleet.ask("GET", f"/2025-12-01/functions/{function}/durable-executions?{query}")
-        return dict(json.loads(answer.body))
-
-
-ARN = "x-amz-durable-execution-arn"
-
-
-def test_a_name_is_one_execution_and_another_payload_a_conflict(tmp_path: Path) -> None:
-    fleet = Fleet(tmp_path)
-
-    def script() -> None:
-        calls = Deferred(fleet)
-        both = [fleet.loop.spawn(calls.start, "reserve", b"7", "order") for _ in range(2)]
-        arns = {task.join().headers[ARN] for task in both}
-        assert len(arns) == 1
-        assert (
-            calls.start("reserve", b"8", "order")
-            .headers["x-amzn-errortype"]
-            .startswith("DurableExecutionAlready")
-        )
-        fate = calls.fate(arns.pop())
-        assert fate["Status"] == "SUCCEEDED" and json.loads(fate["Result"])["payload"] == 7
-        assert calls.start("reserve", b"7", "order").status == 202
-        assert calls.start("reserve", b"8", "order").status == 409
-        assert fleet.runs("reserve") == 1
-
-    fleet.run(script)
-
-
-def test_fates_are_listed_by_page_and_status_and_calls_can_be_stopped(tmp_path: Path) -> None:
-    fleet = Fleet(tmp_path, {"fleet": {"work": {"price": {"work_ms": 900}}}})
-
-    def script() -> None:
-        calls = Deferred(fleet)
-        arns = []
-        for number in range(5):
-            arns.append(calls.start("price", b"1", f"n{number}").headers[ARN])
-            fleet.loop.sleep(1000)
-        stop = fleet.ask("POST", f"/2025-12-01/durable-executions/{quote(arns[0], safe='')}/stop", b"{}")
-        assert stop.status == 200
-        assert [calls.fate(arn)["Status"] for arn in arns] == ["STOPPED"] + ["SUCCEEDED"] * 4
-        first = calls.listed("price", "MaxItems=3")
-        rest = calls.listed("price", f"MaxItems=3&Marker={first['NextMarker']}")
-        found = [e["DurableExecutionArn"] for e in first["DurableExecutions"] + rest["DurableExecutions"]]
-        assert found == arns and "NextMarker" not in rest
-        assert len(calls.listed("price", "Statuses=STOPPED")["DurableExecutions"]) == 1
-        names = [
-            e["DurableExecutionName"] for e in calls.listed("price", "ReverseOrder=true")["DurableExecutions"]
-        ]
-        assert names == ["n4", "n3", "n2", "n1", "n0"]
-        assert calls.get(arns[0].replace("price", "reserve"))["Status"] == "404"
-
-    fleet.run(script)
-
-
-def test_a_store_that_takes_nothing_refuses_and_what_was_refused_never_runs(tmp_path: Path) -> None:
-    fleet = Fleet(tmp_path)
-
-    def script() -> None:
-        calls = Deferred(fleet)
-        kept = calls.start("reserve", b"1", "before").headers[ARN]
-        calls.fate(kept)
-        store = fleet.front.deferred._store
-        other = sqlite3.connect(tmp_path / "calls.db", isolation_level=None, check_same_thread=False)
-        other.execute("begin exclusive")
-        locked = calls.start("reserve", b"2", "locked")
-        assert (locked.status, locked.headers["x-amzn-errortype"]) == (500, "ServiceException")
-        assert fleet.invoke("price").status == 200  # synchronous calls need no disk
-        other.execute("rollback")
-        pages = store._db.execute("pragma page_count").fetchone()[0]
-        store._db.execute(f"pragma max_page_count={pages}")
-        full = calls.start("reserve", b'"%b"' % (b"x" * 200_000), "full")
-        assert (full.status, full.headers["x-amzn-errortype"]) == (500, "ServiceException")
-        assert full.headers["retry-after"]
-        store._db.execute("pragma max_page_count=1000000")
-        assert len(calls.listed("reserve")["DurableExecutions"]) == 1
-        assert calls.fate(calls.start("reserve", b"3", "full").headers[ARN])["Status"] == "SUCCEEDED"
-        other.close()
-
-    fleet.run(script)
-    assert fleet.runs("reserve") == 2
-
-
-class Crash(Exception):
-    pass
-
-
-def crashing(fleet: Fleet, at: int, durable: bool) -> Callable[[], int]:
-    """From commit number `at` on the process is dead: that one reached the disk if `durable`, later ones
-    do not."""
-    store, count = fleet.front.deferred._store, [0]
-    commit = store._commit
-
-    def dying(batch: Any) -> None:
-        count[0] += 1
-        if count[0] < at or (count[0] == at and durable):
-            commit(batch)
-        if count[0] >= at:
-            fleet.loop.call_later(0, lambda: None)
-            raise Crash
-
-    store._commit = dying  # type: ignore[method-assign]
-    return lambda: count[0]
-
-
-@pytest.mark.parametrize("durable", [False, True])
-def test_a_crash_at_any_commit_leaves_every_accepted_call_a_fate_and_runs_nothing_twice(
-    tmp_path: Path, durable: bool
-) -> None:
-    commits = 0
-    for at in range(1, 12):
-        path = tmp_path / f"{at}"
-        path.mkdir()
-        first = Fleet(path)
-        accepted: list[str] = []
-
-        def before(fleet: Fleet = first, at: int = at, accepted: list[str] = accepted) -> int:
-            reached = crashing(fleet, at, durable)
-            calls = Deferred(fleet)
-            for number, function in enumerate(["reserve", "price", "reserve"]):
-                answer = calls.start(function, str(number).encode(), f"n{number}")
-                if reached() >= at:
-                    break
-                accepted.append(answer.headers[ARN])
-                fleet.loop.sleep(SECOND // 2 if number else 0)
-                if reached() >= at:
-                    break
-            return reached()
-
-        commits = max(commits, first.run(before))
-        second = Fleet(path)
-
-        def after(fleet: Fleet = second, accepted: list[str] = accepted) -> None:
-            calls = Deferred(fleet)
-            for arn in accepted:
-                fate = calls.fate(arn)
-                assert fate["Status"] in ("SUCCEEDED", "FAILED", "TIMED_OUT"), fate
-                if "price" in arn:
-                    assert fate["Status"] == "SUCCEEDED"
-            fleet.loop.sleep(5 * SECOND)
-            assert not calls.listed("reserve", "Statuses=RUNNING")["DurableExecutions"]
-
-        second.run(after)
-        assert first.runs("reserve") + second.runs("reserve") <= 2
-    assert commits >= 6  # every commit of the three calls was crashed at
-
-
-def test_an_sdk_asks_again_after_a_refusal_and_never_after_what_may_have_run(tmp_path: Path) -> None:
+def test_an_sdk_retries_after_a_rejection_and_never_after_a_call_that_may_have_run(tmp_path: Path) -> None:
     """The SDK's own retries, on real time: the loop runs in a thread of its own."""
     fleet = Fleet(tmp_path, {"site": {"limits": {"max_retry_after_ms": 1000}}}, clock=RealClock())
     ready, over = threading.Event(), threading.Event()
