--- a/packages/configstore/tests/test_configstore_golden.py
+++ b/packages/configstore/tests/test_configstore_golden.py
@@ -5,7 +5,7 @@
 import pytest
 
 from configstore_forms import GOLDEN
-from golden_forms import check_covered, check_fields_told_apart, structs_of
+from golden_forms import check_covered, check_fields_distinguishable, structs_of
 from walnutpost.configstore import (
     digest_check,
     digests,
@@ -66,7 +66,7 @@
 
 
 def test_no_field_can_change_places_or_its_default_unseen() -> None:
-    check_fields_told_apart(GOLDEN.values())
+    check_fields_distinguishable(GOLDEN.values())
 
 
 def test_a_golden_table_with_one_flipped_byte_is_refused() -> None:
--- a/packages/consensus/src/walnutpost/consensus/__init__.py
+++ b/packages/consensus/src/walnutpost/consensus/__init__.py
@@ -1,5 +1,9 @@
-"""One history agreed on by a few processes that may die, stop and lose sight of each other: Raft, no I/O."""
+"""Raft without I/O and clock: one log for a few processes that may crash, pause and be partitioned.
 
+Source: see `messages.py`.
+"""
+
+from walnutpost.consensus.errors import CommittedEntryConflictError, ConsensusError, LogGapError
 from walnutpost.consensus.messages import (
     LEADER_NOT_READY,
     LEADERSHIP_LOST,
@@ -30,19 +34,25 @@
     Write,
     WriteCompleted,
 )
-from walnutpost.consensus.raft import PersistentState, Raft, Timing
+from walnutpost.consensus.raft import Raft
+from walnutpost.consensus.safety import RAFT_RULES, SafetyRules
+from walnutpost.consensus.state import PersistentState, Timing
 
 __all__ = [
     "LEADERSHIP_LOST",
     "LEADER_NOT_READY",
     "NOT_LEADER",
+    "RAFT_RULES",
     "Apply",
     "ChangeMembership",
+    "CommittedEntryConflictError",
     "Compact",
+    "ConsensusError",
     "Effect",
     "EntryKind",
     "Input",
     "LogEntry",
+    "LogGapError",
     "Members",
     "Message",
     "MessageReceived",
@@ -55,6 +65,7 @@
     "Restore",
     "Role",
     "RoleChanged",
+    "SafetyRules",
     "Send",
     "Snapshot",
     "Tick",
--- /dev/null
+++ b/packages/consensus/src/walnutpost/consensus/membership.py
@@ -0,0 +1,37 @@
+"""Membership changes, one voter at a time (thesis, chapter 4)."""
+
+from __future__ import annotations
+
+from walnutpost.consensus.commitment import Commitment
+from walnutpost.consensus.messages import NOT_LEADER, EntryKind, Members, Rejected
+from walnutpost.consensus.replication import Replication
+from walnutpost.consensus.safety import SafetyRules
+from walnutpost.consensus.state import RaftState
+
+
+class Membership:
+    """Appends membership changes that `SafetyRules` allows, and rejects others."""
+
+    __slots__ = ("_commitment", "_replication", "_rules", "_state")
+
+    def __init__(
+        self, state: RaftState, rules: SafetyRules, replication: Replication, commitment: Commitment
+    ) -> None:
+        """Work on the given state."""
+        self._state = state
+        self._rules = rules
+        self._replication = replication
+        self._commitment = commitment
+
+    def change(self, id: str, members: Members) -> None:
+        """Append a change, which is in force from then on; it may make what is there committed."""
+        state, leadership = self._state, self._state.leadership
+        if leadership is None:
+            state.effects.append(Rejected(id, NOT_LEADER, state.leader))
+            return
+        error = self._rules.membership_change_error(state, leadership, members)
+        if error:
+            state.effects.append(Rejected(id, error, state.replica_id))
+            return
+        self._replication.append(leadership, EntryKind.MEMBERS, id, members=members)
+        self._commitment.advance()
--- a/packages/consensus/src/walnutpost/consensus/messages.py
+++ b/packages/consensus/src/walnutpost/consensus/messages.py
@@ -71,7 +71,8 @@
 class VoteRequest(Record, frozen=True, tag="VoteAsked"):
     """RequestVote. `pre_vote`: asks whether a vote would be granted and changes nothing (thesis 9.6).
 
-    `leadership_transfer`: the leader asked for this election, so its liveness is no ground to refuse."""
+    `leadership_transfer`: the leader asked for this election, so its liveness is no ground to refuse.
+    """
 
     term: int
     sender: str
@@ -95,7 +96,8 @@
 
     `round`: number of the leader's round, returned in the response. `quorum_contact_age_us`: time since the
     leader was last in contact with a quorum, negative where it is unknown. `echoed_sent_at_us`: `sent_at_us`
-    of the newest response that the leader had from this replica when it wrote this, 0 for none."""
+    of the newest response that the leader had from this replica when it wrote this, 0 for none.
+    """
 
     term: int
     sender: str
@@ -113,7 +115,8 @@
 
     `match_index`: the last index that is durable and known to equal the leader's; after a failure, the index
     at which to try next. `sent_at_us`: time of writing by the sender's clock, shifted by an offset that only
-    its process knows."""
+    its process knows.
+    """
 
     term: int
     sender: str
@@ -224,7 +227,8 @@
     """To be made durable, in the order of `number`, and reported by WriteCompleted.
 
     Entries above `last_retained_index` are deleted, then `entries` follow it; a snapshot replaces all entries
-    up to its index."""
+    up to its index.
+    """
 
     number: int
     term: int
--- a/packages/consensus/tests/cluster_simulation.py
+++ b/packages/consensus/tests/cluster_simulation.py
@@ -1,13 +1,16 @@
-"""Replicas on virtual time with disks and a network that lose, double and delay; what must hold is looked at
-after each step."""
+"""Replicas on virtual time, with disks and a network that lose, duplicate and delay; invariants are checked
+after each step.
+"""
 
 from __future__ import annotations
 
 from bisect import bisect_left
 from collections.abc import Sequence
+from enum import Enum
 from random import Random
 
 from walnutpost.consensus import (
+    RAFT_RULES,
     Apply,
     ChangeMembership,
     Compact,
@@ -15,7 +18,6 @@
     Input,
     LogEntry,
     Members,
-    Message,
     MessageReceived,
     PersistentState,
     Propose,
@@ -26,6 +28,7 @@
     Restore,
     Role,
     RoleChanged,
+    SafetyRules,
     Send,
     Snapshot,
     Tick,
@@ -34,102 +37,127 @@
     WriteCompleted,
 )
 
-TIMING = Timing(100_000, 20_000)
+TIMING = Timing(election_timeout_us=100_000, heartbeat_interval_us=20_000)
+START_US = 1_000_000
+MAX_STEP_US = 3_000
+MAX_IN_FLIGHT = 60
+MAX_SETTLE_STEPS = 10_000
+MAX_ELECTION_ATTEMPTS = 4
+
+
+class Invariant(Enum):
+    """What must hold after each step, in any order of events."""
+
+    APPLIED_IN_ORDER = "entries are applied once and in order"
+    ONE_HISTORY = "all replicas apply the same entries"
+    ONE_LEADER_PER_TERM = "a term has one leader"
+    CURRENT_READS = "a read misses nothing that was committed when it was requested"
+    NO_FUTURE_FRESHNESS = "no state is the newest at a time to come"
+    TRUE_FRESHNESS = "a state was the newest at the time that fresh_as_of returns"
+
+
+class InvariantViolatedError(AssertionError):
+    """A step broke an invariant."""
+
+    def __init__(self, invariant: Invariant, replica: str) -> None:
+        self.invariant = invariant
+        self.replica = replica
+        super().__init__(f"{replica}: not true that {invariant.value}")
 
 
 class Replica:
-    """A replica, its disk, the writes that are not durable yet, and what was applied to it."""
+    """A replica, its disk, the writes that are not durable yet, and what was applied to its state machine."""
 
-    def __init__(self, name: str, kept: PersistentState, seed: int, kind: type[Raft]) -> None:
-        self.name, self.kept, self._seed, self._kind = name, kept, seed, kind
+    def __init__(self, name: str, persistent: PersistentState, seed: int, rules: SafetyRules) -> None:
+        self.name = name
+        self.persistent = persistent
+        self._seed = seed
+        self._rules = rules
         self.starts = 0
         self.start()
 
     def start(self) -> None:
         self.starts += 1
-        self.raft: Raft | None = self._kind(self.name, self.kept, TIMING, self._seed + self.starts)
+        seed = self._seed + self.starts
+        self.raft: Raft | None = Raft(self.name, self.persistent, TIMING, seed, self._rules)
         self.writes: list[Write] = []
         self.applied = 0
         self.state: tuple[str, ...] = ()
 
-    def write(self, number: int = 1) -> int:
-        """Makes the first ones durable; the number of the last."""
-        done, self.writes = self.writes[:number], self.writes[number:]
-        for w in done:
-            snapshot = w.snapshot or self.kept.snapshot
-            held = [e for e in self.kept.entries if e.index <= w.last_retained_index] + list(w.entries)
-            held = [e for e in held if e.index > snapshot.index]
-            self.kept = PersistentState(w.term, w.voted_for, snapshot, tuple(held))
-        return done[-1].number
+    @property
+    def running(self) -> Raft:
+        assert self.raft is not None, f"{self.name} has crashed"
+        return self.raft
+
+    def complete_writes(self, count: int = 1) -> int:
+        """Make the first writes durable and return the number of the last."""
+        completed, self.writes = self.writes[:count], self.writes[count:]
+        for write in completed:
+            snapshot = write.snapshot or self.persistent.snapshot
+            retained = [e for e in self.persistent.entries if e.index <= write.last_retained_index]
+            entries = [e for e in (*retained, *write.entries) if e.index > snapshot.index]
+            self.persistent = PersistentState(write.term, write.voted_for, snapshot, tuple(entries))
+        return completed[-1].number
 
 
 class Cluster:
+    """Replicas and the network between them. `spare`: replicas that know no members yet."""
+
     def __init__(
-        self, names: Sequence[str], seed: int = 0, kind: type[Raft] = Raft, spare: Sequence[str] = ()
+        self,
+        names: Sequence[str],
+        seed: int = 0,
+        rules: SafetyRules = RAFT_RULES,
+        spare: Sequence[str] = (),
     ) -> None:
-        self.now = 1_000_000
-        self.kind, self.seed = kind, seed
+        self.now_us = START_US
         founded = PersistentState(snapshot=Snapshot(0, 0, Members(tuple(names)), b""))
-        self.replicas = {name: Replica(name, founded, seed, kind) for name in names}
-        self.replicas |= {name: Replica(name, PersistentState(), seed, kind) for name in spare}
-        self.wire: list[tuple[str, Message]] = []
-        self.agreed: dict[int, LogEntry] = {}
-        self.agreed_at: list[int] = []  # by entry, from the first: when somebody first applied it
-        self.leaders: dict[int, str] = {}
-        self.reads: dict[str, int] = {}  # what was agreed when it was asked
+        self.replicas = {name: Replica(name, founded, seed, rules) for name in names}
+        self.replicas |= {name: Replica(name, PersistentState(), seed, rules) for name in spare}
+        self.in_flight: list[Send] = []
+        self.committed: dict[int, LogEntry] = {}
+        self.committed_at_us: list[int] = []  # by entry, from the first: when a replica first applied it
+        self.leaders: dict[int, str] = {}  # by term
+        self.committed_at_request: dict[str, int] = {}  # by read: the last index committed then
         self.rejected: list[Rejected] = []
         self.ready: list[ReadReady] = []
-        self.count = 0
+        self._ids = 0
+
+    @property
+    def leader(self) -> str:
+        """The leader of the newest term, empty where there is none."""
+        leaders = [raft for raft in self.running() if raft.role is Role.LEADER]
+        return max(leaders, key=lambda raft: raft.term).replica_id if leaders else ""
+
+    def running(self) -> list[Raft]:
+        """Return the replicas that have not crashed."""
+        return [replica.raft for replica in self.replicas.values() if replica.raft is not None]
+
+    def raft(self, name: str) -> Raft:
+        return self.replicas[name].running
+
+    def first_due(self, names: Sequence[str]) -> str:
+        """Return which of these replicas has the earliest deadline."""
+        return min(names, key=lambda name: self.raft(name).next_deadline_us)
+
+    # Single events
 
     def feed(self, name: str, event: Input) -> None:
+        """Give a replica an input; one that has crashed misses it."""
         replica = self.replicas[name]
         if replica.raft is not None:
-            for effect in replica.raft.handle(self.now, event):
-                self._take(replica, effect)
-            self._look_at_age(replica)
-
-    def _look_at_age(self, replica: Replica) -> None:
-        """What it holds was the newest at the time that it vouches for."""
-        assert replica.raft is not None
-        at = replica.raft.fresh_as_of(replica.applied)
-        if at is not None:
-            assert at <= self.now, "vouched for what is to come"
-            assert bisect_left(self.agreed_at, at) <= replica.applied, "older than it says"
-
-    def _take(self, replica: Replica, effect: Effect) -> None:
-        match effect:
-            case Write():
-                replica.writes.append(effect)
-            case Send(to, message):
-                self.wire.append((to, message))
-            case Apply(entries):
-                for entry in entries:
-                    assert entry.index == replica.applied + 1, "applied out of order"
-                    assert self.agreed.setdefault(entry.index, entry) == entry, "two histories"
-                    if entry.index > len(self.agreed_at):
-                        self.agreed_at.append(self.now)
-                    replica.applied = entry.index
-                    replica.state += (entry.id,)
-            case Restore(snapshot):
-                replica.applied = snapshot.index
-                replica.state = tuple(snapshot.data.decode().split(","))[: snapshot.index]
-            case RoleChanged(Role.LEADER, term, leader):
-                assert self.leaders.setdefault(term, leader) == leader, "two leaders in a term"
-            case ReadReady(id, index):
-                assert index >= self.reads[id] and replica.applied >= index, "an old answer"
-                self.ready.append(effect)
-            case Rejected():
-                self.rejected.append(effect)
-
-    # What may happen
+            for effect in replica.raft.handle(self.now_us, event):
+                self._execute(replica, effect)
+            self._check_freshness(replica)
 
-    def deliver(self, place: int) -> None:
-        to, message = self.wire.pop(place)
-        if to in self.replicas:
-            self.feed(to, MessageReceived(to, message))
+    def deliver(self, position: int) -> None:
+        """Deliver a message that is in flight."""
+        send = self.in_flight.pop(position)
+        if send.to in self.replicas:
+            self.feed(send.to, MessageReceived(send.to, send.message))
 
-    def written(self, name: str, number: int = 1) -> None:
-        self.feed(name, WriteCompleted(self.replicas[name].write(number)))
+    def complete_writes(self, name: str, count: int = 1) -> None:
+        self.feed(name, WriteCompleted(self.replicas[name].complete_writes(count)))
 
     def crash(self, name: str) -> None:
         self.replicas[name].raft = None
@@ -137,101 +165,124 @@
     def restart(self, name: str) -> None:
         self.replicas[name].start()
 
-    def due(self, name: str) -> None:
-        raft = self.replicas[name].raft
-        assert raft is not None
-        self.now = max(self.now + 1, raft.next_deadline_us)
+    def tick_at_deadline(self, name: str) -> None:
+        """Let time pass until a replica has something to do, and let it do that."""
+        self.now_us = max(self.now_us + 1, self.raft(name).next_deadline_us)
         self.feed(name, Tick())
 
-    def fresh(self) -> str:
-        self.count += 1
-        return f"c{self.count}"
+    def new_id(self) -> str:
+        self._ids += 1
+        return f"c{self._ids}"
+
+    def propose(self, name: str) -> str:
+        id = self.new_id()
+        self.feed(name, Propose(id, id.encode()))
+        return id
 
-    def ask(self, name: str) -> None:
-        id = f"r{self.fresh()}"
-        self.reads[id] = max(self.agreed, default=0)
+    def request_read(self, name: str) -> None:
+        id = f"r{self.new_id()}"
+        self.committed_at_request[id] = max(self.committed, default=0)
         self.feed(name, ReadIndex(id))
 
-    @property
-    def leader(self) -> str:
-        """The one of the newest term, or nothing."""
-        raft = [r.raft for r in self.replicas.values() if r.raft is not None and r.raft.role is Role.LEADER]
-        return max(raft, key=lambda r: r.term).replica_id if raft else ""
+    def compact(self, name: str) -> None:
+        """Let a replica replace what it has applied by a snapshot."""
+        replica = self.replicas[name]
+        self.feed(name, Compact(replica.applied, ",".join(replica.state).encode()))
 
-    # Ways to go on
+    # Longer sequences
 
     def settle(self, *names: str) -> None:
-        """All that is under way arrives, among these alone; the rest of it is lost."""
+        """Complete all writes and deliver all messages among these replicas (all by default); drop others."""
         among = names or tuple(self.replicas)
-        for _ in range(10_000):
-            self.wire = [(to, m) for to, m in self.wire if to in among and m.sender in among]
+        for _ in range(MAX_SETTLE_STEPS):
+            self.in_flight = [s for s in self.in_flight if s.to in among and s.message.sender in among]
             writing = [n for n in among if self.replicas[n].raft and self.replicas[n].writes]
             if writing:
-                self.written(writing[0])
-            elif self.wire:
+                self.complete_writes(writing[0])
+            elif self.in_flight:
                 self.deliver(0)
             else:
                 return
-        raise AssertionError("it never came to rest")
+        raise AssertionError(f"events go on after {MAX_SETTLE_STEPS} steps")
 
     def elect(self, name: str, *names: str) -> None:
-        """`name` stands and wins among these; the others have long heard nobody."""
-        self.now += 2 * TIMING.election_timeout_us
-        for _ in range(4):
-            self.due(name)
+        """Let a replica win an election among these; the others have heard no leader for a long time."""
+        self.now_us += 2 * TIMING.election_timeout_us
+        for _ in range(MAX_ELECTION_ATTEMPTS):
+            self.tick_at_deadline(name)
             self.settle(*names)
             if self.leader == name:
                 return
         raise AssertionError(f"{name} did not win")
 
-    def propose(self, name: str) -> str:
-        id = self.fresh()
-        self.feed(name, Propose(id, id.encode()))
-        return id
+    def pass_heartbeats(self, count: int, *names: str) -> None:
+        """Let heartbeat intervals pass, with messages among these replicas delivered at once."""
+        for _ in range(count):
+            self.now_us += TIMING.heartbeat_interval_us
+            for name in self.replicas:
+                self.feed(name, Tick())
+            self.settle(*names)
+
+    def staleness(self, *names: str) -> list[int]:
+        """Return the age bound of each replica's state in heartbeat intervals; fail where it has none."""
+        out = []
+        for name in names:
+            replica = self.replicas[name]
+            fresh_as_of_us = replica.running.fresh_as_of(replica.applied)
+            assert fresh_as_of_us is not None, f"{name} has no freshness bound"
+            out.append((self.now_us - fresh_as_of_us) // TIMING.heartbeat_interval_us)
+        return out
+
+    # Random events
 
     def step(self, random: Random) -> None:
-        """Something happens, anywhere."""
-        live = [n for n, r in self.replicas.items() if r.raft is not None]
-        dead = [n for n in self.replicas if n not in live]
-        name = random.choice(live or dead)
+        """Let one random event happen at a random replica."""
+        live = [name for name, replica in self.replicas.items() if replica.raft is not None]
+        crashed = [name for name in self.replicas if name not in live]
+        name = random.choice(live or crashed)
         dice = random.random()
-        if not live or (dead and dice < 0.03):
-            self.restart(random.choice(dead))
-        elif dice < 0.5 and self.wire:
-            place = random.randrange(len(self.wire))
-            if dice < 0.03:
-                self.wire.append(self.wire[place])
-            if dice < 0.06:
-                self.wire.pop(place)
-            else:
-                self.deliver(place)
-        elif dice < 0.72 and (writing := [n for n in live if self.replicas[n].writes]):
-            who = random.choice(writing)
-            self.written(who, random.randint(1, len(self.replicas[who].writes)))
+        if not live or (crashed and dice < 0.03):
+            self.restart(random.choice(crashed))
+        elif dice < 0.5 and self.in_flight:
+            self._random_delivery(random, dice)
+        elif dice < 0.72 and (writing := [name for name in live if self.replicas[name].writes]):
+            writer = random.choice(writing)
+            self.complete_writes(writer, random.randint(1, len(self.replicas[writer].writes)))
         elif dice < 0.76:
-            due = min(live, key=lambda n: self.replicas[n].raft.next_deadline_us)  # type: ignore[union-attr]
-            self.due(due)
+            self.tick_at_deadline(self.first_due(live))
         elif dice < 0.775:
             self.crash(name)
-        elif dice < 0.9:
+        else:
+            self._random_request(random, dice, name)
+        self.now_us += random.randrange(MAX_STEP_US)
+        del self.in_flight[: max(0, len(self.in_flight) - MAX_IN_FLIGHT)]
+
+    def _random_delivery(self, random: Random, dice: float) -> None:
+        """Deliver, duplicate or lose a message."""
+        position = random.randrange(len(self.in_flight))
+        if dice < 0.03:
+            self.in_flight.append(self.in_flight[position])
+        if dice < 0.06:
+            self.in_flight.pop(position)
+        else:
+            self.deliver(position)
+
+    def _random_request(self, random: Random, dice: float, name: str) -> None:
+        if dice < 0.9:
             self.propose(self.leader or name)
         elif dice < 0.95:
-            self.ask(name)
+            self.request_read(name)
         elif dice < 0.97:
-            replica = self.replicas[name]
-            if replica.applied:
-                self.feed(name, Compact(replica.applied, ",".join(replica.state).encode()))
+            if self.replicas[name].applied:
+                self.compact(name)
         elif self.leader:
-            raft = self.replicas[self.leader].raft
-            assert raft is not None
-            self.feed(self.leader, ChangeMembership(self.fresh(), self._other(raft.members, random)))
-        self.now += random.randrange(3_000)
-        del self.wire[: max(0, len(self.wire) - 60)]
-
-    def _other(self, members: Members, random: Random) -> Members:
-        """Somebody is taken in to learn, then to vote, or put out."""
+            members = self._random_change(self.raft(self.leader).members, random)
+            self.feed(self.leader, ChangeMembership(self.new_id(), members))
+
+    def _random_change(self, members: Members, random: Random) -> Members:
+        """Return a membership with a learner more, with a learner made a voter, or with a voter less."""
         voters, learners = list(members.voters), list(members.learners)
-        strangers = [n for n in self.replicas if n not in members.all]
+        strangers = [name for name in self.replicas if name not in members.all]
         dice = random.random()
         if dice < 0.4 and learners:
             voters.append(learners.pop())
@@ -240,3 +291,47 @@
         elif len(voters) > 2:
             voters.remove(random.choice(voters))
         return Members(tuple(voters), tuple(learners))
+
+    # Effects and invariants
+
+    def _execute(self, replica: Replica, effect: Effect) -> None:
+        match effect:
+            case Write():
+                replica.writes.append(effect)
+            case Send():
+                self.in_flight.append(effect)
+            case Apply(entries):
+                for entry in entries:
+                    self._apply(replica, entry)
+            case Restore(snapshot):
+                replica.applied = snapshot.index
+                replica.state = tuple(snapshot.data.decode().split(","))[: snapshot.index]
+            case RoleChanged(Role.LEADER, term, leader):
+                is_only_leader = self.leaders.setdefault(term, leader) == leader
+                self._check(Invariant.ONE_LEADER_PER_TERM, replica, is_only_leader)
+            case ReadReady(id, index):
+                is_current = self.committed_at_request[id] <= index <= replica.applied
+                self._check(Invariant.CURRENT_READS, replica, is_current)
+                self.ready.append(effect)
+            case Rejected():
+                self.rejected.append(effect)
+
+    def _apply(self, replica: Replica, entry: LogEntry) -> None:
+        self._check(Invariant.APPLIED_IN_ORDER, replica, entry.index == replica.applied + 1)
+        is_same = self.committed.setdefault(entry.index, entry) == entry
+        self._check(Invariant.ONE_HISTORY, replica, is_same)
+        if entry.index > len(self.committed_at_us):
+            self.committed_at_us.append(self.now_us)
+        replica.applied = entry.index
+        replica.state += (entry.id,)
+
+    def _check_freshness(self, replica: Replica) -> None:
+        fresh_as_of_us = replica.running.fresh_as_of(replica.applied)
+        if fresh_as_of_us is not None:
+            self._check(Invariant.NO_FUTURE_FRESHNESS, replica, fresh_as_of_us <= self.now_us)
+            newest_index = bisect_left(self.committed_at_us, fresh_as_of_us)
+            self._check(Invariant.TRUE_FRESHNESS, replica, newest_index <= replica.applied)
+
+    def _check(self, invariant: Invariant, replica: Replica, holds: bool) -> None:
+        if not holds:
+            raise InvariantViolatedError(invariant, replica.name)
--- a/packages/consensus/tests/golden_forms.py
+++ b/packages/consensus/tests/golden_forms.py
@@ -32,63 +32,72 @@
 FORMAT_FIELDS = frozenset({"format"})
 
 
-def same(value: Any) -> Any:
+class GoldenFormChangedError(Exception):
+    """Forms that a golden file has would change or go: `names`."""
+
+    def __init__(self, path: Path, names: list[str]) -> None:
+        self.path = path
+        self.names = names
+        super().__init__(f"{path}: would change {', '.join(names)}")
+
+
+def identity(value: Any) -> Any:
     return value
 
 
 @dataclass(frozen=True)
 class Form:
-    """One object and how it is written and read. `decode` None: it is written only. `compared`: what is
-    compared of the object that was read and `value`, where it has no equality of its own. `agrees`: whether
-    bytes that are written now, its first argument, are still the golden ones."""
+    """One object and how it is written and read.
+
+    `decode`: None where it is only written. `comparable`: what to compare of the object that was read and of
+    `value`, where it has no equality of its own. `is_equivalent`: whether the bytes written now, its first
+    argument, still are the golden ones.
+    """
 
     value: Any
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes], Any] | None
-    compared: Callable[[Any], Any] = same
-    agrees: Callable[[bytes, bytes], bool] = operator.eq
+    comparable: Callable[[Any], Any] = identity
+    is_equivalent: Callable[[bytes, bytes], bool] = operator.eq
 
 
 def packed(value: Any, kind: Any = None) -> Form:
-    """A value that `msgspec.msgpack` writes, and reads as `kind`: its own type where none is given."""
+    """Return the form of a value that `msgspec.msgpack` writes, and reads as `kind`, by default its type."""
     return Form(value, msgspec.msgpack.encode, msgspec.msgpack.Decoder(kind or type(value)).decode)
 
 
 def as_json(value: Any) -> Form:
-    """Names and figures that are only compared, readable in the golden file."""
-    return Form(value, lambda told: json.dumps(told).encode(), json.loads)
-
-
-class Refused(Exception):
-    """A golden form would change."""
+    """Return the form of names and numbers that are only compared, readable in the golden file."""
+    return Form(value, lambda plain: json.dumps(plain).encode(), json.loads)
 
 
 @dataclass(frozen=True)
 class Golden:
-    """A golden file and the forms that it holds, by name."""
+    """A golden file and its forms, by name."""
 
     path: Path
     about: str
     forms: Mapping[str, Form]
 
     def read(self) -> dict[str, bytes]:
-        told = json.loads(self.path.read_text()) if self.path.exists() else {"forms": {}}
-        return {name: _bytes_of(form) for name, form in told["forms"].items()}
+        content = json.loads(self.path.read_text()) if self.path.exists() else {"forms": {}}
+        return {name: _bytes_of(stored) for name, stored in content["forms"].items()}
 
     def __getitem__(self, name: str) -> bytes:
         return self.read()[name]
 
     def check_written(self, name: str) -> None:
         form = self.forms[name]
-        now = form.encode(form.value)
-        assert form.agrees(now, self[name]), f"{name}: other bytes than those of {self.path.name}: {now!r}"
+        written = form.encode(form.value)
+        is_same = form.is_equivalent(written, self[name])
+        assert is_same, f"{name}: other bytes than those of {self.path.name}: {written!r}"
 
     def check_read(self, name: str) -> None:
         form = self.forms[name]
         if form.decode is None:
             return
-        read = form.compared(form.decode(self[name]))
-        assert read == form.compared(form.value), f"{name}: {self.path.name} is read as another value"
+        read = form.comparable(form.decode(self[name]))
+        assert read == form.comparable(form.value), f"{name}: {self.path.name} is read as another value"
 
     def check_names(self) -> None:
         assert list(self.read()) == list(self.forms)
@@ -97,23 +106,29 @@
         return [form.value for form in self.forms.values()]
 
     def write(self, overwrite: bool = False) -> list[str]:
-        """Adds what the file lacks, and returns its names. Raises Refused where a form that it has would
-        change or go, unless `overwrite`."""
-        had = self.read()
-        now = {name: form.encode(form.value) for name, form in self.forms.items()}
-        kept = [name for name in had if name in now and self.forms[name].agrees(now[name], had[name])]
-        changed = [name for name in had if name not in kept]
+        """Add what the file lacks, and return the names that were written.
+
+        Raises GoldenFormChangedError where a form of the file would change or go, unless `overwrite`.
+        """
+        stored = self.read()
+        written = {name: form.encode(form.value) for name, form in self.forms.items()}
+        unchanged = [
+            name
+            for name, data in stored.items()
+            if name in written and self.forms[name].is_equivalent(written[name], data)
+        ]
+        changed = [name for name in stored if name not in unchanged]
         if changed and not overwrite:
-            raise Refused(f"{self.path}: would change {', '.join(changed)}")
-        now |= {name: had[name] for name in kept}
-        told = {"about": self.about, "forms": {name: _form_of(data) for name, data in now.items()}}
+            raise GoldenFormChangedError(self.path, changed)
+        written |= {name: stored[name] for name in unchanged}
+        content = {"about": self.about, "forms": {name: _form_of(data) for name, data in written.items()}}
         self.path.parent.mkdir(exist_ok=True)
-        self.path.write_text(json.dumps(told, indent=1) + "\n")
-        return changed + [name for name in now if name not in had]
+        self.path.write_text(json.dumps(content, indent=1) + "\n")
+        return changed + [name for name in written if name not in stored]
 
 
 def _form_of(data: bytes) -> dict[str, Any]:
-    """Text as text or lines, so that people can read it; all else as hexadecimal digits."""
+    """Return text as text or lines, so that people can read it, and all else as hexadecimal digits."""
     try:
         text = data.decode("ascii")
     except UnicodeDecodeError:
@@ -124,10 +139,10 @@
     return {"text": text} if len(lines) == 1 else {"lines": lines}
 
 
-def _bytes_of(form: dict[str, Any]) -> bytes:
-    if "hex" in form:
-        return bytes.fromhex(form["hex"])
-    text: str = form["text"] if "text" in form else "\n".join(form["lines"])
+def _bytes_of(stored: dict[str, Any]) -> bytes:
+    if "hex" in stored:
+        return bytes.fromhex(stored["hex"])
+    text: str = stored["text"] if "text" in stored else "\n".join(stored["lines"])
     return text.encode()
 
 
@@ -135,7 +150,7 @@
 
 
 def structs_of(module: ModuleType) -> set[type[msgspec.Struct]]:
-    """The structs that a module defines, but for bases that have no fields and only serve others."""
+    """Return the structs that a module defines, but for bases without fields that only serve others."""
     found = {
         each
         for each in vars(module).values()
@@ -145,8 +160,8 @@
     return {each for each in found if each not in bases or each.__struct_fields__}
 
 
-def within(value: Any) -> Iterator[msgspec.Struct]:
-    """The structs in a value, itself too."""
+def structs_within(value: Any) -> Iterator[msgspec.Struct]:
+    """Yield the structs in a value, itself included."""
     if isinstance(value, msgspec.Struct):
         yield value
         value = [getattr(value, name) for name in value.__struct_fields__]
@@ -154,40 +169,56 @@
         value = list(value.values())
     if isinstance(value, (tuple, list)):
         for each in value:
-            yield from within(each)
+            yield from structs_within(each)
 
 
-def check_covered(wanted: Iterable[type], values: Iterable[Any], never_written: Iterable[type] = ()) -> None:
-    """Each wanted type is in some form, or is named as one that is never written; not both."""
-    written, never = {type(each) for each in within(list(values))}, set(never_written)
+def check_covered(
+    expected: Iterable[type], values: Iterable[Any], never_written: Iterable[type] = ()
+) -> None:
+    """Check that each expected type is in some form, or is named as one that is never written; not both."""
+    written, never = {type(each) for each in structs_within(list(values))}, set(never_written)
     assert not written & never, "named as never written, and in a golden form"
-    left = {each.__name__ for each in set(wanted) - written - never}
-    assert not left, f"in no golden form: {sorted(left)}"
+    missing = {each.__name__ for each in set(expected) - written - never}
+    assert not missing, f"in no golden form: {sorted(missing)}"
 
 
-def check_fields_told_apart(values: Iterable[Any]) -> None:
-    """For each struct that is found in the forms: each field differs from its default in one of them, and any
-    two fields differ from each other, so that neither can change places without another byte; and all
-    defaults are in force in one."""
-    found = defaultdict(list)
-    for each in within(list(values)):
+def check_fields_distinguishable(values: Iterable[Any]) -> None:
+    """Check that no field of the structs in the forms can change without another byte in some form.
+
+    Each field differs from its default in some form, any two fields differ from each other in some form, so
+    that neither can change places unnoticed, and some form has all defaults.
+    """
+    found: defaultdict[type[msgspec.Struct], list[msgspec.Struct]] = defaultdict(list)
+    for each in structs_within(list(values)):
         found[type(each)].append(each)
     wrong = []
     for kind, instances in found.items():
-        defaults = {f.name: _default(f) for f in structs.fields(kind) if not f.required}
-        if defaults and not any(all(getattr(i, n) == d for n, d in defaults.items()) for i in instances):
-            wrong.append(f"{kind.__name__}: never with all its defaults")
-        for name, default in defaults.items():
-            if name not in FORMAT_FIELDS and all(getattr(i, name) == default for i in instances):
-                wrong.append(f"{kind.__name__}.{name}: always the default")
-        for one, other in combinations(kind.__struct_fields__, 2):
-            if all(_packed(getattr(i, one)) == _packed(getattr(i, other)) for i in instances):
-                wrong.append(f"{kind.__name__}: {one} and {other} always the same")
+        wrong += [*_default_faults(kind, instances), *_equal_fields(kind, instances)]
     assert not wrong, wrong
 
 
+def _default_faults(kind: type[msgspec.Struct], instances: list[msgspec.Struct]) -> Iterator[str]:
+    defaults = {field.name: _default(field) for field in structs.fields(kind) if not field.required}
+    has_all_defaults = any(
+        all(getattr(instance, name) == default for name, default in defaults.items())
+        for instance in instances
+    )
+    if defaults and not has_all_defaults:
+        yield f"{kind.__name__}: never with all its defaults"
+    for name, default in defaults.items():
+        is_always_default = all(getattr(instance, name) == default for instance in instances)
+        if name not in FORMAT_FIELDS and is_always_default:
+            yield f"{kind.__name__}.{name}: always the default"
+
+
+def _equal_fields(kind: type[msgspec.Struct], instances: list[msgspec.Struct]) -> Iterator[str]:
+    for one, other in combinations(kind.__struct_fields__, 2):
+        if all(_packed(getattr(i, one)) == _packed(getattr(i, other)) for i in instances):
+            yield f"{kind.__name__}: {one} and {other} always the same"
+
+
 def _packed(value: Any) -> bytes:
-    """An unset value is not written at all, which is no value's bytes."""
+    """Return a value's bytes; an unset value is not written at all, which is no value's bytes."""
     return b"" if value is msgspec.UNSET else msgspec.msgpack.encode(value)
 
 
@@ -206,8 +237,8 @@
         module = importlib.import_module(name)
         try:
             written = module.GOLDEN.write("--overwrite" in arguments)
-        except Refused as refused:
-            print(f"refused: {refused}", file=sys.stderr)
+        except GoldenFormChangedError as error:
+            print(f"refused: {error}", file=sys.stderr)
             return 1
         print(f"{module.GOLDEN.path}: wrote {', '.join(written) or 'nothing new'}")
     return 0
--- a/packages/controlplane/tests/test_keeper_golden.py
+++ b/packages/controlplane/tests/test_keeper_golden.py
@@ -7,7 +7,7 @@
 import pytest
 
 from consensus_forms import MESSAGES
-from golden_forms import check_covered, check_fields_told_apart, structs_of
+from golden_forms import check_covered, check_fields_distinguishable, structs_of
 from keeper_forms import GOLDEN, MESSAGES_BY_NAME
 from walnutpost.consensus import Message
 from walnutpost.controlplane import changes, client, peers, process, wire
@@ -36,4 +36,4 @@
 
 
 def test_no_field_can_change_places_or_its_default_unseen() -> None:
-    check_fields_told_apart(GOLDEN.values())
+    check_fields_distinguishable(GOLDEN.values())
--- a/packages/fleet/tests/test_fleet_golden.py
+++ b/packages/fleet/tests/test_fleet_golden.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fleet_forms import COMMANDS, GOLDEN, HISTORY_COMMANDS, applied
-from golden_forms import check_covered, check_fields_told_apart, structs_of
+from golden_forms import check_covered, check_fields_distinguishable, structs_of
 from walnutpost.consensus import LogEntry
 from walnutpost.fleet import (
     Command,
@@ -84,7 +84,7 @@
 
 
 def test_no_field_can_change_places_or_its_default_unseen() -> None:
-    check_fields_told_apart(values())
+    check_fields_distinguishable(values())
 
 
 def test_a_golden_history_gives_the_golden_answers_and_state() -> None:
--- a/packages/store/tests/replica_forms.py
+++ b/packages/store/tests/replica_forms.py
@@ -119,7 +119,7 @@
 
 
 def _disk(disk: Disk) -> Form:
-    return Form(disk, written, read, agrees=same_rows)
+    return Form(disk, written, read, is_equivalent=same_rows)
 
 
 FORMS: dict[str, Form] = {
