--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -21,7 +21,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from walnutpost.config import Config, WorkerLine
+from walnutpost.config import Config, WorkerConfig
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.eventloop import Event, Loop, connect
 from walnutpost.http import BadMessage, Exchange, Response, encode_request
@@ -134,7 +134,7 @@
         }
     )
     lines = [
-        WorkerLine(name=f"w{i}", address="{}:{}".format(*addresses[i % len(addresses)]))
+        WorkerConfig(name=f"w{i}", address="{}:{}".format(*addresses[i % len(addresses)]))
         for i in range(listed)
     ]
     front = config.front.model_copy(update={"workers": lines})
--- a/benchmarks/firings.py
+++ b/benchmarks/firings.py
@@ -20,7 +20,7 @@
 from hdrh.histogram import HdrHistogram
 
 from benchmarks.calls import FORK, LOCAL, Served, Silent, null_worker, refusal
-from walnutpost.config import Config, WorkerLine
+from walnutpost.config import Config, WorkerConfig
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
@@ -83,7 +83,7 @@
         "schedules": lines,
     }
     config = Config.model_validate(told)
-    workers = [WorkerLine(name=f"w{n}", address="{}:{}".format(*address)) for n in range(4)]
+    workers = [WorkerConfig(name=f"w{n}", address="{}:{}".format(*address)) for n in range(4)]
     front = config.front.model_copy(update={"workers": workers})
 
     def start(loop: Loop) -> tuple[str, int]:
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -16,7 +16,7 @@
 
 from fleet_rig import Fleet as TestFleet
 from fleet_rig import Log
-from walnutpost.config import Config, laid_over, load, parse
+from walnutpost.config import Config, load, overlay_sections, parse
 from walnutpost.controlplane.wire import Report
 from walnutpost.eventloop import Group as TaskGroup
 from walnutpost.eventloop import Loop
@@ -81,7 +81,7 @@
 
 def play_day(day: FleetScript, folder: Path) -> FleetOutcome:
     told = load(EXAMPLES / day.config, Config).model_dump(mode="json", by_alias=True)
-    config = parse(json.dumps(laid_over(told, day.over)), "day", Config)
+    config = parse(json.dumps(overlay_sections(told, day.over)), "day", Config)
     return play_fleet(day, config, folder, Log())
 
 
--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from benchmarks.calls import LOCAL, PAYLOAD, Silent, null_worker, refusal
-from walnutpost.config import Config, WorkerLine
+from walnutpost.config import Config, WorkerConfig
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
@@ -69,7 +69,7 @@
             "budgets": {"trade": {"mb_s": 1e9, "action": action}},
         }
     config = Config.model_validate(told)
-    workers = [WorkerLine(name="w0", address="{}:{}".format(*address))]
+    workers = [WorkerConfig(name="w0", address="{}:{}".format(*address))]
     front = config.front.model_copy(update={"workers": workers})
     return lambda loop: FrontEnd(loop, config.model_copy(update={"front": front}), Silent()).address
 
--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -15,7 +15,7 @@
 from benchmarks.scale import made
 from benchmarks.scale.machine import Grown, cpu_of, rss
 from walnutpost import interface as api
-from walnutpost.config import Config, catalogue, parse, router_settings
+from walnutpost.config import Config, build_catalogue, build_router_settings, parse
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.wire import Told
 from walnutpost.daemon.endpoint_lists import EndpointLists
@@ -119,7 +119,7 @@
     """A front end with as many workers of its own list, which takes up one that leaves."""
     out: Readings = {}
     config = parse(made.config_text(8, 0), "made", Config)
-    settings = router_settings(config)
+    settings = build_router_settings(config)
     worker = made.worker_name(size // 2)
     made.taken_out(agreed, worker)
     ages = made.ages(agreed)
@@ -127,7 +127,7 @@
     def in_loop() -> None:
         quiet: Any = Quiet()
         links = Links(loop, LinkSettings(), "f")
-        gateway = Gateway(settings, catalogue(config.site), 1)
+        gateway = Gateway(settings, build_catalogue(config.site), 1)
         lists = EndpointLists(loop, Core(loop, gateway, links, quiet), links, config.site, quiet)
         follower = EndpointFollower("f", "1", True)
         lists.set_configured(ListKind.CACHED, 0, [])
@@ -212,9 +212,9 @@
     with Grown() as checked:
         config = parse(text, "made", Config)
     out["checked configuration"] = mb(checked)
-    out["Catalogue made"] = ms(cpu_of(lambda: catalogue(config.site), 3))
+    out["Catalogue made"] = ms(cpu_of(lambda: build_catalogue(config.site), 3))
     with Grown() as held:
-        kept = catalogue(config.site)
+        kept = build_catalogue(config.site)
     out["Catalogue"] = mb(held)
     out["Numbers made"] = ms(cpu_of(lambda: NumberedNames(FUNCTION_BITS, kept.functions), 3))
     with Grown() as numbered:
--- a/benchmarks/scale/followers.py
+++ b/benchmarks/scale/followers.py
@@ -27,7 +27,7 @@
 from benchmarks.scale import made
 from benchmarks.scale.machine import ROOT, about, process_cpu, process_peak, process_rss
 from walnutpost.config import Config, parse
-from walnutpost.config.entries import entries_of
+from walnutpost.config.entries import encode_site
 from walnutpost.configstore import ConfigStore, Mutation, PropagationStatus, encode
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.eventloop import Loop
@@ -122,7 +122,7 @@
         self.command(SetBudgets((DisruptionBudget("worker", max_unavailable_ratio=0.05),)))
         for name in self.relays:
             self.spawn(name, "relay", str(self.file), "--name", name)
-        for ops in parts(entries_of(self.config.site)):
+        for ops in parts(encode_site(self.config.site)):
             self.change(ops)
         revision = self.status().revision
         self.until(lambda: len(self.status().relays) == RELAYS, "relays")
@@ -154,7 +154,7 @@
         text = json.dumps(line, sort_keys=True, separators=(",", ":"))
         site = {"classes": self._classes(), "functions": {name: json.loads(text)}}
         checked = parse(json.dumps({"site": site}), "one", Config)
-        return [Mutation(f"function/{name}", entries_of(checked.site)[f"function/{name}"])]
+        return [Mutation(f"function/{name}", encode_site(checked.site)[f"function/{name}"])]
 
     def _classes(self) -> dict[str, Any]:
         told: dict[str, Any] = json.loads(made.config_text(1))["site"]["classes"]
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -11,8 +11,8 @@
 from random import Random
 from typing import Any
 
-from walnutpost.cli.run import raise_descriptors
-from walnutpost.config.base import address_of
+from walnutpost.cli.process import raise_descriptor_limit
+from walnutpost.config.base import parse_address
 from walnutpost.configstore import ApplyOutcome, ConfigStore, WatchState
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, Timeout
@@ -50,7 +50,7 @@
         if table is not None:  # as from its kept file; the entries are shared by all of this process
             self.follower.store = ConfigStore.from_entries(table.entries, table.revision, max_log_entries=0)
             self.follower.mark_applied(table.revision)
-        servers = {relay: lambda at=at: address_of(at) for relay, at in relays.items()}
+        servers = {relay: lambda at=at: parse_address(at) for relay, at in relays.items()}
         choice = RelaySelector(name, dict.fromkeys(relays, ""), "", random)
         self.watcher = Watcher(loop, servers, self.follower, choice, self._taken, log)
         self._loop, self._wait = loop, random.randrange(SPREAD)
@@ -110,7 +110,7 @@
             began = time.monotonic()
             try:
                 if connection is None or not connection.reusable:
-                    connection = Connection.open(loop, address_of(address))
+                    connection = Connection.open(loop, parse_address(address))
                 with loop.timeout(PATIENCE):
                     target = f"/2015-03-31/functions/{name}/invocations"
                     response = connection.ask("POST", target, {}, b"{}")
@@ -139,7 +139,7 @@
 
 
 def main() -> None:
-    raise_descriptors()
+    raise_descriptor_limit()
     told = json.loads(sys.stdin.readline())
     loop = Loop(on_error=lambda name, error: print(name, repr(error), file=sys.stderr))
     work = {"members": members, "load": load}[sys.argv[1]]
--- a/packages/agent/tests/agent_forms.py
+++ b/packages/agent/tests/agent_forms.py
@@ -12,7 +12,7 @@
 from golden_forms import Form, Golden, as_json
 from walnutpost.agent import Agent, child_process, manual_order_path, version_of
 from walnutpost.agent.folder import AgentFolder, AgentState
-from walnutpost.cli.fleet_plans import _by_hand
+from walnutpost.cli.fleet_plans import write_manual_orders
 from walnutpost.cli.keepers import AGENTS
 from walnutpost.fleet import FRONT_END
 from walnutpost.fleet.agent_state import ControllerSettings, Input, InstanceController, OperatorOrder
@@ -101,7 +101,7 @@
         config = folder / "keepers.json"
         config.write_text(json.dumps({"keepers": keepers, "agents": [line]}))
         (folder / AGENTS).mkdir()
-        _by_hand(config, (MEMBER,), order.version, order.operator, order.reason)
+        write_manual_orders(config, (MEMBER,), order.version, order.operator, order.reason)
         return _dumped(folder / AGENTS)
 
 
--- a/packages/cli/src/walnutpost/cli/__main__.py
+++ b/packages/cli/src/walnutpost/cli/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line as `python -m walnutpost.cli`."""
+
 from walnutpost.cli.main import main
 
 main(prog_name="walnutpost")
--- a/packages/cli/src/walnutpost/cli/fleet_plans.py
+++ b/packages/cli/src/walnutpost/cli/fleet_plans.py
@@ -1,4 +1,4 @@
-"""Plans of the fleet: releases, ways back, drains."""
+"""Plans of the fleet: releases, rollbacks, restarts and drains."""
 
 from __future__ import annotations
 
@@ -11,92 +11,119 @@
 import click
 
 from walnutpost.agent import manual_order_path, version_of
-from walnutpost.cli.configs import CONFIG, config_of, end
-from walnutpost.cli.fleet import fleet, tell, with_keepers
+from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with, read_config
+from walnutpost.cli.control_plane import ask, show_result
+from walnutpost.cli.fleet import fleet
 from walnutpost.cli.keepers import AGENTS, keepers_of
 from walnutpost.controlplane import KeeperClient
 from walnutpost.eventloop import replace_file
-from walnutpost.fleet import FRONT_END, CommandResult, StartPlan, StoreVersion
+from walnutpost.fleet import FRONT_END, CommandResult, FleetState, StartPlan, StoreVersion
 
+PLAN_NAME_BYTES = 3
 
-def _plan_name(kind: str, told: str | None) -> str:
-    return told or f"{kind}-{secrets.token_hex(3)}"
-
-
-PLAN = click.option("--plan", help="The plan's name, to be given again after a time-out; made up without it.")
-
-
-ALONE = click.option(
-    "--alone", is_flag=True, help="No quorum answers: have the agents on this machine do it without a permit."
+PLAN_OPTION = click.option(
+    "--plan", help="The plan's name, to be given again after a time-out; generated without it."
 )
+ALONE_OPTION = click.option(
+    "--alone",
+    "is_manual",
+    is_flag=True,
+    help="No quorum answers: have the agents on this machine do it without a permit.",
+)
+OPERATOR_OPTION = click.option("--operator", default="", help="With --alone: who answers for it.")
+REASON_OPTION = click.option("--why", "reason", default="", help="With --alone: the reason, for the history.")
 
 
-WHO = click.option("--operator", default="", help="With --alone: who answers for it.")
-
-
-WHY = click.option("--why", default="", help="With --alone: the reason, for the history.")
+def _plan_name(kind: str, given: str | None) -> str:
+    return given or f"{kind}-{secrets.token_hex(PLAN_NAME_BYTES)}"
 
 
-def _by_hand(config: Path, names: tuple[str, ...], version: str, operator: str, why: str) -> None:
-    """Leaves an order with the agents of this machine; nobody counts who else is out."""
-    known = {line.member for line in keepers_of(config).agents}
-    wrong = [n for n in names if n not in known]
-    if not operator or not why or not names or wrong:
-        end(
+def write_manual_orders(
+    config: Path, names: tuple[str, ...], version: str, operator: str, reason: str
+) -> None:
+    """Leave an order with agents of this machine, which obey without a permit: no budget is checked."""
+    known = {agent.member for agent in keepers_of(config).agents}
+    unknown = [name for name in names if name not in known]
+    if not operator or not reason or not names or unknown:
+        exit_with(
             "--alone wants --operator, --why and members of this file's agents"
-            + (f"; found {', '.join(wrong)}" if wrong else "")
+            + (f"; found {', '.join(unknown)}" if unknown else "")
         )
     click.echo("nobody has agreed to this: how many are out is not looked at", err=True)
+    order = json.dumps({"version": version, "operator": operator, "why": reason}).encode()
     for name in names:
-        path = manual_order_path(config.parent / AGENTS, name)
-        replace_file(path, json.dumps({"version": version, "operator": operator, "why": why}).encode())
+        replace_file(manual_order_path(config.parent / AGENTS, name), order)
         click.echo(f"{name}: left for its agent, which tells the keepers once they answer")
 
 
 @fleet.command()
-@CONFIG
+@CONFIG_ARGUMENT
 @click.argument("content", type=click.Path(path_type=Path))
 @click.option("--steps", default="0.25,1", show_default=True, help="Shares of the members, rising to 1.")
-@click.option("--back/--no-back", default=True, help="On a bad judgement go back to what most run now.")
+@click.option(
+    "--back/--no-back",
+    "rolls_back",
+    default=True,
+    help="On a bad judgement go back to what most run now.",
+)
 @click.option("--check/--no-check", default=True, help="Whether CONTENT must be a front end's configuration.")
-@PLAN
+@PLAN_OPTION
 @click.pass_obj
 def release(
-    log: Any, config: Path, content: Path, steps: str, back: bool, check: bool, plan: str | None
+    log: Any,
+    config: Path,
+    content: Path,
+    steps: str,
+    rolls_back: bool,
+    check: bool,
+    plan: str | None,
 ) -> None:
     """Bring all front ends to the version in the file CONTENT, one first, then by steps."""
     try:
-        data, shares = content.read_bytes(), tuple(float(share) for share in steps.split(","))
+        data = content.read_bytes()
+        ratios = tuple(float(ratio) for ratio in steps.split(","))
     except OSError as error:
-        end(f"{content}: cannot be read: {error.strerror}")
+        exit_with(f"{content}: cannot be read: {error.strerror}")
     except ValueError:
-        end(f"--steps: found {steps!r}; wanted shares that rise to 1, as 0.25,1")
+        exit_with(f"--steps: found {steps!r}; wanted shares that rise to 1, as 0.25,1")
     if check:
-        config_of(content)
+        read_config(content)
     name = _plan_name("release", plan)
     version = version_of(data)
 
-    def work(client: KeeperClient) -> CommandResult:
+    def start(client: KeeperClient) -> CommandResult:
         _, agreed = client.state()
-        members = {n: m for n, m in agreed.state.members.items() if m.kind == FRONT_END}
-        usual = Counter(m.version for m in members.values()).most_common(1)
-        before = usual[0][0] if usual and back and usual[0][0] in agreed.state.versions else ""
+        rollback_version = _most_common_version(agreed.state) if rolls_back else ""
         client.command(f"{name}-keep", StoreVersion(version, data))
-        return client.command(f"{name}-start", StartPlan(name, tuple(members), version, shares, before))
+        members = _front_ends(agreed.state)
+        return client.command(f"{name}-start", StartPlan(name, members, version, ratios, rollback_version))
 
-    answer = with_keepers(config, log, work)
+    result = ask(config, log, start)
     click.echo(f"plan {name}: version {version}")
-    tell(answer)
+    show_result(result)
+
+
+def _front_ends(state: FleetState) -> tuple[str, ...]:
+    return tuple(name for name, member in state.members.items() if member.kind == FRONT_END)
+
+
+def _most_common_version(state: FleetState) -> str:
+    """Return the version that most front ends run, "" if the control plane does not have its content."""
+    versions = Counter(state.members[name].version for name in _front_ends(state))
+    for version, _ in versions.most_common(1):
+        if version in state.versions:
+            return version
+    return ""
 
 
 @fleet.command()
-@CONFIG
+@CONFIG_ARGUMENT
 @click.argument("names", nargs=-1)
-@click.option("--to", "version", required=True, help="A version that the keepers still hold.")
-@PLAN
-@ALONE
-@WHO
-@WHY
+@click.option("--to", "version", required=True, help="A version that the keepers still have.")
+@PLAN_OPTION
+@ALONE_OPTION
+@OPERATOR_OPTION
+@REASON_OPTION
 @click.pass_obj
 def rollback(
     log: Any,
@@ -104,54 +131,65 @@
     names: tuple[str, ...],
     version: str,
     plan: str | None,
-    alone: bool,
+    is_manual: bool,
     operator: str,
-    why: str,
+    reason: str,
 ) -> None:
-    """Take all front ends, or NAMES alone, to a version of before, in place of the plan under way."""
-    if alone:
-        return _by_hand(config, names, version, operator, why)
+    """Take all front ends, or NAMES alone, to a former version, in place of the plan under way."""
+    if is_manual:
+        write_manual_orders(config, names, version, operator, reason)
+        return
     name = _plan_name("rollback", plan)
 
-    def work(client: KeeperClient) -> CommandResult:
-        state = client.state()[1].state
-        wanted = names or tuple(n for n, m in state.members.items() if m.kind == FRONT_END)
-        under_way = next((p.id for p in state.plans.values() if not p.end_reason and p.id != name), "")
-        start = StartPlan(name, wanted, version, replaces=under_way, requires_verdict=False)
-        return client.command(f"{name}-start", start)
+    def start(client: KeeperClient) -> CommandResult:
+        _, agreed = client.state()
+        members = names or _front_ends(agreed.state)
+        running = [each.id for each in agreed.state.plans.values() if not each.end_reason and each.id != name]
+        replaced = running[0] if running else ""
+        command = StartPlan(name, members, version, replaces=replaced, requires_verdict=False)
+        return client.command(f"{name}-start", command)
 
-    answer = with_keepers(config, log, work)
+    result = ask(config, log, start)
     click.echo(f"plan {name}")
-    tell(answer)
+    show_result(result)
 
 
 @fleet.command()
-@CONFIG
+@CONFIG_ARGUMENT
 @click.argument("members", nargs=-1, required=True)
-@PLAN
-@ALONE
-@WHO
-@WHY
+@PLAN_OPTION
+@ALONE_OPTION
+@OPERATOR_OPTION
+@REASON_OPTION
 @click.pass_obj
 def cycle(
-    log: Any, config: Path, members: tuple[str, ...], plan: str | None, alone: bool, operator: str, why: str
+    log: Any,
+    config: Path,
+    members: tuple[str, ...],
+    plan: str | None,
+    is_manual: bool,
+    operator: str,
+    reason: str,
 ) -> None:
-    """Take MEMBERS out and back in with what they run, within the budgets."""
-    if alone:
-        return _by_hand(config, members, "", operator, why)
+    """Take MEMBERS out and back in with the versions that they run, within the budgets."""
+    if is_manual:
+        write_manual_orders(config, members, "", operator, reason)
+        return
     name = _plan_name("cycle", plan)
-    click.echo(f"plan {name}")
-    tell(with_keepers(config, log, lambda client: client.command(f"{name}-start", StartPlan(name, members))))
+    _start(log, config, StartPlan(name, members))
 
 
 @fleet.command()
-@CONFIG
+@CONFIG_ARGUMENT
 @click.argument("members", nargs=-1, required=True)
-@PLAN
+@PLAN_OPTION
 @click.pass_obj
 def drain(log: Any, config: Path, members: tuple[str, ...], plan: str | None) -> None:
-    """Take MEMBERS out, within the budgets, and hold each out until `fleet return`."""
+    """Take MEMBERS out, within the budgets, until `fleet return` lets each come back."""
     name = _plan_name("drain", plan)
-    click.echo(f"plan {name}")
-    start = StartPlan(name, members, keeps_members_out=True)
-    tell(with_keepers(config, log, lambda client: client.command(f"{name}-start", start)))
+    _start(log, config, StartPlan(name, members, keeps_members_out=True))
+
+
+def _start(log: Any, config: Path, plan: StartPlan) -> None:
+    click.echo(f"plan {plan.plan}")
+    show_result(ask(config, log, lambda client: client.command(f"{plan.plan}-start", plan)))
--- a/packages/cli/src/walnutpost/cli/keepers.py
+++ b/packages/cli/src/walnutpost/cli/keepers.py
@@ -10,14 +10,15 @@
 import click
 
 from walnutpost.agent import Agent, AgentError
-from walnutpost.cli.configs import CONFIG, end
-from walnutpost.cli.listening import Place, listening
-from walnutpost.cli.run import make_loop, raise_descriptors, stop_event
-from walnutpost.config import ConfigError, keys_of, load
-from walnutpost.config.base import address_of
-from walnutpost.config.entries import Held, check
-from walnutpost.config.keepers import KeeperLine, Keepers
-from walnutpost.config.settings import us
+from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with
+from walnutpost.cli.listen_addresses import ListenAddress, checked_addresses
+from walnutpost.cli.process import make_loop, raise_descriptor_limit, stop_event
+from walnutpost.config import ConfigError, load, read_top_level_keys
+from walnutpost.config.base import parse_address
+from walnutpost.config.control_plane import ControlPlaneConfig, ReplicaConfig
+from walnutpost.config.conversion import ms_to_us
+from walnutpost.config.entries import EntryValues
+from walnutpost.config.entry_validation import validate_changes
 from walnutpost.consensus import Timing
 from walnutpost.controlplane import Keeper, KeeperError
 from walnutpost.fleet import AnalysisPolicy
@@ -30,26 +31,26 @@
 
 def is_keepers(path: Path) -> bool:
     """Whether the file is about keepers, not about a front end."""
-    return "keepers" in keys_of(path)
+    return "keepers" in read_top_level_keys(path)
 
 
-def keepers_of(path: Path) -> Keepers:
+def keepers_of(path: Path) -> ControlPlaneConfig:
     try:
-        return load(path, Keepers)
+        return load(path, ControlPlaneConfig)
     except ConfigError as error:
-        end(*error.lines)
+        exit_with(*error.lines)
 
 
-def _place(section: str, lines: Sequence[KeeperLine], name: str) -> Place:
+def _place(section: str, lines: Sequence[ReplicaConfig], name: str) -> ListenAddress:
     """The setting by which one of `lines` listens."""
     place, line = next((place, line) for place, line in enumerate(lines) if line.name == name)
     if line.listen is not None:
-        return f"{section}.{place}.listen", line.listen
-    return f"{section}.{place}.address", line.address
+        return ListenAddress(f"{section}.{place}.listen", line.listen)
+    return ListenAddress(f"{section}.{place}.address", line.address)
 
 
 @click.command()
-@CONFIG
+@CONFIG_ARGUMENT
 @click.option("--name", required=True, help="Which of CONFIG's keepers.")
 @click.option("--found", is_flag=True, help="The first start of all keepers: they are each other's members.")
 @click.pass_obj
@@ -61,7 +62,7 @@
     checked = keepers_of(config)
     lines = {line.name: line for line in checked.keepers}
     if name not in lines:
-        end(f"--name: found {name!r}; wanted one of {', '.join(lines)}")
+        exit_with(f"--name: found {name!r}; wanted one of {', '.join(lines)}")
     listen = lines[name].listen or lines[name].address
     loop = make_loop(log)
     broken: list[KeeperError] = []
@@ -74,40 +75,42 @@
             stop.set()
 
         def at(address: str) -> Callable[[], tuple[str, int]]:
-            return lambda: address_of(address)
+            return lambda: parse_address(address)
 
         kept = Keeper(
             loop,
             name,
             {line.name: at(line.address) for line in checked.keepers},
-            address_of(listen),
+            parse_address(listen),
             config.parent / checked.folder,
-            Timing(us(checked.election_ms), us(checked.heartbeat_ms)),
-            us(checked.lease_ms),
+            Timing(ms_to_us(checked.election_ms), ms_to_us(checked.heartbeat_ms)),
+            ms_to_us(checked.lease_ms),
             log,
             secrets.randbits(63),
             found,
-            checked.log_most,
-            checked.history_most,
-            AnalysisPolicy(checked.judge.calls, checked.judge.worse, checked.judge.sure),
+            checked.max_log_entries,
+            checked.max_history_entries,
+            AnalysisPolicy(
+                checked.analysis.min_calls, checked.analysis.max_regression, checked.analysis.confidence
+            ),
             failed,
-            lambda table, ops: check(Held(table.entries), ops),
+            lambda table, ops: validate_changes(EntryValues(table.entries), ops),
         )
         stop.wait()
         kept.stop()
         return kept
 
     try:
-        with listening(config, [_place("keepers", checked.keepers, name)]):
+        with checked_addresses(config, [_place("keepers", checked.keepers, name)]):
             loop.run(run).close()
     except (StoreError, OSError) as error:
-        end(f"{config}: keeper {name}: {error}")
+        exit_with(f"{config}: keeper {name}: {error}")
     if broken:
-        end(f"keeper {name}: its disk failed: {broken[0]}", code=1)
+        exit_with(f"keeper {name}: its disk failed: {broken[0]}", code=1)
 
 
 @click.command()
-@CONFIG
+@CONFIG_ARGUMENT
 @click.option("--name", required=True, help="Which of CONFIG's relays.")
 @click.pass_obj
 def relay(log: Any, config: Path, name: str) -> None:
@@ -118,24 +121,24 @@
     checked = keepers_of(config)
     lines = {line.name: line for line in checked.relays}
     if name not in lines:
-        end(f"--name: found {name!r}; wanted one of {', '.join(lines) or 'none, there are no relays'}")
-    raise_descriptors()
+        exit_with(f"--name: found {name!r}; wanted one of {', '.join(lines) or 'none, there are no relays'}")
+    raise_descriptor_limit()
     line, loop = lines[name], make_loop(log)
 
     def run() -> None:
         stop = stop_event(loop, log)
-        keepers = {k.name: address_of(k.address) for k in checked.keepers}
-        listen = address_of(line.listen or line.address)
+        keepers = {k.name: parse_address(k.address) for k in checked.keepers}
+        listen = parse_address(line.listen or line.address)
         kept = Relay(loop, name, keepers, listen, log, secrets.randbits(63), line.address)
         stop.wait()
         kept.stop()
 
-    with listening(config, [_place("relays", checked.relays, name)]):
+    with checked_addresses(config, [_place("relays", checked.relays, name)]):
         loop.run(run)
 
 
 @click.command()
-@CONFIG
+@CONFIG_ARGUMENT
 @click.option("--member", required=True, help="Which of CONFIG's agents.")
 @click.pass_obj
 def agent(log: Any, config: Path, member: str) -> None:
@@ -143,7 +146,9 @@
     checked = keepers_of(config)
     lines = {line.member: line for line in checked.agents}
     if member not in lines:
-        end(f"--member: found {member!r}; wanted one of {', '.join(lines) or 'none, there are no agents'}")
+        exit_with(
+            f"--member: found {member!r}; wanted one of {', '.join(lines) or 'none, there are no agents'}"
+        )
     line, loop = lines[member], make_loop(log)
 
     def run() -> None:
@@ -154,14 +159,14 @@
             line.kind,
             line.zone,
             line.command,
-            line.ready,
-            (config.parent / line.first).read_bytes(),
+            line.ready_text,
+            (config.parent / line.first_version_file).read_bytes(),
             config.parent / AGENTS,
-            {k.name: address_of(k.address) for k in checked.keepers},
-            ControllerSettings(us(checked.begin_within_ms), us(line.ready_within_ms)),
-            us(checked.lease_ms) // 4,
+            {k.name: parse_address(k.address) for k in checked.keepers},
+            ControllerSettings(ms_to_us(checked.begin_within_ms), ms_to_us(line.ready_within_ms)),
+            ms_to_us(checked.lease_ms) // 4,
             log,
-            follows=line.follows,
+            follows=line.reports_itself,
         )
         stop.wait()
         kept.stop()
@@ -169,4 +174,4 @@
     try:
         loop.run(run)
     except (AgentError, OSError) as error:
-        end(f"{config}: agent {member}: {error}")
+        exit_with(f"{config}: agent {member}: {error}")
--- a/packages/cli/src/walnutpost/cli/keys.py
+++ b/packages/cli/src/walnutpost/cli/keys.py
@@ -1,4 +1,4 @@
-"""`walnutpost keys`: a test authority, and what stands with the keys in use."""
+"""`walnutpost keys`: a test authority, and the state of the keys in use."""
 
 from __future__ import annotations
 
@@ -8,29 +8,33 @@
 import click
 
 from walnutpost.certificates import DAY, BadKeys, examine, trusted
-from walnutpost.cli.configs import CONFIG, config_of, end
-from walnutpost.cli.times import local
+from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with, read_config
+from walnutpost.cli.local_time import format_local_time
+from walnutpost.config.front_end import TlsConfig
 from walnutpost.eventloop import replace_file
 from walnutpost.fakes.authority import Authority
 from walnutpost.faultinjection.table import aligned
 from walnutpost.workerclient.contexts import read
 
+NS_PER_US = 1000
+SERIAL_DIGITS = 16  # of a serial number that are shown
+
 
 @click.group()
 def keys() -> None:
-    """Certificates and keys for TLS towards workers."""
+    """Manage certificates and keys for TLS towards workers."""
 
 
 @keys.command("make-test-ca")
-@CONFIG
+@CONFIG_ARGUMENT
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="A folder; made if missing.")
 def make_test_ca(config: Path, out: Path) -> None:
     """Make a root and certificates for CONFIG's front end and stand-in workers, for trials only.
 
-    The root's own key is not kept: nothing more can be signed by it.
+    The root's own key is not stored: nothing more can be signed by it.
     """
-    checked = config_of(config)
-    names = ["front", *(line.name for line in (checked.fleet.workers if checked.fleet else []))]
+    checked = read_config(config)
+    names = ["front", *(worker.name for worker in (checked.fleet.workers if checked.fleet else []))]
     out.mkdir(parents=True, exist_ok=True)
     authority = Authority()
     replace_file(out / "root.pem", authority.root)
@@ -40,26 +44,29 @@
 
 
 @keys.command("status")
-@CONFIG
-def status(config: Path) -> None:
-    """What CONFIG's front end would use now, and until when. Exits 1 where it can't be used."""
-    checked = config_of(config)
-    tls = checked.front.tls
+@CONFIG_ARGUMENT
+def show_status(config: Path) -> None:
+    """Show what CONFIG's front end would use now, and until when. Exits 1 where it can't be used."""
+    tls = read_config(config).front.tls
     if tls is None:
-        end(f"{config}: front.tls: found nothing; wanted its section")
-    base, now = config.parent, time.time_ns() // 1000
+        exit_with(f"{config}: front.tls: found nothing; wanted its section")
     try:
-        roots = read(base / tls.roots)
-        click.echo(f"{tls.roots}: {trusted(roots, now)} roots valid now")
-        if tls.chain is not None and tls.key is not None:
-            own = examine(read(base / tls.chain), read(base / tls.key), roots, now, tls.chain)
-            left = f"{(own.ends - now) / DAY:.1f} days left"
-            row = [
-                ", ".join(own.names),
-                f"{own.serial:x}"[:16],
-                local(own.begins, "UTC"),
-                local(own.ends, "UTC"),
-            ]
-            click.echo(aligned([["names", "serial", "from", "until", "left"], [*row, left]]))
+        _show_certificates(config.parent, tls, time.time_ns() // NS_PER_US)
     except BadKeys as error:
-        end(str(error), code=1)
+        exit_with(str(error), code=1)
+
+
+def _show_certificates(base: Path, tls: TlsConfig, now_us: int) -> None:
+    roots = read(base / tls.roots)
+    click.echo(f"{tls.roots}: {trusted(roots, now_us)} roots valid now")
+    if tls.chain is None or tls.key is None:
+        return
+    own = examine(read(base / tls.chain), read(base / tls.key), roots, now_us, tls.chain)
+    row = [
+        ", ".join(own.names),
+        f"{own.serial:x}"[:SERIAL_DIGITS],
+        format_local_time(own.begins, "UTC"),
+        format_local_time(own.ends, "UTC"),
+        f"{(own.ends - now_us) / DAY:.1f} days left",
+    ]
+    click.echo(aligned([["names", "serial", "from", "until", "left"], row]))
--- a/packages/cli/src/walnutpost/cli/logs.py
+++ b/packages/cli/src/walnutpost/cli/logs.py
@@ -11,10 +11,10 @@
 LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 
 
-def set_up(form: str, level: str) -> Any:
-    """A logger that writes JSON lines, or text for a console."""
+def configure_logging(output_format: str, level: str) -> Any:
+    """Return a logger that writes JSON lines, or text for a console (`json`, `console`)."""
     renderer: Any = structlog.processors.JSONRenderer()
-    if form == "console":
+    if output_format == "console":
         renderer = structlog.dev.ConsoleRenderer(colors=sys.stderr.isatty())
     structlog.configure(
         processors=[
--- a/packages/cli/tests/fleet_json_forms.py
+++ b/packages/cli/tests/fleet_json_forms.py
@@ -12,9 +12,9 @@
 
 import keeper_forms
 from golden_forms import Form, Golden, as_json
-from walnutpost.cli import main, settings_shown
+from walnutpost.cli import config_views, main
 from walnutpost.cli.keepers import AGENTS
-from walnutpost.config.keepers import Keepers
+from walnutpost.config.control_plane import ControlPlaneConfig
 from walnutpost.controlplane import KeeperClient
 from walnutpost.http import Response
 
@@ -26,14 +26,14 @@
     "/table/1/entries": "entries-answer.after-the-history",
 }
 # What `config diff` finds in a front end's file, in place of one.
-WANTED = {"function/f1": b'{"weight": 3}', "function/f2": b'{"weight": 1}'}
+WANTED_ENTRIES = {"function/f1": b'{"weight": 3}', "function/f2": b'{"weight": 1}'}
 
 
 def _answer(_client: object, _keeper: str, _method: str, target: str, _body: bytes) -> Response:
     path = target.partition("?")[0]
     if path == "/table/1/status":
-        told = json.loads(TABLE_GOLDEN.read_text())["forms"]["table-status.all-fields"]
-        return Response(200, body=bytes.fromhex(told["hex"]))
+        table = json.loads(TABLE_GOLDEN.read_text())["forms"]["table-status.all-fields"]
+        return Response(200, body=bytes.fromhex(table["hex"]))
     return Response(200, body=keeper_forms.GOLDEN[ANSWERS[path]])
 
 
@@ -46,13 +46,13 @@
         line = ["--log", "json", group, command, str(config), *rest, "--format", "json"]
         with (
             patch.object(KeeperClient, "_one", _answer),
-            patch.object(settings_shown, "wanted_by", lambda path: WANTED),
+            patch.object(config_views, "wanted_entries", lambda path: WANTED_ENTRIES),
         ):
             result = CliRunner().invoke(main, line)
     assert result.exception is None or isinstance(result.exception, SystemExit), result.exception
     assert not result.stderr, result.stderr
-    told: dict[str, Any] = {"exit": result.exit_code} if result.exit_code else {}
-    return json.dumps({**told, "shown": json.loads(result.stdout)}, indent=1).encode()
+    exit_status: dict[str, Any] = {"exit": result.exit_code} if result.exit_code else {}
+    return json.dumps({**exit_status, "shown": json.loads(result.stdout)}, indent=1).encode()
 
 
 def _command(*arguments: str) -> Form:
@@ -71,7 +71,7 @@
     "config status": _command("config", "status"),
     "folders beside a configuration": as_json(
         {
-            "control plane": Keepers.model_fields["folder"].default,
+            "control plane": ControlPlaneConfig.model_fields["folder"].default,
             "agents": AGENTS,
         }
     ),
--- a/packages/cli/tests/test_cli_golden.py
+++ b/packages/cli/tests/test_cli_golden.py
@@ -1,4 +1,4 @@
-"""What commands print of stores that released code left, to the letter: scripts read it."""
+"""What commands print of stores that released code wrote, byte for byte: scripts read it."""
 
 from __future__ import annotations
 
@@ -68,8 +68,8 @@
 def output(folder: Path, words: list[str]) -> bytes:
     """Exit code, standard output and errors, with the folder as FOLDER."""
     with patch("time.time_ns", lambda: NOW_NS):
-        told = [word.replace("FOLDER", str(folder)) for word in words]
-        result = CliRunner().invoke(main, told, catch_exceptions=False)
+        arguments = [word.replace("FOLDER", str(folder)) for word in words]
+        result = CliRunner().invoke(main, arguments, catch_exceptions=False)
     text = (
         f"{result.stdout}{result.stderr and f'errors:{chr(10)}{result.stderr}'}exit code {result.exit_code}\n"
     )
@@ -87,10 +87,10 @@
     return {GOLDEN / f"{name}.out": data for name, data in outputs()}
 
 
-def test_commands_print_the_stores_of_before_as_before() -> None:
+def test_commands_print_stores_of_released_code_as_before() -> None:
     assert_as_golden(golden_files())
 
 
-def test_the_json_of_a_report_is_json(folder: Path) -> None:
+def test_report_as_json_is_valid_json(folder: Path) -> None:
     text = output(folder, COMMANDS["usage-report.json"]).decode().removesuffix("exit code 0\n")
     assert {row["tenant"] for row in json.loads(text)} >= {"tills", "wholesale"}
--- a/packages/cli/tests/test_settings.py
+++ b/packages/cli/tests/test_config_commands.py
@@ -1,4 +1,4 @@
-"""`walnutpost config` against a keeper in a process of its own: errors by place, found and wanted."""
+"""`walnutpost config` against a control plane of one replica, a process of its own."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 from fleet_rig import BASE, merged
 from walnutpost.cli import main
-from walnutpost.cli.settings import in_words
-from walnutpost.cli.settings_shown import _acting
+from walnutpost.cli.config_changes import Change
+from walnutpost.cli.config_status import applying_members
 from walnutpost.config import Config, parse
-from walnutpost.config.entries import entries_of, value_of
-from walnutpost.config.model import FunctionLine
+from walnutpost.config.entries import encode_site, encode_value
+from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import MAX_MUTATIONS, Entry, MemberStatus, Mutation, PropagationStatus
 from walnutpost.controlplane import KeeperClient
 
@@ -35,16 +35,16 @@
         return "{}:{}".format(*sock.getsockname())
 
 
-def led(
+def wait_for_leader(
     ask: Callable[..., Result], processes: Mapping[str, subprocess.Popen[bytes]], logs: Callable[[], str]
 ) -> None:
-    """Until a leader answers: on a busy machine processes take longer to start than a command waits."""
+    """Wait until a leader answers: on a busy machine a start takes longer than a command waits."""
     while ask("status").exit_code == 3:
         assert all(process.poll() is None for process in processes.values()), logs()
 
 
-class Agreed:
-    """One keeper, and commands that are given its file."""
+class ControlPlane:
+    """One replica in a process, and commands that are given its file."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -54,24 +54,24 @@
         with (folder / "keeper.log").open("wb") as out:
             command = [sys.executable, "-m", "walnutpost.cli", "keeper", str(self.file), "--name", "k1"]
             self.process = subprocess.Popen([*command, "--found"], stdout=out, stderr=out)
-        led(self, {"k1": self.process}, (folder / "keeper.log").read_text)
+        wait_for_leader(self, {"k1": self.process}, (folder / "keeper.log").read_text)
 
     def __call__(self, command: str, *args: object) -> Result:
-        """Standard output and error apart, since what is for machines must stand alone."""
+        """Run a command; standard output and error apart, since programs read the one alone."""
         given = ["config", command, str(self.file), *map(str, args)]
         return CliRunner().invoke(main, given, catch_exceptions=False)
 
     def written(self, name: str, *more: dict[str, Any]) -> Path:
-        told = BASE
+        data = BASE
         for each in more:
-            told = merged(told, each)
+            data = merged(data, each)
         path = self.folder / name
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(data))
         return path
 
     def get(self) -> dict[str, Any]:
-        told: dict[str, Any] = json.loads(self("get", "--format", "json").stdout)
-        return told
+        data: dict[str, Any] = json.loads(self("get", "--format", "json").stdout)
+        return data
 
     @property
     def revision(self) -> int:
@@ -80,9 +80,9 @@
 
 
 @pytest.fixture(scope="module")
-def keeper(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Agreed]:
-    """One for the module: a process takes longer to start than all that is asked of it."""
-    keeper = Agreed(tmp_path_factory.mktemp("agreed"))
+def keeper(tmp_path_factory: pytest.TempPathFactory) -> Iterator[ControlPlane]:
+    """One for the module: a start takes longer than all commands."""
+    keeper = ControlPlane(tmp_path_factory.mktemp("agreed"))
     try:
         yield keeper
     finally:
@@ -91,18 +91,18 @@
 
 
 @pytest.fixture
-def agreed(keeper: Agreed) -> Agreed:
-    """With the settings of BASE agreed on, whatever the test before has left."""
+def agreed(keeper: ControlPlane) -> ControlPlane:
+    """The control plane with the settings of BASE, whatever the test before has left."""
     done = keeper("set", keeper.written("site.json5"))
     assert done.exit_code == 0, (done.output, (keeper.folder / "keeper.log").read_text())
     return keeper
 
 
-def test_a_file_is_agreed_on_as_what_it_changes(agreed: Agreed) -> None:
+def test_set_with_a_file_applies_exactly_its_differences(agreed: ControlPlane) -> None:
     first = agreed.get()
     config = parse(json.dumps(BASE), "base", Config)
-    wanted = {key: json.loads(value) for key, value in entries_of(config.site).items()}
-    assert {key: told["value"] for key, told in first["entries"].items()} == wanted
+    wanted = {key: json.loads(value) for key, value in encode_site(config.site).items()}
+    assert {key: data["value"] for key, data in first["entries"].items()} == wanted
 
     again = agreed("set", agreed.folder / "site.json5")
     assert again.exit_code == 0 and f"nothing to change: revision {first['revision']}" in again.stdout
@@ -117,8 +117,8 @@
     ]
     differs = agreed("diff", file)
     assert differs.exit_code == 1 and sorted(differs.stdout.splitlines()) == sorted(lines)
-    told = json.loads(agreed("diff", file, "--format", "json").stdout)
-    assert told["revision"] == first["revision"] and len(told["differences"]) == 3
+    data = json.loads(agreed("diff", file, "--format", "json").stdout)
+    assert data["revision"] == first["revision"] and len(data["differences"]) == 3
 
     dry = agreed("set", file, "--dry")
     assert dry.exit_code == 0 and f"right on revision {first['revision']}; not agreed on" in dry.stdout
@@ -138,7 +138,7 @@
     assert same.exit_code == 0 and f"says what revision {now['revision']} does" in same.stdout
 
 
-def test_one_function_is_changed_by_its_fields(agreed: Agreed) -> None:
+def test_set_with_function_changes_the_named_fields(agreed: ControlPlane) -> None:
     done = agreed("set", "--function", "price", "lanes=4", "cost_ms=2.5", "version=17")
     assert done.exit_code == 0, done.output
     assert '~ function/price: cost_ms default -> 2.5, lanes 2 -> 4, version default -> "17"' in done.stdout
@@ -155,7 +155,7 @@
     assert "function/new" not in agreed.get()["entries"]
 
 
-WRONG: list[tuple[list[str], int, str]] = [
+INVALID_SETS: list[tuple[list[str], int, str]] = [
     (["--function", "price", "lanes=0"], 2, "function/price: lanes: found 0; wanted: "),
     (["--function", "price", "lanes=two"], 2, "function/price: lanes: found 'two'; wanted: "),
     (["--function", "price", "lames=2"], 2, "function/price: lames: found a key that is not known here"),
@@ -175,69 +175,73 @@
 ]
 
 
-def test_what_is_wrong_is_told_by_place_found_and_wanted(agreed: Agreed) -> None:
+def test_invalid_set_is_rejected_with_place_found_and_wanted(agreed: ControlPlane) -> None:
     before = agreed.get()
-    for args, code, says in WRONG:
-        refused = agreed("set", *args)
-        assert refused.exit_code == code, (args, refused.output)
-        assert any(says in line for line in refused.stderr.splitlines()), (args, refused.stderr)
+    for args, code, expected in INVALID_SETS:
+        rejected = agreed("set", *args)
+        assert rejected.exit_code == code, (args, rejected.output)
+        assert any(expected in line for line in rejected.stderr.splitlines()), (args, rejected.stderr)
     missing = agreed("get", "function/none")
     assert missing.exit_code == 1
     assert "function/none: found nothing under it at revision" in missing.stderr
     assert agreed.get() == before
 
 
-def test_what_another_operator_sets_in_between_is_not_undone(
-    agreed: Agreed, monkeypatch: pytest.MonkeyPatch
+def test_set_after_a_concurrent_change_is_rejected(
+    agreed: ControlPlane, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Between the look at a line and its change someone else's change of it comes in, once."""
+    """Another change of the function is applied between its read and its change, once."""
     asked = KeeperClient.entries
-    other = Mutation("function/price", value_of(FunctionLine.model_validate(PRICE | {"memory_mb": 999})))
-
-    def overtaken(client: KeeperClient, kind: str = "", key: str = "") -> tuple[int, list[Entry]]:
-        told = asked(client, kind, key)
+    other = Mutation(
+        "function/price", encode_value(FunctionConfig.model_validate(PRICE | {"memory_mb": 999}))
+    )
+
+    def entries_with_concurrent_change(
+        client: KeeperClient, kind: str = "", key: str = ""
+    ) -> tuple[int, list[Entry]]:
+        data = asked(client, kind, key)
         monkeypatch.setattr(KeeperClient, "entries", asked)
         assert client.set_entries("other", [other])[0].ok
-        return told
+        return data
 
-    monkeypatch.setattr(KeeperClient, "entries", overtaken)
-    refused = agreed("set", "--function", "price", "lanes=9")
-    assert refused.exit_code == 1 and "function/price: found revision" in refused.stderr
-    assert "changed meanwhile" in refused.stderr
+    monkeypatch.setattr(KeeperClient, "entries", entries_with_concurrent_change)
+    rejected = agreed("set", "--function", "price", "lanes=9")
+    assert rejected.exit_code == 1 and "function/price: found revision" in rejected.stderr
+    assert "changed meanwhile" in rejected.stderr
     assert agreed("set", "--function", "price", "lanes=9").exit_code == 0
     line = agreed.get()["entries"]["function/price"]["value"]
     assert (line["lanes"], line["memory_mb"]) == (9, 999)
 
 
-def test_what_members_take_up_at_a_start_only_is_refused_and_the_functions_alone_are_not(
-    agreed: Agreed,
+def test_set_rejects_settings_applied_at_start_only_but_applies_functions_alone(
+    agreed: ControlPlane,
 ) -> None:
     before = agreed.revision
-    told = {"classes": {"valuation": {"aim_ms": 900}}, "tenants": {"trade": {"share": 0.1}}}
-    file = agreed.written("start.json5", {"site": told}, {"site": {"functions": {"price": {"lanes": 5}}}})
-    refused = agreed("set", file)
-    assert refused.exit_code == 1 and agreed.revision == before
-    for says in (
+    data = {"classes": {"valuation": {"aim_ms": 900}}, "tenants": {"trade": {"share": 0.1}}}
+    file = agreed.written("start.json5", {"site": data}, {"site": {"functions": {"price": {"lanes": 5}}}})
+    rejected = agreed("set", file)
+    assert rejected.exit_code == 1 and agreed.revision == before
+    for expected in (
         "class/valuation: aim_ms: found 900.0; wanted 1000.0, as agreed: taken up at a start only",
         "tenant/trade: share: found 0.1; wanted 0.3, as agreed: taken up at a start only",
         "not done, nothing of it has changed",
     ):
-        assert any(line.startswith(says) for line in refused.stderr.splitlines()), refused.stderr
+        assert any(line.startswith(expected) for line in rejected.stderr.splitlines()), rejected.stderr
     assert agreed("set", file, "--dry").exit_code == 1
     done = agreed("set", file, "--functions")
     assert done.exit_code == 0 and agreed.get()["entries"]["function/price"]["value"]["lanes"] == 5
 
 
-def test_a_file_that_is_too_much_for_one_change_set_is_told_so_and_may_come_in_parts(agreed: Agreed) -> None:
+def test_set_rejects_a_file_beyond_one_change_set_unless_in_parts(agreed: ControlPlane) -> None:
     before = agreed.revision
     many = {f"f{i:05}": PRICE for i in range(MAX_MUTATIONS + 500)}
     file = agreed.written("many.json5", {"site": {"functions": many}})
-    refused = agreed("set", file)
-    assert refused.exit_code == 2 and agreed.revision == before
+    rejected = agreed("set", file)
+    assert rejected.exit_code == 2 and agreed.revision == before
     found = f"found {MAX_MUTATIONS + 500} keys, wanted 1 to {MAX_MUTATIONS}"
-    says = f"{file}: change set: {found}; --in-parts makes 2 "
-    assert any(line.startswith(says) for line in refused.stderr.splitlines()), refused.stderr
-    assert not refused.stdout  # what is refused as a whole is not shown line by line
+    expected = f"{file}: change set: {found}; --in-parts makes 2 "
+    assert any(line.startswith(expected) for line in rejected.stderr.splitlines()), rejected.stderr
+    assert not rejected.stdout  # what is rejected as a whole is not shown line by line
     done = agreed("set", file, "--in-parts", "--id", "again")
     assert done.exit_code == 0
     assert "and 1450 more, as `config diff` shows them" in done.stdout
@@ -249,7 +253,7 @@
     assert agreed("diff", file.with_name("site.json5")).exit_code == 0
 
 
-def test_what_is_agreed_on_can_be_written_as_a_file_of_the_same_form(agreed: Agreed) -> None:
+def test_get_as_site_gives_a_file_without_differences(agreed: ControlPlane) -> None:
     file = agreed.folder / "got.json5"
     file.write_text(agreed("get", "--format", "site").stdout)
     assert agreed("diff", file).exit_code == 0
@@ -259,65 +263,65 @@
     assert "tenant/trade" in kind.stdout and "function/price" not in kind.stdout
 
 
-def test_the_history_tells_who_changed_which_keys_and_when(agreed: Agreed) -> None:
+def test_history_shows_who_changed_which_keys_and_when(agreed: ControlPlane) -> None:
     before = agreed.revision
     agreed("set", "--function", "price", "lanes=5", "--operator", "anna")
     first = agreed.revision
     agreed("set", "--function", "price", "lanes=4", "--operator", "ben")
     agreed("set", "--function", "reserve", "--delete", "--operator", "")
-    told = json.loads(agreed("history", "--after", before, "--format", "json").stdout)
-    assert [(c["operator"], c["agreed on"]) for c in told["changes"]] == [
+    data = json.loads(agreed("history", "--after", before, "--format", "json").stdout)
+    assert [(c["operator"], c["agreed on"]) for c in data["changes"]] == [
         *(("anna", "yes"), ("ben", "yes"), ("", "yes"))
     ]
-    assert [c["keys"] for c in told["changes"][1:]] == ["function/price", "function/reserve (deleted)"]
-    assert told["changes"][0]["revision"] == first and agreed.revision == told["changes"][2]["revision"]
-    assert all(time.strptime(change["asked at"], "%Y-%m-%dT%H:%M:%SZ") for change in told["changes"])
+    assert [c["keys"] for c in data["changes"][1:]] == ["function/price", "function/reserve (deleted)"]
+    assert data["changes"][0]["revision"] == first and agreed.revision == data["changes"][2]["revision"]
+    assert all(time.strptime(change["asked at"], "%Y-%m-%dT%H:%M:%SZ") for change in data["changes"])
     last = agreed("history", "--most", "1").stdout
     assert "function/reserve (deleted)" in last and "ben" not in last
     assert "ben" in agreed("history", "--after", first).stdout
     assert "anna" not in agreed("history", "--after", first).stdout
 
 
-def test_the_status_without_members_claims_nothing(agreed: Agreed) -> None:
-    told = json.loads(agreed("status", "--format", "json").stdout)
-    assert told["revision"] == agreed.revision and told["members"] == 0 and len(told["digest"]) == 16
+def test_status_without_members_is_not_in_force(agreed: ControlPlane) -> None:
+    data = json.loads(agreed("status", "--format", "json").stdout)
+    assert data["revision"] == agreed.revision and data["members"] == 0 and len(data["digest"]) == 16
     shown = agreed("status")
     assert shown.exit_code == 0 and "nobody follows the table" in shown.stdout
     assert "no relay reports" in shown.stdout
-    waited = agreed("status", "--wait", told["revision"], "--within", 0)
+    waited = agreed("status", "--wait", data["revision"], "--within", 0)
     assert waited.exit_code == 1 and "nobody follows the table" in waited.stderr
-    ahead = agreed("status", "--wait", told["revision"] + 1)
+    ahead = agreed("status", "--wait", data["revision"] + 1)
     assert ahead.exit_code == 1
-    assert f"--wait: found {told['revision'] + 1}; wanted a revision up to {told['revision']}" in ahead.stderr
+    assert f"--wait: found {data['revision'] + 1}; wanted a revision up to {data['revision']}" in ahead.stderr
     forgotten = agreed("forget", "nobody")
     assert forgotten.exit_code == 1 and "not done: no member nobody" in forgotten.stderr
 
 
-def test_who_acts_is_told_by_name_only_where_all_who_do_not_are() -> None:
+def test_applying_members_are_named_only_if_all_lagging_ones_are() -> None:
     lacking = (MemberStatus("b", "i", 4, "r1", "", 5),)
-    told = PropagationStatus(5, 0, 0, 1, 3, 4, lacking, (), (), lagging_count=1)
-    assert _acting(told, ("a", "b", "c")) == ["a", "c"]
-    assert _acting(replace(told, lagging_count=2), ("a", "b", "c")) is None
-    assert _acting(PropagationStatus(5, 0, 0, 1, 2, 5, (), (), ()), ("a", "c")) == ["a", "c"]
+    data = PropagationStatus(5, 0, 0, 1, 3, 4, lacking, (), (), lagging_count=1)
+    assert applying_members(data, ("a", "b", "c")) == ["a", "c"]
+    assert applying_members(replace(data, lagging_count=2), ("a", "b", "c")) is None
+    assert applying_members(PropagationStatus(5, 0, 0, 1, 2, 5, (), (), ()), ("a", "c")) == ["a", "c"]
 
 
-def test_without_a_quorum_commands_end_with_3(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("walnutpost.cli.fleet.PATIENCE", 500_000)
-    nobody, file = tmp_path / "keepers.json5", tmp_path / "site.json5"
-    nobody.write_text(json.dumps({"keepers": [{"name": "k1", "address": free_address()}]}))
+def test_commands_without_a_quorum_exit_with_3(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("walnutpost.cli.control_plane.TIMEOUT_US", 500_000)
+    unreachable, file = tmp_path / "keepers.json5", tmp_path / "site.json5"
+    unreachable.write_text(json.dumps({"keepers": [{"name": "k1", "address": free_address()}]}))
     file.write_text(json.dumps(BASE))
     for command, *args in (["status"], ["get"], ["history"], ["diff", str(file)], ["set", str(file)]):
-        ended = CliRunner().invoke(main, ["config", command, str(nobody), *args])
+        ended = CliRunner().invoke(main, ["config", command, str(unreachable), *args])
         assert ended.exit_code == 3 and "no quorum of the keepers answered" in ended.stderr
 
 
 @pytest.mark.parametrize(
-    ("was", "now", "says"),
+    ("was", "now", "expected"),
     [
         (None, {"a": 1}, '+ k: {"a": 1}'),
         ({"a": 1}, None, '- k: {"a": 1}'),
         ({"a": 1, "b": "x"}, {"b": "y", "c": 2}, '~ k: a 1 -> default, b "x" -> "y", c default -> 2'),
     ],
 )
-def test_a_change_is_told_in_a_line(was: Any, now: Any, says: str) -> None:
-    assert in_words("k", was, now) == says
+def test_change_is_formatted_as_one_line(was: Any, now: Any, expected: str) -> None:
+    assert str(Change("k", was, now)) == expected
--- a/packages/cli/tests/test_config.py
+++ b/packages/cli/tests/test_config_files.py
@@ -1,4 +1,4 @@
-"""Configuration: every error at once, each with its place."""
+"""Configuration files as commands read them: all errors at once, each with its place."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 from fleet_rig import BASE, merged
 from walnutpost.cli import main
-from walnutpost.config import Config, ConfigError, load, load_with_own, parse
-from walnutpost.config.keepers import Keepers
+from walnutpost.config import Config, ConfigError, load, load_with_overlay, parse
+from walnutpost.config.control_plane import ControlPlaneConfig
 
 ROOT = Path(__file__).parents[3]
 
 HOLDER = {"name": "a", "address": "127.0.0.1:9", "region": "east", "zone": "a"}
 JOURNAL: dict[str, Any] = {"name": "a", "listen": "127.0.0.1:0", "holders": [HOLDER]}
 AGREEMENT: dict[str, Any] = {"member": "f0", "relays": {"r1": "127.0.0.1:8511"}}
-WRONG: list[tuple[dict[str, Any], str, str]] = [
+INVALID: list[tuple[dict[str, Any], str, str]] = [
     ({"journal": JOURNAL | {"name": "z"}}, "journal", "found"),
     ({"journal": JOURNAL | {"listen": "0.0.0.0:1"}}, "journal", "127.0.0.0/8"),
     ({"journal": JOURNAL | {"holders": [HOLDER, HOLDER]}}, "journal", "names of their own"),
@@ -69,16 +69,18 @@
 ]
 
 
-@pytest.mark.parametrize(("more", "place", "says"), WRONG)
-def test_an_error_names_its_place(more: dict[str, Any], place: str, says: str) -> None:
+@pytest.mark.parametrize(("more", "place", "expected"), INVALID)
+def test_invalid_configuration_is_reported_with_its_place(
+    more: dict[str, Any], place: str, expected: str
+) -> None:
     with pytest.raises(ConfigError) as caught:
         parse(json.dumps(merged(BASE, more)), "site.json5", Config)
-    assert any(line.startswith(f"site.json5: {place}: ") and says in line for line in caught.value.lines)
+    assert any(line.startswith(f"site.json5: {place}: ") and expected in line for line in caught.value.lines)
 
 
 KEEPER = {"name": "k1", "address": "127.0.0.1:8501"}
 RELAY = {"name": "r1", "address": "127.0.0.1:8511", "zone": "a"}
-WRONG_KEEPERS: list[tuple[dict[str, Any], str, str]] = [
+INVALID_CONTROL_PLANES: list[tuple[dict[str, Any], str, str]] = [
     ({"relays": [RELAY, RELAY]}, "(top)", "names of their own; found r1 twice"),
     ({"relays": [RELAY | {"name": "k1"}]}, "(top)", "names of their own; found k1 twice"),
     ({"relays": [RELAY | {"address": "8511"}]}, "relays.0.address", "found '8511'"),
@@ -87,21 +89,23 @@
 ]
 
 
-@pytest.mark.parametrize(("more", "place", "says"), WRONG_KEEPERS)
-def test_an_error_of_the_keepers_file_names_its_place(more: dict[str, Any], place: str, says: str) -> None:
+@pytest.mark.parametrize(("more", "place", "expected"), INVALID_CONTROL_PLANES)
+def test_invalid_control_plane_file_is_reported_with_its_place(
+    more: dict[str, Any], place: str, expected: str
+) -> None:
     with pytest.raises(ConfigError) as caught:
-        parse(json.dumps({"keepers": [KEEPER], **more}), "fleet.json5", Keepers)
-    assert any(line.startswith(f"fleet.json5: {place}: ") and says in line for line in caught.value.lines)
+        parse(json.dumps({"keepers": [KEEPER], **more}), "fleet.json5", ControlPlaneConfig)
+    assert any(line.startswith(f"fleet.json5: {place}: ") and expected in line for line in caught.value.lines)
 
 
-def test_relays_stand_beside_keepers_or_in_their_place() -> None:
-    told = parse(json.dumps({"keepers": [KEEPER], "relays": [RELAY]}), "fleet.json5", Keepers)
-    assert told.relays[0].zone == "a" and told.relays[0].listen is None
+def test_relays_are_read_beside_keepers_or_without_them() -> None:
+    found = parse(json.dumps({"keepers": [KEEPER], "relays": [RELAY]}), "fleet.json5", ControlPlaneConfig)
+    assert found.relays[0].zone == "a" and found.relays[0].listen is None
     agreement = parse(json.dumps(merged(BASE, {"agreement": AGREEMENT})), "site.json5", Config).agreement
     assert agreement is not None and agreement.relays == AGREEMENT["relays"] and not agreement.keepers
 
 
-def test_all_errors_are_told_at_once_and_the_exit_is_two(tmp_path: Path) -> None:
+def test_file_with_several_errors_prints_all_and_exits_with_2(tmp_path: Path) -> None:
     path = tmp_path / "bad.json5"
     path.write_text(
         json.dumps(merged(BASE, {"front": {"a": 1, "index": -1}, "site": {"keep_alive_ms": "x"}}))
@@ -114,39 +118,39 @@
 
 
 @pytest.mark.parametrize("text", ["{", "[]", "", "{a: 1, a: 2}", "{site: " * 2000])
-def test_what_is_no_json5_object_is_an_error_not_a_crash(text: str) -> None:
+def test_text_that_is_no_json5_object_raises_config_error(text: str) -> None:
     with pytest.raises(ConfigError):
         parse(text, "f", Config)
 
 
-def test_the_examples_are_right() -> None:
+def test_examples_pass_check_config() -> None:
     for path in (ROOT / "examples").glob("*.json5"):
         if not path.name.endswith("-day.json5"):
             result = CliRunner().invoke(main, ["check-config", str(path)])
             assert result.exit_code == 0, result.output
 
 
-def test_the_front_ends_of_the_settings_example_have_places_of_their_own() -> None:
+def test_front_ends_of_the_settings_example_have_distinct_members_and_addresses() -> None:
     shared, own = ROOT / "examples" / "settings.json5", ROOT / "examples" / "settings" / "f1.json5"
-    first, second = load(shared, Config), load_with_own(shared, own, Config)
+    first, second = load(shared, Config), load_with_overlay(shared, own, Config)
     assert first.agreement is not None and second.agreement is not None
     assert first.agreement.member != second.agreement.member
     assert first.front.listen != second.front.listen and first.front.index != second.front.index
-    fleet = load(ROOT / "examples" / "settings-keepers.json5", Keepers)
+    fleet = load(ROOT / "examples" / "settings-keepers.json5", ControlPlaneConfig)
     assert {line.name: line.address for line in fleet.relays} == first.agreement.relays
     assert second.agreement.relays == first.agreement.relays
     assert first.fleet is not None
-    stand_ins = [(line.name, line.listen) for line in first.fleet.workers]
-    assert [(line.name, line.address) for line in first.front.workers] == stand_ins
+    fake_workers = [(line.name, line.listen) for line in first.fleet.workers]
+    assert [(line.name, line.address) for line in first.front.workers] == fake_workers
 
 
-def test_every_command_says_what_it_is_for() -> None:
+def test_each_command_has_help() -> None:
     result = CliRunner().invoke(main, ["--help"])
     for command in ("serve", "worker", "up", "check-config", "trial", "audit"):
         assert command in result.output
         assert CliRunner().invoke(main, [command, "--help"]).exit_code == 0
 
 
-def test_the_version_is_told() -> None:
-    told = CliRunner().invoke(main, ["--version"])
-    assert told.exit_code == 0 and "0.2.0" in told.output
+def test_version_option_prints_the_version() -> None:
+    found = CliRunner().invoke(main, ["--version"])
+    assert found.exit_code == 0 and "0.2.0" in found.output
--- a/packages/cli/tests/test_settings_fleet.py
+++ b/packages/cli/tests/test_config_processes.py
@@ -1,4 +1,4 @@
-"""Agreed settings through processes: keepers, relays, a front end; relays killed in between."""
+"""Agreed settings through processes: control plane, relays, a front end; relays are killed in between."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from click.testing import CliRunner, Result
 
 from fleet_rig import BASE, merged
-from test_settings import free_address, led
+from test_config_commands import free_address, wait_for_leader
 from walnutpost.cli import main
 
-FEW = 512
-PATIENT = ("--within", 60)  # seconds; a busy machine may take them, a test that passes does not
+FEW_DESCRIPTORS = 512
+WAIT_OPTIONS = ("--within", 60)  # seconds; a busy machine may take them, a test that passes does not
 
 
 class Processes:
@@ -30,25 +30,25 @@
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         self.starts: dict[str, int] = {}
         self.relays = {name: free_address() for name in ("r1", "r2")}
-        told = {
+        content = {
             "keepers": [{"name": name, "address": free_address()} for name in ("k1", "k2", "k3")],
             "relays": [{"name": name, "address": address} for name, address in self.relays.items()],
-            # No busy machine is to change the leader, who alone knows what the killed relays said.
+            # So long that no busy machine changes the leader, which alone knows the killed relays' reports.
             "election_ms": 3000,
             "heartbeat_ms": 300,
         }
-        self.keepers = self.written("keepers.json5", told)
+        self.keepers = self.written("keepers.json5", content)
         agreement = {"agreement": {"member": "f0", "relays": self.relays}}
         self.site = self.written("site.json5", merged(BASE, agreement))
         for name in ("k1", "k2", "k3"):
             self.start(name, "keeper", self.keepers, "--name", name, "--found")
         for name in self.relays:
             self.start_relay(name)
-        led(self, self.running, self.logs)
+        wait_for_leader(self, self.running, self.logs)
 
-    def written(self, name: str, told: dict[str, Any]) -> Path:
+    def written(self, name: str, content: dict[str, Any]) -> Path:
         path = self.folder / name
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(content))
         return path
 
     def start(self, name: str, *args: object) -> None:
@@ -58,9 +58,9 @@
             self.running[name] = subprocess.Popen(command, stdout=out, stderr=out)
 
     def start_relay(self, name: str) -> None:
-        """With fewer descriptors than it might have, as a shell gives it."""
+        """Start with fewer descriptors than the hard limit, as a shell does."""
         limits = resource.getrlimit(resource.RLIMIT_NOFILE)
-        resource.setrlimit(resource.RLIMIT_NOFILE, (FEW, limits[1]))
+        resource.setrlimit(resource.RLIMIT_NOFILE, (FEW_DESCRIPTORS, limits[1]))
         try:
             self.start(name, "relay", self.keepers, "--name", name)
         finally:
@@ -73,11 +73,11 @@
         return self.folder / f"{name}.{self.starts[name]}.log"
 
     def lines(self, name: str, event: str) -> list[dict[str, Any]]:
-        told = []
+        content = []
         for line in self.log(name).read_text().splitlines():
             if line.startswith("{"):
-                told.append(json.loads(line))
-        return [line for line in told if line["event"] == event]
+                content.append(json.loads(line))
+        return [line for line in content if line["event"] == event]
 
     def kill(self, name: str, how: signal.Signals = signal.SIGKILL) -> None:
         process = self.running.pop(name)
@@ -94,16 +94,16 @@
         return CliRunner().invoke(main, given, catch_exceptions=False)
 
     def set(self, *args: object) -> int:
-        """The revision that it was agreed on as."""
+        """Return the revision of the change."""
         done = self("set", *args)
         assert done.exit_code == 0, done.output
         return int(done.stdout.split()[-1])
 
     def in_force(self, revision: int) -> dict[str, Any]:
-        """The status once all members act on it."""
-        told = self("status", "--wait", revision, *PATIENT, "--format", "json")
-        assert told.exit_code == 0, (told.output, self.logs())
-        status: dict[str, Any] = json.loads(told.stdout)
+        """Return the status once all members apply the revision."""
+        content = self("status", "--wait", revision, *WAIT_OPTIONS, "--format", "json")
+        assert content.exit_code == 0, (content.output, self.logs())
+        status: dict[str, Any] = json.loads(content.stdout)
         return status
 
     def logs(self) -> str:
@@ -119,38 +119,38 @@
         running.close()
 
 
-def test_a_setting_is_in_force_by_name_whatever_becomes_of_the_relays(processes: Processes) -> None:
+def test_setting_is_applied_and_reported_by_member_while_relays_are_killed(processes: Processes) -> None:
     run = processes
     first = run.set(run.site)
     run.start_front()
-    told = run.in_force(first)
-    assert (told["members"], told["in_force"], told["lacking"]) == (1, first, [])
-    assert told["acting"] == ["f0"]
+    content = run.in_force(first)
+    assert (content["members"], content["in_force"], content["lacking"]) == (1, first, [])
+    assert content["acting"] == ["f0"]
     few = run("status", "--wait", "--members", 2, "--within", 0)
     assert few.exit_code == 1 and "1 members follow the table, wanted 2" in few.stderr
-    assert {relay["relay"] for relay in told["relays"]} <= {"r1", "r2"}
+    assert {relay["relay"] for relay in content["relays"]} <= {"r1", "r2"}
 
     # A relay has a connection for each of its members: it takes as many descriptors as it may have.
     soft, hard = resource.prlimit(run.running["r1"].pid, resource.RLIMIT_NOFILE)
-    assert soft == hard > FEW
+    assert soft == hard > FEW_DESCRIPTORS
 
     second = run.set("--function", "price", "lanes=4")
-    assert run.in_force(second)["digest"] != told["digest"]
+    assert run.in_force(second)["digest"] != content["digest"]
     assert [line["revision"] for line in run.lines("f0", "config_applied")][-1] == second
 
     # The relay that the front end follows is killed in between.
     serving = next(r["relay"] for r in run.in_force(second)["relays"] if r["members"])
     run.kill(serving)
     third = run.set("--function", "price", "lanes=3")
-    told = run.in_force(third)
-    assert told["members"] == 1
+    content = run.in_force(third)
+    assert content["members"] == 1
     shown = run("status").stdout
     assert f"in force everywhere: all 1 members act on revision {third}" in shown
     assert f"acting on revision {third}: f0" in shown.splitlines()
     other = next(name for name in run.relays if name != serving)
     assert other in shown
 
-    # Without any relay it is told by name who lacks it, and the front end goes on with what it has.
+    # Without any relay the status names who lacks it, and the front end goes on with what it has.
     run.kill(other)
     fourth = run.set("--function", "price", "lanes=1")
     lacks = run("status", "--wait", fourth, "--within", 1)
@@ -169,7 +169,7 @@
     assert took[-1]["revision"] == fourth and took[-1]["took_s"] > 0
 
 
-def test_a_member_that_cannot_act_on_a_revision_is_named_with_why(processes: Processes) -> None:
+def test_member_that_cannot_apply_a_revision_is_named_with_the_reason(processes: Processes) -> None:
     run = processes
     first = run.set(run.site)
     run.start_front()
@@ -179,7 +179,7 @@
     more = {"site": {"classes": classes, "functions": functions}}
     unknown = run.set(run.written("more.json5", merged(BASE, more)))
     lacking: dict[str, Any] = {"why": ""}
-    while "function/new" not in lacking["why"]:  # until the front end's word is there
+    while "function/new" not in lacking["why"]:  # until the front end has reported
         assert run.running["f0"].poll() is None, run.logs()
         lacks = run("status", "--wait", unknown, "--within", 0.2, "--format", "json")
         assert lacks.exit_code == 1 and json.loads(lacks.stdout)["acting"] == []
@@ -190,7 +190,7 @@
     assert "function/new: class: found 'sale'" in run("status").stdout
     mended = run.set("--function", "new", "--delete")
     assert run.in_force(mended)["lacking"] == []
-    # One that has gone for good holds up nothing once it is forgotten.
+    # One that has gone for good blocks nothing once it is forgotten.
     run.kill("f0")
     last = run.set("--function", "price", "lanes=7")
     assert run("status", "--wait", last, "--within", 1).exit_code == 1
@@ -198,7 +198,7 @@
     assert "nobody follows the table" in run("status").stdout
 
 
-def test_a_relay_whose_address_is_taken_says_so_in_one_line(tmp_path: Path) -> None:
+def test_relay_with_an_address_in_use_prints_one_line(tmp_path: Path) -> None:
     keeper = {"name": "k1", "address": free_address()}
     relay = {"name": "r1", "address": keeper["address"]}
     file = tmp_path / "keepers.json5"
@@ -218,5 +218,7 @@
         finally:
             process.kill()
     assert taken.exit_code == 2
-    says = f"{file}: relays.0.address: found {relay['address']}, which is taken (Address already in use); "
-    assert taken.output.splitlines() == [says + "wanted a free address"]
+    expected = (
+        f"{file}: relays.0.address: found {relay['address']}, which is taken (Address already in use); "
+    )
+    assert taken.output.splitlines() == [expected + "wanted a free address"]
--- a/packages/cli/tests/test_fleet_json_golden.py
+++ b/packages/cli/tests/test_fleet_json_golden.py
@@ -10,15 +10,15 @@
 
 
 @pytest.mark.parametrize("name", GOLDEN.forms)
-def test_a_command_shows_the_same_json(name: str) -> None:
+def test_command_prints_the_golden_json(name: str) -> None:
     GOLDEN.check_written(name)
 
 
-def test_the_golden_file_holds_these_forms_and_no_others() -> None:
+def test_golden_file_has_exactly_these_forms() -> None:
     GOLDEN.check_names()
 
 
-def test_every_command_of_these_groups_that_shows_json_has_a_golden_form() -> None:
+def test_each_json_command_of_these_groups_has_a_golden_form() -> None:
     wanted = set()
     for group in ("fleet", "config"):
         commands = main.commands[group]
--- a/packages/cli/tests/test_listening.py
+++ b/packages/cli/tests/test_listen_addresses.py
@@ -1,4 +1,4 @@
-"""An address that can't be listened on is told in one line that names the setting."""
+"""An address that can't be listened on is reported in one line that names the setting."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from fleet_rig import BASE, merged
 from walnutpost.cli import main
-from walnutpost.cli.listening import listening
+from walnutpost.cli.listen_addresses import ListenAddress, checked_addresses
 
 
 @pytest.fixture
@@ -24,9 +24,9 @@
         yield "{}:{}".format(*sock.getsockname())
 
 
-def written(path: Path, told: dict[str, Any]) -> str:
+def written(path: Path, content: dict[str, Any]) -> str:
     file = path / "site.json5"
-    file.write_text(json.dumps(told))
+    file.write_text(json.dumps(content))
     return str(file)
 
 
@@ -63,64 +63,68 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_a_taken_address_is_one_line_that_names_the_setting(case: str, taken: str, tmp_path: Path) -> None:
-    told, command, place = CASES[case]
-    file = written(tmp_path, json.loads(json.dumps(told).replace("TAKEN", taken)))
+def test_address_in_use_prints_one_line_that_names_the_setting(case: str, taken: str, tmp_path: Path) -> None:
+    content, command, place = CASES[case]
+    file = written(tmp_path, json.loads(json.dumps(content).replace("TAKEN", taken)))
     result = CliRunner().invoke(main, [command[0], file, *command[1:]])
     assert result.exit_code == 2, (result.output, result.exception)
     line = f"{file}: {place}: found {taken}, which is taken (Address already in use); wanted a free address"
     assert result.output.splitlines() == [line]
 
 
-def test_a_process_started_twice_leaves_the_store_of_the_first_alone(taken: str, tmp_path: Path) -> None:
+def test_process_started_twice_does_not_open_the_store_of_the_first(taken: str, tmp_path: Path) -> None:
     file = written(tmp_path, merged(FRONT, {"front": {"listen": taken}}))
     assert CliRunner().invoke(main, ["serve", file]).exit_code == 2
     assert [path.name for path in tmp_path.iterdir()] == ["site.json5"]
 
 
-def test_the_store_names_its_option(taken: str, tmp_path: Path) -> None:
+def test_store_with_an_address_in_use_names_its_option(taken: str, tmp_path: Path) -> None:
     result = CliRunner().invoke(main, ["store", written(tmp_path, BASE), "--listen", taken])
     assert result.exit_code == 2
     assert result.output.startswith(f"walnutpost store: --listen: found {taken}, which is taken (")
 
 
-def test_an_own_file_is_named_with_the_shared_one(taken: str, tmp_path: Path) -> None:
+def test_address_error_with_an_own_file_names_both_files(taken: str, tmp_path: Path) -> None:
     shared, own = written(tmp_path, BASE), tmp_path / "own.json5"
     own.write_text(json.dumps({"front": {"listen": taken}}))
     result = CliRunner().invoke(main, ["serve", shared, "--own", str(own)])
     assert result.output.startswith(f"{shared} with {own}: front.listen: found {taken}, which is taken (")
 
 
-def test_all_that_is_taken_is_told_at_once(taken: str, tmp_path: Path) -> None:
-    told = merged(BASE, {"front": {"listen": taken}, "fleet": {"workers": [{"name": "a", "listen": taken}]}})
-    result = CliRunner().invoke(main, ["up", written(tmp_path, told)])
+def test_several_addresses_in_use_are_all_reported(taken: str, tmp_path: Path) -> None:
+    content = merged(
+        BASE, {"front": {"listen": taken}, "fleet": {"workers": [{"name": "a", "listen": taken}]}}
+    )
+    result = CliRunner().invoke(main, ["up", written(tmp_path, content)])
     lines = result.output.splitlines()
     for place in ("front.listen", "fleet.workers.0.listen"):
         assert any(f": {place}: found {taken}, which is taken (" in line for line in lines)
     assert any("fleet.workers.0.listen: found" in line and "as front.listen has" in line for line in lines)
 
 
-def test_an_address_of_another_machine_is_told_as_such(tmp_path: Path) -> None:
+def test_address_of_another_machine_is_reported_as_such(tmp_path: Path) -> None:
     """192.0.2.0/24 is for documentation, and no machine's."""
-    told = {"keepers": [{"name": "k1", "address": "192.0.2.1:8501"}]}
-    result = CliRunner().invoke(main, ["keeper", written(tmp_path, told), "--name", "k1", "--found"])
+    content = {"keepers": [{"name": "k1", "address": "192.0.2.1:8501"}]}
+    result = CliRunner().invoke(main, ["keeper", written(tmp_path, content), "--name", "k1", "--found"])
     assert result.exit_code == 2
     assert "keepers.0.address: found 192.0.2.1:8501, which is none of this machine (" in result.output
 
 
-def test_an_address_lost_after_the_look_is_one_line_too(capsys: pytest.CaptureFixture[str]) -> None:
+def test_address_taken_after_the_check_prints_one_line(capsys: pytest.CaptureFixture[str]) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock, pytest.raises(SystemExit) as ended:
         sock.bind(("127.0.0.1", 0))
         address = "{}:{}".format(*sock.getsockname())
-        with listening("site.json5", [("front.listen", address)]):
+        with checked_addresses("site.json5", [ListenAddress("front.listen", address)]):
             sock.listen()
             with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as other:
                 other.bind(sock.getsockname())
     assert ended.value.code == 2
-    said = capsys.readouterr().err.splitlines()
-    assert len(said) == 1 and said[0].startswith(f"site.json5: front.listen: found {address}, which is taken")
+    lines = capsys.readouterr().err.splitlines()
+    assert len(lines) == 1 and lines[0].startswith(
+        f"site.json5: front.listen: found {address}, which is taken"
+    )
 
 
-def test_another_error_of_the_system_is_not_taken_for_an_address(tmp_path: Path) -> None:
-    with pytest.raises(FileNotFoundError), listening("site.json5", []):
+def test_other_system_errors_pass_through_the_address_check(tmp_path: Path) -> None:
+    with pytest.raises(FileNotFoundError), checked_addresses("site.json5", []):
         (tmp_path / "none").read_bytes()
--- a/packages/cli/tests/test_usage_cli.py
+++ b/packages/cli/tests/test_usage_cli.py
@@ -16,7 +16,7 @@
 from fleet_rig import BASE, merged
 from test_metering import START, fleet, meters, traffic
 from walnutpost.cli import main
-from walnutpost.cli.usage import Ledgers
+from walnutpost.cli.ledgers import Ledgers
 
 METERING = {"price_per_gb_hour": "0.25", "renamed": {"trade": "wholesale"}}
 
@@ -36,71 +36,71 @@
     f.run(script)
     ledgers = Ledgers.__init__
 
-    def a_while_ago(self: Any, *told: Any, **named: Any) -> None:
-        monkeypatch.setattr("walnutpost.cli.usage.time.time_ns", lambda: (START + 240_000_000) * 1000)
-        ledgers(self, *told, **named)
+    def init_minutes_later(self: Any, *args: Any, **options: Any) -> None:
+        monkeypatch.setattr("walnutpost.cli.ledgers.time.time_ns", lambda: (START + 240_000_000) * 1000)
+        ledgers(self, *args, **options)
 
-    monkeypatch.setattr(Ledgers, "__init__", a_while_ago)
+    monkeypatch.setattr(Ledgers, "__init__", init_minutes_later)
     path = tmp_path / "site.json5"
     path.write_text(json.dumps(merged(BASE, {"metering": METERING})))
     return path
 
 
-def said(*words: object) -> tuple[int, str, str]:
+def run_usage(*words: object) -> tuple[int, str, str]:
     result = CliRunner().invoke(main, ["usage", *map(str, words)], catch_exceptions=False)
     return result.exit_code, result.stdout, result.stderr
 
 
-def test_a_report_says_the_same_in_each_form(config: Path) -> None:
-    code, text, _ = said("report", config, "--format", "json")
+def test_report_has_the_same_rows_in_each_format(config: Path) -> None:
+    code, text, _ = run_usage("report", config, "--format", "json")
     rows = json.loads(text)
     assert code == 0 and {r["tenant"] for r in rows} == {"-", "tills", "wholesale"}
-    _, text, _ = said("report", config, "--format", "csv")
+    _, text, _ = run_usage("report", config, "--format", "csv")
     assert list(csv.DictReader(io.StringIO(text))) == rows
-    _, text, _ = said("report", config)
+    _, text, _ = run_usage("report", config)
     assert [line.split() for line in text.splitlines()] == [list(rows[0]), *(list(r.values()) for r in rows)]
-    _, text, _ = said("report", config, "--by", "kind,hour", "--format", "json")
+    _, text, _ = run_usage("report", config, "--by", "kind,hour", "--format", "json")
     assert [r["kind"] for r in json.loads(text)] == ["closed", "open"]
     total = sum(float(r["mb_s"]) for r in rows)
     assert abs(sum(float(r["mb_s"]) for r in json.loads(text)) - total) < 1e-3
 
 
-def test_explain_names_the_stretches_that_make_a_figure(config: Path) -> None:
-    _, text, _ = said("report", config, "--by", "tenant", "--format", "json")
+def test_explain_lists_the_stretches_that_make_a_figure(config: Path) -> None:
+    _, text, _ = run_usage("report", config, "--by", "tenant", "--format", "json")
     figure = next(r["mb_s"] for r in json.loads(text) if r["tenant"] == "wholesale")
-    code, text, _ = said("explain", config, "--tenant", "wholesale", "--most", 1000)
+    code, text, _ = run_usage("explain", config, "--tenant", "wholesale", "--most", 1000)
     assert code == 0 and f"{figure} MB s" in text
     lines = [line.split() for line in text.splitlines()[1:-1]]
     assert lines and all(line[0] == "wholesale" and line[1].startswith("worker-") for line in lines)
 
 
-def test_verify_finds_a_change_of_the_file_and_a_copy_that_is_not_in_it(config: Path) -> None:
+def test_verify_finds_a_changed_line_and_a_missing_copy(config: Path) -> None:
     exports = [word for n in (1, 2, 3) for word in ("--records", config.parent / f"worker-{n}.json")]
-    assert said("verify", config, *exports)[0] == 0
+    assert run_usage("verify", config, *exports)[0] == 0
     db = sqlite3.connect(config.parent / "usage.db", isolation_level=None)
-    for statement, complaint in (
+    for statement, expected in (
         ("update lines set best=best+1 where rowid=1", "booked Amount"),
         ("update lines set best=best-1 where rowid=1", ""),
         ("delete from slices where ended=1", "none in the ledger"),
     ):
         db.execute(statement)
-        code, _, errors = said("verify", config, *exports)
-        assert (code, complaint in errors) == (int(bool(complaint)), True)
+        code, _, errors = run_usage("verify", config, *exports)
+        assert (code, expected in errors) == (int(bool(expected)), True)
     db.close()
 
 
-def test_invoices_and_a_chart(config: Path) -> None:
-    code, text, errors = said("invoice", config, "--digits", 9)
+def test_invoice_and_chart_cover_each_tenant(config: Path) -> None:
+    code, text, errors = run_usage("invoice", config, "--digits", 9)
     assert code == 0 and "not closed yet" in errors
     totals = {line.split(":")[0]: line.split()[1] for line in text.splitlines() if line[0] != " "}
     assert set(totals) == {"-", "tills", "wholesale"} and all("." in money for money in totals.values())
     out = config.parent / "chart.svg"
-    assert said("chart", config, "--out", out)[0] == 0
+    assert run_usage("chart", config, "--out", out)[0] == 0
     drawn = ElementTree.fromstring(out.read_bytes())
     assert "wholesale" in "".join(drawn.itertext())
 
 
-WRONG: dict[str, tuple[list[str], str]] = {
+INVALID_INPUT: dict[str, tuple[list[str], str]] = {
     "a field": (["report", "CONFIG", "--by", "tenant,colour"], "--by: found colour; wanted some of tenant"),
     "a time": (["report", "CONFIG", "--from", "yesterday"], "found 'yesterday'; wanted a day or an hour"),
     "an order": (["report", "CONFIG", "--from", "2026-12-02", "--to", "2026-12-01"], "wanted an earlier one"),
@@ -111,21 +111,21 @@
 }
 
 
-@pytest.mark.parametrize("name", WRONG)
-def test_bad_input_is_named(name: str, config: Path) -> None:
-    words, complaint = WRONG[name]
+@pytest.mark.parametrize("name", INVALID_INPUT)
+def test_invalid_input_exits_with_2_and_names_it(name: str, config: Path) -> None:
+    words, expected = INVALID_INPUT[name]
     other, plain = config.with_name("other.json5"), config.with_name("plain.json5")
     other.write_text(json.dumps(merged(BASE, {"metering": {"file": "other.db"}})))
     plain.write_text(json.dumps(BASE))
     free = config.with_name("free.json5")
     free.write_text(json.dumps(merged(BASE, {"metering": {}})))
     places = {"CONFIG": config, "OTHER": other, "PLAIN": plain, "FREE": free}
-    code, _, errors = said(*(places.get(word, word) for word in words))
-    assert code == 2 and complaint in errors
+    code, _, errors = run_usage(*(places.get(word, word) for word in words))
+    assert code == 2 and expected in errors
 
 
 @pytest.mark.parametrize(
-    ("told", "complaint"),
+    ("section", "expected"),
     [
         ({"budgets": {"nobody": {"mb_s": 1}}}, "nobody is none of site.tenants"),
         ({"keep_slices_h": 48, "keep_hours_d": 1}, "slices kept for less time than hours"),
@@ -134,8 +134,10 @@
         ({"price_per_gb_hour": "free"}, "pattern"),
     ],
 )
-def test_a_wrong_section_is_a_configuration_error(told: Any, complaint: str, tmp_path: Path) -> None:
+def test_invalid_metering_section_is_a_configuration_error(
+    section: Any, expected: str, tmp_path: Path
+) -> None:
     path = tmp_path / "site.json5"
-    path.write_text(json.dumps(merged(BASE, {"metering": told})))
+    path.write_text(json.dumps(merged(BASE, {"metering": section})))
     result = CliRunner().invoke(main, ["check-config", str(path)])
-    assert result.exit_code == 2 and complaint in result.stderr and "metering" in result.stderr
+    assert result.exit_code == 2 and expected in result.stderr and "metering" in result.stderr
--- a/packages/config/src/walnutpost/config/__init__.py
+++ b/packages/config/src/walnutpost/config/__init__.py
@@ -1,26 +1,39 @@
-"""Configuration: JSON5 files, checked into typed objects."""
+"""Configuration: JSON5 files, checked into typed objects, and converted for the parts of a front end."""
 
-from walnutpost.config.load import ConfigError, keys_of, laid_over, load, load_with_own, parse
-from walnutpost.config.model import Config, Fleet, Front, Site, StandIn, WorkerLine, WorkerList
-from walnutpost.config.settings import catalogue, own_schedules, router_settings, schedules, worker_lines
+from walnutpost.config.conversion import (
+    EndpointList,
+    build_catalogue,
+    build_endpoint_list,
+    build_own_schedules,
+    build_router_settings,
+    build_schedules,
+)
+from walnutpost.config.errors import ConfigError, InvalidEntryError
+from walnutpost.config.fakes import FakeFleetConfig, FakeWorkerConfig
+from walnutpost.config.files import load, load_with_overlay, overlay_sections, parse, read_top_level_keys
+from walnutpost.config.front_end import FrontEndConfig, WorkerConfig, WorkerList
+from walnutpost.config.root import Config
+from walnutpost.config.site import Site
 
 __all__ = [
     "Config",
     "ConfigError",
-    "Fleet",
-    "Front",
+    "EndpointList",
+    "FakeFleetConfig",
+    "FakeWorkerConfig",
+    "FrontEndConfig",
+    "InvalidEntryError",
     "Site",
-    "StandIn",
-    "WorkerLine",
+    "WorkerConfig",
     "WorkerList",
-    "catalogue",
-    "keys_of",
-    "laid_over",
+    "build_catalogue",
+    "build_endpoint_list",
+    "build_own_schedules",
+    "build_router_settings",
+    "build_schedules",
     "load",
-    "load_with_own",
-    "own_schedules",
+    "load_with_overlay",
+    "overlay_sections",
     "parse",
-    "router_settings",
-    "schedules",
-    "worker_lines",
+    "read_top_level_keys",
 ]
--- a/packages/config/src/walnutpost/config/entries.py
+++ b/packages/config/src/walnutpost/config/entries.py
@@ -1,200 +1,141 @@
-"""The settings that a fleet agrees on, as entries of its table: a key `class/NAME`, `function/NAME` or
-`tenant/NAME` for each line of a configuration's `site`, and as value that line in canonical JSON: keys in
-order, no spaces, defaults left out. The same settings are the same bytes, whoever writes them.
+"""The settings that a fleet agrees on, as entries of its configuration store.
 
-Members act on a function's entry as it changes, on all others as they stood at their start. So nothing but
-functions may change once it is agreed on: what is told to be in force must be."""
+A key `class/NAME`, `function/NAME` or `tenant/NAME` for each item of a configuration's `site`, and as value
+that item in canonical JSON: keys in order, no spaces, defaults left out. So the same settings are the same
+bytes, whoever writes them.
+"""
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable, Iterator, Mapping, Sequence
+from collections.abc import Iterator, Mapping, Sequence
 from types import MappingProxyType
 
 from pydantic import ValidationError
 
-from walnutpost.config.base import Strict
-from walnutpost.config.load import FOUND_MOST, error_line
-from walnutpost.config.model import CLASSES_MOST, CallClass, FunctionLine, Site, TenantLine
-from walnutpost.config.settings import function
+from walnutpost.config.base import StrictModel
+from walnutpost.config.conversion import build_function
+from walnutpost.config.errors import InvalidEntryError
+from walnutpost.config.files import describe_errors
+from walnutpost.config.site import CallClass, FunctionConfig, Site, TenantConfig
 from walnutpost.configstore import MAX_CHANGE_SET_BYTES, MAX_MUTATIONS, Entry, Mutation, encode
 from walnutpost.gateway import Function
 
-CLASS, FUNCTION, TENANT = "class/", "function/", "tenant/"
-KINDS: Mapping[str, type[Strict]] = MappingProxyType(
-    {CLASS: CallClass, FUNCTION: FunctionLine, TENANT: TenantLine}
+CLASS_PREFIX = "class/"
+FUNCTION_PREFIX = "function/"
+TENANT_PREFIX = "tenant/"
+MODEL_BY_PREFIX: Mapping[str, type[StrictModel]] = MappingProxyType(
+    {CLASS_PREFIX: CallClass, FUNCTION_PREFIX: FunctionConfig, TENANT_PREFIX: TenantConfig}
 )
-AT_START = "taken up at a start only"
-SPARE = 64  # bytes of a change set beside its ops, at the least
+CHANGE_SET_OVERHEAD_BYTES = 64  # of a change set beside its mutations, at least
 
 
-def value_of(line: Strict) -> bytes:
-    """A line as the table holds it."""
-    told = line.model_dump(mode="json", by_alias=True, exclude_defaults=True)
-    return json.dumps(told, sort_keys=True, separators=(",", ":")).encode()
-
-
-def entries_of(site: Site) -> dict[str, bytes]:
-    """All that a fleet agrees on of a site, by key."""
-    lines: tuple[tuple[str, Mapping[str, Strict]], ...] = (
-        (CLASS, site.classes),
-        (FUNCTION, site.functions),
-        (TENANT, site.tenants),
-    )
-    return {kind + name: value_of(line) for kind, named in lines for name, line in named.items()}
-
-
-class Held(Mapping[str, bytes]):
-    """A table's values by key, read where they stand."""
+class EntryValues(Mapping[str, bytes]):
+    """A store's values by key; a view, so that large stores are not copied."""
 
     def __init__(self, entries: Mapping[str, Entry]) -> None:
+        """Show the values of `entries`, which may change."""
         self._entries = entries
 
     def __getitem__(self, key: str) -> bytes:
+        """Return the value of a key. Raises KeyError."""
         return self._entries[key].value
 
     def __iter__(self) -> Iterator[str]:
+        """Iterate over the keys."""
         return iter(self._entries)
 
     def __len__(self) -> int:
+        """Return the number of entries."""
         return len(self._entries)
 
 
-def function_of(name: str, value: bytes, classes: Sequence[str]) -> Function:
-    """What a gateway is given for the entry `function/name`. `classes`: in the order of the settings that it
-    was started with. Raises ValueError, naming key, field, found and wanted."""
-    key = FUNCTION + name
-    line = _line_of(key, value)
-    assert isinstance(line, FunctionLine)
-    if line.class_ not in classes:
-        raise ValueError(_unknown_class(key, line, classes))
-    return function(name, line, classes)
-
-
-def differences(held: Mapping[str, bytes], wanted: Mapping[str, bytes]) -> tuple[Mutation, ...]:
-    """What makes `held` into `wanted`, in an order that any part of it from the first on may be agreed to:
-    a class comes before the functions that name it, and goes after them."""
-    ops = [Mutation(key, value) for key, value in wanted.items() if held.get(key) != value]
-    ops += [Mutation(key, None) for key in held if key not in wanted]
-    return tuple(sorted(ops, key=_order))
-
-
-def _order(op: Mutation) -> tuple[int, str]:
-    if op.key.startswith(FUNCTION):
-        return (1 if op.value is not None else 2), op.key
-    return (0 if op.value is not None else 3), op.key
-
-
-def parts_of(ops: Sequence[Mutation]) -> list[tuple[Mutation, ...]]:
-    """Change sets, in order, none beyond what one may hold."""
-    parts: list[tuple[Mutation, ...]] = []
-    size = MAX_CHANGE_SET_BYTES
-    for op in ops:
-        own = len(encode(op))
-        if not parts or size + own > MAX_CHANGE_SET_BYTES or len(parts[-1]) == MAX_MUTATIONS:
-            parts.append(())
-            size = SPARE
-        parts[-1] += (op,)
-        size += own
-    return parts
-
-
-def check(held: Mapping[str, bytes], ops: Sequence[Mutation]) -> list[str]:
-    """What is wrong with these changes as settings, on what is held: a line for each fault, with key, field,
-    found and wanted. Reads the entries that it changes and the classes that these name; all functions only
-    where a class goes, all keys where one comes."""
-    changes = {op.key: op.value for op in ops}
-
-    def after(key: str) -> bytes | None:
-        return changes[key] if key in changes else held.get(key)
-
-    wrong: list[str] = []
-    for key, value in changes.items():
-        kind = key[: key.find("/") + 1]
-        if kind not in KINDS:
-            kinds = ", ".join(each + "NAME" for each in KINDS)
-            wrong.append(f"{key}: (key): found {kind or key!r}; wanted one of {kinds}")
-        elif value is None:
-            if key not in held:
-                wrong.append(f"{key}: (top): found nothing to delete; wanted a key that is agreed on")
-            elif kind == TENANT:
-                wrong.append(_at_start(key, "a deletion"))
-            elif kind == CLASS:
-                wrong += _goes(key, held, changes)
-        else:
-            wrong += _stands(key, value, held, after)
-    return wrong + _too_many(held, changes)
-
-
-def _stands(
-    key: str, value: bytes, held: Mapping[str, bytes], after: Callable[[str], bytes | None]
-) -> list[str]:
-    """What is wrong with a line that is to stand under a key."""
-    try:
-        line = _line_of(key, value)
-    except ValueError as error:
-        return str(error).splitlines()
-    if (canonical := value_of(line)) != value:  # else two who agree would differ by digest
-        return [f"{key}: (top): found {_short(value)}; wanted its canonical form {_short(canonical)}"]
-    if key == TENANT + "-":
-        return [f"{key}: (key): found '-'; wanted another name: it stands for nobody"]
-    if (known := held.get(key)) is not None and known != value and not key.startswith(FUNCTION):
-        return [_changed(key, known, value)]
-    if isinstance(line, FunctionLine) and after(CLASS + line.class_) is None:
-        return [_unknown_class(key, line, [k[len(CLASS) :] for k in held if k.startswith(CLASS)])]
-    return []
-
-
-def _line_of(key: str, value: bytes) -> Strict:
-    """Raises ValueError with a line for each fault."""
-    model = KINDS[key[: key.index("/") + 1]]
+# Encoding
+
+
+def encode_value(item: StrictModel) -> bytes:
+    """Encode a class, function or tenant as the value of an entry."""
+    fields = item.model_dump(mode="json", by_alias=True, exclude_defaults=True)
+    return json.dumps(fields, sort_keys=True, separators=(",", ":")).encode()
+
+
+def encode_site(site: Site) -> dict[str, bytes]:
+    """Return all that a fleet agrees on of a site, by key."""
+    return (
+        _encode_section(CLASS_PREFIX, site.classes)
+        | _encode_section(FUNCTION_PREFIX, site.functions)
+        | _encode_section(TENANT_PREFIX, site.tenants)
+    )
+
+
+def _encode_section(prefix: str, section: Mapping[str, StrictModel]) -> dict[str, bytes]:
+    return {prefix + name: encode_value(item) for name, item in section.items()}
+
+
+def decode_value(key: str, value: bytes) -> StrictModel:
+    """Decode the value of a key with a known prefix. Raises InvalidEntryError with a line for each fault."""
+    model = MODEL_BY_PREFIX[prefix_of(key)]
     try:
         return model.model_validate_json(value)
     except ValidationError as error:
-        raise ValueError("\n".join(error_line(key, dict(e)) for e in error.errors())) from None
+        raise InvalidEntryError(key, describe_errors(key, error)) from None
+
+
+def decode_function(name: str, value: bytes, classes: Sequence[str]) -> Function:
+    """Decode the entry of a function for the gateway.
+
+    `classes`: in the order of the settings that the gateway was started with. Raises InvalidEntryError.
+    """
+    key = FUNCTION_PREFIX + name
+    function = decode_value(key, value)
+    assert isinstance(function, FunctionConfig)
+    if function.class_ not in classes:
+        raise InvalidEntryError(key, [unknown_class_error(key, function, classes)])
+    return build_function(name, function, classes)
+
 
+def prefix_of(key: str) -> str:
+    """Return a key up to its first slash, with it; "" if it has none."""
+    return key[: key.find("/") + 1]
 
-def _goes(key: str, held: Mapping[str, bytes], changes: Mapping[str, bytes | None]) -> list[str]:
-    """A class may go once no function names it: then nobody acts on it."""
-    name = key[len(CLASS) :]
-    # Values are canonical, so the name of the class stands in them as it does here.
-    named = f'"class":{json.dumps(name)}'.encode()
-    users = [k for k, value in held.items() if k not in changes and k.startswith(FUNCTION) and named in value]
-    users += [k for k, v in changes.items() if v is not None and k.startswith(FUNCTION) and named in v]
-    if not users:
-        return []
-    more = f" and {len(users) - 1} more" if len(users) > 1 else ""
-    return [f"{key}: (top): found a deletion; wanted no function to name it, as {min(users)} does{more}"]
 
+def unknown_class_error(key: str, function: FunctionConfig, classes: Sequence[str]) -> str:
+    """Return the error of a function whose class is none of `classes`."""
+    known = ", ".join(sorted(classes)) or "none known"
+    return f"{key}: class: found {function.class_!r}; wanted one of {known}"
 
-def _too_many(held: Mapping[str, bytes], changes: Mapping[str, bytes | None]) -> list[str]:
-    coming = [k for k, v in changes.items() if k.startswith(CLASS) and v is not None and k not in held]
-    if not coming:
-        return []
-    known = sum(k.startswith(CLASS) and k not in changes for k in held)
-    known += sum(k.startswith(CLASS) and v is not None for k, v in changes.items())
-    if known <= CLASSES_MOST:
-        return []
-    return [f"{coming[0]}: (top): found {known} classes with it; wanted {CLASSES_MOST} at most"]
 
+# Differences
 
-def _changed(key: str, known: bytes, value: bytes) -> str:
-    was, now = json.loads(known), json.loads(value)
-    fields = [f for f in sorted({*was, *now}) if was.get(f) != now.get(f)]
-    found = ", ".join(json.dumps(now[f]) if f in now else "its default" for f in fields)
-    wanted = ", ".join(json.dumps(was[f]) if f in was else "its default" for f in fields)
-    way = "; a class of another name may be added" if key.startswith(CLASS) else ""
-    return f"{key}: {', '.join(fields)}: found {found}; wanted {wanted}, as agreed: {AT_START}{way}"
 
+def diff_entries(current: Mapping[str, bytes], wanted: Mapping[str, bytes]) -> tuple[Mutation, ...]:
+    """Return the mutations that make `current` into `wanted`.
 
-def _at_start(key: str, found: str) -> str:
-    return f"{key}: (top): found {found}; wanted it as agreed: {AT_START}"
+    Each first part of them is valid by itself: a class comes before the functions that name it, and is
+    deleted after them.
+    """
+    mutations = [Mutation(key, value) for key, value in wanted.items() if current.get(key) != value]
+    mutations += [Mutation(key, None) for key in current if key not in wanted]
+    return tuple(sorted(mutations, key=_dependency_order))
 
 
-def _unknown_class(key: str, line: FunctionLine, classes: Sequence[str]) -> str:
-    return f"{key}: class: found {line.class_!r}; wanted one of {', '.join(sorted(classes)) or 'none known'}"
+def _dependency_order(mutation: Mutation) -> tuple[int, str]:
+    is_deletion = mutation.value is None
+    if mutation.key.startswith(FUNCTION_PREFIX):
+        return (2 if is_deletion else 1), mutation.key
+    return (3 if is_deletion else 0), mutation.key
 
 
-def _short(value: bytes) -> str:
-    text = value.decode("utf-8", "replace")
-    return text if len(text) <= FOUND_MOST else text[:FOUND_MOST] + "..."
+def split_into_change_sets(mutations: Sequence[Mutation]) -> list[tuple[Mutation, ...]]:
+    """Split mutations, in order, into parts that a change set may hold."""
+    parts: list[list[Mutation]] = []
+    size_bytes = MAX_CHANGE_SET_BYTES
+    for mutation in mutations:
+        own_bytes = len(encode(mutation))
+        is_full = size_bytes + own_bytes > MAX_CHANGE_SET_BYTES
+        if not parts or is_full or len(parts[-1]) == MAX_MUTATIONS:
+            parts.append([])
+            size_bytes = CHANGE_SET_OVERHEAD_BYTES
+        parts[-1].append(mutation)
+        size_bytes += own_bytes
+    return [tuple(part) for part in parts]
--- a/packages/config/src/walnutpost/config/journal.py
+++ b/packages/config/src/walnutpost/config/journal.py
@@ -1,17 +1,21 @@
-"""The `journal` section: deferred calls that stand in more than one site."""
+"""The `journal` section: deferred calls that are replicated to other sites.
+
+Durations end in `_ms` and are milliseconds; memory is in MB.
+"""
 
 from __future__ import annotations
 
-import ipaddress
 from typing import Literal
 
 from pydantic import Field, field_validator, model_validator
 
-from walnutpost.config.base import Ms, Name, Strict, address_of
+from walnutpost.config.base import Milliseconds, Name, StrictModel, is_loopback, parse_address
+
+MAX_REPLICAS = 2
 
 
-class HolderLine(Strict):
-    """A front end that keeps copies of others' journals, this one perhaps among them."""
+class JournalHostConfig(StrictModel):
+    """A front end that holds replicas of others' journals; this one may be among them."""
 
     name: Name
     address: str
@@ -20,41 +24,46 @@
 
     @field_validator("address")
     @classmethod
-    def _address(cls, value: str) -> str:
-        address_of(value)
-        return value
+    def _check_address(cls, address: str) -> str:
+        parse_address(address)
+        return address
+
+
+class ReplicationConfig(StrictModel):
+    """How calls of a class are replicated.
 
+    A deferred call is accepted once it has `replicas`; `on_shortage` is what becomes of one while fewer
+    hosts can be reached: rejected, or accepted with fewer.
+    """
 
-class CopiesLine(Strict):
-    """`copies`: how many holders have a deferred call of this class before its client is told; `without`:
-    what becomes of a call while fewer can be reached."""
+    replicas: int = Field(1, alias="copies", ge=0, le=MAX_REPLICAS)
+    on_shortage: Literal["refuse", "less"] = Field("refuse", alias="without")
 
-    copies: int = Field(1, ge=0, le=2)
-    without: Literal["refuse", "less"] = "refuse"
 
+class JournalConfig(StrictModel):
+    """Deferred calls are replicated to front ends of other sites before their clients are answered.
 
-class Journal(Strict):
-    """Deferred calls are copied to front ends of other sites before their clients are told. `name`: this
-    front end among the holders; `listen`: where it takes copies."""
+    `name`: this front end among the hosts; `listen`: where it serves as a replica.
+    """
 
     name: Name
     listen: str
-    holders: list[HolderLine] = Field(min_length=1, max_length=1000)
-    classes: dict[Name, CopiesLine] = {}
-    copy_wait_ms: Ms = 2000.0
-    answer_ms: float = Field(1000.0, ge=10, le=60_000)
+    hosts: list[JournalHostConfig] = Field(alias="holders", min_length=1, max_length=1000)
+    classes: dict[Name, ReplicationConfig] = {}
+    quorum_timeout_ms: Milliseconds = Field(2000.0, alias="copy_wait_ms")
+    answer_timeout_ms: float = Field(1000.0, alias="answer_ms", ge=10, le=60_000)
     lost_after_ms: float = Field(2000.0, ge=10, le=600_000)
     replace_after_ms: float = Field(10_000.0, ge=10, le=3_600_000)
-    pause_ms: float = Field(200.0, ge=1, le=60_000)
-    backlog_mb: float = Field(16.0, gt=0, le=4096)
+    retry_delay_ms: float = Field(200.0, alias="pause_ms", ge=1, le=60_000)
+    max_backlog_mb: float = Field(16.0, alias="backlog_mb", gt=0, le=4096)
 
     @model_validator(mode="after")
-    def _names(self) -> Journal:
-        names = [line.name for line in self.holders]
+    def _check(self) -> JournalConfig:
+        names = [host.name for host in self.hosts]
         if len(set(names)) < len(names):
             raise ValueError("holders with names of their own")
         if self.name not in names:
             raise ValueError(f"a name that is one of the holders, not {self.name!r}")
-        if not ipaddress.IPv4Address(address_of(self.listen)[0]).is_loopback:
+        if not is_loopback(self.listen):
             raise ValueError("a listen address of 127.0.0.0/8: holders are not verified")
         return self
--- a/packages/config/tests/config_keys.py
+++ b/packages/config/tests/config_keys.py
@@ -28,13 +28,13 @@
             yield from models_in(each, place)
 
 
-def words_of(annotation: Any) -> list[str]:
-    """Basic types and literal words that a value may be."""
+def type_names(annotation: Any) -> list[str]:
+    """Basic types and literals that a value may be."""
     if get_origin(annotation) is Literal:
-        return [repr(word) for word in get_args(annotation)]
+        return [repr(literal) for literal in get_args(annotation)]
     if isinstance(annotation, type) and not get_args(annotation) and not issubclass(annotation, BaseModel):
         return [annotation.__name__]
-    return [word for each in get_args(annotation) for word in words_of(each)]
+    return [name for each in get_args(annotation) for name in type_names(each)]
 
 
 def key_of(name: str, field: FieldInfo) -> str:
@@ -42,8 +42,8 @@
 
 
 def keys(model: type[BaseModel], place: str = "") -> dict[str, dict[str, Any]]:
-    """Each key with its default, what it may be, and its limits. Members of a union that has several models
-    are told apart by their `what`."""
+    """Each key with its default, types and limits. Members of a union of several models differ by their
+    `what`."""
     found: dict[str, dict[str, Any]] = {}
     for name, field in model.model_fields.items():
         at = f"{place}.{key_of(name, field)}" if place else key_of(name, field)
@@ -52,22 +52,22 @@
             default = default.model_dump(mode="json", by_alias=True)
         found[at] = {
             "default": "(required)" if field.is_required() else default,
-            "types": sorted(set(words_of(field.annotation))),
+            "types": sorted(set(type_names(field.annotation))),
             "limits": sorted(map(repr, field.metadata)),
         }
         nested = list(models_in(field.annotation))
         for inside, other in nested:
             kind = other.model_fields.get("what")
-            mark = f"({'|'.join(words_of(kind.annotation))})" if kind and len(nested) > 1 else ""
+            mark = f"({'|'.join(type_names(kind.annotation))})" if kind and len(nested) > 1 else ""
             found |= keys(other, f"{at}{inside}{mark}")
     return found
 
 
-def sections(model: type[BaseModel], told: Any) -> Iterator[tuple[type[BaseModel], dict[str, Any]]]:
+def sections(model: type[BaseModel], content: Any) -> Iterator[tuple[type[BaseModel], dict[str, Any]]]:
     """The parts of a document that are sections of their own, with the model that reads each."""
-    yield model, told
+    yield model, content
     for name, field in model.model_fields.items():
-        value = told.get(key_of(name, field))
+        value = content.get(key_of(name, field))
         for inside, other in models_in(field.annotation):
             parts = [value]
             for step in (inside[at : at + 2] for at in range(0, len(inside), 2)):
@@ -75,16 +75,16 @@
             for part in parts:
                 kind = other.model_fields.get("what")
                 if isinstance(part, dict) and (
-                    kind is None or repr(part["what"]) in words_of(kind.annotation)
+                    kind is None or repr(part["what"]) in type_names(kind.annotation)
                 ):
                     yield from sections(other, part)
 
 
-def unread(model: type[BaseModel], told: Any) -> set[str]:
+def missing_keys(model: type[BaseModel], content: Any) -> set[str]:
     """Keys of the model's sections that a document does not have."""
     have: set[tuple[type[BaseModel], str]] = set()
     wanted: set[tuple[type[BaseModel], str]] = set()
-    for found, part in sections(model, told):
+    for found, part in sections(model, content):
         have |= {(found, key) for key in part}
         wanted |= {(found, key_of(name, field)) for name, field in found.model_fields.items()}
     return {f"{found.__name__}.{key}" for found, key in wanted - have}
--- a/packages/config/tests/test_config_golden.py
+++ b/packages/config/tests/test_config_golden.py
@@ -1,4 +1,4 @@
-"""Files of configuration: every key, its default, what is read of it, and what a wrong file is told."""
+"""Files of configuration: every key, its default, what is read of it, and the errors of invalid files."""
 
 from __future__ import annotations
 
@@ -10,35 +10,39 @@
 import pytest
 from pydantic import BaseModel
 
-from config_keys import NO_KEY, keys, sections, unread
+from config_keys import NO_KEY, keys, missing_keys, sections
 from golden_files import assert_as_golden, json_lines, values_of
 from walnutpost.config import (
     Config,
     ConfigError,
     WorkerList,
-    catalogue,
+    build_catalogue,
+    build_router_settings,
+    build_schedules,
     load,
     parse,
-    router_settings,
-    schedules,
 )
-from walnutpost.config.entries import entries_of
-from walnutpost.config.keepers import Keepers
-from walnutpost.config.settings import budgets, meter_policy, worker_lines
+from walnutpost.config.control_plane import ControlPlaneConfig
+from walnutpost.config.conversion import build_budgets, build_endpoint_list, build_metering_policy
+from walnutpost.config.entries import encode_site
 
 GOLDEN = Path(__file__).parent / "golden"
 EXAMPLES = Path(__file__).parents[3] / "examples"
 
 # The one place that says which model reads a file.
-EVERY_KEY: dict[str, type[BaseModel]] = {"config": Config, "keepers": Keepers, "workers": WorkerList}
+EVERY_KEY: dict[str, type[BaseModel]] = {
+    "config": Config,
+    "keepers": ControlPlaneConfig,
+    "workers": WorkerList,
+}
 EXAMPLE_MODELS: dict[str, type[BaseModel]] = {
     "bad-day-fleet": Config,
-    "fleet": Keepers,
+    "fleet": ControlPlaneConfig,
     "kilbride": Config,
     "settings": Config,
-    "settings-keepers": Keepers,
+    "settings-keepers": ControlPlaneConfig,
 }
-WRONG: dict[str, str] = {
+INVALID: dict[str, str] = {
     "not JSON5": "{",
     "a key twice": '{"site": 1, "site": 2}',
     "missing keys": "{site: {classes: {c: {}}, functions: {f: {class: 'c'}}}}",
@@ -59,19 +63,23 @@
     return model.model_dump(mode="json", by_alias=True)
 
 
-def made_of(config: Config) -> dict[str, Any]:
+def converted(config: Config) -> dict[str, Any]:
     """What the parts of a front end are given of a configuration, as values in the order of their fields. Not
     stored but for the agreed entries: another order in the code is a reason to write this file anew."""
-    told, addresses, leaving = worker_lines(config.site, config.front.workers)
+    endpoints = build_endpoint_list(config.site, config.front.workers)
     assert config.metering is not None
     return {
-        "router": repr_of(router_settings(config)),
-        "functions": {name: repr_of(f) for name, f in catalogue(config.site).functions.items()},
-        "schedules": [repr_of(each) for each in schedules(config)],
-        "meter policy": repr_of(meter_policy(config.metering)),
-        "budgets": [repr_of(each) for each in budgets(config.metering)],
-        "workers": [[repr_of(each) for each in told], addresses, sorted(leaving)],
-        "agreed entries": {key: value.decode() for key, value in entries_of(config.site).items()},
+        "router": repr_of(build_router_settings(config)),
+        "functions": {name: repr_of(f) for name, f in build_catalogue(config.site).functions.items()},
+        "schedules": [repr_of(each) for each in build_schedules(config)],
+        "meter policy": repr_of(build_metering_policy(config.metering)),
+        "budgets": [repr_of(each) for each in build_budgets(config.metering)],
+        "workers": [
+            [repr_of(each) for each in endpoints.workers],
+            endpoints.addresses,
+            sorted(endpoints.draining),
+        ],
+        "agreed entries": {key: value.decode() for key, value in encode_site(config.site).items()},
     }
 
 
@@ -95,10 +103,10 @@
 
 def with_unknown_keys(name: str) -> list[str]:
     """The errors of a file that has an unknown key in each of its sections."""
-    told = deepcopy(json5.loads(document(name).read_text()))
-    for _, part in list(sections(EVERY_KEY[name], told)):
+    content = deepcopy(json5.loads(document(name).read_text()))
+    for _, part in list(sections(EVERY_KEY[name], content)):
         part[NO_KEY] = 1
-    return errors(json5.dumps(told), EVERY_KEY[name])
+    return errors(json5.dumps(content), EVERY_KEY[name])
 
 
 def golden_files() -> dict[Path, bytes]:
@@ -108,31 +116,43 @@
         files[GOLDEN / f"keys.{name}.json"] = json_lines(keys(model))
         files[GOLDEN / f"every-key.{name}.read.json"] = json_lines(dump(every_key[name]))
         files[GOLDEN / f"unknown-keys.{name}.json"] = json_lines(with_unknown_keys(name))
-    files[GOLDEN / "every-key.config.made-of-it.json"] = json_lines(made_of(every_key["config"]))
+    files[GOLDEN / "every-key.config.made-of-it.json"] = json_lines(converted(every_key["config"]))
     for name, model in EXAMPLE_MODELS.items():
         files[GOLDEN / f"example.{name}.read.json"] = json_lines(
             dump(load(EXAMPLES / f"{name}.json5", model))
         )
     files[GOLDEN / "wrong-files.json"] = json_lines(
-        {why: errors(text, Config) for why, text in WRONG.items()}
+        {why: errors(text, Config) for why, text in INVALID.items()}
     )
     return files
 
 
-def test_files_are_read_as_before_and_wrong_ones_told_the_same() -> None:
+def test_files_read_as_before_and_invalid_ones_give_the_same_errors() -> None:
     assert_as_golden(golden_files())
 
 
 @pytest.mark.parametrize("name", EVERY_KEY)
-def test_every_key_is_in_the_golden_document_and_an_unknown_one_is_found_in_each_section(name: str) -> None:
-    told = json5.loads(document(name).read_text())
+def test_golden_document_has_every_key_and_an_unknown_key_is_found_in_each_section(name: str) -> None:
+    content = json5.loads(document(name).read_text())
     # Either a list of workers or a file of one; the file is read by `WorkerList`.
-    assert unread(EVERY_KEY[name], told) == ({"Front.workers_file"} if name == "config" else set())
-    assert len(with_unknown_keys(name)) == len(list(sections(EVERY_KEY[name], told)))
+    left_out = {"FrontEndConfig.workers_file"} if name == "config" else set()
+    assert missing_keys(EVERY_KEY[name], content) == left_out
+    assert len(with_unknown_keys(name)) == len(list(sections(EVERY_KEY[name], content)))
 
 
 @pytest.mark.parametrize("name", EVERY_KEY)
-def test_what_was_read_is_read_again_the_same(name: str) -> None:
+def test_dumped_configuration_reads_back_as_equal(name: str) -> None:
     """The dump has the keys of the file."""
     read = (GOLDEN / f"every-key.{name}.read.json").read_text()
     assert parse(read, name, EVERY_KEY[name]) == load(document(name), EVERY_KEY[name])
+
+
+@pytest.mark.parametrize("name", EVERY_KEY)
+def test_dump_without_arguments_has_the_keys_of_the_file(name: str) -> None:
+    read = load(document(name), EVERY_KEY[name])
+    assert read.model_dump(mode="json") == dump(read)
+
+
+def test_name_of_a_field_whose_key_differs_is_an_unknown_key() -> None:
+    lines = errors("{keepers: [], max_log_entries: 10}", ControlPlaneConfig)
+    assert lines[-1].startswith("FILE: max_log_entries: found a key that is not known here; ")
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.config import ConfigError, Site, WorkerLine, WorkerList, load, worker_lines
+from walnutpost.config import ConfigError, Site, WorkerConfig, WorkerList, build_endpoint_list, load
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Loop
 from walnutpost.fleet.endpoints import EndpointFollower, ListedEndpoint
@@ -31,7 +31,7 @@
         links: Links,
         site: Site,
         log: Any,
-        on_published: Callable[[int, list[WorkerLine]], None] | None = None,
+        on_published: Callable[[int, list[WorkerConfig]], None] | None = None,
     ) -> None:
         """`on_published` gets each list as it is published, for captures."""
         self._loop = loop
@@ -42,12 +42,12 @@
         self._on_published = on_published
         self._configured_version = -1
         self._published_version = -1
-        self._configured: tuple[ListKind, list[WorkerLine]] | None = None
+        self._configured: tuple[ListKind, list[WorkerConfig]] | None = None
         self._agreed: EndpointFollower | None = None
         self._last_error = ""
         self._read_mark: tuple[int, int, int] | None = None
 
-    def set_configured(self, kind: ListKind, version: int, lines: list[WorkerLine]) -> None:
+    def set_configured(self, kind: ListKind, version: int, lines: list[WorkerConfig]) -> None:
         """Publish a list from the configuration or its file."""
         self._configured_version = version
         self._configured = kind, lines
@@ -64,14 +64,14 @@
         kind, lines = self._configured or (ListKind.CACHED, [])
         if self._agreed is not None:
             lines = _with_agreed(lines, self._agreed, self._site)
-        workers, addresses, draining = worker_lines(self._site, lines)
+        endpoints = build_endpoint_list(self._site, lines)
         version = max(self._configured_version, self._published_version + 1)
         self._published_version = version
         names = {line.name: line.tls_name for line in lines if line.tls_name is not None}
-        self._links.told(addresses, draining, names)
+        self._links.told(endpoints.addresses, endpoints.draining, names)
         if self._on_published is not None:
             self._on_published(version, lines)
-        self._core.feed(WorkersListed(kind, version, workers))
+        self._core.feed(WorkersListed(kind, version, endpoints.workers))
 
     def read_file(self, path: Path, kind: ListKind = ListKind.FULL) -> bool:
         """Publish the file's list if it is new; an invalid one leaves the last one in use."""
@@ -107,7 +107,7 @@
             self.read_file(path)
 
 
-def _with_agreed(lines: list[WorkerLine], follower: EndpointFollower, site: Site) -> list[WorkerLine]:
+def _with_agreed(lines: list[WorkerConfig], follower: EndpointFollower, site: Site) -> list[WorkerConfig]:
     own = {line.name: line for line in lines}
     told = [
         ListedEndpoint(w.name, w.address, w.zone, round(w.started_at * SECOND), w.state == "draining")
@@ -116,7 +116,7 @@
     out = []
     for w in follower.merge(told):
         zone = w.zone if w.zone in site.zones else None
-        line = own.get(w.name) or WorkerLine(name=w.name, address=w.address, zone=zone)
+        line = own.get(w.name) or WorkerConfig(name=w.name, address=w.address, zone=zone)
         state = "draining" if w.is_draining else "ready"
         changed = {"address": w.address, "state": state, "started_at": w.started_at_us / SECOND}
         out.append(line.model_copy(update=changed))
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from walnutpost.agent import INCARNATION_VARIABLE
-from walnutpost.config.base import address_of
-from walnutpost.config.model import Agreement
-from walnutpost.config.settings import us
+from walnutpost.config.base import parse_address
+from walnutpost.config.conversion import ms_to_us
+from walnutpost.config.membership import MembershipConfig
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.controlplane.wire import BadWire, Report, Told
 from walnutpost.daemon.endpoint_lists import EndpointLists
@@ -72,7 +72,7 @@
     def __init__(
         self,
         loop: Loop,
-        line: Agreement,
+        line: MembershipConfig,
         zone: str,
         core: CallCountingCore,
         lists: EndpointLists,
@@ -85,10 +85,10 @@
         self._endpoint_lists = lists
         self._log = log
         self._zone = zone
-        self._report_interval_us = us(line.report_ms)
+        self._report_interval_us = ms_to_us(line.report_interval_ms)
         own = os.environ.get(INCARNATION_VARIABLE)
         self.follower = EndpointFollower(line.member, own or secrets.token_hex(6), own is not None)
-        addresses = {name: address_of(address) for name, address in line.keepers.items()}
+        addresses = {name: parse_address(address) for name, address in line.keepers.items()}
         patience = max(self._report_interval_us, 1_000_000)
         self._client = KeeperClient(loop, addresses, patience, patience // 2)
         self._is_reachable = True
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -12,9 +12,15 @@
 from typing import Any, Protocol
 
 from walnutpost.agent import INCARNATION_VARIABLE
-from walnutpost.config import Config, WorkerLine, catalogue, own_schedules, router_settings
-from walnutpost.config.base import address_of
-from walnutpost.config.settings import us
+from walnutpost.config import (
+    Config,
+    WorkerConfig,
+    build_catalogue,
+    build_own_schedules,
+    build_router_settings,
+)
+from walnutpost.config.base import parse_address
+from walnutpost.config.conversion import ms_to_us
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.deferred_recovery import DeferredRecovery
 from walnutpost.daemon.endpoint_lists import EndpointLists
@@ -49,7 +55,7 @@
 class Recorder(Tap, Protocol):
     """A tap that also records the endpoint lists that the front end was given."""
 
-    def told(self, version: int, lines: list[WorkerLine]) -> None:
+    def told(self, version: int, lines: list[WorkerConfig]) -> None:
         """Record a list."""
 
 
@@ -96,14 +102,14 @@
         config = self._config
         front = config.front
         seed = front.seed if front.seed is not None else secrets.randbits(63)
-        self._router_settings = router_settings(config)
+        self._router_settings = build_router_settings(config)
         self._build_catalogue()
         gateway = Gateway(
             self._router_settings,
             self.catalogue,
             seed,
-            us(front.remember_ms),
-            int(front.remember_mb * BYTES_PER_MB),
+            ms_to_us(front.outcome_ttl_ms),
+            int(front.max_outcome_mb * BYTES_PER_MB),
         )
         self._build_links(tap)
         self._counting_core: CallCountingCore | None = None
@@ -118,7 +124,7 @@
     def _build_catalogue(self) -> None:
         """Build the catalogue: the configured functions, or the agreed ones as they change."""
         config = self._config
-        self.catalogue = catalogue(config.site)
+        self.catalogue = build_catalogue(config.site)
         self._agreed_functions: AgreedFunctions | None = None
         if config.agreement is not None and config.agreement.relays:
             classes = list(config.site.classes)
@@ -130,10 +136,10 @@
         front = self._config.front
         site = self._config.site
         settings = LinkSettings(
-            us(front.dial_timeout_ms),
-            us(site.order_timeout_ms),
-            us(front.connection_idle_ms),
-            report_fields=tuple(site.reports),
+            ms_to_us(front.connect_timeout_ms),
+            ms_to_us(site.load_order_timeout_ms),
+            ms_to_us(front.connection_idle_ms),
+            report_fields=tuple(site.report_fields),
         )
         self._certificates: CertificateReloader | None = None
         if front.tls is not None:
@@ -162,7 +168,7 @@
         )
 
     def _spawn_background_tasks(self) -> None:
-        keep_results_us = us(self._config.front.keep_results_ms)
+        keep_results_us = ms_to_us(self._config.front.result_ttl_ms)
         purger = ResultPurger(self._loop, self._store, keep_results_us, self._log, self.replication)
         self._spawn(purger.run, name="purge")
         if self.replication is not None:
@@ -190,7 +196,7 @@
             return
         path = self._base / front.workers_file
         self.endpoint_lists.read_file(path, ListKind.CACHED)
-        watch = partial(self.endpoint_lists.watch_file, path, us(front.workers_poll_ms))
+        watch = partial(self.endpoint_lists.watch_file, path, ms_to_us(front.workers_poll_ms))
         self._spawn(watch, name="endpoint list")
 
     def _build_fleet_membership(self) -> None:
@@ -237,11 +243,11 @@
         self.cron = CronFront(
             self._loop,
             self._wall,
-            own_schedules(self._config),
+            build_own_schedules(self._config),
             self.deferred,
             firings,
             progress.uncertain_until(newest_mark),
-            FiringLimits(front.firings_at_once, front.firings_per_s),
+            FiringLimits(front.max_concurrent_firings, front.firings_per_s),
             self._log,
             progress.write,
         )
@@ -263,10 +269,10 @@
             self.catalogue,
             self._router_settings.classes,
             ArnFormat(),
-            us(front.deferred_deadline_ms),
+            ms_to_us(front.deferred_deadline_ms),
         )
-        limits = Limits(front.max_head_bytes, front.max_body_bytes, us(front.head_time_ms))
-        address = address_of(front.listen)
+        limits = Limits(front.max_head_bytes, front.max_body_bytes, ms_to_us(front.head_timeout_ms))
+        address = parse_address(front.listen)
         self.server: Server = serve_on(
             self._loop,
             address,
@@ -302,7 +308,7 @@
 
     def reload(self, config: Config) -> None:
         """Apply the schedules of a changed configuration; all other changes need a restart."""
-        self.cron.replace_schedules(own_schedules(config))
+        self.cron.replace_schedules(build_own_schedules(config))
 
     # The end
 
@@ -313,7 +319,7 @@
         the next start.
         """
         self.server.stop_accepting()
-        deadline_us = self._loop.now() + us(self._config.front.stop_ms)
+        deadline_us = self._loop.now() + ms_to_us(self._config.front.shutdown_timeout_ms)
         while self._is_busy() and self._loop.now() < deadline_us:
             self._loop.sleep(STOP_POLL_INTERVAL_US)
         for task in self._tasks:
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from walnutpost.certificates import DAY, BadKeys, Keeper, Mark
-from walnutpost.config.model import TlsLine
+from walnutpost.config.front_end import TlsConfig
 from walnutpost.eventloop import Loop
 from walnutpost.workerclient import Links, contexts
 
@@ -18,7 +18,7 @@
 class CertificateReloader:
     """Reads the files of one `tls` section. Invalid files leave the certificates in use."""
 
-    def __init__(self, loop: Loop, section: TlsLine, base: Path, wall: Callable[[], int], log: Any) -> None:
+    def __init__(self, loop: Loop, section: TlsConfig, base: Path, wall: Callable[[], int], log: Any) -> None:
         """Raise BadKeys for files that can't be used: a front end doesn't start with these."""
         self._loop = loop
         self._section = section
@@ -60,7 +60,7 @@
         """Return a context with the certificates, and from when until when the own one is valid, or zeros."""
         roots, chain, key = (self._base / name if name is not None else None for name in self._names)
         assert roots is not None
-        context, own = contexts.client(roots, chain, key, self._section.oldest, self._wall())
+        context, own = contexts.client(roots, chain, key, self._section.minimum_version, self._wall())
         return context, own.begins if own else 0, own.ends if own else 0
 
     def _read_mark(self) -> Mark:
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -9,8 +9,8 @@
 from typing import Any
 
 from walnutpost.config import Config
-from walnutpost.config.model import Metering
-from walnutpost.config.settings import budgets, meter_policy, us
+from walnutpost.config.conversion import build_budgets, build_metering_policy, ms_to_us
+from walnutpost.config.metering import MeteringConfig
 from walnutpost.eventloop import Group, Loop, Task
 from walnutpost.gateway import AttemptEnded, Function, LoadOrder, LoadOrderEnded, Rejected, Send
 from walnutpost.interface import Outcome
@@ -57,7 +57,7 @@
         self,
         loop: Loop,
         config: Config,
-        section: Metering,
+        section: MeteringConfig,
         functions: Mapping[str, Function],
         links: Links,
         log: Any,
@@ -69,14 +69,14 @@
         self._log = log
         self._section = section
         self._default_tenant = config.site.default_tenant
-        self._keep_alive_us = us(config.site.keep_alive_ms)
-        self._max_deadline_us = max(us(each.deadline_ms) for each in config.site.classes.values())
+        self._keep_alive_us = ms_to_us(config.site.keep_alive_ms)
+        self._max_deadline_us = max(ms_to_us(each.deadline_ms) for each in config.site.classes.values())
         now = loop.now()
         self._store = UsageStore(loop, base / section.file)
         saved, last_run = self._store.load()
-        self.ledger = Ledger(meter_policy(section), saved, now)
+        self.ledger = Ledger(build_metering_policy(section), saved, now)
         self.sight = Sight(now, FunctionSizes(functions), self._keep_alive_us)
-        self.budgets = Budgets(budgets(section))
+        self.budgets = Budgets(build_budgets(section))
         self._budgets_act = self.budgets.act  # only then are workers with reports sampled, too
         self._started_us = now
         self._attempts: dict[tuple[int, int], tuple[str, str, str]] = {}
@@ -90,7 +90,7 @@
 
     def _record_crash_gap(self, last_run: LedgerRun) -> None:
         """Record a gap: the last run crashed before its samples of workers without reports were written."""
-        lost_us = us(self._section.write_ms) + self._max_deadline_us + self._keep_alive_us
+        lost_us = ms_to_us(self._section.write_interval_ms) + self._max_deadline_us + self._keep_alive_us
         upper_bound = last_run.at_risk_mb * lost_us
         source = f"front end {last_run.started_us}"  # a stored word
         self.ledger.gap(Gap(last_run.written_us // HOUR * HOUR, source, DOWN, upper_bound))
@@ -147,7 +147,7 @@
     def run(self) -> None:
         """Collect periodically; until cancelled."""
         while True:
-            self._loop.sleep(us(self._section.fetch_ms))
+            self._loop.sleep(ms_to_us(self._section.fetch_interval_ms))
             self.collect()
 
     def collect(self) -> None:
@@ -156,7 +156,7 @@
         now = self._loop.now()
         self.ledger.saw(self.sight.take(now))
         self._update_budgets(now)
-        if now - self._written_us >= us(self._section.write_ms):
+        if now - self._written_us >= ms_to_us(self._section.write_interval_ms):
             self.write()
 
     def _read_all_reports(self) -> None:
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from walnutpost.config import Config
-from walnutpost.config.base import address_of
-from walnutpost.config.journal import CopiesLine, Journal
-from walnutpost.config.settings import us
+from walnutpost.config.base import parse_address
+from walnutpost.config.conversion import ms_to_us
+from walnutpost.config.journal import JournalConfig, ReplicationConfig
 from walnutpost.eventloop import Loop
 from walnutpost.fronts.errors import SitesUnreachableError
 from walnutpost.gateway import Execution, Function, Rejected, Status
@@ -53,7 +53,7 @@
         self,
         loop: Loop,
         config: Config,
-        section: Journal,
+        section: JournalConfig,
         executions: ExecutionStore,
         classes: tuple[RequestClass, ...],
         log: Any,
@@ -63,23 +63,23 @@
         self._section = section
         self._log = log
         self._classes = classes
-        self._requirements = [section.classes.get(name, CopiesLine()) for name in config.site.classes]
+        self._requirements = [section.classes.get(name, ReplicationConfig()) for name in config.site.classes]
         self._strictest = max(self._requirements, key=_strictness)
         self._hosts = {
-            holder.name: ReplicaHost(holder.name, holder.region, holder.zone) for holder in section.holders
+            holder.name: ReplicaHost(holder.name, holder.region, holder.zone) for holder in section.hosts
         }
         self._avoided_until_us: dict[str, int] = {}
         self._unreachable_since_us: dict[str, int] = {}
         self._executions = executions
         self.store = JournalStore(loop, executions, section.name)
-        self.server = ReplicaServer(loop, self.store, address_of(section.listen), log)
+        self.server = ReplicaServer(loop, self.store, parse_address(section.listen), log)
         self._addresses: dict[str, Callable[[], tuple[str, int]]] = {
-            holder.name: partial(address_of, holder.address) for holder in section.holders
+            holder.name: partial(parse_address, holder.address) for holder in section.hosts
         }
         self._other_addresses = {
             name: address for name, address in self._addresses.items() if name != section.name
         }
-        self._timeout_us = us(section.answer_ms)
+        self._timeout_us = ms_to_us(section.answer_timeout_ms)
         self._recover_lost_lines()
         replicas = self._choose_replicas()
         policy = _replication_policy(section)
@@ -143,7 +143,7 @@
 
     def _avoid_unreachable(self) -> None:
         now = self._loop.now()
-        replace_after_us = us(self._section.replace_after_ms)
+        replace_after_us = ms_to_us(self._section.replace_after_ms)
         for name, is_reachable in self.sender.state.reachability().items():
             since_us = self._unreachable_since_us.setdefault(name, now)
             if is_reachable:
@@ -164,7 +164,7 @@
 
     # Quorums
 
-    def _requirement_of(self, function: Function | None) -> CopiesLine:
+    def _requirement_of(self, function: Function | None) -> ReplicationConfig:
         """Return what the function's class requires; the strictest class's if the function was removed."""
         return self._requirements[function.class_index] if function is not None else self._strictest
 
@@ -172,10 +172,10 @@
         """Return the rejection of a call that can't be replicated now as its class requires, else None."""
         required = self._requirement_of(function)
         accepts_fewer = _accepts_fewer(required)
-        retry_after_us = self.sender.state.retry_after_us(required.copies, accepts_fewer, size_bytes)
+        retry_after_us = self.sender.state.retry_after_us(required.replicas, accepts_fewer, size_bytes)
         if retry_after_us is None:
             return None
-        return Rejected(f"{required.copies} copies at other sites can't be made now", retry_after_us)
+        return Rejected(f"{required.replicas} copies at other sites can't be made now", retry_after_us)
 
     def wait_for_quorum(
         self,
@@ -192,11 +192,11 @@
         self.lines_persisted(append)
         required = self._requirement_of(function)
         accepts_fewer = _accepts_fewer(required)
-        max_wait_us = us(self._section.copy_wait_ms)
+        max_wait_us = ms_to_us(self._section.quorum_timeout_ms)
         timeout_us = min(max(time_left_us, 0), max_wait_us)
         if until_deadline:
             timeout_us = max(time_left_us, max_wait_us)
-        result = self.sender.wait_for_quorum(append.line.seq, required.copies, accepts_fewer, timeout_us)
+        result = self.sender.wait_for_quorum(append.line.seq, required.replicas, accepts_fewer, timeout_us)
         if accepts_fewer:
             return QuorumReached(result.token, result.replicas)
         return result
@@ -244,7 +244,7 @@
                 execution.accepted_at,
                 execution.expires_at,
                 self._classes[function.class_index].effect.value,
-                0 if _accepts_fewer(required) else required.copies,
+                0 if _accepts_fewer(required) else required.replicas,
             )
         )
 
@@ -274,21 +274,21 @@
         return self.store.new_append(ResultsPurged(self._executions.clock.to_stored(before_us)))
 
 
-def _replication_policy(section: Journal) -> ReplicationPolicy:
+def _replication_policy(section: JournalConfig) -> ReplicationPolicy:
     return ReplicationPolicy(
-        replica_timeout_us=us(section.lost_after_ms),
-        retry_interval_us=us(section.pause_ms),
-        max_backlog_bytes=int(section.backlog_mb * BYTES_PER_MB),
+        replica_timeout_us=ms_to_us(section.lost_after_ms),
+        retry_interval_us=ms_to_us(section.retry_delay_ms),
+        max_backlog_bytes=int(section.max_backlog_mb * BYTES_PER_MB),
     )
 
 
-def _strictness(requirement: CopiesLine) -> tuple[bool, int]:
-    return requirement.without == "refuse", requirement.copies
+def _strictness(requirement: ReplicationConfig) -> tuple[bool, int]:
+    return requirement.on_shortage == "refuse", requirement.replicas
 
 
-def _accepts_fewer(requirement: CopiesLine) -> bool:
+def _accepts_fewer(requirement: ReplicationConfig) -> bool:
     """Whether a call is accepted with fewer replicas than its class asks for."""
-    return requirement.without == "less"
+    return requirement.on_shortage == "less"
 
 
 def _execution_of(call: CallState) -> Execution | None:
--- a/packages/daemon/src/walnutpost/daemon/settings_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/settings_watch.py
@@ -14,9 +14,9 @@
 
 from immutables import Map
 
-from walnutpost.config.base import address_of
-from walnutpost.config.entries import FUNCTION, function_of
-from walnutpost.config.model import Agreement
+from walnutpost.config.base import parse_address
+from walnutpost.config.entries import FUNCTION_PREFIX, decode_function
+from walnutpost.config.membership import MembershipConfig
 from walnutpost.configstore import ApplyOutcome, ConfigStore, Entry, InvalidSnapshotError, WatchState
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, Task, remove_leftovers, replace_file
@@ -56,14 +56,14 @@
 
     def decode(self, name: str, entry: Entry) -> Function:
         """Decode an entry. Raises ValueError if the front end can't apply it."""
-        return function_of(name, entry.value, self.classes)
+        return decode_function(name, entry.value, self.classes)
 
     def __getitem__(self, name: str) -> Function:
         """Return a function. Raises KeyError."""
         if not self._count:
             return self._own[name]
         decoded = self._decoded
-        entry = self.entries.get(FUNCTION + name)
+        entry = self.entries.get(FUNCTION_PREFIX + name)
         known = decoded.get(name)
         if entry is None:
             raise KeyError(name)
@@ -81,7 +81,7 @@
         """Iterate over the functions' names."""
         if not self._count:
             return iter(self._own)
-        return (key[len(FUNCTION) :] for key in self.entries if key.startswith(FUNCTION))
+        return (key[len(FUNCTION_PREFIX) :] for key in self.entries if key.startswith(FUNCTION_PREFIX))
 
     def __len__(self) -> int:
         """Return the number of functions."""
@@ -99,7 +99,7 @@
     def __init__(
         self,
         loop: Loop,
-        line: Agreement,
+        line: MembershipConfig,
         zone: str | None,
         incarnation: str,
         functions: AgreedFunctions,
@@ -194,7 +194,7 @@
         errors: dict[str, str] = {}
         applied = self._functions.entries
         for key, entry in entries.items():
-            if not key.startswith(FUNCTION):
+            if not key.startswith(FUNCTION_PREFIX):
                 continue
             count += 1
             if count % VALIDATION_BATCH == 0:
@@ -212,7 +212,7 @@
     def _validation_error(self, entry: Entry) -> str:
         """Return why the front end can't apply an entry, "" if it can."""
         try:
-            self._functions.decode(entry.key[len(FUNCTION) :], entry)
+            self._functions.decode(entry.key[len(FUNCTION_PREFIX) :], entry)
         except ValueError as error:
             return str(error)
         return ""
@@ -221,7 +221,7 @@
         """Validate what has changed since `_validated_entries`, and apply the revision if it is valid."""
         table = self.follower.store
         for key in self._changed_keys:
-            if key.startswith(FUNCTION):
+            if key.startswith(FUNCTION_PREFIX):
                 self._validate_key(key, table.entries.get(key))
         self._changed_keys.clear()
         self._validated_entries = table.entries
@@ -304,4 +304,4 @@
 
 
 def _address_getter(address: str) -> Callable[[], tuple[str, int]]:
-    return lambda: address_of(address)
+    return lambda: parse_address(address)
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -8,8 +8,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from walnutpost.config import Config, WorkerLine, parse
-from walnutpost.config.base import address_of
+from walnutpost.config import Config, WorkerConfig, parse
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.eventloop import Clock, Loop, VirtualClock
 from walnutpost.fakes import LocalStore, WorkerServer
@@ -88,7 +87,7 @@
         self.loop = Loop(clock or VirtualClock(), lambda name, error: self.errors.append(error))
         self.log = Log()
         self.workers: dict[str, WorkerServer] = {}
-        self.lines: list[WorkerLine] = []
+        self.lines: list[WorkerConfig] = []
         self.version = 0
         self.wall_off = 0  # by which the time of day differs from the loop's
         self.front: FrontEnd
@@ -115,7 +114,7 @@
             tap = (lambda name: self.tap("worker", name)) if self.capture else None
             server = start_worker(self.loop, self.config, line, self.store, tap, self.path)
             self.workers[line.name] = server
-            self.lines.append(WorkerLine(name=line.name, address="{}:{}".format(*server.address)))
+            self.lines.append(WorkerConfig(name=line.name, address="{}:{}".format(*server.address)))
 
     def tap(self, kind: str, name: str) -> Capture:
         return Capture(self.path / f"{name}{SUFFIX}", kind, name, self.loop.now)
@@ -184,4 +183,4 @@
             self.loop.sleep(20_000)
 
 
-__all__ = ["BASE", "SECOND", "Fleet", "Log", "address_of", "merged"]
+__all__ = ["BASE", "SECOND", "Fleet", "Log", "merged"]
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -11,7 +11,7 @@
 from fleet_rig import SECOND, Log
 from test_functions_gone import killed
 from test_settings_watch import Followed, put
-from walnutpost.config.model import Agreement
+from walnutpost.config.membership import MembershipConfig
 from walnutpost.configstore import ConfigStore
 from walnutpost.controlplane.wire import Told
 from walnutpost.daemon.fleet import FleetMembership
@@ -69,7 +69,9 @@
 
 
 def following(loop: Loop, path: Path, lists: Lists, log: Log) -> FleetMembership:
-    line = Agreement.model_validate({"member": "f0", "keepers": {"k1": "127.0.0.1:1"}, "report_ms": 200})
+    line = MembershipConfig.model_validate(
+        {"member": "f0", "keepers": {"k1": "127.0.0.1:1"}, "report_ms": 200}
+    )
     core: Any = None
     listed: Any = lists
     return FleetMembership(loop, line, "a", core, listed, log, path)
--- a/packages/daemon/tests/test_clock_steps.py
+++ b/packages/daemon/tests/test_clock_steps.py
@@ -12,6 +12,7 @@
 from fleet_rig import SECOND, Fleet
 from test_functions_gone import ARN, EVENT, fate, killed
 from test_journal_replication import Sites
+from walnutpost.config import FrontEndConfig
 from walnutpost.eventloop import BootTime, Loop, VirtualClock
 from walnutpost.http import Response
 from walnutpost.journal import CallStage
@@ -100,7 +101,9 @@
         super().__init__(path, copies=2)
         clock = VirtualClock(EPOCH + lived + step, BootTime("a", HOUR + lived))
         self.loop = Loop(clock, lambda name, error: self.errors.append(error))
-        front = self.front_config.front.model_copy(update=MORE["front"])
+        front = FrontEndConfig.model_validate(
+            self.front_config.front.model_dump(exclude_unset=True) | MORE["front"]
+        )
         self.front_config = self.front_config.model_copy(update={"front": front})
         self.waits_for_holders: set[str] = set()
         self.has_workers = True
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -15,8 +15,8 @@
 from fleet_rig import SECOND, Fleet
 from golden_files import assert_as_golden, assert_every_field_tells, restore_dump
 from walnutpost.config import Site
-from walnutpost.config.entries import entries_of
-from walnutpost.config.model import CallClass, FunctionLine, TenantLine
+from walnutpost.config.entries import encode_site
+from walnutpost.config.site import CallClass, FunctionConfig, TenantConfig
 from walnutpost.configstore import ConfigStore, Mutation
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
@@ -40,13 +40,13 @@
         "reservation": CallClass(effect="unsafe", aim_ms=1000, deadline_ms=2500, worth=2),
     },
     functions={
-        name: FunctionLine.model_validate(told)
+        name: FunctionConfig.model_validate(told)
         for name, told in {
             "price": {"class": "valuation", "memory_mb": 400, "lanes": 2, "load_ms": 300, "version": "7"},
             "reserve": {"class": "reservation", "memory_mb": 300, "cost_ms": 12.5},
         }.items()
     },
-    tenants={"tills": TenantLine(share=0.7, quota_per_s=12.0), "trade": TenantLine(share=0.3)},
+    tenants={"tills": TenantConfig(share=0.7, quota_per_s=12.0), "trade": TenantConfig(share=0.3)},
 )
 AGREED = EndpointSnapshot(
     index=41,
@@ -68,8 +68,8 @@
 def agreed_table() -> ConfigStore:
     """Some change sets, the last of which takes an entry out."""
     table = ConfigStore()
-    table.propose(7, [Mutation(key, value) for key, value in entries_of(SITE).items()])
-    table.propose(9, [Mutation("function/extra", entries_of(SITE)["function/price"])])
+    table.propose(7, [Mutation(key, value) for key, value in encode_site(SITE).items()])
+    table.propose(9, [Mutation("function/extra", encode_site(SITE)["function/price"])])
     table.propose(12, [Mutation("function/extra", None)])
     return table
 
@@ -183,7 +183,7 @@
 def settings_are_told(front: FrontEnd) -> None:
     assert front.settings_watch is not None
     table = front.settings_watch.follower.store
-    assert {key: entry.value for key, entry in table.entries.items()} == entries_of(SITE)
+    assert {key: entry.value for key, entry in table.entries.items()} == encode_site(SITE)
     assert {entry.revision for entry in table.entries.values()} == {7}
     assert (table.revision, table.digest) == (12, agreed_table().digest)
     assert front.settings_watch.follower.applied_revision == 12
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -38,7 +38,7 @@
 
 def killed(f: Fleet) -> None:
     """The front end ends with what it had open, as a process does that is killed."""
-    front = f.front_config.front.model_copy(update={"stop_ms": 0})
+    front = f.front_config.front.model_copy(update={"shutdown_timeout_ms": 0})
     f.front._config = f.front._config.model_copy(update={"front": front})
     f.front.stop()
     f.front.close()
@@ -159,7 +159,7 @@
     def script() -> None:
         assert sites.defer("a1", RUN, "one").status == 202
         front = sites.fronts.pop("a1")
-        settings = front._config.front.model_copy(update={"stop_ms": 0})
+        settings = front._config.front.model_copy(update={"shutdown_timeout_ms": 0})
         front._config = front._config.model_copy(update={"front": settings})
         front.stop()
         front.close()
--- a/packages/daemon/tests/test_journal_replication.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -12,7 +12,7 @@
 
 from fleet_rig import INVOKE, SECOND, Fleet, merged
 from walnutpost.config import Config, parse
-from walnutpost.config.base import address_of
+from walnutpost.config.base import parse_address
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.faultinjection.mesh import Relay
 from walnutpost.http import Connection, Response
@@ -52,7 +52,9 @@
 
     def listens(self, name: str) -> tuple[str, int] | None:
         front = self.fronts.get(name)
-        return None if front is None or front.replication is None else address_of(front.replication.address)
+        return (
+            None if front is None or front.replication is None else parse_address(front.replication.address)
+        )
 
     def start(self, name: str) -> None:
         holders = [
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -16,8 +16,8 @@
 from fleet_rig import INVOKE, SECOND, Fleet
 from relay_rig import Served
 from test_functions_gone import ARN, EVENT, fate, killed
-from walnutpost.config.entries import FUNCTION, entries_of, value_of
-from walnutpost.config.model import FunctionLine
+from walnutpost.config.entries import FUNCTION_PREFIX, encode_site, encode_value
+from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import ConfigStore, Entry, Mutation
 from walnutpost.daemon.settings_watch import (
     MAX_DECODED_FUNCTIONS,
@@ -41,15 +41,15 @@
 
 def line(version: int = 1, **more: Any) -> bytes:
     told = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50, "version": str(version)}
-    return value_of(FunctionLine.model_validate(told | more))
+    return encode_value(FunctionConfig.model_validate(told | more))
 
 
 def put(name: str, version: int = 1, **more: Any) -> Mutation:
-    return Mutation(FUNCTION + name, line(version, **more))
+    return Mutation(FUNCTION_PREFIX + name, line(version, **more))
 
 
 def gone(name: str) -> Mutation:
-    return Mutation(FUNCTION + name, None)
+    return Mutation(FUNCTION_PREFIX + name, None)
 
 
 class Followed(Fleet):
@@ -68,7 +68,7 @@
             table = ConfigStore()
             if self.agreed:
                 table.propose(
-                    1, [Mutation(key, value) for key, value in entries_of(self.config.site).items()]
+                    1, [Mutation(key, value) for key, value in encode_site(self.config.site).items()]
                 )
             self.start_relay(table)
             self.begin()
@@ -391,7 +391,7 @@
     f = Followed(tmp_path)
 
     def script() -> None:
-        many = {FUNCTION + f"f{n}": Entry(FUNCTION + f"f{n}", line(), 2) for n in range(3000)}
+        many = {FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", line(), 2) for n in range(3000)}
         others: list[int] = []
         judged, wrong = [0], f.settings._validation_error
 
@@ -424,8 +424,8 @@
     f = Followed(tmp_path)
 
     def script() -> None:
-        many = {FUNCTION + f"f{n}": Entry(FUNCTION + f"f{n}", line(2), 2) for n in range(500)}
-        many[FUNCTION + "ghost"] = Entry(FUNCTION + "ghost", line(1, **{"class": "nowhere"}), 2)
+        many = {FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", line(2), 2) for n in range(500)}
+        many[FUNCTION_PREFIX + "ghost"] = Entry(FUNCTION_PREFIX + "ghost", line(1, **{"class": "nowhere"}), 2)
         judged, wrong = [0], f.settings._validation_error
 
         def counted(entry: Entry) -> str:
@@ -457,7 +457,7 @@
     def script() -> None:
         f.change(put("left", 2))
         table = f.settings.follower.store
-        key = FUNCTION + "left"
+        key = FUNCTION_PREFIX + "left"
         flipped = Entry(key, line(3), table.entries[key].revision)
         table.entries = table.entries.set(key, flipped)
         f.change(put("right", 2))
@@ -479,7 +479,7 @@
         f.loop.sleep(3 * WRITE_INTERVAL_US)  # counted, and written
         f.change(put("right", 2))
         f.change(put("right", 3))  # counted a few seconds after the one before
-        table, key = f.settings.follower.store, FUNCTION + "left"
+        table, key = f.settings.follower.store, FUNCTION_PREFIX + "left"
         table.entries = table.entries.set(key, Entry(key, line(7), table.entries[key].revision))
         f.settings._written_revision, f.settings._applied_table = 0, table
         f.settings._write()
@@ -522,7 +522,8 @@
 def test_functions_are_decoded_at_lookup_and_few_are_cached() -> None:
     functions = AgreedFunctions({}, CLASSES)
     made = {
-        FUNCTION + f"f{n}": Entry(FUNCTION + f"f{n}", line(n), 1) for n in range(3 * MAX_DECODED_FUNCTIONS)
+        FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", line(n), 1)
+        for n in range(3 * MAX_DECODED_FUNCTIONS)
     }
     entries = ConfigStore.from_entries(made, 1).entries
     functions.put(entries, len(made))
@@ -532,7 +533,7 @@
     assert len(functions._decoded) == MAX_DECODED_FUNCTIONS
     again = functions[f"f{3 * MAX_DECODED_FUNCTIONS - 1}"]
     assert again is functions[f"f{3 * MAX_DECODED_FUNCTIONS - 1}"] and isinstance(again, Function)
-    changed = entries.set(FUNCTION + "f1", Entry(FUNCTION + "f1", line(77), 2))
+    changed = entries.set(FUNCTION_PREFIX + "f1", Entry(FUNCTION_PREFIX + "f1", line(77), 2))
     assert functions["f1"].version == "1"
     functions.put(changed, len(made))
     assert functions["f1"].version == "77" and "nope" not in functions
@@ -557,7 +558,10 @@
         for n in range(burst_of):
             number = count * burst_of + n
             changed = left.replace(b'"2"', b'"%d"' % (number + 2))
-            ops = [Mutation(f"{FUNCTION}come{number}", come), Mutation(f"{FUNCTION}left", changed)]
+            ops = [
+                Mutation(f"{FUNCTION_PREFIX}come{number}", come),
+                Mutation(f"{FUNCTION_PREFIX}left", changed),
+            ]
             if number >= live:
                 ops.append(gone(f"come{number - live}"))
             revision = f.relay.change(ops)
--- a/packages/fakes/src/walnutpost/fakes/fleet.py
+++ b/packages/fakes/src/walnutpost/fakes/fleet.py
@@ -7,10 +7,10 @@
 from pathlib import Path
 from ssl import SSLContext
 
-from walnutpost.config import Config, StandIn
-from walnutpost.config.base import address_of
-from walnutpost.config.model import FunctionWork
-from walnutpost.config.settings import us
+from walnutpost.config import Config, FakeWorkerConfig
+from walnutpost.config.base import parse_address
+from walnutpost.config.conversion import ms_to_us
+from walnutpost.config.fakes import FakeFunctionConfig
 from walnutpost.eventloop import Loop
 from walnutpost.fakes.model import WorkerModel
 from walnutpost.fakes.model_runner import Recorder
@@ -28,21 +28,21 @@
     works = config.fleet.work if config.fleet else {}
     specs = {}
     for name, function in config.site.functions.items():
-        work = works.get(name, FunctionWork())
+        work = works.get(name, FakeFunctionConfig())
         specs[name] = FunctionSpec(
             name=name,
             memory_mb=function.memory_mb,
             lanes=function.lanes,
-            work_us=us(work.work_ms),
-            wait_us=us(work.wait_ms),
+            work_us=ms_to_us(work.work_ms),
+            wait_us=ms_to_us(work.wait_ms),
             work_spread=work.spread,
-            load_us=us(work.load_ms),
+            load_us=ms_to_us(work.load_ms),
             fetch_share=work.fetch_share,
         )
     return specs
 
 
-def worker_spec(config: Config, line: StandIn) -> WorkerSpec:
+def worker_spec(config: Config, line: FakeWorkerConfig) -> WorkerSpec:
     """Return a worker as the configuration has it."""
     site = config.site
     rules = site.rules
@@ -51,27 +51,27 @@
         cores=line.cores,
         speed=line.speed,
         memory_mb=line.memory_mb,
-        max_concurrent_loads=line.loads_at_once,
+        max_concurrent_loads=line.max_concurrent_loads,
         max_queued=line.queue,
-        keep_alive_us=us(site.keep_alive_ms),
+        keep_alive_us=ms_to_us(site.keep_alive_ms),
         loads_when_absent=site.on_absence == "load",
         start_capacity=rules.start_capacity,
-        warm_up_us=us(rules.cold_ms),
+        warm_up_us=ms_to_us(rules.warm_up_ms),
         overload_factor=rules.overload_factor,
-        overload_window_us=us(rules.overload_for_ms),
+        overload_window_us=ms_to_us(rules.overload_window_ms),
     )
 
 
 def local_store(loop: Loop, config: Config) -> LocalStore:
     """Return the package store of a configuration with a fleet."""
     assert config.fleet is not None
-    return LocalStore(loop, config.fleet.store.fetches_at_once, config.fleet.store.fetch_limit)
+    return LocalStore(loop, config.fleet.store.max_concurrent_fetches, config.fleet.store.fetch_limit)
 
 
 def start_worker(
     loop: Loop,
     config: Config,
-    line: StandIn,
+    line: FakeWorkerConfig,
     store: PackageStore,
     tap: Callable[[str], Recorder] | None = None,
     base: Path | None = None,
@@ -85,10 +85,10 @@
     seed = config.fleet.seed ^ number_of(line.name, SEED_BITS)
     model = WorkerModel(worker_spec(config, line), function_specs(config), seed, loop.now())
     recorder = tap(line.name) if tap else None
-    return WorkerServer(loop, model, store, address_of(line.listen), recorder, context)
+    return WorkerServer(loop, model, store, parse_address(line.listen), recorder, context)
 
 
-def _tls_context(config: Config, line: StandIn, base: Path) -> SSLContext | None:
+def _tls_context(config: Config, line: FakeWorkerConfig, base: Path) -> SSLContext | None:
     assert config.fleet is not None
     tls = config.fleet.tls
     if tls is None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/capture.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/capture.py
@@ -27,7 +27,7 @@
 
 import msgspec
 
-from walnutpost.config import WorkerLine
+from walnutpost.config import WorkerConfig
 from walnutpost.eventloop import write_all
 from walnutpost.eventloop.sockets import Address
 from walnutpost.fakes import CopyEvent
@@ -77,7 +77,7 @@
     def closed(self, stream: int) -> None:
         self._write("close", stream)
 
-    def told(self, version: int, lines: list[WorkerLine]) -> None:
+    def told(self, version: int, lines: list[WorkerConfig]) -> None:
         self._write("told", version, [(w.name, w.address, w.state, w.started_at) for w in lines])
 
     def ran(self, call_id: str, run: int) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/clients.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/clients.py
@@ -12,7 +12,7 @@
 from urllib.parse import quote
 
 from walnutpost.config import Config
-from walnutpost.config.settings import us
+from walnutpost.config.conversion import ms_to_us
 from walnutpost.eventloop import Loop, Tap, Timeout
 from walnutpost.faultinjection.script import Burst, OneOffs, Script
 from walnutpost.http import BadMessage, Connection, Response
@@ -116,7 +116,7 @@
 
     def _synchronous(self, result: Result, effect: str, tenant: str | None, rng: Random) -> None:
         cls = self._site.classes[self._site.functions[result.function].class_]
-        until = self._loop.now() + us(cls.deadline_ms)
+        until = self._loop.now() + ms_to_us(cls.deadline_ms)
         for attempt in range(self._script.traffic.retries + 1):
             left = until - self._loop.now()
             if left <= 0:
@@ -128,22 +128,22 @@
             again = {"refused": True, "unreachable": True, "no answer": effect == "safe"}
             if not again.get(result.kind, False):
                 return
-            self._loop.sleep(us(self._script.traffic.retry_wait_ms))
+            self._loop.sleep(ms_to_us(self._script.traffic.retry_wait_ms))
 
     def _deferred(self, result: Result, tenant: str | None, rng: Random) -> None:
         """Accepted once; then asked after until it has a fate. A lost 202 is asked for again under its
         name."""
         cls = self._site.classes[self._site.functions[result.function].class_]
         arn, front = None, None
-        until = self._loop.now() + us(cls.deadline_ms) + FATE_PATIENCE
+        until = self._loop.now() + ms_to_us(cls.deadline_ms) + FATE_PATIENCE
         for attempt in range(self._script.traffic.retries + 1):
             result.tries += 1
-            headers = self._headers(result, tenant, attempt, us(cls.deadline_ms))
+            headers = self._headers(result, tenant, attempt, ms_to_us(cls.deadline_ms))
             headers["x-amz-invocation-type"] = "Event"
             headers["x-amz-durable-execution-name"] = result.call
             front = rng.choice(self._fronts) if front is None else front
             response = self._ask(
-                "POST", _invoke(result.function), headers, result.call, us(cls.deadline_ms), rng, front
+                "POST", _invoke(result.function), headers, result.call, ms_to_us(cls.deadline_ms), rng, front
             )
             result.kind = kind_of(response)
             if isinstance(response, Response) and response.status == 202:
@@ -151,7 +151,7 @@
                 break
             if result.kind == "unreachable":
                 front = None  # it never got there, so another front end may be asked
-            self._loop.sleep(us(self._script.traffic.retry_wait_ms))
+            self._loop.sleep(ms_to_us(self._script.traffic.retry_wait_ms))
         while arn is not None and self._loop.now() < until:
             self._loop.sleep(ASK_FATE_EVERY)
             target = f"/2025-12-01/durable-executions/{quote(arn, safe='')}"
--- a/packages/faultinjection/src/walnutpost/faultinjection/days.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/days.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from walnutpost.config import Config, ConfigError
-from walnutpost.config.load import parse
+from walnutpost.config.files import parse
 from walnutpost.faultinjection.script import Script
 
 MOST_WORKERS, MOST_FRONTS = 12, 3
--- a/packages/faultinjection/src/walnutpost/faultinjection/facts.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/facts.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from walnutpost.config import Config
-from walnutpost.config.model import FunctionWork
-from walnutpost.config.settings import us
+from walnutpost.config.conversion import ms_to_us
+from walnutpost.config.fakes import FakeFunctionConfig
 from walnutpost.faultinjection.audit import Facts, Verdict, WorkerFacts, audit
 from walnutpost.faultinjection.capture import read
 from walnutpost.faultinjection.wire import read_process
@@ -22,18 +22,18 @@
     work = fleet.work if fleet else {}
     return Facts(
         {name: c.effect for name, c in classes.items()},
-        {name: us(c.deadline_ms) for name, c in classes.items()},
-        {name: us(work.get(name, FunctionWork()).work_ms) for name in site.functions},
+        {name: ms_to_us(c.deadline_ms) for name, c in classes.items()},
+        {name: ms_to_us(work.get(name, FakeFunctionConfig()).work_ms) for name in site.functions},
         {w.name: WorkerFacts(w.cores * w.speed) for w in (fleet.workers if fleet else ())},
-        us(rules.answer_slack_ms),
-        us(rules.drain_grace_ms),
-        us(rules.cold_ms),
+        ms_to_us(rules.answer_slack_ms),
+        ms_to_us(rules.drain_grace_ms),
+        ms_to_us(rules.warm_up_ms),
         rules.start_capacity,
         rules.overload_factor,
-        us(rules.overload_for_ms),
-        us(rules.load_window_ms),
-        rules.free_loads,
-        rules.load_share,
+        ms_to_us(rules.overload_window_ms),
+        ms_to_us(rules.load_order_window_ms),
+        rules.free_load_orders,
+        rules.load_orders_per_request,
     )
 
 
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.config import Config, laid_over
+from walnutpost.config import Config, overlay_sections
 from walnutpost.eventloop import Loop
 from walnutpost.faultinjection.audit import Verdict
 from walnutpost.faultinjection.capture import Capture
@@ -117,8 +117,8 @@
             for budget in stage.script.budgets:
                 for zone in stage.script.zones if budget.zone == "*" else [budget.zone]:
                     here = [m for m in names if zone in ("", stage.zone[m])]
-                    share = max(1, int((budget.share or 0.0) * len(here)))
-                    allowed = budget.most if budget.most is not None else share
+                    share = max(1, int((budget.max_unavailable_ratio or 0.0) * len(here)))
+                    allowed = budget.max_unavailable if budget.max_unavailable is not None else share
                     over = [m for m in out if m in here]
                     if budget.kind == kind and len(over) > allowed:
                         broken.append(
@@ -224,7 +224,7 @@
         case "release":
             site = stage.config.model_dump(mode="json", by_alias=True)
             content = stage.folder / f"{act.content}.version"
-            content.write_text(json.dumps(laid_over(site, stage.script.versions[act.content])))
+            content.write_text(json.dumps(overlay_sections(site, stage.script.versions[act.content])))
             stage.operator("release", str(content), "--steps", "0.5,1", *plan)
         case "rollback":
             stage.operator("rollback", "--to", _first(stage), *plan)
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_script.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_script.py
@@ -7,14 +7,14 @@
 
 from pydantic import Field, model_validator
 
-from walnutpost.config.base import Ms, Strict
-from walnutpost.config.keepers import BudgetOut, JudgeLine
+from walnutpost.config.base import Milliseconds, StrictModel
+from walnutpost.config.control_plane import AnalysisConfig, DisruptionBudgetConfig
 from walnutpost.faultinjection.script import Traffic
 
 Seconds = Annotated[float, Field(ge=0, le=3600)]
 
 
-class _Act(Strict):
+class _Act(StrictModel):
     """Done `at_s` after the start, or once `when` is so, and `at_s` after that. `on`: names of processes."""
 
     at_s: Seconds = 0.0
@@ -33,7 +33,7 @@
     ]
     on: list[str] = Field(min_length=1)
     for_s: Seconds = 1.0
-    by_ms: Ms = 300.0
+    by_ms: Milliseconds = 300.0
 
 
 class Order(_Act):
@@ -50,7 +50,7 @@
 AnyAct = Annotated[Break | Order, Field(discriminator="what")]
 
 
-class FleetScript(Strict):
+class FleetScript(StrictModel):
     """`config`: a configuration with stand-in workers, beside the script. `versions`: what each lays over
     it."""
 
@@ -61,12 +61,12 @@
     keepers: int = Field(3, ge=1, le=7)
     front_ends: int = Field(3, ge=1, le=50)
     zones: list[str] = Field(default_factory=lambda: ["a", "b"], min_length=1)
-    budgets: list[BudgetOut] = Field(min_length=1)
-    judge: JudgeLine = JudgeLine()
-    election_ms: Ms = 400.0
-    heartbeat_ms: Ms = 60.0
-    lease_ms: Ms = 2500.0
-    begin_within_ms: Ms = 3000.0
+    budgets: list[DisruptionBudgetConfig] = Field(min_length=1)
+    judge: AnalysisConfig = AnalysisConfig()
+    election_ms: Milliseconds = 400.0
+    heartbeat_ms: Milliseconds = 60.0
+    lease_ms: Milliseconds = 2500.0
+    begin_within_ms: Milliseconds = 3000.0
     report_ms: float = Field(200.0, ge=10)
     patience_s: Seconds = 60.0
     traffic: Traffic
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -156,7 +156,10 @@
         for name in self.keepers:
             self.start_keeper(name, "--found")
         self.until(lambda: all(map(self.where, self.keepers)), "keepers")
-        told = tuple(DisruptionBudget(b.kind, b.zone, b.most, b.share) for b in self.script.budgets)
+        told = tuple(
+            DisruptionBudget(b.kind, b.zone, b.max_unavailable, b.max_unavailable_ratio)
+            for b in self.script.budgets
+        )
         self.client(START_PATIENCE).command("budgets", SetBudgets(told))
         for name in self.members:
             self.start_agent(name)
--- a/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from walnutpost.config.base import address_of
+from walnutpost.config.base import parse_address
 from walnutpost.configstore import ApplyOutcome, ConfigStore, WatchState
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Event, Loop
@@ -48,7 +48,7 @@
         self.incarnation = secrets.token_hex(6)
         self.follower = WatchState(name, self.incarnation, loop.now())
         choice = RelaySelector(name, dict.fromkeys(relays, ""), "", Random(f"{name} {self.incarnation}"))
-        servers = {relay: partial(address_of, address) for relay, address in relays.items()}
+        servers = {relay: partial(parse_address, address) for relay, address in relays.items()}
         self.watcher = Watcher(loop, servers, self.follower, choice, self._taken, NoLog())
 
     def _taken(self, taken: ApplyOutcome) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/run.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from walnutpost.config import Config
-from walnutpost.config.settings import us
+from walnutpost.config.conversion import ms_to_us
 from walnutpost.eventloop import Group, Loop
 from walnutpost.faultinjection.audit import Verdict
 from walnutpost.faultinjection.capture import Capture
@@ -69,7 +69,7 @@
             log.info("traffic is over", calls=len(clients.results))
         results.extend(clients.results)
         if config.metering is not None:  # until idle copies are gone, and their end is known
-            loop.sleep(us(config.site.keep_alive_ms) + METERED_AFTER)
+            loop.sleep(ms_to_us(config.site.keep_alive_ms) + METERED_AFTER)
 
     try:
         loop.run(main)
--- a/packages/faultinjection/src/walnutpost/faultinjection/script.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/script.py
@@ -6,12 +6,12 @@
 
 from pydantic import Field, model_validator
 
-from walnutpost.config.base import Name, Share, Strict
+from walnutpost.config.base import Name, Ratio, StrictModel
 
 Seconds = Annotated[float, Field(ge=0, le=3600)]
 
 
-class Trouble(Strict):
+class Trouble(StrictModel):
     """`at_s` after the start. `workers` and `fronts` are numbers of machines, taken from the seed, or
     their places in `on`."""
 
@@ -31,7 +31,7 @@
     """A share of the functions is released anew: all their idle copies are worth nothing."""
 
     what: Literal["released"]
-    share: Share
+    share: Ratio
 
 
 class Silent(Trouble):
@@ -92,7 +92,7 @@
     what: Literal["heavy"]
     for_s: Seconds
     factor: float = Field(gt=0, le=1000)
-    share: Share
+    share: Ratio
 
 
 class OneOffs(Trouble):
@@ -100,7 +100,7 @@
 
     what: Literal["one_offs"]
     for_s: Seconds
-    share: Share
+    share: Ratio
 
 
 class Drain(Trouble):
@@ -136,20 +136,20 @@
 ]
 
 
-class Traffic(Strict):
+class Traffic(StrictModel):
     """Calls arrive at random at `rate_per_s`; weights say how often which function and tenant. `retries`
     are a client's own, after what its class lets it ask again for."""
 
     rate_per_s: float = Field(gt=0, le=10_000)
     functions: dict[Name, float] = Field(min_length=1)
     tenants: dict[Name, float] = Field(default_factory=dict)
-    deferred_share: Share = 0.0
+    deferred_share: Ratio = 0.0
     retries: int = Field(1, ge=0, le=10)
     retry_wait_ms: float = Field(100.0, ge=0)
     try_share: float = Field(1.0, gt=0, le=1)
 
 
-class Script(Strict):
+class Script(StrictModel):
     """`config` is a configuration file with a fleet, relative to the script."""
 
     config: str
--- a/packages/faultinjection/src/walnutpost/faultinjection/stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/stage.py
@@ -12,8 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.config import Config, StandIn
-from walnutpost.config.model import FunctionLine, FunctionWork
+from walnutpost.config import Config, FakeWorkerConfig
+from walnutpost.config.fakes import FakeFunctionConfig
+from walnutpost.config.site import FunctionConfig
 from walnutpost.eventloop import Group, Loop, Timeout, replace_file
 from walnutpost.faultinjection.clients import one_off_name
 from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
@@ -45,7 +46,7 @@
     address: str
     state: str = "ready"
     started_at: float = 0.0
-    line: StandIn | None = None
+    line: FakeWorkerConfig | None = None
 
 
 @dataclass(slots=True)
@@ -84,7 +85,7 @@
         for index in range(self.script.front_ends):
             self._await(front_name(index))
 
-    def _worker_arguments(self, line: StandIn, cold: bool) -> list[str]:
+    def _worker_arguments(self, line: FakeWorkerConfig, cold: bool) -> list[str]:
         known = self.children.get(line.name)
         listen = known.address if known and known.address else line.listen
         fleet = self.config.fleet
@@ -267,8 +268,8 @@
     assert fleet is not None
     like = next(n for n, f in site.functions.items() if site.classes[f.class_].effect == "safe")
     names = [one_off_name(i) for i in range(count)]
-    functions: dict[str, FunctionLine] = {**site.functions, **dict.fromkeys(names, site.functions[like])}
-    work = {**fleet.work, **dict.fromkeys(names, fleet.work.get(like, FunctionWork()))}
+    functions: dict[str, FunctionConfig] = {**site.functions, **dict.fromkeys(names, site.functions[like])}
+    work = {**fleet.work, **dict.fromkeys(names, fleet.work.get(like, FakeFunctionConfig()))}
     return config.model_copy(
         update={
             "site": site.model_copy(update={"functions": functions}),
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -15,7 +15,7 @@
 from typing import Any, TypeVar
 
 from walnutpost.config import Config, parse
-from walnutpost.config.entries import entries_of
+from walnutpost.config.entries import encode_site
 from walnutpost.configstore import (
     ApplyOutcome,
     ConfigStore,
@@ -126,7 +126,7 @@
 
     def seed(self) -> None:
         checked = self._config("f1")
-        ops = [Mutation(key, value) for key, value in entries_of(checked.site).items()]
+        ops = [Mutation(key, value) for key, value in encode_site(checked.site).items()]
         first = [op for op in ops if not op.key.startswith("function/padding")]
         self.change(tuple(first))
         rest = [op for op in ops if op.key.startswith("function/padding")]
@@ -313,7 +313,7 @@
             return
         if "questions" in told:
             self.figures.setdefault(path.name, []).append(told)
-        if told.get("event") == "task failed":
+        if told.get("event") == "task_failed":
             self.broken.append(f"{path.name}: {told}")
         if "revision" not in told or told.get("event", "config_applied") != "config_applied":
             return
--- a/packages/faultinjection/src/walnutpost/faultinjection/usage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/usage.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 from walnutpost.config import Config
-from walnutpost.config.settings import meter_policy
+from walnutpost.config.conversion import build_metering_policy
 from walnutpost.fakes import CopyEvent, CopyEventKind
 from walnutpost.faultinjection.capture import read
 from walnutpost.faultinjection.facts import SUFFIX
@@ -118,7 +118,9 @@
             true[tenant] += amount
     since = until - 24 * 3_600_000_000
     kept = [read_ledger(path, since, until) for path in ledgers]
-    told = grouped(figures(kept, meter_policy(config.metering), until, since, until), ["tenant", "cause"], {})
+    told = grouped(
+        figures(kept, build_metering_policy(config.metering), until, since, until), ["tenant", "cause"], {}
+    )
     gaps = sum(amount.most - amount.best for (_, cause), amount in told.items() if cause != "estimated")
     out = []
     for tenant in sorted({*true, *(t for t, _ in told)}):
@@ -130,7 +132,8 @@
     alive = {worker for worker in by_worker if not ends.get(worker)}
     recorded = sum(amount for w in alive for amount in by_worker[w].values())
     metered = sum(
-        p.amount for p in parts(kept, meter_policy(config.metering), until, lambda _, s: s.worker in alive)
+        p.amount
+        for p in parts(kept, build_metering_policy(config.metering), until, lambda _, s: s.worker in alive)
     )
     out.append(Compared(f"{len(alive)} workers that did not die", round(recorded), metered, 0, 0))
     return out
--- a/packages/faultinjection/tests/test_capture_golden.py
+++ b/packages/faultinjection/tests/test_capture_golden.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from golden_files import assert_as_golden
-from walnutpost.config import Config, WorkerLine, load
+from walnutpost.config import Config, WorkerConfig, load
 from walnutpost.fakes import CopyEvent, CopyEventKind
 from walnutpost.faultinjection.audit import Facts
 from walnutpost.faultinjection.capture import LENGTH, Capture, read
@@ -22,8 +22,8 @@
 FILE = GOLDEN / "every-record.capture.golden"
 START = 1_800_000_000_000_000  # microseconds since the epoch; each record is one later
 WORKERS = [
-    WorkerLine(name="worker-1", address="127.0.0.1:2", state="draining", started_at=3.5),
-    WorkerLine(name="w-4", address="127.0.0.1:5"),
+    WorkerConfig(name="worker-1", address="127.0.0.1:2", state="draining", started_at=3.5),
+    WorkerConfig(name="w-4", address="127.0.0.1:5"),
 ]
 
 # The one place that says which records the golden file has, and what makes each.
--- a/packages/faultinjection/tests/test_processes.py
+++ b/packages/faultinjection/tests/test_processes.py
@@ -41,7 +41,7 @@
         process.send_signal(number)
         assert process.wait(PATIENCE) == 0
         events = [json.loads(line)["event"] for line in log.read_text().splitlines()]
-        assert events == ["stand-ins", "listening", "stopping", "stopped"]
+        assert events == ["fake_workers_started", "listening", "stopping", "stopped"]
     finally:
         process.kill()
 
--- a/packages/fronts/tests/test_cron_front.py
+++ b/packages/fronts/tests/test_cron_front.py
@@ -14,7 +14,7 @@
 from fronts_rig import EVERY_MINUTE, MINUTE, crash_at_commit, fleet_with_schedules, read_outcomes, statuses
 from walnutpost.cli import main
 from walnutpost.config import Config, parse
-from walnutpost.config.settings import own_schedules
+from walnutpost.config.conversion import build_own_schedules
 from walnutpost.daemon.open_calls import OpenCall
 from walnutpost.gateway import Rejected
 
@@ -210,7 +210,7 @@
         config = merged(BASE, {"front": front, "schedules": lines})
         files.append(tmp_path / f"{index}.json5")
         files[-1].write_text(json.dumps(config))
-        owned.append({s.name for s in own_schedules(parse(json.dumps(config), "f", Config))})
+        owned.append({s.name for s in build_own_schedules(parse(json.dumps(config), "f", Config))})
     assert owned[0] | owned[1] == set(lines) and not owned[0] & owned[1] and "mine" in owned[1]
     assert CliRunner().invoke(main, ["check-config", *map(str, files)]).exit_code == 0
     other = merged(
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -14,7 +14,7 @@
 import pytest
 
 from fleet_rig import BASE, INVOKE, SECOND, merged
-from walnutpost.config.base import address_of
+from walnutpost.config.base import parse_address
 from walnutpost.eventloop import Loop, Timeout
 from walnutpost.faultinjection.mesh import Relay
 from walnutpost.http import BadMessage, Connection
@@ -65,7 +65,7 @@
         log = self.path / f"{name}.log"
         lines = log.read_bytes().splitlines() if log.exists() else []
         found = [json.loads(line) for line in lines if b'"event": "listening"' in line]
-        return address_of(found[-1][field]) if found else None
+        return parse_address(found[-1][field]) if found else None
 
     def stop(self) -> None:
         for process in self.processes.values():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -14,7 +14,7 @@
 from benchmarks.scale.machine import about
 from benchmarks.scale.slopes import TooFewSizes, slope
 from walnutpost.config import Config, parse
-from walnutpost.config.entries import entries_of
+from walnutpost.config.entries import encode_site
 from walnutpost.configstore import ConfigStore, Mutation, WatchRequest
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.wire import Told
@@ -149,7 +149,7 @@
     """The real watch over real sockets: what is sent, held and told, and that it is the same at all."""
     monkeypatch.setattr(hollow, "SPREAD", 1)
     loop, table, said = Loop(), ConfigStore(), list[WatchRequest]()
-    values = entries_of(made.config(40).site)
+    values = encode_site(made.config(40).site)
     table.propose(1, [Mutation(key, value) for key, value in values.items()])
     server = WatchServer(loop, lambda: table, lambda: 0, said.append, batch_interval_us=0)
 
@@ -193,7 +193,7 @@
 
 
 def test_a_fleet_of_any_size_is_told_in_change_sets_that_may_enter() -> None:
-    values = entries_of(made.config(3000).site)
+    values = encode_site(made.config(3000).site)
     sets = list(parts(values))
     assert {op.key for ops in sets for op in ops} == set(values)
     table = ConfigStore()
