--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -18,8 +18,7 @@
 from fleet_rig import Log
 from walnutpost.config import Config, load, overlay_sections, parse
 from walnutpost.controlplane.wire import Report
-from walnutpost.eventloop import Group as TaskGroup
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Loop, TaskGroup
 from walnutpost.faultinjection.fleet_run import FleetOutcome, play_fleet
 from walnutpost.faultinjection.fleet_script import FleetScript, random_acts
 from walnutpost.faultinjection.fleet_stage import FleetStage
--- a/benchmarks/heap_timers.py
+++ b/benchmarks/heap_timers.py
@@ -27,21 +27,21 @@
         heappush(self._heap, (when, self._count, timer))
         return timer
 
-    def cancelled(self) -> None:
+    def on_cancelled(self) -> None:
         self._dead += 1
         if self._dead > COMPACT_FROM and self._dead * 2 > len(self._heap):
             self._heap = [entry for entry in self._heap if entry[2].callback is not None]
             heapify(self._heap)
             self._dead = 0
 
-    def next(self) -> int | None:
+    def next_due_us(self) -> int | None:
         heap = self._heap
         while heap and heap[0][2].callback is None:
             heappop(heap)
             self._dead -= 1
         return heap[0][0] if heap else None
 
-    def due(self, now: int) -> list[Callable[[], object]]:
+    def pop_due(self, now: int) -> list[Callable[[], object]]:
         """Callbacks whose time has come, earliest first, each handed out once."""
         heap, out = self._heap, []
         while heap and heap[0][0] <= now:
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -15,7 +15,7 @@
 from walnutpost.config.base import parse_address
 from walnutpost.configstore import ApplyOutcome, ConfigStore, WatchState
 from walnutpost.configstore.relay_selection import RelaySelector
-from walnutpost.eventloop import Loop, Timeout
+from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.http import BadMessage, Connection
 from walnutpost.watch import Watcher
 
@@ -115,7 +115,7 @@
                     target = f"/2015-03-31/functions/{name}/invocations"
                     response = connection.ask("POST", target, {}, b"{}")
                 key = str(response.status)
-            except (OSError, BadMessage, Timeout) as error:
+            except (OSError, BadMessage, WaitTimeoutError) as error:
                 key, connection = type(error).__name__, None
             took.append(time.monotonic() - began)
             counts[key] = counts.get(key, 0) + 1
--- a/benchmarks/scale/keepers.py
+++ b/benchmarks/scale/keepers.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.machine import ROOT, process_cpu, process_rss
 from walnutpost.config import Config, load
 from walnutpost.controlplane.wire import Report
-from walnutpost.eventloop import Group, Loop
+from walnutpost.eventloop import Loop, TaskGroup
 from walnutpost.faultinjection.fleet_script import FleetScript
 from walnutpost.faultinjection.fleet_stage import FleetStage
 from walnutpost.fleet import FRONT_END, RegisterMember, StoreVersion
@@ -54,7 +54,7 @@
             for n in range(first, count, ASKERS):
                 one(n)
 
-        with Group(self.loop) as tasks:
+        with TaskGroup(self.loop) as tasks:
             for first in range(ASKERS):
                 tasks.spawn(some, first)
 
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -16,7 +16,7 @@
 
 from cron_rig import START_US, count_decisions, list_matches, make_random_cron
 from walnutpost.cron import InvalidScheduleError, Planner, Schedule, check_cron, iterate_due_times
-from walnutpost.eventloop.timers import WheelTimers
+from walnutpost.eventloop.timers import TimerWheel
 
 SECOND = 1_000_000
 MINUTE, DAY = 60 * SECOND, 86_400 * SECOND
@@ -60,7 +60,7 @@
 
 
 def wheel(schedules: list[Schedule]) -> Callable[[int], int]:
-    timers = WheelTimers(START_US)
+    timers = TimerWheel(START_US)
     found = [0]
 
     def come(times: object, due: int) -> None:
@@ -75,7 +75,7 @@
 
     def look(now: int) -> int:
         found[0] = 0
-        for callback in timers.due(now):
+        for callback in timers.pop_due(now):
             callback()
         return found[0]
 
--- a/benchmarks/timers.py
+++ b/benchmarks/timers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from benchmarks.heap_timers import HeapTimers
-from walnutpost.eventloop.timers import WheelTimers
+from walnutpost.eventloop.timers import TimerWheel
 
 ROUNDS = 200_000
 SPAN = 2_500_000  # microseconds; a call's time
@@ -32,15 +32,15 @@
         known[place].cancel()
         known[place] = timers.add(now + delay, nothing)
         if not now % (STEP * 16):
-            timers.next()
-            timers.due(now)
+            timers.next_due_us()
+            timers.pop_due(now)
     return (time.perf_counter() - began) / ROUNDS * 1e9
 
 
 def main() -> None:
     print("pending   heap ns   wheel ns   wheel / heap")
     for pending in (10, 1_000, 100_000):
-        pairs = [(rearm(HeapTimers, pending, s), rearm(WheelTimers, pending, s)) for s in range(5)]
+        pairs = [(rearm(HeapTimers, pending, s), rearm(TimerWheel, pending, s)) for s in range(5)]
         heap, wheel = (sorted(column)[2] for column in zip(*pairs, strict=True))
         ratio = sorted(w / h for h, w in pairs)[2]
         print(f"{pending:7}  {heap:8.0f}  {wheel:9.0f}  {ratio:13.2f}")
--- a/packages/agent/tests/test_agent.py
+++ b/packages/agent/tests/test_agent.py
@@ -88,7 +88,7 @@
     def operator(self, command: str, *words: str) -> str:
         """What `walnutpost fleet` prints, asked beside the relays."""
         run = [sys.executable, "-m", "walnutpost.cli", "fleet", command, str(self.folder / "f0.json"), *words]
-        done = self.keepers.loop.blocking(lambda: subprocess.run(run, capture_output=True, text=True))
+        done = self.keepers.loop.run_blocking(lambda: subprocess.run(run, capture_output=True, text=True))
         assert done.returncode == 0, done.stderr
         return done.stdout
 
--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -11,7 +11,7 @@
 from walnutpost.configstore.store import ConfigStore
 from walnutpost.configstore.validation import MAX_CHANGE_SET_BYTES, validate_mutations
 from walnutpost.controlplane import wire
-from walnutpost.eventloop import Loop, Task, Timeout
+from walnutpost.eventloop import Loop, Task, WaitTimeoutError
 from walnutpost.fleet import CHANGED_MEANWHILE, ApplyChangeSet, CommandResult, Fleet, encode
 
 Check = Callable[[ConfigStore, Sequence[Mutation]], list[str]]
@@ -50,7 +50,7 @@
         try:
             with self._loop.timeout(self._patience):
                 self._turn.take()
-        except Timeout:
+        except WaitTimeoutError:
             return wire.Told(None, False, "other change sets are under way")
         try:
             return self._set(order)
@@ -116,7 +116,7 @@
         if not self._taken:
             self._taken = True
             return
-        self._waiting.append(self._loop.waiting())
+        self._waiting.append(self._loop.begin_wait())
         self._loop.park()  # `give` hands the turn over without setting it free
 
     def give(self) -> None:
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -18,7 +18,7 @@
 )
 from walnutpost.consensus import LEADER_NOT_READY, LEADERSHIP_LOST, NOT_LEADER, Members
 from walnutpost.controlplane import wire
-from walnutpost.eventloop import Group, Loop, Timeout
+from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
 from walnutpost.fleet import Command, CommandResult, Fleet, encode
 from walnutpost.http import BadMessage, Connection, Limits, Response
 
@@ -112,7 +112,7 @@
                 if isinstance(reason, str):
                     found[keeper] = reason
 
-        with Group(self._loop) as group:
+        with TaskGroup(self._loop) as group:
             for keeper in self._addresses:
                 group.spawn(ask, keeper, name="disk state")
         return dict(sorted(found.items()))
@@ -121,7 +121,7 @@
         try:
             with self._loop.timeout(self._each):
                 return wire.decode(self._one(keeper, "GET", target, b"").body, kind)
-        except (OSError, BadMessage, Timeout, wire.BadWire) as error:
+        except (OSError, BadMessage, WaitTimeoutError, wire.BadWire) as error:
             raise NoAnswer(f"{keeper}: {error}") from error
 
     def _answer(self, target: str, body: bytes) -> CommandResult:
@@ -138,7 +138,7 @@
             try:
                 with self._loop.timeout(min(self._each, max(1, until - self._loop.now()))):
                     response = self._one(keeper, method, target, body)
-            except (OSError, BadMessage, Timeout) as error:
+            except (OSError, BadMessage, WaitTimeoutError) as error:
                 why = f"{keeper}: {type(error).__name__} {error}"
                 self._loop.sleep(PAUSE)
                 continue
--- a/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
@@ -61,13 +61,13 @@
 
     def _recover(self, store: ReplicaStore, identity: str, failed_at: int) -> None:
         floor, attempts = store.floor, 0
-        self._loop.blocking(_close, store)
+        self._loop.run_blocking(_close, store)
         while not self._stopped:
             self._loop.sleep(self._backoff)
             self._backoff = min(2 * self._backoff, MAX_BACKOFF_US)
             attempts += 1
             try:
-                found, state = self._loop.blocking(_read_back, self._reopen, identity, floor)
+                found, state = self._loop.run_blocking(_read_back, self._reopen, identity, floor)
             except StoreError as error:
                 if may_pass(error):
                     self.reason = str(error) or repr(error)
@@ -76,7 +76,7 @@
                     self._lost(str(error))
                 return
             if self._stopped:
-                self._loop.blocking(_close, found)
+                self._loop.run_blocking(_close, found)
                 return
             self._recovered_at, self.reason = self._loop.now(), ""
             outage_ms = (self._recovered_at - failed_at) // 1000
--- a/packages/controlplane/src/walnutpost/controlplane/peers.py
+++ b/packages/controlplane/src/walnutpost/controlplane/peers.py
@@ -7,7 +7,7 @@
 
 from walnutpost.consensus import Message
 from walnutpost.controlplane import wire
-from walnutpost.eventloop import Event, Loop, Timeout
+from walnutpost.eventloop import Event, Loop, WaitTimeoutError
 from walnutpost.http import BadMessage, Connection, Limits
 
 WAITING_MOST = 512  # of messages to one keeper: the newest tell most
@@ -56,7 +56,7 @@
                     with self._loop.timeout(self._answer_time + len(body) // RATE_LEAST):
                         self._post(body)
                     self.posted += len(batch)
-                except (OSError, BadMessage, Timeout):
+                except (OSError, BadMessage, WaitTimeoutError):
                     self.lost += len(batch)
                     self._drop()
                     self._loop.sleep(PAUSE)
--- a/packages/controlplane/src/walnutpost/controlplane/process.py
+++ b/packages/controlplane/src/walnutpost/controlplane/process.py
@@ -356,7 +356,7 @@
         """Waits for the answer to `id`. What gets none in time may have been agreed on all the same."""
         if self.ended or self._disk.is_failing:
             return wire.Told(None, True, NOT_LEADER)
-        task, token = self._loop.waiting()
+        task, token = self._loop.begin_wait()
         self._askers.setdefault(id, []).append((task, token))
         unsure = wire.Told(None, False, "no quorum has answered in time", self._leader())
         wait = ANSWER_ELECTIONS * self._timing.election_timeout_us
--- a/packages/controlplane/tests/test_disk_recovery.py
+++ b/packages/controlplane/tests/test_disk_recovery.py
@@ -177,7 +177,7 @@
         for disk in cluster.disks.values():
             disk.commit_fault = at_random
         orders = cluster.enter_all(f"m{number}" for number in range(60))
-        cluster.until(lambda: sum(disk.failures for disk in cluster.disks.values()) >= 8 or orders.done)
+        cluster.until(lambda: sum(disk.failures for disk in cluster.disks.values()) >= 8 or orders.is_done)
         for disk in cluster.disks.values():
             disk.heal()
         orders.join()
--- a/packages/controlplane/tests/test_keeper.py
+++ b/packages/controlplane/tests/test_keeper.py
@@ -98,7 +98,7 @@
         config = self.folder / "operator.json"
         config.write_text(json.dumps({"keepers": lines}))
         run = [sys.executable, "-m", "walnutpost.cli", "fleet", words[0], str(config), *words[1:]]
-        return self.loop.blocking(
+        return self.loop.run_blocking(
             lambda: subprocess.run(run, check=True, capture_output=True, text=True)
         ).stdout
 
--- a/packages/controlplane/tests/test_keeper_table.py
+++ b/packages/controlplane/tests/test_keeper_table.py
@@ -22,7 +22,7 @@
 from walnutpost.configstore.watch_state import WatchState
 from walnutpost.consensus import Members
 from walnutpost.controlplane import NoAnswer
-from walnutpost.eventloop import Loop, Timeout
+from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.fleet import CommandResult, Fleet, ForgetMember
 from walnutpost.http import BadMessage, Connection, Limits
 
@@ -67,7 +67,7 @@
                     )
                 finally:
                     connection.close()
-        except (OSError, BadMessage, Timeout) as error:
+        except (OSError, BadMessage, WaitTimeoutError) as error:
             raise NoAnswer(f"{self.name}: {error}") from error
         assert response.status in (200, 204), response
         self.age = int(response.headers[AGE_HEADER.lower()])
@@ -189,7 +189,7 @@
         answer, _ = keepers.client(first, second).set_entries("held", [op("function/f", "x")])
         later = Watching(keepers, first)
         later.reach(answer.index)
-        assert later.ask(hold=2 * SECOND) is None and task.done, "it was held, and woken by the change"
+        assert later.ask(hold=2 * SECOND) is None and task.is_done, "it was held, and woken by the change"
         page = task.join()
         assert page is not None and page.revision == answer.index
         # And at another keeper it goes on where it is.
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -158,7 +158,7 @@
         """Write the list for a start without the control plane; after a failure again with each report."""
         while (data := self._unwritten_snapshot) is not None:
             try:
-                self._loop.blocking(replace_file, self._cache_file, data)
+                self._loop.run_blocking(replace_file, self._cache_file, data)
             except OSError as error:
                 self._log.warning("endpoint_cache_write_failed", error=str(error))
                 return
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -32,7 +32,7 @@
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.daemon.settings_watch import AgreedFunctions, SettingsWatch
 from walnutpost.dispatch import Core
-from walnutpost.eventloop import Loop, Tap, Task, Timeout
+from walnutpost.eventloop import Loop, Tap, Task, WaitTimeoutError
 from walnutpost.fronts.cron import CronFront, FiringLimits
 from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
 from walnutpost.gateway import Gateway
@@ -341,7 +341,7 @@
         try:
             with self._loop.timeout(STOP_METERING_TIMEOUT_US):
                 self.metering.stop()
-        except Timeout:
+        except WaitTimeoutError:
             self._log.warning("usage_final_collection_timed_out")
 
     def _is_busy(self) -> bool:
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -11,7 +11,7 @@
 from walnutpost.config import Config
 from walnutpost.config.conversion import build_budgets, build_metering_policy, ms_to_us
 from walnutpost.config.metering import MeteringConfig
-from walnutpost.eventloop import Group, Loop, Task
+from walnutpost.eventloop import Loop, Task, TaskGroup
 from walnutpost.gateway import AttemptEnded, Function, LoadOrder, LoadOrderEnded, Rejected, Send
 from walnutpost.interface import Outcome
 from walnutpost.metering import HOUR, Budgets, Gap, Ledger, Sight, Size, Standing
@@ -161,7 +161,7 @@
 
     def _read_all_reports(self) -> None:
         workers = list(self._links.workers)
-        with Group(self._loop) as group:
+        with TaskGroup(self._loop) as group:
             for _ in range(min(MAX_CONCURRENT_READS, len(workers))):
                 group.spawn(self._read_reports, workers, name="usage")
 
@@ -227,7 +227,7 @@
 
         The writing goes on if the caller is cancelled, since what is on disk must be known.
         """
-        while self._writer is not None and not self._writer.done:
+        while self._writer is not None and not self._writer.is_done:
             self._writer.join()
         self._writer = self._loop.spawn(self._write, is_last, name="ledger")
         return self._writer.join()
--- a/packages/daemon/src/walnutpost/daemon/settings_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/settings_watch.py
@@ -198,7 +198,7 @@
                 continue
             count += 1
             if count % VALIDATION_BATCH == 0:
-                self._loop.breathe()
+                self._loop.yield_now()
                 if self._must_validate_all:
                     break  # replaced once more
             former = applied.get(key)
@@ -291,7 +291,7 @@
         if table is None or table.revision <= self._written_revision:
             return None
         try:
-            self._loop.blocking(_write_snapshot, self._cache_file, table)
+            self._loop.run_blocking(_write_snapshot, self._cache_file, table)
         except OSError as error:
             self._log.warning("config_cache_write_failed", error=str(error))
             return WRITE_RETRY_US
--- a/packages/daemon/tests/disk_faults.py
+++ b/packages/daemon/tests/disk_faults.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.eventloop import FileCalls, use_calls
+from walnutpost.eventloop import FileCalls, use_file_calls
 from walnutpost.store import Database
 
 IO_ERROR = "disk I/O error"
@@ -153,8 +153,8 @@
 @contextmanager
 def scripted_files() -> Iterator[ScriptedFiles]:
     calls = ScriptedFiles()
-    former = use_calls(calls)
+    former = use_file_calls(calls)
     try:
         yield calls
     finally:
-        use_calls(former)
+        use_file_calls(former)
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -146,7 +146,7 @@
 
         store.write = cancelled_meanwhile  # type: ignore[method-assign]
         waiter = f.loop.spawn(meters(f).write)
-        f.until(lambda: waiter.done)
+        f.until(lambda: waiter.is_done)
         assert meters(f).write()
         booked = added(meters(f)._store.load()[0].booked.values())
         stated = meters(f).ledger.statement(START // HOUR * HOUR, f.loop.now())
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -398,7 +398,7 @@
         def other() -> None:
             while f.settings._validation is not None:
                 others.append(judged[0])
-                f.loop.breathe()
+                f.loop.yield_now()
 
         def counted(entry: Entry) -> str:
             judged[0] += 1
--- a/packages/dispatch/src/walnutpost/dispatch/__init__.py
+++ b/packages/dispatch/src/walnutpost/dispatch/__init__.py
@@ -108,7 +108,7 @@
                 self.watch.held(now, event)
         for effect in self._gateway.handle(now, event):
             # One that can't be carried out must not keep back those behind it: they are others' answers.
-            self._loop.guarded("effect", partial(self._carry_out, effect))
+            self._loop.run_guarded("effect", partial(self._carry_out, effect))
 
     def barred(self, function: str, tenant: str | None) -> Rejected | None:
         """The answer to a new call that is not let in."""
@@ -150,7 +150,7 @@
             repeat,
             rejection=self.barred(function, tenant),
         )
-        task, token = self._loop.waiting()
+        task, token = self._loop.begin_wait()
         unarm = gone(lambda: self._wake(task, token, None))
         try:
             self.arrive(call, lambda final: self._wake(task, token, final))
--- a/packages/eventloop/src/walnutpost/eventloop/files.py
+++ b/packages/eventloop/src/walnutpost/eventloop/files.py
@@ -1,8 +1,8 @@
-"""Atomic and durable replacement of a file: whatever breaks off, its path shows its former or new content.
+"""Atomic and durable replacement of a file: whatever breaks off, its path has its former or new content.
 
 The write goes to a file of its own beside it, which is synced, renamed over the path, and made durable by
-syncing the folder: without the last a power cut may bring the former content back after it was said to be
-replaced.
+syncing the folder: without the last step a power cut may bring back the former content after the caller was
+answered that it had been replaced.
 """
 
 from __future__ import annotations
@@ -13,46 +13,55 @@
 from contextlib import suppress
 from pathlib import Path
 
-TEMPORARY = ".new"  # the end of the name of a file that is still being written
+TEMPORARY_SUFFIX = ".new"  # the end of the name of a file that is still being written
+NAME_BYTES = 4  # random bytes in such a name, in hexadecimal
+FILE_MODE = 0o666  # before the process's umask
 
 
 class FileCalls:
-    """The calls to the system that can fail; tests replace them by ones that fail by script."""
+    """The system calls that can fail; tests replace them by ones that fail by script."""
 
     def write(self, descriptor: int, data: bytes | memoryview) -> int:
-        """Takes as many bytes as the system does, which may be fewer."""
+        """Write some bytes; return how many the system took, which may be fewer."""
         return os.write(descriptor, data)
 
     def fsync(self, descriptor: int) -> None:
+        """Make a file's content, or a folder's entries, durable."""
         os.fsync(descriptor)
 
     def rename(self, source: Path, target: Path) -> None:
+        """Move a file over another one, atomically."""
         os.replace(source, target)
 
 
 _calls = FileCalls()
 
 
-def use_calls(calls: FileCalls) -> FileCalls:
-    """Replaces the calls to the system; returns the former ones."""
+def use_file_calls(calls: FileCalls) -> FileCalls:
+    """Replace the system calls; return the former ones."""
     global _calls
     former, _calls = _calls, calls
     return former
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Also where the system takes it in parts; raises OSError, with any part of it written."""
-    left = memoryview(data)
-    while left:
-        left = left[_calls.write(descriptor, left) :]
+    """Write all of `data`, also where the system takes it in parts.
+
+    Raises OSError, with any part of it written.
+    """
+    rest = memoryview(data)
+    while rest:
+        rest = rest[_calls.write(descriptor, rest) :]
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Returns once `path` durably has this content. Raises OSError: what it has is then the former or the
-    new content, and the call can be repeated."""
-    temporary = path.with_name(f"{path.name}.{secrets.token_hex(4)}{TEMPORARY}")
+    """Return once `path` durably has this content.
+
+    Raises OSError: the content is then the former or the new one, and the call can be repeated.
+    """
+    temporary = path.with_name(f"{path.name}.{secrets.token_hex(NAME_BYTES)}{TEMPORARY_SUFFIX}")
     try:
-        descriptor = os.open(temporary, os.O_CREAT | os.O_EXCL | os.O_WRONLY, 0o666)
+        descriptor = os.open(temporary, os.O_CREAT | os.O_EXCL | os.O_WRONLY, FILE_MODE)
         try:
             write_all(descriptor, data)
             _calls.fsync(descriptor)
@@ -67,8 +76,12 @@
 
 
 def remove_leftovers(path: Path) -> None:
-    """At start, by the one process that replaces `path`: what a kill left of a write, which nobody reads."""
-    leftover = re.compile(re.escape(path.name) + r"(\.[0-9a-f]{8})?" + re.escape(TEMPORARY))
+    """Remove what a killed process left of writes to `path`, which nobody reads.
+
+    For the start of the one process that replaces `path`.
+    """
+    random_part = rf"(\.[0-9a-f]{{{2 * NAME_BYTES}}})?"
+    leftover = re.compile(re.escape(path.name) + random_part + re.escape(TEMPORARY_SUFFIX))
     with suppress(OSError):
         for name in os.listdir(path.parent):
             if leftover.fullmatch(name):
--- /dev/null
+++ b/packages/eventloop/src/walnutpost/eventloop/timeouts.py
@@ -0,0 +1,52 @@
+"""Time-outs as blocks: whatever wait the block is in when the time is over, that wait raises."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any, Protocol
+
+from walnutpost.eventloop.errors import WaitTimeoutError
+from walnutpost.eventloop.tasks import Task
+from walnutpost.eventloop.timers import Timer
+
+
+class InterruptingLoop(Protocol):
+    """What a time-out needs of a loop."""
+
+    def current_task(self) -> Task[Any]:
+        """Return the task that runs now."""
+
+    def call_later(self, delay_us: int, callback: Callable[[], object]) -> Timer:
+        """Run `callback` after a time."""
+
+    def interrupt(self, task: Task[Any], error: BaseException) -> None:
+        """Throw `error` into a wait of the task."""
+
+
+class TimeoutScope:
+    """What `Loop.timeout` returns; `with ... as` binds the error that it would raise."""
+
+    __slots__ = ("_error", "_loop", "_task", "_timeout_us", "_timer")
+
+    def __init__(self, loop: InterruptingLoop, timeout_us: int) -> None:
+        """Prepare the block; the time runs from its entry."""
+        self._loop = loop
+        self._timeout_us = timeout_us
+
+    def __enter__(self) -> WaitTimeoutError:
+        """Start the timer."""
+        loop = self._loop
+        self._task = loop.current_task()
+        self._error = WaitTimeoutError(self._timeout_us)
+        self._timer = loop.call_later(self._timeout_us, self._interrupt)
+        return self._error
+
+    def __exit__(self, *_: object) -> None:
+        """Stop the timer, and drop an error that has not been raised."""
+        self._timer.cancel()
+        pending_errors = self._task.pending_errors
+        if pending_errors and self._error in pending_errors:
+            pending_errors.remove(self._error)
+
+    def _interrupt(self) -> None:
+        self._loop.interrupt(self._task, self._error)
--- a/packages/eventloop/src/walnutpost/eventloop/timers.py
+++ b/packages/eventloop/src/walnutpost/eventloop/timers.py
@@ -1,136 +1,156 @@
-"""Pending timers: a hierarchical wheel. benchmarks/timers.py measures it against a heap; docs/loop.md
-says more."""
+"""Pending timers: a hierarchical timing wheel (Varghese and Lauck, 1987).
+
+`benchmarks/timers.py` measures it against a heap; docs/loop.md says more.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-SLOTS_BITS, LEVELS = 8, 4
-SLOTS = 1 << SLOTS_BITS
-GRAIN = 1_000  # microseconds of the wheel's finest slot
+SLOT_BITS = 8
+SLOTS = 1 << SLOT_BITS
+SLOT_MASK = SLOTS - 1
+LEVELS = 4
+TICK_US = 1_000  # the finest slot; due times are rounded up to it
+
 
+class TimerOwner(Protocol):
+    """What holds pending timers."""
 
-class Owner(Protocol):
-    def cancelled(self) -> None: ...
+    def on_cancelled(self) -> None:
+        """Count a timer that was cancelled."""
 
 
 class Timer:
-    """One callback at one time; `cancel` may be called at any moment, also after it ran."""
+    """One callback at one time; `callback` is None once it was handed out or cancelled."""
 
-    __slots__ = ("_owner", "callback", "when")
+    __slots__ = ("_owner", "callback", "due_us")
 
-    def __init__(self, when: int, callback: Callable[[], object], owner: Owner) -> None:
-        self.when = when
+    def __init__(self, due_us: int, callback: Callable[[], object], owner: TimerOwner) -> None:
+        """`owner` is told of a cancellation."""
+        self.due_us = due_us
         self.callback: Callable[[], object] | None = callback
         self._owner = owner
 
     def cancel(self) -> None:
+        """Run it no more; may be called at any moment, also after it ran."""
         if self.callback is not None:
             self.callback = None
-            self._owner.cancelled()
+            self._owner.on_cancelled()
 
 
-class WheelTimers:
-    """A hierarchical wheel: slots of GRAIN, each level SLOTS times coarser; entries cascade down as time
-    comes near. Adding and cancelling cost the same however many are pending; times are rounded up to
-    GRAIN. One integer a level tells which slots hold anything, so that empty ones cost nothing."""
+class TimerWheel:
+    """A hierarchical wheel: slots of TICK_US, each level SLOTS times coarser.
 
-    def __init__(self, now: int = 0) -> None:
-        self._tick = now // GRAIN
+    Entries cascade down as their time comes near. Adding and cancelling cost the same however many are
+    pending. One integer a level has a bit for each slot that holds anything, so that empty ones cost nothing.
+    """
+
+    def __init__(self, now_us: int = 0) -> None:
+        """Start empty at `now_us`."""
+        self._tick = now_us // TICK_US
         self._slots: list[list[list[Timer]]] = [[[] for _ in range(SLOTS)] for _ in range(LEVELS)]
-        self._filled = [0] * LEVELS
-        self._live = 0
+        self._filled_bits = [0] * LEVELS
+        self._pending = 0
 
     def __len__(self) -> int:
-        return self._live
+        """Return how many timers are pending."""
+        return self._pending
 
-    def add(self, when: int, callback: Callable[[], object]) -> Timer:
-        timer = Timer(when, callback, self)
-        self._live += 1
+    def add(self, due_us: int, callback: Callable[[], object]) -> Timer:
+        """Add a timer; it is handed out at `due_us`, rounded up to a tick."""
+        timer = Timer(due_us, callback, self)
+        self._pending += 1
         self._place(timer)
         return timer
 
-    def cancelled(self) -> None:
-        self._live -= 1
+    def on_cancelled(self) -> None:
+        """Count a timer that was cancelled."""
+        self._pending -= 1
 
-    def _place(self, timer: Timer) -> None:
-        here = self._tick
-        tick = -(-timer.when // GRAIN)
-        if tick <= here:
-            tick = here + 1
-        away = tick - here
-        if away < SLOTS:
-            level, slot = 0, tick & (SLOTS - 1)
-        elif away < SLOTS * SLOTS:
-            level, slot = 1, (tick >> SLOTS_BITS) & (SLOTS - 1)
-        else:
-            # Beyond the last level's reach an entry waits in its farthest slot, and is then placed again.
-            tick = min(tick, here + (1 << SLOTS_BITS * LEVELS) - 1)
-            level = 2 if away < 1 << SLOTS_BITS * 3 else 3
-            slot = (tick >> SLOTS_BITS * level) & (SLOTS - 1)
-        self._slots[level][slot].append(timer)
-        self._filled[level] |= 1 << slot
+    def next_due_us(self) -> int | None:
+        """Return a lower bound of the next due time, None if no timer is pending.
 
-    def next(self) -> int | None:
-        """A lower bound of the next due time: the first filled slot, or the turn at which a level comes
-        down."""
-        if not self._live:
+        It is that of the first filled slot, or the time at which the next level cascades.
+        """
+        if not self._pending:
             return None
-        return self._next_tick() * GRAIN
-
-    def _next_tick(self) -> int:
-        first = (self._tick + 1) & (SLOTS - 1)
-        turn = (self._tick | (SLOTS - 1)) + 1
-        filled = self._filled[0]
-        if filled:
-            ahead = (filled >> first) | (filled << (SLOTS - first))
-            return min(self._tick + (ahead & -ahead).bit_length(), turn)
-        return turn
-
-    def due(self, now: int) -> list[Callable[[], object]]:
-        out: list[Callable[[], object]] = []
-        last = now // GRAIN
-        while self._tick < last:
-            if not self._live:
-                self._forget()
-                self._tick = last
+        return self._next_tick() * TICK_US
+
+    def pop_due(self, now_us: int) -> list[Callable[[], object]]:
+        """Remove and return the callbacks that are due, earliest tick first."""
+        callbacks: list[Callable[[], object]] = []
+        last_tick = now_us // TICK_US
+        while self._tick < last_tick:
+            if not self._pending:
+                self._clear()
+                self._tick = last_tick
                 break
-            self._tick = min(last, self._next_tick())
-            if not self._tick & (SLOTS - 1):
-                self._come_down()
-            slot = self._tick & (SLOTS - 1)
-            if self._filled[0] >> slot & 1:
-                for timer in self._take(0, slot):
+            self._tick = min(last_tick, self._next_tick())
+            if not self._tick & SLOT_MASK:
+                self._cascade()
+            slot = self._tick & SLOT_MASK
+            if self._filled_bits[0] >> slot & 1:
+                for timer in self._empty_slot(0, slot):
                     if timer.callback is not None:
-                        out.append(timer.callback)
+                        callbacks.append(timer.callback)
                         timer.callback = None
-                        self._live -= 1
-        return out
+                        self._pending -= 1
+        return callbacks
 
-    def _come_down(self) -> None:
+    def _place(self, timer: Timer) -> None:
+        now_tick = self._tick
+        due_tick = -(-timer.due_us // TICK_US)
+        if due_tick <= now_tick:
+            due_tick = now_tick + 1
+        distance = due_tick - now_tick
+        if distance < SLOTS:
+            level, slot = 0, due_tick & SLOT_MASK
+        elif distance < SLOTS * SLOTS:
+            level, slot = 1, (due_tick >> SLOT_BITS) & SLOT_MASK
+        else:
+            # Beyond the last level's reach an entry waits in its farthest slot, and is then placed again.
+            due_tick = min(due_tick, now_tick + (1 << SLOT_BITS * LEVELS) - 1)
+            level = 2 if distance < 1 << SLOT_BITS * 3 else 3
+            slot = (due_tick >> SLOT_BITS * level) & SLOT_MASK
+        self._slots[level][slot].append(timer)
+        self._filled_bits[level] |= 1 << slot
+
+    def _next_tick(self) -> int:
+        first_slot = (self._tick + 1) & SLOT_MASK
+        cascade_tick = (self._tick | SLOT_MASK) + 1
+        filled_bits = self._filled_bits[0]
+        if filled_bits:
+            ahead_bits = (filled_bits >> first_slot) | (filled_bits << (SLOTS - first_slot))
+            return min(self._tick + (ahead_bits & -ahead_bits).bit_length(), cascade_tick)
+        return cascade_tick
+
+    def _cascade(self) -> None:
+        """Place the timers of the coarser slots that begin at this tick anew."""
         for level in range(1, LEVELS):
-            slot = (self._tick >> SLOTS_BITS * level) & (SLOTS - 1)
-            for timer in self._take(level, slot):
+            slot = (self._tick >> SLOT_BITS * level) & SLOT_MASK
+            for timer in self._empty_slot(level, slot):
                 if timer.callback is None:
                     continue
-                if timer.when <= self._tick * GRAIN:  # due in this very tick
-                    here = self._tick & (SLOTS - 1)
-                    self._slots[0][here].append(timer)
-                    self._filled[0] |= 1 << here
+                if timer.due_us <= self._tick * TICK_US:  # due in this very tick
+                    now_slot = self._tick & SLOT_MASK
+                    self._slots[0][now_slot].append(timer)
+                    self._filled_bits[0] |= 1 << now_slot
                 else:
                     self._place(timer)
             if slot:
                 return
 
-    def _take(self, level: int, slot: int) -> list[Timer]:
-        taken, self._slots[level][slot] = self._slots[level][slot], []
-        self._filled[level] &= ~(1 << slot)
-        return taken
+    def _empty_slot(self, level: int, slot: int) -> list[Timer]:
+        timers = self._slots[level][slot]
+        self._slots[level][slot] = []
+        self._filled_bits[level] &= ~(1 << slot)
+        return timers
 
-    def _forget(self) -> None:
-        """Nothing is live: what stands in the slots was cancelled."""
+    def _clear(self) -> None:
+        """Drop what is left in the slots when no timer is pending: those were cancelled."""
         for level in range(LEVELS):
-            if self._filled[level]:
+            if self._filled_bits[level]:
                 self._slots[level] = [[] for _ in range(SLOTS)]
-                self._filled[level] = 0
+                self._filled_bits[level] = 0
--- a/packages/eventloop/src/walnutpost/eventloop/tls.py
+++ b/packages/eventloop/src/walnutpost/eventloop/tls.py
@@ -1,50 +1,57 @@
-"""Streams under TLS: the standard library's `ssl` on memory buffers, the scheduler's sockets around it."""
+"""Streams under TLS: the standard library's `ssl` on memory buffers, the loop's sockets around it."""
 
 from __future__ import annotations
 
-import errno
 import socket
 import ssl
 from collections.abc import Callable
 from contextlib import suppress
 from dataclasses import dataclass
 
-from walnutpost.eventloop.scheduler import Loop
-from walnutpost.eventloop.sockets import CHUNK, Address, Stream, Tap, connected
+from walnutpost.eventloop.connecting import connect_socket
+from walnutpost.eventloop.errors import StreamClosedError, TlsTruncatedError
+from walnutpost.eventloop.loop import Loop
+from walnutpost.eventloop.streams import CHUNK_BYTES, Address, Stream, Tap
 
 
 @dataclass(frozen=True, slots=True)
-class Secure:
-    """How a connection is made: `name` is what the other end's certificate must name, whatever its
-    address. `session` of an earlier connection to the same end saves most of the handshake."""
+class TlsClientSettings:
+    """How a client makes a connection.
+
+    The other end's certificate must name `server_name`, whatever its address. `session` of an earlier
+    connection to the same end saves most of the handshake.
+    """
 
     context: ssl.SSLContext
-    name: str
+    server_name: str
     session: ssl.SSLSession | None = None
 
 
 class TlsStream(Stream):
-    """A stream whose bytes are encrypted. Taps see the plaintext. Errors of TLS are OSErrors; an end without
-    TLS's own farewell is a reset, as it may have been cut short by somebody else."""
+    """A stream whose bytes are encrypted. Taps see the plaintext.
+
+    Errors of TLS are OSErrors; TlsTruncatedError is one of them.
+    """
 
     def __init__(
         self,
         loop: Loop,
         sock: socket.socket,
         context: ssl.SSLContext,
-        name: str | None = None,
+        server_name: str | None = None,
         session: ssl.SSLSession | None = None,
         tap: Tap | None = None,
         role: str = "",
     ) -> None:
-        """A client's where `name` is given, else a server's."""
+        """Take over a connected socket: a client's where `server_name` is given, else a server's."""
         super().__init__(loop, sock, tap, role)
         self.context = context
-        self._incoming, self._outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
-        server = name is None
-        self._tls = context.wrap_bio(self._incoming, self._outgoing, server, name, session)
-        self._read = b""  # decrypted, and not asked for yet
-        self._ended = False
+        self._incoming = ssl.MemoryBIO()
+        self._outgoing = ssl.MemoryBIO()
+        is_server = server_name is None
+        self._tls = context.wrap_bio(self._incoming, self._outgoing, is_server, server_name, session)
+        self._plaintext = b""  # decrypted, and not asked for yet
+        self._has_ended = False  # the other end has closed its side of TLS
 
     @property
     def session(self) -> ssl.SSLSession | None:
@@ -52,127 +59,145 @@
         return self._tls.session
 
     @property
-    def resumed(self) -> bool:
+    def is_resumed(self) -> bool:
+        """Whether the handshake resumed an earlier session."""
         return bool(self._tls.session_reused)
 
     def handshake(self) -> None:
-        """Raises OSError where the other end can't be trusted, or doesn't speak TLS; bound its time with
-        `Loop.timeout`. Nothing of what is sent later has left then."""
+        """Prove the other end's identity; bound its time with `Loop.timeout`.
+
+        Raises OSError where that end can't be trusted, or doesn't speak TLS. No byte of what is sent later
+        has left then.
+        """
         while True:
             try:
                 self._tls.do_handshake()
-                self._flush(False)
+                self._flush(has_payload=False)
                 return
             except ssl.SSLWantReadError:
-                self._flush(False)
-                self._feed(self._from_kernel(CHUNK))
+                self._flush(has_payload=False)
+                self._add_ciphertext(self._recv_from_kernel(CHUNK_BYTES))
             except ssl.SSLError:
                 with suppress(OSError):
-                    self._sock.send(self._outgoing.read())  # the alert that says why
+                    self._sock.send(self._outgoing.read())  # the alert that gives the reason
                 raise
 
-    def recv(self, most: int = CHUNK, later: bool = False) -> bytes:
-        # What waits in the buffers makes no socket readable.
-        if later and not (self._read or self._tls.pending() or self._incoming.pending or self.closed):
+    def recv(self, max_bytes: int = CHUNK_BYTES, wait_first: bool = False) -> bytes:
+        """Return the next decrypted bytes, once there are any; none at the end of the stream."""
+        if wait_first and not (self._has_buffered_input() or self.closed):
             self._loop.wait_readable(self._fd)
         while True:
             if self.closed:
-                raise ConnectionAbortedError(errno.ECONNABORTED, "closed here")
-            data = self._take(most)
+                raise StreamClosedError
+            data = self._decrypt(max_bytes)
             if data is not None:
                 if self._tap is not None and data:
-                    self._tap.bytes(self._number, False, data)
+                    self._tap.on_bytes(self._number, False, data)
                 return data
-            self._flush(False)  # an answer that TLS itself owes
-            self._feed(self._from_kernel(CHUNK))
+            self._flush(has_payload=False)  # an answer that TLS itself owes
+            self._add_ciphertext(self._recv_from_kernel(CHUNK_BYTES))
 
-    def _take(self, most: int) -> bytes | None:
-        """Decrypted bytes; none at the end, None where more must come first."""
-        if self._read:
-            data, self._read = self._read[:most], self._read[most:]
+    def send_all(self, data: bytes) -> None:
+        """Encrypt all of `data` and hand it to the kernel."""
+        if self.closed:
+            raise StreamClosedError
+        self._flush(has_payload=False)
+        view = memoryview(data)
+        while view:
+            count = self._tls.write(view[:CHUNK_BYTES])
+            if self._tap is not None:
+                self._tap.on_bytes(self._number, True, bytes(view[:count]))
+            view = view[count:]
+            self._flush(has_payload=True)
+
+    def send_now(self, data: bytes) -> bytes:
+        """Return all of `data`: a record of which the kernel takes a part must be waited for."""
+        return data
+
+    def is_stale(self) -> bool:
+        """Whether the other end has closed, or sent unexpected bytes: unfit for a new exchange."""
+        return self.closed or self._read_ahead() is not None
+
+    def has_ended(self) -> bool:
+        """Whether the other end has closed, or the connection broke; False while unread bytes are there."""
+        return self._read_ahead() is True
+
+    def close(self) -> None:
+        """Send close_notify, without waiting for the other end's, and close."""
+        if not self.closed:
+            with suppress(OSError, ValueError):
+                self._tls.unwrap()
+            with suppress(OSError):
+                self._sock.send(self._outgoing.read())
+        super().close()
+
+    def _has_buffered_input(self) -> bool:
+        """Whether there is input in the buffers, for which the socket does not become readable."""
+        return bool(self._plaintext or self._tls.pending() or self._incoming.pending)
+
+    def _decrypt(self, max_bytes: int) -> bytes | None:
+        """Return decrypted bytes; none at the end, None where more must come first."""
+        if self._plaintext:
+            data = self._plaintext[:max_bytes]
+            self._plaintext = self._plaintext[max_bytes:]
             return data
-        if self._ended:
+        if self._has_ended:
             return b""
         try:
-            data = self._tls.read(most)
+            data = self._tls.read(max_bytes)
         except ssl.SSLWantReadError:
             return None
         except ssl.SSLZeroReturnError:
             data = b""
         except ssl.SSLEOFError:
-            raise ConnectionResetError(errno.ECONNRESET, "cut off without TLS's farewell") from None
-        self._ended = not data
+            raise TlsTruncatedError from None
+        self._has_ended = not data
         return data
 
-    def _feed(self, data: bytes) -> None:
+    def _add_ciphertext(self, data: bytes) -> None:
         if data:
             self._incoming.write(data)
         else:
             self._incoming.write_eof()
 
-    def _flush(self, of_caller: bool) -> None:
-        """`of_caller`: what leaves holds bytes of the caller's, so the other end may have seen some."""
+    def _flush(self, has_payload: bool) -> None:
+        """Send what TLS has written; `has_payload`: some of it is the caller's, which the peer may see."""
         while self._outgoing.pending:
             view = memoryview(self._outgoing.read())
             while view:
-                view = view[self._to_kernel(view) :]
-                self.sent_any = self.sent_any or of_caller
-
-    def send_all(self, data: bytes) -> None:
-        if self.closed:
-            raise ConnectionAbortedError(errno.ECONNABORTED, "closed here")
-        self._flush(False)
-        view = memoryview(data)
-        while view:
-            count = self._tls.write(view[:CHUNK])
-            if self._tap is not None:
-                self._tap.bytes(self._number, True, bytes(view[:count]))
-            view = view[count:]
-            self._flush(True)
+                view = view[self._send_to_kernel(view) :]
+                self.has_sent = self.has_sent or has_payload
 
-    def send_now(self, data: bytes) -> bytes:
-        return data  # a record that the kernel takes half of must be waited for
+    def _read_ahead(self) -> bool | None:
+        """Return without waiting whether the other end has closed; None where nothing shows.
 
-    def _look(self) -> bool | None:
-        """Reads ahead without waiting: whether the other end has closed; None where nothing tells. Session
-        tickets come unasked, and say nothing."""
+        Session tickets come unasked, and show nothing.
+        """
         try:
             with suppress(BlockingIOError):
                 while not self._incoming.eof:
-                    self._feed(self._sock.recv(CHUNK))
+                    self._add_ciphertext(self._sock.recv(CHUNK_BYTES))
         except OSError:
             return True
         try:
-            if not self._read:
-                self._read = self._take(CHUNK) or b""
+            if not self._plaintext:
+                self._plaintext = self._decrypt(CHUNK_BYTES) or b""
         except OSError:
             return True
-        if self._ended:
+        if self._has_ended:
             return True
-        return False if self._read else None
+        return False if self._plaintext else None
 
-    def stale(self) -> bool:
-        return self.closed or self._look() is not None
 
-    def ended(self) -> bool:
-        return self._look() is True
-
-    def close(self) -> None:
-        if not self.closed:
-            with suppress(OSError, ValueError):
-                self._tls.unwrap()  # the other end's farewell is not waited for
-            with suppress(OSError):
-                self._sock.send(self._outgoing.read())
-        super().close()
-
-
-def connect_secure(
-    loop: Loop, address: Address, secure: Secure, tap: Tap | None = None, role: str = ""
+def connect_tls(
+    loop: Loop, address: Address, settings: TlsClientSettings, tap: Tap | None = None, role: str = ""
 ) -> TlsStream:
-    """A connection whose other end has proved its name; OSError if there is none. Bound it with
-    `Loop.timeout`."""
-    sock = connected(loop, address)
-    stream = TlsStream(loop, sock, secure.context, secure.name, secure.session, tap, role)
+    """Return a connection whose other end has proved its name; bound its time with `Loop.timeout`.
+
+    Raises OSError if there is none.
+    """
+    sock = connect_socket(loop, address)
+    stream = TlsStream(loop, sock, settings.context, settings.server_name, settings.session, tap, role)
     try:
         stream.handshake()
         return stream
@@ -181,6 +206,8 @@
         raise
 
 
-def serving(context: ssl.SSLContext) -> Callable[[Loop, socket.socket, Tap | None, str], TlsStream]:
-    """For a Listener; the handshake is made by whoever serves the stream."""
+def tls_stream_factory(
+    context: ssl.SSLContext,
+) -> Callable[[Loop, socket.socket, Tap | None, str], TlsStream]:
+    """Return what builds a Listener's streams; whoever serves a stream makes the handshake."""
     return lambda loop, sock, tap, role: TlsStream(loop, sock, context, tap=tap, role=role)
--- a/packages/eventloop/tests/test_files.py
+++ b/packages/eventloop/tests/test_files.py
@@ -12,14 +12,14 @@
 CALLS = ["write", "fsync", "rename", "fsync folder"]
 
 
-def test_a_replaced_file_is_synced_before_its_name_and_the_folder_after(tmp_path: Path) -> None:
+def test_replaced_file_is_synced_before_its_rename_and_its_folder_after(tmp_path: Path) -> None:
     with scripted_files() as files:
         replace_file(tmp_path / "state", b"new")
     assert files.calls == CALLS and (tmp_path / "state").read_bytes() == b"new"
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_a_call_that_fails_leaves_former_or_new_content_and_no_other_file(tmp_path: Path, call: str) -> None:
+def test_failed_call_leaves_former_or_new_content_and_no_other_file(tmp_path: Path, call: str) -> None:
     path = tmp_path / "state"
     path.write_bytes(b"former")
     with scripted_files() as files:
@@ -32,17 +32,17 @@
     assert path.read_bytes() == b"new" and list(tmp_path.iterdir()) == [path]
 
 
-def test_a_write_that_ends_half_done_goes_on_where_it_ended(tmp_path: Path) -> None:
+def test_short_write_is_continued_where_it_ended(tmp_path: Path) -> None:
     with scripted_files() as files:
         files.fails["short write"] = 5
         replace_file(tmp_path / "state", b"0123456789" * 100)
     assert (tmp_path / "state").read_bytes() == b"0123456789" * 100
 
 
-def test_what_a_kill_left_of_a_write_is_removed_and_nothing_else(tmp_path: Path) -> None:
-    kept = {"state", "state.0a1b2c3d.new.txt", "other.0a1b2c3d.new", "state.own.new"}
-    for name in kept | {"state.0a1b2c3d.new", "state.new"}:
+def test_leftovers_of_a_killed_write_are_removed_and_nothing_else(tmp_path: Path) -> None:
+    others = {"state", "state.0a1b2c3d.new.txt", "other.0a1b2c3d.new", "state.own.new"}
+    for name in others | {"state.0a1b2c3d.new", "state.new"}:
         (tmp_path / name).write_bytes(b"half")
     remove_leftovers(tmp_path / "state")
-    assert {path.name for path in tmp_path.iterdir()} == kept
+    assert {path.name for path in tmp_path.iterdir()} == others
     remove_leftovers(tmp_path / "nowhere" / "state")
--- /dev/null
+++ b/packages/eventloop/tests/test_listener.py
@@ -0,0 +1,242 @@
+"""Listeners whose accepts fail: they serve until they are closed, and pace what fails over and over."""
+
+from __future__ import annotations
+
+import errno
+import os
+import resource
+import socket
+from typing import Any
+
+import pytest
+
+from loop_rig import (
+    LOCAL,
+    PENDING_ERRORS,
+    SHORTAGE_ERRORS,
+    close_all,
+    run_with_faults,
+    start_accepting,
+    wait_until,
+)
+from scripted_sockets import FOREVER, SocketFaults, at
+from walnutpost.eventloop import AcceptErrorLog, Listener, Loop, Stream, connect
+from walnutpost.eventloop.accept_errors import (
+    ACCEPT_LOG_INTERVAL_US,
+    MAX_ACCEPT_BACKOFF_US,
+    MAX_ACCEPT_ERRORS_IN_ROW,
+    MIN_ACCEPT_BACKOFF_US,
+)
+from walnutpost.eventloop.listener import MAX_ACCEPT_NOW_PAUSES
+
+NUMBERS = [pytest.param(number, id=errno.errorcode[number]) for number in (*PENDING_ERRORS, *SHORTAGE_ERRORS)]
+
+
+@pytest.mark.parametrize(
+    ("number", "drops"),
+    [
+        pytest.param(number, drops, id=f"{errno.errorcode[number]}-{'gone' if drops else 'left'}")
+        for drops, numbers in ((False, (*PENDING_ERRORS, *SHORTAGE_ERRORS)), (True, PENDING_ERRORS))
+        for number in numbers
+    ],
+)
+def test_listener_serves_on_after_any_error_of_accept(number: int, drops: bool) -> None:
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        listener = Listener(loop, LOCAL)
+        streams = start_accepting(loop, listener)
+        clients: list[Stream] = []
+        for failed in range(1, 4):
+            faults.fail("accept", number, when=at(listener.address), drops=drops)
+            clients += [connect(loop, listener.address) for _ in range(4)]
+            wait_until(loop, lambda: faults.failed["accept"] == failed)  # noqa: B023
+        lost = (3 if drops else 0) + listener.rejected_connections
+        wait_until(loop, lambda: len(streams) + lost == len(clients))
+        assert listener.accept_errors == 3
+        assert listener.rejected_connections == (3 if number in SHORTAGE_ERRORS else 0)
+        close_all(listener, *streams, *clients)
+
+    run_with_faults(script)
+
+
+@pytest.mark.parametrize("number", NUMBERS)
+def test_accepts_that_fail_repeatedly_are_paced_and_then_served(number: int) -> None:
+    rounds = 60
+
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        listener = Listener(loop, LOCAL)
+        streams, began = start_accepting(loop, listener), loop.now()
+        faults.fail("accept", number, rounds * MAX_ACCEPT_ERRORS_IN_ROW, when=at(listener.address))
+        client = connect(loop, listener.address)
+        wait_until(loop, lambda: streams or listener.rejected_connections)
+        passed = loop.now() - began
+        assert listener.accept_errors >= rounds * MAX_ACCEPT_ERRORS_IN_ROW // 2
+        assert passed >= (rounds // 2 - 6) * MAX_ACCEPT_BACKOFF_US
+        close_all(listener, client, *streams)
+
+    run_with_faults(script)
+
+
+def test_fewer_accept_errors_in_a_row_than_the_limit_cause_no_pause() -> None:
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        listener = Listener(loop, LOCAL)
+        faults.fail("accept", errno.EPROTO, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(listener.address))
+        client, began = connect(loop, listener.address), loop.now()
+        stream = listener.accept()
+        assert loop.now() == began
+        close_all(listener, client, stream)
+
+    run_with_faults(script)
+
+
+def test_pause_is_the_shortest_again_after_a_success() -> None:
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        listener = Listener(loop, LOCAL)
+        ends: list[Any] = [listener]
+        for _ in range(3):
+            faults.fail("accept", errno.EPROTO, MAX_ACCEPT_ERRORS_IN_ROW, when=at(listener.address))
+            ends.append(connect(loop, listener.address))
+            began = loop.now()
+            ends.append(listener.accept())
+            assert MIN_ACCEPT_BACKOFF_US <= loop.now() - began <= 2 * MIN_ACCEPT_BACKOFF_US
+        close_all(*ends)
+
+    run_with_faults(script)
+
+
+def test_close_during_a_pause_ends_accepting_at_once() -> None:
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        listener = Listener(loop, LOCAL)
+        ends: list[OSError] = []
+
+        def accept() -> None:
+            try:
+                listener.accept()
+            except OSError as error:
+                ends.append(error)
+
+        task = loop.spawn(accept)
+        faults.fail("accept", errno.EPERM, FOREVER, when=at(listener.address))
+        client = connect(loop, listener.address)
+        wait_until(loop, lambda: listener.accept_errors >= 10 * MAX_ACCEPT_ERRORS_IN_ROW)
+        closed_us = loop.now()
+        listener.close()
+        task.join()
+        assert loop.now() == closed_us and [error.errno for error in ends] == [errno.EBADF]
+        client.close()
+
+    run_with_faults(script)
+
+
+def test_accept_now_returns_every_queued_connection_whatever_accept_raises_between() -> None:
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        listener = Listener(loop, LOCAL)
+        clients = [connect(loop, listener.address) for _ in range(20)]
+        for after in range(0, 20, 2):
+            faults.fail("accept", errno.ENETDOWN, after=after, when=at(listener.address))
+        streams: list[Stream] = []
+        while (stream := listener.accept_now()) is not None:
+            streams.append(stream)
+        assert len(streams) == 20 and faults.failed["accept"] == 10
+        close_all(listener, *clients, *streams)
+
+    run_with_faults(script)
+
+
+def test_accept_now_raises_where_every_accept_fails() -> None:
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        listener = Listener(loop, LOCAL)
+        faults.fail("accept", errno.EPERM, FOREVER, when=at(listener.address))
+        client = connect(loop, listener.address)
+        with pytest.raises(PermissionError):
+            listener.accept_now()
+        assert listener.accept_errors == (MAX_ACCEPT_NOW_PAUSES + 1) * MAX_ACCEPT_ERRORS_IN_ROW
+        close_all(listener, client)
+
+    run_with_faults(script)
+
+
+def test_task_cancelled_while_accepting_leaves_each_connection_to_the_next() -> None:
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        listener = Listener(loop, LOCAL)
+        clients = [connect(loop, listener.address) for _ in range(100)]
+        streams: list[Stream] = []
+
+        def accept() -> None:
+            while True:
+                streams.append(listener.accept())
+
+        task = loop.spawn(accept)
+        loop.yield_now()
+        assert 0 < len(streams) < 50  # it has given way
+        task.cancel()
+        while not task.is_done:
+            loop.yield_now()
+        while (stream := listener.accept_now()) is not None:
+            streams.append(stream)
+        assert len(streams) == 100
+        close_all(listener, *clients, *streams)
+
+    run_with_faults(script)
+
+
+def test_failed_accepts_are_logged_once_a_second_with_their_count() -> None:
+    lines: list[tuple[str, dict[str, Any]]] = []
+
+    class Log:
+        def warning(self, event: str, **fields: Any) -> None:
+            lines.append((event, fields))
+
+    def script(loop: Loop, faults: SocketFaults) -> None:
+        log = AcceptErrorLog(loop, Log())
+        for _ in range(5):
+            log(OSError(errno.EPROTO, "cut off"))
+        loop.sleep(ACCEPT_LOG_INTERVAL_US)
+        log(PermissionError(errno.EPERM, "not allowed"))
+        assert [(event, fields["count"]) for event, fields in lines] == [
+            ("accept_failed", 1),
+            ("accept_failed", 5),
+        ]
+        assert "not allowed" in lines[1][1]["why"]
+
+    run_with_faults(script)
+
+
+def test_connection_without_free_descriptor_is_rejected_at_once_and_the_next_is_served() -> None:
+    loop = Loop()
+
+    def main() -> None:
+        listener = Listener(loop, LOCAL)
+        served: list[Stream] = []
+
+        def accept() -> None:
+            while True:
+                served.append(listener.accept(b"rejected"))
+
+        loop.spawn(accept)
+        outside = socket.create_connection(listener.address)  # its descriptor is there before the shortage
+        while not served:
+            loop.sleep(1000)
+        late = socket.socket()
+        soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
+        taken: list[int] = []
+        try:
+            top = max(int(fd) for fd in os.listdir("/proc/self/fd"))
+            resource.setrlimit(resource.RLIMIT_NOFILE, (top + 1, hard))
+            with pytest.raises(OSError):
+                while True:
+                    taken.append(os.dup(0))
+            late.connect(listener.address)
+            while not listener.rejected_connections:
+                loop.sleep(1000)
+        finally:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
+            for fd in taken:
+                os.close(fd)
+        assert late.recv(10) == b"rejected" and late.recv(10) == b""
+        after = socket.create_connection(listener.address)
+        while len(served) < 2:
+            loop.sleep(1000)
+        for sock in (outside, late, after):
+            sock.close()
+
+    loop.run(main)
--- /dev/null
+++ b/packages/eventloop/tests/test_signals_and_blocking.py
@@ -0,0 +1,107 @@
+"""What comes from outside the loop's thread: signals, and outcomes of blocking calls."""
+
+from __future__ import annotations
+
+import os
+import signal
+import threading
+
+import pytest
+
+from loop_rig import SECOND, virtual_loop
+from walnutpost.eventloop import Event, Loop, WaitTimeoutError
+
+
+def test_signal_wakes_the_loop() -> None:
+    loop = Loop()
+
+    def main() -> None:
+        delivered = Event(loop)
+        loop.on_signal(signal.SIGUSR1, delivered.set)
+        os.kill(os.getpid(), signal.SIGUSR1)
+        delivered.wait()
+
+    loop.run(main)
+
+
+def test_error_of_a_signals_callback_leaves_the_next_signal_delivered() -> None:
+    errors: list[tuple[str, BaseException]] = []
+    loop, delivered = virtual_loop(errors), list[int]()
+
+    def fails() -> None:
+        delivered.append(1)
+        raise KeyError("a configuration that nobody foresaw")
+
+    def main() -> None:
+        loop.on_signal(signal.SIGHUP, fails)
+        for _ in range(2):
+            os.kill(os.getpid(), signal.SIGHUP)
+            loop.sleep(10_000)
+
+    before = signal.getsignal(signal.SIGHUP)
+    try:
+        loop.run(main)
+    finally:
+        signal.signal(signal.SIGHUP, before)
+    assert len(delivered) == len(errors) == 2
+
+
+def test_blocking_calls_run_in_order_also_after_a_timeout_and_raise_their_errors() -> None:
+    loop = Loop()
+    order: list[int] = []
+
+    def main() -> None:
+        delivered = Event(loop)
+        loop.on_signal(signal.SIGUSR1, delivered.set)  # both share what wakes the loop
+        os.kill(os.getpid(), signal.SIGUSR1)
+        delivered.wait()
+        gate = threading.Event()
+
+        def wait_at_gate() -> None:
+            gate.wait()
+            order.append(1)
+
+        first = loop.spawn(loop.run_blocking, wait_at_gate)
+        second = loop.spawn(loop.run_blocking, order.append, 2)
+        with pytest.raises(WaitTimeoutError), loop.timeout(SECOND // 100):
+            first.join()
+        gate.set()
+        second.join()
+        with pytest.raises(ZeroDivisionError):
+            loop.run_blocking(lambda: 1 // 0)
+
+    loop.run(main)
+    assert order == [1, 2]
+
+
+def test_virtual_clock_stands_still_during_a_blocking_call() -> None:
+    loop = virtual_loop()
+
+    def main() -> int:
+        loop.call_later(SECOND, lambda: None)
+        began = loop.now()
+        gate = threading.Event()
+        threading.Timer(0.05, gate.set).start()
+        loop.run_blocking(gate.wait)
+        return loop.now() - began
+
+    assert loop.run(main) == 0
+
+
+def test_end_of_the_loop_waits_for_the_last_blocking_call() -> None:
+    """What calls work on is closed right after; a store closed under a commit took the process with it."""
+    loop = virtual_loop()
+    gate, done = threading.Event(), list[str]()
+
+    def job() -> None:
+        gate.wait()
+        done.append("job")
+
+    def main() -> None:
+        loop.spawn(loop.run_blocking, job)
+        loop.yield_now()
+        loop.call_later(SECOND, lambda: None)
+        threading.Timer(0.05, gate.set).start()
+
+    loop.run(main)
+    assert done == ["job"]
--- a/packages/fakes/src/walnutpost/fakes/model_runner.py
+++ b/packages/fakes/src/walnutpost/fakes/model_runner.py
@@ -85,7 +85,7 @@
         stream = pending.exchange.stream
 
         def cancel_if_gone() -> None:
-            if stream.ended() and self._pending.pop(pending.request_id, None) is not None:
+            if stream.has_ended() and self._pending.pop(pending.request_id, None) is not None:
                 self.react(self.model.cancel(self._loop.now(), pending.request_id))
                 pending.event.set()
 
@@ -116,7 +116,7 @@
         """Wake up when the model wants it next."""
         due_us = self.model.next_due_us()
         if self._timer is not None:
-            if self._timer.when == due_us and self._timer.callback is not None:
+            if self._timer.due_us == due_us and self._timer.callback is not None:
                 return
             self._timer.cancel()
         self._timer = self._loop.call_at(due_us, self._advance) if due_us is not None else None
--- a/packages/fakes/src/walnutpost/fakes/store.py
+++ b/packages/fakes/src/walnutpost/fakes/store.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from walnutpost.eventloop import Loop, Timeout
+from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.http import BadMessage, Connection, Exchange, Response, Server
 from walnutpost.http.server import serve_on
 
@@ -86,5 +86,5 @@
                     return connection.ask("POST", f"/fetch/{function}?{usual_us}").status == 200
                 finally:
                     connection.close()
-        except (OSError, Timeout, BadMessage):
+        except (OSError, WaitTimeoutError, BadMessage):
             return False
--- a/packages/faultinjection/src/walnutpost/faultinjection/capture.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/capture.py
@@ -29,7 +29,7 @@
 
 from walnutpost.config import WorkerConfig
 from walnutpost.eventloop import write_all
-from walnutpost.eventloop.sockets import Address
+from walnutpost.eventloop.streams import Address
 from walnutpost.fakes import CopyEvent
 
 LENGTH = 4
@@ -68,13 +68,13 @@
         self._torn = False
         self._size += len(data)
 
-    def opened(self, stream: int, role: str, local: Address, remote: Address) -> None:
+    def on_opened(self, stream: int, role: str, local: Address, remote: Address) -> None:
         self._write("open", stream, role, local, remote)
 
-    def bytes(self, stream: int, sent: bool, data: bytes) -> None:
+    def on_bytes(self, stream: int, sent: bool, data: bytes) -> None:
         self._write("out" if sent else "in", stream, data)
 
-    def closed(self, stream: int) -> None:
+    def on_closed(self, stream: int) -> None:
         self._write("close", stream)
 
     def told(self, version: int, lines: list[WorkerConfig]) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/clients.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/clients.py
@@ -13,7 +13,7 @@
 
 from walnutpost.config import Config
 from walnutpost.config.conversion import ms_to_us
-from walnutpost.eventloop import Loop, Tap, Timeout
+from walnutpost.eventloop import Loop, Tap, WaitTimeoutError
 from walnutpost.faultinjection.script import Burst, OneOffs, Script
 from walnutpost.http import BadMessage, Connection, Response
 
@@ -190,12 +190,12 @@
         body = json.dumps({"trial": call}).encode() if call else b""
         try:
             connection = self._connection(front)
-        except (OSError, Timeout):
+        except (OSError, WaitTimeoutError):
             return "unreachable"
         try:
             with self._loop.timeout(patience + PATIENCE):
                 response = connection.ask(method, target, headers, body)
-        except (OSError, Timeout, BadMessage):
+        except (OSError, WaitTimeoutError, BadMessage):
             connection.close()
             return None
         if connection.reusable:
@@ -207,7 +207,7 @@
     def _connection(self, front: _Front) -> Connection:
         while front.idle:
             connection = front.idle.pop()
-            if not connection.stream.stale():
+            if not connection.stream.is_stale():
                 return connection
             connection.close()
         address = front.where()
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
@@ -69,7 +69,7 @@
         results.extend(clients.results)
         for task in acts:  # what waits for something that does not come; what is broken is made good
             task.cancel()
-        stage.until(lambda: all(task.done for task in acts), "what is broken to be made good")
+        stage.until(lambda: all(task.is_done for task in acts), "what is broken to be made good")
         stage.mesh.heal()
         stage.until(lambda: _settled(stage.state()), "plans to end or halt", int(script.patience_s * SECOND))
         held.append(stage.state())
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -18,7 +18,7 @@
 from walnutpost.config import Config
 from walnutpost.controlplane import KeeperClient, NoAnswer
 from walnutpost.controlplane.wire import View
-from walnutpost.eventloop import Group, Loop, Timeout
+from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
 from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
 from walnutpost.faultinjection.fleet_script import FleetScript
 from walnutpost.faultinjection.mesh import Mesh
@@ -284,7 +284,7 @@
         config = self._write("operator.json", {"keepers": lines})
         run = [sys.executable, "-m", "walnutpost.cli", "fleet", words[0], config, *words[1:]]
         try:
-            done = self.loop.blocking(
+            done = self.loop.run_blocking(
                 lambda: subprocess.run(run, capture_output=True, text=True, timeout=OPERATOR_TIMEOUT_S)
             )
         except subprocess.TimeoutExpired as error:
@@ -318,7 +318,7 @@
             gone = self._open[name]
             gone.last, gone.hit = at, gone.hit or name in self.hit
 
-        with Group(self.loop) as group:
+        with TaskGroup(self.loop) as group:
             for name in self.members:
                 group.spawn(ask, name)
         return down
@@ -337,7 +337,7 @@
                     answered = connection.ask("GET", target).status
                 finally:
                     connection.close()
-        except (OSError, Timeout, BadMessage):
+        except (OSError, WaitTimeoutError, BadMessage):
             self._up.pop(name, None)
             return False
         self._up[name] = address
--- a/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/hollow.py
@@ -95,7 +95,7 @@
                 }
             )
 
-        loop.every(SECOND, figures, name="figures")
+        loop.call_every(SECOND, figures, name="figures")
         say({"listening": True})
         stop.wait()
 
--- a/packages/faultinjection/src/walnutpost/faultinjection/mesh.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/mesh.py
@@ -6,7 +6,7 @@
 from contextlib import suppress
 from dataclasses import dataclass, field
 
-from walnutpost.eventloop import Event, Listener, Loop, Stream, Timeout, connect
+from walnutpost.eventloop import Event, Listener, Loop, Stream, WaitTimeoutError, connect
 
 CHUNK = 16 * 1024
 DIAL_TIME = 2_000_000
@@ -94,7 +94,7 @@
                 raise ConnectionRefusedError("nobody is there")
             with self._loop.timeout(DIAL_TIME):
                 far = connect(self._loop, target)
-        except (OSError, Timeout):
+        except (OSError, WaitTimeoutError):
             near.reset()
             return
         self._open[near] = far
--- a/packages/faultinjection/src/walnutpost/faultinjection/run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/run.py
@@ -11,7 +11,7 @@
 
 from walnutpost.config import Config
 from walnutpost.config.conversion import ms_to_us
-from walnutpost.eventloop import Group, Loop
+from walnutpost.eventloop import Loop, TaskGroup
 from walnutpost.faultinjection.audit import Verdict
 from walnutpost.faultinjection.capture import Capture
 from walnutpost.faultinjection.clients import Clients, Result
@@ -62,7 +62,7 @@
         log.info("stage stands", folder=str(folder), processes=len(stage.children))
         tap = Capture(folder / f"clients{SUFFIX}", "client", "clients", loop.now)
         clients = Clients(loop, script, stage.config, [partial(lambda a: a, a) for a in stage.fronts], tap)
-        with Group(loop) as group:
+        with TaskGroup(loop) as group:
             for number, trouble in enumerate(script.troubles):
                 group.spawn(make, stage, trouble, Random(script.seed * 7919 + number), log, name=trouble.what)
             clients.run()
--- a/packages/faultinjection/src/walnutpost/faultinjection/stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/stage.py
@@ -15,7 +15,7 @@
 from walnutpost.config import Config, FakeWorkerConfig
 from walnutpost.config.fakes import FakeFunctionConfig
 from walnutpost.config.site import FunctionConfig
-from walnutpost.eventloop import Group, Loop, Timeout, replace_file
+from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError, replace_file
 from walnutpost.faultinjection.clients import one_off_name
 from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
 from walnutpost.faultinjection.script import Script
@@ -189,7 +189,7 @@
 
     def command(self, names: Sequence[str], told: dict[str, Any]) -> None:
         """To all at once; one that is down hears nothing, and will have lost what it held."""
-        with Group(self.loop) as group:
+        with TaskGroup(self.loop) as group:
             for name in names:
                 if name not in self.down:
                     address = self.children[name].address
@@ -208,7 +208,7 @@
                         self.failures.append(f"{address} refused {target} {body[:80]!r}")
                 finally:
                     connection.close()
-        except (OSError, Timeout, BadMessage) as error:
+        except (OSError, WaitTimeoutError, BadMessage) as error:
             self.failures.append(f"{address}{target}: {error}")
 
     def silence(self, name: str) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_run.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from walnutpost.configstore import PropagationStatus
-from walnutpost.eventloop import Loop, Task, Timeout
+from walnutpost.eventloop import Loop, Task, WaitTimeoutError
 from walnutpost.faultinjection.table_stage import (
     FRONTS,
     FUNCTIONS,
@@ -168,7 +168,7 @@
                 response = connection.ask("POST", target, {}, b"{}")
             finally:
                 connection.close()
-    except (OSError, Timeout, BadMessage) as error:
+    except (OSError, WaitTimeoutError, BadMessage) as error:
         return f"{type(error).__name__} {error}"
     failed = "x-amz-function-error" in response.headers
     return "" if response.status == 200 and not failed else f"{response.status} {response.body[:200]!r}"
--- a/packages/faultinjection/tests/test_capture_golden.py
+++ b/packages/faultinjection/tests/test_capture_golden.py
@@ -30,11 +30,11 @@
 WRITES: list[tuple[list[Any], Callable[[Capture], None]]] = [
     (
         ["open", 2, "front", ["127.0.0.1", 3], ["127.0.0.1", 4]],
-        lambda c: c.opened(2, "front", ("127.0.0.1", 3), ("127.0.0.1", 4)),
+        lambda c: c.on_opened(2, "front", ("127.0.0.1", 3), ("127.0.0.1", 4)),
     ),
-    (["in", 2, b"received\x00\xff"], lambda c: c.bytes(2, False, b"received\x00\xff")),
-    (["out", 2, b"sent"], lambda c: c.bytes(2, True, b"sent")),
-    (["close", 2], lambda c: c.closed(2)),
+    (["in", 2, b"received\x00\xff"], lambda c: c.on_bytes(2, False, b"received\x00\xff")),
+    (["out", 2, b"sent"], lambda c: c.on_bytes(2, True, b"sent")),
+    (["close", 2], lambda c: c.on_closed(2)),
     (
         [
             "told",
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -132,7 +132,7 @@
     def _write_progress(self, now_us: int) -> None:
         """Report progress on the helper thread, as it is synced. A failure stops no firing."""
         try:
-            self._loop.blocking(self._on_progress, self._newest_due_us, now_us)
+            self._loop.run_blocking(self._on_progress, self._newest_due_us, now_us)
         except OSError as error:
             self._recorder.log_store_error(f"the newest due time is not written: {error}")
 
--- a/packages/fronts/src/walnutpost/fronts/invoke/front.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/front.py
@@ -197,7 +197,7 @@
     """Call back when the client closes its connection; return what ends the watch."""
 
     def check() -> None:
-        if exchange.stream.ended():
+        if exchange.stream.has_ended():
             on_hangup()
 
     exchange.stream.on_readable(check)
--- a/packages/http/src/walnutpost/http/client.py
+++ b/packages/http/src/walnutpost/http/client.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from walnutpost.eventloop import Loop, Secure, Stream, Tap, connect, connect_secure
+from walnutpost.eventloop import Loop, Stream, Tap, TlsClientSettings, connect, connect_tls
 from walnutpost.http.messages import BadMessage, Limits, Response, ResponseReader, encode_request
 
 
@@ -23,10 +23,10 @@
         tap: Tap | None = None,
         role: str = "",
         limits: Limits | None = None,
-        secure: Secure | None = None,
+        secure: TlsClientSettings | None = None,
     ) -> Connection:
         if secure is not None:
-            return cls(connect_secure(loop, address, secure, tap, role), limits)
+            return cls(connect_tls(loop, address, secure, tap, role), limits)
         return cls(connect(loop, address, tap, role), limits)
 
     def exchange(self, data: bytes) -> Response:
@@ -39,7 +39,7 @@
         self.stream.send_all(data)
         reader = self._reader
         while reader.done is None:
-            part = self.stream.recv(later=True)
+            part = self.stream.recv(wait_first=True)
             if not part:
                 raise ConnectionResetError("closed before the whole answer")
             reader.feed(part)
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -10,14 +10,14 @@
 from walnutpost.eventloop import (
     AcceptErrorLog,
     Cancelled,
-    Group,
     Listener,
     Loop,
     Stream,
     Tap,
-    Timeout,
+    TaskGroup,
     TlsStream,
-    serving,
+    WaitTimeoutError,
+    tls_stream_factory,
 )
 from walnutpost.http.messages import (
     BadMessage,
@@ -48,7 +48,8 @@
 
 class Server:
     """Serves `handler` on a listener; each connection is a task. A handler that returns None has dealt
-    with the connection itself, which is then closed."""
+    with the connection itself, which is then closed.
+    """
 
     def __init__(
         self,
@@ -65,7 +66,7 @@
         self._refusal = refusal
         self._limits = limits or Limits()
         self._most = connections
-        self.group = Group(loop)
+        self.group = TaskGroup(loop)
         self.streams: dict[Stream, bool] = {}  # whether a request is being served on it
         self.draining = False
         self.context: SSLContext | None = None
@@ -101,7 +102,7 @@
                 with self._loop.timeout(self._limits.head_time):
                     stream.handshake()
             self._exchanges(stream, reader)
-        except (OSError, Timeout):
+        except (OSError, WaitTimeoutError):
             pass  # the client has gone, or is too slow for an answer
         finally:
             self.streams.pop(stream, None)
@@ -132,7 +133,8 @@
 
     def _next(self, stream: Stream, reader: RequestReader, served: bool) -> Request | None:
         """The next whole request; `served`: not the first one of its connection. The times run from its
-        first byte, so that a byte a second wins nothing."""
+        first byte, so that a byte a second wins nothing.
+        """
         loop, limits = self._loop, self._limits
         began: int | None = None
         continued = False
@@ -148,8 +150,8 @@
                 raise BadMessage(408, "the request took too long to arrive")
             try:
                 with loop.timeout(left):
-                    data = stream.recv(later=served)
-            except Timeout:
+                    data = stream.recv(wait_first=served)
+            except WaitTimeoutError:
                 if began is None:
                     return None
                 raise BadMessage(408, "the request took too long to arrive") from None
@@ -180,14 +182,14 @@
             with self._loop.timeout(LINGER):
                 while read < LINGER_BYTES and (data := stream.recv()):
                     read += len(data)
-        except (OSError, Timeout):
+        except (OSError, WaitTimeoutError):
             pass
 
     def _try_send(self, stream: Stream, data: bytes) -> None:
         try:
             with self._loop.timeout(LINGER):
                 stream.send_all(data)
-        except (OSError, Timeout):
+        except (OSError, WaitTimeoutError):
             pass
 
 
@@ -203,9 +205,10 @@
     log: Any = None,
 ) -> Server:
     """A server that already accepts, as a task of its own; under TLS where there is a context. Failed accepts
-    go to `log`."""
-    make = serving(context) if context is not None else Stream
-    listener = Listener(loop, address, tap, role, make=make)
+    go to `log`.
+    """
+    make = tls_stream_factory(context) if context is not None else Stream
+    listener = Listener(loop, address, tap, role, stream_factory=make)
     if log is not None:
         listener.on_accept_error = AcceptErrorLog(loop, log)
     server = Server(loop, listener, handler, refusal, limits)
--- a/packages/http/tests/test_http.py
+++ b/packages/http/tests/test_http.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from walnutpost.eventloop import Loop, Stream, Timeout, VirtualClock, connect
+from walnutpost.eventloop import Loop, Stream, VirtualClock, WaitTimeoutError, connect
 from walnutpost.http import BadMessage, Connection, Exchange, Limits, Response, Server, encode_request
 from walnutpost.http.messages import RequestReader
 from walnutpost.http.server import serve_on
@@ -48,7 +48,7 @@
         with loop.timeout(60 * SECOND):
             while part := stream.recv():
                 out += part
-    except (OSError, Timeout):
+    except (OSError, WaitTimeoutError):
         pass
     stream.close()
     return out
@@ -141,7 +141,7 @@
         while len(slow) < many:  # no faster than they are accepted, since a full backlog takes none
             slow += [socket.create_connection(server.address) for _ in range(500)]
             while len(server.streams) < len(slow) + 1:
-                loop.breathe()
+                loop.yield_now()
         for second in range(12):
             for sock in slow:
                 with suppress(OSError):
--- a/packages/node/src/walnutpost/node/client_connection.py
+++ b/packages/node/src/walnutpost/node/client_connection.py
@@ -99,7 +99,7 @@
         """
         if self._input.has_unread_older_than(MAX_PRESENCE_AGE_US):
             self._loop.call_soon(self.read)
-            if not self._loop.guarded("client", self._withdraw_cancelled):
+            if not self._loop.run_guarded("client", self._withdraw_cancelled):
                 self._input.discard()
 
     def _withdraw_cancelled(self) -> None:
@@ -121,7 +121,7 @@
         before it are still answered.
         """
         was_discarding = self._input.is_discarding
-        if self._loop.guarded("client", self._read):
+        if self._loop.run_guarded("client", self._read):
             return
         if was_discarding:
             self.close()
--- a/packages/node/src/walnutpost/node/client_input.py
+++ b/packages/node/src/walnutpost/node/client_input.py
@@ -61,11 +61,11 @@
 
     def has_unread(self) -> bool:
         """Return whether bytes have come that are still unread."""
-        return self._stream.stale() and not self._stream.ended()
+        return self._stream.is_stale() and not self._stream.has_ended()
 
     def has_unread_older_than(self, age_us: int) -> bool:
         """Return whether bytes or an end are unread that may have come longer ago than this."""
-        return self._loop.now() - self.unread_since_us > age_us and self._stream.stale()
+        return self._loop.now() - self.unread_since_us > age_us and self._stream.is_stale()
 
     def pause(self) -> None:
         """Note that what comes from now on may wait until it is read."""
@@ -126,7 +126,7 @@
         """Note whether the input has ended; `last_read` is None where nothing was there."""
         if may_have_more:
             self.has_ended = self.has_ended or _has_hung_up(self._stream)
-        elif last_read == b"" or (last_read and self._stream.ended()):
+        elif last_read == b"" or (last_read and self._stream.has_ended()):
             self.has_ended = True
             self.end_read_us = self.end_read_us or self._loop.now()
 
--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -101,7 +101,7 @@
     def _take(self, message: rpc.Incoming) -> None:
         """Act on one message; an unexpected error costs only its request, which gets an answer."""
         self.last_used_us = self._loop.now()
-        if self._loop.guarded("request", partial(self._act_on, message)):
+        if self._loop.run_guarded("request", partial(self._act_on, message)):
             return
         if not isinstance(message, rpc.Interrupt):  # an answer is written last: none has been
             self._cancel(message.message_id)
@@ -198,7 +198,7 @@
         ticket = self.open.pop(message_id, None)
         if ticket is not None:
             self._context.requests.remove(ticket)
-            self._loop.guarded("cancel", partial(self._context.core.leave, ticket))
+            self._loop.run_guarded("cancel", partial(self._context.core.leave, ticket))
 
     def _open(self, call: rpc.CallRequest) -> None:
         core = self._context.core
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -48,7 +48,7 @@
         self.evicted_connections = 0
         # What the listener's queue holds came after this; None while it is watched and was seen empty.
         self._backlog_since_us: int | None = loop.now()
-        self.sweeping = loop.every(SWEEP_INTERVAL_US, self._sweep, "sweep of clients")
+        self.sweeping = loop.call_every(SWEEP_INTERVAL_US, self._sweep, "sweep of clients")
 
     def identity(self, ticket: int) -> RequestIdentity | None:
         """Return what a worker is given of a request; None where no attempt may begin for it any more."""
@@ -79,13 +79,13 @@
             return
         finally:
             self._mark_backlog()
-        self.loop.guarded("client", partial(self.take, stream))
+        self.loop.run_guarded("client", partial(self.take, stream))
 
     def take_queued(self, listener: Listener) -> None:
         """Accept what the kernel has queued, before the listener is closed."""
         with suppress(OSError):  # those that can't be accepted now are lost: the others' answers can't wait
             while (stream := listener.accept_now()) is not None:
-                self.loop.guarded("client", partial(self.take, stream))
+                self.loop.run_guarded("client", partial(self.take, stream))
 
     def _mark_backlog(self) -> None:
         """Note that until the queue is seen empty its connections may have waited since this round's poll."""
@@ -124,7 +124,7 @@
     def _sweep(self) -> None:
         now_us = self.loop.now()
         for connection in list(self.connections):
-            self.loop.guarded("sweep of clients", partial(connection.check_timeouts, now_us))
+            self.loop.run_guarded("sweep of clients", partial(connection.check_timeouts, now_us))
 
     def drain(self) -> None:
         """Close each connection as soon as nothing is open on it, and reject what comes from now on."""
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -46,7 +46,7 @@
         self.rejected_responses = 0
         self._initial_address: Address | None = address  # None once a socket has been connected
         self._send_query()
-        self.polling = loop.every(QUERY_INTERVAL_US, self._send_query, "queries to the name server")
+        self.polling = loop.call_every(QUERY_INTERVAL_US, self._send_query, "queries to the name server")
 
     def move(self, address: Address) -> None:
         """Poll there from now on.
--- a/packages/node/src/walnutpost/node/node.py
+++ b/packages/node/src/walnutpost/node/node.py
@@ -53,10 +53,10 @@
         self.discovery = DiscoveryClient(
             loop, self.directory, config.dns, config.seed, self._apply_endpoints, log
         )
-        self.listener = Listener(loop, config.listen, role="client", make_room=self._free_descriptor)
+        self.listener = Listener(loop, config.listen, role="client", free_descriptor=self._free_descriptor)
         self._accepting = loop.spawn(self.clients.accept, self.listener, name="accept")
         stats = StatsReporter(self.core, self.clients, self.pool, self.workers, self.discovery, log)
-        self.reporting = loop.every(STATS_INTERVAL_US, stats.report, "stats")
+        self.reporting = loop.call_every(STATS_INTERVAL_US, stats.report, "stats")
 
     def _free_descriptor(self) -> bool:
         return self.pool.evict_idle() or self.clients.evict()
--- a/packages/node/src/walnutpost/node/run.py
+++ b/packages/node/src/walnutpost/node/run.py
@@ -45,7 +45,7 @@
     """Run a node until SIGTERM. Raises ConfigError, or OSError where the address can't be had."""
     # The handlers are set before the listener is made: a signal in between would end the process with
     # connections that the machine has accepted.
-    task, token = loop.waiting()
+    task, token = loop.begin_wait()
     nodes: list[Node] = []
     loop.on_signal(signal.SIGHUP, partial(_reload, path, nodes, log))
     loop.on_signal(signal.SIGTERM, partial(loop.wake, task, token))
--- a/packages/node/src/walnutpost/node/worker_connection.py
+++ b/packages/node/src/walnutpost/node/worker_connection.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from walnutpost.eventloop import Loop, Stream
-from walnutpost.eventloop.sockets import opening
+from walnutpost.eventloop.connecting import start_connect
 from walnutpost.interface import Outcome
 from walnutpost.node import resp
 from walnutpost.node.directory import Address
@@ -71,7 +71,7 @@
         self._is_flush_due = False  # at the end of the round, after a poll, or once the kernel takes bytes
         self._is_write_closed = False  # an abandoned command had left in part: no byte may follow it
         self._must_reset = False
-        self._sock, code = opening(address)
+        self._sock, code = start_connect(address)
         # Where this process ends without `close`, the kernel must not deliver for a former process either.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.stream = Stream(self._loop, self._sock)
@@ -241,8 +241,8 @@
         """
         if self.is_connected and not self.is_closed:
             if self.open:
-                return self.stream.ended()
-            if self.stream.stale():
+                return self.stream.has_ended()
+            if self.stream.is_stale():
                 self._on_readable()
         return self.is_closed
 
--- a/packages/node/src/walnutpost/node/worker_pool.py
+++ b/packages/node/src/walnutpost/node/worker_pool.py
@@ -31,7 +31,7 @@
         self._addresses: dict[str, Address] = {}
         self._connections: dict[str, list[WorkerConnection]] = {}
         interval_us = min(MAX_SWEEP_INTERVAL_US, int(limits.idle_timeout_us * SWEEP_INTERVAL_RATIO))
-        self.sweeping = loop.every(max(1, interval_us), self._sweep, "sweep of connections to workers")
+        self.sweeping = loop.call_every(max(1, interval_us), self._sweep, "sweep of connections to workers")
 
     def update_addresses(self, addresses: Mapping[str, Address]) -> None:
         """Follow the list of workers; connections to a worker that has gone or moved are drained."""
--- a/packages/node/tests/client_rig.py
+++ b/packages/node/tests/client_rig.py
@@ -36,7 +36,7 @@
 def stall(world: World, time: int) -> None:
     """The process is stopped for so long: no round of the loop passes meanwhile."""
     assert isinstance(world.loop.clock, VirtualClock)
-    world.loop.clock.jump(world.loop.now() + time)
+    world.loop.clock.advance_to(world.loop.now() + time)
 
 
 def arrivals(
--- a/packages/node/tests/test_accept_faults.py
+++ b/packages/node/tests/test_accept_faults.py
@@ -9,7 +9,7 @@
 from fault_rig import ids, play_with_faults
 from node_rig import MS, World, warm
 from scripted_sockets import SocketFaults, at
-from walnutpost.eventloop.sockets import ACCEPT_TRIES
+from walnutpost.eventloop.accept_errors import MAX_ACCEPT_ERRORS_IN_ROW
 
 
 @pytest.mark.parametrize(
@@ -20,14 +20,14 @@
     def script(world: World, faults: SocketFaults) -> None:
         warm(world, world.client())
         began = world.loop.now()
-        faults.fail("accept", number, ACCEPT_TRIES - 1, when=at(world.node.listener.address))
+        faults.fail("accept", number, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(world.node.listener.address))
         for n in range(10):
             faults.fail("accept", number, after=n, when=at(world.node.listener.address))
             client = world.client()
             client.send()
             assert client.next()[2] is None
             client.stream.close()
-        assert world.node.listener.accept_errors >= ACCEPT_TRIES
+        assert world.node.listener.accept_errors >= MAX_ACCEPT_ERRORS_IN_ROW
         assert world.loop.now() - began < 10 * MS  # no pause of the listener is in it
         assert any(line.startswith("accept_failed") for line in world.log.lines)
 
--- a/packages/node/tests/test_call_deadline.py
+++ b/packages/node/tests/test_call_deadline.py
@@ -69,7 +69,7 @@
         held.is_holding, worker = True, world.workers[0]
         ended = attempt(world, worker, 50 * MS, 10 * SECOND)
         world.until(lambda: held.waiting)
-        world.loop.clock.jump(world.loop.now() + 60 * MS)  # its timer is due, and has not run
+        world.loop.clock.advance_to(world.loop.now() + 60 * MS)  # its timer is due, and has not run
         held.come_up()
         world.until(lambda: ended)
         world.loop.sleep(SECOND)
--- a/packages/node/tests/test_client_protocol_errors.py
+++ b/packages/node/tests/test_client_protocol_errors.py
@@ -99,7 +99,7 @@
             late = world.client()
             late.send()
             assert late.next()[2] is None
-        assert world.node._accepting.done == (where == "end")
+        assert world.node._accepting.is_done == (where == "end")
 
     with pytest.raises(ZeroDivisionError):
         play_bounded(script)
--- a/packages/node/tests/test_periodic_work.py
+++ b/packages/node/tests/test_periodic_work.py
@@ -16,7 +16,7 @@
             raise ValueError("odd")
 
     def body() -> int:
-        periodic = loop.every(SECOND, work)
+        periodic = loop.call_every(SECOND, work)
         loop.sleep(4 * SECOND + 1)
         return periodic.failures
 
--- a/packages/node/tests/test_ration_crossings.py
+++ b/packages/node/tests/test_ration_crossings.py
@@ -50,7 +50,7 @@
 
     def wait(self) -> None:
         while self.is_shut:
-            self._waits.append(self._loop.waiting())
+            self._waits.append(self._loop.begin_wait())
             self._loop.park()
 
 
@@ -108,7 +108,7 @@
                 if data and (delay := self.delay()):
                     self._loop.sleep(delay)
                 valve.wait()
-                if reading.done and reading.result and not self.keeps_after_reset:
+                if reading.is_done and reading.result and not self.keeps_after_reset:
                     return sink.reset()
                 if data is None:
                     return sink.reset() if reading.result else sink.end_writing()
--- a/packages/node/tests/test_request_waiting_time.py
+++ b/packages/node/tests/test_request_waiting_time.py
@@ -11,8 +11,8 @@
 
 from client_rig import FailingSocket, arrivals, calls, crowd, play_bounded, request, stall
 from node_rig import MS, REFUSED, World, warm
-from walnutpost.eventloop import scheduler
-from walnutpost.eventloop.sockets import ACCEPT_BACKOFF_US, ACCEPT_TRIES
+from walnutpost.eventloop import tasks
+from walnutpost.eventloop.accept_errors import MAX_ACCEPT_ERRORS_IN_ROW, MIN_ACCEPT_BACKOFF_US
 from walnutpost.node import rpc
 from walnutpost.node.client_connection import MAX_REJECTED_BEFORE_PAUSE, READ_PAUSE_US
 
@@ -74,7 +74,7 @@
     def script(world: World) -> None:
         warm(world, world.client())
         arrived = arrivals(world, monkeypatch)
-        monkeypatch.setattr(scheduler, "EXTRA_TURNS", 0)
+        monkeypatch.setattr(tasks, "EXTRA_TURNS", 0)
         callers = crowd(world, 80)  # takes three turns, with a poll before each
         stall(world, 400 * MS)
         world.until(lambda: len(arrived) == 80)
@@ -112,12 +112,12 @@
     def script(world: World) -> None:
         world.loop.sleep(MS)
         listener = world.node.listener
-        failing, sock = [OSError(errno.EPROTO, "cut off")] * 3 * ACCEPT_TRIES, listener._sock
+        failing, sock = [OSError(errno.EPROTO, "cut off")] * 3 * MAX_ACCEPT_ERRORS_IN_ROW, listener._sock
         monkeypatch.setattr(listener, "_sock", FailingSocket(sock, failing))
         arrived = arrivals(world, monkeypatch)
         (caller,) = crowd(world, 1)
         world.until(lambda: arrived)
-        assert not failing and arrived[0].waited_us == ACCEPT_BACKOFF_US * (1 + 2 + 4)
+        assert not failing and arrived[0].waited_us == MIN_ACCEPT_BACKOFF_US * (1 + 2 + 4)
         caller.close()
 
     play_bounded(script)
@@ -129,7 +129,7 @@
         listener = world.node.listener
         failing, sock = [OSError(errno.EMFILE, "no descriptor left")], listener._sock
         monkeypatch.setattr(listener, "_sock", FailingSocket(sock, failing))
-        monkeypatch.setattr(listener, "_spare", None)  # so it waits, and turns nobody away
+        listener._spare.release()  # so it waits, and rejects nobody
         arrived = arrivals(world, monkeypatch)
         (caller,) = crowd(world, 1)
         world.until(lambda: arrived)
--- a/packages/node/tests/test_send_guards.py
+++ b/packages/node/tests/test_send_guards.py
@@ -158,7 +158,7 @@
             client.raw(msgpack.packb([2, "interrupt", [number]]))
         else:
             getattr(client.stream, end)()
-        world.loop.clock.jump(world.loop.now() + 150 * MS)  # the round's other work
+        world.loop.clock.advance_to(world.loop.now() + 150 * MS)  # the round's other work
         world.loop.sleep(SECOND)
         assert len(worker.calls()) == 1
 
--- a/packages/node/tests/test_shutdown_deadline.py
+++ b/packages/node/tests/test_shutdown_deadline.py
@@ -103,7 +103,7 @@
         killed_at = signalled_at + TAKEN_FOR + min(deadline, KILL_COUNTS_AT_MOST)
         world.loop.sleep(killed_at - world.loop.now())
         assert [sender.unanswered(signalled_at + TAKEN_FOR) for sender in senders] == [[]] * len(senders)
-        assert ending.done, "the process would still run"
+        assert ending.is_done, "the process would still run"
         went_on = signalled_at + TAKEN_FOR - SEND_EVERY
         assert all(max(sender.sent_at.values()) >= went_on for sender in senders)
 
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -24,7 +24,7 @@
 from walnutpost.configstore.member_registry import MemberRegistry
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.controlplane import KeeperClient, NoAnswer
-from walnutpost.eventloop import Event, Loop, Timeout
+from walnutpost.eventloop import Event, Loop, WaitTimeoutError
 from walnutpost.http import BadMessage, Exchange, Limits, Response
 from walnutpost.http.server import serve_on
 from walnutpost.watch import Watcher, WatchServer
@@ -101,7 +101,7 @@
         self._is_leader_reachable = True  # the last report reached a leader
         self._stats_at_us = loop.now()
         self._stats_cpu_s = time.process_time()
-        self._stats_timer = loop.every(STATS_INTERVAL_US, self._log_stats, name="figures")
+        self._stats_timer = loop.call_every(STATS_INTERVAL_US, self._log_stats, name="figures")
         self._tasks = [
             loop.spawn(self.watcher.run, name="upstream"),
             loop.spawn(self._report_progress, name="sums"),
@@ -179,7 +179,7 @@
             self._report_due = Event(self._loop)
             self._wake_if_changed()
             pause_us = max(1, began_us + MAX_REPORT_INTERVAL_US - self._loop.now())
-            with suppress(Timeout), self._loop.timeout(pause_us):
+            with suppress(WaitTimeoutError), self._loop.timeout(pause_us):
                 self._report_due.wait()
             self._loop.sleep(max(0, began_us + MIN_REPORT_INTERVAL_US - self._loop.now()))
 
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -49,7 +49,7 @@
             name: serve_on(loop, ("127.0.0.1", 0), lambda e, name=name: self._serve(name, e), refusal)  # type: ignore[misc]
             for name in names
         }
-        loop.every(SECOND // 2, self._look)
+        loop.call_every(SECOND // 2, self._look)
 
     def _watch(self, name: str) -> WatchServer:
         age = lambda: self.loop.now() - self.vouched[name]  # noqa: E731
--- a/packages/replication/src/walnutpost/replication/queries.py
+++ b/packages/replication/src/walnutpost/replication/queries.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Mapping
 from urllib.parse import quote
 
-from walnutpost.eventloop import Group, Loop, Timeout
+from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
 from walnutpost.http import BadMessage, Connection, Limits
 from walnutpost.journal import JournalBatch, Line
 from walnutpost.replication import wire
@@ -56,10 +56,10 @@
     def query_one(name: str, address: tuple[str, int]) -> None:
         try:
             query(address)
-        except (OSError, BadMessage, Timeout, wire.InvalidMessageError):
+        except (OSError, BadMessage, WaitTimeoutError, wire.InvalidMessageError):
             unreachable.append(name)
 
-    with Group(loop) as group:
+    with TaskGroup(loop) as group:
         for name, address in addresses.items():
             group.spawn(query_one, name, address(), name="query replica")
     return unreachable
--- a/packages/replication/src/walnutpost/replication/sender.py
+++ b/packages/replication/src/walnutpost/replication/sender.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from walnutpost.eventloop import Loop, Task, Timeout
+from walnutpost.eventloop import Loop, Task, WaitTimeoutError
 from walnutpost.eventloop.timers import Timer
 from walnutpost.http import BadMessage, Connection, Limits
 from walnutpost.journal import (
@@ -72,7 +72,7 @@
         """Wait until line `seq` is at so many replicas, or can't be in time."""
         self._last_token += 1
         token = self._last_token
-        task, wait = self._loop.waiting()
+        task, wait = self._loop.begin_wait()
         self._waiting[token] = task, wait
         deadline_us = self._loop.now() + timeout_us
         try:
@@ -121,7 +121,7 @@
             batch = self._read_batch(after)
             with self._loop.timeout(self._timeout_us):
                 offset = self._post_batch(replica, wire.encode(batch))
-        except (OSError, BadMessage, Timeout, wire.InvalidMessageError, StoreError) as error:
+        except (OSError, BadMessage, WaitTimeoutError, wire.InvalidMessageError, StoreError) as error:
             self._on_send_failed(replica, error)
             return
         self._feed(ReplicaAcknowledged(replica, offset.disk, offset.upto))
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -15,7 +15,7 @@
 
 from fleet_rig import BASE, INVOKE, SECOND, merged
 from walnutpost.config.base import parse_address
-from walnutpost.eventloop import Loop, Timeout
+from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.faultinjection.mesh import Relay
 from walnutpost.http import BadMessage, Connection
 from walnutpost.journal import CallStage, MergedJournal
@@ -87,7 +87,7 @@
                     return connection.ask("POST", INVOKE.format(function), headers, b"{}").status
                 finally:
                     connection.close()
-        except (OSError, BadMessage, Timeout):
+        except (OSError, BadMessage, WaitTimeoutError):
             return 0
 
     def faults(self, random: Random) -> None:
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -112,7 +112,7 @@
                 for pending in batch:
                     pending.is_tried = True
                 try:
-                    self._loop.blocking(self._commit, batch)
+                    self._loop.run_blocking(self._commit, batch)
                 except Exception as error:
                     size = max(1, len(batch) // SHRINK_ON_FAILURE)
                     failures += 1
@@ -140,7 +140,9 @@
             failed = [each for each in self._pending if each.is_tried and each.deadline_us <= now]
         if not failed:
             return False
-        is_uncertain = self._may_have_reached_disk and not self._loop.blocking(self._overwrite_failed_commit)
+        is_uncertain = self._may_have_reached_disk and not self._loop.run_blocking(
+            self._overwrite_failed_commit
+        )
         for pending in failed:
             pending.error = StoreError(str(error), is_uncertain)
             pending.error.__cause__ = error
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -181,7 +181,7 @@
         return conditions, values
 
     def _read(self, where: str, values: Sequence[object]) -> list[Execution]:
-        return self._loop.blocking(self._select, where, values)
+        return self._loop.run_blocking(self._select, where, values)
 
     def _select(self, where: str, values: Sequence[object]) -> list[Execution]:
         rows = self.select(f"select {COLUMNS} from executions {where}", values)
--- a/packages/store/src/walnutpost/store/journal.py
+++ b/packages/store/src/walnutpost/store/journal.py
@@ -136,7 +136,7 @@
 
         All up to `upto` must be durable here. Raises StoreError.
         """
-        return self._loop.blocking(self._read_batch, origin, after, upto, max_bytes)
+        return self._loop.run_blocking(self._read_batch, origin, after, upto, max_bytes)
 
     def _read_batch(self, origin: str, after: int, upto: int, max_bytes: int) -> JournalBatch:
         lines: list[Line] = []
@@ -159,12 +159,12 @@
 
     def read_journal(self, origin: str) -> tuple[IntervalSet, list[Line]]:
         """Return a journal as it is here: the numbers accounted for, and the lines. Raises StoreError."""
-        lines = self._loop.blocking(self._read, "where origin = ? order by seq", (origin,))
+        lines = self._loop.run_blocking(self._read, "where origin = ? order by seq", (origin,))
         return IntervalSet([(0, self.offsets.get(origin, 0))]), lines
 
     def read_call_lines(self, call_id: str) -> list[Line]:
         """Return the lines about a call in all journals here. Raises StoreError."""
-        return self._loop.blocking(self._read, "where call = ?", (call_id,))
+        return self._loop.run_blocking(self._read, "where call = ?", (call_id,))
 
     def _read(self, where: str, values: Sequence[object]) -> list[Line]:
         rows = self._database.select(f"select seq, data, sum from lines {where}", values)
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -24,7 +24,7 @@
     encode,
 )
 from walnutpost.configstore.relay_selection import RelaySelector
-from walnutpost.eventloop import Loop, Task, Timeout
+from walnutpost.eventloop import Loop, Task, WaitTimeoutError
 from walnutpost.http import BadMessage as BadHttp
 from walnutpost.http import Connection, Limits, Response, encode_request
 from walnutpost.watch.errors import UnusableServerError
@@ -76,17 +76,17 @@
         self._counts = counts
         self._on_received = on_received
 
-    def opened(self, stream: int, role: str, local: Address, remote: Address) -> None:
+    def on_opened(self, stream: int, role: str, local: Address, remote: Address) -> None:
         pass
 
-    def bytes(self, stream: int, sent: bool, data: bytes) -> None:
+    def on_bytes(self, stream: int, sent: bool, data: bytes) -> None:
         if sent:
             self._counts.bytes_out += len(data)
             return
         self._counts.bytes_in += len(data)
         self._on_received(len(data))
 
-    def closed(self, stream: int) -> None:
+    def on_closed(self, stream: int) -> None:
         pass
 
 
@@ -153,14 +153,20 @@
 
     def run(self) -> None:
         """Watch until cancelled or stopped."""
-        self._task = self._loop.current()
-        check = self._loop.every(STALENESS_CHECK_INTERVAL_US, self._check_staleness, name="watch")
+        self._task = self._loop.current_task()
+        check = self._loop.call_every(STALENESS_CHECK_INTERVAL_US, self._check_staleness, name="watch")
         try:
             self._connect_to(self._selector.start(self._loop.now()))
             while True:
                 try:
                     self._watch_server()
-                except (OSError, Timeout, BadHttp, InvalidMessageError, UnusableServerError) as error:
+                except (
+                    OSError,
+                    WaitTimeoutError,
+                    BadHttp,
+                    InvalidMessageError,
+                    UnusableServerError,
+                ) as error:
                     self._fail_over(error)
         finally:
             check.cancel()
@@ -174,7 +180,7 @@
         if not self.server or not self._state.member:
             return  # nobody knows this watcher
         request = structs.replace(self._state.next_request(0), is_leaving=True)
-        with suppress(OSError, Timeout, BadHttp), self._loop.timeout(LEAVE_TIMEOUT_US):
+        with suppress(OSError, WaitTimeoutError, BadHttp), self._loop.timeout(LEAVE_TIMEOUT_US):
             connection = self._open_connection()
             try:
                 connection.exchange(_encode_request(request))
@@ -336,7 +342,7 @@
             self._report_outcome(self._state.verify(self._loop.now()))
             if not self._state.is_verifying:
                 return
-            self._loop.breathe()
+            self._loop.yield_now()
 
     def _report_outcome(self, outcome: ApplyOutcome) -> None:
         for event in outcome.events:
@@ -345,7 +351,7 @@
                 write(event.kind.value, server=self.server, detail=event.detail)
         if outcome.changes or outcome.is_replaced or outcome.repaired_keys:
             # An error in it is reported, and doesn't end the watch.
-            self._loop.guarded("taken", partial(self._on_outcome, outcome))
+            self._loop.run_guarded("taken", partial(self._on_outcome, outcome))
 
     def _may_log(self) -> bool:
         """Limit the lines of the log, whatever servers do over and over."""
--- a/packages/watch/src/walnutpost/watch/serving.py
+++ b/packages/watch/src/walnutpost/watch/serving.py
@@ -198,9 +198,9 @@
             self._on_request(request)
         if self._on_disconnect is None:
             return
-        task = self._loop.current()
+        task = self._loop.current_task()
         if task not in self._last_requests:
-            task.watchers.append(partial(self._connection_ended, task))
+            task.done_callbacks.append(partial(self._connection_ended, task))
         self._last_requests[task] = request
 
     def _connection_ended(self, task: Task[Any]) -> None:
@@ -211,10 +211,10 @@
 
     def _wait(self, timeout_us: int, stream: Stream | None) -> bool:
         """Wait for the next wake or the timeout; return whether the watcher has closed its connection."""
-        task, token = self._loop.waiting()
+        task, token = self._loop.begin_wait()
         timer = self._loop.call_later(timeout_us, partial(self._loop.wake, task, token))
         if stream is not None:
-            stream.on_readable(lambda: stream.ended() and self._loop.wake(task, token, True))
+            stream.on_readable(lambda: stream.has_ended() and self._loop.wake(task, token, True))
         self._waiting[task] = token
         try:
             return self._loop.park() is True
--- a/packages/watch/tests/test_client.py
+++ b/packages/watch/tests/test_client.py
@@ -313,7 +313,7 @@
         def counting(raw: Raw) -> None:
             nonlocal most
             for _ in range(3000):
-                live = [s for s in (*one.server.streams, *other.server.streams) if not s.ended()]
+                live = [s for s in (*one.server.streams, *other.server.streams) if not s.has_ended()]
                 most = max(most, len(live))
                 loop.sleep(20_000)
 
@@ -538,7 +538,7 @@
         member.follower.store = filled(3)
         loop.sleep(60 * SECOND)
         assert 5 < len(bad.questions) < 60 * 25, len(bad.questions)
-        assert not member.task.done and len(member.log.lines) < 60 * 6
+        assert not member.task.is_done and len(member.log.lines) < 60 * 6
         assert all(n >= 3 for n in member.acted)
 
     play(script)
@@ -725,7 +725,7 @@
         def late(question: WatchRequest) -> Response:
             if question.wait_timeout_us:
                 loop.sleep(SECOND)
-                loop.clock.jump(loop.now() + SECOND)  # both stood still, with the answer on its way
+                loop.clock.advance_to(loop.now() + SECOND)  # both stood still, with the answer on its way
             return Response(
                 204, {AGE_HEADER: "5", WAITED_HEADER: str(SECOND if question.wait_timeout_us else 0)}
             )
@@ -841,7 +841,7 @@
         asked = len(served.questions)
         until(loop, lambda: not served.server.streams)
         loop.sleep(10 * HOLD)
-        assert member.task.done and len(served.questions) == asked and not served.watch.waiting
+        assert member.task.is_done and len(served.questions) == asked and not served.watch.waiting
 
     play(script)
 
@@ -858,6 +858,6 @@
             member.watcher.stop()
             assert loop.now() - began <= SECOND
             loop.sleep(SECOND)
-            assert member.task.done
+            assert member.task.is_done
 
     play(script)
--- a/packages/watch/tests/test_serving.py
+++ b/packages/watch/tests/test_serving.py
@@ -5,7 +5,7 @@
 import pytest
 
 from walnutpost.configstore import AGE_HEADER, WATCH_PATH, WatchRequest, encode
-from walnutpost.eventloop import Group, Loop, connect
+from walnutpost.eventloop import Loop, TaskGroup, connect
 from walnutpost.http import encode_request
 from walnutpost.watch import WAITED_HEADER
 from walnutpost.watch.serving import MAX_CACHED_PAGES, MAX_WAIT_TIMEOUT_US
@@ -253,7 +253,7 @@
         served = Served(loop, filled(3), max_waiting=5)
         assert served.table is not None
         digest = served.table.digest
-        with Group(loop) as group:
+        with TaskGroup(loop) as group:
             for n in range(5):
                 group.spawn(Asker(loop, served, f"fe{n}").ask, 3, digest)
             until(loop, lambda: served.watch.waiting == 5)
--- a/packages/workerclient/src/walnutpost/workerclient/delivery.py
+++ b/packages/workerclient/src/walnutpost/workerclient/delivery.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from walnutpost.eventloop import Loop, Timeout
+from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.http import BadMessage, Connection, Response
 from walnutpost.interface import Outcome
 from walnutpost.workerclient.dialing import Address, Dialer
@@ -78,7 +78,7 @@
         try:
             with self._loop.timeout(max(0, request.end_us - self._loop.now())):
                 return self._steps(request)
-        except Timeout:
+        except WaitTimeoutError:
             return Delivered(Outcome.TIMEOUT, may_still_arrive=True) if request.begun else MOOT
 
     def _steps(self, request: WorkerRequest) -> Delivered:
@@ -101,14 +101,14 @@
             if not self._may_begin(request):
                 return MOOT
             data = request.encode()
-            connection.stream.sent_any = False
+            connection.stream.has_sent = False
             request.begun = True
             response = connection.exchange(data)
             return Delivered(Outcome.OK, response)
         except BadMessage:
             return Delivered(Outcome.ERROR, may_still_arrive=True)
         except OSError as error:
-            if not connection.stream.sent_any:  # the kernel took no byte, so the worker saw none
+            if not connection.stream.has_sent:  # the kernel took no byte, so the worker saw none
                 return CONNECT_FAILED
             return Delivered(Outcome.RESET, may_still_arrive=not isinstance(error, CLOSED_BY_WORKER))
         finally:
--- a/packages/workerclient/src/walnutpost/workerclient/dialing.py
+++ b/packages/workerclient/src/walnutpost/workerclient/dialing.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from walnutpost.certificates import Ration, RationSettings
-from walnutpost.eventloop import Loop, Secure, Tap, Timeout, TlsStream
+from walnutpost.eventloop import Loop, Tap, TlsClientSettings, TlsStream, WaitTimeoutError
 from walnutpost.http import Connection
 
 ROLE = "link"
@@ -47,17 +47,17 @@
                 if self._context is None:
                     return Connection.open(self._loop, address, self._tap, ROLE)
                 return self._dial_secure(worker, address, self._context, limit)
-            except Timeout as error:
+            except WaitTimeoutError as error:
                 if error is not limit:  # the caller's own time is over
                     raise
                 raise ConnectionRefusedError("no connection in time") from None
 
     def _dial_secure(
-        self, worker: str, address: Address, context: ssl.SSLContext, limit: Timeout
+        self, worker: str, address: Address, context: ssl.SSLContext, limit: WaitTimeoutError
     ) -> Connection:
         while not self._handshakes.take(self._loop.now(), worker):
             self._loop.sleep(HANDSHAKE_RETRY_US)
-        secure = Secure(context, self.names.get(worker, worker), self._sessions.get(worker))
+        secure = TlsClientSettings(context, self.names.get(worker, worker), self._sessions.get(worker))
         try:
             connection = Connection.open(self._loop, address, self._tap, ROLE, secure=secure)
         except BaseException as error:
--- a/packages/workerclient/src/walnutpost/workerclient/idle.py
+++ b/packages/workerclient/src/walnutpost/workerclient/idle.py
@@ -28,7 +28,7 @@
         while connections:
             connection = connections.pop()
             fresh = self._loop.now() - connection.used_at < self._idle_time_us
-            if fresh and not connection.stream.stale():
+            if fresh and not connection.stream.is_stale():
                 return connection
             connection.close()
         return None
--- a/packages/workerclient/src/walnutpost/workerclient/links.py
+++ b/packages/workerclient/src/walnutpost/workerclient/links.py
@@ -278,7 +278,7 @@
 
     def _when_ended(self, task: Task[CallEnd] | Task[OrderEnd], callback: Callable[[], None]) -> None:
         """Also for a task that raises, or is cancelled before it begins."""
-        task.watchers.append(lambda: self._loop.guarded(task.name, callback))
+        task.done_callbacks.append(lambda: self._loop.run_guarded(task.name, callback))
 
 
 def _unanswered_call(request: WorkerRequest, error: BaseException | None) -> CallEnd:
--- a/packages/workerclient/tests/test_link_terms.py
+++ b/packages/workerclient/tests/test_link_terms.py
@@ -125,11 +125,11 @@
 
     def script() -> None:
         rig.links.order(LoadOrder("w", "f", 2, 100 * MS), rig.done.append)
-        rig.loop.clock.jump(rig.loop.now() + 150 * MS)  # other work keeps the loop
+        rig.loop.clock.advance_to(rig.loop.now() + 150 * MS)  # other work keeps the loop
         rig.wait_for(lambda: bool(rig.done))
         assert rig.done.pop().outcome is Outcome.MOOT
         rig.begin_call(latest=100 * MS)
-        rig.loop.clock.jump(rig.loop.now() + 150 * MS)
+        rig.loop.clock.advance_to(rig.loop.now() + 150 * MS)
         assert rig.outcome().outcome is Outcome.MOOT
         assert not rig.heard
 
@@ -142,7 +142,7 @@
     def script() -> None:
         assert rig.call().outcome is Outcome.OK
         heard = len(rig.heard)
-        done = rig.call(before=lambda: rig.loop.clock.jump(rig.loop.now() + 2 * SECOND))
+        done = rig.call(before=lambda: rig.loop.clock.advance_to(rig.loop.now() + 2 * SECOND))
         assert done.outcome is Outcome.MOOT and len(rig.heard) == heard
 
     rig.play(script)
@@ -232,7 +232,7 @@
     def script() -> None:
         decided = rig.loop.now()
         rig.begin_call(2 * SECOND, before=lambda: rig.loop.sleep(500 * MS))
-        rig.loop.clock.jump(rig.loop.now() + 300 * MS)  # other work keeps the loop
+        rig.loop.clock.advance_to(rig.loop.now() + 300 * MS)  # other work keeps the loop
         assert rig.outcome().outcome is Outcome.OK
         assert told_deadline(rig.heard[0]) == (decided + 2 * SECOND + corrected) // MS
 
@@ -386,7 +386,7 @@
     rig = Scripted()
 
     def breaks(connection: Connection, data: bytes) -> Response:
-        connection.stream.sent_any = sent
+        connection.stream.has_sent = sent
         raise error
 
     monkeypatch.setattr(Connection, "exchange", breaks)
--- a/packages/workerclient/tests/test_tls.py
+++ b/packages/workerclient/tests/test_tls.py
@@ -19,7 +19,7 @@
 from walnutpost.certificates import DAY as KEEPER_DAY
 from walnutpost.certificates import BadKeys, Keeper, Ration, RationSettings, examine, trusted
 from walnutpost.cli import main
-from walnutpost.eventloop import Loop, Secure, Timeout, TlsStream, VirtualClock
+from walnutpost.eventloop import Loop, TlsClientSettings, TlsStream, VirtualClock, WaitTimeoutError
 from walnutpost.fakes.authority import Authority, IssuedCertificate
 from walnutpost.http import Connection, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
@@ -62,13 +62,15 @@
         )
         context, session = trusting(CA), None
         for turn in range(3):
-            connection = Connection.open(loop, server.address, secure=Secure(context, NAME, session))
+            connection = Connection.open(
+                loop, server.address, secure=TlsClientSettings(context, NAME, session)
+            )
             for size in (0, 10, 900_000):
                 body = bytes(n % 251 for n in range(1000)) * (size // 1000) or b"x" * size
                 assert connection.exchange(encode_request("POST", "/", "x", {}, body)).body == body
-                assert not connection.stream.stale()
+                assert not connection.stream.is_stale()
             stream = connection.stream
-            assert isinstance(stream, TlsStream) and stream.resumed is (turn > 0)
+            assert isinstance(stream, TlsStream) and stream.is_resumed is (turn > 0)
             session = stream.session
             connection.close()
         server.stop_accepting()
@@ -97,7 +99,7 @@
         context = served(issued, tmp_path)
         server = serve_on(loop, ("127.0.0.1", 0), handler, lambda e: Response(400), context=context)
         with pytest.raises(ssl.SSLCertVerificationError):
-            Connection.open(loop, server.address, secure=Secure(trusting(authority), NAME))
+            Connection.open(loop, server.address, secure=TlsClientSettings(trusting(authority), NAME))
         server.stop_accepting()
 
     run(script)
@@ -117,11 +119,11 @@
         def script(loop: Loop, cut: bool = cut) -> None:
             context = served(GOOD, tmp_path)
             server = serve_on(loop, ("127.0.0.1", 0), handler, lambda e: Response(400), context=context)
-            connection = Connection.open(loop, server.address, secure=Secure(trusting(CA), NAME))
-            connection.stream.sent_any = False
+            connection = Connection.open(loop, server.address, secure=TlsClientSettings(trusting(CA), NAME))
+            connection.stream.has_sent = False
             with pytest.raises(ConnectionResetError, match="farewell" if cut else "before the whole"):
                 connection.ask("GET", "/")
-            assert connection.stream.sent_any and connection.stream.stale()
+            assert connection.stream.has_sent and connection.stream.is_stale()
             server.stop_accepting()
 
         run(script)
@@ -135,9 +137,11 @@
 
             def connect() -> None:
                 with loop.timeout(250_000):
-                    Connection.open(loop, listener.getsockname()[:2], secure=Secure(trusting(CA), NAME))
+                    Connection.open(
+                        loop, listener.getsockname()[:2], secure=TlsClientSettings(trusting(CA), NAME)
+                    )
 
-            attempt = loop.spawn(lambda: pytest.raises((OSError, Timeout), connect))
+            attempt = loop.spawn(lambda: pytest.raises((OSError, WaitTimeoutError), connect))
             loop.sleep(1000)
             peer, _ = listener.accept()
             if answer:
