--- a/packages/consensus/tests/test_persistence.py
+++ b/packages/consensus/tests/test_persistence.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from cluster_simulation import Cluster
-from walnutpost.consensus import MessageReceived
+from walnutpost.consensus import MessageReceived, Role, Tick
+from walnutpost.consensus.messages import AppendEntriesResponse
 
 THREE = ("a", "b", "c")
 
@@ -24,3 +25,29 @@
     cluster.tick_at_deadline("a")
     cluster.settle()
     assert all(replica.state[-1] == id for replica in cluster.replicas.values())
+
+
+def test_only_voter_leads_once_its_own_vote_is_durable() -> None:
+    cluster = Cluster(("a",))
+    cluster.feed("a", Tick())
+    cluster.tick_at_deadline("a")
+    assert cluster.raft("a").role is Role.CANDIDATE and cluster.raft("a").term == 1
+    cluster.complete_writes("a")
+    assert cluster.raft("a").role is Role.LEADER
+
+
+def test_read_that_a_quorum_confirmed_is_answered_once_earlier_writes_are_durable() -> None:
+    cluster = Cluster(THREE)
+    cluster.elect("a")
+    cluster.pass_heartbeats(1)
+    cluster.request_read("a")
+    cluster.propose("a")
+    while any(send.to != "a" for send in cluster.in_flight):
+        cluster.deliver(next(n for n, send in enumerate(cluster.in_flight) if send.to != "a"))
+    answers = [send for send in cluster.in_flight if isinstance(send.message, AppendEntriesResponse)]
+    cluster.in_flight.clear()
+    for send in answers:
+        cluster.feed("a", MessageReceived("a", send.message))
+    assert len(answers) >= 2 and cluster.replicas["a"].writes and not cluster.ready
+    cluster.complete_writes("a")
+    assert [ready.id for ready in cluster.ready] == list(cluster.committed_at_request)
