--- a/packages/cli/tests/test_usage_cli.py
+++ b/packages/cli/tests/test_usage_cli.py
@@ -14,7 +14,7 @@
 from click.testing import CliRunner
 
 from fleet_rig import BASE, merged
-from test_metering import START, fleet, meters, traffic
+from test_metering import START, metered_fleet, metering_of, traffic
 from walnutpost.cli import main
 from walnutpost.cli.ledgers import Ledgers
 
@@ -24,14 +24,14 @@
 @pytest.fixture
 def config(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     """A site's file beside the ledger of some seconds' traffic over an hour's end, minutes later."""
-    f = fleet(tmp_path)
+    f = metered_fleet(tmp_path)
 
     def script() -> None:
         traffic(f, 20)
         f.loop.sleep(100_000_000)
         for name in f.workers:
             (tmp_path / f"{name}.json").write_bytes(f.ask_worker(name, "/v2/usage").body)
-        meters(f).write()
+        metering_of(f).write()
 
     f.run(script)
     ledgers = Ledgers.__init__
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -34,9 +34,9 @@
 from walnutpost.store import Change, ExecutionQuery, ExecutionStore, LineAppend, StoreError
 from walnutpost.store.database import combine_changes
 
-STORE_RETRY_INTERVAL_US = 200_000  # between tries to write a result; it is answered from memory meanwhile
-STORE_RETRY_AFTER_US = 1_000_000  # Retry-After of a client when the store can't be written
-UNKNOWN_FUNCTION_RETRY_AFTER_US = 1_000_000  # until a schedule asks again for a function that was removed
+STORE_RETRY_INTERVAL_US = 200_000  # between attempts to write a result; clients get it from memory meanwhile
+STORE_RETRY_AFTER_US = 1_000_000  # Retry-After of the answer when the store can't be written
+UNKNOWN_FUNCTION_RETRY_AFTER_US = 1_000_000  # until a schedule fires again for a removed function
 DIGEST_BYTES = 16
 
 DeferResult = Execution | ReplicationPending | Rejected | NotStored | None
@@ -46,8 +46,8 @@
     """Accepts deferred calls, dispatches them to the gateway and records their results.
 
     Invariants: nothing is answered before it is durable here and, with a journal, at the call's quorum of
-    replicas; an unsafe call's intent is durable before its first byte is sent; a name stays taken until its
-    call's final status, or its withdrawal, is durable.
+    replicas; an unsafe call's intent is durable before its first byte is sent; a name stays reserved until
+    its call's final status, or its withdrawal, is durable.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         log: Any,
         replication: JournalReplication | None = None,
     ) -> None:
-        """Take the core's callbacks for intents and names of executions."""
+        """Register with the core for intents and names of executions."""
         self._loop = loop
         self._replication = replication
         self._core = core
@@ -70,7 +70,7 @@
         self.recovered: dict[str, OpenCall] = {}  # by id: found at the start and not yet dispatched
         core.intend = self._record_intent
         core.execution = self._name_of
-        self.also_at_end: Callable[[Execution], Change] | None = None  # committed with each result
+        self.result_change: Callable[[Execution], Change] | None = None  # committed with each result
         self.on_end: Callable[[Execution], None] = _ignore  # called when a result is durable
 
     # Accepting
@@ -80,36 +80,36 @@
         function: str,
         tenant: str | None,
         payload: bytes,
-        time_left: int,
+        time_left_us: int,
         name: str | None,
         request_id: str,
-        also: Change | None = None,
+        extra_change: Change | None = None,
     ) -> DeferResult:
-        """Accept a call, or return the execution that its name stands for; see fronts.calls.DeferredCalls."""
+        """Accept a call, or return the execution that has its name; see fronts.calls.DeferredCalls."""
         digest = payload_digest(payload, tenant)
         now = self._loop.now()
         name = name or request_id
         configured = self.configured_function(function)
         try:
-            stored = self._find_stored(function, name)
+            finished = self._find_stored(function, name)
         except StoreError as error:
             return self._not_stored(error, name, request_id, function)
-        known = self.open_calls.by_name(function, name)  # another may have come while the store was read
-        if known is not None:
-            return self._join(known, digest)
-        if stored is not None:
-            return stored if admit(stored, digest) is Admission.SAME else None
-        if configured is None:  # a front has checked just now: only a schedule's function can be missing
+        open_call = self.open_calls.by_name(function, name)  # it may have arrived while the store was read
+        if open_call is not None:
+            return self._join(open_call, digest)
+        if finished is not None:
+            return finished if admit(finished, digest) is Admission.SAME else None
+        if configured is None:  # an HTTP front has checked it just now: only a schedule's can be missing
             return Rejected(f"no function {function!r}", UNKNOWN_FUNCTION_RETRY_AFTER_US)
         rejection = self._replication_error(configured, len(payload))
         if rejection is not None:
             return rejection
         execution_id = uuid.uuid4().hex
-        expires_at = now + time_left
+        expires_at = now + time_left_us
         execution = Execution(
             execution_id, name, function, configured.version, tenant, payload, digest, now, expires_at
         )
-        return self._accept(OpenCall(self._loop, execution, configured), request_id, also)
+        return self._accept(OpenCall(self._loop, execution, configured), request_id, extra_change)
 
     def _find_stored(self, function: str, name: str) -> Execution | None:
         """Return a finished execution with the name; the store is not read for an open one."""
@@ -129,27 +129,27 @@
             return None
         return self._replication.admission_error(function, size_bytes)
 
-    def _accept(self, call: OpenCall, request_id: str, also: Change | None) -> DeferResult:
+    def _accept(self, call: OpenCall, request_id: str, extra_change: Change | None) -> DeferResult:
         """Store a new call, replicate and dispatch it."""
         execution = call.execution
         self.open_calls.add(call)
         line = self._accepted_line(call)
         try:
-            self._store.add(execution, combine_changes(also, line))
+            self._store.add(execution, combine_changes(extra_change, line))
         except StoreError as error:
             call.rejection = self._not_stored(error, execution.name, request_id, execution.function)
             self.open_calls.remove(call)
             call.settled.set()
             return call.rejection
         except BaseException:
-            # This task is being cancelled; others that asked for the call must not wait for ever, and what
-            # the store may have by now is recovered at the next start.
+            # This task is being cancelled. Requests that joined the call must not wait for ever; if the store
+            # has the call by now, the next start recovers it.
             call.rejection = NotStored(execution.name, STORE_RETRY_AFTER_US, is_uncertain=True)
             call.settled.set()
             raise
         self._wait_for_quorum(call, line)
         self.dispatch(call, execution.expires_at - self._loop.now(), request_id)
-        if call.rejection is not None:  # rejected at once: the client may come again under the same name
+        if call.rejection is not None:  # rejected at once: the client may retry under the same name
             return self._withdraw_rejected(call, request_id)
         call.settled.set()
         return self._accepted(call)
@@ -160,7 +160,7 @@
         return self._replication.append_accepted(call.execution, call.function)
 
     def configured_function(self, name: str) -> Function | None:
-        """Return a function as it is configured now, None if it isn't."""
+        """Return a function as configured now, None if it is not configured."""
         try:
             return self._catalogue.function(name)
         except UnknownNameError:
@@ -169,8 +169,8 @@
     def _wait_for_quorum(self, call: OpenCall, line: LineAppend | None) -> None:
         """Wait for the quorum of a line that the client's answer depends on.
 
-        A call without a quorum by then runs all the same; the client is answered so, since only the same name
-        can be asked again safely.
+        A call without a quorum by then runs all the same. Its client is answered that replication is pending,
+        since only a retry under the same name is safe.
         """
         if self._replication is not None and line is not None:
             time_left_us = call.execution.expires_at - self._loop.now()
@@ -188,13 +188,13 @@
     # Withdrawing
 
     def _withdraw_rejected(self, call: OpenCall, request_id: str) -> DeferResult:
-        """Remove a call that was rejected after it was stored, before its client is answered so."""
+        """Remove a call that was rejected after it was stored, before its client gets the rejection."""
         rejection = call.rejection
         assert rejection is not None
         try:
             self._withdraw(call)
         except StoreError as error:
-            # The name stays taken until the removal is durable; a start before that would run the call.
+            # The name stays reserved until the removal is durable; a restart before that would run the call.
             self._log_store_error("withdraw", error, request=request_id)
             call.rejection = NotStored(call.execution.name, STORE_RETRY_AFTER_US, is_uncertain=True)
             call.settled.set()
@@ -202,8 +202,8 @@
             return call.rejection
         self.open_calls.remove(call)
         call.settled.set()
-        # Without a quorum for the withdrawal the client must not hear that it may ask anew: a replica's site
-        # would run the call after this one is lost.
+        # Without a quorum for the withdrawal the client must not be told to retry: a replica's site would run
+        # the call after this one is lost.
         return rejection if call.has_quorum else self._accepted(call)
 
     def _withdraw(self, call: OpenCall) -> None:
@@ -269,18 +269,18 @@
         call = self.open_calls.by_ticket(ticket)
         return call.execution.name if call is not None else ""
 
-    def _record_intent(self, start: Send) -> None:
+    def _record_intent(self, attempt: Send) -> None:
         """Make an unsafe call's intent durable before its first byte is sent.
 
         Raises LookupError if it must not be sent: ConnectionError would mean that the worker is at fault.
         """
-        call = self.open_calls.by_ticket(start.ticket)
+        call = self.open_calls.by_ticket(attempt.ticket)
         if call is None or (call.execution.intended and self._replication is None):
             return
         execution = call.execution
         line = None
         if self._replication is not None:
-            line = self._replication.append_intended(execution, start.attempt, start.worker)
+            line = self._replication.append_intended(execution, attempt.attempt, attempt.worker)
         try:
             self._store.record_intent(execution.id, line)
         except StoreError as error:
@@ -308,19 +308,19 @@
     def _record_result(self, call: OpenCall) -> None:
         line = self._replication.append_ended(call.execution) if self._replication is not None else None
         self._store_result(call, line)
-        # A result that was answered and then lost with the site could become another one. About its deadline
-        # the client gets it whatever the replicas have.
+        # If the site is lost after the answer, another site could run the call to a different result. So the
+        # client waits for the quorum, but not much longer than until its deadline.
         if not self._has_quorum_until_deadline(call, line):
             self._log.warning("journal_result_under_replicated", request=call.execution.name)
         self.open_calls.remove(call)
         self.on_end(call.execution)
 
     def _store_result(self, call: OpenCall, line: LineAppend | None) -> None:
-        """Return once the result is durable; tried again for ever."""
+        """Write the result, with retries without end, and return once it is durable."""
         while True:
-            also = self.also_at_end(call.execution) if self.also_at_end is not None else None
+            result_change = self.result_change(call.execution) if self.result_change is not None else None
             try:
-                self._store.update(call.execution, combine_changes(also, line))
+                self._store.update(call.execution, combine_changes(result_change, line))
             except StoreError as error:
                 self._log_store_error("record_result", error, request=call.execution.name)
                 self._loop.sleep(STORE_RETRY_INTERVAL_US)
@@ -330,7 +330,7 @@
     # Queries and stops
 
     def status(self, function: str, execution_id: str) -> Execution | None:
-        """Return an execution as a client may see it, None if nobody has it.
+        """Return an execution as a client may see it, None if no site knows it.
 
         Raises SitesUnreachableError.
         """
@@ -343,7 +343,7 @@
         return execution
 
     def _visible(self, call: OpenCall) -> Execution:
-        """Return a result at once without a journal, else only when it can't be lost any more."""
+        """Hide a result that could still be lost with the site; without a journal nothing is hidden."""
         return call.execution if self._replication is None else call.accepted_as
 
     def replica_count(self, execution_id: str) -> int | None:
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -1,7 +1,7 @@
 """The list of workers: configured, from a file that may be replaced at any time, or agreed on by the fleet.
 
-Each source replaces its former list; `_publish` combines them and is the only place that gives a list to the
-connections and the gateway.
+Each source replaces its previous list; `_publish` combines them and is the only place that gives a list to
+the connections and the gateway.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
         self._publish()
 
     def set_agreed(self, follower: EndpointFollower) -> None:
-        """Publish the fleet's list. On return no new work goes by an older one."""
+        """Publish the fleet's list. On return no new work is routed by an older one."""
         self._agreed = follower
         self._publish()
 
@@ -63,7 +63,7 @@
             return
         kind, lines = self._configured or (ListKind.CACHED, [])
         if self._agreed is not None:
-            lines = _with_agreed(lines, self._agreed, self._site)
+            lines = _merge_agreed(lines, self._agreed, self._site)
         endpoints = build_endpoint_list(self._site, lines)
         version = max(self._configured_version, self._published_version + 1)
         self._published_version = version
@@ -101,23 +101,27 @@
             self._log.warning("worker_list_rejected", error=error)
 
     def watch_file(self, path: Path, poll_interval_us: int) -> None:
-        """Read the file again and again; until cancelled."""
+        """Poll the file until cancelled."""
         while True:
             self._loop.sleep(poll_interval_us)
             self.read_file(path)
 
 
-def _with_agreed(lines: list[WorkerConfig], follower: EndpointFollower, site: Site) -> list[WorkerConfig]:
-    own = {line.name: line for line in lines}
-    told = [
-        ListedEndpoint(w.name, w.address, w.zone, round(w.started_at * SECOND), w.state == "draining")
-        for w in lines
+def _merge_agreed(lines: list[WorkerConfig], follower: EndpointFollower, site: Site) -> list[WorkerConfig]:
+    configured = {line.name: line for line in lines}
+    configured_endpoints = [
+        ListedEndpoint(
+            line.name, line.address, line.zone, round(line.started_at * SECOND), line.state == "draining"
+        )
+        for line in lines
     ]
-    out = []
-    for w in follower.merge(told):
-        zone = w.zone if w.zone in site.zones else None
-        line = own.get(w.name) or WorkerConfig(name=w.name, address=w.address, zone=zone)
-        state = "draining" if w.is_draining else "ready"
-        changed = {"address": w.address, "state": state, "started_at": w.started_at_us / SECOND}
-        out.append(line.model_copy(update=changed))
-    return out
+    merged = []
+    for endpoint in follower.merge(configured_endpoints):
+        zone = endpoint.zone if endpoint.zone in site.zones else None
+        line = configured.get(endpoint.name) or WorkerConfig(
+            name=endpoint.name, address=endpoint.address, zone=zone
+        )
+        state = "draining" if endpoint.is_draining else "ready"
+        changed = {"address": endpoint.address, "state": state, "started_at": endpoint.started_at_us / SECOND}
+        merged.append(line.model_copy(update=changed))
+    return merged
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -35,39 +35,41 @@
 
 
 class CallCountingCore(Core):
-    """Counts how calls end, for the analysis of a release; latency objectives are those of `classes`."""
+    """Counts how calls end, for canary analysis; the latency objectives are those of `classes`."""
 
-    figures = CallCounts()
+    call_counts = CallCounts()
     functions: Mapping[str, Function] = {}
     classes: tuple[RequestClass, ...] = ()
 
-    def arrive(self, call: CallArrived, done: Callable[[Final], None]) -> None:
+    def arrive(self, call: CallArrived, on_final: Callable[[Final], None]) -> None:
         """Count a call's final answer."""
         function = call.definition or self.functions.get(call.function)
-        by = self._loop.now() + (
+        objective_at_us = self._loop.now() + (
             self.classes[function.class_index].latency_objective_us if function is not None else 0
         )
 
         def counted(final: Final) -> None:
-            self._count_result(final, self._loop.now() <= by)
-            done(final)
+            self._count_result(final, self._loop.now() <= objective_at_us)
+            on_final(final)
 
         super().arrive(call, counted)
 
     def leave(self, ticket: int) -> None:
-        """Count a caller that gives up: it got no answer, whatever the cause."""
+        """Count a caller that disconnects before its answer."""
         if ticket in self._waiting:
             self._count_result(None, False)
         super().leave(ticket)
 
-    def _count_result(self, final: Final | None, in_aim: bool) -> None:
-        served, refused = isinstance(final, Served), isinstance(final, Rejected)
-        failed = not served and not refused
-        self.figures += CallCounts(int(served), int(refused), int(failed), int(served and in_aim))
+    def _count_result(self, final: Final | None, within_objective: bool) -> None:
+        is_served, is_rejected = isinstance(final, Served), isinstance(final, Rejected)
+        is_failed = not is_served and not is_rejected
+        self.call_counts += CallCounts(
+            int(is_served), int(is_rejected), int(is_failed), int(is_served and within_objective)
+        )
 
 
 class FleetMembership:
-    """Reports periodically; an answer may bring a newer list, which `fleet.Follower` decides on."""
+    """Reports periodically; `fleet.EndpointFollower` decides on the lists that replies bring."""
 
     def __init__(
         self,
@@ -93,7 +95,7 @@
         self._client = KeeperClient(loop, addresses, patience, patience // 2)
         self._is_reachable = True
         self._cache_file = cache_file
-        self._unwritten_snapshot: bytes | None = None  # the list, while the file is older
+        self._unwritten_snapshot: bytes | None = None  # set while the file is older
         remove_leftovers(cache_file)
 
     def catch_up(self) -> None:
@@ -117,13 +119,13 @@
             self._write_cache()
 
     def _report(self) -> bool:
-        """Report once; return whether to report again at once, as an acknowledgement is waited for."""
+        """Report once; return whether to report again at once, to acknowledge what the reply brought."""
         follower = self.follower
         report = Report(
             follower.member,
             follower.incarnation,
             acts=follower.applied_index,
-            figures=self._core.figures.as_tuple,
+            figures=self._core.call_counts.as_tuple,
         )
         try:
             if follower.must_register:
@@ -162,5 +164,5 @@
             except OSError as error:
                 self._log.warning("endpoint_cache_write_failed", error=str(error))
                 return
-            if self._unwritten_snapshot is data:  # else another has come meanwhile
+            if self._unwritten_snapshot is data:  # else a newer one arrived meanwhile
                 self._unwritten_snapshot = None
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -60,7 +60,7 @@
 
 
 class FrontEnd:
-    """Opens everything at construction; `stop` ends it in order. Two in one process share nothing."""
+    """The parts of one front end, opened by the constructor. Two in one process share nothing."""
 
     def __init__(
         self,
@@ -189,7 +189,7 @@
         self._spawn(self.metering.run, name="metering")
 
     def _load_endpoint_list(self) -> None:
-        """Take the list of workers from its file, which is watched, or from the configuration."""
+        """Load the list of workers from its file, which is then polled, or from the configuration."""
         front = self._config.front
         if front.workers_file is None:
             self.endpoint_lists.set_configured(ListKind.CACHED, 0, front.workers)
@@ -251,7 +251,7 @@
             self._log,
             progress.write,
         )
-        self.deferred.also_at_end = firings.record_ended
+        self.deferred.result_change = firings.record_ended
         self.deferred.on_end = self.cron.handle_ended
 
     def _recover_deferred_calls(self) -> None:
@@ -303,17 +303,17 @@
         return self.server.address
 
     def _are_functions_known(self) -> bool:
-        """Whether a function that isn't there doesn't exist: the agreed settings, if any, were received."""
+        """Whether the list of functions is current: the agreed settings, if any, were received."""
         return self.settings_watch is None or self.settings_watch.is_up_to_date
 
     def reload(self, config: Config) -> None:
         """Apply the schedules of a changed configuration; all other changes need a restart."""
         self.cron.replace_schedules(build_own_schedules(config))
 
-    # The end
+    # Shutdown
 
     def stop(self) -> None:
-        """Accept no new connections, and give open calls `stop_ms` to end.
+        """Shut down gracefully: accept no new connections, and give open calls `stop_ms` to end.
 
         A deferred call that has not ended by then is on disk; an unsafe one that was being sent will fail at
         the next start.
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -48,9 +48,9 @@
 
 
 class UsageMetering:
-    """The metering of one front end; it watches the core's calls and orders (dispatch.Watch).
+    """The metering of one front end; it observes the core's calls and load orders (dispatch.Watch).
 
-    If the ledger can't be written any more, counting goes on in memory and the log says so: calls go on.
+    If the ledger can't be written, usage is counted in memory and the failure is logged; calls go on.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.ledger = Ledger(build_metering_policy(section), saved, now)
         self.sight = Sight(now, FunctionSizes(functions), self._keep_alive_us)
         self.budgets = Budgets(build_budgets(section))
-        self._budgets_act = self.budgets.act  # only then are workers with reports sampled, too
+        self._budgets_act = self.budgets.act  # if so, workers with reports are sampled, too
         self._started_us = now
         self._attempts: dict[tuple[int, int], tuple[str, str, str]] = {}
         self._logged_inconsistencies: dict[str, list[str]] = {}
@@ -92,7 +92,7 @@
         """Record a gap: the last run crashed before its samples of workers without reports were written."""
         lost_us = ms_to_us(self._section.write_interval_ms) + self._max_deadline_us + self._keep_alive_us
         upper_bound = last_run.at_risk_mb * lost_us
-        source = f"front end {last_run.started_us}"  # a stored word
+        source = f"front end {last_run.started_us}"  # stored text
         self.ledger.gap(Gap(last_run.written_us // HOUR * HOUR, source, DOWN, upper_bound))
         self._log.warning(
             "usage_gap_recorded",
@@ -101,7 +101,7 @@
             upper_bound_mb_s=upper_bound // US_PER_S,
         )
 
-    # What the core shows (dispatch.Watch)
+    # Called by the core (dispatch.Watch)
 
     def barred(self, function: str, tenant: str | None) -> Rejected | None:
         """Return the rejection of a call whose tenant's budget is used up, unless it needs no load."""
@@ -223,9 +223,9 @@
     # Writing
 
     def write(self, is_last: bool = False) -> bool:
-        """Write the ledger; return False if that failed: the same and more is written next time.
+        """Write the ledger; return False if that failed: the next write includes it.
 
-        The writing goes on if the caller is cancelled, since what is on disk must be known.
+        The write is completed even if the caller is cancelled, so that it is known what is on disk.
         """
         while self._writer is not None and not self._writer.is_done:
             self._writer.join()
@@ -253,7 +253,7 @@
         return True
 
     def stop(self) -> None:
-        """Collect and write a last time, for as long as the caller lets it."""
+        """Collect and write a last time; the caller sets the timeout."""
         self._read_all_reports()
         self.ledger.saw(self.sight.take(self._loop.now()))
         self.write(is_last=True)
--- a/packages/daemon/src/walnutpost/daemon/open_calls.py
+++ b/packages/daemon/src/walnutpost/daemon/open_calls.py
@@ -18,20 +18,20 @@
         """Open a call; `function` is None if it was removed before this process started."""
         self.execution = execution
         self.function = function
-        self.accepted_as = execution  # shown while a final status may still be lost with the site
+        self.accepted_as = execution  # what clients see while its final status could be lost with the site
         self.replication: QuorumReached | QuorumFailed | None = None  # None without a journal
         self.ticket = 0
-        self.settled = Event(loop)  # set once the store has it, or has rejected it
+        self.settled = Event(loop)  # set once it is durable, or could not be stored
         self.rejection: Rejected | NotStored | None = None
 
     @property
     def has_quorum(self) -> bool:
-        """Whether no more replicas are required, as none are without a journal."""
+        """Whether the call has the replicas that its class requires; always without a journal."""
         return not isinstance(self.replication, QuorumFailed)
 
 
 class OpenCalls:
-    """Index of the open calls. An id, and a name among its function's, belong to one call at most."""
+    """Index of the open calls. An id, or a name within a function, belongs to one call at most."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -62,7 +62,7 @@
         return self._by_id.get(execution_id)
 
     def by_name(self, function: str, name: str) -> OpenCall | None:
-        """Return the call with a name among its function's."""
+        """Return the call with a name within its function."""
         return self._by_name.get((function, name))
 
     def by_ticket(self, ticket: int) -> OpenCall | None:
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -1,8 +1,8 @@
 """Replication of deferred calls to other sites: which lines a call needs, and how many replicas it waits for.
 
-Times in lines are stored time (store/stored_time.py), so that one number purges lines of before and after a
-step of the wall clock, here and at the replicas, which know nothing of the step. No synchronous call passes
-through this module.
+Times in lines are stored time (store/stored_time.py), so that one purge time is valid for lines from before
+and after a step of the wall clock, here and at the replicas, which do not see the step. No synchronous call
+passes through this module.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 from walnutpost.replication import ReplicaServer, ReplicationSender, query_call, recover_batches
 from walnutpost.store import ExecutionStore, JournalStore, LineAppend
 
-CHECK_INTERVAL_US = 500_000  # between two checks whether a replica is unreachable for too long
-AVOID_FACTOR = 10  # a replica that was replaced is avoided for so many times `replace_after_ms`
+CHECK_INTERVAL_US = 500_000  # of the check whether a replica is unreachable for too long
+AVOID_FACTOR = 10  # times `replace_after_ms`: how long a replica that was replaced is avoided
 BYTES_PER_MB = 1 << 20
 
 
@@ -90,7 +90,7 @@
     # Recovery
 
     def _recover_lost_lines(self) -> None:
-        """Take back the lines and calls that replicas have beyond this disk, before anything is numbered.
+        """Restore the lines and calls that replicas have and this disk lacks, before any line is numbered.
 
         The disk may be older than its replicas: restored from a backup, or it lost durable lines.
         """
@@ -119,7 +119,7 @@
             merged.add(IntervalSet(), batch.lines)
         recovered_ids = set(merged.calls)
         covered, lines = self.store.read_journal(self.store.own_origin)
-        merged.add(covered, lines)  # of these calls, what the disk had besides
+        merged.add(covered, lines)  # what the disk already had of these calls
         return {call_id: merged.calls[call_id] for call_id in recovered_ids}
 
     # Choice of replicas
@@ -130,7 +130,7 @@
         return choose_replicas(self._hosts[self._section.name], hosts)
 
     def run(self) -> None:
-        """Replace replicas that stay unreachable, for a while; until cancelled."""
+        """Replace replicas that stay unreachable, and avoid them for a while; until cancelled."""
         replicas = self._choose_replicas()
         while True:
             self._loop.sleep(CHECK_INTERVAL_US)
@@ -209,7 +209,7 @@
     # Queries
 
     def find_call(self, call_id: str) -> Execution | None:
-        """Return a call that another front end accepted, as journals here and at other sites tell it.
+        """Return a call that another front end accepted, as recorded by journals here and at other sites.
 
         Raises SitesUnreachableError if none knows it, and some did not answer.
         """
--- a/packages/daemon/src/walnutpost/daemon/result_purge.py
+++ b/packages/daemon/src/walnutpost/daemon/result_purge.py
@@ -30,7 +30,7 @@
         self._replication = replication
 
     def run(self) -> None:
-        """Purge now and after each PURGE_INTERVAL_US; until cancelled."""
+        """Purge now and then every PURGE_INTERVAL_US, until cancelled."""
         while True:
             try:
                 self._purge()
--- a/packages/daemon/src/walnutpost/daemon/schedule_progress.py
+++ b/packages/daemon/src/walnutpost/daemon/schedule_progress.py
@@ -1,4 +1,4 @@
-"""How far schedules have been decided, in a file beside the store: shows that the store is an older copy."""
+"""How far schedules have progressed, in a file beside the store: reveals a store that is an older copy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class ScheduleProgressFile:
     """A file with two numbers: the newest due time with an outcome in the store, and when that was written.
 
-    Replaced as a whole. If it is restored from a backup together with the store, nothing shows.
+    Replaced atomically. A backup of both files, restored together, can't be detected.
     """
 
     def __init__(self, path: Path) -> None:
@@ -20,7 +20,7 @@
         remove_leftovers(path)
 
     def uncertain_until(self, newest_mark: int) -> int:
-        """Return up to when firings may have been sent that the store does not know of.
+        """Return until when firings may have been sent that the store does not know of.
 
         `newest_mark` is the newest due time that the store knows; 0 if the store has all that this file has.
         """
--- a/packages/daemon/src/walnutpost/daemon/settings_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/settings_watch.py
@@ -1,6 +1,6 @@
-"""The front end's watch of the agreed settings: it applies new settings of functions without a restart.
+"""The front end's watch of the agreed settings: applies new settings of functions without a restart.
 
-The settings come from relays. No call waits for any of it.
+The settings come from relays. No call waits for them.
 """
 
 from __future__ import annotations
@@ -25,34 +25,34 @@
 
 SECOND = 1_000_000
 MAX_DECODED_FUNCTIONS = 1024  # functions whose decoded entries are cached: some 400 KB
-VALIDATION_BATCH = 50  # entries of a table, a millisecond, before other tasks run
+VALIDATION_BATCH = 50  # entries validated, in about a millisecond, before other tasks run
 FIRST_ANSWER_TIMEOUT_US = SECOND  # how long a start waits for a relay
 WRITE_INTERVAL_US = 30 * SECOND  # between two writings of the table: 38,000 functions take 80 ms of a core
 WRITE_RETRY_US = SECOND  # after a write that failed
-MAX_REASON_CHARS = 300  # it is sent with each watch request until a revision can be applied
+MAX_REASON_CHARS = 300  # of the reason in each watch request while a revision is blocked
 
 
 class AgreedFunctions(Mapping[str, Function]):
     """The functions of the agreed table at one revision, decoded at their first lookup.
 
-    As long as the table has none, the configured functions.
+    While the table has no function these are the configured functions.
     """
 
-    def __init__(self, own: Mapping[str, Function], classes: Sequence[str]) -> None:
+    def __init__(self, configured: Mapping[str, Function], classes: Sequence[str]) -> None:
         """Start with `own`; `classes` are names in the order of the gateway's settings."""
-        self._own = own
+        self._configured = configured
         self.classes = tuple(classes)
         self.entries: Map[str, Entry] = Map()
-        self._count = 0
+        self._function_count = 0
         self._decoded: OrderedDict[str, tuple[Entry, Function]] = OrderedDict()
 
-    def put(self, entries: Map[str, Entry], count: int) -> None:
-        """Replace all entries at once: a reader sees the former revision or this one.
+    def replace_all(self, entries: Map[str, Entry], count: int) -> None:
+        """Replace all entries at once: a reader sees the previous revision or this one.
 
         `count` is the number of functions among the entries, each of which `decode` accepts.
         """
         self.entries = entries
-        self._count = count
+        self._function_count = count
 
     def decode(self, name: str, entry: Entry) -> Function:
         """Decode an entry. Raises ValueError if the front end can't apply it."""
@@ -60,16 +60,16 @@
 
     def __getitem__(self, name: str) -> Function:
         """Return a function. Raises KeyError."""
-        if not self._count:
-            return self._own[name]
+        if not self._function_count:
+            return self._configured[name]
         decoded = self._decoded
         entry = self.entries.get(FUNCTION_PREFIX + name)
-        known = decoded.get(name)
+        cached = decoded.get(name)
         if entry is None:
             raise KeyError(name)
-        if known is not None and known[0] is entry:
+        if cached is not None and cached[0] is entry:
             decoded.move_to_end(name)
-            return known[1]
+            return cached[1]
         function = self.decode(name, entry)
         decoded[name] = entry, function
         decoded.move_to_end(name)
@@ -79,13 +79,13 @@
 
     def __iter__(self) -> Iterator[str]:
         """Iterate over the functions' names."""
-        if not self._count:
-            return iter(self._own)
+        if not self._function_count:
+            return iter(self._configured)
         return (key[len(FUNCTION_PREFIX) :] for key in self.entries if key.startswith(FUNCTION_PREFIX))
 
     def __len__(self) -> int:
         """Return the number of functions."""
-        return self._count or len(self._own)
+        return self._function_count or len(self._configured)
 
 
 class SettingsWatch:
@@ -99,7 +99,7 @@
     def __init__(
         self,
         loop: Loop,
-        line: MembershipConfig,
+        section: MembershipConfig,
         zone: str | None,
         incarnation: str,
         functions: AgreedFunctions,
@@ -111,27 +111,27 @@
         self._functions = functions
         self._log = log
         self._cache_file = cache_file
-        self.follower = self._load_cache(line.member, incarnation)
-        regions = {name: line.relay_zones.get(name, "") for name in line.relays}
-        choice = RelaySelector(line.member, regions, zone or "", Random())
-        servers = {name: _address_getter(address) for name, address in line.relays.items()}
-        self.watcher = Watcher(loop, servers, self.follower, choice, self._on_outcome, log)
-        self._validated_entries = functions.entries  # the state that these three describe:
-        self._count = 0  # functions
-        self._errors_by_key: dict[str, str] = {}  # by key, why the front end can't apply it
-        self._changed_keys: set[str] = set()  # keys, since `_validated_entries`
-        self._must_validate_all = False  # the table was replaced
+        self.watch_state = self._load_cache(section.member, incarnation)
+        regions = {name: section.relay_zones.get(name, "") for name in section.relays}
+        selector = RelaySelector(section.member, regions, zone or "", Random())
+        servers = {name: _address_getter(address) for name, address in section.relays.items()}
+        self.watcher = Watcher(loop, servers, self.watch_state, selector, self._on_outcome, log)
+        self._validated_entries = functions.entries  # the next two attributes describe these
+        self._function_count = 0
+        self._errors_by_key: dict[str, str] = {}  # of entries that the front end can't apply
+        self._changed_keys: set[str] = set()  # since `_validated_entries`
+        self._must_validate_all = False  # set when the table was replaced
         self._validation: Task[None] | None = None
         self._reported_reason = ""
         self._applied_table: ConfigStore | None = None
-        self._written_revision = 0  # revision of the file
+        self._written_revision = 0  # of the file
         self._writer: Task[None] | None = None
         self._watch_task: Task[None] | None = None
 
     @property
     def is_stale(self) -> bool:
         """Whether no leader has confirmed the applied revision within 9 s."""
-        return self.follower.is_stale(self._loop.now())
+        return self.watch_state.is_stale(self._loop.now())
 
     @property
     def is_up_to_date(self) -> bool:
@@ -142,14 +142,14 @@
 
     def catch_up(self) -> None:
         """Apply the cached table, and what a relay answers within FIRST_ANSWER_TIMEOUT_US."""
-        if self.follower.store.revision:
-            self._written_revision = self.follower.store.revision
+        if self.watch_state.store.revision:
+            self._written_revision = self.watch_state.store.revision
             self._on_outcome(ApplyOutcome(is_replaced=True))
             if self._validation is not None:
                 self._validation.join()
         self._watch_task = self._loop.spawn(self.watcher.run, name="settings")
-        until = self._loop.now() + FIRST_ANSWER_TIMEOUT_US
-        while self._loop.now() < until and not self.is_up_to_date:
+        deadline_us = self._loop.now() + FIRST_ANSWER_TIMEOUT_US
+        while self._loop.now() < deadline_us and not self.is_up_to_date:
             self._loop.sleep(10_000)
 
     def stop(self) -> None:
@@ -161,18 +161,18 @@
             self._writer.cancel()
         self._write()
 
-    # Changes. _on_outcome is called between a watch response and the next request, which acknowledges it
+    # Changes. `_on_outcome` is called after a watch response; the next request acknowledges it
 
-    def _on_outcome(self, taken: ApplyOutcome) -> None:
-        self._must_validate_all |= taken.is_replaced
-        self._changed_keys.update(op.key for change in taken.changes for op in change.mutations)
-        self._changed_keys.update(taken.repaired_keys)
-        if taken.repaired_keys:
+    def _on_outcome(self, outcome: ApplyOutcome) -> None:
+        self._must_validate_all |= outcome.is_replaced
+        self._changed_keys.update(mutation.key for change in outcome.changes for mutation in change.mutations)
+        self._changed_keys.update(outcome.repaired_keys)
+        if outcome.repaired_keys:
             self._written_revision = 0  # what was written may have been wrong, too
         if self._validation is not None:
-            return  # it will validate these, too
+            return  # the running validation includes these
         if self._must_validate_all:
-            self._validation = self._loop.spawn(self._validate_all, name="judge settings")
+            self._validation = self._loop.spawn(self._validate_all, name="validate settings")
         else:
             self._apply()
 
@@ -181,18 +181,18 @@
         try:
             while self._must_validate_all:
                 self._must_validate_all = False
-                entries = self.follower.store.entries
-                self._count, self._errors_by_key = self._validate_entries(entries)
+                entries = self.watch_state.store.entries
+                self._function_count, self._errors_by_key = self._validate_entries(entries)
                 self._validated_entries = entries
         finally:
             self._validation = None
         self._apply()
 
     def _validate_entries(self, entries: Map[str, Entry]) -> tuple[int, dict[str, str]]:
-        """Return how many functions there are, and the errors of those that can't be applied."""
+        """Return the number of functions, and the errors of those that can't be applied."""
         count = 0
         errors: dict[str, str] = {}
-        applied = self._functions.entries
+        applied_entries = self._functions.entries
         for key, entry in entries.items():
             if not key.startswith(FUNCTION_PREFIX):
                 continue
@@ -200,9 +200,9 @@
             if count % VALIDATION_BATCH == 0:
                 self._loop.yield_now()
                 if self._must_validate_all:
-                    break  # replaced once more
-            former = applied.get(key)
-            if former is not None and former.value == entry.value:
+                    break  # the table was replaced again
+            applied_entry = applied_entries.get(key)
+            if applied_entry is not None and applied_entry.value == entry.value:
                 continue
             error = self._validation_error(entry)
             if error:
@@ -219,7 +219,7 @@
 
     def _apply(self) -> None:
         """Validate what has changed since `_validated_entries`, and apply the revision if it is valid."""
-        table = self.follower.store
+        table = self.watch_state.store
         for key in self._changed_keys:
             if key.startswith(FUNCTION_PREFIX):
                 self._validate_key(key, table.entries.get(key))
@@ -229,16 +229,16 @@
             self._report_blocked(table.revision)
             return
         if self._validated_entries is not self._functions.entries:
-            self._functions.put(self._validated_entries, self._count)
-        if table.revision > self.follower.applied_revision:
-            self.follower.mark_applied(table.revision)
+            self._functions.replace_all(self._validated_entries, self._function_count)
+        if table.revision > self.watch_state.applied_revision:
+            self.watch_state.mark_applied(table.revision)
             self._reported_reason = ""
-            self._log.info("config_applied", revision=table.revision, functions=self._count)
+            self._log.info("config_applied", revision=table.revision, functions=self._function_count)
         if table.revision > self._written_revision:
             self._schedule_write(table)
 
     def _validate_key(self, key: str, entry: Entry | None) -> None:
-        self._count += (entry is not None) - (key in self._validated_entries)
+        self._function_count += (entry is not None) - (key in self._validated_entries)
         error = self._validation_error(entry) if entry is not None else ""
         if error:
             self._errors_by_key[key] = error
@@ -249,10 +249,10 @@
         reason = next(iter(self._errors_by_key.values()))[:MAX_REASON_CHARS]
         if len(self._errors_by_key) > 1:
             reason += f"; and {len(self._errors_by_key) - 1} more"
-        self.follower.mark_blocked(revision, reason)
+        self.watch_state.mark_blocked(revision, reason)
         if reason != self._reported_reason:
             self._reported_reason = reason
-            applied = self.follower.applied_revision
+            applied = self.watch_state.applied_revision
             self._log.warning("config_blocked", revision=revision, reason=reason, applied_revision=applied)
 
     # On disk, for a start without relays
@@ -269,7 +269,7 @@
         return WatchState(member, incarnation, now)
 
     def _schedule_write(self, table: ConfigStore) -> None:
-        """Write the table's present state later. A shallow copy is enough: change sets replace its parts."""
+        """Write the table's present state later. A shallow copy is enough: changes replace its attributes."""
         self._applied_table = copy.copy(table)
         if self._writer is None:
             self._writer = self._loop.spawn(self._write_pending, name="write settings")
@@ -283,9 +283,9 @@
             self._writer = None
 
     def _write(self) -> int | None:
-        """Return the wait until the next write, None if there was nothing to write.
+        """Write the table; return the wait until the next write, None if there was nothing to write.
 
-        After a failed write a start may need the relays.
+        A failed write is logged: until the next one a start may need the relays.
         """
         table = self._applied_table
         if table is None or table.revision <= self._written_revision:
--- a/packages/daemon/tests/disk_faults.py
+++ b/packages/daemon/tests/disk_faults.py
@@ -1,4 +1,4 @@
-"""A disk that fails by script: sqlite's connection of a store, and the calls that replace files."""
+"""Scripted disk faults: in a store's sqlite connection, and in the system calls that replace files."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class Fault(Enum):
-    """What a statement that fails leaves behind."""
+    """The state after a statement has failed."""
 
     OPEN = "the transaction is still open"
     ROLLED_BACK = "sqlite has rolled back by itself"
-    REACHED_DISK = "sqlite has rolled back, and the log holds the commit all the same"
+    REACHED_DISK = "sqlite has rolled back, but the commit is in the log"
 
 
 Script = Callable[[str], Fault | None]
 
 
 class ScriptedConnection:
-    """Stands for a store's connection. `script` is asked before each statement."""
+    """Replaces a store's connection; `script` decides before each statement whether it fails."""
 
     def __init__(self, store: Database, path: Path, script: Script) -> None:
         self._real, self._path, self._script = store._db, path, script
@@ -74,13 +74,13 @@
         return self._path.with_name(self._path.name + suffix)
 
     def _log_end(self) -> int:
-        """Where the log ends for this process: the index that connections share says after which frame."""
+        """Return where the log ends for this process, by the frame count in the shared index."""
         (frames,) = struct.unpack_from("=I", self._file("-shm").read_bytes(), 16)
         (page,) = self._real.execute("pragma page_size").fetchone()
         return int(LOG_HEADER + frames * (FRAME_HEADER + page))
 
     def _log_with_the_commit(self) -> bytes:
-        """The same transaction made on a copy of the files, whose log goes on from where this one ends."""
+        """Return the log after the same transaction on a copy of the files."""
         folder = self._path.with_name("copy of the log")
         folder.mkdir(exist_ok=True)
         for suffix in ("", "-wal"):
@@ -98,13 +98,13 @@
 
 
 def failing(times: int, fault: Fault = Fault.OPEN, statement: str = "commit") -> Script:
-    """The first so many statements that begin so fail."""
-    left = times
+    """Fail the first `times` statements that begin with `statement`."""
+    remaining = times
 
-    def script(found: str) -> Fault | None:
-        nonlocal left
-        if left and found.startswith(statement):
-            left -= 1
+    def script(executed: str) -> Fault | None:
+        nonlocal remaining
+        if remaining and executed.startswith(statement):
+            remaining -= 1
             return fault
         return None
 
@@ -112,7 +112,7 @@
 
 
 def after_a_kill(path: Path) -> Path:
-    """The files of a store as the next start finds them; in a folder of their own."""
+    """Copy a store's files, as they would be after a kill, into a folder of their own."""
     folder = path.parent / "after the kill"
     folder.mkdir()
     for suffix in ("", "-wal"):
@@ -121,7 +121,7 @@
 
 
 class ScriptedFiles(FileCalls):
-    """`fails`: by call (write, short write, fsync, fsync folder, rename), how many of the next ones fail."""
+    """`fails`: how many of the next calls fail, by name: write, short write, fsync, fsync folder, rename."""
 
     def __init__(self) -> None:
         self.fails: dict[str, int] = {}
@@ -153,8 +153,8 @@
 @contextmanager
 def scripted_files() -> Iterator[ScriptedFiles]:
     calls = ScriptedFiles()
-    former = use_file_calls(calls)
+    previous = use_file_calls(calls)
     try:
         yield calls
     finally:
-        use_file_calls(former)
+        use_file_calls(previous)
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -1,4 +1,4 @@
-"""A front end and stand-in workers on one loop with a virtual clock, over real loopback sockets."""
+"""A front end and fake workers on one loop with a virtual clock, over real loopback sockets."""
 
 from __future__ import annotations
 
@@ -22,6 +22,7 @@
 T = TypeVar("T")
 SECOND = 1_000_000
 INVOKE = "/2015-03-31/functions/{}/invocations"
+EXECUTION_ARN_HEADER = "x-amz-durable-execution-arn"
 BASE: dict[str, Any] = {
     "site": {
         "classes": {
@@ -48,26 +49,32 @@
 
 
 class Log:
-    """Keeps lines instead of writing them."""
+    """Collects log lines in memory."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
-    def info(self, event: str, **told: Any) -> None:
-        self.lines.append((event, told))
+    def info(self, event: str, **fields: Any) -> None:
+        self.lines.append((event, fields))
 
     warning = error = info
 
 
-def merged(base: dict[str, Any], more: dict[str, Any]) -> dict[str, Any]:
-    out = copy.deepcopy(base)
-    for key, value in more.items():
-        out[key] = merged(out[key], value) if isinstance(value, dict) and key in out else value
-    return out
+def merged(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
+    result = copy.deepcopy(base)
+    for key, value in overrides.items():
+        result[key] = merged(result[key], value) if isinstance(value, dict) and key in result else value
+    return result
+
+
+def execution_path(response: Response) -> str:
+    """Return the path of the execution that a response names."""
+    arn = response.headers[EXECUTION_ARN_HEADER].replace(":", "%3A").replace("/", "%2F")
+    return f"/2025-12-01/durable-executions/{arn}"
 
 
 class Fleet:
-    """`run` starts everything, runs a script in a task, and ends everything."""
+    """A front end and its workers; `run` starts them, runs a script in a task, and stops them."""
 
     def __init__(
         self,
@@ -77,19 +84,19 @@
         capture: bool = False,
         clock: Clock | None = None,
     ) -> None:
-        """`more` changes the configuration; `front` what the front end alone believes of it."""
+        """`more`: overrides of the configuration; `front`: those that only the front end gets."""
         self.path = path
         self.capture = capture
-        told = merged(BASE, more or {})
-        self.config = parse(json.dumps(told), "test", Config)
-        self.front_config = parse(json.dumps(merged(told, front or {})), "test", Config)
+        settings = merged(BASE, more or {})
+        self.config = parse(json.dumps(settings), "test", Config)
+        self.front_config = parse(json.dumps(merged(settings, front or {})), "test", Config)
         self.errors: list[BaseException] = []
         self.loop = Loop(clock or VirtualClock(), lambda name, error: self.errors.append(error))
         self.log = Log()
         self.workers: dict[str, WorkerServer] = {}
         self.lines: list[WorkerConfig] = []
         self.version = 0
-        self.wall_off = 0  # by which the time of day differs from the loop's
+        self.wall_clock_offset_us = 0  # the time of day minus the loop's time
         self.front: FrontEnd
         self.store: LocalStore
 
@@ -124,21 +131,26 @@
         config = self.front_config.model_copy(update={"front": front})
         tap = self.tap("front", "front-0") if self.capture else None
         return FrontEnd(
-            self.loop, config, self.log, tap, path or self.path, lambda: self.loop.now() + self.wall_off
+            self.loop,
+            config,
+            self.log,
+            tap,
+            path or self.path,
+            lambda: self.loop.now() + self.wall_clock_offset_us,
         )
 
-    def relist(self, name: str, **changed: Any) -> None:
-        """The front end is told a list in which one worker's line has changed; with `gone`, it has left."""
+    def publish_changed_worker(self, name: str, **changed: Any) -> None:
+        """Publish a list in which one worker's line has changed; `gone=True` removes it."""
         self.lines = [
-            w.model_copy(update=changed) if w.name == name else w
-            for w in self.lines
-            if w.name != name or not changed.get("gone")
+            line.model_copy(update=changed) if line.name == name else line
+            for line in self.lines
+            if line.name != name or not changed.get("gone")
         ]
         self.version += 1
         self.front.endpoint_lists.set_configured(ListKind.FULL, self.version, self.lines)
 
     def audit(self) -> Verdict:
-        """What the audit says of the captures, by the honest configuration."""
+        """Audit the captures against the fleet's own configuration."""
         write_facts(self.path, facts_of(self.config))
         return audit_folder(self.path)
 
@@ -146,11 +158,11 @@
         return Connection.open(self.loop, (front or self.front).address)
 
     def ask(self, method: str, target: str, body: bytes = b"", **headers: str) -> Response:
-        """One request on a connection of its own; `_` in a header's name stands for `-`."""
+        """Send one request on a connection of its own; `_` in a header's name is sent as `-`."""
         connection = self.connect()
         try:
-            named = {key.replace("_", "-"): value for key, value in headers.items()}
-            return connection.ask(method, target, named, body)
+            named_headers = {key.replace("_", "-"): value for key, value in headers.items()}
+            return connection.ask(method, target, named_headers, body)
         finally:
             connection.close()
 
@@ -165,22 +177,30 @@
             connection.close()
 
     def warm(self, function: str) -> str:
-        """Calls once and returns the worker that has the copy then."""
+        """Call a function once; return the worker that has loaded it."""
         return str(json.loads(self.invoke(function).body)["worker"])
 
     def runs(self, function: str | None = None) -> int:
-        return sum(function in (None, ran) for w in self.workers.values() for _, ran, _ in w.runs)
+        return sum(function in (None, ran) for server in self.workers.values() for _, ran, _ in server.runs)
 
     def running(self) -> WorkerServer:
-        """The worker on which something runs."""
-        return next(w for w in self.workers.values() if w.model.running_count)
-
-    def until(self, true: Callable[[], bool], within: int = 60 * SECOND) -> None:
-        """Waits on a condition in virtual time."""
-        end = self.loop.now() + within
-        while not true():
-            assert self.loop.now() < end, "the condition never came true"
+        """Return the first worker on which a call runs."""
+        return next(server for server in self.workers.values() if server.model.running_count)
+
+    def until(self, condition: Callable[[], bool], timeout_us: int = 60 * SECOND) -> None:
+        """Wait for a condition in virtual time."""
+        deadline_us = self.loop.now() + timeout_us
+        while not condition():
+            assert self.loop.now() < deadline_us, "the condition did not become true in time"
             self.loop.sleep(20_000)
 
 
-__all__ = ["BASE", "SECOND", "Fleet", "Log", "merged"]
+__all__ = [
+    "BASE",
+    "EXECUTION_ARN_HEADER",
+    "SECOND",
+    "Fleet",
+    "Log",
+    "execution_path",
+    "merged",
+]
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -1,4 +1,4 @@
-"""Files beside the store: torn ones are said and not used, others written once the disk takes them."""
+"""The cache files beside the store: torn ones are logged and ignored, failed writes are repeated."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from disk_faults import scripted_files
 from fleet_rig import SECOND, Log
-from test_functions_gone import killed
-from test_settings_watch import Followed, put
+from test_functions_gone import kill_front_end
+from test_settings_watch import SettingsFleet, put_function
 from walnutpost.config.membership import MembershipConfig
 from walnutpost.configstore import ConfigStore
 from walnutpost.controlplane.wire import Told
@@ -27,48 +27,48 @@
 def test_table_cache_when_writes_fail_is_written_within_two_seconds_of_the_fault_s_end(
     tmp_path: Path, call: str
 ) -> None:
-    f, path = Followed(tmp_path), tmp_path / "calls.db.table"
+    f, path = SettingsFleet(tmp_path), tmp_path / "calls.db.table"
 
     def script() -> None:
         f.until(path.exists)
         f.loop.sleep(40 * SECOND)
         with scripted_files() as files:
             files.fails[call] = 1_000
-            f.change(put("left", 2))
+            f.change(put_function("left", 2))
             f.until(lambda: files.fails[call] < 997)
-            assert f.answers_as("left") == "2"  # calls are served meanwhile
-            files.fails[call], ended = 0, f.loop.now()
+            assert f.invoked_version("left") == "2"  # calls are served meanwhile
+            files.fails[call], ended_us = 0, f.loop.now()
             f.until(lambda: files.calls[-1] == "fsync folder" and files.fails[call] == 0)
-            assert f.loop.now() - ended < 2 * SECOND
+            assert f.loop.now() - ended_us < 2 * SECOND
             assert ConfigStore.restore(path.read_bytes()).revision == f.relay.table.revision
 
     f.play(script)
 
 
 def test_table_cache_after_a_kill_while_writing_is_the_former_without_leftovers(tmp_path: Path) -> None:
-    f, path = Followed(tmp_path), tmp_path / "calls.db.table"
+    f, path = SettingsFleet(tmp_path), tmp_path / "calls.db.table"
 
     def script() -> None:
-        f.change(put("left", 2))
-        killed(f)
-        f.relay.end()
-        half = path.with_name(path.name + ".0a1b2c3d.new")
-        half.write_bytes(path.read_bytes()[:100])
-        f.begin()
-        assert f.answers_as("left") == "2" and not half.exists()
+        f.change(put_function("left", 2))
+        kill_front_end(f)
+        f.relay.kill()
+        leftover = path.with_name(path.name + ".0a1b2c3d.new")
+        leftover.write_bytes(path.read_bytes()[:100])
+        f.start_front_end()
+        assert f.invoked_version("left") == "2" and not leftover.exists()
 
     f.play(script)
 
 
-class Lists:
+class FakeEndpointLists:
     def __init__(self) -> None:
-        self.agreed_on = 0
+        self.agreed_count = 0
 
     def set_agreed(self, follower: Any) -> None:
-        self.agreed_on += 1
+        self.agreed_count += 1
 
 
-def following(loop: Loop, path: Path, lists: Lists, log: Log) -> FleetMembership:
+def make_membership(loop: Loop, path: Path, lists: FakeEndpointLists, log: Log) -> FleetMembership:
     line = MembershipConfig.model_validate(
         {"member": "f0", "keepers": {"k1": "127.0.0.1:1"}, "report_ms": 200}
     )
@@ -79,49 +79,51 @@
 
 @pytest.mark.parametrize("content", [b"", b"\x92\x05", b"\xff"])
 def test_endpoint_cache_when_torn_is_logged_and_not_used(tmp_path: Path, content: bytes) -> None:
-    loop, log, lists, path = Loop(VirtualClock()), Log(), Lists(), tmp_path / "calls.db.agreed"
+    loop, log, lists, path = Loop(VirtualClock()), Log(), FakeEndpointLists(), tmp_path / "calls.db.agreed"
     path.write_bytes(content)
 
     def script() -> None:
-        found = following(loop, path, lists, log)
-        found._report = lambda: False  # type: ignore[method-assign]
-        found.catch_up()
+        membership = make_membership(loop, path, lists, log)
+        membership._report = lambda: False  # type: ignore[method-assign]
+        membership.catch_up()
 
     loop.run(script)
-    assert lists.agreed_on == 0
-    assert [f["file"] for event, f in log.lines if event == "endpoint_cache_ignored"] == ["calls.db.agreed"]
+    assert lists.agreed_count == 0
+    assert [fields["file"] for event, fields in log.lines if event == "endpoint_cache_ignored"] == [
+        "calls.db.agreed"
+    ]
 
 
 @pytest.mark.parametrize("call", CALLS)
 def test_endpoint_cache_when_writes_fail_is_written_with_a_later_report(tmp_path: Path, call: str) -> None:
-    loop, lists, path = Loop(VirtualClock()), Lists(), tmp_path / "calls.db.agreed"
+    loop, lists, path = Loop(VirtualClock()), FakeEndpointLists(), tmp_path / "calls.db.agreed"
 
     def script() -> None:
-        first = following(loop, path, lists, Log())
+        first = make_membership(loop, path, lists, Log())
         first._report = lambda: False  # type: ignore[method-assign]
         files.fails[call] = 3
         first._apply(Told(CommandResult(True, 1), sight=EndpointSnapshot(5, ())))
         task = loop.spawn(first.run)
         loop.sleep(2 * SECOND)
         task.cancel()
-        second = following(loop, path, lists, Log())
+        second = make_membership(loop, path, lists, Log())
         second._report = lambda: False  # type: ignore[method-assign]
         second.catch_up()
         assert second.follower.snapshot is not None and second.follower.snapshot.index == 5
 
     with scripted_files() as files:
         loop.run(script)
-    assert lists.agreed_on == 2
+    assert lists.agreed_count == 2
 
 
 @pytest.mark.parametrize("call", CALLS)
 def test_schedule_progress_when_a_write_fails_is_written_by_the_next_call(tmp_path: Path, call: str) -> None:
-    seen = ScheduleProgressFile(tmp_path / "seen")
+    progress = ScheduleProgressFile(tmp_path / "seen")
     with scripted_files() as files:
         files.fails[call] = 1
         with pytest.raises(OSError):
-            seen.write(7, 70)
-        seen.write(7, 80)
+            progress.write(7, 70)
+        progress.write(7, 80)
     assert ScheduleProgressFile(tmp_path / "seen").uncertain_until(6) == 80
 
 
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -1,4 +1,4 @@
-"""A front end started on the folder that released code left: stores, table, agreed list, timers' mark."""
+"""A front end started on files of released code: stores, table, endpoint list, schedule progress."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 from walnutpost.daemon.settings_watch import _write_snapshot as write_table
 from walnutpost.eventloop.clock import VirtualClock
 from walnutpost.fleet import EndpointSnapshot
-from walnutpost.fleet.endpoints import Endpoint as SeenWorker
+from walnutpost.fleet.endpoints import Endpoint
 from walnutpost.gateway import Execution, Status
 from walnutpost.metering import HOUR
 from walnutpost.store import read_history
 
 GOLDEN = Path(__file__).parent / "golden"
-NOBODY = "127.0.0.1:1"  # nothing listens there: neither a keeper nor a relay is heard of
+UNREACHABLE = "127.0.0.1:1"  # nothing listens there: neither the control plane nor a relay answers
 NOW = stored.NOW
 START = NOW + 30 * SECOND
 
-# The one place that says what the golden files hold.
+# The content of the golden files.
 SITE = Site(
     classes={
         "valuation": CallClass(effect="safe", aim_ms=1000, deadline_ms=2500),
         "reservation": CallClass(effect="unsafe", aim_ms=1000, deadline_ms=2500, worth=2),
     },
     functions={
-        name: FunctionConfig.model_validate(told)
-        for name, told in {
+        name: FunctionConfig.model_validate(settings)
+        for name, settings in {
             "price": {"class": "valuation", "memory_mb": 400, "lanes": 2, "load_ms": 300, "version": "7"},
             "reserve": {"class": "reservation", "memory_mb": 300, "cost_ms": 12.5},
         }.items()
@@ -51,7 +51,7 @@
 AGREED = EndpointSnapshot(
     index=41,
     workers=(
-        SeenWorker(
+        Endpoint(
             name="worker-1",
             zone="zone-2",
             address="127.0.0.1:3",
@@ -59,14 +59,14 @@
             age_us=5,
             is_draining=True,
         ),
-        SeenWorker("worker-9", "", "127.0.0.1:9", "incarnation-9", 0, False),
+        Endpoint("worker-9", "", "127.0.0.1:9", "incarnation-9", 0, False),
     ),
 )
 NEWEST, WRITTEN = NOW + 60 * SECOND, NOW + 61 * SECOND
 
 
 def agreed_table() -> ConfigStore:
-    """Some change sets, the last of which takes an entry out."""
+    """Return a table after three change sets, the last of which deletes an entry."""
     table = ConfigStore()
     table.propose(7, [Mutation(key, value) for key, value in encode_site(SITE).items()])
     table.propose(9, [Mutation("function/extra", encode_site(SITE)["function/price"])])
@@ -74,17 +74,17 @@
     return table
 
 
-def write_seen(path: Path) -> None:
+def write_schedule_progress(path: Path) -> None:
     ScheduleProgressFile(path).write(NEWEST, WRITTEN)
 
 
-def write_agreed(path: Path) -> None:
+def write_endpoint_cache(path: Path) -> None:
     path.write_bytes(msgspec.msgpack.encode(AGREED))
 
 
 WRITERS: dict[str, Callable[[Path], None]] = {
-    "calls.db.seen": write_seen,
-    "calls.db.agreed": write_agreed,
+    "calls.db.seen": write_schedule_progress,
+    "calls.db.agreed": write_endpoint_cache,
     "calls.db.table": lambda path: write_table(path, agreed_table()),
 }
 
@@ -100,7 +100,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """All files that a front end leaves behind, as released code wrote them."""
+    """A folder with all files of a front end, as released code wrote them."""
     for name in WRITERS:
         shutil.copy(GOLDEN / f"{name}.golden", tmp_path / name)
     restore_dump(stored.CALLS_DUMP, tmp_path / stored.CALLS_FILE)
@@ -118,48 +118,33 @@
 
 
 def test_schedule_progress_when_read_from_a_golden_file_shows_an_older_store(folder: Path) -> None:
-    seen = ScheduleProgressFile(folder / "calls.db.seen")
-    assert seen.uncertain_until(NEWEST - 1) == WRITTEN and seen.uncertain_until(NEWEST) == 0
+    progress = ScheduleProgressFile(folder / "calls.db.seen")
+    assert progress.uncertain_until(NEWEST - 1) == WRITTEN and progress.uncertain_until(NEWEST) == 0
 
 
-def test_front_end_when_started_on_a_golden_folder_recovers_all_of_it(folder: Path) -> None:
-    holder = {"name": "front-0", "address": NOBODY, "region": "east", "zone": "a"}
+def recovered_fleet(folder: Path) -> Fleet:
+    """A fleet whose front end starts on a golden folder, and reaches neither control plane nor relay."""
+    holder = {"name": "front-0", "address": UNREACHABLE, "region": "east", "zone": "a"}
     copies = {name: {"copies": 0, "without": "less"} for name in SITE.classes}
     more = {
         "metering": {},
         "journal": {"name": "front-0", "listen": "127.0.0.1:0", "holders": [holder], "classes": copies},
-        "agreement": {"member": "front-0", "keepers": {"k1": NOBODY}, "relays": {"r1": NOBODY}},
+        "agreement": {"member": "front-0", "keepers": {"k1": UNREACHABLE}, "relays": {"r1": UNREACHABLE}},
     }
-    f = Fleet(folder, front=more, clock=VirtualClock(START))
+    return Fleet(folder, front=more, clock=VirtualClock(START))
+
+
+def test_front_end_when_started_on_a_golden_folder_recovers_all_of_it(folder: Path) -> None:
+    f = recovered_fleet(folder)
 
     def script() -> None:
         front = f.front
-        agreed_list_is_told(front)
-        settings_are_told(front)
-        journals_are_told(front)
+        assert_endpoints_recovered(front)
+        assert_settings_recovered(front)
+        assert_journals_recovered(front)
         assert front.metering is not None
         assert front.metering.ledger.statement(NOW - HOUR, START) == stored.BOOKED[NOW - HOUR]
-        # A file without time marks: how long nobody ran is not known, so no time counts as passed since then.
-        offset_us = START - max(
-            max(e.accepted_at, e.ended_at) for e in [*stored.CALLS, *stored.ENDED.values()]
-        )
-        for ended in stored.ENDED.values():
-            assert front.deferred.status(ended.function, ended.id) == stored.shifted(ended, offset_us)
-
-        def fate(execution: Execution) -> Execution:
-            found = front.deferred.status(execution.function, execution.id)
-            assert found is not None
-            return found
-
-        waiting = [e for e in stored.CALLS if e.status is Status.RUNNING]
-        assert front.recovered_calls == len(waiting)
-        f.until(lambda: all(fate(e).status is not Status.RUNNING for e in waiting))
-        for execution in waiting:  # one that may have run is not run again
-            found = fate(execution)
-            assert found.status is (Status.FAILED if execution.intended else Status.SUCCEEDED)
-            assert found.error_type == ("Gateway.Restart" if execution.intended else "")
-            told = replace(found, status=Status.RUNNING, ended_at=0, result=None)
-            assert replace(told, error_type="", error_message="") == stored.shifted(execution, offset_us)
+        assert_calls_recovered(f)
         front.stop()
 
     f.run(script)
@@ -170,27 +155,50 @@
         "often": "SKIPPED",
         "full": "REFUSED",
     }
-    for name in ("calls.db.agreed", "calls.db.table"):  # nothing newer was heard
+    for name in ("calls.db.agreed", "calls.db.table"):  # nothing newer was received
         assert (folder / name).read_bytes() == (GOLDEN / f"{name}.golden").read_bytes()
 
 
-def agreed_list_is_told(front: FrontEnd) -> None:
+def assert_calls_recovered(f: Fleet) -> None:
+    front = f.front
+    # A file without time marks: the downtime is unknown, so no time counts as passed since then.
+    offset_us = START - max(max(e.accepted_at, e.ended_at) for e in [*stored.CALLS, *stored.ENDED.values()])
+    for ended in stored.ENDED.values():
+        assert front.deferred.status(ended.function, ended.id) == stored.shifted(ended, offset_us)
+
+    def current(execution: Execution) -> Execution:
+        found = front.deferred.status(execution.function, execution.id)
+        assert found is not None
+        return found
+
+    open_calls = [e for e in stored.CALLS if e.status is Status.RUNNING]
+    assert front.recovered_calls == len(open_calls)
+    f.until(lambda: all(current(e).status is not Status.RUNNING for e in open_calls))
+    for execution in open_calls:  # a call that may have run is not run again
+        found = current(execution)
+        assert found.status is (Status.FAILED if execution.intended else Status.SUCCEEDED)
+        assert found.error_type == ("Gateway.Restart" if execution.intended else "")
+        reopened = replace(found, status=Status.RUNNING, ended_at=0, result=None)
+        assert replace(reopened, error_type="", error_message="") == stored.shifted(execution, offset_us)
+
+
+def assert_endpoints_recovered(front: FrontEnd) -> None:
     assert front.fleet is not None
     follower = front.fleet.follower
     assert follower.snapshot == AGREED and follower.applied_index == AGREED.index
 
 
-def settings_are_told(front: FrontEnd) -> None:
+def assert_settings_recovered(front: FrontEnd) -> None:
     assert front.settings_watch is not None
-    table = front.settings_watch.follower.store
+    table = front.settings_watch.watch_state.store
     assert {key: entry.value for key, entry in table.entries.items()} == encode_site(SITE)
     assert {entry.revision for entry in table.entries.values()} == {7}
     assert (table.revision, table.digest) == (12, agreed_table().digest)
-    assert front.settings_watch.follower.applied_revision == 12
+    assert front.settings_watch.watch_state.applied_revision == 12
     assert front.catalogue.functions["price"].version == "7"
 
 
-def journals_are_told(front: FrontEnd) -> None:
+def assert_journals_recovered(front: FrontEnd) -> None:
     assert front.replication is not None
     journal = front.replication.store
     assert journal.own_origin == stored.OWN and journal.offsets[stored.OTHER] == stored.OTHER_UPTO
@@ -215,7 +223,7 @@
 
 
 def test_digest_of_a_call_equals_the_golden_one(tmp_path: Path) -> None:
-    """It is stored: another one would make the same name a conflict after an upgrade."""
+    """It is stored: if it changed, a retry under the same name would be a conflict after an upgrade."""
     f = Fleet(tmp_path)
 
     def script() -> list[str]:
--- a/packages/daemon/tests/test_endpoint_lists.py
+++ b/packages/daemon/tests/test_endpoint_lists.py
@@ -1,4 +1,4 @@
-"""The worker list from a file: new ones are passed on, broken and older ones leave the last in force."""
+"""The worker list from a file: newer lists are published, invalid and older ones are rejected."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from fleet_rig import SECOND, Fleet
 
-EVERY = SECOND  # well beyond the front end's own looking
+POLL_WAIT_US = SECOND  # more than the front end's poll interval
 
 
 def test_list_file_when_replaced_is_published_and_when_invalid_changes_nothing(tmp_path: Path) -> None:
@@ -17,14 +17,14 @@
     path = tmp_path / "list.json"
 
     def write(version: int, lines: list[dict[str, Any]], text: str | None = None) -> None:
-        fresh = path.with_suffix(".new")
-        fresh.write_text(text if text is not None else json.dumps({"version": version, "workers": lines}))
-        os.replace(fresh, path)
-        fleet.loop.sleep(EVERY)
+        new_file = path.with_suffix(".new")
+        new_file.write_text(text if text is not None else json.dumps({"version": version, "workers": lines}))
+        os.replace(new_file, path)
+        fleet.loop.sleep(POLL_WAIT_US)
 
     def script() -> None:
-        lines = [{"name": w.name, "address": w.address} for w in fleet.lines]
-        assert fleet.invoke("price").status == 429  # no list yet, and no worker
+        lines = [{"name": line.name, "address": line.address} for line in fleet.lines]
+        assert fleet.invoke("price").status == 429  # no list yet, so no worker
         write(2, lines)
         assert fleet.invoke("price").status == 200
         for version, rows, text in (
@@ -35,8 +35,10 @@
         ):
             write(version, rows, text)
             assert fleet.invoke("price").status == 200
-        told = [line["error"] for event, line in fleet.log.lines if event == "worker_list_rejected"]
-        assert len(told) == 5 and "version 1 is older than 2" in told[2]  # each once, the missing file too
+        errors = [line["error"] for event, line in fleet.log.lines if event == "worker_list_rejected"]
+        assert (
+            len(errors) == 5 and "version 1 is older than 2" in errors[2]
+        )  # each logged once, and the missing file
         write(4, [line | {"state": "draining"} for line in lines])
         assert fleet.invoke("price").status == 429
 
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -1,4 +1,4 @@
-"""Deferred calls whose function is changed or configured no more, before and after they are on disk."""
+"""Deferred calls whose function is changed or removed, before and after they are on disk."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 import pytest
 
-from fleet_rig import SECOND, Fleet
+from fleet_rig import SECOND, Fleet, execution_path
 from test_journal_replication import RUN, Sites
 from walnutpost.config import Config
 from walnutpost.daemon.front_end import FrontEnd
@@ -20,24 +20,22 @@
 from walnutpost.store import Change, read_history
 
 EVENT = "Event"
-ARN = "x-amz-durable-execution-arn"
 
 
-def functions(front: FrontEnd) -> dict[str, Function]:
-    """Those of the front end, to be changed while it runs."""
-    told = front.catalogue.functions
-    assert isinstance(told, dict)
-    return told
+def mutable_functions(front: FrontEnd) -> dict[str, Function]:
+    """Return the front end's functions, to be changed while it runs."""
+    functions = front.catalogue.functions
+    assert isinstance(functions, dict)
+    return functions
 
 
-def fate(f: Fleet, deferred: Response) -> dict[str, Any]:
-    arn = deferred.headers[ARN].replace(":", "%3A").replace("/", "%2F")
-    told: dict[str, Any] = json.loads(f.ask("GET", f"/2025-12-01/durable-executions/{arn}").body)
-    return told
+def describe_execution(f: Fleet, deferred: Response) -> dict[str, Any]:
+    description: dict[str, Any] = json.loads(f.ask("GET", execution_path(deferred)).body)
+    return description
 
 
-def killed(f: Fleet) -> None:
-    """The front end ends with what it had open, as a process does that is killed."""
+def kill_front_end(f: Fleet) -> None:
+    """End the front end without waiting for open calls, as a killed process does."""
     front = f.front_config.front.model_copy(update={"shutdown_timeout_ms": 0})
     f.front._config = f.front._config.model_copy(update={"front": front})
     f.front.stop()
@@ -48,57 +46,59 @@
     f = Fleet(tmp_path, {"fleet": {"work": {"reserve": {"work_ms": 1000}}}})
 
     def script() -> None:
-        told = f.invoke("reserve", x_amz_invocation_type=EVENT)
+        response = f.invoke("reserve", x_amz_invocation_type=EVENT)
         f.until(lambda: f.runs("reserve") == 1)
-        del functions(f.front)["reserve"]
+        del mutable_functions(f.front)["reserve"]
         assert f.invoke("reserve", x_amz_invocation_type=EVENT).status == 404
         assert f.invoke("reserve").status == 404
-        assert fate(f, told)["Status"] == "RUNNING"
-        f.until(lambda: fate(f, told)["Status"] == "SUCCEEDED")
+        assert describe_execution(f, response)["Status"] == "RUNNING"
+        f.until(lambda: describe_execution(f, response)["Status"] == "SUCCEEDED")
         assert f.runs("reserve") == 1
 
     f.run(script)
 
 
-@pytest.mark.parametrize("gone", [True, False])
-def test_call_being_stored_when_its_function_changes_runs_the_former_one(tmp_path: Path, gone: bool) -> None:
-    """It is accepted under one version: it runs, and is answered, as that."""
+@pytest.mark.parametrize("is_removed", [True, False])
+def test_call_being_stored_when_its_function_changes_runs_the_former_one(
+    tmp_path: Path, is_removed: bool
+) -> None:
+    """A call runs and is answered as the version under which it was accepted."""
     f = Fleet(tmp_path)
 
     def script() -> None:
-        known, add = functions(f.front), f.front._store.add
+        functions_by_name, add_execution = mutable_functions(f.front), f.front._store.add
 
-        def slow(execution: Execution, also: Change | None = None) -> None:
-            add(execution, also)
-            if gone:
-                del known["price"]
+        def add_then_change(execution: Execution, also: Change | None = None) -> None:
+            add_execution(execution, also)
+            if is_removed:
+                del functions_by_name["price"]
             else:
-                known["price"] = replace(known["price"], class_index=1, version="2")
+                functions_by_name["price"] = replace(functions_by_name["price"], class_index=1, version="2")
 
-        f.front._store.add = slow  # type: ignore[method-assign]
-        told = f.invoke("price", x_amz_invocation_type=EVENT)
-        assert told.status == 202 and told.headers["x-amz-executed-version"] == "1"
-        f.until(lambda: fate(f, told)["Status"] == "SUCCEEDED")
-        assert fate(f, told)["Version"] == "1" and f.runs("price") == 1
+        f.front._store.add = add_then_change  # type: ignore[method-assign]
+        response = f.invoke("price", x_amz_invocation_type=EVENT)
+        assert response.status == 202 and response.headers["x-amz-executed-version"] == "1"
+        f.until(lambda: describe_execution(f, response)["Status"] == "SUCCEEDED")
+        assert describe_execution(f, response)["Version"] == "1" and f.runs("price") == 1
 
     f.run(script)
 
 
-def left_open(f: Fleet, function: str, sent: bool) -> Response:
-    """A deferred call that the process is killed with, before or after its first byte left."""
-    if not sent:
+def kill_with_open_call(f: Fleet, function: str, is_sent: bool) -> Response:
+    """Defer a call and kill the front end before or after the call's first byte is sent."""
+    if not is_sent:
         f.front.endpoint_lists.set_configured(f.front.endpoint_lists._configured[0], 1, [])  # type: ignore[index]
-    told = f.invoke(function, x_amz_invocation_type=EVENT)
-    assert told.status == 202
-    if sent:
+    response = f.invoke(function, x_amz_invocation_type=EVENT)
+    assert response.status == 202
+    if is_sent:
         f.until(lambda: f.runs(function) == 1)
     else:
         f.loop.sleep(100_000)
-    killed(f)
-    return told
+    kill_front_end(f)
+    return response
 
 
-def without(function: str) -> Callable[[Config], Config]:
+def without_function(function: str) -> Callable[[Config], Config]:
     def change(config: Config) -> Config:
         lines = {name: line for name, line in config.site.functions.items() if name != function}
         return config.model_copy(update={"site": config.site.model_copy(update={"functions": lines})})
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize(
-    ("function", "sent", "why"),
+    ("function", "is_sent", "reason"),
     [
         ("reserve", True, "may have been running"),
         ("reserve", False, "no longer configured"),
@@ -115,19 +115,19 @@
     ],
 )
 def test_restart_without_the_function_gives_its_calls_their_final_status(
-    tmp_path: Path, function: str, sent: bool, why: str
+    tmp_path: Path, function: str, is_sent: bool, reason: str
 ) -> None:
     f = Fleet(tmp_path, {"fleet": {"work": {function: {"work_ms": 2000}}}})
 
     def script() -> None:
-        told = left_open(f, function, sent)
-        f.front_config = without(function)(f.front_config)
+        response = kill_with_open_call(f, function, is_sent)
+        f.front_config = without_function(function)(f.front_config)
         f.front = f.start_front()
         f.until(lambda: f.front.deferred.pending_writes == 0)
-        said = fate(f, told)
-        assert said["Status"] == "FAILED" and why in said["Error"]["ErrorMessage"]
+        description = describe_execution(f, response)
+        assert description["Status"] == "FAILED" and reason in description["Error"]["ErrorMessage"]
         f.loop.sleep(3 * SECOND)
-        assert f.runs(function) == int(sent)
+        assert f.runs(function) == int(is_sent)
 
     f.run(script)
 
@@ -138,14 +138,14 @@
     f = Fleet(tmp_path, {"fleet": {"work": {"reserve": {"work_ms": 1000}}}})
 
     def script() -> None:
-        told = left_open(f, "reserve", True)
+        response = kill_with_open_call(f, "reserve", True)
         line = f.front_config.site.functions["reserve"].model_copy(update={"class_": "valuation"})
         lines = f.front_config.site.functions | {"reserve": line}
         site = f.front_config.site.model_copy(update={"functions": lines})
         f.front_config = f.front_config.model_copy(update={"site": site})
         f.front = f.start_front()
         f.until(lambda: f.front.deferred.pending_writes == 0)
-        assert "may have been running" in fate(f, told)["Error"]["ErrorMessage"]
+        assert "may have been running" in describe_execution(f, response)["Error"]["ErrorMessage"]
         f.loop.sleep(3 * SECOND)
         assert f.runs("reserve") == 1
 
@@ -153,7 +153,7 @@
 
 
 def test_result_of_a_removed_function_s_call_is_replicated_too(tmp_path: Path) -> None:
-    """Its class isn't known any more: as many holders know its fate as the strictest class asks for."""
+    """Its class is unknown: its result is replicated as the strictest class requires."""
     sites = Sites(tmp_path, copies=1)
 
     def script() -> None:
@@ -163,11 +163,11 @@
         front._config = front._config.model_copy(update={"front": settings})
         front.stop()
         front.close()
-        sites.front_config = without(RUN)(sites.front_config)
+        sites.front_config = without_function(RUN)(sites.front_config)
         sites.start("a1")
         sites.until(lambda: sites.fronts["a1"].deferred.pending_writes == 0)
         sites.loop.sleep(SECOND)
-        call = sites.call(sites.joined("a1", "b1", "c1"), "one")
+        call = sites.find_call(sites.merged_journal("a1", "b1", "c1"), "one")
         assert call.stage is CallStage.ENDED and call.ended is not None
         assert call.ended.status == "FAILED"
 
@@ -175,15 +175,15 @@
 
 
 def test_schedule_when_its_function_is_removed_fires_again_once_it_is_back(tmp_path: Path) -> None:
-    lines = {"look": {"cron": "* * * * *", "function": "price", "deadline_ms": 20_000}}
+    lines = {"every-minute": {"cron": "* * * * *", "function": "price", "deadline_ms": 20_000}}
     f = Fleet(tmp_path, {"schedules": lines})
 
     def script() -> None:
-        known = functions(f.front)
-        price = known.pop("price")
+        functions_by_name = mutable_functions(f.front)
+        price = functions_by_name.pop("price")
         f.loop.sleep(150 * SECOND)
         assert f.runs("price") == 0
-        known["price"] = price
+        functions_by_name["price"] = price
         f.loop.sleep(60 * SECOND)
         assert f.runs("price") >= 1
 
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -1,4 +1,4 @@
-"""Metering through the front end: what is booked against the stand-ins' own records of their copies."""
+"""Metering through the front end: the ledger compared with the fake workers' own records of their copies."""
 
 from __future__ import annotations
 
@@ -21,41 +21,41 @@
 START = 300 * HOUR - 15 * SECOND  # an hour ends soon
 
 
-def fleet(path: Path, clock: int = START, **more: Any) -> Fleet:
+def metered_fleet(path: Path, clock: int = START, **more: Any) -> Fleet:
     metering = {"fetch_ms": 1000, "write_ms": 2000, "close_after_ms": 60_000, **more.pop("metering", {})}
     return Fleet(path, {"metering": metering, **more}, clock=VirtualClock(clock))
 
 
-def meters(f: Fleet) -> UsageMetering:
+def metering_of(f: Fleet) -> UsageMetering:
     assert f.front.metering is not None
     return f.front.metering
 
 
-def metered(f: Fleet, of: UsageMetering | None = None) -> dict[Account, Amount]:
-    """All that the ledger knows, of every hour from the first."""
-    m = of or meters(f)
-    m.collect()
+def metered_usage(f: Fleet, metering: UsageMetering | None = None) -> dict[Account, Amount]:
+    """Return the ledger's usage of all hours."""
+    metering = metering or metering_of(f)
+    metering.collect()
     hours = range(START // HOUR * HOUR - HOUR, f.loop.now() + HOUR, HOUR)
-    return added(m.ledger.statement(hour // HOUR * HOUR, f.loop.now()) for hour in hours)
+    return added(metering.ledger.statement(hour // HOUR * HOUR, f.loop.now()) for hour in hours)
 
 
-def truth(f: Fleet) -> dict[tuple[str, str], Fraction]:
-    out: dict[tuple[str, str], Fraction] = {}
+def actual_usage(f: Fleet) -> dict[tuple[str, str], Fraction]:
+    usage: dict[tuple[str, str], Fraction] = {}
     for worker in f.workers.values():
         for account, amount in true_usage(worker.model.copy_events, f.loop.now()).items():
-            out[account] = out.get(account, Fraction(0)) + amount
-    return out
+            usage[account] = usage.get(account, Fraction(0)) + amount
+    return usage
 
 
-def agree(f: Fleet) -> None:
-    """Exactly in all; for each tenant but for the rounding of shared microseconds."""
-    known, true = metered(f), truth(f)
-    assert {a.cause for a in known} <= {""}
-    assert sum(a.best for a in known.values()) == sum(true.values())
-    for account, amount in known.items():
+def assert_metered_equals_actual(f: Fleet) -> None:
+    """The totals are equal; a tenant's usage differs only by the rounding of shared microseconds."""
+    metered, actual = metered_usage(f), actual_usage(f)
+    assert {a.cause for a in metered} <= {""}
+    assert sum(a.best for a in metered.values()) == sum(actual.values())
+    for account, amount in metered.items():
         assert amount.least == amount.best == amount.most
-        assert abs(amount.best - true[account.tenant, account.function]) < 400 * 200, account
-    assert len(known) == len(true)
+        assert abs(amount.best - actual[account.tenant, account.function]) < 400 * 200, account
+    assert len(metered) == len(actual)
 
 
 def traffic(f: Fleet, seconds: int) -> None:
@@ -67,32 +67,32 @@
 
 
 def test_metered_usage_equals_what_the_workers_recorded(tmp_path: Path) -> None:
-    f = fleet(tmp_path)
+    f = metered_fleet(tmp_path)
 
     def script() -> None:
         traffic(f, 20)
-        agree(f)
+        assert_metered_equals_actual(f)
         f.loop.sleep(15 * SECOND)
-        agree(f)
+        assert_metered_equals_actual(f)
 
     f.run(script)
 
 
-def covered(f: Fleet, *ledgers: UsageMetering) -> None:
-    """The truth lies within what each ledger says, and what is charged to anybody is no more than it."""
-    true = truth(f)
-    for m in ledgers or (meters(f),):
-        m.collect()
-        known = metered(f, m)
-        total = added([{Account("", ""): a} for a in known.values()])[Account("", "")]
-        assert total.least <= sum(true.values()) <= total.most
-        for account, amount in known.items():
+def assert_bounds_cover_actual(f: Fleet, *ledgers: UsageMetering) -> None:
+    """The actual usage is within each ledger's bounds, and no tenant is charged more than its usage."""
+    actual = actual_usage(f)
+    for metering in ledgers or (metering_of(f),):
+        metering.collect()
+        metered = metered_usage(f, metering)
+        total = added([{Account("", ""): a} for a in metered.values()])[Account("", "")]
+        assert total.least <= sum(actual.values()) <= total.most
+        for account, amount in metered.items():
             if not account.cause and account.tenant != UNATTRIBUTED:
-                assert amount.best <= true[account.tenant, account.function] + 400 * 200
+                assert amount.best <= actual[account.tenant, account.function] + 400 * 200
 
 
 def test_worker_when_killed_leaves_a_gap_that_covers_its_unreported_usage(tmp_path: Path) -> None:
-    f = fleet(tmp_path, metering={"silent_ms": 5000})
+    f = metered_fleet(tmp_path, metering={"silent_ms": 5000})
 
     def script() -> None:
         traffic(f, 5)
@@ -101,15 +101,15 @@
         f.loop.sleep(700_000)
         traffic(f, 15)
         f.loop.sleep(HOUR // 10)
-        covered(f)
-        gaps = {a.cause: m for a, m in metered(f).items() if a.cause}
+        assert_bounds_cover_actual(f)
+        gaps = {a.cause: amount for a, amount in metered_usage(f).items() if a.cause}
         assert set(gaps) == {"silent"} and 0 < gaps["silent"].most <= 3 * 8192 * 2 * SECOND
 
     f.run(script)
 
 
-def killed(f: Fleet) -> None:
-    """The front end ends without a word, and another takes its place."""
+def kill_and_restart(f: Fleet) -> None:
+    """Kill the front end and start another in its place."""
     f.front.server.stop_accepting()
     for task in f.front._tasks:
         task.cancel()
@@ -119,44 +119,44 @@
 
 
 def test_front_end_when_killed_continues_its_counts(tmp_path: Path) -> None:
-    f = fleet(tmp_path)
+    f = metered_fleet(tmp_path)
 
     def script() -> None:
         for _ in range(3):
             traffic(f, 6)
             f.loop.sleep(1_500_000)
-            killed(f)
-        agree(f)
+            kill_and_restart(f)
+        assert_metered_equals_actual(f)
 
     f.run(script)
 
 
 def test_ledger_write_when_its_caller_is_cancelled_is_not_repeated(tmp_path: Path) -> None:
-    f = fleet(tmp_path, metering={"write_ms": 600_000})
+    f = metered_fleet(tmp_path, metering={"write_ms": 600_000})
 
     def script() -> None:
         traffic(f, 20)
         f.loop.sleep(2 * MINUTE)
-        store = meters(f)._store
-        commit = store.write
+        store = metering_of(f)._store
+        write = store.write
 
         def cancelled_meanwhile(batch: Batch, run: LedgerRun) -> None:
             waiter.cancel()
-            commit(batch, run)
+            write(batch, run)
 
         store.write = cancelled_meanwhile  # type: ignore[method-assign]
-        waiter = f.loop.spawn(meters(f).write)
+        waiter = f.loop.spawn(metering_of(f).write)
         f.until(lambda: waiter.is_done)
-        assert meters(f).write()
-        booked = added(meters(f)._store.load()[0].booked.values())
-        stated = meters(f).ledger.statement(START // HOUR * HOUR, f.loop.now())
-        assert booked == {a: m for a, m in stated.items() if m} and booked
+        assert metering_of(f).write()
+        booked = added(metering_of(f)._store.load()[0].booked.values())
+        stated = metering_of(f).ledger.statement(START // HOUR * HOUR, f.loop.now())
+        assert booked == {a: amount for a, amount in stated.items() if amount} and booked
 
     f.run(script)
 
 
 def test_two_front_ends_with_half_of_the_calls_count_each_copy_once(tmp_path: Path) -> None:
-    f = fleet(tmp_path)
+    f = metered_fleet(tmp_path)
 
     def script() -> None:
         first, other = f.front, f.start_front(path=tmp_path / "other")
@@ -165,7 +165,7 @@
             f.loop.spawn(lambda n=n: f.invoke("price", x_amz_tenant_id=("tills", "trade")[n % 3 % 2]))
             f.loop.sleep(SECOND // 5)
         for f.front in (first, other):
-            agree(f)
+            assert_metered_equals_actual(f)
         f.front = first
         other.close()
 
@@ -173,77 +173,79 @@
 
 
 def test_workers_without_reports_are_estimated_within_bounds_also_over_a_kill(tmp_path: Path) -> None:
-    f = fleet(tmp_path)
+    f = metered_fleet(tmp_path)
 
     def script() -> None:
         for server in f.workers.values():
             server.command({"books": False})
         traffic(f, 7)
-        covered(f)
-        killed(f)
+        assert_bounds_cover_actual(f)
+        kill_and_restart(f)
         traffic(f, 7)
-        covered(f)
-        causes = {a.cause: m for a, m in metered(f).items()}
+        assert_bounds_cover_actual(f)
+        causes = {a.cause: amount for a, amount in metered_usage(f).items()}
         assert set(causes) == {"estimated", "front end down"} and causes["front end down"].most > 0
 
     f.run(script)
 
 
 def test_ledger_when_the_disk_is_full_stops_no_call_and_loses_nothing(tmp_path: Path) -> None:
-    f = fleet(tmp_path)
+    f = metered_fleet(tmp_path)
 
     def script() -> None:
         traffic(f, 3)
-        db = meters(f)._store._db
+        db = metering_of(f)._store._db
         db.execute("pragma wal_checkpoint(truncate)")
         pages = db.execute("pragma page_count").fetchone()[0]
         db.execute(f"pragma max_page_count={pages}")
-        for n in range(200):  # more names than the file's last pages take
-            meters(f).ledger.gap(Gap(0, f"source {n}" * 40, "front end down", 0))
-        assert not meters(f).write()
+        for n in range(200):  # more names than the last pages of the file have space for
+            metering_of(f).ledger.gap(Gap(0, f"source {n}" * 40, "front end down", 0))
+        assert not metering_of(f).write()
         traffic(f, 4)
         assert f.invoke("price").status == 200
-        complaints = [fields for event, fields in f.log.lines if event == "ledger_write_failed"]
-        assert len(complaints) == 1 and "full" in complaints[0]["error"]
+        failures = [fields for event, fields in f.log.lines if event == "ledger_write_failed"]
+        assert len(failures) == 1 and "full" in failures[0]["error"]
         db.execute("pragma max_page_count=1000000")
-        assert meters(f).write()
-        agree(f)
-        killed(f)
-        agree(f)
+        assert metering_of(f).write()
+        assert_metered_equals_actual(f)
+        kill_and_restart(f)
+        assert_metered_equals_actual(f)
 
     f.run(script)
 
 
-LIES: dict[str, tuple[Any, str]] = {
+INVALID_REPORTS: dict[str, tuple[Any, str]] = {
     "no report": (lambda r: {"worker": 1}, "Expected"),
     "another's": (lambda r: msgspec.structs.replace(r, worker="worker-9"), "found a report of 'worker-9'"),
     "a start ahead": (lambda r: msgspec.structs.replace(r, started=r.at + HOUR), "found start"),
 }
 
 
-@pytest.mark.parametrize("name", LIES)
+@pytest.mark.parametrize("name", INVALID_REPORTS)
 def test_report_when_invalid_is_logged_once_and_calls_go_on(name: str, tmp_path: Path) -> None:
-    lie, complaint = LIES[name]
-    f = fleet(tmp_path)
+    alter_report, error_part = INVALID_REPORTS[name]
+    f = metered_fleet(tmp_path)
 
     def script() -> None:
         for server in f.workers.values():
-            server.alter_usage_report = lie
+            server.alter_usage_report = alter_report
         assert f.invoke("price").status == 200
         f.loop.sleep(5 * SECOND)
-        told = [t["inconsistencies"] for event, t in f.log.lines if event == "usage_report_inconsistent"]
-        assert len(told) == 3 and all(complaint in notes[0] for notes in told)
+        logged = [
+            fields["inconsistencies"] for event, fields in f.log.lines if event == "usage_report_inconsistent"
+        ]
+        assert len(logged) == 3 and all(error_part in errors[0] for errors in logged)
 
     f.run(script)
 
 
-def past_budget(path: Path, action: str) -> Fleet:
+def fleet_with_budget(path: Path, action: str) -> Fleet:
     budget = {"mb_s": 1, "period": "hour", "action": action}
-    return fleet(path, 300 * HOUR - MINUTE, metering={"budgets": {"trade": budget}})
+    return metered_fleet(path, 300 * HOUR - MINUTE, metering={"budgets": {"trade": budget}})
 
 
 def test_tenant_past_its_budget_gets_no_new_loads_and_others_and_open_calls_do(tmp_path: Path) -> None:
-    f = past_budget(tmp_path, "refuse new loads")
+    f = fleet_with_budget(tmp_path, "refuse new loads")
 
     def script() -> None:
         assert f.invoke("price", x_amz_tenant_id="trade").status == 200
@@ -251,39 +253,41 @@
             lambda: f.invoke("reserve", x_amz_tenant_id="trade", amz_sdk_invocation_id="8")
         )
         f.loop.sleep(100_000)
-        meters(f).collect()
-        assert [t["state"] for event, t in f.log.lines if event == "budget_state_changed"] == ["PAST"]
-        # What is in goes on, asked for again or not; what stands serves; a new load is refused at once.
-        again = f.invoke(
+        metering_of(f).collect()
+        assert [fields["state"] for event, fields in f.log.lines if event == "budget_state_changed"] == [
+            "PAST"
+        ]
+        # Open calls and their retries go on, loaded copies serve; a call that needs a load is rejected.
+        retried = f.invoke(
             "reserve", x_amz_tenant_id="trade", amz_sdk_invocation_id="8", amz_sdk_request="attempt=2"
         )
-        assert again.status == started.join().status == 200
+        assert retried.status == started.join().status == 200
         assert f.invoke("price", b"2", x_amz_tenant_id="trade").status == 200
         f.loop.sleep(15 * SECOND)
         before = f.loop.now()
-        refused = f.invoke("price", b"3", x_amz_tenant_id="trade")
-        assert refused.status == 429 and f.loop.now() - before < SECOND
-        assert b"budget" in refused.body
-        assert 0 < int(refused.headers["retry-after"]) <= 45
+        rejected = f.invoke("price", b"3", x_amz_tenant_id="trade")
+        assert rejected.status == 429 and f.loop.now() - before < SECOND
+        assert b"budget" in rejected.body
+        assert 0 < int(rejected.headers["retry-after"]) <= 45
         deferred = f.invoke("price", b"4", x_amz_tenant_id="trade", x_amz_invocation_type="Event")
         assert deferred.status == 429
         assert f.invoke("price", b"3", x_amz_tenant_id="tills").status == 200
         f.loop.sleep(MINUTE)
-        meters(f).collect()
+        metering_of(f).collect()
         assert f.invoke("price", b"3", x_amz_tenant_id="trade").status == 200
 
     f.run(script)
 
 
 def test_tenant_past_its_budget_alone_gets_no_further_copies(tmp_path: Path) -> None:
-    for action, scaled in (("no ahead loads", False), ("note", True)):
+    for action, is_scaled in (("no ahead loads", False), ("note", True)):
         path = tmp_path / action.replace(" ", "-")
         path.mkdir()
-        f = past_budget(path, action)
+        f = fleet_with_budget(path, action)
 
-        def script(f: Fleet = f, scaled: bool = scaled) -> None:
+        def script(f: Fleet = f, is_scaled: bool = is_scaled) -> None:
             f.invoke("price", x_amz_tenant_id="trade")
-            meters(f).collect()
+            metering_of(f).collect()
             orders, send = [], f.front.links.order
 
             def order(effect: LoadOrder, done: Any) -> None:
@@ -293,6 +297,6 @@
             f.front.links.order = order  # type: ignore[method-assign]
             calls = [f.loop.spawn(lambda: f.invoke("price", x_amz_tenant_id="trade")) for _ in range(12)]
             assert [c.join().status for c in calls] == [200] * 12
-            assert (max(orders, default=0) > 0) is scaled
+            assert (max(orders, default=0) > 0) is is_scaled
 
         f.run(script)
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that change while a front end runs: a relay's table on the same loop, real calls over sockets."""
+"""Settings that change while a front end runs: a fake relay on the same loop, real calls over sockets."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 import pytest
 
-from fleet_rig import INVOKE, SECOND, Fleet
-from relay_rig import Served
-from test_functions_gone import ARN, EVENT, fate, killed
+from fleet_rig import INVOKE, SECOND, Fleet, execution_path
+from relay_rig import FakeRelay
+from test_functions_gone import EVENT, describe_execution, kill_front_end
 from walnutpost.config.entries import FUNCTION_PREFIX, encode_site, encode_value
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import ConfigStore, Entry, Mutation
@@ -39,26 +39,26 @@
 }
 
 
-def line(version: int = 1, **more: Any) -> bytes:
-    told = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50, "version": str(version)}
-    return encode_value(FunctionConfig.model_validate(told | more))
+def function_entry(version: int = 1, **more: Any) -> bytes:
+    settings = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50, "version": str(version)}
+    return encode_value(FunctionConfig.model_validate(settings | more))
 
 
-def put(name: str, version: int = 1, **more: Any) -> Mutation:
-    return Mutation(FUNCTION_PREFIX + name, line(version, **more))
+def put_function(name: str, version: int = 1, **more: Any) -> Mutation:
+    return Mutation(FUNCTION_PREFIX + name, function_entry(version, **more))
 
 
-def gone(name: str) -> Mutation:
+def delete_function(name: str) -> Mutation:
     return Mutation(FUNCTION_PREFIX + name, None)
 
 
-class Followed(Fleet):
-    """A fleet whose front end follows a relay's table, which has the settings of its own file."""
+class SettingsFleet(Fleet):
+    """A fleet whose front end watches a relay; the relay's table begins with the front end's own settings."""
 
     def __init__(self, path: Path, more: dict[str, Any] | None = None, agreed: bool = True) -> None:
         super().__init__(path, more or SITE)
         self.agreed = agreed
-        self.relay: Served
+        self.relay: FakeRelay
         self.relays: dict[str, str] = {}
         self.more: dict[str, Any] = {}
 
@@ -71,7 +71,7 @@
                     1, [Mutation(key, value) for key, value in encode_site(self.config.site).items()]
                 )
             self.start_relay(table)
-            self.begin()
+            self.start_front_end()
             script()
 
         try:
@@ -82,20 +82,20 @@
         assert not self.errors, self.errors
 
     def start_relay(self, table: ConfigStore) -> None:
-        self.relay = Served(self.loop, table)
+        self.relay = FakeRelay(self.loop, table)
         self.relays = {"r1": "{}:{}".format(*self.relay.address)}
 
-    def begin(self, listed: bool = True) -> None:
-        told = json.loads(self.front_config.model_dump_json(by_alias=True, exclude_unset=True))
-        told["agreement"] = {"member": "front-0", "relays": self.relays} | self.more
-        self.front_config = type(self.front_config).model_validate(told)
+    def start_front_end(self, listed: bool = True) -> None:
+        settings = json.loads(self.front_config.model_dump_json(by_alias=True, exclude_unset=True))
+        settings["agreement"] = {"member": "front-0", "relays": self.relays} | self.more
+        self.front_config = type(self.front_config).model_validate(settings)
         self.front = self.start_front(listed)
 
-    def own_file_lacks(self, name: str) -> None:
-        """The front end's file is older than the function."""
+    def remove_from_own_config(self, name: str) -> None:
+        """Remove a function from the front end's own configuration, as if that were older."""
         site = self.front_config.site
-        own = {other: line for other, line in site.functions.items() if other != name}
-        site = site.model_copy(update={"functions": own})
+        remaining = {other: config for other, config in site.functions.items() if other != name}
+        site = site.model_copy(update={"functions": remaining})
         self.front_config = self.front_config.model_copy(update={"site": site})
 
     @property
@@ -103,23 +103,23 @@
         assert self.front.settings_watch is not None
         return self.front.settings_watch
 
-    def change(self, *ops: Mutation) -> int:
-        """Agreed on, and in force at the front end."""
-        revision = self.relay.change(list(ops))
-        self.until(lambda: self.settings.follower.applied_revision == revision)
+    def change(self, *mutations: Mutation) -> int:
+        """Commit a change set; return its revision once the front end has applied it."""
+        revision = self.relay.change(list(mutations))
+        self.until(lambda: self.settings.watch_state.applied_revision == revision)
         return revision
 
-    def answers_as(self, function: str) -> str:
-        told = self.invoke(function)
-        assert told.status == 200, (told.status, told.body)
-        return told.headers["x-amz-executed-version"]
+    def invoked_version(self, function: str) -> str:
+        response = self.invoke(function)
+        assert response.status == 200, (response.status, response.body)
+        return response.headers["x-amz-executed-version"]
 
-    def said(self, event: str, part: str) -> int:
-        return sum(name == event and part in repr(told) for name, told in self.log.lines)
+    def count_logged(self, event: str, part: str) -> int:
+        return sum(name == event and part in repr(fields) for name, fields in self.log.lines)
 
 
 def test_new_settings_apply_from_the_next_call_and_change_nothing_else(tmp_path: Path) -> None:
-    f = Followed(tmp_path, {"fleet": {"work": {"price": {"work_ms": 1000}}}})
+    f = SettingsFleet(tmp_path, {"fleet": {"work": {"price": {"work_ms": 1000}}}})
 
     def script() -> None:
         f.warm("reserve")
@@ -127,69 +127,69 @@
         events: list[Any] = []
         handle = router.handle
 
-        def seen(now: int, event: Any) -> Any:
+        def record(now: int, event: Any) -> Any:
             events.append(event)
             return handle(now, event)
 
-        router.handle = seen  # type: ignore[method-assign]
+        router.handle = record  # type: ignore[method-assign]
         key = f.front.core._gateway._functions.number("reserve")
         state = router.functions.by_key[key]
-        belief = {w: c.count for w, c in state.copies.items()}
+        copy_counts = {w: copies.count for w, copies in state.copies.items()}
         first = f.loop.spawn(f.invoke, "price")
         f.until(lambda: f.runs("price") == 1)
-        f.change(put("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"}))
+        f.change(put_function("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"}))
         open_calls = f.front.core._gateway._calls.by_number.values()
-        assert [(c.function.version, c.function.lanes) for c in open_calls] == [("1", 2.0)]
+        assert [(copies.function.version, copies.function.lanes) for copies in open_calls] == [("1", 2.0)]
         second = f.invoke("price")
         assert (second.status, second.headers["x-amz-executed-version"]) == (200, "2")
         assert (first.join().status, first.join().headers["x-amz-executed-version"]) == (200, "1")
-        asked = [e for e in events if isinstance(e, RequestArrived)]
-        told = [(e.class_index, e.memory_mb, e.lanes, e.load_time_us) for e in asked]
-        assert told == [(0, 400, 2.0, 300_000), (1, 512, 7.0, 80_000)]
+        arrivals = [e for e in events if isinstance(e, RequestArrived)]
+        response = [(e.class_index, e.memory_mb, e.lanes, e.load_time_us) for e in arrivals]
+        assert response == [(0, 400, 2.0, 300_000), (1, 512, 7.0, 80_000)]
         assert not [e for e in events if isinstance(e, WorkersListed)]
         assert f.front.core._gateway._router is router and router.functions.by_key[key] is state
-        assert {w: c.count for w, c in state.copies.items()} == belief
-        assert f.warm("reserve") in {f.front.core._gateway._workers.name(w) for w in belief}
+        assert {w: copies.count for w, copies in state.copies.items()} == copy_counts
+        assert f.warm("reserve") in {f.front.core._gateway._workers.name(w) for w in copy_counts}
 
     f.play(script)
 
 
 def test_removed_function_rejects_new_calls_as_unknown_and_open_ones_end(tmp_path: Path) -> None:
-    f = Followed(tmp_path, {"fleet": {"work": {"price": {"work_ms": 1000}}}})
+    f = SettingsFleet(tmp_path, {"fleet": {"work": {"price": {"work_ms": 1000}}}})
 
     def script() -> None:
         sync = f.loop.spawn(f.invoke, "price")
         deferred = f.invoke("price", b"2", x_amz_invocation_type=EVENT)
         f.until(lambda: f.runs("price") == 2)
-        f.change(gone("price"))
+        f.change(delete_function("price"))
         unknown = f.invoke("price")
         assert unknown.status == 404 and b"Function not found: price" in unknown.body
         assert f.invoke("price", x_amz_invocation_type=EVENT).status == 404
         assert sync.join().status == 200
-        f.until(lambda: fate(f, deferred)["Status"] == "SUCCEEDED")
-        assert f.answers_as("reserve") == "1" and f.runs("price") == 2
-        f.change(put("price", 3))
-        assert f.answers_as("price") == "3"
+        f.until(lambda: describe_execution(f, deferred)["Status"] == "SUCCEEDED")
+        assert f.invoked_version("reserve") == "1" and f.runs("price") == 2
+        f.change(put_function("price", 3))
+        assert f.invoked_version("price") == "3"
 
     f.play(script)
 
 
 def test_change_set_under_load_is_seen_atomically_and_loses_no_call(tmp_path: Path) -> None:
-    """Four clients call all along, each two functions in turn, whose versions change together."""
-    f = Followed(tmp_path)
-    seen: list[tuple[str, int]] = []
+    """Four clients call two functions in turn all the time, whose versions change together."""
+    f = SettingsFleet(tmp_path)
+    observed: list[tuple[str, int]] = []
 
-    def client(order: tuple[str, str], until: Callable[[], bool]) -> None:
-        before = 0
+    def client(order: tuple[str, str], is_over: Callable[[], bool]) -> None:
+        previous_version = 0
         connection = Connection.open(f.loop, f.front.address)
-        while not until():
+        while not is_over():
             for function in order:
-                told = connection.ask("POST", INVOKE.format(function), {}, b"1")
-                assert told.status == 200, (function, told.status, told.body)
-                version = int(told.headers["x-amz-executed-version"])
-                assert version >= before, "one function of a change set without the other"
-                before = version
-                seen.append((function, version))
+                response = connection.ask("POST", INVOKE.format(function), {}, b"1")
+                assert response.status == 200, (function, response.status, response.body)
+                version = int(response.headers["x-amz-executed-version"])
+                assert version >= previous_version, "one function of a change set without the other"
+                previous_version = version
+                observed.append((function, version))
         connection.close()
 
     def script() -> None:
@@ -199,163 +199,170 @@
             f.invoke(name)
         clients = [f.loop.spawn(client, order, lambda: bool(over)) for order in orders]
         revision = 1
-        for version in range(2, 42):  # of each third the front end takes several at once
-            ops = [put("left", version), put("right", version)]
-            ops.append(put("extra", version) if version % 2 else gone("extra"))
-            revision = f.relay.change(ops)
+        for version in range(2, 42):  # every third one is applied together with others
+            mutations = [put_function("left", version), put_function("right", version)]
+            mutations.append(put_function("extra", version) if version % 2 else delete_function("extra"))
+            revision = f.relay.change(mutations)
             f.loop.sleep(37_000 if version % 3 == 0 else 0)
-        f.until(lambda: f.settings.follower.applied_revision == revision)
+        f.until(lambda: f.settings.watch_state.applied_revision == revision)
         f.loop.sleep(SECOND)
         over.append(True)
         for task in clients:
             task.join()
-        assert f.answers_as("left") == f.answers_as("right") == "41"
+        assert f.invoked_version("left") == f.invoked_version("right") == "41"
 
     f.play(script)
-    assert len({version for _, version in seen}) > 10
+    assert len({version for _, version in observed}) > 10
 
 
 def test_invalid_revision_is_reported_and_no_part_of_it_applied(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
 
-    def stuck() -> str:
-        return f.relay.questions[-1].blocked_reason
+    def blocked_reason() -> str:
+        return f.relay.requests[-1].blocked_reason
 
     def script() -> None:
-        bad = put("ghost", 1, **{"class": "nowhere"})
-        f.relay.change([put("left", 2), bad])
-        f.until(lambda: stuck() != "")
-        assert "function/ghost" in stuck() and "nowhere" in stuck() and "valuation" in stuck()
-        assert f.answers_as("left") == "1" and f.invoke("ghost").status == 404
-        f.relay.change([put("right", 2)])  # which alone could be acted on, and comes after what can't
-        f.until(lambda: f.relay.questions[-1].revision == 3)
-        assert f.relay.questions[-1].applied_revision == 1 and stuck()
-        assert f.answers_as("left") == f.answers_as("right") == "1"
-        assert f.said("config_blocked", "nowhere") == 1
-        f.change(put("ghost", 2))
-        assert (f.answers_as("left"), f.answers_as("right")) == ("2", "2")
-        f.until(lambda: f.relay.questions[-1].applied_revision == 4 and not stuck())
+        bad = put_function("ghost", 1, **{"class": "nowhere"})
+        f.relay.change([put_function("left", 2), bad])
+        f.until(lambda: blocked_reason() != "")
+        assert (
+            "function/ghost" in blocked_reason()
+            and "nowhere" in blocked_reason()
+            and "valuation" in blocked_reason()
+        )
+        assert f.invoked_version("left") == "1" and f.invoke("ghost").status == 404
+        f.relay.change([put_function("right", 2)])  # valid, but after a revision that is blocked
+        f.until(lambda: f.relay.requests[-1].revision == 3)
+        assert f.relay.requests[-1].applied_revision == 1 and blocked_reason()
+        assert f.invoked_version("left") == f.invoked_version("right") == "1"
+        assert f.count_logged("config_blocked", "nowhere") == 1
+        f.change(put_function("ghost", 2))
+        assert (f.invoked_version("left"), f.invoked_version("right")) == ("2", "2")
+        f.until(lambda: f.relay.requests[-1].applied_revision == 4 and not blocked_reason())
 
     f.play(script)
 
 
 def test_invalid_revision_when_corrected_by_a_removal_is_applied(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
-        ghosts = [put(f"ghost{n}", 1, **{"class": "nowhere"}) for n in range(3)]
-        f.relay.change([put("left", 2), *ghosts])
-        f.until(lambda: "and 2 more" in f.relay.questions[-1].blocked_reason)
-        f.change(*(gone(f"ghost{n}") for n in range(3)))
-        assert f.answers_as("left") == "2" and len(f.front.catalogue.functions) == 5
+        ghosts = [put_function(f"ghost{n}", 1, **{"class": "nowhere"}) for n in range(3)]
+        f.relay.change([put_function("left", 2), *ghosts])
+        f.until(lambda: "and 2 more" in f.relay.requests[-1].blocked_reason)
+        f.change(*(delete_function(f"ghost{n}") for n in range(3)))
+        assert f.invoked_version("left") == "2" and len(f.front.catalogue.functions) == 5
 
     f.play(script)
 
 
 def test_start_without_relays_applies_the_cached_table(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
-        f.change(put("left", 2), put("extra", 5), gone("right"))
-        told = f.invoke("extra", b"9", x_amz_invocation_type=EVENT)
-        killed(f)
-        assert f.relay.questions[-1].is_leaving
-        f.relay.end()
+        f.change(put_function("left", 2), put_function("extra", 5), delete_function("right"))
+        response = f.invoke("extra", b"9", x_amz_invocation_type=EVENT)
+        kill_front_end(f)
+        assert f.relay.requests[-1].is_leaving
+        f.relay.kill()
         before = f.loop.now()
-        f.own_file_lacks("extra")
-        f.begin()
+        f.remove_from_own_config("extra")
+        f.start_front_end()
         assert f.loop.now() - before <= 2 * SECOND
         assert (
-            f.answers_as("left") == "2" and f.answers_as("extra") == "5" and f.invoke("right").status == 404
+            f.invoked_version("left") == "2"
+            and f.invoked_version("extra") == "5"
+            and f.invoke("right").status == 404
         )
-        f.until(lambda: fate(f, told)["Status"] == "SUCCEEDED")
-        assert f.settings.follower.applied_revision == 2
+        f.until(lambda: describe_execution(f, response)["Status"] == "SUCCEEDED")
+        assert f.settings.watch_state.applied_revision == 2
         f.loop.sleep(30 * SECOND)
-        assert f.settings.is_stale and f.said("config_stale", "") == 1
-        assert f.answers_as("left") == "2"
+        assert f.settings.is_stale and f.count_logged("config_stale", "") == 1
+        assert f.invoked_version("left") == "2"
 
     f.play(script)
 
 
-@pytest.mark.parametrize("ends", ["agreed", "removed", "stopped", "late"])
+@pytest.mark.parametrize("end", ["agreed", "removed", "stopped", "late"])
 def test_recovered_call_of_an_agreed_function_waits_until_the_table_is_received(
-    tmp_path: Path, ends: str
+    tmp_path: Path, end: str
 ) -> None:
-    """Neither relays nor a kept table: the function may stand in what is not heard of yet."""
-    f = Followed(tmp_path)
+    """Without relays and cache: the function may be in a table that was not received yet."""
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
-        f.change(put("extra", 5))
-        own = base64.b64encode(b'{"custom": {"deadline-ms": 60000}}').decode()
-        told = f.invoke("extra", b"9", x_amz_invocation_type=EVENT, x_amz_client_context=own)
-        killed(f)
+        f.change(put_function("extra", 5))
+        context = base64.b64encode(b'{"custom": {"deadline-ms": 60000}}').decode()
+        response = f.invoke("extra", b"9", x_amz_invocation_type=EVENT, x_amz_client_context=context)
+        kill_front_end(f)
         watch = f.relay.watch
         answer = watch.handle
         watch.handle = lambda *_: Response(503)  # type: ignore[method-assign]
         (tmp_path / "calls.db.table").unlink()
-        f.own_file_lacks("extra")
-        f.begin()
-        assert f.invoke("extra").status == 404 and fate(f, told)["Status"] == "RUNNING"
+        f.remove_from_own_config("extra")
+        f.start_front_end()
+        assert f.invoke("extra").status == 404 and describe_execution(f, response)["Status"] == "RUNNING"
         f.loop.sleep(SECOND)
-        assert fate(f, told)["Status"] == "RUNNING"
-        if ends == "stopped":
-            arn = told.headers[ARN].replace(":", "%3A").replace("/", "%2F")
-            f.ask("POST", f"/2025-12-01/durable-executions/{arn}/stop")
-        elif ends == "late":
+        assert describe_execution(f, response)["Status"] == "RUNNING"
+        if end == "stopped":
+            f.ask("POST", execution_path(response) + "/stop")
+        elif end == "late":
             f.loop.sleep(120 * SECOND)
         else:
-            if ends == "removed":
-                f.relay.change([gone("extra")])
+            if end == "removed":
+                f.relay.change([delete_function("extra")])
             watch.handle = answer  # type: ignore[method-assign]
-        wanted = {"agreed": "SUCCEEDED", "removed": "FAILED", "stopped": "STOPPED", "late": "TIMED_OUT"}[ends]
-        f.until(lambda: fate(f, told)["Status"] != "RUNNING")
-        assert fate(f, told)["Status"] == wanted, fate(f, told)
+        wanted = {"agreed": "SUCCEEDED", "removed": "FAILED", "stopped": "STOPPED", "late": "TIMED_OUT"}[end]
+        f.until(lambda: describe_execution(f, response)["Status"] != "RUNNING")
+        assert describe_execution(f, response)["Status"] == wanted, describe_execution(f, response)
 
     f.play(script)
 
 
-@pytest.mark.parametrize("harm", ["flipped", "short", "empty"])
-def test_cached_table_when_corrupt_is_logged_and_not_used(tmp_path: Path, harm: str) -> None:
-    f = Followed(tmp_path)
+@pytest.mark.parametrize("damage", ["flipped", "short", "empty"])
+def test_cached_table_when_corrupt_is_logged_and_not_used(tmp_path: Path, damage: str) -> None:
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
-        f.change(put("left", 2))
-        killed(f)
+        f.change(put_function("left", 2))
+        kill_front_end(f)
         table = f.relay.table
-        f.relay.end()
-        kept = tmp_path / "calls.db.table"
-        data = bytearray(kept.read_bytes())
-        if harm == "flipped":
+        f.relay.kill()
+        cache_file = tmp_path / "calls.db.table"
+        data = bytearray(cache_file.read_bytes())
+        if damage == "flipped":
             data[len(data) // 2] ^= 4
-        kept.write_bytes(data if harm == "flipped" else data[: len(data) // 2] if harm == "short" else b"")
-        f.begin()
-        assert f.said("config_cache_ignored", "calls.db.table") == 1
-        assert f.answers_as("left") == "1"  # its own file's
+        cache_file.write_bytes(
+            data if damage == "flipped" else data[: len(data) // 2] if damage == "short" else b""
+        )
+        f.start_front_end()
+        assert f.count_logged("config_cache_ignored", "calls.db.table") == 1
+        assert f.invoked_version("left") == "1"  # of its own configuration
         f.front.stop()
         f.front.close()
         f.start_relay(table)
-        f.begin()
-        assert f.answers_as("left") == "2"
+        f.start_front_end()
+        assert f.invoked_version("left") == "2"
 
     f.play(script)
 
 
 def test_configured_functions_apply_until_a_function_is_agreed_on(tmp_path: Path) -> None:
-    f = Followed(tmp_path, agreed=False)
+    f = SettingsFleet(tmp_path, agreed=False)
 
     def script() -> None:
-        assert f.answers_as("left") == "1" and len(f.front.catalogue.functions) == 5
+        assert f.invoked_version("left") == "1" and len(f.front.catalogue.functions) == 5
         f.change(Mutation("tenant/tills", b"{}"))
-        assert f.answers_as("left") == "1"
-        f.change(put("extra", 7))
-        assert f.answers_as("extra") == "7" and f.invoke("left").status == 404
+        assert f.invoked_version("left") == "1"
+        f.change(put_function("extra", 7))
+        assert f.invoked_version("extra") == "7" and f.invoke("left").status == 404
         assert list(f.front.catalogue.functions) == ["extra"]
 
     f.play(script)
 
 
 def test_silent_relay_delays_a_start_by_a_second_and_no_call(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
         f.front.stop()
@@ -363,24 +370,24 @@
         (tmp_path / "calls.db.table").unlink()
         f.relay.watch.handle = lambda *_: f.loop.sleep(3600 * SECOND)  # type: ignore[assignment, method-assign]
         before = f.loop.now()
-        f.begin()
+        f.start_front_end()
         assert f.loop.now() - before <= 2 * SECOND
         before = f.loop.now()
-        assert f.answers_as("left") == "1" and f.loop.now() - before < SECOND
+        assert f.invoked_version("left") == "1" and f.loop.now() - before < SECOND
         assert f.front.fleet is None
 
     f.play(script)
 
 
 def test_front_end_with_keepers_and_relays_watches_both(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
     f.more = {"keepers": {"k1": "127.0.0.1:1"}}
 
     def script() -> None:
         assert f.front.fleet is not None
-        assert f.front.fleet.follower.incarnation == f.settings.follower.incarnation
-        f.change(put("left", 2))
-        assert f.answers_as("left") == "2" and f.front.core.figures.served == 1  # type: ignore[attr-defined]
+        assert f.front.fleet.follower.incarnation == f.settings.watch_state.incarnation
+        f.change(put_function("left", 2))
+        assert f.invoked_version("left") == "2" and f.front.core.call_counts.served == 1  # type: ignore[attr-defined]
 
     f.play(script)
 
@@ -388,32 +395,38 @@
 def test_table_when_replaced_is_validated_in_batches_and_later_changes_are_not_missed(
     tmp_path: Path,
 ) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
-        many = {FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", line(), 2) for n in range(3000)}
-        others: list[int] = []
-        judged, wrong = [0], f.settings._validation_error
-
-        def other() -> None:
+        many = {
+            FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", function_entry(), 2)
+            for n in range(3000)
+        }
+        counts_meanwhile: list[int] = []
+        validated_count, validate = [0], f.settings._validation_error
+
+        def run_meanwhile() -> None:
             while f.settings._validation is not None:
-                others.append(judged[0])
+                counts_meanwhile.append(validated_count[0])
                 f.loop.yield_now()
 
-        def counted(entry: Entry) -> str:
-            judged[0] += 1
-            if judged[0] == 1:
-                f.loop.spawn(other)
-            elif judged[0] == 1000:
-                f.relay.change([put("left", 9), gone("f17"), put("new", 3)])
-            return wrong(entry)
+        def validate_and_count(entry: Entry) -> str:
+            validated_count[0] += 1
+            if validated_count[0] == 1:
+                f.loop.spawn(run_meanwhile)
+            elif validated_count[0] == 1000:
+                f.relay.change([put_function("left", 9), delete_function("f17"), put_function("new", 3)])
+            return validate(entry)
 
-        f.settings._validation_error = counted  # type: ignore[method-assign]
+        f.settings._validation_error = validate_and_count  # type: ignore[method-assign]
         f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
         f.relay.watch.store_changed()
-        f.until(lambda: f.settings.follower.applied_revision == 51)
-        assert f.answers_as("left") == "9" and f.invoke("f17").status == 404
-        assert max(b - a for a, b in pairwise(others)) <= VALIDATION_BATCH and others[-1] > 2900
+        f.until(lambda: f.settings.watch_state.applied_revision == 51)
+        assert f.invoked_version("left") == "9" and f.invoke("f17").status == 404
+        assert (
+            max(b - a for a, b in pairwise(counts_meanwhile)) <= VALIDATION_BATCH
+            and counts_meanwhile[-1] > 2900
+        )
         names = f.front.catalogue.functions
         assert len(names) == len(list(names)) == 5 + 3000 and names["new"].version == "3"
 
@@ -421,99 +434,106 @@
 
 
 def test_changes_during_a_validation_apply_no_part_of_the_table(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
-        many = {FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", line(2), 2) for n in range(500)}
-        many[FUNCTION_PREFIX + "ghost"] = Entry(FUNCTION_PREFIX + "ghost", line(1, **{"class": "nowhere"}), 2)
-        judged, wrong = [0], f.settings._validation_error
-
-        def counted(entry: Entry) -> str:
-            judged[0] += 1
-            if judged[0] == 100:
-                f.relay.change([put("left", 9)])
-                f.until(lambda: f.settings.follower.store.revision == 51)
-            return wrong(entry)
-
-        f.settings._validation_error = counted  # type: ignore[method-assign]
+        many = {
+            FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", function_entry(2), 2)
+            for n in range(500)
+        }
+        many[FUNCTION_PREFIX + "ghost"] = Entry(
+            FUNCTION_PREFIX + "ghost", function_entry(1, **{"class": "nowhere"}), 2
+        )
+        validated_count, validate = [0], f.settings._validation_error
+
+        def validate_and_count(entry: Entry) -> str:
+            validated_count[0] += 1
+            if validated_count[0] == 100:
+                f.relay.change([put_function("left", 9)])
+                f.until(lambda: f.settings.watch_state.store.revision == 51)
+            return validate(entry)
+
+        f.settings._validation_error = validate_and_count  # type: ignore[method-assign]
         f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
         f.relay.watch.store_changed()
-        seen = set()
-        while f.relay.questions[-1].revision < 51 or f.settings._validation is not None:
-            seen.add((f.settings.follower.applied_revision, f.front.catalogue.functions["left"].version))
+        observed = set()
+        while f.relay.requests[-1].revision < 51 or f.settings._validation is not None:
+            observed.add(
+                (f.settings.watch_state.applied_revision, f.front.catalogue.functions["left"].version)
+            )
             f.loop.sleep(1000)
         f.loop.sleep(5 * SECOND)
-        seen.add((f.settings.follower.applied_revision, f.front.catalogue.functions["left"].version))
-        assert seen == {(1, "1")} and "ghost" in f.relay.questions[-1].blocked_reason
-        f.change(gone("ghost"))
-        assert f.answers_as("left") == "9" and len(f.front.catalogue.functions) == 505
+        observed.add((f.settings.watch_state.applied_revision, f.front.catalogue.functions["left"].version))
+        assert observed == {(1, "1")} and "ghost" in f.relay.requests[-1].blocked_reason
+        f.change(delete_function("ghost"))
+        assert f.invoked_version("left") == "9" and len(f.front.catalogue.functions) == 505
 
     f.play(script)
 
 
 def test_entry_when_a_bit_is_flipped_is_reloaded_and_the_cache_is_intact_again(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
-        f.change(put("left", 2))
-        table = f.settings.follower.store
+        f.change(put_function("left", 2))
+        table = f.settings.watch_state.store
         key = FUNCTION_PREFIX + "left"
-        flipped = Entry(key, line(3), table.entries[key].revision)
+        flipped = Entry(key, function_entry(3), table.entries[key].revision)
         table.entries = table.entries.set(key, flipped)
-        f.change(put("right", 2))
-        f.until(lambda: f.said("config_repaired", "1 keys") == 1)
-        assert (f.answers_as("left"), f.answers_as("right")) == ("2", "2")
+        f.change(put_function("right", 2))
+        f.until(lambda: f.count_logged("config_repaired", "1 keys") == 1)
+        assert (f.invoked_version("left"), f.invoked_version("right")) == ("2", "2")
         f.loop.sleep(30 * SECOND)
-        kept = ConfigStore.restore((tmp_path / "calls.db.table").read_bytes())
-        assert kept.revision == 3 and kept.entries[key].value == line(2)
+        cached_table = ConfigStore.restore((tmp_path / "calls.db.table").read_bytes())
+        assert cached_table.revision == 3 and cached_table.entries[key].value == function_entry(2)
 
     f.play(script)
 
 
 def test_flipped_entry_in_the_cache_is_rewritten_once_it_is_found(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
-    kept = tmp_path / "calls.db.table"
+    f = SettingsFleet(tmp_path)
+    cache_file = tmp_path / "calls.db.table"
 
     def script() -> None:
-        f.change(put("left", 2))
-        f.loop.sleep(3 * WRITE_INTERVAL_US)  # counted, and written
-        f.change(put("right", 2))
-        f.change(put("right", 3))  # counted a few seconds after the one before
-        table, key = f.settings.follower.store, FUNCTION_PREFIX + "left"
-        table.entries = table.entries.set(key, Entry(key, line(7), table.entries[key].revision))
+        f.change(put_function("left", 2))
+        f.loop.sleep(3 * WRITE_INTERVAL_US)  # digest check done, and the cache written
+        f.change(put_function("right", 2))
+        f.change(put_function("right", 3))  # its digest check is due a few seconds after the previous one
+        table, key = f.settings.watch_state.store, FUNCTION_PREFIX + "left"
+        table.entries = table.entries.set(key, Entry(key, function_entry(7), table.entries[key].revision))
         f.settings._written_revision, f.settings._applied_table = 0, table
         f.settings._write()
-        f.until(lambda: f.said("config_repaired", "1 keys") == 1)
-        assert f.answers_as("left") == "2" and f.settings.follower.applied_revision == 4
+        f.until(lambda: f.count_logged("config_repaired", "1 keys") == 1)
+        assert f.invoked_version("left") == "2" and f.settings.watch_state.applied_revision == 4
         f.loop.sleep(3 * WRITE_INTERVAL_US)
-        assert ConfigStore.restore(kept.read_bytes()).entries[key].value == line(2)
+        assert ConfigStore.restore(cache_file.read_bytes()).entries[key].value == function_entry(2)
 
     f.play(script)
 
 
 def test_table_cache_is_written_periodically_and_at_the_stop(tmp_path: Path) -> None:
-    f = Followed(tmp_path)
+    f = SettingsFleet(tmp_path)
 
-    def kept() -> int:
+    def cached_revision() -> int:
         return ConfigStore.restore((tmp_path / "calls.db.table").read_bytes()).revision
 
     def script() -> None:
         f.until(lambda: (tmp_path / "calls.db.table").exists())
-        written = {kept()}
+        written = {cached_revision()}
         for version in range(2, 102):
-            f.change(put("left", version))
+            f.change(put_function("left", version))
             f.loop.sleep(100_000)
-            written.add(kept())
+            written.add(cached_revision())
         assert len(written) <= 3
         f.loop.sleep(3 * WRITE_INTERVAL_US)
-        assert kept() == 101
-        f.change(put("left", 102))
+        assert cached_revision() == 101
+        f.change(put_function("left", 102))
         f.loop.sleep(100_000)
-        assert kept() == 102  # nothing was written for long
-        f.change(put("left", 103))
+        assert cached_revision() == 102  # the last write was long ago
+        f.change(put_function("left", 103))
         f.front.stop()
         f.front.close()
-        assert kept() == 103
+        assert cached_revision() == 103
         f.front = f.start_front()
 
     f.play(script)
@@ -521,82 +541,90 @@
 
 def test_functions_are_decoded_at_lookup_and_few_are_cached() -> None:
     functions = AgreedFunctions({}, CLASSES)
-    made = {
-        FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", line(n), 1)
+    entries_by_key = {
+        FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", function_entry(n), 1)
         for n in range(3 * MAX_DECODED_FUNCTIONS)
     }
-    entries = ConfigStore.from_entries(made, 1).entries
-    functions.put(entries, len(made))
+    entries = ConfigStore.from_entries(entries_by_key, 1).entries
+    functions.replace_all(entries, len(entries_by_key))
     assert not functions._decoded
     for n in range(3 * MAX_DECODED_FUNCTIONS):
         assert functions[f"f{n}"].version == str(n)
     assert len(functions._decoded) == MAX_DECODED_FUNCTIONS
     again = functions[f"f{3 * MAX_DECODED_FUNCTIONS - 1}"]
     assert again is functions[f"f{3 * MAX_DECODED_FUNCTIONS - 1}"] and isinstance(again, Function)
-    changed = entries.set(FUNCTION_PREFIX + "f1", Entry(FUNCTION_PREFIX + "f1", line(77), 2))
+    changed = entries.set(FUNCTION_PREFIX + "f1", Entry(FUNCTION_PREFIX + "f1", function_entry(77), 2))
     assert functions["f1"].version == "1"
-    functions.put(changed, len(made))
+    functions.replace_all(changed, len(entries_by_key))
     assert functions["f1"].version == "77" and "nope" not in functions
 
 
+LIVE_FUNCTIONS = 30  # functions besides the fleet's own that exist at a time
+CHANGES_PER_BURST = 200
+WARM_UP_BURSTS, MEASURED_BURSTS = 12, 50
+ADDED_ENTRY, CHANGED_ENTRY = function_entry(), function_entry(2)
+SHORT_DEADLINE = base64.b64encode(b'{"custom": {"deadline-ms": 20}}').decode()
+
+
+def apply_burst(f: SettingsFleet, burst: int) -> None:
+    """Commit change sets that add, change and delete a function each; then call some functions."""
+    for n in range(CHANGES_PER_BURST):
+        number = burst * CHANGES_PER_BURST + n
+        changed_entry = CHANGED_ENTRY.replace(b'"2"', b'"%d"' % (number + 2))
+        mutations = [
+            Mutation(f"{FUNCTION_PREFIX}added{number}", ADDED_ENTRY),
+            Mutation(f"{FUNCTION_PREFIX}left", changed_entry),
+        ]
+        if number >= LIVE_FUNCTIONS:
+            mutations.append(delete_function(f"added{number - LIVE_FUNCTIONS}"))
+        revision = f.relay.change(mutations)
+    f.until(lambda: f.settings.watch_state.applied_revision == revision)
+    added = [f"added{number - n}" for n in range(LIVE_FUNCTIONS)]
+    calls = [
+        f.loop.spawn(lambda name=name: f.invoke(name, x_amz_client_context=SHORT_DEADLINE)) for name in added
+    ]
+    assert {call.join().status for call in calls} == {429}  # no workers: their records would grow
+    assert f.front.catalogue.functions["left"].version == str(number + 2)
+    f.loop.sleep(4 * SECOND)
+    f.log.lines.clear()
+    f.relay.requests.clear()
+
+
+def measure_memory(f: SettingsFleet) -> tuple[int, int]:
+    """Return the traced bytes and the number of live objects."""
+    f.loop.sleep(60 * SECOND)  # the router's records of copies and calls have expired
+    f.log.lines.clear()
+    f.relay.requests.clear()
+    gc.collect()
+    return tracemalloc.get_traced_memory()[0], len(gc.get_objects())
+
+
 def test_memory_after_ten_thousand_changes_has_not_grown(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Functions come, change, are called and go; traced bytes and counted objects, not the process's size."""
-    monkeypatch.setattr(
-        "walnutpost.daemon.settings_watch.MAX_DECODED_FUNCTIONS", 16
-    )  # reached before the first measuring
-    f = Followed(tmp_path)
-    live, burst_of, come, left = 30, 200, line(), line(2)
-    context = base64.b64encode(b'{"custom": {"deadline-ms": 20}}').decode()
-
-    def brief(function: str) -> Response:
-        return f.invoke(function, x_amz_client_context=context)
-
-    def burst(count: int) -> None:
-        """Each change set has a function come, one change and one go; then some are called."""
-        for n in range(burst_of):
-            number = count * burst_of + n
-            changed = left.replace(b'"2"', b'"%d"' % (number + 2))
-            ops = [
-                Mutation(f"{FUNCTION_PREFIX}come{number}", come),
-                Mutation(f"{FUNCTION_PREFIX}left", changed),
-            ]
-            if number >= live:
-                ops.append(gone(f"come{number - live}"))
-            revision = f.relay.change(ops)
-        f.until(lambda: f.settings.follower.applied_revision == revision)
-        calls = [f.loop.spawn(brief, f"come{number - n}") for n in range(live)]
-        assert {call.join().status for call in calls} == {429}  # no workers: their records would grow
-        assert f.front.catalogue.functions["left"].version == str(number + 2)
-        f.loop.sleep(4 * SECOND)
-        f.log.lines.clear()
-        f.relay.questions.clear()
-
-    def measured() -> tuple[int, int]:
-        f.loop.sleep(60 * SECOND)  # what the Router remembers of copies and calls has lapsed
-        f.log.lines.clear()
-        f.relay.questions.clear()
-        gc.collect()
-        return tracemalloc.get_traced_memory()[0], len(gc.get_objects())
+    """Functions are added, changed, called and deleted; not the size of the process is measured."""
+    # The limit is reached before the first measurement.
+    monkeypatch.setattr("walnutpost.daemon.settings_watch.MAX_DECODED_FUNCTIONS", 16)
+    f = SettingsFleet(tmp_path)
 
     def script() -> None:
-        f.start_relay(ConfigStore.from_entries(f.relay.table.entries, 1, max_log_entries=2 * burst_of))
+        max_log_entries = 2 * CHANGES_PER_BURST
+        f.start_relay(ConfigStore.from_entries(f.relay.table.entries, 1, max_log_entries=max_log_entries))
         f.front.stop()
         f.front.close()
-        f.begin(listed=False)
+        f.start_front_end(listed=False)
         tracemalloc.start()
         try:
-            for count in range(12):
-                burst(count)
-            measured()
-            before = measured()
-            for count in range(12, 62):
-                burst(count)
-            after = measured()
+            for burst in range(WARM_UP_BURSTS):
+                apply_burst(f, burst)
+            measure_memory(f)
+            before = measure_memory(f)
+            for burst in range(WARM_UP_BURSTS, WARM_UP_BURSTS + MEASURED_BURSTS):
+                apply_burst(f, burst)
+            after = measure_memory(f)
         finally:
             tracemalloc.stop()
-        assert f.settings.follower.applied_revision > 10_000
+        assert f.settings.watch_state.applied_revision > 10_000
         assert after[0] - before[0] < 100_000 and after[1] - before[1] < 500, (before, after)
 
     f.play(script)
--- a/packages/faultinjection/tests/test_audit.py
+++ b/packages/faultinjection/tests/test_audit.py
@@ -54,7 +54,7 @@
     many(fleet, 12, gap=SECOND // 20)
     fleet.loop.sleep(SECOND)
     name = max(fleet.workers, key=lambda n: len(fleet.workers[n].runs))
-    fleet.relist(name, state="draining")
+    fleet.publish_changed_worker(name, state="draining")
     many(fleet, 100, gap=SECOND // 20)
     fleet.loop.sleep(SECOND)
 
@@ -63,10 +63,10 @@
     many(fleet, 60, gap=SECOND // 20)
     name = max(fleet.workers, key=lambda n: len(fleet.workers[n].runs))
     fleet.workers[name].command({"restart": True})
-    fleet.relist(name, started_at=fleet.loop.now() / SECOND)
+    fleet.publish_changed_worker(name, started_at=fleet.loop.now() / SECOND)
     for other in fleet.workers:
         if other != name:
-            fleet.relist(other, gone=True)
+            fleet.publish_changed_worker(other, gone=True)
     many(fleet, 400, gap=SECOND // 200)
     fleet.loop.sleep(4 * SECOND)
 
--- a/packages/fronts/tests/test_cron_front.py
+++ b/packages/fronts/tests/test_cron_front.py
@@ -61,10 +61,10 @@
     def script() -> None:
         f.loop.sleep(2 * MINUTE + MINUTE // 2)
         before = f.runs()
-        f.wall_off -= 60 * MINUTE
+        f.wall_clock_offset_us -= 60 * MINUTE
         f.loop.sleep(3 * MINUTE)
         assert f.runs() == before > 1
-        f.wall_off += 60 * MINUTE + 1440 * MINUTE
+        f.wall_clock_offset_us += 60 * MINUTE + 1440 * MINUTE
         f.loop.sleep(2 * MINUTE)
 
     f.run(script)
@@ -110,7 +110,7 @@
     f.run(script)
     assert [outcome.status for outcome in read_outcomes(tmp_path)] == ["RUNNING"]
     again = fleet_with_schedules(tmp_path, look={})
-    again.wall_off = f.loop.now() - again.loop.now()
+    again.wall_clock_offset_us = f.loop.now() - again.loop.now()
     again.run(lambda: again.loop.sleep(2 * SECOND))
     assert [outcome.status for outcome in read_outcomes(tmp_path)] == ["REFUSED"]
 
@@ -160,7 +160,7 @@
         reached = max(reached, first.run(run_until_crash))
         second = fleet_with_schedules(path, **lines)
         # The same time of day goes on where the first one died.
-        second.wall_off = first.loop.now() - second.loop.now()
+        second.wall_clock_offset_us = first.loop.now() - second.loop.now()
         second.run(lambda f=second: f.loop.sleep(MINUTE))  # type: ignore[misc]
         outcomes = read_outcomes(path)
         due_times = Counter((outcome.schedule, outcome.due_minute) for outcome in outcomes)
@@ -193,7 +193,7 @@
         left.unlink()
     (tmp_path / "calls.db").write_bytes(copies[0])
     second = fleet_with_schedules(tmp_path, **lines)
-    second.wall_off = first.loop.now() - second.loop.now()
+    second.wall_clock_offset_us = first.loop.now() - second.loop.now()
     second.run(lambda: second.loop.sleep(2 * MINUTE))
     outcomes = read_outcomes(tmp_path)
     skipped = [(outcome.schedule, outcome.count) for outcome in outcomes if outcome.status == "SKIPPED"]
