--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -40,7 +40,7 @@
 from walnutpost.gateway.catalogue import FUNCTION_BITS, NumberedNames
 from walnutpost.interface import ListKind, Outcome, Warmth
 from walnutpost.policy import Router
-from walnutpost.workerclient import Links, LinkSettings
+from walnutpost.workerclient import WorkerClient, WorkerClientSettings
 
 SECOND = 1_000_000
 AGENTS = 2_750
@@ -126,9 +126,9 @@
 
     def in_loop() -> None:
         quiet: Any = Quiet()
-        links = Links(loop, LinkSettings(), "f")
+        client = WorkerClient(loop, WorkerClientSettings("f"))
         gateway = Gateway(settings, build_catalogue(config.site), 1)
-        lists = EndpointLists(loop, Core(loop, gateway, links, quiet), links, config.site, quiet)
+        lists = EndpointLists(loop, Core(loop, gateway, client, quiet), client, config.site, quiet)
         follower = EndpointFollower("f", "1", True)
         lists.set_configured(ListKind.CACHED, 0, [])
 
--- a/packages/certificates/src/walnutpost/certificates/__init__.py
+++ b/packages/certificates/src/walnutpost/certificates/__init__.py
@@ -1,7 +1,28 @@
-"""Keys and trust: what may be used, and when. Decides; no I/O, no clock."""
+"""Certificates and private keys: what may be used, and when. No I/O, no clock: times are given.
 
-from walnutpost.certificates.keeper import DAY, Keeper, Mark
-from walnutpost.certificates.material import BadKeys, KeySet, examine, trusted
-from walnutpost.certificates.ration import Ration, RationSettings
+`verification` decides whether a set can be used, `reload` when files are read again and when an expiry is
+warned of, `handshake_limit` how many TLS handshakes run at once.
+"""
 
-__all__ = ["DAY", "BadKeys", "Keeper", "KeySet", "Mark", "Ration", "RationSettings", "examine", "trusted"]
+from walnutpost.certificates.errors import CertificateError, InvalidCertificateError
+from walnutpost.certificates.handshake_limit import HandshakeLimiter, HandshakeLimits
+from walnutpost.certificates.reload import DAY_US, ExpiryWarning, FileState, ReloadTracker
+from walnutpost.certificates.verification import (
+    CertificateSet,
+    count_valid_roots,
+    verify_certificate_set,
+)
+
+__all__ = [
+    "DAY_US",
+    "CertificateError",
+    "CertificateSet",
+    "ExpiryWarning",
+    "FileState",
+    "HandshakeLimiter",
+    "HandshakeLimits",
+    "InvalidCertificateError",
+    "ReloadTracker",
+    "count_valid_roots",
+    "verify_certificate_set",
+]
--- /dev/null
+++ b/packages/certificates/src/walnutpost/certificates/errors.py
@@ -0,0 +1,18 @@
+"""Errors of certificates. All derive from CertificateError."""
+
+from __future__ import annotations
+
+
+class CertificateError(Exception):
+    """Base class of all errors of this package."""
+
+
+class InvalidCertificateError(CertificateError):
+    """A certificate, key or root can't be used. The text never contains a key."""
+
+    def __init__(self, place: str, found: str, wanted: str) -> None:
+        """Keep the place (a file, or a number in its chain), what was found there, and what is wanted."""
+        super().__init__(f"{place}: found {found}, wanted {wanted}")
+        self.place = place
+        self.found = found
+        self.wanted = wanted
--- a/packages/cli/src/walnutpost/cli/keys.py
+++ b/packages/cli/src/walnutpost/cli/keys.py
@@ -7,14 +7,19 @@
 
 import click
 
-from walnutpost.certificates import DAY, BadKeys, examine, trusted
+from walnutpost.certificates import (
+    DAY_US,
+    InvalidCertificateError,
+    count_valid_roots,
+    verify_certificate_set,
+)
 from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with, read_config
 from walnutpost.cli.local_time import format_local_time
 from walnutpost.config.front_end import TlsConfig
 from walnutpost.eventloop import replace_file
 from walnutpost.fakes.authority import Authority
 from walnutpost.faultinjection.table import aligned
-from walnutpost.workerclient.contexts import read
+from walnutpost.workerclient.tls_contexts import read_file
 
 NS_PER_US = 1000
 SERIAL_DIGITS = 16  # of a serial number that are shown
@@ -52,21 +57,23 @@
         exit_with(f"{config}: front.tls: found nothing; wanted its section")
     try:
         _show_certificates(config.parent, tls, time.time_ns() // NS_PER_US)
-    except BadKeys as error:
+    except InvalidCertificateError as error:
         exit_with(str(error), code=1)
 
 
 def _show_certificates(base: Path, tls: TlsConfig, now_us: int) -> None:
-    roots = read(base / tls.roots)
-    click.echo(f"{tls.roots}: {trusted(roots, now_us)} roots valid now")
+    roots = read_file(base / tls.roots)
+    click.echo(f"{tls.roots}: {count_valid_roots(roots, now_us)} roots valid now")
     if tls.chain is None or tls.key is None:
         return
-    own = examine(read(base / tls.chain), read(base / tls.key), roots, now_us, tls.chain)
+    chain = read_file(base / tls.chain)
+    key = read_file(base / tls.key)
+    own = verify_certificate_set(chain, key, roots, now_us, tls.chain)
     row = [
         ", ".join(own.names),
         f"{own.serial:x}"[:SERIAL_DIGITS],
-        format_local_time(own.begins, "UTC"),
-        format_local_time(own.ends, "UTC"),
-        f"{(own.ends - now_us) / DAY:.1f} days left",
+        format_local_time(own.valid_from_us, "UTC"),
+        format_local_time(own.valid_until_us, "UTC"),
+        f"{(own.valid_until_us - now_us) / DAY_US:.1f} days left",
     ]
     click.echo(aligned([["names", "serial", "from", "until", "left"], row]))
--- a/packages/cli/src/walnutpost/cli/process_commands.py
+++ b/packages/cli/src/walnutpost/cli/process_commands.py
@@ -9,7 +9,7 @@
 
 import click
 
-from walnutpost.certificates import BadKeys
+from walnutpost.certificates import InvalidCertificateError
 from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with, read_config, read_config_with_fleet
 from walnutpost.cli.listen_addresses import (
     ListenAddress,
@@ -35,7 +35,7 @@
     """End the program if keys can't be used, which is found before it serves."""
     try:
         yield
-    except BadKeys as error:
+    except InvalidCertificateError as error:
         exit_with(str(error))
 
 
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -16,7 +16,7 @@
 from walnutpost.fleet.endpoints import EndpointFollower, ListedEndpoint
 from walnutpost.gateway import WorkersListed
 from walnutpost.interface import ListKind
-from walnutpost.workerclient import Links
+from walnutpost.workerclient import WorkerClient
 
 SECOND = 1_000_000
 
@@ -28,7 +28,7 @@
         self,
         loop: Loop,
         core: Core,
-        links: Links,
+        worker_client: WorkerClient,
         site: Site,
         log: Any,
         on_published: Callable[[int, list[WorkerConfig]], None] | None = None,
@@ -36,7 +36,7 @@
         """`on_published` gets each list as it is published, for captures."""
         self._loop = loop
         self._core = core
-        self._links = links
+        self._worker_client = worker_client
         self._site = site
         self._log = log
         self._on_published = on_published
@@ -68,7 +68,7 @@
         version = max(self._configured_version, self._published_version + 1)
         self._published_version = version
         names = {line.name: line.tls_name for line in lines if line.tls_name is not None}
-        self._links.told(endpoints.addresses, endpoints.draining, names)
+        self._worker_client.update_workers(endpoints.addresses, endpoints.draining, names)
         if self._on_published is not None:
             self._on_published(version, lines)
         self._core.feed(WorkersListed(kind, version, endpoints.workers))
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -40,7 +40,7 @@
 from walnutpost.http.server import serve_on
 from walnutpost.interface import ListKind
 from walnutpost.store import ExecutionStore, FiringStore
-from walnutpost.workerclient import Links, LinkSettings
+from walnutpost.workerclient import WorkerClient, WorkerClientSettings
 
 STOP_POLL_INTERVAL_US = 20_000
 STOP_METERING_TIMEOUT_US = 2_000_000
@@ -84,7 +84,7 @@
         self._build_gateway(tap)
         self._build_deferred_calls()
         self.endpoint_lists = EndpointLists(
-            loop, self.core, self.links, config.site, log, tap.told if tap else None
+            loop, self.core, self.worker_client, config.site, log, tap.told if tap else None
         )
         self._spawn_background_tasks()
         self._build_metering()
@@ -111,12 +111,12 @@
             ms_to_us(front.outcome_ttl_ms),
             int(front.max_outcome_mb * BYTES_PER_MB),
         )
-        self._build_links(tap)
+        self._build_worker_client(tap)
         self._counting_core: CallCountingCore | None = None
         if config.agreement is None or not config.agreement.keepers:
-            self.core = Core(self._loop, gateway, self.links, self._log)
+            self.core = Core(self._loop, gateway, self.worker_client, self._log)
             return
-        self._counting_core = CallCountingCore(self._loop, gateway, self.links, self._log)
+        self._counting_core = CallCountingCore(self._loop, gateway, self.worker_client, self._log)
         self._counting_core.functions = self.catalogue.functions
         self._counting_core.classes = self._router_settings.classes
         self.core = self._counting_core
@@ -131,22 +131,22 @@
             self._agreed_functions = AgreedFunctions(self.catalogue.functions, classes)
             self.catalogue = replace(self.catalogue, functions=self._agreed_functions, is_changing=True)
 
-    def _build_links(self, tap: Recorder | None) -> None:
+    def _build_worker_client(self, tap: Recorder | None) -> None:
         """Build the connections to workers, with certificates that are reloaded."""
         front = self._config.front
         site = self._config.site
-        settings = LinkSettings(
-            ms_to_us(front.connect_timeout_ms),
-            ms_to_us(site.load_order_timeout_ms),
-            ms_to_us(front.connection_idle_ms),
+        settings = WorkerClientSettings(
+            call_id_prefix=f"{front.index}-{secrets.token_hex(6)}",
+            connect_timeout_us=ms_to_us(front.connect_timeout_ms),
+            order_timeout_us=ms_to_us(site.load_order_timeout_ms),
+            idle_timeout_us=ms_to_us(front.connection_idle_ms),
             report_fields=tuple(site.report_fields),
         )
         self._certificates: CertificateReloader | None = None
         if front.tls is not None:
             self._certificates = CertificateReloader(self._loop, front.tls, self._base, wall_time, self._log)
         context = self._certificates.context if self._certificates is not None else None
-        prefix = f"{front.index}-{secrets.token_hex(6)}"
-        self.links = Links(self._loop, settings, prefix, tap, context, time_of_day=self._wall)
+        self.worker_client = WorkerClient(self._loop, settings, tap, context, time_of_day=self._wall)
 
     def _build_deferred_calls(self) -> None:
         """Open the store and build the deferred calls, with replication if there is a journal."""
@@ -174,7 +174,7 @@
         if self.replication is not None:
             self._spawn(self.replication.run, name="journal")
         if self._certificates is not None:
-            self._spawn(partial(self._certificates.follow, self.links), name="certificates")
+            self._spawn(partial(self._certificates.follow, self.worker_client), name="certificates")
 
     def _build_metering(self) -> None:
         section = self._config.metering
@@ -183,7 +183,7 @@
             return
         functions = self.catalogue.functions
         self.metering = UsageMetering(
-            self._loop, self._config, section, functions, self.links, self._log, self._base
+            self._loop, self._config, section, functions, self.worker_client, self._log, self._base
         )
         self.core.watch = self.metering
         self._spawn(self.metering.run, name="metering")
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -7,10 +7,11 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.certificates import DAY, BadKeys, Keeper, Mark
+from walnutpost.certificates import DAY_US, FileState, InvalidCertificateError, ReloadTracker
 from walnutpost.config.front_end import TlsConfig
 from walnutpost.eventloop import Loop
-from walnutpost.workerclient import Links, contexts
+from walnutpost.workerclient import WorkerClient, tls_contexts
+from walnutpost.workerclient.tls_contexts import CertificateFiles
 
 POLL_INTERVAL_US = 1_000_000
 
@@ -19,18 +20,18 @@
     """Reads the files of one `tls` section. Invalid files leave the certificates in use."""
 
     def __init__(self, loop: Loop, section: TlsConfig, base: Path, wall: Callable[[], int], log: Any) -> None:
-        """Raise BadKeys for files that can't be used: a front end doesn't start with these."""
+        """Raise InvalidCertificateError for unusable files: a front end doesn't start with these."""
         self._loop = loop
         self._section = section
         self._base = base
         self._wall = wall
         self._log = log
         self._names = (section.roots, section.chain, section.key)
-        mark = self._read_mark()
-        self.context, valid_from, valid_until = self._read()
-        self._keeper = Keeper(mark, valid_from, valid_until)
+        files = self._read_file_states()
+        self.context, valid_from_us, valid_until_us = self._read()
+        self._tracker = ReloadTracker(files, valid_from_us, valid_until_us)
 
-    def follow(self, links: Links) -> None:
+    def follow(self, worker_client: WorkerClient) -> None:
         """Reload changed files; until cancelled.
 
         New certificates are used for new connections; calls in flight end under the old ones.
@@ -38,40 +39,46 @@
         while True:
             self._warn_before_expiry()
             self._loop.sleep(POLL_INTERVAL_US)
-            if self._keeper.looks(self._read_mark()):
-                self._reload(links)
+            if self._tracker.should_reload(self._read_file_states()):
+                self._reload(worker_client)
 
     def _warn_before_expiry(self) -> None:
-        notice = self._keeper.notice(self._wall())
-        if notice is not None:
-            self._log.warning("certificate_expiring", expires_in_days=round(notice.left / DAY, 2))
+        warning = self._tracker.expiry_warning(self._wall())
+        if warning is not None:
+            expires_in_days = round(warning.time_left_us / DAY_US, 2)
+            self._log.warning("certificate_expiring", expires_in_days=expires_in_days)
 
-    def _reload(self, links: Links) -> None:
+    def _reload(self, worker_client: WorkerClient) -> None:
         try:
-            context, valid_from, valid_until = self._read()
-        except BadKeys as error:
+            context, valid_from_us, valid_until_us = self._read()
+        except InvalidCertificateError as error:
             self._log.error("certificate_rejected", error=str(error))
             return
-        self._keeper.accepted(valid_from, valid_until)
-        links.renew(context)
+        self._tracker.record_reload(valid_from_us, valid_until_us)
+        worker_client.replace_context(context)
         self._log.info("certificate_reloaded", roots=self._section.roots, chain=self._section.chain)
 
     def _read(self) -> tuple[ssl.SSLContext, int, int]:
         """Return a context with the certificates, and from when until when the own one is valid, or zeros."""
-        roots, chain, key = (self._base / name if name is not None else None for name in self._names)
-        assert roots is not None
-        context, own = contexts.client(roots, chain, key, self._section.minimum_version, self._wall())
-        return context, own.begins if own else 0, own.ends if own else 0
+        section = self._section
+        files = None
+        if section.chain is not None and section.key is not None:
+            files = CertificateFiles(self._base / section.chain, self._base / section.key)
+        roots = self._base / section.roots
+        tls = tls_contexts.make_client_context(roots, files, section.minimum_version, self._wall())
+        if tls.own is None:
+            return tls.context, 0, 0
+        return tls.context, tls.own.valid_from_us, tls.own.valid_until_us
 
-    def _read_mark(self) -> Mark:
+    def _read_file_states(self) -> list[FileState]:
         """Return what tells one state of the files from another."""
-        marks = []
+        states = []
         for name in self._names:
             if name is None:
                 continue
             try:
                 stat = (self._base / name).stat()
-                marks.append((stat.st_mtime_ns, stat.st_ino, stat.st_size))
+                states.append(FileState(stat.st_mtime_ns, stat.st_ino, stat.st_size))
             except OSError:
-                marks.append((0, 0, 0))
-        return tuple(marks)
+                states.append(FileState(0, 0, 0))
+        return states
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -18,7 +18,7 @@
 from walnutpost.metering.ledger import DOWN
 from walnutpost.store import StoreError, UsageStore
 from walnutpost.store.usage import LedgerRun
-from walnutpost.workerclient import Links
+from walnutpost.workerclient import WorkerClient
 
 MAX_CONCURRENT_READS = 16  # workers whose reports are read at the same time
 MAX_LOGGED_INCONSISTENCIES = 5  # of one report
@@ -59,13 +59,13 @@
         config: Config,
         section: MeteringConfig,
         functions: Mapping[str, Function],
-        links: Links,
+        worker_client: WorkerClient,
         log: Any,
         base: Path,
     ) -> None:
         """Open the ledger. Raises StoreError."""
         self._loop = loop
-        self._links = links
+        self._worker_client = worker_client
         self._log = log
         self._section = section
         self._default_tenant = config.site.default_tenant
@@ -160,7 +160,7 @@
             self.write()
 
     def _read_all_reports(self) -> None:
-        workers = list(self._links.workers)
+        workers = list(self._worker_client.workers)
         with TaskGroup(self._loop) as group:
             for _ in range(min(MAX_CONCURRENT_READS, len(workers))):
                 group.spawn(self._read_reports, workers, name="usage")
@@ -172,7 +172,7 @@
 
     def _read_report(self, worker: str) -> None:
         try:
-            report = self._links.usage(worker, *self.ledger.cursor(worker))
+            report = self._worker_client.fetch_usage(worker, *self.ledger.cursor(worker))
         except OSError:
             return  # the ledger accounts for an unreachable worker
         except ValueError as error:
--- a/packages/dispatch/src/walnutpost/dispatch/__init__.py
+++ b/packages/dispatch/src/walnutpost/dispatch/__init__.py
@@ -53,7 +53,7 @@
 
 
 class Carrier(Protocol):
-    """Carries effects to workers, and tells how each ended: `links.Links`, or a node's `Workers`."""
+    """Carries effects to workers, and tells how each ended: `WorkerClient`, or a node's `WorkerCommands`."""
 
     def start(
         self,
--- a/packages/fakes/src/walnutpost/fakes/fleet.py
+++ b/packages/fakes/src/walnutpost/fakes/fleet.py
@@ -18,7 +18,8 @@
 from walnutpost.fakes.store import LocalStore, PackageStore
 from walnutpost.fakes.worker import WorkerServer
 from walnutpost.gateway.catalogue import number_of
-from walnutpost.workerclient import contexts
+from walnutpost.workerclient import tls_contexts
+from walnutpost.workerclient.tls_contexts import CertificateFiles
 
 SEED_BITS = 32
 
@@ -95,6 +96,5 @@
         return None
     folder = base / tls.folder
     now_us = time.time_ns() // 1000
-    certificate = folder / f"{line.name}.pem"
-    key = folder / f"{line.name}.key"
-    return contexts.server(certificate, key, folder / "root.pem", tls.clients, now_us)
+    own = CertificateFiles(folder / f"{line.name}.pem", folder / f"{line.name}.key")
+    return tls_contexts.make_server_context(folder / "root.pem", own, tls.clients, now_us)
--- a/packages/fakes/src/walnutpost/fakes/worker.py
+++ b/packages/fakes/src/walnutpost/fakes/worker.py
@@ -28,9 +28,9 @@
 FAULT_COMMANDS = tuple(field.name for field in fields(Faults))
 COMMANDS = ("restart", "drain", "void", "books", *FAULT_COMMANDS)
 CALL_ERRORS = {
-    CallOutcome.MISS: (404, codec.MISS_TYPE),
-    CallOutcome.LOAD_FAILED: (404, codec.LOAD_FAILED_TYPE),
-    CallOutcome.FULL: (503, codec.FULL_TYPES[0]),
+    CallOutcome.MISS: (404, codec.MISS_ERROR_TYPE),
+    CallOutcome.LOAD_FAILED: (404, codec.LOAD_FAILED_ERROR_TYPE),
+    CallOutcome.FULL: (503, codec.FULL_ERROR_TYPES[0]),
     CallOutcome.ERROR: (500, "ServiceException"),
 }
 ORDER_STATUS = {LoadOrderOutcome.OK: 200, LoadOrderOutcome.FULL: 503, LoadOrderOutcome.ERROR: 500}
@@ -175,7 +175,7 @@
                 return self._usage(exchange.request.target.decode("latin-1"))
             case ["v2", "health", "ready"]:
                 return Response(503 if self.model.is_draining else 200, self._load_report())
-        return Response(404, {codec.ERROR_TYPE: "UnknownOperationException"})
+        return Response(404, {codec.ERROR_TYPE_HEADER: "UnknownOperationException"})
 
     def _control(self, body: bytes) -> Response:
         try:
@@ -195,7 +195,7 @@
         return Response(200, {"content-type": "application/json"}, msgspec.json.encode(report))
 
     def _load_report(self, **more: float) -> dict[str, str]:
-        name, value = orca.write({**self.model.report(), **more}, self.model.faults.report_form)
+        name, value = orca.encode_report({**self.model.report(), **more}, self.model.faults.report_form)
         return {name: value}
 
     def _call(self, exchange: Exchange, function: str) -> Response | None:
@@ -204,10 +204,10 @@
         if self.model.faults.consume("reset_before"):
             stream.reset()
             return None
-        pending = self._runner.open_request(exchange, function, headers.get(codec.CALL_ID, ""))
+        pending = self._runner.open_request(exchange, function, headers.get(codec.CALL_ID_HEADER, ""))
         if self.model.faults.consume("reset_while"):
             pending.is_cut = True
-        tenant = headers.get(codec.TENANT, "")
+        tenant = headers.get(codec.TENANT_HEADER, "")
         self._runner.react(self.model.call(self._loop.now(), pending.request_id, function, tenant))
         ended = self._runner.wait(pending)
         if isinstance(ended, CallEnded) and not pending.is_cut:
@@ -221,7 +221,7 @@
         headers["content-type"] = "application/json"
         if ended.outcome is not CallOutcome.OK:
             status, error_type = CALL_ERRORS[ended.outcome]
-            return Response(status, {**headers, codec.ERROR_TYPE: error_type}, b"{}")
+            return Response(status, {**headers, codec.ERROR_TYPE_HEADER: error_type}, b"{}")
         body = b'{"function": %s, "payload": %s, "worker": %s, "run": %d}' % (
             json.dumps(function).encode(),
             exchange.request.body or b"null",
@@ -249,7 +249,7 @@
         try:
             copies = int(json.loads(exchange.request.body or b"{}")["parameters"]["copies"])
         except (ValueError, KeyError, TypeError):
-            return Response(400, {codec.ERROR_TYPE: "InvalidParameterValueException"})
+            return Response(400, {codec.ERROR_TYPE_HEADER: "InvalidParameterValueException"})
         pending = self._runner.open_request(exchange, function)
         self._runner.react(self.model.order_load(self._loop.now(), pending.request_id, function, copies))
         ended = self._runner.wait(pending)
@@ -260,4 +260,6 @@
 
 
 def _bad_request(error: BadMessage) -> Response:
-    return Response(error.status, {codec.ERROR_TYPE: "InvalidRequestContentException"}, str(error).encode())
+    return Response(
+        error.status, {codec.ERROR_TYPE_HEADER: "InvalidRequestContentException"}, str(error).encode()
+    )
--- a/packages/fronts/tests/test_invoke.py
+++ b/packages/fronts/tests/test_invoke.py
@@ -62,9 +62,9 @@
     def script() -> None:
         fleet.warm("price")
         call = fleet.loop.spawn(fleet.invoke, "price")
-        fleet.until(lambda: fleet.front.links.out == 1)
+        fleet.until(lambda: fleet.front.worker_client.in_flight == 1)
         call.cancel()
-        fleet.until(lambda: fleet.front.links.out == 0)
+        fleet.until(lambda: fleet.front.worker_client.in_flight == 0)
         assert fleet.front.core.open_calls == 0 and fleet.front.core.answers["left"] == 1
         assert ("answer", "left") in [(event, fields.get("kind")) for event, fields in fleet.log.lines]
 
--- a/packages/workerclient/src/walnutpost/workerclient/codec.py
+++ b/packages/workerclient/src/walnutpost/workerclient/codec.py
@@ -1,4 +1,4 @@
-"""The worker protocol's words. No I/O.
+"""Requests and responses of the worker protocol as bytes and values. No I/O.
 
 Calls: `POST /2015-03-31/functions/{name}/invocations`, as Lambda's runtime emulator serves them.
 Loading: the repository extension of the Open Inference Protocol v2 (`/v2/repository/models/{name}/load`,
@@ -8,7 +8,9 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Sequence
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from http import HTTPStatus
 from urllib.parse import quote
 
 import msgspec
@@ -17,121 +19,172 @@
 from walnutpost.interface import Outcome, Warmth
 from walnutpost.metering import Report
 from walnutpost.workerclient import orca
+from walnutpost.workerclient.errors import InvalidUsageReportError
+
+ERROR_TYPE_HEADER = "x-amzn-errortype"
+FUNCTION_ERROR_HEADER = "x-amz-function-error"
+CALL_ID_HEADER = "lambda-runtime-aws-request-id"
+DEADLINE_MS_HEADER = "lambda-runtime-deadline-ms"
+"""Milliseconds since the epoch, as Lambda has it."""
+TENANT_HEADER = "x-amz-tenant-id"
+ATTEMPT_HEADER = "x-walnutpost-attempt"
+EXECUTION_HEADER = "x-amz-durable-execution-name"
+FULL_ERROR_TYPES = ("TooManyRequestsException", "ResourceNotReadyException")
+MISS_ERROR_TYPE = "ResourceNotFoundException"
+LOAD_FAILED_ERROR_TYPE = "ModelLoadException"
+POLICY_FIELD_NAMES = {
+    "cpu_utilization": "busy",
+    "mem_utilization": "memory_tied",
+    "queue": "queue",
+    "loads": "loads",
+}
+"""The policy's names of report fields, by their ORCA names."""
+WARMTH_METRIC = "warmth"
+CROWD_METRIC = "crowd"
+USAGE_PATH = "/v2/usage"
+HOST = "worker"
+"""Host header of all requests."""
+READY_REQUEST = encode_request("GET", "/v2/health/ready", HOST, {})
+US_PER_MS = 1000
+
+_WARMTH_BY_VALUE = {int(warmth): warmth for warmth in Warmth}
+_OUTCOME_BY_LOAD_STATUS: dict[int, Outcome] = {
+    HTTPStatus.OK: Outcome.OK,
+    HTTPStatus.SERVICE_UNAVAILABLE: Outcome.FULL,
+    HTTPStatus.NOT_FOUND: Outcome.MISS,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class CallRequest:
+    """An attempt of a call. `deadline_us` is in microseconds since the epoch.
+
+    `execution` is the name of a deferred call, the same after a restart, so that a function can recognise a
+    repeat; empty for other calls.
+    """
+
+    function: str
+    tenant: str | None
+    payload: bytes
+    call_id: str
+    attempt: int
+    deadline_us: int
+    execution: str = ""
+
+
+@dataclass(frozen=True, slots=True)
+class CallResult:
+    """What the end of an attempt proves; the fields are as in `gateway.AttemptEnded`."""
 
-ERROR_TYPE = "x-amzn-errortype"
-FUNCTION_ERROR = "x-amz-function-error"
-CALL_ID, DEADLINE_MS = "lambda-runtime-aws-request-id", "lambda-runtime-deadline-ms"
-TENANT = "x-amz-tenant-id"
-ATTEMPT = "x-walnutpost-attempt"
-EXECUTION = "x-amz-durable-execution-name"
-FULL_TYPES = ("TooManyRequestsException", "ResourceNotReadyException")
-MISS_TYPE, LOAD_FAILED_TYPE = "ResourceNotFoundException", "ModelLoadException"
-# What the policy calls the figures of a report, by their ORCA names.
-FIELDS = {"cpu_utilization": "busy", "mem_utilization": "memory_tied", "queue": "queue", "loads": "loads"}
-USAGE = "/v2/usage"
-READY = encode_request("GET", "/v2/health/ready", "worker", {})
-
-
-class Reply(msgspec.Struct, frozen=True):
     outcome: Outcome
-    by_function: bool = False
+    is_function_error: bool = False
     warmth: Warmth = Warmth.UNREPORTED
     crowd: int = 0
     report: tuple[float, ...] = ()
 
 
-def call(
-    function: str,
-    tenant: str | None,
-    payload: bytes,
-    call_id: str,
-    attempt: int,
-    deadline_us: int,
-    execution: str = "",
-) -> bytes:
-    """A call's request. The deadline is told in milliseconds since the epoch, as Lambda does; a deferred
-    call's execution by its name, the same after a restart, so that a function can know a repeat."""
+@dataclass(frozen=True, slots=True)
+class LoadResult:
+    """The outcome of a load order, and the copies that are loaded now."""
+
+    outcome: Outcome
+    copies: int = 0
+
+
+def encode_call(request: CallRequest) -> bytes:
+    """Encode an attempt of a call."""
     headers = {
         "content-type": "application/json",
-        CALL_ID: call_id,
-        ATTEMPT: str(attempt),
-        DEADLINE_MS: str(deadline_us // 1000),
+        CALL_ID_HEADER: request.call_id,
+        ATTEMPT_HEADER: str(request.attempt),
+        DEADLINE_MS_HEADER: str(request.deadline_us // US_PER_MS),
     }
-    if tenant is not None:
-        headers[TENANT] = tenant
-    if execution:
-        headers[EXECUTION] = execution
-    return encode_request(
-        "POST", f"/2015-03-31/functions/{quote(function, safe='')}/invocations", "worker", headers, payload
-    )
+    if request.tenant is not None:
+        headers[TENANT_HEADER] = request.tenant
+    if request.execution:
+        headers[EXECUTION_HEADER] = request.execution
+    path = f"/2015-03-31/functions/{quote(request.function, safe='')}/invocations"
+    return encode_request("POST", path, HOST, headers, request.payload)
 
 
-def load(function: str, copies: int) -> bytes:
-    """An order to hold so many copies; none only asks how many stand."""
+def encode_load_order(function: str, copies: int) -> bytes:
+    """Encode an order to load so many copies; with none it only asks how many are loaded."""
     body = json.dumps({"parameters": {"copies": copies}}).encode()
-    return encode_request(
-        "POST", f"/v2/repository/models/{quote(function, safe='')}/load", "worker", {}, body
-    )
+    return encode_request("POST", f"{_model_path(function)}/load", HOST, {}, body)
 
 
-def unload(function: str) -> bytes:
-    return encode_request("POST", f"/v2/repository/models/{quote(function, safe='')}/unload", "worker", {})
+def encode_unload(function: str) -> bytes:
+    """Encode an order to drop the function's idle copies."""
+    return encode_request("POST", f"{_model_path(function)}/unload", HOST, {})
 
 
-def usage(started: int, change: int) -> bytes:
-    """Asks for the usage records of a start of the worker that are newer than a change; those of another
-    start are told whole."""
-    return encode_request("GET", f"{USAGE}?started={started}&after={change}", "worker", {})
+def encode_usage_query(started: int, after_change: int) -> bytes:
+    """Encode a query for the usage records newer than a change, of the worker's run that began at `started`.
+
+    A worker of another run answers with all its records.
+    """
+    return encode_request("GET", f"{USAGE_PATH}?started={started}&after={after_change}", HOST, {})
 
 
-def read_usage(response: Response) -> Report | None:
-    """None where the worker keeps no records; ValueError says what is wrong with them."""
-    if response.status == 404:
+def decode_usage_response(response: Response) -> Report | None:
+    """Return the usage report, or None where the worker has none. Raise InvalidUsageReportError."""
+    if response.status == HTTPStatus.NOT_FOUND:
         return None
-    if response.status != 200:
-        raise ValueError(f"found status {response.status}, wanted 200")
+    if response.status != HTTPStatus.OK:
+        found, wanted = f"status {response.status}", "200"
+        raise InvalidUsageReportError(found, wanted, f"found {found}, wanted {wanted}")
     try:
         return msgspec.json.decode(response.body, type=Report)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise ValueError(str(error)) from error
+        raise InvalidUsageReportError("an invalid body", "a usage report", str(error)) from error
 
 
-def read_call(response: Response, fields: Sequence[str]) -> Reply:
-    """What a whole answer to a call says.
+def decode_call_response(response: Response, report_fields: Sequence[str]) -> CallResult:
+    """Return what a complete response to a call proves.
 
-    404 and 503 prove that the call never ran only where the worker itself says so by the error type: a
+    404 and 503 prove that the call never ran only where the worker itself sent the error type: a
     proxy's 503, or a wrong server's 404, may come after the worker has begun.
     """
-    told = orca.read(response.headers)
-    raw = int(told.get("warmth", 0))
-    warmth = Warmth(raw) if 0 <= raw <= 4 else Warmth.UNREPORTED
-    crowd, report = max(0, int(told.get("crowd", 0))), report_of(told, fields)
-    kind = response.headers.get(ERROR_TYPE, "")
-    if response.status == 200:
-        if FUNCTION_ERROR in response.headers:
-            return Reply(Outcome.ERROR, True, warmth, crowd, report)
-        return Reply(Outcome.OK, False, warmth, crowd, report)
-    if response.status == 404 and kind in (MISS_TYPE, LOAD_FAILED_TYPE):
-        failed = Warmth.LOAD_FAILED if kind == LOAD_FAILED_TYPE else Warmth.UNREPORTED
-        return Reply(Outcome.MISS, False, failed, crowd, report)
-    if response.status == 503 and kind in FULL_TYPES:
-        return Reply(Outcome.FULL, False, Warmth.UNREPORTED, crowd, report)
-    return Reply(Outcome.ERROR, False, warmth, crowd, report)
-
-
-def report_of(told: orca.Report, fields: Sequence[str]) -> tuple[float, ...]:
-    """The figures in the order of `fields`; none at all where one of them is missing."""
-    named = {FIELDS.get(key, key): value for key, value in told.items()}
-    return tuple(named[f] for f in fields) if all(f in named for f in fields) else ()
-
-
-def read_load(response: Response) -> tuple[Outcome, int]:
-    """The outcome of an order and the copies that stand now."""
-    copies = 0
+    metrics = orca.decode_report(response.headers)
+    error_type = response.headers.get(ERROR_TYPE_HEADER, "")
+    is_function_error = response.status == HTTPStatus.OK and FUNCTION_ERROR_HEADER in response.headers
+    outcome = Outcome.ERROR if is_function_error else _call_outcome(response.status, error_type)
+    warmth = _WARMTH_BY_VALUE.get(int(metrics.get(WARMTH_METRIC, 0)), Warmth.UNREPORTED)
+    if outcome is Outcome.MISS and error_type == LOAD_FAILED_ERROR_TYPE:
+        warmth = Warmth.LOAD_FAILED
+    elif outcome in (Outcome.MISS, Outcome.FULL):
+        warmth = Warmth.UNREPORTED
+    crowd = max(0, int(metrics.get(CROWD_METRIC, 0)))
+    return CallResult(outcome, is_function_error, warmth, crowd, select_fields(metrics, report_fields))
+
+
+def decode_load_response(response: Response) -> LoadResult:
+    """Return what a complete response to a load order reports."""
     try:
         body = json.loads(response.body or b"{}")
         copies = max(0, int(body.get("copies", 0))) if isinstance(body, dict) else 0
     except (ValueError, TypeError, OverflowError, RecursionError):
-        return Outcome.ERROR, 0
-    outcomes = {200: Outcome.OK, 503: Outcome.FULL, 404: Outcome.MISS}
-    return outcomes.get(response.status, Outcome.ERROR), copies
+        return LoadResult(Outcome.ERROR)
+    return LoadResult(_OUTCOME_BY_LOAD_STATUS.get(response.status, Outcome.ERROR), copies)
+
+
+def select_fields(metrics: Mapping[str, float], report_fields: Sequence[str]) -> tuple[float, ...]:
+    """Return the metrics in the order of `report_fields`; none at all where one of them is missing."""
+    by_field = {POLICY_FIELD_NAMES.get(name, name): value for name, value in metrics.items()}
+    if not all(field in by_field for field in report_fields):
+        return ()
+    return tuple(by_field[field] for field in report_fields)
+
+
+def _model_path(function: str) -> str:
+    return f"/v2/repository/models/{quote(function, safe='')}"
+
+
+def _call_outcome(status: int, error_type: str) -> Outcome:
+    if status == HTTPStatus.OK:
+        return Outcome.OK
+    if status == HTTPStatus.NOT_FOUND and error_type in (MISS_ERROR_TYPE, LOAD_FAILED_ERROR_TYPE):
+        return Outcome.MISS
+    if status == HTTPStatus.SERVICE_UNAVAILABLE and error_type in FULL_ERROR_TYPES:
+        return Outcome.FULL
+    return Outcome.ERROR
--- /dev/null
+++ b/packages/workerclient/src/walnutpost/workerclient/errors.py
@@ -0,0 +1,29 @@
+"""Errors of the worker client. All derive from WorkerClientError."""
+
+from __future__ import annotations
+
+from walnutpost.interface import Outcome
+
+
+class WorkerClientError(Exception):
+    """Base class of all errors of this package."""
+
+
+class WorkerUnavailableError(WorkerClientError, ConnectionError):
+    """A query got no response; `outcome` is how it ended. Also a ConnectionError, like its usual causes."""
+
+    def __init__(self, worker: str, outcome: Outcome) -> None:
+        """Keep the worker and the outcome of the query."""
+        super().__init__(outcome.value)
+        self.worker = worker
+        self.outcome = outcome
+
+
+class InvalidUsageReportError(WorkerClientError, ValueError):
+    """A worker's usage report can't be used. Also a ValueError."""
+
+    def __init__(self, found: str, wanted: str, text: str) -> None:
+        """Keep what was found and wanted; `text` is the message."""
+        super().__init__(text)
+        self.found = found
+        self.wanted = wanted
--- a/packages/workerclient/src/walnutpost/workerclient/orca.py
+++ b/packages/workerclient/src/walnutpost/workerclient/orca.py
@@ -1,4 +1,4 @@
-"""Load reports as ORCA (Open Request Cost Aggregation) puts them into response headers.
+"""Load reports in response headers, as ORCA (Open Request Cost Aggregation) defines them.
 
 `endpoint-load-metrics` holds "TEXT k=v, k=v" or "JSON {...}"; `endpoint-load-metrics-bin` is the base64
 of the protobuf message xds.data.orca.v3.OrcaLoadReport. Text and JSON name a map's entry
@@ -12,89 +12,117 @@
 import json
 import math
 from collections.abc import Mapping
+from enum import StrEnum
 
-HEADER, HEADER_BIN = "endpoint-load-metrics", "endpoint-load-metrics-bin"
-NAMED = "named_metrics"
-SCALARS = ("cpu_utilization", "mem_utilization", "application_utilization", "rps_fractional", "eps")
-MOST_FIELDS = 64  # of one report; what a worker sends beyond is not worth its parsing
+HEADER = "endpoint-load-metrics"
+BINARY_HEADER = "endpoint-load-metrics-bin"
+NAMED_METRICS = "named_metrics"
+SCALAR_METRICS = ("cpu_utilization", "mem_utilization", "application_utilization", "rps_fractional", "eps")
+"""Fields of the message with a meaning of their own; all others are named metrics."""
+MAX_METRICS = 64
+"""Metrics read of one report; what a worker sends beyond is not worth its parsing."""
+BASE64_GROUP = 4
 
-Report = dict[str, float]
+LoadReport = dict[str, float]
+"""Metrics by name; a named metric has its own name, without a prefix."""
 
 
-def read(headers: Mapping[str, str]) -> Report:
-    """The report's figures; a named metric stands under its own name. What can't be read is left out: a
-    worker's broken report must not cost the answer it came with."""
+class ReportForm(StrEnum):
+    """The forms of a report in a header."""
+
+    TEXT = "text"
+    JSON = "json"
+    BINARY = "binary"
+
+
+def decode_report(headers: Mapping[str, str]) -> LoadReport:
+    """Return the report's metrics.
+
+    What can't be read is omitted: a worker's broken report must not cost the answer that it came with.
+    """
     text = headers.get(HEADER)
     if text is None:
-        packed = headers.get(HEADER_BIN)
-        return _read_binary(packed) if packed is not None else {}
-    form, _, rest = text.strip().partition(" ")
+        packed = headers.get(BINARY_HEADER)
+        return _decode_binary(packed) if packed is not None else {}
+    form, _, content = text.strip().partition(" ")
     if form == "JSON":
-        return _read_json(rest)
+        return _decode_json(content)
     if form == "BIN":
-        return _read_binary(rest)
-    pairs = (rest if form == "TEXT" else text).split(",")[:MOST_FIELDS]
-    out: Report = {}
-    for pair in pairs:
-        key, sep, value = pair.partition("=")
-        if sep:
-            _put(out, key.strip(), value)
-    return out
+        return _decode_binary(content)
+    return _decode_text(content if form == "TEXT" else text)
+
+
+def encode_report(report: Mapping[str, float], form: str = ReportForm.TEXT) -> tuple[str, str]:
+    """Return the name and the value of the header; `form` is one of ReportForm."""
+    scalars = {name: value for name, value in report.items() if name in SCALAR_METRICS}
+    named = {name: value for name, value in report.items() if name not in SCALAR_METRICS}
+    if form == ReportForm.BINARY:
+        return BINARY_HEADER, _encode_binary(scalars, named)
+    if form == ReportForm.JSON:
+        return HEADER, "JSON " + json.dumps({**scalars, NAMED_METRICS: named})
+    pairs = [f"{name}={value:g}" for name, value in scalars.items()]
+    pairs += [f"{NAMED_METRICS}.{name}={value:g}" for name, value in named.items()]
+    return HEADER, "TEXT " + ", ".join(pairs)
 
 
-def _put(out: Report, key: str, value: object) -> None:
-    try:
-        number = float(value)  # type: ignore[arg-type]
-    except (TypeError, ValueError, OverflowError):
-        return
-    key = key.removeprefix(NAMED + ".")
-    if key and math.isfinite(number):
-        out[key] = number
+def _decode_text(text: str) -> LoadReport:
+    report: LoadReport = {}
+    for pair in text.split(",")[:MAX_METRICS]:
+        name, separator, value = pair.partition("=")
+        if separator:
+            _add_metric(report, name.strip(), value)
+    return report
 
 
-def _read_json(text: str) -> Report:
-    out: Report = {}
+def _decode_json(text: str) -> LoadReport:
+    report: LoadReport = {}
     try:
-        told = json.loads(text)
+        decoded = json.loads(text)
     except (ValueError, RecursionError):
-        return out
-    if isinstance(told, dict):
-        for key, value in list(told.items())[:MOST_FIELDS]:
-            if isinstance(value, dict) and key == NAMED:
-                for name, inner in list(value.items())[:MOST_FIELDS]:
-                    _put(out, name, inner)
-            elif not isinstance(value, bool):
-                _put(out, key, value)
-    return out
-
-
-def _read_binary(text: str) -> Report:
+        return report
+    if not isinstance(decoded, dict):
+        return report
+    for name, value in list(decoded.items())[:MAX_METRICS]:
+        if isinstance(value, dict) and name == NAMED_METRICS:
+            for inner_name, inner_value in list(value.items())[:MAX_METRICS]:
+                _add_metric(report, inner_name, inner_value)
+        elif not isinstance(value, bool):
+            _add_metric(report, name, value)
+    return report
+
+
+def _decode_binary(text: str) -> LoadReport:
+    # Imported here: few workers use this form, and the modules are large.
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
-    out: Report = {}
-    report = OrcaLoadReport()
+    message = OrcaLoadReport()
+    padding = "=" * (-len(text) % BASE64_GROUP)
     try:
-        report.ParseFromString(base64.b64decode(text + "=" * (-len(text) % 4), validate=True))
+        message.ParseFromString(base64.b64decode(text + padding, validate=True))
     except (binascii.Error, DecodeError, ValueError):
-        return out
-    for key in SCALARS:
-        _put(out, key, getattr(report, key))
-    for name, value in list(report.named_metrics.items())[:MOST_FIELDS]:
-        _put(out, name, value)
-    return out
-
-
-def write(report: Mapping[str, float], form: str = "text") -> tuple[str, str]:
-    """A header's name and value; `form` is text, json or binary."""
-    scalars = {k: v for k, v in report.items() if k in SCALARS}
-    named = {k: v for k, v in report.items() if k not in SCALARS}
-    if form == "binary":
-        from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
-
-        packed = OrcaLoadReport(named_metrics=named, **scalars).SerializeToString()
-        return HEADER_BIN, base64.b64encode(packed).decode()
-    if form == "json":
-        return HEADER, "JSON " + json.dumps({**scalars, NAMED: named})
-    pairs = [f"{k}={v:g}" for k, v in scalars.items()] + [f"{NAMED}.{k}={v:g}" for k, v in named.items()]
-    return HEADER, "TEXT " + ", ".join(pairs)
+        return {}
+    report: LoadReport = {}
+    for name in SCALAR_METRICS:
+        _add_metric(report, name, getattr(message, name))
+    for name, value in list(message.named_metrics.items())[:MAX_METRICS]:
+        _add_metric(report, name, value)
+    return report
+
+
+def _encode_binary(scalars: Mapping[str, float], named: Mapping[str, float]) -> str:
+    from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
+
+    packed = OrcaLoadReport(named_metrics=named, **scalars).SerializeToString()
+    return base64.b64encode(packed).decode()
+
+
+def _add_metric(report: LoadReport, name: str, value: object) -> None:
+    """Add a metric, unless it is no finite number or has no name."""
+    try:
+        number = float(value)  # type: ignore[arg-type]
+    except (TypeError, ValueError, OverflowError):
+        return
+    name = name.removeprefix(NAMED_METRICS + ".")
+    if name and math.isfinite(number):
+        report[name] = number
--- /dev/null
+++ b/packages/workerclient/src/walnutpost/workerclient/queries.py
@@ -0,0 +1,54 @@
+"""Health checks, and queries for usage records."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from http import HTTPStatus
+
+from walnutpost.eventloop import Loop
+from walnutpost.gateway import Probe, ProbeEnded
+from walnutpost.interface import Outcome
+from walnutpost.metering import Report
+from walnutpost.workerclient import codec, orca
+from walnutpost.workerclient.delivery import Delivery
+from walnutpost.workerclient.errors import WorkerUnavailableError
+
+PROBE_TIMEOUT_US = 1_000_000
+
+
+class Prober:
+    """Checks the health of workers."""
+
+    def __init__(self, loop: Loop, delivery: Delivery, report_fields: Sequence[str]) -> None:
+        """Report the load by `report_fields`."""
+        self._loop = loop
+        self._delivery = delivery
+        self._report_fields = report_fields
+
+    def probe(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
+        """Check a worker; `done` gets the outcome."""
+        self._loop.spawn(self._run, effect, done, name="ping")
+
+    def _run(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
+        request = self._delivery.make_request(effect.worker, lambda: codec.READY_REQUEST, PROBE_TIMEOUT_US)
+        delivered = self._delivery.deliver(request)
+        outcome = delivered.outcome
+        report: tuple[float, ...] = ()
+        if delivered.response is not None:
+            outcome = Outcome.OK if delivered.response.status == HTTPStatus.OK else Outcome.FULL
+            metrics = orca.decode_report(delivered.response.headers)
+            report = codec.select_fields(metrics, self._report_fields)
+        done(ProbeEnded(effect.worker, outcome, self._loop.now() - request.decided_us, report))
+
+
+def fetch_usage(
+    delivery: Delivery, worker: str, started: int, after_change: int, timeout_us: int
+) -> Report | None:
+    """Fetch usage records; see `WorkerClient.fetch_usage`."""
+    request = delivery.make_request(
+        worker, lambda: codec.encode_usage_query(started, after_change), timeout_us
+    )
+    delivered = delivery.deliver(request)
+    if delivered.response is None:
+        raise WorkerUnavailableError(worker, delivered.outcome)
+    return codec.decode_usage_response(delivered.response)
--- a/packages/workerclient/src/walnutpost/workerclient/settings.py
+++ b/packages/workerclient/src/walnutpost/workerclient/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the connections to workers."""
+"""The settings of the worker client."""
 
 from __future__ import annotations
 
@@ -6,11 +6,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinkSettings:
-    """Times in microseconds. `report_fields` as in interface.Settings."""
+class WorkerClientSettings:
+    """Settings of the connections and requests to workers.
 
-    dial_timeout: int = 250_000
-    order_timeout: int = 10_000_000
-    idle_time: int = 15_000_000
-    idle_most: int = 512  # connections kept for each worker while nothing runs on them
+    `call_id_prefix` makes call ids differ between front ends and between their starts; `report_fields` are as
+    in `interface.Settings`; `max_idle_connections` is the limit for each worker.
+    """
+
+    call_id_prefix: str
+    connect_timeout_us: int = 250_000
+    order_timeout_us: int = 10_000_000
+    idle_timeout_us: int = 15_000_000
+    max_idle_connections: int = 512
     report_fields: tuple[str, ...] = ()
--- /dev/null
+++ b/packages/workerclient/tests/test_tls_fleet.py
@@ -0,0 +1,151 @@
+"""A fleet under TLS: calls, certificates that are replaced while it runs, and the program's commands."""
+
+from __future__ import annotations
+
+import json
+from datetime import UTC, datetime
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from fleet_rig import BASE, Fleet, merged
+from walnutpost.cli import main
+from walnutpost.fakes.authority import Authority, IssuedCertificate
+
+NOW = datetime.now(UTC)
+AUTHORITY = Authority(NOW)
+
+
+def start_fleet(path: Path, **certificates: IssuedCertificate) -> Fleet:
+    (path / "root.pem").write_bytes(AUTHORITY.root)
+    for name in ("worker-1", "worker-2", "worker-3", "front"):
+        certificates.get(name.replace("-", "_"), AUTHORITY.issue(name)).write(path, name)
+    own = {"roots": "root.pem", "chain": "front.pem", "key": "front.key"}
+    return Fleet(
+        path, {"front": {"tls": own}, "fleet": {"tls": {"folder": ".", "clients": True}}}, capture=True
+    )
+
+
+def test_a_fleet_under_tls_answers_calls_and_its_captures_pass_the_audit(tmp_path: Path) -> None:
+    fleet = start_fleet(tmp_path)
+
+    def script() -> None:
+        for n in range(30):
+            assert fleet.invoke(("price", "reserve")[n % 2], b"%d" % n).status == 200
+
+    fleet.run(script)
+    assert fleet.audit().kept and fleet.runs() == 30
+
+
+def test_a_worker_with_the_certificate_of_another_gets_no_call_and_the_others_do(tmp_path: Path) -> None:
+    fleet = start_fleet(tmp_path, worker_1=AUTHORITY.issue("worker-2"))
+
+    def script() -> None:
+        for n in range(20):
+            assert fleet.invoke("reserve", b"%d" % n).status == 200
+            fleet.loop.sleep(300_000)
+        assert not fleet.workers["worker-1"].runs
+
+    fleet.run(script)
+    assert fleet.audit().kept and fleet.runs() == 20
+
+
+@pytest.mark.parametrize("idle_ms", [0, 15_000])  # a connection for each call, or reused ones
+def test_certificates_and_root_are_replaced_under_load_without_a_failed_call(
+    idle_ms: int, tmp_path: Path
+) -> None:
+    fleet = start_fleet(tmp_path)
+    front = fleet.front_config.front.model_copy(update={"connection_idle_ms": float(idle_ms)})
+    fleet.front_config = fleet.front_config.model_copy(update={"front": front})
+    new_authority = Authority(NOW, "new root")
+
+    def certificate_events() -> list[tuple[str, dict[str, object]]]:
+        return [(event, fields) for event, fields in fleet.log.lines if event.startswith("certificate_")]
+
+    def script() -> None:
+        statuses: list[int] = []
+        stopped: list[bool] = []
+
+        def call_repeatedly() -> None:
+            while not stopped:
+                statuses.append(fleet.invoke("price", b"%d" % len(statuses)).status)
+
+        clients = [fleet.loop.spawn(call_repeatedly) for _ in range(4)]
+        (tmp_path / "root.pem").write_bytes(
+            AUTHORITY.root + new_authority.root
+        )  # both are trusted for a while
+        fleet.until(lambda: len(certificate_events()) == 1)
+        new_authority.issue("front").write(tmp_path, "front")
+        complete = (tmp_path / "front.key").read_bytes()
+        (tmp_path / "front.key").write_bytes(complete[:100])  # half-written: rejected, the old one stays
+        fleet.until(lambda: len(certificate_events()) == 2)
+        (tmp_path / "front.key").write_bytes(complete)
+        for server in (fleet.workers["worker-1"], fleet.workers["worker-2"]):
+            context = server.server.context
+            assert context is not None
+            context.load_verify_locations(cadata=new_authority.root.decode())
+            new_authority.issue(server.model.spec.name).write(tmp_path, "renewed")
+            context.load_cert_chain(tmp_path / "renewed.pem", tmp_path / "renewed.key")
+        fleet.until(lambda: len(certificate_events()) == 3)
+        (tmp_path / "root.pem").write_bytes(new_authority.root)  # the old one is withdrawn
+        fleet.until(lambda: len(certificate_events()) == 4)
+        # The third worker still has its old certificate, so what was cached under the old root, sessions
+        # and idle connections, must not be used any more.
+        fleet.loop.sleep(1_000_000)
+        calls_before = len(statuses)
+        runs_before = len(fleet.workers["worker-3"].runs)
+        fleet.until(lambda: len(statuses) > calls_before + 60)
+        assert len(fleet.workers["worker-3"].runs) == runs_before > 0
+        stopped.append(True)
+        for client in clients:
+            client.join()
+        assert set(statuses) == {200} and calls_before > 100
+
+    fleet.run(script)
+    assert [event.removeprefix("certificate_") for event, _ in certificate_events()] == [
+        "reloaded",
+        "rejected",
+        "reloaded",
+        "reloaded",
+    ]
+    assert "found no whole private key" in str(certificate_events()[1][1]["error"])
+    assert fleet.audit().kept
+
+
+def test_idle_connections_are_closed_when_certificates_are_reloaded(tmp_path: Path) -> None:
+    fleet = start_fleet(tmp_path)
+
+    def script() -> None:
+        fleet.warm("price")
+        assert fleet.front.worker_client.idle_connection_count
+        (tmp_path / "root.pem").write_bytes(AUTHORITY.root + Authority(NOW).root)
+        fleet.until(lambda: any(event == "certificate_reloaded" for event, _ in fleet.log.lines))
+        assert not fleet.front.worker_client.idle_connection_count
+
+    fleet.run(script)
+
+
+def test_a_key_that_does_not_fit_ends_the_program_before_it_serves(tmp_path: Path) -> None:
+    AUTHORITY.issue("front").write(tmp_path, "front")
+    (tmp_path / "front.key").write_bytes(AUTHORITY.issue("worker-7").key)
+    (tmp_path / "root.pem").write_bytes(AUTHORITY.root)
+    path = tmp_path / "site.json5"
+    tls = {"roots": "root.pem", "chain": "front.pem", "key": "front.key"}
+    path.write_text(json.dumps(merged(BASE, {"front": {"tls": tls}})))
+    result = CliRunner().invoke(main, ["serve", str(path)])
+    assert result.exit_code == 2 and "front.pem: found a key of another certificate" in result.stderr
+    assert (tmp_path / "front.key").stat().st_mode & 0o77 == 0
+
+
+def test_the_keys_of_a_test_authority_can_be_used_and_their_status_is_shown(tmp_path: Path) -> None:
+    path = tmp_path / "site.json5"
+    tls = {"roots": "keys/root.pem", "chain": "keys/front.pem", "key": "keys/front.key"}
+    path.write_text(json.dumps(merged(BASE, {"front": {"tls": tls}})))
+    assert CliRunner().invoke(main, ["keys", "status", str(path)]).exit_code == 1
+    made = CliRunner().invoke(main, ["keys", "make-test-ca", str(path), "--out", str(tmp_path / "keys")])
+    assert made.exit_code == 0 and "worker-3" in made.output
+    shown = CliRunner().invoke(main, ["keys", "status", str(path)])
+    assert shown.exit_code == 0 and "front" in shown.output and "days left" in shown.output
+    keys = list((tmp_path / "keys").glob("*.key"))
+    assert len(keys) == 4 and all(key.stat().st_mode & 0o77 == 0 for key in keys)
--- a/packages/workerclient/tests/test_worker_protocol_golden.py
+++ b/packages/workerclient/tests/test_worker_protocol_golden.py
@@ -1,4 +1,4 @@
-"""The worker protocol over HTTP: requests, answers, load reports in their three forms, usage records.
+"""The worker protocol over HTTP: requests, responses, load reports in their three forms, usage records.
 
 Run as a program, with packages/policy/tests on PYTHONPATH, it writes the files anew: for a wire that is meant
 to change.
@@ -17,7 +17,7 @@
 from golden_frames import Sender, differences_received, differences_sent, received_row, sent_row, write_rows
 from test_metering_golden import REPORTS
 from walnutpost.http import Response
-from walnutpost.workerclient import codec, orca
+from walnutpost.workerclient import InvalidUsageReportError, codec, orca
 
 GOLDEN = Path(__file__).parent / "golden" / "frames"
 REPORTS_FOLDER = Path(__file__).parents[2] / "metering" / "tests" / "golden"
@@ -54,8 +54,12 @@
 }
 
 
+def call(*fields: Any) -> bytes:
+    return codec.encode_call(codec.CallRequest(*fields))
+
+
 def load_report(figures: dict[str, float], form: str) -> bytes:
-    name, value = orca.write(figures, form)
+    name, value = orca.encode_report(figures, form)
     return f"{name}: {value}".encode()
 
 
@@ -64,37 +68,42 @@
     return Response(status, headers, base64.b64decode(body))
 
 
-def reply(data: bytes) -> tuple[Any, ...]:
-    found = codec.read_call(response_of(data), FIELDS)
-    return found.outcome, found.by_function, found.warmth, found.crowd, found.report
+def call_result(data: bytes) -> tuple[Any, ...]:
+    found = codec.decode_call_response(response_of(data), FIELDS)
+    return found.outcome, found.is_function_error, found.warmth, found.crowd, found.report
+
+
+def load_result(data: bytes) -> tuple[Any, ...]:
+    found = codec.decode_load_response(response_of(data))
+    return found.outcome, found.copies
 
 
 def usage_report(data: bytes) -> Any:
     """As its own JSON, to the byte: the records are stored and forwarded in that form."""
     try:
-        report = codec.read_usage(response_of(data))
-    except ValueError:
+        report = codec.decode_usage_response(response_of(data))
+    except InvalidUsageReportError:
         return "unusable"
     return "absent" if report is None else msgspec.json.encode(report)
 
 
-def report_read(data: bytes) -> dict[str, float]:
-    return dict(sorted(orca.read(json.loads(data)).items()))  # a protobuf map has no order
+def metrics(data: bytes) -> dict[str, float]:
+    return dict(sorted(orca.decode_report(json.loads(data)).items()))  # a protobuf map has no order
 
 
 SENDERS: dict[str, Sender] = {
-    "call": codec.call,
-    "load": codec.load,
-    "unload": codec.unload,
-    "usage": codec.usage,
-    "ready": lambda: codec.READY,
+    "call": call,
+    "load": codec.encode_load_order,
+    "unload": codec.encode_unload,
+    "usage": codec.encode_usage_query,
+    "ready": lambda: codec.READY_REQUEST,
     "report": load_report,
 }
 RECEIVERS = {
-    "call": reply,
-    "load": lambda data: codec.read_load(response_of(data)),
+    "call": call_result,
+    "load": load_result,
     "usage": usage_report,
-    "report": report_read,
+    "report": metrics,
 }
 
 
@@ -133,14 +142,19 @@
     write_rows(SENT, rows)
     # A protobuf map leaves in any order: one named figure keeps these bytes the same at each making.
     one_named = {name: figure for name, figure in REPORT.items() if name not in ("loads", "warmth", "crowd")}
-    told = [dict([orca.write(REPORT, "text")]), dict([orca.write(REPORT, "json")])]
-    told += [dict([orca.write(one_named, "binary")])]
-    errors = (*codec.FULL_TYPES, codec.MISS_TYPE, codec.LOAD_FAILED_TYPE, "")
-    received = [("call", response(200, headers, b"1")) for headers in told]
+    headers_of_reports = [
+        dict([orca.encode_report(REPORT, "text")]),
+        dict([orca.encode_report(REPORT, "json")]),
+    ]
+    headers_of_reports += [dict([orca.encode_report(one_named, "binary")])]
+    errors = (*codec.FULL_ERROR_TYPES, codec.MISS_ERROR_TYPE, codec.LOAD_FAILED_ERROR_TYPE, "")
+    received = [("call", response(200, headers, b"1")) for headers in headers_of_reports]
     received += [
-        ("call", response(status, {codec.ERROR_TYPE: one})) for status in (404, 503, 500) for one in errors
+        ("call", response(status, {codec.ERROR_TYPE_HEADER: one}))
+        for status in (404, 503, 500)
+        for one in errors
     ]
-    received += [("call", response(200, {codec.FUNCTION_ERROR: "Unhandled", **told[0]}))]
+    received += [("call", response(200, {codec.FUNCTION_ERROR_HEADER: "Unhandled", **headers_of_reports[0]}))]
     warmths = ("0", "1", "2", "3", "4", "5", "-1", "x")
     received += [
         ("call", response(200, {orca.HEADER: f"TEXT named_metrics.warmth={one}"})) for one in warmths
@@ -162,23 +176,28 @@
     usage["slices"] = [SLICE]
     received += [("usage", response(200, None, json.dumps(usage).encode()))]
     received += [("usage", response(404)), ("usage", response(500)), ("usage", response(200, None, b"{"))]
-    lines = (*told, {}, {orca.HEADER: "cpu_utilization=0.5, queue=x, loads=inf"}, {orca.HEADER: "JSON ["})
-    spoilt = ({orca.HEADER_BIN: "!"}, {orca.HEADER: "BIN " + told[2][orca.HEADER_BIN]})
-    received += [("report", json.dumps(headers).encode()) for headers in (*lines, *spoilt)]
+    lines = (
+        *headers_of_reports,
+        {},
+        {orca.HEADER: "cpu_utilization=0.5, queue=x, loads=inf"},
+        {orca.HEADER: "JSON ["},
+    )
+    broken = ({orca.BINARY_HEADER: "!"}, {orca.HEADER: "BIN " + headers_of_reports[2][orca.BINARY_HEADER]})
+    received += [("report", json.dumps(headers).encode()) for headers in (*lines, *broken)]
     write_rows(RECEIVED, [received_row(name, RECEIVERS, data) for name, data in received])
 
 
 @pytest.mark.parametrize("name", REPORTS)
-def test_a_worker_s_report_of_a_former_release_is_read(name: str) -> None:
+def test_a_usage_report_of_a_former_release_is_decoded(name: str) -> None:
     body = (REPORTS_FOLDER / f"{name}.json").read_bytes()
-    assert codec.read_usage(Response(200, body=body)) == REPORTS[name]
+    assert codec.decode_usage_response(Response(200, body=body)) == REPORTS[name]
 
 
-def test_requests_are_written_as_recorded() -> None:
+def test_requests_are_encoded_as_recorded() -> None:
     assert differences_sent(SENT, SENDERS) == []
 
 
-def test_answers_are_read_as_recorded() -> None:
+def test_responses_are_decoded_as_recorded() -> None:
     assert differences_received(RECEIVED, RECEIVERS) == []
 
 
