--- a/packages/adapter/src/walnutpost/adapter/__main__.py
+++ b/packages/adapter/src/walnutpost/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the simulator's wire on standard input and output."""
+"""Serves the simulator's protocol on standard input and output."""
 
 import sys
 
--- a/packages/adapter/src/walnutpost/adapter/settings.py
+++ b/packages/adapter/src/walnutpost/adapter/settings.py
@@ -1,4 +1,7 @@
-"""The settings object, as an instance of the simulator and a node get it, to `interface.Settings`."""
+"""The settings object, as an instance of the simulator and a node get it, to `interface.Settings`.
+
+Keys are the simulator's; unknown ones are ignored.
+"""
 
 from __future__ import annotations
 
@@ -6,138 +9,171 @@
 from typing import Any
 
 from walnutpost import interface as api
+from walnutpost.adapter.errors import SettingsError
 
 EFFECTS = {"free": api.Effect.SAFE, "guarded": api.Effect.KEYED, "single_shot": api.Effect.UNSAFE}
 GROUPS = {"all": api.Group.ALL, "zone": api.Group.ZONE, "cell": api.Group.CELL}
-FIELD_NAMES = {
+REPORT_FIELD_NAMES = {
     "outstanding": "in_flight",
     "backlog": "queue",
     "utilization": "busy",
     "x0": "memory_tied",
     "x1": "loads",
 }
+"""The policy's names of report fields, by those of the settings."""
 
 
-class SettingsError(Exception):
-    """An instance's settings lack or misstate something that is needed."""
-
-
-class Told:
-    """One level of the settings; a lack is reported with the key's full name."""
+class SettingsSection:
+    """One level of the settings. Its errors name a key in full; all methods may raise SettingsError."""
 
     def __init__(self, values: Any, path: str = "") -> None:
+        """Wrap `values`, which must be an object; `path` is put before each key."""
         if not isinstance(values, dict):
-            raise SettingsError(f"setting {path or 'root'} is not an object")
+            raise SettingsError(f"setting {path or 'root'} is not an object", path)
         self._values: dict[str, Any] = values
         self._path = path
 
-    def need(self, key: str) -> Any:
+    def require(self, key: str) -> Any:
+        """Return a value that must be there."""
         if self._values.get(key) is None:
-            raise SettingsError(f"setting {self._path}{key} is missing")
+            name = self._path + key
+            raise SettingsError(f"setting {name} is missing", name)
         return self._values[key]
 
     def number(self, key: str) -> float:
-        """A figure that may be left out: zero then, which everywhere means 'not told'."""
+        """Return a number that may be omitted: zero then, which means that it isn't set."""
         value = self._values.get(key) or 0
         if not isinstance(value, int | float):
-            raise SettingsError(f"setting {self._path}{key} is not a number")
+            name = self._path + key
+            raise SettingsError(f"setting {name} is not a number", name)
         return value
 
-    def whole(self, key: str) -> int:
+    def integer(self, key: str) -> int:
+        """Return a number without its fraction; zero where it is omitted."""
         return int(self.number(key))
 
-    def needed_whole(self, key: str) -> int:
-        self.need(key)
-        return self.whole(key)
+    def require_integer(self, key: str) -> int:
+        """Return a number that must be there, without its fraction."""
+        self.require(key)
+        return self.integer(key)
 
-    def word(self, key: str) -> str:
+    def text(self, key: str) -> str:
+        """Return a text; empty where it is omitted."""
         return str(self._values.get(key) or "")
 
     def flag(self, key: str) -> bool:
+        """Return a truth value; False where it is omitted."""
         return bool(self._values.get(key))
 
-    def part(self, key: str) -> Told:
-        return Told(self._values.get(key) or {}, f"{self._path}{key}.")
+    def section(self, key: str) -> SettingsSection:
+        """Return the section below; an empty one where it is omitted."""
+        return SettingsSection(self._values.get(key) or {}, f"{self._path}{key}.")
 
-    def parts(self, key: str) -> list[Told]:
-        return [Told(v, f"{self._path}{key}[{i}].") for i, v in enumerate(self._values.get(key) or [])]
+    def sections(self, key: str) -> list[SettingsSection]:
+        """Return the sections of a list."""
+        items = self._values.get(key) or []
+        return [SettingsSection(item, f"{self._path}{key}[{i}].") for i, item in enumerate(items)]
 
     def items(self, key: str) -> list[Any]:
+        """Return the items of a list."""
         return list(self._values.get(key) or [])
 
 
-def _request_class(told: Told) -> api.RequestClass:
-    effect = told.need("Idempotency")
-    if effect not in EFFECTS:
-        raise SettingsError(f"setting Profiles Idempotency {effect!r} is not known")
-    return api.RequestClass(
-        latency_objective_us=told.needed_whole("Aim"),
-        deadline_us=told.needed_whole("HardLimit"),
-        priority_weight=float(told.need("Importance")),
-        late_priority_weight=told.number("LateWorth"),
-        effect=EFFECTS[effect],
-        group=GROUPS.get(told.word("DedupScope"), api.Group.CELL),
-        repeat_window_us=told.whole("Window"),
-        is_stream=told.flag("Stream"),
-        objective_stretch=told.number("AimStretch"),
-    )
-
-
 def parse_settings(text: bytes) -> api.Settings:
+    """Parse the settings of an instance, as JSON. Raise SettingsError."""
     try:
-        told = Told(json.loads(text))
+        root = SettingsSection(json.loads(text))
     except ValueError as error:
         raise SettingsError(f"settings are not JSON: {error}") from error
-    told.need("Profiles")
-    told.need("PolicyLimits")
-    limits, rules, prices, extra = (
-        told.part(key) for key in ("PolicyLimits", "Guarantees", "Prices", "Extra")
-    )
+    root.require("Profiles")
+    root.require("PolicyLimits")
+    limits = root.section("PolicyLimits")
+    rules = root.section("Guarantees")
+    prices = root.section("Prices")
+    extra = root.section("Extra")
     return api.Settings(
-        classes=tuple(_request_class(profile) for profile in told.parts("Profiles")),
-        tenants=tuple(api.Tenant(r.number("Share"), r.number("QuotaPerS")) for r in told.parts("Realms")),
-        limits=api.Limits(
-            may_cancel=limits.flag("Cancel"),
-            may_probe=limits.flag("Probes"),
-            may_run_parallel_attempts=limits.flag("ParallelTries"),
-            may_send_retry_after=limits.flag("RetryAfter"),
-            max_attempts=limits.needed_whole("MaxAttempts"),
-            max_retry_after_us=limits.whole("MaxRetryAfter"),
-        ),
-        guards=api.Guards(
-            answer_slack_us=rules.whole("AnswerSlack"),
-            drain_grace_us=rules.whole("DrainGrace"),
-            warm_up_us=rules.whole("Cold"),
-            start_capacity=rules.number("StartCapacity"),
-            overload_factor=rules.number("OverloadFactor"),
-            overload_window_us=rules.whole("OverloadFor"),
-            watch_within_us=rules.whole("AskWithin"),
-            free_load_orders=extra.number("FreeLoads"),
-            load_orders_per_request=extra.number("LoadShare"),
-            load_order_window_us=extra.whole("LoadWindow"),
-        ),
-        prices=api.Prices(
-            cross_zone=prices.number("CrossZone"),
-            waste=prices.number("Waste"),
-            probe=prices.number("Probe"),
-            fetch=prices.number("Origin"),
-            late_failure=prices.number("LateFail"),
-            idle_copies=extra.number("PriceOfIdle"),
-        ),
-        zone=told.whole("MyZone"),
-        front_ends=told.whole("Siblings"),
-        index=told.whole("SelfIndex"),
-        tick_us=told.whole("Quantum"),
-        keep_alive_us=extra.whole("KeepAlive"),
-        load_order_timeout_us=extra.whole("OrderLimit"),
+        classes=tuple(_parse_class(profile) for profile in root.sections("Profiles")),
+        tenants=tuple(_parse_tenant(realm) for realm in root.sections("Realms")),
+        limits=_parse_limits(limits),
+        guards=_parse_guards(rules, extra),
+        prices=_parse_prices(prices, extra),
+        zone=root.integer("MyZone"),
+        front_ends=root.integer("Siblings"),
+        index=root.integer("SelfIndex"),
+        tick_us=root.integer("Quantum"),
+        keep_alive_us=extra.integer("KeepAlive"),
+        load_order_timeout_us=extra.integer("OrderLimit"),
         may_order_loads=extra.flag("MayLoad"),
-        loads_on_miss=extra.word("WhenAbsent") != "miss",
+        loads_on_miss=extra.text("WhenAbsent") != "miss",
         reports_warmth=extra.flag("WarmNotes"),
         reports_crowd=extra.flag("NotesPeersInHand"),
-        must_watch_endpoints=told.word("RegistryMode") == "ask",
-        has_weights=told.word("Weights") not in ("", "none"),
-        weighs_priority_by_work=told.word("WorthBy") == "work",
-        over_share_weight=told.number("OverShareWorth"),
-        report_fields=tuple(FIELD_NAMES.get(f, str(f)) for f in told.part("Reporting").items("Fields")),
+        must_watch_endpoints=root.text("RegistryMode") == "ask",
+        has_weights=root.text("Weights") not in ("", "none"),
+        weighs_priority_by_work=root.text("WorthBy") == "work",
+        over_share_weight=root.number("OverShareWorth"),
+        report_fields=_parse_report_fields(root.section("Reporting")),
         memory_mb_by_kind=tuple(float(mb) for mb in extra.items("MemoryMbByKind")),
     )
+
+
+def _parse_class(profile: SettingsSection) -> api.RequestClass:
+    effect = profile.require("Idempotency")
+    if effect not in EFFECTS:
+        raise SettingsError(f"setting Profiles Idempotency {effect!r} is not known", "Idempotency")
+    return api.RequestClass(
+        latency_objective_us=profile.require_integer("Aim"),
+        deadline_us=profile.require_integer("HardLimit"),
+        priority_weight=float(profile.require("Importance")),
+        late_priority_weight=profile.number("LateWorth"),
+        effect=EFFECTS[effect],
+        group=GROUPS.get(profile.text("DedupScope"), api.Group.CELL),
+        repeat_window_us=profile.integer("Window"),
+        is_stream=profile.flag("Stream"),
+        objective_stretch=profile.number("AimStretch"),
+    )
+
+
+def _parse_tenant(realm: SettingsSection) -> api.Tenant:
+    return api.Tenant(realm.number("Share"), realm.number("QuotaPerS"))
+
+
+def _parse_report_fields(reporting: SettingsSection) -> tuple[str, ...]:
+    fields = reporting.items("Fields")
+    return tuple(REPORT_FIELD_NAMES.get(field, str(field)) for field in fields)
+
+
+def _parse_limits(limits: SettingsSection) -> api.Limits:
+    return api.Limits(
+        may_cancel=limits.flag("Cancel"),
+        may_probe=limits.flag("Probes"),
+        may_run_parallel_attempts=limits.flag("ParallelTries"),
+        may_send_retry_after=limits.flag("RetryAfter"),
+        max_attempts=limits.require_integer("MaxAttempts"),
+        max_retry_after_us=limits.integer("MaxRetryAfter"),
+    )
+
+
+def _parse_guards(rules: SettingsSection, extra: SettingsSection) -> api.Guards:
+    return api.Guards(
+        answer_slack_us=rules.integer("AnswerSlack"),
+        drain_grace_us=rules.integer("DrainGrace"),
+        warm_up_us=rules.integer("Cold"),
+        start_capacity=rules.number("StartCapacity"),
+        overload_factor=rules.number("OverloadFactor"),
+        overload_window_us=rules.integer("OverloadFor"),
+        watch_within_us=rules.integer("AskWithin"),
+        free_load_orders=extra.number("FreeLoads"),
+        load_orders_per_request=extra.number("LoadShare"),
+        load_order_window_us=extra.integer("LoadWindow"),
+    )
+
+
+def _parse_prices(prices: SettingsSection, extra: SettingsSection) -> api.Prices:
+    return api.Prices(
+        cross_zone=prices.number("CrossZone"),
+        waste=prices.number("Waste"),
+        probe=prices.number("Probe"),
+        fetch=prices.number("Origin"),
+        late_failure=prices.number("LateFail"),
+        idle_copies=extra.number("PriceOfIdle"),
+    )
--- a/packages/adapter/tests/test_adapter.py
+++ b/packages/adapter/tests/test_adapter.py
@@ -11,7 +11,8 @@
 
 from walnutpost import interface as api
 from walnutpost import policy
-from walnutpost.adapter import codec, host, settings
+from walnutpost.adapter import decoding, encoding, frames, host, settings
+from walnutpost.adapter.errors import AdapterError, ProtocolError, SettingsError
 
 FACTS: dict[str, Any] = {
     "Profiles": [
@@ -39,8 +40,8 @@
 
 def batch(*records: bytes, clock: int = 6_052_954, number: int = 12, count: int | None = None) -> bytes:
     body = b"".join(records)
-    told = len(records) if count is None else count
-    return struct.pack("<IIQI", told, 12 + len(body), clock, number) + body
+    record_count = len(records) if count is None else count
+    return struct.pack("<IIQI", record_count, 12 + len(body), clock, number) + body
 
 
 def started(instance: int = 3, facts: Any = None) -> bytes:
@@ -61,10 +62,10 @@
     return record(4, "IQBHQIIfffB", instance, rid, 0, 0, 9, 2_500_000, 12_000, 384.0, 2.0, 700.5, flags)
 
 
-def decode(*records: bytes) -> list[codec.Incoming]:
+def decode(*records: bytes) -> list[frames.Incoming]:
     data = batch(*records)
-    header = codec.read_header(data[:20])
-    return [event for _, event in codec.Decoder().records(header, data[20:])]
+    header = decoding.decode_header(data[:20])
+    return [event for _, event in decoding.Decoder().decode_records(header, data[20:])]
 
 
 def serve(*batches: bytes) -> tuple[int, bytes]:
@@ -87,26 +88,26 @@
     return found
 
 
-def test_empty_batch_and_its_reply() -> None:
+def test_an_empty_batch_gets_an_empty_reply() -> None:
     incoming = bytes.fromhex("000000000c0000005a5c80000000000001000000")
     assert serve(incoming) == (0, bytes.fromhex("0400000001000000"))
 
 
-def test_request_fields() -> None:
+def test_each_field_of_a_request_is_decoded() -> None:
     (event,) = decode(request())
     assert event == api.RequestArrived(77, 0, 0, 9, 2_500_000, 12_000, 384.0, 2.0, 700_500, False)
     (event,) = decode(request(flags=2))
     assert isinstance(event, api.RequestArrived) and event.cost_hint_us is None and event.is_repeat
 
 
-@pytest.mark.parametrize(("wire", "outcome"), list(codec.OUTCOMES.items()))
-def test_ended_fields(wire: int, outcome: api.Outcome) -> None:
+@pytest.mark.parametrize(("wire", "outcome"), list(frames.OUTCOMES.items()))
+def test_an_attempts_end_is_decoded_with_each_outcome(wire: int, outcome: api.Outcome) -> None:
     note = 2 + 8 * 5
     (event,) = decode(record(5, "IQHIHIBBBff", 3, 77, 1, 8, wire, 900, 1, note, 2, 0.25, 0.5))
     assert event == api.AttemptEnded(77, 1, 8, outcome, 900, True, api.Warmth.STARTED_LOAD, 5, (0.25, 0.5))
 
 
-def test_other_events() -> None:
+def test_events_of_the_other_kinds_are_decoded() -> None:
     assert decode(
         record(1, "IQHII", 3, 77, 0, 8, 500),
         record(2, "II", 3, 4),
@@ -120,7 +121,7 @@
         api.TimerDue(4),
         api.ProbeEnded(8, api.Outcome.OK, 700, (0.5,)),
         api.PeerMessage(2, b"hi!"),
-        codec.Stopped(),
+        frames.InstanceStopped(),
         api.LoadOrderEnded(8, 9, api.Outcome.FULL, 640, 2),
         api.RequestCancelled(77),
     ]
@@ -152,8 +153,10 @@
         (api.Unload(8, 9), 14, "IIQ", (3, 8, 9)),
     ],
 )
-def test_action_bytes(action: api.Action, code: int, layout: str, values: tuple[Any, ...]) -> None:
-    assert codec.encode_action(3, action) == record(code, layout, *values)
+def test_each_action_is_encoded_as_its_record(
+    action: api.Action, code: int, layout: str, values: tuple[Any, ...]
+) -> None:
+    assert encoding.encode_action(3, action) == record(code, layout, *values)
 
 
 @pytest.mark.parametrize(
@@ -175,16 +178,16 @@
         struct.pack("<IIQI", 0, 3, 1, 1),
     ],
 )
-def test_malformed_input_is_one_plain_line_and_a_failing_exit(
+def test_malformed_input_ends_the_program_with_one_line_and_a_failing_exit(
     data: bytes, capsys: pytest.CaptureFixture[str]
 ) -> None:
     code, _ = serve(batch(started(), number=1), data)
-    told = capsys.readouterr().err
+    printed = capsys.readouterr().err
     assert code == 1
-    assert told.startswith("walnutpost adapter: ") and told.count("\n") == 1
+    assert printed.startswith("walnutpost adapter: ") and printed.count("\n") == 1
 
 
-def test_unknown_instance_and_code_are_named(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_unknown_instance_or_code_is_named_in_the_error(capsys: pytest.CaptureFixture[str]) -> None:
     serve(batch(request(instance=8)))
     assert "instance 8" in capsys.readouterr().err
     serve(batch(started(), record(77, "I", 3)))
@@ -192,7 +195,7 @@
 
 
 @pytest.mark.parametrize("key", ["Profiles", "PolicyLimits"])
-def test_missing_setting_is_named_through_the_fault(key: str) -> None:
+def test_a_missing_setting_is_named_in_the_fault(key: str) -> None:
     facts = {k: v for k, v in FACTS.items() if k != key}
     code, out = serve(batch(started(facts=facts), request()), batch(request()))
     ((_, records), (_, later)) = replies(out)
@@ -200,22 +203,22 @@
     assert [r[0] for r in records] == [10] and f"setting {key} is missing".encode() in records[0][1]
 
 
-def test_nested_missing_setting_is_named_in_full() -> None:
+def test_a_missing_nested_setting_is_named_in_full() -> None:
     facts = json.loads(json.dumps(FACTS))
     del facts["Profiles"][1]["HardLimit"]
-    with pytest.raises(settings.SettingsError, match=r"Profiles\[1\]\.HardLimit is missing"):
+    with pytest.raises(SettingsError, match=r"Profiles\[1\]\.HardLimit is missing"):
         settings.parse_settings(json.dumps(facts).encode())
 
 
-def test_settings_are_read_and_unknown_ones_skipped() -> None:
-    told = settings.parse_settings(json.dumps(FACTS).encode())
-    assert told.classes[1].effect is api.Effect.KEYED and told.classes[1].group is api.Group.ZONE
-    assert told.keep_alive_us == 8_000_000 and told.may_order_loads and not told.loads_on_miss
-    assert told.report_fields == ("busy", "memory_tied", "novelty")
-    assert told.guards.load_order_window_us == 0 and told.tenants == ()
+def test_settings_are_parsed_and_unknown_ones_ignored() -> None:
+    parsed = settings.parse_settings(json.dumps(FACTS).encode())
+    assert parsed.classes[1].effect is api.Effect.KEYED and parsed.classes[1].group is api.Group.ZONE
+    assert parsed.keep_alive_us == 8_000_000 and parsed.may_order_loads and not parsed.loads_on_miss
+    assert parsed.report_fields == ("busy", "memory_tied", "novelty")
+    assert parsed.guards.load_order_window_us == 0 and parsed.tenants == ()
 
 
-def test_exception_becomes_a_fault_with_its_place(
+def test_an_exception_becomes_a_fault_with_its_place(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     def broken(*_: object) -> list[api.Action]:
@@ -229,7 +232,7 @@
     assert "Traceback" in capsys.readouterr().err
 
 
-def test_kill_and_restart_within_a_batch_starts_empty() -> None:
+def test_an_instance_stopped_and_started_within_a_batch_starts_empty() -> None:
     stop = record(9, "I", 3)
     code, out = serve(
         batch(started(), table(0, 5, 6), update(0), request(1), number=1),
@@ -242,10 +245,24 @@
     assert not answered[2][1]
 
 
-def test_instances_do_not_influence_each_other() -> None:
+def test_instances_of_one_process_do_not_influence_each_other() -> None:
     alone = batch(started(), table(0, 5, 6), update(0), request(1))
     other = [update(0, instance=4), request(9, instance=4)]
     crowd = batch(started(), started(4), table(0, 5, 6), update(0), *other, request(1))
     mine = [r for r in replies(serve(alone)[1])[0][1] if r[1][:4] == b"\x03\0\0\0"]
     theirs = [r for r in replies(serve(crowd)[1])[0][1] if r[1][:4] == b"\x03\0\0\0"]
     assert mine and mine == theirs
+
+
+def test_errors_have_a_base_and_their_place_or_key_as_attributes() -> None:
+    with pytest.raises(ProtocolError) as raised:
+        decode(record(77, "I", 3))
+    assert (raised.value.place, raised.value.problem) == (
+        "batch 12, record 0, code 77",
+        "an unknown event code",
+    )
+    assert str(raised.value) == "batch 12, record 0, code 77: an unknown event code"
+    with pytest.raises(SettingsError) as missing:
+        settings.parse_settings(b"{}")
+    assert missing.value.key == "Profiles"
+    assert isinstance(raised.value, AdapterError) and isinstance(missing.value, AdapterError)
--- a/packages/adapter/tests/test_adapter_golden.py
+++ b/packages/adapter/tests/test_adapter_golden.py
@@ -24,7 +24,7 @@
 )
 from neutral_form import KINDS, to_neutral
 from walnutpost import interface as api
-from walnutpost.adapter import codec, host, settings
+from walnutpost.adapter import decoding, encoding, frames, host, settings
 
 GOLDEN = Path(__file__).parent / "golden"
 SENT, RECEIVED, SETTINGS_READ, HOST = (
@@ -107,13 +107,15 @@
 
 def decoded(data: bytes) -> list[tuple[int, Any]]:
     """Each event with its instance; the adapter's own kinds, which the Router never sees, as their values."""
-    head = codec.BATCH_HEADER.size
+    head = frames.BATCH_HEADER.size
     found: list[tuple[int, Any]] = []
-    for instance, event in codec.Decoder().records(codec.read_header(data[:head]), data[head:]):
+    for instance, event in decoding.Decoder().decode_records(
+        decoding.decode_header(data[:head]), data[head:]
+    ):
         match event:
-            case codec.Started(seed, text):
+            case frames.InstanceStarted(seed, text):
                 found.append((instance, ("started", seed, text)))
-            case codec.Stopped():
+            case frames.InstanceStopped():
                 found.append((instance, ("stopped",)))
             case _:
                 found.append((instance, event))
@@ -126,9 +128,9 @@
 
 
 SENDERS: dict[str, Sender] = {
-    "action": codec.encode_action,
-    "fault": codec.encode_fault,
-    "reply": codec.encode_reply,
+    "action": encoding.encode_action,
+    "fault": encoding.encode_fault,
+    "reply": encoding.encode_reply,
 }
 RECEIVERS = {"batch": decoded}
 SETTINGS_READERS = {"settings": settings.parse_settings}
@@ -190,18 +192,20 @@
     ]
     rows = [sent_row("action", SENDERS, 3, action) for action in actions]
     rows.append(sent_row("fault", SENDERS, 4, "KeyError: 'x' at router.py:1 in handle"))
-    rows.append(["reply", to_neutral((12, [b"ab", b"cde"])), codec.encode_reply(12, [b"ab", b"cde"]).hex()])
+    rows.append(
+        ["reply", to_neutral((12, [b"ab", b"cde"])), encoding.encode_reply(12, [b"ab", b"cde"]).hex()]
+    )
     write_rows(SENT, rows)
     batches = [
         batch(),
         batch(record(1, "IQHII", 3, 77, 2, 8, 500), record(2, "II", 3, 4), record(9, "I", 3)),
         batch(listed(0, 5, 6, 7), *(update(0, kind) for kind in range(4)), listed(1, 9), update(1, 2)),
         batch(*(request(70 + flags, flags) for flags in range(4))),
-        batch(*(ended(77, 8, how, 1 + 8 * 5, 0.25, 0.5) for how in codec.OUTCOMES)),
+        batch(*(ended(77, 8, how, 1 + 8 * 5, 0.25, 0.5) for how in frames.OUTCOMES)),
         batch(*(ended(77, 8, 200, note) for note in range(5))),
         batch(record(6, "IIHIB2f", 3, 8, 200, 700, 2, 0.5, 0.125), record(6, "IIHIB", 3, 8, 504, 700, 0)),
         batch(record(7, "IIH3s", 3, 2, 3, b"hi!"), record(12, "IQ", 3, 1 << 40)),
-        batch(*(record(10, "IIQHIB", 3, 8, 1 << 39, how, 640, 2) for how in codec.OUTCOMES)),
+        batch(*(record(10, "IIQHIB", 3, 8, 1 << 39, how, 640, 2) for how in frames.OUTCOMES)),
         batch(started(3, FACTS)),
     ]
     write_rows(RECEIVED, [received_row("batch", RECEIVERS, data) for data in batches])
@@ -222,19 +226,19 @@
     write_rows(HOST, [received_row("serve", HOSTS, life)])
 
 
-def test_actions_and_faults_are_written_as_recorded() -> None:
+def test_actions_and_faults_are_encoded_as_recorded() -> None:
     assert differences_sent(SENT, SENDERS) == []
 
 
-def test_batches_are_read_as_recorded() -> None:
+def test_batches_are_decoded_as_recorded() -> None:
     assert differences_received(RECEIVED, RECEIVERS) == []
 
 
-def test_settings_are_read_as_recorded() -> None:
+def test_settings_are_parsed_as_recorded() -> None:
     assert differences_received(SETTINGS_READ, SETTINGS_READERS) == []
 
 
-def test_a_recorded_life_of_the_adapter_is_answered_with_the_same_bytes() -> None:
+def test_a_recorded_run_of_an_instance_is_answered_with_the_same_bytes() -> None:
     assert differences_received(HOST, HOSTS) == []
 
 
--- a/packages/node/src/walnutpost/node/config.py
+++ b/packages/node/src/walnutpost/node/config.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from walnutpost import interface as api
-from walnutpost.adapter.settings import SettingsError, Told, parse_settings
+from walnutpost.adapter.errors import SettingsError
+from walnutpost.adapter.settings import SettingsSection, parse_settings
 from walnutpost.node.directory import Address, TopologyNames
 from walnutpost.node.errors import NodeError
 
@@ -77,28 +78,28 @@
 
 
 def _parse_values(root: dict[str, Any]) -> Config:
-    section = Told(root["settings"], "settings.")
+    section = SettingsSection(root["settings"], "settings.")
     settings = replace(parse_settings(json.dumps(root["settings"]).encode()), are_restarts_unseen=True)
-    policy_limits = section.part("PolicyLimits")
-    process_limits = Told(root.get("limits") or {}, "limits.")
+    policy_limits = section.section("PolicyLimits")
+    process_limits = SettingsSection(root.get("limits") or {}, "limits.")
     return Config(
         listen=parse_address(root["listen"], "listen"),
         seed=int(str(root.get("seed", "0")), 16),
-        max_descriptors=process_limits.needed_whole("sockets"),
+        max_descriptors=process_limits.require_integer("sockets"),
         dns=parse_address(root["dns"], "dns"),
         known_events=root["known"],
         settings=settings,
-        classes=tuple(str(profile.need("Name")) for profile in section.parts("Profiles")),
-        tenants=tuple(str(realm.need("Name")) for realm in section.parts("Realms")),
+        classes=tuple(str(profile.require("Name")) for profile in section.sections("Profiles")),
+        tenants=tuple(str(realm.require("Name")) for realm in section.sections("Realms")),
         topology_names=_parse_topology_names(section, settings.has_weights),
-        report_fields=tuple(map(str, section.part("Reporting").items("Fields"))),
-        connect_timeout_us=policy_limits.needed_whole("DialTimeout"),
-        idle_timeout_us=policy_limits.needed_whole("ConnIdle"),
-        max_streams=policy_limits.needed_whole("StreamsPerConn"),
+        report_fields=tuple(map(str, section.section("Reporting").items("Fields"))),
+        connect_timeout_us=policy_limits.require_integer("DialTimeout"),
+        idle_timeout_us=policy_limits.require_integer("ConnIdle"),
+        max_streams=policy_limits.require_integer("StreamsPerConn"),
     )
 
 
-def _parse_topology_names(section: Told, is_weighted: bool) -> TopologyNames:
+def _parse_topology_names(section: SettingsSection, is_weighted: bool) -> TopologyNames:
     zones = tuple(map(str, section.items("Zones")))
     kinds = tuple(map(str, section.items("Kinds")))
     return TopologyNames(zones, kinds, is_weighted)
