--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -1,7 +1,6 @@
 """One relay: caches the configuration store, serves watches of it, reports members' progress to the leader.
 
-It has no disk, and nothing waits for it: the members of a relay that is lost go on at another from where
-they are.
+It has no disk and no state of its own: members of a relay that is lost continue at another relay.
 """
 
 from __future__ import annotations
@@ -35,7 +34,7 @@
 """What a relay may receive: a full snapshot within seconds of a start."""
 UPSTREAM_WAIT_TIMEOUT_US = SECOND_US
 UPSTREAM_MAX_AGE_US = 5 * SECOND_US // 2
-"""Short: a replica that is lost or cut off is left before members notice."""
+"""Short, so that a relay fails over from a lost or isolated replica before members notice."""
 BATCH_INTERVAL_US = 200_000
 """Changes within this time are one response."""
 MIN_REPORT_INTERVAL_US = SECOND_US // 4
@@ -73,7 +72,7 @@
     ) -> None:
         """Listen and start; raises OSError where it can't listen.
 
-        `replicas`: addresses of the control plane; any of them is watched, the leader gets the reports.
+        `replicas`: addresses of the control plane; one of them is watched, the leader gets the reports.
         `seed`: the incarnation of this process; no two of one name may have the same.
         `address`: where members reach this relay, as reported to the leader.
         """
@@ -88,23 +87,16 @@
         )
         own_address = "{}:{}".format(*self.address)
         self.registry = MemberRegistry(name, self.incarnation, address or own_address)
-        self.watches = WatchServer(
-            loop,
-            self._store,
-            self.watcher.age_us,
-            self._member_requested,
-            BATCH_INTERVAL_US,
-            on_disconnect=self._member_disconnected,
-        )
+        self.watches = self._create_watch_server()
         self._client = KeeperClient(loop, replicas, REPORT_TIMEOUT_US, REPORT_ATTEMPT_TIMEOUT_US)
         self._report_due = Event(loop)
         self._is_leader_reachable = True  # the last report reached a leader
         self._stats_at_us = loop.now()
         self._stats_cpu_s = time.process_time()
-        self._stats_timer = loop.call_every(STATS_INTERVAL_US, self._log_stats, name="figures")
+        self._stats_timer = loop.call_every(STATS_INTERVAL_US, self._log_stats, name="stats")
         self._tasks = [
             loop.spawn(self.watcher.run, name="upstream"),
-            loop.spawn(self._report_progress, name="sums"),
+            loop.spawn(self._report_progress, name="progress reports"),
         ]
         log.info("listening", role="relay", name=name, incarnation=self.incarnation, address=own_address)
 
@@ -121,13 +113,23 @@
             UPSTREAM_MAX_AGE_US,
         )
 
+    def _create_watch_server(self) -> WatchServer:
+        return WatchServer(
+            self._loop,
+            self._store,
+            self.watcher.age_us,
+            self._member_requested,
+            BATCH_INTERVAL_US,
+            on_disconnect=self._member_disconnected,
+        )
+
     @property
     def address(self) -> Address:
         """Where this relay listens."""
         return self._server.address
 
     def stop(self) -> None:
-        """End; the members find another relay."""
+        """Stop; the members fail over to another relay."""
         self._server.stop_accepting()
         self._server.group.cancel()
         self._stats_timer.cancel()
@@ -150,7 +152,7 @@
         return Response(error.status, body=str(error).encode())
 
     def _store(self) -> ConfigStore | None:
-        """Return None until the store was complete once: a member that asks before goes to another relay."""
+        """Return None until the store has been complete once: until then members use another relay."""
         return self.state.store if self.watcher.is_complete else None
 
     def _store_changed(self, outcome: ApplyOutcome) -> None:
@@ -172,7 +174,7 @@
             self._report_due.set()
 
     def _report_progress(self) -> None:
-        """Report to the leader over and over; what a lost report had is in the next one."""
+        """Report to the leader until cancelled; the next report includes what a lost one had."""
         while True:
             began_us = self._loop.now()
             self._send_report(began_us)
--- a/packages/relay/tests/test_with_keepers.py
+++ b/packages/relay/tests/test_with_keepers.py
@@ -1,4 +1,4 @@
-"""Relays with real keepers, in one process on the real clock: order, history, sums and status."""
+"""Relays with a real control plane, in one process on the real clock: changes, reports and status."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from walnutpost.controlplane import Keeper, KeeperClient, NoAnswer
 from walnutpost.eventloop import Loop
 from walnutpost.relay import Relay
-from watch_rig import SECOND, Log, Member, ops, until
+from watch_rig import SECOND, Log, Member, put_keys, until
 
 NAMES = ("k1", "k2", "k3")
 TIMING = Timing(election_timeout_us=1_000_000, heartbeat_interval_us=100_000)
@@ -24,7 +24,7 @@
     keepers: dict[str, Keeper] = {}
     relays: dict[str, Relay] = {}
 
-    def where(name: str) -> Callable[[], tuple[str, int]]:
+    def address_getter(name: str) -> Callable[[], tuple[str, int]]:
         return lambda: keepers[name].address
 
     def status(client: KeeperClient) -> PropagationStatus | None:
@@ -33,45 +33,60 @@
         return None
 
     def script() -> None:
-        ways = {name: where(name) for name in NAMES}
+        address_getters = {name: address_getter(name) for name in NAMES}
         for seed, name in enumerate(NAMES):
             keepers[name] = Keeper(
-                loop, name, ways, ("127.0.0.1", 0), tmp_path, TIMING, 60 * SECOND, Log(), seed, found=True
+                loop,
+                name,
+                address_getters,
+                ("127.0.0.1", 0),
+                tmp_path,
+                TIMING,
+                60 * SECOND,
+                Log(),
+                seed,
+                found=True,
             )
         addresses = {name: keeper.address for name, keeper in keepers.items()}
         for seed, name in enumerate(("r1", "r2")):
             relays[name] = Relay(loop, name, addresses, ("127.0.0.1", 0), Log(), seed)
-        at = {name: relay.address for name, relay in relays.items()}
-        places = {name: lambda name=name: at[name] for name in at}
-        members = [Member(loop, places, f"fe{n}", n) for n in range(8)]
+        relay_addresses = {name: relay.address for name, relay in relays.items()}
+        relay_getters = {name: lambda name=name: relay_addresses[name] for name in relay_addresses}
+        members = [Member(loop, relay_getters, f"fe{n}", n) for n in range(8)]
         client = KeeperClient(loop, addresses, 30 * SECOND, 2 * SECOND)
 
         def change(number: int) -> None:
-            answer, errors = client.set_entries(f"change {number}", ops(number, 3))
+            answer, errors = client.set_entries(f"change {number}", put_keys(number, 3))
             assert answer.ok and not errors
 
-            def in_force() -> bool:
-                told = status(client)
+            def is_applied_everywhere() -> bool:
+                propagation = status(client)
                 return (
-                    told is not None and told.member_count == 8 and told.min_applied_revision >= answer.index
+                    propagation is not None
+                    and propagation.member_count == 8
+                    and propagation.min_applied_revision >= answer.index
                 )
 
-            until(loop, in_force, step=50_000)
-            assert {m.follower.applied_revision for m in members} == {answer.index}
+            until(loop, is_applied_everywhere, step=50_000)
+            assert {m.state.applied_revision for m in members} == {answer.index}
             assert len({m.table.digest for m in members}) == 1
 
         change(1)
         relays.pop("r1").stop()
-        at["r1"] = ("127.0.0.1", 1)
+        relay_addresses["r1"] = ("127.0.0.1", 1)
         change(2)
         leader = next(name for name, keeper in keepers.items() if keeper.raft.role.value == "leader")
         keepers[leader].stop()
         change(3)
-        left = next(keeper for name, keeper in keepers.items() if name != leader)
-        assert left.fleet.table.digest == members[0].table.digest
+        survivor = next(keeper for name, keeper in keepers.items() if name != leader)
+        assert survivor.fleet.table.digest == members[0].table.digest
         for member in members:
             member.watcher.stop()
-        until(loop, lambda: (told := status(client)) is not None and told.member_count == 0, step=50_000)
+        until(
+            loop,
+            lambda: (propagation := status(client)) is not None and propagation.member_count == 0,
+            step=50_000,
+        )
         relays.pop("r2").stop()
         for name, keeper in keepers.items():
             if name != leader:
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -41,7 +41,7 @@
 MIN_RESPONSE_COST_BYTES = 1024
 """What a response counts as, however small, so that small ones in a row are paced too."""
 CONNECT_TIMEOUT_US = 1_000_000
-"""A machine that is off answers nothing: the next server is asked instead."""
+"""A machine that is off does not even reject: the watcher fails over to the next server."""
 RESPONSE_TIMEOUT_US = 2_000_000
 """Until the first byte of a response, beyond the wait timeout."""
 BODY_TIMEOUT_US = 8_000_000
@@ -49,12 +49,12 @@
 LEAVE_TIMEOUT_US = 500_000
 STALENESS_CHECK_INTERVAL_US = 500_000
 MAX_SERVER_AGE_US = 5_000_000
-"""A server whose confirmation is older is left; found out at most one wait timeout later."""
+"""The watcher fails over from a server whose confirmation is older, at most one wait timeout later."""
 STALE_FAILOVER_INTERVAL_US = 10_000_000
-"""Least time between such moves, once all servers were found to be no better."""
+"""Minimum time between such failovers, once all servers were found to be no better."""
 MIN_IDLE_WAIT_US, MAX_IDLE_WAIT_US = 50_000, 2_000_000
 MAX_LOG_LINES, LOG_WINDOW_US = 10, 60_000_000
-"""Lines of the log about what was found wrong, and the time in which they are counted."""
+"""Limit of the log lines about faulty servers, and the time in which they are counted."""
 REQUEST_HEADERS = {"Content-Type": "application/msgpack", "Accept-Encoding": CONTENT_CODING}
 MAX_HEADER_DIGITS = 19
 
@@ -124,7 +124,7 @@
         self._wait_timeout_us = wait_timeout_us
         self._max_server_age_us = max_server_age_us
         self.counts = WatcherCounters()
-        self.server = ""  # asked now, or last
+        self.server = ""  # the present or last one
         self._bucket = TokenBucket(rate_bytes_per_s, RECEIVE_BURST_BYTES, loop.now())
         self._idle_backoff = IdleBackoff(MIN_IDLE_WAIT_US, MAX_IDLE_WAIT_US)
         self._byte_counter = _ByteCounter(self.counts, self._count_received)
@@ -176,9 +176,9 @@
         """End, and announce it to the server as well as can be done within LEAVE_TIMEOUT_US."""
         if self._task is not None:
             self._task.cancel()
-        self._close_connection()  # with the request that waits there: there are never two at once
+        self._close_connection()  # with its waiting request: a watcher never has two open
         if not self.server or not self._state.member:
-            return  # nobody knows this watcher
+            return  # no server has recorded this watcher
         request = structs.replace(self._state.next_request(0), is_leaving=True)
         with suppress(OSError, WaitTimeoutError, BadHttp), self._loop.timeout(LEAVE_TIMEOUT_US):
             connection = self._open_connection()
@@ -351,7 +351,7 @@
                 write(event.kind.value, server=self.server, detail=event.detail)
         if outcome.changes or outcome.is_replaced or outcome.repaired_keys:
             # An error in it is reported, and doesn't end the watch.
-            self._loop.run_guarded("taken", partial(self._on_outcome, outcome))
+            self._loop.run_guarded("watch outcome", partial(self._on_outcome, outcome))
 
     def _may_log(self) -> bool:
         """Limit the lines of the log, whatever servers do over and over."""
@@ -363,7 +363,7 @@
 
 
 def _position(request: WatchRequest) -> tuple[int, str | None, int]:
-    """Return how far the watcher has come."""
+    """Return a watcher's progress, as its requests show it."""
     return request.revision, request.after_key, len(request.wanted_buckets)
 
 
--- a/packages/watch/src/walnutpost/watch/errors.py
+++ b/packages/watch/src/walnutpost/watch/errors.py
@@ -8,4 +8,4 @@
 
 
 class UnusableServerError(WatchError):
-    """A server answered, and another one should be asked instead."""
+    """A server answered in a way that makes the watcher fail over to another one."""
--- a/packages/watch/src/walnutpost/watch/serving.py
+++ b/packages/watch/src/walnutpost/watch/serving.py
@@ -111,7 +111,7 @@
         return len(self._waiting)
 
     def store_changed(self) -> None:
-        """Wake all waiting requests: the store has changed, by a change set or as a whole."""
+        """Wake all waiting requests: the store has changed, by a change set or by a replacement."""
         self._pages.clear()
         if self._wake_timer is not None:
             return
@@ -125,8 +125,8 @@
         """Answer one request, in the task of its connection.
 
         200 with a page; 204 where nothing is newer at the end of the wait; 400 for an invalid request; 503
-        where another server is to be asked. With the connection's `stream` a wait ends once the peer has
-        closed it.
+        where the watcher should use another server. With the connection's `stream` a wait ends once the peer
+        has closed it.
         """
         began_us = self._loop.now()
         try:
--- a/packages/watch/tests/test_watch_golden.py
+++ b/packages/watch/tests/test_watch_golden.py
@@ -1,5 +1,7 @@
-"""Watchers and relays of other versions: the headers and codings of watches stay. Their messages are those of
-the agreed table, and have their golden forms there."""
+"""Compatibility with watchers and relays of other versions: headers and codings stay.
+
+The messages are the configuration store's, and have their golden forms there.
+"""
 
 from __future__ import annotations
 
--- a/packages/watch/tests/watch_rig.py
+++ b/packages/watch/tests/watch_rig.py
@@ -1,4 +1,4 @@
-"""A table, and servers of it on a loop with virtual time; questions asked by hand."""
+"""Configuration stores, and servers of them on a loop with virtual time; requests sent one by one."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 from walnutpost.watch import Watcher, WatchServer
 
 SECOND = 1_000_000
-HOLD = 3 * SECOND
+WAIT_TIMEOUT_US = 3 * SECOND
 
 
-def refusal(error: BadMessage) -> Response:
+def protocol_error(error: BadMessage) -> Response:
     return Response(error.status, body=str(error).encode())
 
 
-def ops(first: int, count: int = 1, size: int = 20, salt: int = 0) -> list[Mutation]:
+def put_keys(first: int, count: int = 1, size: int = 20, salt: int = 0) -> list[Mutation]:
     return [
         Mutation(f"function/f{n:05}", f"{salt}.{n}".encode().ljust(size, b"."))
         for n in range(first, first + count)
@@ -42,16 +42,16 @@
 
 
 def filled(count: int = 10, size: int = 20, **limits: int) -> ConfigStore:
-    """With `count` keys, of one change set each; its log has them unless `limits` say otherwise."""
+    """Return a store of `count` keys, of one change set each; the log has these as far as `limits` allow."""
     table = ConfigStore(**limits)
     for n in range(count):
-        table.propose(table.revision + 1, ops(n, size=size))
+        table.propose(table.revision + 1, put_keys(n, size=size))
     return table
 
 
 def large(count: int, size: int = 200) -> ConfigStore:
-    """With `count` keys and no history: whoever has nothing is owed a whole state."""
-    entries = {op.key: Entry(op.key, op.value or b"", 1) for op in ops(0, count, size)}
+    """Return a store of `count` keys without a log: an empty watcher needs a snapshot."""
+    entries = {op.key: Entry(op.key, op.value or b"", 1) for op in put_keys(0, count, size)}
     return ConfigStore.from_entries(entries, 100)
 
 
@@ -64,40 +64,40 @@
     def address(self) -> tuple[str, int]: ...
 
 
-class Served:
-    """One server of a table, as a relay or a keeper has it; `table` may be changed through `change`."""
+class FakeServer:
+    """A watch server, as a relay or a control plane replica has it; `change` commits to its `table`."""
 
     def __init__(
-        self, loop: Loop, table: ConfigStore | None, age: Callable[[], int] = lambda: 0, **more: Any
+        self, loop: Loop, table: ConfigStore | None, age_us: Callable[[], int] = lambda: 0, **more: Any
     ) -> None:
         self.loop, self.table = loop, table
-        self.codes = False
-        self.questions: list[WatchRequest] = []
-        self.watch = WatchServer(loop, lambda: self.table, age, self.questions.append, **more)
-        self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, refusal)
+        self.compresses = False
+        self.requests: list[WatchRequest] = []
+        self.watch = WatchServer(loop, lambda: self.table, age_us, self.requests.append, **more)
+        self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, protocol_error)
         self.address = self.server.address
 
     def _handle(self, exchange: Exchange) -> Response:
         assert (exchange.request.method, exchange.request.target) == ("POST", WATCH_PATH.encode())
-        accepts = exchange.request.headers.get("accept-encoding", "") if self.codes else ""
-        return self.watch.handle(exchange.request.body, exchange.stream, accepts)
+        accept_encoding = exchange.request.headers.get("accept-encoding", "") if self.compresses else ""
+        return self.watch.handle(exchange.request.body, exchange.stream, accept_encoding)
 
-    def change(self, wanted: list[Mutation]) -> int:
+    def change(self, mutations: list[Mutation]) -> int:
         assert self.table is not None
-        self.table.propose(self.table.revision + 1, wanted)
+        self.table.propose(self.table.revision + 1, mutations)
         self.watch.store_changed()
         return self.table.revision
 
-    def end(self) -> None:
-        """As a process that is killed: all its connections break."""
+    def kill(self) -> None:
+        """Reset all connections, as the end of a killed process does."""
         self.server.stop_accepting()
         for stream in list(self.server.streams):
             stream.reset()
 
 
 @dataclass
-class Asked:
-    """What came back, when, and how it was headed."""
+class Received:
+    """A response, and when it was received."""
 
     status: int
     page: WatchResponse | None
@@ -106,44 +106,48 @@
     body: bytes
 
 
-class Asker:
-    """A member that asks by hand, over one connection."""
+class Requester:
+    """Sends single requests as a member, over one connection."""
 
-    def __init__(self, loop: Loop, served: Addressed, member: str = "") -> None:
+    def __init__(self, loop: Loop, server: Addressed, member: str = "") -> None:
         self.loop, self.member, self.session = loop, member, 0
-        self.connection = Connection.open(loop, served.address)
+        self.connection = Connection.open(loop, server.address)
 
-    def ask(self, revision: int, digest: int = 0, hold: int = HOLD, **more: Any) -> Asked:
+    def ask(
+        self, revision: int, digest: int = 0, wait_timeout_us: int = WAIT_TIMEOUT_US, **more: Any
+    ) -> Received:
         return self.send(
-            encode(WatchRequest(self.member, "1", self.session, revision, 0, digest, hold, **more))
+            encode(WatchRequest(self.member, "1", self.session, revision, 0, digest, wait_timeout_us, **more))
         )
 
-    def send(self, body: bytes, headers: dict[str, str] | None = None) -> Asked:
+    def send(self, body: bytes, headers: dict[str, str] | None = None) -> Received:
         response = self.connection.exchange(encode_request("POST", WATCH_PATH, "x", headers or {}, body))
         coded = "content-encoding" in response.headers
         plain = zlib.decompress(response.body) if coded else response.body
         page = decode(plain, WatchResponse) if response.status == 200 else None
-        return Asked(response.status, page, response.headers, self.loop.now(), response.body)
+        return Received(response.status, page, response.headers, self.loop.now(), response.body)
 
 
 def play(script: Callable[[Loop], Any], errors: list[BaseException] | None = None) -> Any:
-    """With virtual time: what is waited for comes in no time, and in the same order each time."""
-    found: list[BaseException] = [] if errors is None else errors
-    loop = Loop(VirtualClock(), lambda name, error: found.append(error))
+    """Run a script with virtual time: no real waits, and the same order each time."""
+    loop_errors: list[BaseException] = [] if errors is None else errors
+    loop = Loop(VirtualClock(), lambda name, error: loop_errors.append(error))
     result = loop.run(script, loop)
-    assert errors is not None or not found, found
+    assert errors is not None or not loop_errors, loop_errors
     return result
 
 
-def until(loop: Loop, condition: Callable[[], object], step: int = 10_000, most: int = 60 * SECOND) -> None:
-    end = loop.now() + most
+def until(
+    loop: Loop, condition: Callable[[], object], step: int = 10_000, timeout_us: int = 60 * SECOND
+) -> None:
+    deadline_us = loop.now() + timeout_us
     while not condition():
-        assert loop.now() < end, "it never came to that"
+        assert loop.now() < deadline_us, "the condition did not become true in time"
         loop.sleep(step)
 
 
 class Log:
-    """What was logged, in order."""
+    """Collects log lines in memory."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
@@ -161,7 +165,7 @@
 
 
 class Member:
-    """A follower with its watcher, acting on what it has at once, as a front end does."""
+    """A watcher that applies each revision at once, as a front end does."""
 
     def __init__(
         self,
@@ -169,40 +173,40 @@
         servers: Mapping[str, Callable[[], tuple[str, int]]],
         name: str = "fe1",
         seed: int = 1,
-        follower: WatchState | None = None,
+        state: WatchState | None = None,
         **more: Any,
     ) -> None:
         self.loop, self.log = loop, Log()
-        self.follower = follower or WatchState(name, "1", loop.now())
-        self.choice = RelaySelector(name, dict.fromkeys(servers, "r"), "r", Random(seed))
-        self.taken: list[ApplyOutcome] = []
-        self.acted: list[int] = []  # revisions, in order
-        self.watcher = Watcher(loop, servers, self.follower, self.choice, self.take, self.log, **more)
+        self.state = state or WatchState(name, "1", loop.now())
+        self.selector = RelaySelector(name, dict.fromkeys(servers, "r"), "r", Random(seed))
+        self.outcomes: list[ApplyOutcome] = []
+        self.applied_revisions: list[int] = []  # in order
+        self.watcher = Watcher(loop, servers, self.state, self.selector, self.on_outcome, self.log, **more)
         self.task = loop.spawn(self.watcher.run, name="watch")
 
     @property
     def table(self) -> ConfigStore:
-        return self.follower.store
+        return self.state.store
 
-    def take(self, taken: ApplyOutcome) -> None:
-        self.taken.append(taken)
-        self.acted.append(self.table.revision)
-        self.follower.mark_applied(self.table.revision)
+    def on_outcome(self, outcome: ApplyOutcome) -> None:
+        self.outcomes.append(outcome)
+        self.applied_revisions.append(self.table.revision)
+        self.state.mark_applied(self.table.revision)
 
-    def same(self, table: ConfigStore | None) -> bool:
-        held = self.table
-        return table is not None and (held.revision, held.digest) == (table.revision, table.digest)
+    def has_content_of(self, table: ConfigStore | None) -> bool:
+        own = self.table
+        return table is not None and (own.revision, own.digest) == (table.revision, table.digest)
 
 
-class Raw:
-    """A server that answers each question as it is told; None ends the connection."""
+class ScriptedServer:
+    """A server whose responses a callback makes; None ends the connection."""
 
-    def __init__(self, loop: Loop, answer: Callable[[WatchRequest], Response | None]) -> None:
-        self.questions: list[WatchRequest] = []
+    def __init__(self, loop: Loop, respond: Callable[[WatchRequest], Response | None]) -> None:
+        self.requests: list[WatchRequest] = []
 
         def handle(exchange: Exchange) -> Response | None:
-            self.questions.append(decode(exchange.request.body, WatchRequest))
-            return answer(self.questions[-1])
+            self.requests.append(decode(exchange.request.body, WatchRequest))
+            return respond(self.requests[-1])
 
-        self.server = serve_on(loop, ("127.0.0.1", 0), handle, refusal)
+        self.server = serve_on(loop, ("127.0.0.1", 0), handle, protocol_error)
         self.address = self.server.address
