--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -226,7 +226,7 @@
                     loop.sleep(n * every // (fronts + workers))
                     while loop.now() < until:
                         acts, figures = (10_000, (n, 0, 0, n)) if n < fronts else (None, None)
-                        told.report(Report(f"m{n}", f"m{n}.1", acts=acts, figures=figures))
+                        told.report(Report(f"m{n}", f"m{n}.1", applied_index=acts, call_counts=figures))
                         count += 1
                         loop.sleep(every)
 
--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -17,7 +17,7 @@
 from walnutpost import interface as api
 from walnutpost.config import Config, build_catalogue, build_router_settings, parse
 from walnutpost.controlplane import wire
-from walnutpost.controlplane.wire import Told
+from walnutpost.controlplane.wire import CommandReply
 from walnutpost.daemon.endpoint_lists import EndpointLists
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Loop
@@ -100,22 +100,22 @@
 
     def answer() -> bytes:
         sight = endpoint_snapshot(agreed.fleet.state, 9 * SECOND, ages)
-        return wire.encode(Told(CommandResult(True, agreed.index), sight=sight))
+        return wire.encode(CommandReply(CommandResult(True, agreed.index), endpoints=sight))
 
     body = answer()
     with Grown() as held:
-        told = wire.decode(body, Told)
+        told = wire.decode(body, CommandReply)
     out["list sent"] = size_of(body)
     out["list made for one report"] = ms(cpu_of(answer))
-    out["list decoded"] = ms(cpu_of(lambda: wire.decode(body, Told)))
+    out["list decoded"] = ms(cpu_of(lambda: wire.decode(body, CommandReply)))
     out["list held decoded"] = mb(held)
-    assert told.sight is not None
-    out["list kept in a file"] = ms(cpu_of(lambda: msgspec.msgpack.encode(told.sight)))
+    assert told.endpoints is not None
+    out["list kept in a file"] = ms(cpu_of(lambda: msgspec.msgpack.encode(told.endpoints)))
     out |= _front(size, agreed, told)
     return out | whole()
 
 
-def _front(size: int, agreed: made.Agreed, told: Told) -> Readings:
+def _front(size: int, agreed: made.Agreed, told: CommandReply) -> Readings:
     """A front end with as many workers of its own list, which takes up one that leaves."""
     out: Readings = {}
     config = parse(made.config_text(8, 0), "made", Config)
@@ -134,7 +134,7 @@
 
         def take_up() -> None:
             follower.applied_index = 0
-            follower.receive(9 * SECOND, told.sight, True)
+            follower.receive(9 * SECOND, told.endpoints, True)
             lists.set_agreed(follower)
 
         with Grown() as all_of_it:
@@ -241,18 +241,23 @@
     bodies = [
         wire.encode(
             wire.Report(
-                made.front_name(n), f"{n:012x}", acts=state.endpoints_index, figures=(9_000 + n, 17, 3, 8_990)
+                made.front_name(n),
+                f"{n:012x}",
+                applied_index=state.endpoints_index,
+                call_counts=(9_000 + n, 17, 3, 8_990),
             )
         )
         for n in range(size)
     ]
 
     def report(body: bytes) -> bytes:
-        """As `Keeper._report` does it."""
+        """As `RequestHandler._record_report` does it."""
         said = wire.decode(body, wire.Report)
-        figures = None if said.figures is None else CallCounts(*said.figures)
-        known = watch.report(now, MemberReport(said.member, said.incarnation, said.acts, figures), state)
-        return wire.encode(Told(CommandResult(known, agreed.index)))
+        figures = None if said.call_counts is None else CallCounts(*said.call_counts)
+        known = watch.report(
+            now, MemberReport(said.member, said.incarnation, said.applied_index, figures), state
+        )
+        return wire.encode(CommandReply(CommandResult(known, agreed.index)))
 
     def all_report() -> None:
         for body in bodies:
--- a/benchmarks/scale/followers.py
+++ b/benchmarks/scale/followers.py
@@ -29,7 +29,7 @@
 from walnutpost.config import Config, parse
 from walnutpost.config.entries import encode_site
 from walnutpost.configstore import ConfigStore, Mutation, PropagationStatus, encode
-from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import DisruptionBudget, SetBudgets
 
@@ -86,7 +86,7 @@
         }
         self.file = self._write("fleet.json", lines)
         where = {name: ("127.0.0.1", int(at.rpartition(":")[2])) for name, at in self.keepers.items()}
-        self.client = KeeperClient(loop, where, 20 * SECOND, 2 * SECOND)
+        self.client = ControlPlaneClient(loop, where, 20 * SECOND, 2 * SECOND)
         self._count = 0
 
     def _write(self, name: str, told: dict[str, Any]) -> Path:
@@ -118,7 +118,7 @@
     def start(self) -> None:
         """Keepers, relays, and the agreed table."""
         for name in self.keepers:
-            self.spawn(name, "keeper", str(self.file), "--name", name, "--found")
+            self.spawn(name, "control-plane", str(self.file), "--name", name, "--found")
         self.command(SetBudgets((DisruptionBudget("worker", max_unavailable_ratio=0.05),)))
         for name in self.relays:
             self.spawn(name, "relay", str(self.file), "--name", name)
@@ -133,7 +133,7 @@
         self._count += 1
         until = time.monotonic() + 120
         while time.monotonic() < until:
-            with suppress(NoAnswer):
+            with suppress(ControlPlaneUnavailableError):
                 if self.client.command(f"c{self._count}", command).ok:
                     return
         raise TimeoutError("no quorum of keepers")
@@ -142,7 +142,7 @@
         """Its revision, when it was asked for, and when it was known to be agreed on."""
         self._count += 1
         began = time.monotonic()
-        answer, errors = self.client.set_entries(f"s{self._count}", ops)
+        answer, errors = self.client.submit_change_set(f"s{self._count}", ops)
         if errors or not answer.ok:
             raise ValueError(f"{answer.error} {errors}")
         return answer.index, began, time.monotonic()
@@ -162,7 +162,7 @@
 
     def status(self) -> PropagationStatus:
         while True:
-            with suppress(NoAnswer):
+            with suppress(ControlPlaneUnavailableError):
                 return self.client.status()
 
     def all_in_force(self, members: int, seconds: float = 120.0) -> None:
--- a/benchmarks/scale/keepers.py
+++ b/benchmarks/scale/keepers.py
@@ -92,11 +92,11 @@
 
         def report(n: int) -> None:
             name = made.front_name(n % size)
-            client.report(Report(name, f"{n % size:012x}", acts=10_000, figures=(n, 0, 0, n)))
+            client.report(Report(name, f"{n % size:012x}", applied_index=10_000, call_counts=(n, 0, 0, n)))
 
         cpu = keepers.cpu(lambda: keepers.by_many(REPORTS, report))
         out["leader for a report over HTTP"] = Reading("us", [cpu / REPORTS * 1e6])
-        cpu = keepers.cpu(lambda: keepers.by_many(LOOKS, lambda n: client.here(keepers.leader)))
+        cpu = keepers.cpu(lambda: keepers.by_many(LOOKS, lambda n: client.local_status(keepers.leader)))
         out["keeper for a look of an agent"] = Reading("us", [cpu / LOOKS * 1e6])
         out["leader's memory"] = Reading("MB", [process_rss(keepers.pid) / 1e6])
         return out
--- a/packages/agent/src/walnutpost/agent/control_plane.py
+++ b/packages/agent/src/walnutpost/agent/control_plane.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import Any
 
-from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.controlplane.wire import Report
 from walnutpost.eventloop import Event, Loop
 from walnutpost.fleet import Command, CommandResult, Fleet, RequestPermit, command_name
@@ -32,7 +32,7 @@
         self._agent = agent
         self._member = member
         self._replicas = list(replicas)
-        self._client = KeeperClient(loop, replicas, timeout_us, timeout_us // 2)
+        self._client = ControlPlaneClient(loop, replicas, timeout_us, timeout_us // 2)
         self._random = random
         self._log = log
         self._unsent: deque[tuple[str, Command]] = deque()
@@ -57,7 +57,7 @@
                 id, command = self._unsent[0]
                 try:
                     result = self._client.command(id, command)
-                except NoAnswer:
+                except ControlPlaneUnavailableError:
                     continue
                 self._unsent.popleft()
                 self._log.info(
@@ -79,7 +79,7 @@
         """
         try:
             result = self._client.command(id, command)
-        except NoAnswer:
+        except ControlPlaneUnavailableError:
             return None
         if result.permit:
             self._log.info("permit_granted", member=self._member, permit=result.permit)
@@ -90,15 +90,15 @@
     def fetch_state(self) -> Fleet | None:
         """Return the state as a random replica has it, however old; None where that doesn't answer."""
         try:
-            return Fleet.restore(self._client.here(self._random.choice(self._replicas)).state)
-        except NoAnswer:
+            return Fleet.restore(self._client.local_status(self._random.choice(self._replicas)).state)
+        except ControlPlaneUnavailableError:
             return None
 
     def report(self, incarnation: str) -> None:
         """Renew the member's lease; a report that is lost is made up for by the next."""
         try:
             self._client.report(Report(self._member, incarnation))
-        except NoAnswer:
+        except ControlPlaneUnavailableError:
             return
 
     def _new_id(self) -> str:
--- a/packages/agent/tests/agent_forms.py
+++ b/packages/agent/tests/agent_forms.py
@@ -13,7 +13,7 @@
 from walnutpost.agent import Agent, child_process, manual_order_path, version_of
 from walnutpost.agent.folder import AgentFolder, AgentState
 from walnutpost.cli.fleet_plans import write_manual_orders
-from walnutpost.cli.keepers import AGENTS
+from walnutpost.cli.fleet_processes import AGENTS_FOLDER
 from walnutpost.fleet import FRONT_END
 from walnutpost.fleet.agent_state import ControllerSettings, Input, InstanceController, OperatorOrder
 from watch_rig import Log
@@ -100,9 +100,9 @@
         keepers = [{"name": "k1", "address": "127.0.0.1:1"}]
         config = folder / "keepers.json"
         config.write_text(json.dumps({"keepers": keepers, "agents": [line]}))
-        (folder / AGENTS).mkdir()
+        (folder / AGENTS_FOLDER).mkdir()
         write_manual_orders(config, (MEMBER,), order.version, order.operator, order.reason)
-        return _dumped(folder / AGENTS)
+        return _dumped(folder / AGENTS_FOLDER)
 
 
 def order_read(dumped: bytes) -> OperatorOrder:
--- a/packages/agent/tests/test_agent.py
+++ b/packages/agent/tests/test_agent.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-from test_keeper import NAMES, Keepers
+from replica_processes import NAMES, ReplicaProcesses
 from walnutpost.agent import version_of
 from walnutpost.agent.child_process import processes_of
 from walnutpost.eventloop import Loop, replace_file
@@ -35,7 +35,7 @@
 class Agents:
     """Four agents in two zones, each a process with a process of its own; and who is really up."""
 
-    def __init__(self, keepers: Keepers) -> None:
+    def __init__(self, keepers: ReplicaProcesses) -> None:
         self.keepers, self.folder = keepers, keepers.folder
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         self.most_out = 0
@@ -49,7 +49,7 @@
     def start(self, name: str) -> None:
         command = [sys.executable, str(self.folder / "child.py"), "{config}"]
         line = {"member": name, "zone": "ab"[int(name[1]) % 2], "command": command, "first": "v1"}
-        known = {n: w for n in NAMES if (w := self.keepers.where(n)) is not None}
+        known = {n: w for n in NAMES if (w := self.keepers.address_of(n)) is not None}
         lines = [{"name": n, "address": "{}:{}".format(*known.get(n, ("127.0.0.1", 1)))} for n in NAMES]
         config = self.folder / f"{name}.json"
         config.write_text(json.dumps({"keepers": lines, "agents": [line], "lease_ms": 60_000}))
@@ -77,7 +77,7 @@
                 self.most_out = max(self.most_out, len(MEMBERS) - len(self.up()))
             return condition()
 
-        self.keepers.until(looked)
+        self.keepers.wait_until(looked)
 
     def release(self, plan: str, content: bytes) -> None:
         file = self.folder / "next"
@@ -99,11 +99,11 @@
             process.wait()
 
 
-def play(folder: Path, script: Callable[[Keepers, Agents], None]) -> None:
-    loop, held, agents = Loop(), list[Keepers](), list[Agents]()
+def play(folder: Path, script: Callable[[ReplicaProcesses, Agents], None]) -> None:
+    loop, held, agents = Loop(), list[ReplicaProcesses](), list[Agents]()
 
     def body() -> None:
-        held.append(Keepers(loop, folder))
+        held.append(ReplicaProcesses(loop, folder))
         agents.append(Agents(held[0]))
         script(held[0], agents[0])
 
@@ -117,7 +117,7 @@
 
 
 def test_release_when_the_leader_is_killed_goes_on_with_one_member_out_at_most(tmp_path: Path) -> None:
-    def script(keepers: Keepers, agents: Agents) -> None:
+    def script(keepers: ReplicaProcesses, agents: Agents) -> None:
         agents.release("r", V2)
         agents.until(lambda: "v2" in agents.up().values())
         agents.until(lambda: len(agents.state().plans["r"].completed) == 1)
@@ -136,7 +136,7 @@
 
 
 def test_release_when_its_version_does_not_start_is_rolled_back_on_that_member_alone(tmp_path: Path) -> None:
-    def script(keepers: Keepers, agents: Agents) -> None:
+    def script(keepers: ReplicaProcesses, agents: Agents) -> None:
         before = {name: agents.child(name) for name in MEMBERS}
         wrong = [sys.executable, "-m", "walnutpost.cli", "fleet", "release"]
         wrong += [str(agents.folder / "f0.json"), str(agents.folder / "v1")]
@@ -152,7 +152,7 @@
 
 
 def test_agent_when_killed_with_a_permit_completes_it_after_its_restart(tmp_path: Path) -> None:
-    def script(keepers: Keepers, agents: Agents) -> None:
+    def script(keepers: ReplicaProcesses, agents: Agents) -> None:
         agents.release("r", SLOW)
         held: list[str] = []
 
@@ -180,7 +180,7 @@
 def test_operator_order_when_there_is_no_quorum_is_executed_and_recorded_afterwards(
     tmp_path: Path,
 ) -> None:
-    def script(keepers: Keepers, agents: Agents) -> None:
+    def script(keepers: ReplicaProcesses, agents: Agents) -> None:
         before = agents.child("f0")
         agents.operator("cycle", "f1", "--plan", "c")
         agents.until(lambda: agents.state().plans["c"].end_reason)
--- a/packages/cli/src/walnutpost/cli/check_config.py
+++ b/packages/cli/src/walnutpost/cli/check_config.py
@@ -9,7 +9,7 @@
 import click
 
 from walnutpost.cli.config_files import EXIT_INVALID, read_config
-from walnutpost.cli.keepers import is_keepers, keepers_of
+from walnutpost.cli.fleet_processes import is_control_plane_file, load_control_plane_file
 from walnutpost.config import Config, build_own_schedules
 
 
@@ -21,9 +21,9 @@
     Several files are taken for the front ends of one site: a schedule that two of them would fire is an
     error.
     """
-    for path in [each for each in configs if is_keepers(each)]:
+    for path in [each for each in configs if is_control_plane_file(each)]:
         click.echo(_control_plane_summary(path))
-    checked = {path: read_config(path) for path in configs if not is_keepers(path)}
+    checked = {path: read_config(path) for path in configs if not is_control_plane_file(path)}
     for path, config in checked.items():
         click.echo(_front_end_summary(path, config))
     errors = _schedule_errors(checked)
@@ -33,7 +33,7 @@
 
 
 def _control_plane_summary(path: Path) -> str:
-    config = keepers_of(path)
+    config = load_control_plane_file(path)
     relays = f", {len(config.relays)} relays" if config.relays else ""
     return f"{path}: {len(config.keepers)} keepers{relays}"
 
--- a/packages/cli/src/walnutpost/cli/config_group.py
+++ b/packages/cli/src/walnutpost/cli/config_group.py
@@ -8,7 +8,7 @@
 
 from walnutpost.cli.config_files import read_config
 from walnutpost.config.entries import encode_site
-from walnutpost.controlplane import KeeperClient
+from walnutpost.controlplane import ControlPlaneClient
 
 
 @click.group("config")
@@ -19,7 +19,7 @@
     """
 
 
-def agreed_entries(client: KeeperClient, key: str = "") -> tuple[int, dict[str, bytes]]:
+def agreed_entries(client: ControlPlaneClient, key: str = "") -> tuple[int, dict[str, bytes]]:
     """Return the newest revision and its values by key, or that of `key` alone."""
     revision, entries = client.entries(key=key)
     return revision, {entry.key: entry.value for entry in entries}
--- a/packages/cli/src/walnutpost/cli/config_set.py
+++ b/packages/cli/src/walnutpost/cli/config_set.py
@@ -23,7 +23,7 @@
 from walnutpost.config.files import describe_errors
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import ChangeSet, Mutation, encode, validate_mutations
-from walnutpost.controlplane import KeeperClient
+from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.fleet import ForgetMember
 
 MAX_SHOWN_CHANGES = 50  # of one file
@@ -110,7 +110,7 @@
     ask(config, log, lambda client: _set(client, request, wanted))
 
 
-def _set(client: KeeperClient, request: SetRequest, wanted: Mapping[str, bytes]) -> None:
+def _set(client: ControlPlaneClient, request: SetRequest, wanted: Mapping[str, bytes]) -> None:
     """Work out the change and apply it. Raises CommandFailedError."""
     if request.function is not None:
         revision, current = agreed_entries(client, FUNCTION_PREFIX + request.function)
@@ -148,7 +148,7 @@
 
 
 def _apply(
-    client: KeeperClient, request: SetRequest, base_revision: int, mutations: tuple[Mutation, ...]
+    client: ControlPlaneClient, request: SetRequest, base_revision: int, mutations: tuple[Mutation, ...]
 ) -> None:
     """Apply change sets in order; `base_revision` is that of the diff: later changes are not undone."""
     parts = split_into_change_sets(mutations) if request.may_split else [mutations]
@@ -163,14 +163,14 @@
 
 
 def _apply_part(
-    client: KeeperClient,
+    client: ControlPlaneClient,
     request: SetRequest,
     base_revision: int,
     part: tuple[Mutation, ...],
     number: int,
     prefix: str,
 ) -> None:
-    answer, errors = client.set_entries(
+    answer, errors = client.submit_change_set(
         _part_id(request.command_id, part), part, request.is_dry_run, request.operator, base_revision
     )
     if not answer.ok:
--- a/packages/cli/src/walnutpost/cli/config_status.py
+++ b/packages/cli/src/walnutpost/cli/config_status.py
@@ -16,7 +16,7 @@
 from walnutpost.cli.control_plane import FORMAT_OPTION, ask_in_loop
 from walnutpost.cli.text import columns
 from walnutpost.configstore import MemberStatus, PropagationStatus
-from walnutpost.controlplane import KeeperClient
+from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.eventloop import Loop
 
 POLL_INTERVAL_US = 250_000
@@ -101,7 +101,7 @@
     return f"revision {goal.revision} is not in force everywhere after {goal.timeout_s:g} s: {reason}"
 
 
-def _wait(loop: Loop, client: KeeperClient, wanted: _WaitGoal) -> tuple[_Observation, _WaitGoal]:
+def _wait(loop: Loop, client: ControlPlaneClient, wanted: _WaitGoal) -> tuple[_Observation, _WaitGoal]:
     """Observe until the goal is reached or time is over; return the goal with its revision resolved."""
     observation = _observe(client)
     revision = wanted.revision
@@ -117,7 +117,7 @@
     return observation, goal
 
 
-def _observe(client: KeeperClient) -> _Observation:
+def _observe(client: ControlPlaneClient) -> _Observation:
     _, agreed = client.state()
     followers = tuple(sorted(agreed.state.followers))
     return _Observation(client.status(), followers)
--- a/packages/cli/src/walnutpost/cli/config_views.py
+++ b/packages/cli/src/walnutpost/cli/config_views.py
@@ -20,8 +20,8 @@
 from walnutpost.cli.text import columns
 from walnutpost.config.entries import CLASS_PREFIX, FUNCTION_PREFIX, TENANT_PREFIX, diff_entries
 from walnutpost.configstore import Entry
-from walnutpost.controlplane import KeeperClient
-from walnutpost.controlplane.wire import Line
+from walnutpost.controlplane import ControlPlaneClient
+from walnutpost.controlplane.wire import HistoryEntry
 
 HISTORY_WINDOW = 1000  # lines of the history that are asked for at a time
 SECTION_BY_PREFIX = {CLASS_PREFIX: "classes", FUNCTION_PREFIX: "functions", TENANT_PREFIX: "tenants"}
@@ -103,7 +103,7 @@
 
     replica: str
     first_index: int
-    lines: list[Line]
+    entries: list[HistoryEntry]
 
 
 @config_group.command()
@@ -115,7 +115,7 @@
 def history(log: Any, config: Path, after: int, max_changes: int, output_format: str) -> None:
     """Show the last changes: revision, when by the asker's clock, by whom, which keys."""
     found = ask(config, log, lambda client: _read_history(client, after, max_changes))
-    changes = [_describe_change(line) for line in found.lines]
+    changes = [_describe_change(entry) for entry in found.entries]
     if output_format == "json":
         shown = {"keeper": found.replica, "first": found.first_index, "changes": changes}
         click.echo(json.dumps(shown))
@@ -127,38 +127,42 @@
     click.echo(columns([heads, *rows]) if rows else "no changes")
 
 
-def _read_history(client: KeeperClient, after: int, max_changes: int) -> _History:
+def _read_history(client: ControlPlaneClient, after: int, max_changes: int) -> _History:
     """Read the newest change sets after an entry, from the end, window by window."""
     view, _ = client.state()
-    changes: list[Line] = []
+    changes: list[HistoryEntry] = []
     until, first_index = view.index, 1
     while until > after and len(changes) < max_changes:
         since = max(after, until - HISTORY_WINDOW)
-        window = client.history(view.keeper, since, until - since)
-        lines = [line for line in window.lines if line.index <= until]
-        changes = [line for line in lines if line.what == CHANGE_SET_COMMAND] + changes
-        until, first_index = since, window.first
+        window = client.history(view.replica, since, until - since)
+        entries = [entry for entry in window.entries if entry.index <= until]
+        changes = [entry for entry in entries if entry.command == CHANGE_SET_COMMAND] + changes
+        until, first_index = since, window.first_index
         if first_index > since + 1:
             break
-    return _History(view.keeper, first_index, changes[-max_changes:])
+    return _History(view.replica, first_index, changes[-max_changes:])
 
 
-def _describe_change(line: Line) -> dict[str, Any]:
-    text = CHANGE_SET_TEXT.fullmatch(line.told)
+def _describe_change(entry: HistoryEntry) -> dict[str, Any]:
+    text = CHANGE_SET_TEXT.fullmatch(entry.description)
     return {
-        "revision": line.index,
-        "asked at": time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(line.at)) if line.at else "",
+        "revision": entry.index,
+        "asked at": _format_time(entry.sent_at_s),
         "operator": (text["operator"] or "") if text else "",
-        "keys": text["keys"] if text else line.told,
-        "agreed on": _describe_result(line),
+        "keys": text["keys"] if text else entry.description,
+        "agreed on": _describe_result(entry),
     }
 
 
-def _describe_result(line: Line) -> str:
-    result = line.answer
+def _format_time(sent_at_s: float) -> str:
+    return time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(sent_at_s)) if sent_at_s else ""
+
+
+def _describe_result(entry: HistoryEntry) -> str:
+    result = entry.result
     if result is None:
         return "?"  # too long ago for its result to be remembered, or a repeat
-    if result.ok and result.index == line.index:
+    if result.ok and result.index == entry.index:
         return "yes"
     if result.ok:
         return f"no: again as {result.index}"
--- a/packages/cli/src/walnutpost/cli/control_plane.py
+++ b/packages/cli/src/walnutpost/cli/control_plane.py
@@ -11,10 +11,10 @@
 
 from walnutpost.cli.config_files import exit_with
 from walnutpost.cli.errors import CommandFailedError
-from walnutpost.cli.keepers import keepers_of
+from walnutpost.cli.fleet_processes import load_control_plane_file
 from walnutpost.cli.process import make_loop
 from walnutpost.config.base import parse_address
-from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import Command, CommandResult
 
@@ -31,7 +31,7 @@
 )
 
 
-def ask(config: Path, log: Any, question: Callable[[KeeperClient], Result]) -> Result:
+def ask(config: Path, log: Any, question: Callable[[ControlPlaneClient], Result]) -> Result:
     """Ask within a loop and return the answer.
 
     Ends the program with code 3 if no replica answers, or as a CommandFailedError says.
@@ -39,19 +39,21 @@
     return ask_in_loop(config, log, lambda _, client: question(client))
 
 
-def ask_in_loop(config: Path, log: Any, question: Callable[[Loop, KeeperClient], Result]) -> Result:
+def ask_in_loop(config: Path, log: Any, question: Callable[[Loop, ControlPlaneClient], Result]) -> Result:
     """Do the same as `ask` with a question that also sleeps on the loop."""
     loop = make_loop(log)
-    addresses = {replica.name: parse_address(replica.address) for replica in keepers_of(config).keepers}
+    replicas = load_control_plane_file(config).keepers
+    addresses = {replica.name: parse_address(replica.address) for replica in replicas}
+    client = ControlPlaneClient(loop, addresses, TIMEOUT_US, ATTEMPT_TIMEOUT_US)
     try:
-        return loop.run(lambda: question(loop, KeeperClient(loop, addresses, TIMEOUT_US, ATTEMPT_TIMEOUT_US)))
-    except NoAnswer as error:
+        return loop.run(lambda: question(loop, client))
+    except ControlPlaneUnavailableError as error:
         exit_with(no_quorum_line(error), code=EXIT_NO_QUORUM)
     except CommandFailedError as error:
         exit_with(*error.lines, code=error.exit_code)
 
 
-def no_quorum_line(error: NoAnswer) -> str:
+def no_quorum_line(error: ControlPlaneUnavailableError) -> str:
     """Return the line for a command that no replica answered."""
     return f"no quorum of the keepers answered: {error}"
 
--- a/packages/cli/src/walnutpost/cli/fleet_commands.py
+++ b/packages/cli/src/walnutpost/cli/fleet_commands.py
@@ -11,7 +11,7 @@
 from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with
 from walnutpost.cli.control_plane import ID_BYTES, ID_OPTION, ask, give_command, show_result
 from walnutpost.cli.fleet import fleet
-from walnutpost.cli.keepers import keepers_of
+from walnutpost.cli.fleet_processes import load_control_plane_file
 from walnutpost.consensus import Members
 from walnutpost.fleet import (
     DisruptionBudget,
@@ -94,7 +94,7 @@
 
 
 def _configured_budgets(config: Path) -> tuple[DisruptionBudget, ...]:
-    configured = keepers_of(config).budgets
+    configured = load_control_plane_file(config).budgets
     if not configured:
         exit_with(f"{config}: budgets: found none; wanted those that are to hold")
     return tuple(
@@ -138,7 +138,7 @@
     if voters:
         members = Members(voters, learners)
         change_id = secrets.token_hex(ID_BYTES)
-        show_result(ask(config, log, lambda client: client.change(change_id, members)))
+        show_result(ask(config, log, lambda client: client.change_members(change_id, members)))
         return
     view, _ = ask(config, log, lambda client: client.state())
     for name in view.members.all:
--- a/packages/cli/src/walnutpost/cli/fleet_plans.py
+++ b/packages/cli/src/walnutpost/cli/fleet_plans.py
@@ -14,8 +14,8 @@
 from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with, read_config
 from walnutpost.cli.control_plane import ask, show_result
 from walnutpost.cli.fleet import fleet
-from walnutpost.cli.keepers import AGENTS, keepers_of
-from walnutpost.controlplane import KeeperClient
+from walnutpost.cli.fleet_processes import AGENTS_FOLDER, load_control_plane_file
+from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.eventloop import replace_file
 from walnutpost.fleet import FRONT_END, CommandResult, FleetState, StartPlan, StoreVersion
 
@@ -42,7 +42,7 @@
     config: Path, names: tuple[str, ...], version: str, operator: str, reason: str
 ) -> None:
     """Leave an order with agents of this machine, which obey without a permit: no budget is checked."""
-    known = {agent.member for agent in keepers_of(config).agents}
+    known = {agent.member for agent in load_control_plane_file(config).agents}
     unknown = [name for name in names if name not in known]
     if not operator or not reason or not names or unknown:
         exit_with(
@@ -52,7 +52,7 @@
     click.echo("nobody has agreed to this: how many are out is not looked at", err=True)
     order = json.dumps({"version": version, "operator": operator, "why": reason}).encode()
     for name in names:
-        replace_file(manual_order_path(config.parent / AGENTS, name), order)
+        replace_file(manual_order_path(config.parent / AGENTS_FOLDER, name), order)
         click.echo(f"{name}: left for its agent, which tells the keepers once they answer")
 
 
@@ -91,7 +91,7 @@
     name = _plan_name("release", plan)
     version = version_of(data)
 
-    def start(client: KeeperClient) -> CommandResult:
+    def start(client: ControlPlaneClient) -> CommandResult:
         _, agreed = client.state()
         rollback_version = _most_common_version(agreed.state) if rolls_back else ""
         client.command(f"{name}-keep", StoreVersion(version, data))
@@ -141,7 +141,7 @@
         return
     name = _plan_name("rollback", plan)
 
-    def start(client: KeeperClient) -> CommandResult:
+    def start(client: ControlPlaneClient) -> CommandResult:
         _, agreed = client.state()
         members = names or _front_ends(agreed.state)
         running = [each.id for each in agreed.state.plans.values() if not each.end_reason and each.id != name]
--- a/packages/cli/src/walnutpost/cli/fleet_status.py
+++ b/packages/cli/src/walnutpost/cli/fleet_status.py
@@ -4,12 +4,12 @@
 
 from typing import Any
 
-from walnutpost.controlplane.wire import View
+from walnutpost.controlplane.wire import ReplicaStatus
 from walnutpost.fleet import FRONT_END, Fleet, FleetState, Plan
 from walnutpost.fleet.budgets import budget_usages, unavailable_members
 
 
-def describe_fleet(view: View, agreed: Fleet) -> dict[str, Any]:
+def describe_fleet(view: ReplicaStatus, agreed: Fleet) -> dict[str, Any]:
     """Describe what the fleet has agreed on; `view` is that of the leader."""
     state = agreed.state
     return {
@@ -67,7 +67,7 @@
     return "its process to be ready"
 
 
-def _describe_plan(view: View, state: FleetState, plan: Plan) -> dict[str, Any]:
+def _describe_plan(view: ReplicaStatus, state: FleetState, plan: Plan) -> dict[str, Any]:
     return {
         "version": plan.version,
         "back": plan.rollback_version,
@@ -81,11 +81,11 @@
     }
 
 
-def _plan_condition(view: View, state: FleetState, plan: Plan) -> str:
+def _plan_condition(view: ReplicaStatus, state: FleetState, plan: Plan) -> str:
     """Return what a plan waits for; nothing once it has ended."""
     if plan.end_reason:
         return ""
-    condition = plan.halt_reason or state.halt_reason or view.waits.get(plan.id, "")
+    condition = plan.halt_reason or state.halt_reason or view.pending_verdicts.get(plan.id, "")
     if condition:
         return condition
     eligible = plan.members[: plan.eligible_count()]
--- a/packages/cli/src/walnutpost/cli/fleet_views.py
+++ b/packages/cli/src/walnutpost/cli/fleet_views.py
@@ -8,15 +8,15 @@
 from typing import Any
 
 import click
-from msgspec.structs import asdict
+from msgspec import to_builtins
 
 from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with
 from walnutpost.cli.control_plane import EXIT_NO_QUORUM, FORMAT_OPTION, ask, no_quorum_line
 from walnutpost.cli.errors import CommandFailedError
 from walnutpost.cli.fleet import fleet
 from walnutpost.cli.fleet_status import describe_fleet, return_condition
-from walnutpost.controlplane import KeeperClient, NoAnswer
-from walnutpost.controlplane.wire import History, Line, View
+from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
+from walnutpost.controlplane.wire import History, HistoryEntry, ReplicaStatus
 from walnutpost.faultinjection.table import aligned
 from walnutpost.fleet import CommandResult, Fleet, FleetState
 from walnutpost.fleet.budgets import unavailable_members
@@ -41,12 +41,12 @@
         click.echo(line)
 
 
-def _read_status(client: KeeperClient) -> tuple[View, Fleet, dict[str, str]]:
+def _read_status(client: ControlPlaneClient) -> tuple[ReplicaStatus, Fleet, dict[str, str]]:
     """Read the state and the failing disks; these are named even if no quorum answers."""
     try:
         view, agreed = client.state()
         return view, agreed, client.failing_disks()
-    except NoAnswer as error:
+    except ControlPlaneUnavailableError as error:
         disks = _disk_lines(client.failing_disks())
         if not disks:
             raise
@@ -162,25 +162,25 @@
     Times are the askers' clocks, hints alone; the order is the index.
     """
 
-    def read(client: KeeperClient) -> tuple[str, History]:
+    def read(client: ControlPlaneClient) -> tuple[str, History]:
         view, _ = client.state()
-        return view.keeper, client.history(view.keeper, after, max_lines)
+        return view.replica, client.history(view.replica, after, max_lines)
 
     replica, found = ask(config, log, read)
     if output_format == "json":
-        lines = [asdict(line) | {"answer": _result_as_json(line.answer)} for line in found.lines]
-        click.echo(json.dumps({"keeper": replica, "first": found.first, "lines": lines}))
+        lines = [to_builtins(entry) | {"answer": _result_as_json(entry.result)} for entry in found.entries]
+        click.echo(json.dumps({"keeper": replica, "first": found.first_index, "lines": lines}))
         return
-    if found.first > after + 1:
-        click.echo(f"entries before {found.first} are not kept by {replica} any more", err=True)
+    if found.first_index > after + 1:
+        click.echo(f"entries before {found.first_index} are not kept by {replica} any more", err=True)
     heads = ["index", "asked at", "what", "told", "answer"]
-    rows = [_history_row(line) for line in found.lines]
+    rows = [_history_row(entry) for entry in found.entries]
     click.echo(aligned([heads, *rows]) if rows else "nothing")
 
 
-def _history_row(line: Line) -> list[str]:
-    asked_at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(line.at)) if line.at else ""
-    return [str(line.index), asked_at, line.what, line.told, _result_text(line.answer)]
+def _history_row(entry: HistoryEntry) -> list[str]:
+    asked_at = time.strftime("%Y-%m-%dT%H:%M:%SZ", time.gmtime(entry.sent_at_s)) if entry.sent_at_s else ""
+    return [str(entry.index), asked_at, entry.command, entry.description, _result_text(entry.result)]
 
 
 def _result_text(result: CommandResult | None) -> str:
--- a/packages/cli/src/walnutpost/cli/main.py
+++ b/packages/cli/src/walnutpost/cli/main.py
@@ -8,7 +8,7 @@
 from walnutpost.cli.check_config import check_config
 from walnutpost.cli.config_group import config_group
 from walnutpost.cli.fleet import fleet
-from walnutpost.cli.keepers import agent, keeper, relay
+from walnutpost.cli.fleet_processes import agent, control_plane, keeper, relay
 from walnutpost.cli.keys import keys
 from walnutpost.cli.logs import LEVELS, configure_logging
 from walnutpost.cli.process_commands import serve, store, up, worker
@@ -20,7 +20,7 @@
 GROUP_MODULES = (fleet_commands, fleet_plans, fleet_views, config_set, config_views, config_status)
 COMMANDS: tuple[click.Command, ...] = (
     *(serve, up, worker, store, check_config, timers, trial, fleet_trial, audit),
-    *(usage, keys, keeper, relay, agent, fleet, config_group),
+    *(usage, keys, control_plane, keeper, relay, agent, fleet, config_group),
 )
 
 
--- a/packages/cli/tests/fleet_json_forms.py
+++ b/packages/cli/tests/fleet_json_forms.py
@@ -10,12 +10,12 @@
 
 from click.testing import CliRunner
 
-import keeper_forms
+import control_plane_forms
 from golden_forms import Form, Golden, as_json
 from walnutpost.cli import config_views, main
-from walnutpost.cli.keepers import AGENTS
+from walnutpost.cli.fleet_processes import AGENTS_FOLDER
 from walnutpost.config.control_plane import ControlPlaneConfig
-from walnutpost.controlplane import KeeperClient
+from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.http import Response
 
 TABLE_GOLDEN = Path(__file__).parents[2] / "configstore" / "tests" / "golden" / "table.json"
@@ -34,7 +34,7 @@
     if path == "/table/1/status":
         table = json.loads(TABLE_GOLDEN.read_text())["forms"]["table-status.all-fields"]
         return Response(200, body=bytes.fromhex(table["hex"]))
-    return Response(200, body=keeper_forms.GOLDEN[ANSWERS[path]])
+    return Response(200, body=control_plane_forms.GOLDEN[ANSWERS[path]])
 
 
 def shown(arguments: tuple[str, ...]) -> bytes:
@@ -45,7 +45,7 @@
         group, command, *rest = arguments
         line = ["--log", "json", group, command, str(config), *rest, "--format", "json"]
         with (
-            patch.object(KeeperClient, "_one", _answer),
+            patch.object(ControlPlaneClient, "_exchange", _answer),
             patch.object(config_views, "wanted_entries", lambda path: WANTED_ENTRIES),
         ):
             result = CliRunner().invoke(main, line)
@@ -72,7 +72,7 @@
     "folders beside a configuration": as_json(
         {
             "control plane": ControlPlaneConfig.model_fields["folder"].default,
-            "agents": AGENTS,
+            "agents": AGENTS_FOLDER,
         }
     ),
 }
--- a/packages/cli/tests/test_config_commands.py
+++ b/packages/cli/tests/test_config_commands.py
@@ -23,7 +23,7 @@
 from walnutpost.config.entries import encode_site, encode_value
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import MAX_MUTATIONS, Entry, MemberStatus, Mutation, PropagationStatus
-from walnutpost.controlplane import KeeperClient
+from walnutpost.controlplane import ControlPlaneClient
 
 SITE = BASE["site"]
 PRICE, RESERVE = SITE["functions"]["price"], SITE["functions"]["reserve"]
@@ -52,7 +52,8 @@
         line = {"name": "k1", "address": free_address()}
         self.file.write_text(json.dumps({"keepers": [line], "election_ms": 400, "heartbeat_ms": 60}))
         with (folder / "keeper.log").open("wb") as out:
-            command = [sys.executable, "-m", "walnutpost.cli", "keeper", str(self.file), "--name", "k1"]
+            run = [sys.executable, "-m", "walnutpost.cli", "control-plane"]
+            command = [*run, str(self.file), "--name", "k1"]
             self.process = subprocess.Popen([*command, "--found"], stdout=out, stderr=out)
         wait_for_leader(self, {"k1": self.process}, (folder / "keeper.log").read_text)
 
@@ -191,20 +192,20 @@
     agreed: ControlPlane, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Another change of the function is applied between its read and its change, once."""
-    asked = KeeperClient.entries
+    asked = ControlPlaneClient.entries
     other = Mutation(
         "function/price", encode_value(FunctionConfig.model_validate(PRICE | {"memory_mb": 999}))
     )
 
     def entries_with_concurrent_change(
-        client: KeeperClient, kind: str = "", key: str = ""
+        client: ControlPlaneClient, kind: str = "", key: str = ""
     ) -> tuple[int, list[Entry]]:
         data = asked(client, kind, key)
-        monkeypatch.setattr(KeeperClient, "entries", asked)
-        assert client.set_entries("other", [other])[0].ok
+        monkeypatch.setattr(ControlPlaneClient, "entries", asked)
+        assert client.submit_change_set("other", [other])[0].ok
         return data
 
-    monkeypatch.setattr(KeeperClient, "entries", entries_with_concurrent_change)
+    monkeypatch.setattr(ControlPlaneClient, "entries", entries_with_concurrent_change)
     rejected = agreed("set", "--function", "price", "lanes=9")
     assert rejected.exit_code == 1 and "function/price: found revision" in rejected.stderr
     assert "changed meanwhile" in rejected.stderr
--- a/packages/cli/tests/test_config_processes.py
+++ b/packages/cli/tests/test_config_processes.py
@@ -41,7 +41,7 @@
         agreement = {"agreement": {"member": "f0", "relays": self.relays}}
         self.site = self.written("site.json5", merged(BASE, agreement))
         for name in ("k1", "k2", "k3"):
-            self.start(name, "keeper", self.keepers, "--name", name, "--found")
+            self.start(name, "control-plane", self.keepers, "--name", name, "--found")
         for name in self.relays:
             self.start_relay(name)
         wait_for_leader(self, self.running, self.logs)
@@ -206,7 +206,7 @@
     unknown = CliRunner().invoke(main, ["relay", str(file), "--name", "r2"])
     assert unknown.exit_code == 2 and "--name: found 'r2'; wanted one of r1" in unknown.output
     with subprocess.Popen(
-        [sys.executable, "-m", "walnutpost.cli", "keeper", str(file), "--name", "k1", "--found"],
+        [sys.executable, "-m", "walnutpost.cli", "control-plane", str(file), "--name", "k1", "--found"],
         stderr=subprocess.PIPE,
         text=True,
     ) as process:
--- a/packages/cli/tests/test_listen_addresses.py
+++ b/packages/cli/tests/test_listen_addresses.py
@@ -53,10 +53,10 @@
         ["worker", "--name", "b"],
         "fleet.workers.1.listen",
     ),
-    "a keeper": (KEEPERS, ["keeper", "--name", "k1", "--found"], "keepers.1.address"),
+    "a keeper": (KEEPERS, ["control-plane", "--name", "k1", "--found"], "keepers.1.address"),
     "a keeper that listens elsewhere": (
         ELSEWHERE,
-        ["keeper", "--name", "k1", "--found"],
+        ["control-plane", "--name", "k1", "--found"],
         "keepers.0.listen",
     ),
 }
@@ -105,7 +105,8 @@
 def test_address_of_another_machine_is_reported_as_such(tmp_path: Path) -> None:
     """192.0.2.0/24 is for documentation, and no machine's."""
     content = {"keepers": [{"name": "k1", "address": "192.0.2.1:8501"}]}
-    result = CliRunner().invoke(main, ["keeper", written(tmp_path, content), "--name", "k1", "--found"])
+    file = written(tmp_path, content)
+    result = CliRunner().invoke(main, ["control-plane", file, "--name", "k1", "--found"])
     assert result.exit_code == 2
     assert "keepers.0.address: found 192.0.2.1:8501, which is none of this machine (" in result.output
 
--- a/packages/controlplane/src/walnutpost/controlplane/__init__.py
+++ b/packages/controlplane/src/walnutpost/controlplane/__init__.py
@@ -1,6 +1,21 @@
-"""The processes that hold the fleet's agreed history, and how they are asked."""
+"""Replicas of the control plane: they agree on the fleet's state and configuration, and answer clients."""
 
-from walnutpost.controlplane.client import KeeperClient, NoAnswer
-from walnutpost.controlplane.process import Keeper, KeeperError
+from walnutpost.controlplane.client import ControlPlaneClient
+from walnutpost.controlplane.errors import (
+    ControlPlaneError,
+    ControlPlaneUnavailableError,
+    MalformedMessageError,
+    ReplicaFailedError,
+)
+from walnutpost.controlplane.replica import ControlPlaneReplica
+from walnutpost.controlplane.settings import ReplicaSettings
 
-__all__ = ["Keeper", "KeeperClient", "KeeperError", "NoAnswer"]
+__all__ = [
+    "ControlPlaneClient",
+    "ControlPlaneError",
+    "ControlPlaneReplica",
+    "ControlPlaneUnavailableError",
+    "MalformedMessageError",
+    "ReplicaFailedError",
+    "ReplicaSettings",
+]
--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -1,9 +1,8 @@
-"""How a change set comes into the history: one at a time, checked against the table that it changes."""
+"""Change sets of the configuration: validated one at a time against the revision that they change."""
 
 from __future__ import annotations
 
 import time
-from collections import deque
 from collections.abc import Callable, Sequence
 from typing import Any
 
@@ -11,116 +10,129 @@
 from walnutpost.configstore.store import ConfigStore
 from walnutpost.configstore.validation import MAX_CHANGE_SET_BYTES, validate_mutations
 from walnutpost.controlplane import wire
-from walnutpost.eventloop import Loop, Task, WaitTimeoutError
+from walnutpost.controlplane.errors import MalformedMessageError
+from walnutpost.controlplane.fifo_lock import FifoLock
+from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.fleet import CHANGED_MEANWHILE, ApplyChangeSet, CommandResult, Fleet, encode
 
 Check = Callable[[ConfigStore, Sequence[Mutation]], list[str]]
-BODY_MOST = 8 * MAX_CHANGE_SET_BYTES  # of an order: one far too large is not even read
-TRIES = 20  # of one order, where other change sets come in between
+"""Returns what is wrong with mutations of a store, by the meaning of the settings; empty for nothing."""
+MAX_REQUEST_BYTES = 8 * MAX_CHANGE_SET_BYTES
+"""A larger request is rejected without being decoded."""
+MAX_ATTEMPTS = 20
+"""Of one change set, where others are committed in between."""
 
 
-class Changes:
-    """`propose` and `confirm` wait: for the agreed answer to a command under its id, and for a quorum's word
-    that this keeper still leads and holds all that is agreed; both answer why not. `check`: what the settings
-    themselves have against a change set. `patience`: microseconds to wait for other orders' turns."""
+class ChangeCoordinator:
+    """Validates change sets and has them committed, in the order of their arrival."""
 
     def __init__(
         self,
         loop: Loop,
         fleet: Callable[[], Fleet],
-        propose: Callable[[str, bytes], wire.Told],
-        confirm: Callable[[], wire.Told],
+        propose: Callable[[str, bytes], wire.CommandReply],
+        confirm: Callable[[], wire.CommandReply],
         check: Check | None,
-        patience: int,
+        lock_timeout_us: int,
         log: Any,
     ) -> None:
-        self._loop, self._fleet, self._propose, self._confirm = loop, fleet, propose, confirm
-        self._check, self._patience, self._log = check, patience, log
-        self._turn = _Turn(loop)
-
-    def order(self, body: bytes) -> wire.Told:
-        """Raises BadWire. Under an id that was used before: the answer of then."""
-        if len(body) > BODY_MOST:
-            return _refused(
-                0, [f"change set: found {len(body)} bytes, wanted {MAX_CHANGE_SET_BYTES} at most"]
-            )
-        order = wire.decode(body, wire.SetOrder)
-        if not order.id:
-            raise wire.BadWire("SetOrder: id: found none, wanted one of its asker's own")
+        """Create a coordinator over the applied state.
+
+        `propose`: waits for the result of a command under its id.
+        `confirm`: waits until a quorum confirms that the applied state is the newest; a reason if it doesn't.
+        `check`: None for no further validation. `lock_timeout_us`: how long a request waits for those before.
+        """
+        self._loop = loop
+        self._fleet = fleet
+        self._propose = propose
+        self._confirm = confirm
+        self._check = check
+        self._lock_timeout_us = lock_timeout_us
+        self._log = log
+        self._lock = FifoLock(loop)
+
+    def submit(self, body: bytes) -> wire.CommandReply:
+        """Handle one encoded ChangeSetRequest; a repeated id gets the first one's result.
+
+        Raises MalformedMessageError.
+        """
+        if len(body) > MAX_REQUEST_BYTES:
+            error = f"change set: found {len(body)} bytes, wanted {MAX_CHANGE_SET_BYTES} at most"
+            return _rejection(0, [error])
+        request = wire.decode(body, wire.ChangeSetRequest)
+        if not request.id:
+            raise MalformedMessageError(request.wire_name, "id: found none, wanted one of its asker's own")
         try:
-            with self._loop.timeout(self._patience):
-                self._turn.take()
+            with self._loop.timeout(self._lock_timeout_us):
+                self._lock.acquire()
         except WaitTimeoutError:
-            return wire.Told(None, False, "other change sets are under way")
+            return wire.CommandReply(outcome_known=False, reason="other change sets are under way")
         try:
-            return self._set(order)
+            return self._submit_in_turn(request)
         finally:
-            self._turn.give()
-
-    def _set(self, order: wire.SetOrder) -> wire.Told:
-        for _ in range(TRIES):
-            known = self._fleet().state.results.get(order.id)
-            if known is not None:
-                return wire.Told(known)
-            table = self._fleet().table
-            base = table.revision
-            errors = _overtaken(table, order) or self._errors(table, order.ops)
-            if errors or order.dry:
-                told = self._confirm()
-                if told.why:
-                    return told
-                if self._fleet().table.revision != base or order.id in self._fleet().state.results:
-                    continue  # it was checked against a table that is no longer the newest
-                return _refused(base, errors) if errors else wire.Told(CommandResult(True, base))
-            command = ApplyChangeSet(order.ops, base, order.operator)
-            told = self._propose(order.id, encode(command, time.time()))
-            if told.answer is None or told.answer.error != CHANGED_MEANWHILE:
-                return told
-        return wire.Told(None, False, "other change sets came in between, over and over")
-
-    def _errors(self, table: ConfigStore, ops: Sequence[Mutation]) -> list[str]:
-        errors = validate_mutations(ops)
+            self._lock.release()
+
+    def _submit_in_turn(self, request: wire.ChangeSetRequest) -> wire.CommandReply:
+        for _ in range(MAX_ATTEMPTS):
+            reply = self._attempt(request)
+            if reply is not None:
+                return reply
+        return wire.CommandReply(
+            outcome_known=False, reason="other change sets came in between, over and over"
+        )
+
+    def _attempt(self, request: wire.ChangeSetRequest) -> wire.CommandReply | None:
+        """Return None where another change set was committed in between."""
+        known = self._fleet().state.results.get(request.id)
+        if known is not None:
+            return wire.CommandReply(known)
+        store = self._fleet().table
+        base_revision = store.revision
+        errors = _find_conflicts(store, request) or self._validate(store, request.mutations)
+        if errors or request.is_dry_run:
+            return self._confirmed_verdict(request.id, base_revision, errors)
+        command = ApplyChangeSet(request.mutations, base_revision, request.operator)
+        reply = self._propose(request.id, encode(command, time.time()))
+        if reply.result is not None and reply.result.error == CHANGED_MEANWHILE:
+            return None
+        return reply
+
+    def _confirmed_verdict(self, id: str, base_revision: int, errors: list[str]) -> wire.CommandReply | None:
+        """Return the verdict of a validation if it was against the newest revision."""
+        confirmation = self._confirm()
+        if confirmation.reason:
+            return confirmation
+        fleet = self._fleet()
+        if fleet.table.revision != base_revision or id in fleet.state.results:
+            return None
+        if errors:
+            return _rejection(base_revision, errors)
+        return wire.CommandReply(CommandResult(True, base_revision))
+
+    def _validate(self, store: ConfigStore, mutations: Sequence[Mutation]) -> list[str]:
+        errors = validate_mutations(mutations)
         if errors or self._check is None:
             return errors
         try:
-            return self._check(table, ops)
-        except Exception as error:  # a check that fails must neither let a change set in nor end the keeper
-            self._log.error("check", why=repr(error))
+            return self._check(store, mutations)
+        except Exception as error:  # a faulty check must neither accept a change set nor end the replica
+            self._log.error("change_set_check_failed", error=repr(error))
             return [f"change set: its check failed: {error!r}"]
 
 
-def _overtaken(table: ConfigStore, order: wire.SetOrder) -> list[str]:
-    """Keys that have changed since the asker read them: its change set would undo what it has not seen."""
-    held = [(op.key, table.entries.get(op.key)) for op in order.ops]
-    return [
-        f"{key}: found revision {entry.revision}, wanted none after {order.seen}: it has changed meanwhile"
-        for key, entry in held
-        if entry is not None and 0 < order.seen < entry.revision
-    ]
-
-
-def _refused(base: int, errors: Sequence[str]) -> wire.Told:
-    why = errors[0] if len(errors) == 1 else f"{errors[0]}, and {len(errors) - 1} more"
-    return wire.Told(CommandResult(False, base, why), errors=tuple(errors))
-
+def _find_conflicts(store: ConfigStore, request: wire.ChangeSetRequest) -> list[str]:
+    """Return the keys that have changed since the client read them, with what was found and wanted."""
+    conflicts = []
+    for mutation in request.mutations:
+        entry = store.entries.get(mutation.key)
+        if entry is not None and 0 < request.read_revision < entry.revision:
+            conflicts.append(
+                f"{mutation.key}: found revision {entry.revision}, wanted none after "
+                f"{request.read_revision}: it has changed meanwhile"
+            )
+    return conflicts
 
-class _Turn:
-    """One at a time, in the order of asking."""
 
-    def __init__(self, loop: Loop) -> None:
-        self._loop = loop
-        self._taken = False
-        self._waiting: deque[tuple[Task[Any], int]] = deque()
-
-    def take(self) -> None:
-        if not self._taken:
-            self._taken = True
-            return
-        self._waiting.append(self._loop.begin_wait())
-        self._loop.park()  # `give` hands the turn over without setting it free
-
-    def give(self) -> None:
-        while self._waiting:
-            if self._loop.wake(*self._waiting.popleft()):
-                return  # one that has given up waiting takes no turn with it
-        self._taken = False
+def _rejection(base_revision: int, errors: Sequence[str]) -> wire.CommandReply:
+    summary = errors[0] if len(errors) == 1 else f"{errors[0]}, and {len(errors) - 1} more"
+    return wire.CommandReply(CommandResult(False, base_revision, summary), errors=tuple(errors))
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -1,14 +1,14 @@
-"""Asks the keepers: any of them, then whoever leads, until one knows or the time is up."""
+"""The client of the control plane: asks any replica, then the leader, until one knows or the time is up."""
 
 from __future__ import annotations
 
 import time
 from collections.abc import Mapping, Sequence
 from contextlib import suppress
-from typing import TypeVar
+from typing import NamedTuple, TypeVar
 from urllib.parse import quote
 
-from walnutpost.configstore import messages as table
+from walnutpost.configstore import messages as config_messages
 from walnutpost.configstore.messages import (
     Entry,
     Mutation,
@@ -18,150 +18,207 @@
 )
 from walnutpost.consensus import LEADER_NOT_READY, LEADERSHIP_LOST, NOT_LEADER, Members
 from walnutpost.controlplane import wire
+from walnutpost.controlplane.errors import ControlPlaneUnavailableError, MalformedMessageError
 from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
 from walnutpost.fleet import Command, CommandResult, Fleet, encode
 from walnutpost.http import BadMessage, Connection, Limits, Response
 
-T = TypeVar("T", bound=table.Record)
-PAUSE = 100_000
+T = TypeVar("T", bound=config_messages.Record)
+RETRY_DELAY_US = 100_000
+RETRYABLE_REASONS = (NOT_LEADER, LEADER_NOT_READY, LEADERSHIP_LOST)
+MAX_SHOWN_BODY_BYTES = 200
 
 
-class NoAnswer(Exception):
-    """No keeper answered for sure in time. A command may have been agreed on: ask the same id again."""
+class ChangeSetOutcome(NamedTuple):
+    """What became of a change set.
 
+    `result`: its `index` is the new revision; for a dry run or a rejected one, the revision that it was
+    validated against. `errors`: why it is invalid.
+    """
 
-class KeeperClient:
-    """`patience`: microseconds that one question takes at the most; `each`: that one keeper gets of it."""
+    result: CommandResult
+    errors: tuple[str, ...]
+
+
+class ConfigContent(NamedTuple):
+    """Entries of the configuration, by key, as a quorum confirmed at `revision`."""
+
+    revision: int
+    entries: list[Entry]
+
+
+class ConfirmedState(NamedTuple):
+    """The newest state of the fleet, and the replica that answered."""
+
+    status: wire.ReplicaStatus
+    fleet: Fleet
+
+
+class ControlPlaneClient:
+    """Asks the replicas one after another.
+
+    Methods that ask raise ControlPlaneUnavailableError, or MalformedMessageError for an invalid response.
+    """
 
     def __init__(
-        self, loop: Loop, addresses: Mapping[str, tuple[str, int]], patience: int, each: int
+        self,
+        loop: Loop,
+        addresses: Mapping[str, tuple[str, int]],
+        timeout_us: int,
+        attempt_timeout_us: int,
     ) -> None:
+        """Take the replicas by name. `timeout_us`: for one request over all; `attempt_timeout_us`: at one."""
         self._loop = loop
         self._addresses = dict(addresses)
-        self._patience, self._each = patience, each
+        self._timeout_us = timeout_us
+        self._attempt_timeout_us = attempt_timeout_us
         self._leader = ""
 
     @property
-    def keepers(self) -> tuple[str, ...]:
+    def replicas(self) -> tuple[str, ...]:
+        """The names of the replicas."""
         return tuple(self._addresses)
 
     def command(self, id: str, command: Command) -> CommandResult:
-        """The agreed answer. An `id` that was used before gets the answer of then."""
-        return self._answer(wire.COMMANDS, wire.encode(wire.Order(id, encode(command, time.time()))))
-
-    def change(self, id: str, members: Members) -> CommandResult:
-        return self._answer(wire.MEMBERS, wire.encode(wire.Membership(id, members)))
-
-    def report(self, report: wire.Report) -> wire.Told:
-        """What the leader says to it, with the list of workers where it has a newer one."""
-        return wire.decode(self._ask("POST", wire.REPORTS, wire.encode(report)).body, wire.Told)
-
-    def history(self, keeper: str, after: int, most: int) -> wire.History:
-        """What this keeper has of the history after that entry; raises NoAnswer."""
-        return self._from(keeper, f"{wire.HISTORY}?after={after}&most={most}", wire.History)
-
-    def set_entries(
-        self, id: str, ops: Sequence[Mutation], dry: bool = False, operator: str = "", seen: int = 0
-    ) -> tuple[CommandResult, tuple[str, ...]]:
-        """A change set for the agreed table, whole or not at all, and what its checks have against it. The
-        answer's `index` is the revision that it came in with; where it is `dry` or refused, that of the table
-        which it was checked against. An `id` that was used before gets the answer of then. `seen`: refused
-        where one of these keys has changed since that revision, 0 for whatever stands."""
-        body = wire.encode(wire.SetOrder(id, tuple(ops), dry, operator, seen=seen))
-        told = wire.decode(self._ask("POST", wire.CHANGE, body).body, wire.Told)
-        assert told.answer is not None
-        return told.answer, told.errors
-
-    def entries(self, kind: str = "", key: str = "") -> tuple[int, list[Entry]]:
-        """The agreed table's revision and entries by key, all, of one kind, or that under `key` if there is
-        one, as a quorum confirms."""
-        body = self._ask("GET", f"{wire.ENTRIES}?kind={quote(kind)}&key={quote(key)}", b"").body
-        told = wire.decode(body, wire.Entries)
-        return told.revision, list(told.entries)
-
-    def sums(self, sums: ProgressSummary) -> ProgressSummaryResponse:
-        """A relay's report to whoever leads."""
-        return self._of_table("POST", table.PROGRESS_PATH, table.encode(sums), ProgressSummaryResponse)
+        """Have a command committed and return its result; a repeated `id` gets the first one's result."""
+        request = wire.CommandRequest(id, encode(command, time.time()))
+        return self._result(wire.COMMANDS_PATH, wire.encode(request))
+
+    def change_members(self, id: str, members: Members) -> CommandResult:
+        """Change the set of replicas by one step."""
+        return self._result(wire.MEMBERS_PATH, wire.encode(wire.MembershipRequest(id, members)))
+
+    def report(self, report: wire.Report) -> wire.CommandReply:
+        """Report to the leader; its reply has the endpoint list where it has a newer one."""
+        return wire.decode(self._ask("POST", wire.REPORTS_PATH, wire.encode(report)).body, wire.CommandReply)
+
+    def history(self, replica: str, after: int, max_entries: int) -> wire.History:
+        """Return the entries that this replica has after index `after`."""
+        target = f"{wire.HISTORY_PATH}?after={after}&most={max_entries}"
+        return self._ask_replica(replica, target, wire.History)
+
+    def submit_change_set(
+        self,
+        id: str,
+        mutations: Sequence[Mutation],
+        is_dry_run: bool = False,
+        operator: str = "",
+        read_revision: int = 0,
+    ) -> ChangeSetOutcome:
+        """Have a change set of the configuration committed, atomically.
+
+        A repeated `id` gets the first one's result. `read_revision`: reject if one of the
+        keys has changed since that revision; 0 accepts any.
+        """
+        request = wire.ChangeSetRequest(
+            id, tuple(mutations), is_dry_run, operator, read_revision=read_revision
+        )
+        body = self._ask("POST", wire.CHANGE_PATH, wire.encode(request)).body
+        reply = wire.decode(body, wire.CommandReply)
+        assert reply.result is not None
+        return ChangeSetOutcome(reply.result, reply.errors)
+
+    def entries(self, kind: str = "", key: str = "") -> ConfigContent:
+        """Return the configuration's entries: all, of a kind, or of a key."""
+        body = self._ask("GET", f"{wire.ENTRIES_PATH}?kind={quote(kind)}&key={quote(key)}", b"").body
+        response = wire.decode(body, wire.ConfigEntries)
+        return ConfigContent(response.revision, list(response.entries))
+
+    def report_progress(self, summary: ProgressSummary) -> ProgressSummaryResponse:
+        """Report a relay's members to the leader."""
+        body = config_messages.encode(summary)
+        return self._ask_config("POST", config_messages.PROGRESS_PATH, body, ProgressSummaryResponse)
 
     def status(self) -> PropagationStatus:
-        """Who acts on what, by the leader's knowledge."""
-        return self._of_table("GET", table.STATUS_PATH, b"", PropagationStatus)
+        """Return which member has applied which revision of the configuration, as the leader knows."""
+        return self._ask_config("GET", config_messages.STATUS_PATH, b"", PropagationStatus)
 
-    def _of_table(self, method: str, target: str, body: bytes, kind: type[T]) -> T:
+    def _ask_config(self, method: str, target: str, body: bytes, kind: type[T]) -> T:
         try:
-            return table.decode(self._ask(method, target, body).body, kind)
-        except table.InvalidMessageError as error:
-            raise NoAnswer(str(error)) from error
+            return config_messages.decode(self._ask(method, target, body).body, kind)
+        except config_messages.InvalidMessageError as error:
+            raise ControlPlaneUnavailableError(str(error)) from error
 
-    def state(self) -> tuple[wire.View, Fleet]:
-        """What a quorum confirms to be the newest, but for the agreed table: `entries` tells that."""
-        view = wire.decode(self._ask("GET", wire.STATE, b"").body, wire.View)
-        return view, Fleet.restore(view.state)
+    def state(self) -> ConfirmedState:
+        """Return what a quorum confirms to be the newest state, without the configuration (see `entries`)."""
+        status = wire.decode(self._ask("GET", wire.STATE_PATH, b"").body, wire.ReplicaStatus)
+        return ConfirmedState(status, Fleet.restore(status.state))
 
-    def here(self, keeper: str) -> wire.View:
-        """What this keeper holds, however old; raises NoAnswer."""
-        return self._from(keeper, wire.STATE + "?here", wire.View)
+    def local_status(self, replica: str) -> wire.ReplicaStatus:
+        """Return what this replica has, however old."""
+        return self._ask_replica(replica, f"{wire.STATE_PATH}?{wire.LOCAL_QUERY}", wire.ReplicaStatus)
 
     def failing_disks(self) -> dict[str, str]:
-        """Why, by each keeper that says that its disk fails; all are asked at once."""
+        """Return the reason for each replica that reports that its disk fails; all are asked at once."""
         found: dict[str, str] = {}
 
-        def ask(keeper: str) -> None:
-            with suppress(NoAnswer):
-                reason = self.here(keeper).disk
+        def ask(replica: str) -> None:
+            with suppress(ControlPlaneUnavailableError):
+                reason = self.local_status(replica).disk_failure
                 if isinstance(reason, str):
-                    found[keeper] = reason
+                    found[replica] = reason
 
         with TaskGroup(self._loop) as group:
-            for keeper in self._addresses:
-                group.spawn(ask, keeper, name="disk state")
+            for replica in self._addresses:
+                group.spawn(ask, replica, name="disk state")
         return dict(sorted(found.items()))
 
-    def _from(self, keeper: str, target: str, kind: type[wire.T]) -> wire.T:
+    def _ask_replica(self, replica: str, target: str, kind: type[wire.T]) -> wire.T:
         try:
-            with self._loop.timeout(self._each):
-                return wire.decode(self._one(keeper, "GET", target, b"").body, kind)
-        except (OSError, BadMessage, WaitTimeoutError, wire.BadWire) as error:
-            raise NoAnswer(f"{keeper}: {error}") from error
+            with self._loop.timeout(self._attempt_timeout_us):
+                return wire.decode(self._exchange(replica, "GET", target, b"").body, kind)
+        except (OSError, BadMessage, WaitTimeoutError, MalformedMessageError) as error:
+            raise ControlPlaneUnavailableError(f"{replica}: {error}") from error
 
-    def _answer(self, target: str, body: bytes) -> CommandResult:
-        answer = wire.decode(self._ask("POST", target, body).body, wire.Told).answer
-        assert answer is not None
-        return answer
+    def _result(self, target: str, body: bytes) -> CommandResult:
+        result = wire.decode(self._ask("POST", target, body).body, wire.CommandReply).result
+        assert result is not None
+        return result
 
     def _ask(self, method: str, target: str, body: bytes) -> Response:
-        until, why, turn = self._loop.now() + self._patience, "nobody was asked", list(self._addresses)
-        while turn and self._loop.now() < until:
-            keeper = self._leader or turn[0]
-            turn.append(turn.pop(0))
+        """Return the first definite response, with status 200."""
+        deadline_us = self._loop.now() + self._timeout_us
+        reason = "nobody was asked"
+        queue = list(self._addresses)
+        while queue and self._loop.now() < deadline_us:
+            replica = self._leader or queue[0]
+            queue.append(queue.pop(0))
             self._leader = ""
+            remaining_us = max(1, deadline_us - self._loop.now())
             try:
-                with self._loop.timeout(min(self._each, max(1, until - self._loop.now()))):
-                    response = self._one(keeper, method, target, body)
+                with self._loop.timeout(min(self._attempt_timeout_us, remaining_us)):
+                    response = self._exchange(replica, method, target, body)
             except (OSError, BadMessage, WaitTimeoutError) as error:
-                why = f"{keeper}: {type(error).__name__} {error}"
-                self._loop.sleep(PAUSE)
+                reason = f"{replica}: {type(error).__name__} {error}"
+                self._loop.sleep(RETRY_DELAY_US)
                 continue
             if response.status == 200:
-                self._leader = keeper
+                self._leader = replica
                 return response
-            try:
-                told = wire.decode(response.body, wire.Told)
-            except wire.BadWire:
-                raise NoAnswer(f"{keeper}: {response.status} {response.body[:200]!r}") from None
-            why = f"{keeper}: {told.why}"
-            if told.why not in (NOT_LEADER, LEADER_NOT_READY, LEADERSHIP_LOST) and told.sure:
-                return Response(200, body=wire.encode(wire.Told(CommandResult(False, 0, told.why))))
-            if told.leader in self._addresses and told.leader != keeper:
-                self._leader = told.leader
+            reply = _decode_rejection(replica, response)
+            reason = f"{replica}: {reply.reason}"
+            if reply.outcome_known and reply.reason not in RETRYABLE_REASONS:
+                result = CommandResult(False, 0, reply.reason)
+                return Response(200, body=wire.encode(wire.CommandReply(result)))
+            if reply.leader in self._addresses and reply.leader != replica:
+                self._leader = reply.leader
             else:
-                self._loop.sleep(PAUSE)
-        raise NoAnswer(why)
+                self._loop.sleep(RETRY_DELAY_US)
+        raise ControlPlaneUnavailableError(reason)
 
-    def _one(self, keeper: str, method: str, target: str, body: bytes) -> Response:
-        limits = Limits(body=wire.BODY_MOST)
-        connection = Connection.open(self._loop, self._addresses[keeper], limits=limits)
+    def _exchange(self, replica: str, method: str, target: str, body: bytes) -> Response:
+        limits = Limits(body=wire.MAX_BODY_BYTES)
+        connection = Connection.open(self._loop, self._addresses[replica], limits=limits)
         try:
-            return connection.ask(method, target, {"Content-Type": "application/msgpack"}, body)
+            return connection.ask(method, target, {"Content-Type": wire.CONTENT_TYPE}, body)
         finally:
             connection.close()
+
+
+def _decode_rejection(replica: str, response: Response) -> wire.CommandReply:
+    """Decode the body of a response that has no status 200."""
+    try:
+        return wire.decode(response.body, wire.CommandReply)
+    except MalformedMessageError:
+        shown = response.body[:MAX_SHOWN_BODY_BYTES]
+        raise ControlPlaneUnavailableError(f"{replica}: {response.status} {shown!r}") from None
--- a/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
@@ -1,8 +1,8 @@
-"""The return of a replica whose disk failed a write or a sync: reopen, prove, read back, go on as a follower.
+"""Recovery after a failed write or sync: reopen, prove, read back, continue as a follower.
 
-Nothing that a failed write carried counts as durable, and nothing that is read back counts before a later
+Nothing that a failed write contained counts as durable, and nothing that is read back counts before a later
 sync has proven it (`ReplicaStore.prove_durable`). Meanwhile the replica is out of service. A state that holds
-less than it has answered for, or can't be read, is a lost disk.
+less than the replica has acknowledged, or can't be read, is a lost disk.
 """
 
 from __future__ import annotations
@@ -14,16 +14,18 @@
 from walnutpost.consensus import PersistentState
 from walnutpost.eventloop import Loop
 from walnutpost.store import StoreError
-from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, may_pass
+from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, is_transient
 
 MIN_BACKOFF_US = 20_000
-MAX_BACKOFF_US = 400_000  # a replica is back within a few of these after the fault's end
-CALM_US = 5 * MAX_BACKOFF_US  # without a failure for as long, the next one is tried again soon
+MAX_BACKOFF_US = 400_000
+"""A replica is back within a few of these after the fault's end."""
+CALM_PERIOD_US = 5 * MAX_BACKOFF_US
+"""After as long without a failure the backoff starts again at its minimum."""
+MS_US = 1000
 
 
 class DiskRecovery:
-    """`reopen` opens the store's file, on the helper thread. `resume` takes the store and the state that it
-    gave; `lost` is told why there is none."""
+    """Takes the store out of service when it fails, and reopens it with backoff."""
 
     def __init__(
         self,
@@ -33,10 +35,19 @@
         lost: Callable[[str], None],
         log: Any,
     ) -> None:
-        self._loop, self._reopen, self._resume, self._lost, self._log = loop, reopen, resume, lost, log
-        self._backoff = MIN_BACKOFF_US
-        self._recovered_at: int | None = None
-        self._stopped = False
+        """Do nothing until a failure.
+
+        `reopen`: opens the store's file, on the helper thread. `resume`: takes the store and its state.
+        `lost`: called with the reason where there is none.
+        """
+        self._loop = loop
+        self._reopen = reopen
+        self._resume = resume
+        self._lost = lost
+        self._log = log
+        self._backoff_us = MIN_BACKOFF_US
+        self._recovered_at_us: int | None = None
+        self._is_stopped = False
         self.reason = ""  # of the last failure, while the replica is out of service
 
     @property
@@ -45,63 +56,67 @@
         return bool(self.reason)
 
     def begin(self, store: ReplicaStore, identity: str, error: StoreError) -> None:
-        """`store` failed with `error`, and is closed."""
-        if not may_pass(error):
+        """Start the recovery of `store`, which failed with `error`; it gets closed."""
+        if not is_transient(error):
             self._lost(str(error))
             return
         self.reason = str(error) or repr(error)
-        self._log.error("disk_failed", replica=identity, why=self.reason)
+        self._log.error("disk_failed", replica=identity, reason=self.reason)
         now = self._loop.now()
-        if self._recovered_at is None or now - self._recovered_at >= CALM_US:
-            self._backoff = MIN_BACKOFF_US
+        if self._recovered_at_us is None or now - self._recovered_at_us >= CALM_PERIOD_US:
+            self._backoff_us = MIN_BACKOFF_US
         self._loop.spawn(self._recover, store, identity, now, name="disk recovery")
 
     def stop(self) -> None:
-        self._stopped = True
+        """Give up: the replica ends."""
+        self._is_stopped = True
 
-    def _recover(self, store: ReplicaStore, identity: str, failed_at: int) -> None:
-        floor, attempts = store.floor, 0
+    def _recover(self, store: ReplicaStore, identity: str, failed_at_us: int) -> None:
+        floor = store.floor
+        attempts = 0
         self._loop.run_blocking(_close, store)
-        while not self._stopped:
-            self._loop.sleep(self._backoff)
-            self._backoff = min(2 * self._backoff, MAX_BACKOFF_US)
+        while not self._is_stopped:
+            self._loop.sleep(self._backoff_us)
+            self._backoff_us = min(2 * self._backoff_us, MAX_BACKOFF_US)
             attempts += 1
             try:
-                found, state = self._loop.run_blocking(_read_back, self._reopen, identity, floor)
+                reopened, state = self._loop.run_blocking(_read_back, self._reopen, identity, floor)
             except StoreError as error:
-                if may_pass(error):
+                if is_transient(error):
                     self.reason = str(error) or repr(error)
                     continue
-                if not self._stopped:
+                if not self._is_stopped:
                     self._lost(str(error))
                 return
-            if self._stopped:
-                self._loop.run_blocking(_close, found)
+            if self._is_stopped:
+                self._loop.run_blocking(_close, reopened)
                 return
-            self._recovered_at, self.reason = self._loop.now(), ""
-            outage_ms = (self._recovered_at - failed_at) // 1000
+            self._recovered_at_us = self._loop.now()
+            self.reason = ""
+            outage_ms = (self._recovered_at_us - failed_at_us) // MS_US
             self._log.info("disk_recovered", replica=identity, attempts=attempts, outage_ms=outage_ms)
-            self._resume(found, state)
+            self._resume(reopened, state)
             return
 
 
 def _read_back(
     reopen: Callable[[], ReplicaStore], identity: str, floor: DurableFloor
 ) -> tuple[ReplicaStore, PersistentState]:
+    """Return the reopened store and its state, once it is proven to be durable and complete."""
     store = reopen()
     try:
         store.prove_durable()
-        known = store.load()
-        if known is None or known[0] != identity:
-            found = "nothing" if known is None else f"the state of {known[0]}"
+        stored = store.load()
+        if stored is None or stored.identity != identity:
+            found = "nothing" if stored is None else f"the state of {stored.identity}"
             raise UnreadableStateError(f"found {found}, wanted the state of {identity}")
-        missing = floor.missing_from(known[1])
+        missing = floor.missing_from(stored.state)
         if missing:
             raise UnreadableStateError(f"less than was answered for: {missing}")
     except BaseException:
         _close(store)
         raise
-    return store, known[1]
+    return store, stored.state
 
 
 def _close(store: ReplicaStore) -> None:
--- a/packages/controlplane/src/walnutpost/controlplane/peers.py
+++ b/packages/controlplane/src/walnutpost/controlplane/peers.py
@@ -1,4 +1,4 @@
-"""The way to another keeper: messages are posted in order, and at most so many wait; what is lost is lost."""
+"""Connections to the other replicas: messages in order, a bounded queue, no retransmission."""
 
 from __future__ import annotations
 
@@ -10,66 +10,85 @@
 from walnutpost.eventloop import Event, Loop, WaitTimeoutError
 from walnutpost.http import BadMessage, Connection, Limits
 
-WAITING_MOST = 512  # of messages to one keeper: the newest tell most
-TOGETHER_MOST = 128
-RATE_LEAST = 1  # bytes a microsecond: a large state may take its time to arrive
-PAUSE = 20_000  # after a way that failed: the next message says the same or more
+MAX_QUEUED_MESSAGES = 512
+"""To one replica; the oldest are dropped, since newer ones supersede them."""
+MAX_BATCH_MESSAGES = 128
+MIN_THROUGHPUT_BYTES_PER_US = 1
+"""A large snapshot gets as much more time to arrive."""
+RECONNECT_DELAY_US = 20_000
+"""After a failure; consensus repeats what was lost."""
 
 
-class Peer:
-    """One other keeper: a connection that is opened when there is something to say."""
+class PeerConnection:
+    """The connection to one other replica, opened when there is something to send.
 
-    def __init__(self, loop: Loop, address: Callable[[], tuple[str, int]], answer_time: int) -> None:
+    `sent_count`, `lost_count`: messages that were acknowledged, and that were given up.
+    """
+
+    def __init__(self, loop: Loop, address: Callable[[], tuple[str, int]], reply_timeout_us: int) -> None:
+        """Start the sending task. `reply_timeout_us`: for the reply to an empty batch."""
         self._loop = loop
         self._address = address
-        self._answer_time = answer_time
-        self._waiting: deque[tuple[str, Message]] = deque(maxlen=WAITING_MOST)
-        self._some = Event(loop)
+        self._reply_timeout_us = reply_timeout_us
+        self._queue: deque[tuple[str, Message]] = deque(maxlen=MAX_QUEUED_MESSAGES)
+        self._has_queued = Event(loop)
         self._connection: Connection | None = None
         self._task = loop.spawn(self._run, name="peer")
-        self.posted = self.lost = 0
+        self.sent_count = 0
+        self.lost_count = 0
 
     def send(self, to: str, message: Message) -> None:
-        self._waiting.append((to, message))
-        self._some.set()
+        """Queue a message for the replica with the id `to`."""
+        self._queue.append((to, message))
+        self._has_queued.set()
 
-    def discard(self) -> None:
-        """What has not left yet is lost."""
-        self._waiting.clear()
+    def discard_queued(self) -> None:
+        """Drop what has not been sent yet."""
+        self._queue.clear()
 
     def close(self) -> None:
+        """End the task and the connection."""
         self._task.cancel()
         if self._connection is not None:
             self._connection.close()
 
     def _run(self) -> None:
         while True:
-            self._some.wait()
-            self._some = Event(self._loop)
-            while self._waiting:
-                to = self._waiting[0][0]
-                batch: list[Message] = []
-                while self._waiting and self._waiting[0][0] == to and len(batch) < TOGETHER_MOST:
-                    batch.append(self._waiting.popleft()[1])
-                body = wire.encode(wire.Post(to, tuple(batch)))
-                try:
-                    with self._loop.timeout(self._answer_time + len(body) // RATE_LEAST):
-                        self._post(body)
-                    self.posted += len(batch)
-                except (OSError, BadMessage, WaitTimeoutError):
-                    self.lost += len(batch)
-                    self._drop()
-                    self._loop.sleep(PAUSE)
+            self._has_queued.wait()
+            self._has_queued = Event(self._loop)
+            while self._queue:
+                self._send_batch()
+
+    def _send_batch(self) -> None:
+        batch = self._take_batch()
+        body = wire.encode(batch)
+        try:
+            with self._loop.timeout(self._reply_timeout_us + len(body) // MIN_THROUGHPUT_BYTES_PER_US):
+                self._post(body)
+            self.sent_count += len(batch.messages)
+        except (OSError, BadMessage, WaitTimeoutError):
+            self.lost_count += len(batch.messages)
+            self._disconnect()
+            self._loop.sleep(RECONNECT_DELAY_US)
+
+    def _take_batch(self) -> wire.PeerMessages:
+        """Remove the oldest messages with a common recipient from the queue."""
+        to = self._queue[0][0]
+        messages: list[Message] = []
+        while self._queue and self._queue[0][0] == to and len(messages) < MAX_BATCH_MESSAGES:
+            messages.append(self._queue.popleft()[1])
+        return wire.PeerMessages(to, tuple(messages))
 
     def _post(self, body: bytes) -> None:
         connection = self._connection
         if connection is None or not connection.reusable:
-            self._drop()
-            connection = Connection.open(self._loop, self._address(), limits=Limits(body=wire.BODY_MOST))
+            self._disconnect()
+            limits = Limits(body=wire.MAX_BODY_BYTES)
+            connection = Connection.open(self._loop, self._address(), limits=limits)
             self._connection = connection
-        connection.ask("POST", wire.MESSAGES, {"Content-Type": "application/msgpack"}, body)
+        connection.ask("POST", wire.MESSAGES_PATH, {"Content-Type": wire.CONTENT_TYPE}, body)
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._connection is not None:
             self._connection.close()
             self._connection = None
--- /dev/null
+++ b/packages/controlplane/src/walnutpost/controlplane/pending.py
@@ -0,0 +1,50 @@
+"""Requests that wait for consensus: who waits for the reply to which id."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from walnutpost.controlplane import wire
+from walnutpost.eventloop import Loop, Task
+
+
+class PendingReplies:
+    """Tasks that wait for replies, by the id of their command or read."""
+
+    def __init__(self, loop: Loop) -> None:
+        """Create it with nobody waiting."""
+        self._loop = loop
+        self._waiting: dict[str, list[tuple[Task[Any], int]]] = {}
+
+    def wait(
+        self, id: str, timeout_us: int, on_timeout: wire.CommandReply, start: Callable[[], None]
+    ) -> wire.CommandReply:
+        """Call `start`, then wait for the reply to `id`; return `on_timeout` after `timeout_us`."""
+        task, token = self._loop.begin_wait()
+        self._waiting.setdefault(id, []).append((task, token))
+        timer = self._loop.call_later(timeout_us, lambda: self._loop.wake(task, token, on_timeout))
+        start()
+        try:
+            reply: wire.CommandReply = self._loop.park()
+        finally:
+            timer.cancel()
+            self._forget(id, task, token)
+        return reply
+
+    def _forget(self, id: str, task: Task[Any], token: int) -> None:
+        waiting = self._waiting.get(id, [])
+        if (task, token) in waiting:
+            waiting.remove((task, token))
+        if not waiting:
+            self._waiting.pop(id, None)
+
+    def complete(self, id: str, reply: wire.CommandReply) -> None:
+        """Give all that wait for `id` this reply."""
+        for task, token in self._waiting.pop(id, ()):
+            self._loop.wake(task, token, reply)
+
+    def complete_all(self, reply: wire.CommandReply) -> None:
+        """Give all that wait, for whatever id, this reply."""
+        for id in list(self._waiting):
+            self.complete(id, reply)
--- /dev/null
+++ b/packages/controlplane/src/walnutpost/controlplane/responses.py
@@ -0,0 +1,28 @@
+"""HTTP responses of a replica."""
+
+from __future__ import annotations
+
+from walnutpost.controlplane import wire
+from walnutpost.http import BadMessage, Response
+
+OK = 200
+MISDIRECTED = 421
+"""Another replica is to be asked; nothing was done."""
+OUTCOME_UNKNOWN = 504
+
+
+def message_response(body: bytes) -> Response:
+    """Return a response with an encoded message."""
+    return Response(OK, {"Content-Type": wire.CONTENT_TYPE}, body)
+
+
+def reply_response(reply: wire.CommandReply) -> Response:
+    """Return the response to a command, a report or a change set, or why there is no other response."""
+    without_result = MISDIRECTED if reply.outcome_known else OUTCOME_UNKNOWN
+    status = OK if reply.result is not None else without_result
+    return Response(status, {"Content-Type": wire.CONTENT_TYPE}, wire.encode(reply))
+
+
+def protocol_error_response(error: BadMessage) -> Response:
+    """Return the response to bytes that are no HTTP request."""
+    return Response(error.status, body=str(error).encode())
--- /dev/null
+++ b/packages/controlplane/src/walnutpost/controlplane/submission.py
@@ -0,0 +1,66 @@
+"""Inputs of clients for consensus: commands, membership changes and reads, each with its reply."""
+
+from __future__ import annotations
+
+import time
+
+from walnutpost.consensus import NOT_LEADER, Input, Propose, ReadIndex
+from walnutpost.controlplane import wire
+from walnutpost.controlplane.consensus_driver import ConsensusDriver
+from walnutpost.controlplane.disk_recovery import DiskRecovery
+from walnutpost.controlplane.pending import PendingReplies
+from walnutpost.eventloop import Loop
+from walnutpost.fleet import Command, encode
+
+
+class ConsensusSubmitter:
+    """Submits inputs to consensus and waits for their replies."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        driver: ConsensusDriver,
+        disk: DiskRecovery,
+        replies: PendingReplies,
+        reply_timeout_us: int,
+    ) -> None:
+        """Submit to `driver`; `replies` are completed by its effects."""
+        self._loop = loop
+        self._driver = driver
+        self._disk = disk
+        self._replies = replies
+        self._reply_timeout_us = reply_timeout_us
+        self._submitted = 0  # reads and commands of this replica's own, for their ids
+
+    @property
+    def leader(self) -> str:
+        """The name of the replica that may know more; none is known while the disk fails."""
+        return "" if self._disk.is_failing else wire.replica_name(self._driver.raft.leader)
+
+    def submit(self, id: str, event: Input) -> wire.CommandReply:
+        """Wait for the reply to `id`. An input without one in time may be committed all the same."""
+        if not self._driver.is_in_service():
+            return wire.CommandReply(reason=NOT_LEADER)
+        on_timeout = wire.CommandReply(
+            outcome_known=False, reason="no quorum has answered in time", leader=self.leader
+        )
+        return self._replies.wait(id, self._reply_timeout_us, on_timeout, lambda: self._driver.feed(event))
+
+    def submit_command(self, id: str, command: bytes) -> wire.CommandReply:
+        """Wait for the result of an encoded command."""
+        return self.submit(id, Propose(id, command))
+
+    def confirm(self) -> wire.CommandReply:
+        """Wait until a quorum confirms that the applied state is the newest; a reason if it doesn't."""
+        id = f"read {self._driver.raft.replica_id} {self._next_number()}"
+        return self.submit(id, ReadIndex(id))
+
+    def propose(self, command: Command) -> None:
+        """Propose a command of this replica's own, at the end of the loop's round; nobody waits for it."""
+        raft = self._driver.raft
+        id = f"{raft.replica_id}.{raft.term}.{self._next_number()}"
+        self._loop.call_soon(lambda: self._driver.feed(Propose(id, encode(command, time.time()))))
+
+    def _next_number(self) -> int:
+        self._submitted += 1
+        return self._submitted
--- a/packages/controlplane/tests/disk_rig.py
+++ b/packages/controlplane/tests/disk_rig.py
@@ -1,4 +1,4 @@
-"""Replicas on real files whose disks fail by script, in one process, and what must hold of them."""
+"""Replicas on real files whose disks fail by script, in one process, and their invariants."""
 
 from __future__ import annotations
 
@@ -12,30 +12,36 @@
 from typing import Any
 
 from walnutpost.consensus import Effect, PersistentState, Send, Timing, VoteRequest, VoteResponse
-from walnutpost.controlplane import Keeper, KeeperClient, KeeperError, NoAnswer
+from walnutpost.controlplane import (
+    ControlPlaneClient,
+    ControlPlaneReplica,
+    ControlPlaneUnavailableError,
+    ReplicaFailedError,
+    ReplicaSettings,
+)
 from walnutpost.eventloop import Loop, Task
 from walnutpost.fleet import FRONT_END, Fleet, RegisterMember
 from walnutpost.http import Connection, Response
 from walnutpost.store import StoreError
-from walnutpost.store.replica import ReplicaStore
+from walnutpost.store.replica import ReplicaStore, StoredReplica
 from watch_rig import Log
 
 SECOND = 1_000_000
 NAMES = ("k1", "k2", "k3")
 TIMING = Timing(election_timeout_us=400_000, heartbeat_interval_us=50_000)
-LOG_MOST = 30  # entries: snapshots are taken within a test
+MAX_LOG_ENTRIES = 30  # entries: snapshots are taken within a test
 
 
 class Fault(Enum):
-    """What the file shows, once it is opened again, of a commit that failed."""
+    """What is visible of a failed commit in the file when it is opened again."""
 
     REFUSED = "nothing of it"
     TORN = "a part of its pages"
     UNSYNCED = "all of it, though none of it is on the disk"
 
 
-def io_error(what: str) -> sqlite3.OperationalError:
-    error = sqlite3.OperationalError(f"disk I/O error: {what}")
+def io_error(operation: str) -> sqlite3.OperationalError:
+    error = sqlite3.OperationalError(f"disk I/O error: {operation}")
     error.sqlite_errorcode = sqlite3.SQLITE_IOERR_FSYNC
     return error
 
@@ -65,19 +71,19 @@
     def heal(self) -> None:
         self.commit_fault, self.reopen_fails, self.reopen_blocked = lambda _: None, 0, False
 
-    def check(self, what: str) -> None:
+    def check(self, operation: str) -> None:
         if self.reopen_blocked or self.reopen_fails > 0:
             self.reopen_fails -= 1
-            error = io_error(what)
+            error = io_error(operation)
             raise StoreError(str(error)) from error
 
-    def save(self, path: Path, kept: int, fault: Fault) -> None:
-        """The image that the next opening finds. `kept`: bytes of the log before the commit that failed."""
+    def save(self, path: Path, former_wal_bytes: int, fault: Fault) -> None:
+        """The image that the next opening finds. `former_wal_bytes`: before the failed commit."""
         self.failures += 1
         wal = _wal(path).read_bytes() if _wal(path).exists() else b""
-        size = kept if fault is Fault.REFUSED else len(wal)
-        if fault is Fault.TORN and len(wal) > kept:
-            size = self._random.randrange(kept, len(wal))
+        size = former_wal_bytes if fault is Fault.REFUSED else len(wal)
+        if fault is Fault.TORN and len(wal) > former_wal_bytes:
+            size = self._random.randrange(former_wal_bytes, len(wal))
         self._image = path.read_bytes(), wal[:size]
 
     def restore(self, path: Path) -> None:
@@ -96,13 +102,13 @@
 
 
 class FaultyStore(ReplicaStore):
-    def __init__(self, disk: Disk, loop: Loop, path: Path, past_most: int) -> None:
+    def __init__(self, disk: Disk, loop: Loop, path: Path, max_history_entries: int) -> None:
         self._disk = disk
         disk.reopenings += 1
         disk.restore(path)
         disk.before_reopen(path)
         disk.check("open")
-        super().__init__(loop, path, past_most)
+        super().__init__(loop, path, max_history_entries)
 
     def _commit(self, batch: Any) -> None:
         self._disk.commits += 1
@@ -110,21 +116,21 @@
         if fault is None:
             super()._commit(batch)
             return
-        kept = _wal(self._path).stat().st_size if _wal(self._path).exists() else 0
+        former_wal_bytes = _wal(self._path).stat().st_size if _wal(self._path).exists() else 0
         if fault is not Fault.REFUSED:
             super()._commit(batch)
-        self._disk.save(self._path, kept, fault)
+        self._disk.save(self._path, former_wal_bytes, fault)
         raise io_error("commit")
 
     def prove_durable(self) -> None:
         self._disk.check("sync")
         super().prove_durable()
 
-    def load(self) -> tuple[str, PersistentState] | None:
-        found = super().load()
-        if found is not None and self._disk.reopenings > 1:
-            self._disk.read_back.append((found[1], _main_file_alone(self._loop, self._path)))
-        return found
+    def load(self) -> StoredReplica | None:
+        stored = super().load()
+        if stored is not None and self._disk.reopenings > 1:
+            self._disk.read_back.append((stored.state, _main_file_alone(self._loop, self._path)))
+        return stored
 
 
 def _main_file_alone(loop: Loop, path: Path) -> PersistentState | None:
@@ -133,20 +139,20 @@
     shutil.copyfile(path, copy)
     store = ReplicaStore(loop, copy)
     try:
-        known = store.load()
-        return None if known is None else known[1]
+        stored = store.load()
+        return None if stored is None else stored.state
     finally:
         store.close()
         for side in (copy, _wal(copy), Path(f"{copy}-shm")):
             side.unlink(missing_ok=True)
 
 
-class ObservedKeeper(Keeper):
-    """Its votes, as they leave: for whom, by term."""
+class ObservedReplica(ControlPlaneReplica):
+    """`votes`: as they are sent, the candidates by term."""
 
     votes: dict[int, set[str]]
 
-    def _carry_out(self, effect: Effect) -> None:
+    def _execute(self, effect: Effect) -> None:
         if not hasattr(self, "votes"):
             self.votes = {}
         match effect:
@@ -154,113 +160,115 @@
                 self.votes.setdefault(term, set()).add(to)
             case Send(_, VoteRequest(term, sender, _, _, False)):
                 self.votes.setdefault(term, set()).add(sender)
-        super()._carry_out(effect)
+        super()._execute(effect)
 
 
 class Cluster:
-    """Three replicas. What no run may break is looked at by `check`."""
+    """Three replicas. `check` asserts the invariants."""
 
     def __init__(self, loop: Loop, folder: Path, seed: int = 0) -> None:
         self.loop, self.folder = loop, folder
         self.disks = {name: Disk(seed + number) for number, name in enumerate(NAMES)}
         self.logs = {name: Log() for name in NAMES}
-        self.lost: dict[str, KeeperError] = {}
-        self.keepers: dict[str, ObservedKeeper] = {}
+        self.lost: dict[str, ReplicaFailedError] = {}
+        self.replicas: dict[str, ObservedReplica] = {}
         self.acknowledged: list[str] = []
         for number, name in enumerate(NAMES):
-            self.keepers[name] = self._start(name, seed + number)
-        self.addresses = {name: keeper.address for name, keeper in self.keepers.items()}
+            self.replicas[name] = self._start(name, seed + number)
+        self.addresses = {name: replica.address for name, replica in self.replicas.items()}
 
-    def _start(self, name: str, seed: int) -> ObservedKeeper:
-        def open_store(loop: Loop, path: Path, past_most: int) -> ReplicaStore:
-            return FaultyStore(self.disks[name], loop, path, past_most)
+    def _start(self, name: str, seed: int) -> ObservedReplica:
+        def open_store(loop: Loop, path: Path, max_history_entries: int) -> ReplicaStore:
+            return FaultyStore(self.disks[name], loop, path, max_history_entries)
 
-        return ObservedKeeper(
+        return ObservedReplica(
             self.loop,
-            name,
-            {n: lambda n=n: self.addresses[n] for n in NAMES},  # type: ignore[misc]
-            ("127.0.0.1", 0),
-            self.folder,
-            TIMING,
-            60 * SECOND,
+            ReplicaSettings(
+                name=name,
+                addresses={n: lambda n=n: self.addresses[n] for n in NAMES},  # type: ignore[misc]
+                listen=("127.0.0.1", 0),
+                folder=self.folder,
+                timing=TIMING,
+                lease_us=60 * SECOND,
+                is_bootstrap=True,
+                max_log_entries=MAX_LOG_ENTRIES,
+            ),
             self.logs[name],
             seed,
-            found=True,
-            log_most=LOG_MOST,
-            failed=lambda error: self.lost.__setitem__(name, error),
+            on_failed=lambda error: self.lost.__setitem__(name, error),
             open_store=open_store,
         )
 
-    def client(self, *names: str, patience: int = 30 * SECOND) -> KeeperClient:
+    def client(self, *names: str, timeout_us: int = 30 * SECOND) -> ControlPlaneClient:
         known = {name: self.addresses[name] for name in names or NAMES}
-        return KeeperClient(self.loop, known, patience, 2 * SECOND)
+        return ControlPlaneClient(self.loop, known, timeout_us, 2 * SECOND)
 
-    def enter(self, member: str) -> None:
-        """A command that is asked until it is acknowledged."""
+    def register(self, member: str) -> None:
+        """Register a member, and retry until it is acknowledged."""
         assert self.client().command(member, RegisterMember(member, FRONT_END, "a", "1")).ok
         self.acknowledged.append(member)
 
-    def enter_all(self, members: Iterable[str]) -> Task[None]:
-        """The same one after another, in a task of its own."""
+    def register_all(self, members: Iterable[str]) -> Task[None]:
+        """Register members one after another, in a task of its own."""
 
-        def enter_each() -> None:
+        def register_each() -> None:
             for member in members:
-                self.enter(member)
+                self.register(member)
 
-        return self.loop.spawn(enter_each)
+        return self.loop.spawn(register_each)
 
     def post(self, name: str, target: str, body: bytes) -> Response:
-        """One question to one replica, which nobody repeats elsewhere."""
+        """Send one request to one replica, without retries."""
         connection = Connection.open(self.loop, self.addresses[name])
         try:
             return connection.ask("POST", target, {"Content-Type": "application/msgpack"}, body)
         finally:
             connection.close()
 
-    def until(self, condition: Callable[[], object]) -> None:
+    def wait_until(self, condition: Callable[[], object]) -> None:
         end = self.loop.now() + 60 * SECOND
         while not condition():
-            assert self.loop.now() < end, "it never came to that"
+            assert self.loop.now() < end, "the condition was never met"
             self.loop.sleep(10_000)
 
     def leader(self) -> str:
-        return self.client().state()[0].keeper
+        return self.client().state()[0].replica
 
     def recoveries(self, name: str) -> int:
         return len(self.logs[name].fields("disk_recovered"))
 
     def in_service(self, names: Sequence[str] = NAMES) -> bool:
-        return not any(self.keepers[name]._disk.reason for name in names)
+        return not any(self.replicas[name]._context.disk.reason for name in names)
 
     def check(self, names: Sequence[str] = NAMES) -> None:
-        """Call it once the faults are over: all that was acknowledged is on each, and nobody led or voted
-        where another did."""
-        self.enter("last")
+        """Call it once the faults are over: everything acknowledged is on each replica, and there is one
+        leader and one vote in a term."""
+        self.register("last")
         newest = self.client().state()[0].index
-        self.until(lambda: all(self._here(name) >= newest for name in names))
+        self.wait_until(lambda: all(self._applied_index(name) >= newest for name in names))
         for name in names:
-            members = Fleet.restore(self.client().here(name).state).state.members
-            assert set(self.acknowledged) <= set(members), f"{name} lacks what was acknowledged"
+            members = Fleet.restore(self.client().local_status(name).state).state.members
+            assert set(self.acknowledged) <= set(members), f"{name} is without what was acknowledged"
         leaders: dict[int, set[str]] = {}
         for name, log in self.logs.items():
-            for fields in log.fields("role"):
+            for fields in log.fields("role_changed"):
                 if fields["role"] == "leader":
                     leaders.setdefault(fields["term"], set()).add(name)
         assert all(len(names) == 1 for names in leaders.values()), "two leaders in a term"
-        for keeper in self.keepers.values():
-            assert all(len(voted) == 1 for voted in keeper.votes.values()), "two votes in a term"
+        for replica in self.replicas.values():
+            assert all(len(voted) == 1 for voted in replica.votes.values()), "two votes in a term"
         for disk in self.disks.values():
-            for acted_on, proven in disk.read_back:
-                assert acted_on == proven, "it acts on what no sync has proven"
+            for loaded, proven in disk.read_back:
+                assert loaded == proven, "it uses what no sync has proven"
 
-    def _here(self, name: str) -> int:
-        with suppress(NoAnswer):
-            return self.client().here(name).index
+    def _applied_index(self, name: str) -> int:
+        with suppress(ControlPlaneUnavailableError):
+            return self.client().local_status(name).index
         return -1
 
     def end(self) -> None:
-        for keeper in self.keepers.values():
-            keeper.stop()
+        for replica in self.replicas.values():
+            replica.stop()
 
 
 def play(folder: Path, script: Callable[[Cluster], None], seed: int = 0) -> None:
@@ -277,6 +285,6 @@
         loop.run(body)
     finally:
         for cluster in clusters:
-            for keeper in cluster.keepers.values():
-                keeper.close()
+            for replica in cluster.replicas.values():
+                replica.close()
     assert not errors, errors
--- a/packages/controlplane/tests/test_changes.py
+++ b/packages/controlplane/tests/test_changes.py
@@ -1,4 +1,4 @@
-"""How change sets come in: checked against the table that they change, one at a time, in whatever order."""
+"""Change sets at one replica: validated against the revision that they change, one at a time."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from walnutpost.configstore.messages import Mutation
 from walnutpost.configstore.store import ConfigStore
 from walnutpost.consensus import NOT_LEADER
-from walnutpost.controlplane import wire
-from walnutpost.controlplane.changes import BODY_MOST, Changes
+from walnutpost.controlplane import MalformedMessageError, wire
+from walnutpost.controlplane.changes import MAX_REQUEST_BYTES, ChangeCoordinator
 from walnutpost.eventloop import Loop, Task, VirtualClock
 from walnutpost.fleet import ApplyChangeSet, CommandResult, Fleet, decode, encode
 
-PATIENCE = 1_000_000
+LOCK_TIMEOUT_US = 1_000_000
 
 
 class Log:
@@ -27,199 +27,204 @@
 
 
 class World:
-    """A history that is agreed on after a while, into which other leaders' change sets come as well."""
+    """A log that commits after a while, and has other leaders' change sets as well."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop, self.fleet, self.log = loop, Fleet(), Log()
         self.index = 0
-        self.before: list[Sequence[Mutation]] = []  # enters first, before the next proposal
+        self.before: list[Sequence[Mutation]] = []  # committed first, before the next proposal
         self.while_confirming: list[Sequence[Mutation]] = []
         self.proposed: list[ApplyChangeSet] = []
-        self.leads = True
-        self.checked: list[int] = []  # against which revision
-        self.changes = Changes(
-            loop, lambda: self.fleet, self.propose, self.confirm, self.check, PATIENCE, self.log
+        self.is_leader = True
+        self.checked: list[int] = []  # revisions that were checked against
+        self.changes = ChangeCoordinator(
+            loop, lambda: self.fleet, self.propose, self.confirm, self.check, LOCK_TIMEOUT_US, self.log
         )
-        self.wait = 1000
+        self.commit_time_us = 1000
 
-    def enter(self, ops: Sequence[Mutation], id: str = "") -> CommandResult:
+    def commit(self, mutations: Sequence[Mutation], id: str = "") -> CommandResult:
         self.index += 1
         return self.fleet.apply(
-            self.index, id, encode(ApplyChangeSet(tuple(ops), self.fleet.table.revision, "other"))
+            self.index, id, encode(ApplyChangeSet(tuple(mutations), self.fleet.table.revision, "other"))
         )
 
-    def propose(self, id: str, command: bytes) -> wire.Told:
-        self.loop.sleep(self.wait)
-        if not self.leads:
-            return wire.Told(None, True, NOT_LEADER, "k2")
+    def propose(self, id: str, command: bytes) -> wire.CommandReply:
+        self.loop.sleep(self.commit_time_us)
+        if not self.is_leader:
+            return wire.CommandReply(reason=NOT_LEADER, leader="k2")
         if self.before:
-            self.enter(self.before.pop(0))
+            self.commit(self.before.pop(0))
         change = decode(command)
         assert isinstance(change, ApplyChangeSet)
         self.proposed.append(change)
         self.index += 1
-        return wire.Told(self.fleet.apply(self.index, id, command))
+        return wire.CommandReply(self.fleet.apply(self.index, id, command))
 
-    def confirm(self) -> wire.Told:
-        self.loop.sleep(self.wait)
+    def confirm(self) -> wire.CommandReply:
+        self.loop.sleep(self.commit_time_us)
         if self.while_confirming:
-            self.enter(self.while_confirming.pop(0))
-        return wire.Told() if self.leads else wire.Told(None, True, NOT_LEADER, "k2")
+            self.commit(self.while_confirming.pop(0))
+        return wire.CommandReply() if self.is_leader else wire.CommandReply(reason=NOT_LEADER, leader="k2")
 
-    def check(self, table: ConfigStore, ops: Sequence[Mutation]) -> list[str]:
-        """A reference must name what stands."""
+    def check(self, table: ConfigStore, mutations: Sequence[Mutation]) -> list[str]:
+        """A reference must name an existing key."""
         self.checked.append(table.revision)
-        if any(op.value == b"fail" for op in ops):
+        if any(mutation.value == b"fail" for mutation in mutations):
             raise RuntimeError("a fault of the check")
         return [
-            f"{op.key}: found {op.value!r}, wanted a class that stands"
-            for op in ops
-            if op.value is not None
-            and op.value.startswith(b"class/")
-            and op.value.decode() not in table.entries
+            f"{mutation.key}: found {mutation.value!r}, wanted a class that exists"
+            for mutation in mutations
+            if mutation.value is not None
+            and mutation.value.startswith(b"class/")
+            and mutation.value.decode() not in table.entries
         ]
 
-    def order(self, id: str, *ops: Mutation, dry: bool = False) -> wire.Told:
-        return self.changes.order(wire.encode(wire.SetOrder(id, ops, dry, "anna")))
+    def submit(self, id: str, *mutations: Mutation, is_dry_run: bool = False) -> wire.CommandReply:
+        return self.changes.submit(wire.encode(wire.ChangeSetRequest(id, mutations, is_dry_run, "anna")))
 
 
-def played(script: Callable[[World], None]) -> None:
+def play(script: Callable[[World], None]) -> None:
     loop = Loop(VirtualClock())
     loop.run(lambda: script(World(loop)))
 
 
 CLASS = Mutation("class/a", b"1")
-REFERS = Mutation("function/f", b"class/a")
+REFERENCE = Mutation("function/f", b"class/a")
 
 
-def test_a_change_set_is_checked_against_the_table_that_it_changes() -> None:
+def test_change_set_is_validated_against_the_revision_that_it_changes() -> None:
     def script(world: World) -> None:
-        told = world.order("1", REFERS)
-        assert told.answer == CommandResult(
-            False, 0, "function/f: found b'class/a', wanted a class that stands"
+        reply = world.submit("1", REFERENCE)
+        assert reply.result == CommandResult(
+            False, 0, "function/f: found b'class/a', wanted a class that exists"
         )
-        assert told.errors == (told.answer.error,) and not world.proposed
-        assert world.order("1", CLASS).answer == CommandResult(True, 1), "a refusal is not remembered"
-        assert world.order("2", REFERS).answer == CommandResult(True, 2)
-        assert world.proposed[-1] == ApplyChangeSet((REFERS,), 1, "anna")
-        assert world.order("2", CLASS).answer == CommandResult(True, 2), "the same id is the same change set"
+        assert reply.errors == (reply.result.error,) and not world.proposed
+        assert world.submit("1", CLASS).result == CommandResult(True, 1), "a rejection is not remembered"
+        assert world.submit("2", REFERENCE).result == CommandResult(True, 2)
+        assert world.proposed[-1] == ApplyChangeSet((REFERENCE,), 1, "anna")
+        assert world.submit("2", CLASS).result == CommandResult(True, 2), "the same id is the same change set"
 
-    played(script)
+    play(script)
 
 
-def test_one_that_was_overtaken_is_checked_anew() -> None:
-    """The class that it refers to is deleted between its check and its entry: it must not come in."""
+def test_change_set_with_another_committed_before_it_is_validated_again() -> None:
+    """The class that it refers to is deleted between its check and its commit."""
 
     def script(world: World) -> None:
-        world.order("1", CLASS)
+        world.submit("1", CLASS)
         world.before = [[Mutation("class/a", None)]]
-        told = world.order("2", REFERS)
-        assert told.answer is not None and not told.answer.ok and "wanted a class" in told.errors[0]
+        reply = world.submit("2", REFERENCE)
+        assert reply.result is not None and not reply.result.ok and "wanted a class" in reply.errors[0]
         assert not world.fleet.table.entries and world.checked == [0, 1, 2]
         world.before = [[Mutation("class/b", b"1")], [Mutation("class/c", b"1")]]
-        told = world.order("3", CLASS)
-        assert told.answer is not None and told.answer.ok and len(world.fleet.table.entries) == 3
+        reply = world.submit("3", CLASS)
+        assert reply.result is not None and reply.result.ok and len(world.fleet.table.entries) == 3
 
-    played(script)
+    play(script)
 
 
-def test_a_refusal_is_told_only_of_a_table_that_is_confirmed_to_be_the_newest() -> None:
+def test_rejection_is_returned_only_for_a_state_that_is_confirmed_to_be_the_newest() -> None:
     def script(world: World) -> None:
         world.while_confirming = [[CLASS]]
-        told = world.order("1", REFERS)  # refused by what was held here, but another leader had gone on
-        assert told.answer is not None and told.answer.ok and not told.errors
-        world.leads = False
-        for dry in (True, False):
-            told = world.order("2", Mutation("function/g", b"class/x"), dry=dry)
-            assert told == wire.Told(None, True, NOT_LEADER, "k2")
+        reply = world.submit("1", REFERENCE)  # invalid by the state here, but another leader had gone on
+        assert reply.result is not None and reply.result.ok and not reply.errors
+        world.is_leader = False
+        for is_dry_run in (True, False):
+            reply = world.submit("2", Mutation("function/g", b"class/x"), is_dry_run=is_dry_run)
+            assert reply == wire.CommandReply(reason=NOT_LEADER, leader="k2")
 
-    played(script)
+    play(script)
 
 
-def test_a_dry_run_is_checked_and_does_not_enter() -> None:
+def test_dry_run_is_validated_and_not_committed() -> None:
     def script(world: World) -> None:
-        world.order("1", CLASS)
-        assert world.order("2", REFERS, dry=True).answer == CommandResult(True, 1)
+        world.submit("1", CLASS)
+        assert world.submit("2", REFERENCE, is_dry_run=True).result == CommandResult(True, 1)
         assert len(world.proposed) == 1 and "2" not in world.fleet.state.results
-        assert world.order("2", REFERS, dry=False).answer == CommandResult(True, 2)
-        assert world.order("2", REFERS, dry=True).answer == CommandResult(True, 2)
+        assert world.submit("2", REFERENCE, is_dry_run=False).result == CommandResult(True, 2)
+        assert world.submit("2", REFERENCE, is_dry_run=True).result == CommandResult(True, 2)
 
-    played(script)
+    play(script)
 
 
-def test_keys_that_have_changed_since_they_were_read_are_named() -> None:
+def test_change_set_of_keys_that_changed_since_they_were_read_is_rejected_and_names_them() -> None:
     def script(world: World) -> None:
         for n in (1, 2, 3):
-            world.order(f"{n}", Mutation(f"class/{n}", b"1"))
-        ops = (Mutation("class/1", b"2"), Mutation("class/3", b"2"), Mutation("class/4", b"2"))
-        told = world.changes.order(wire.encode(wire.SetOrder("x", ops, seen=2)))
-        assert told.errors == ("class/3: found revision 3, wanted none after 2: it has changed meanwhile",)
+            world.submit(f"{n}", Mutation(f"class/{n}", b"1"))
+        mutations = (Mutation("class/1", b"2"), Mutation("class/3", b"2"), Mutation("class/4", b"2"))
+        reply = world.changes.submit(wire.encode(wire.ChangeSetRequest("x", mutations, read_revision=2)))
+        assert reply.errors == ("class/3: found revision 3, wanted none after 2: it has changed meanwhile",)
         assert len(world.proposed) == 3
-        assert world.changes.order(wire.encode(wire.SetOrder("x", ops, seen=3))).answer == CommandResult(
-            True, 4
-        )
+        assert world.changes.submit(
+            wire.encode(wire.ChangeSetRequest("x", mutations, read_revision=3))
+        ).result == CommandResult(True, 4)
 
-    played(script)
+    play(script)
 
 
-def test_one_after_the_other_in_the_order_of_asking_each_checked_with_the_one_before_it_in() -> None:
+def test_concurrent_change_sets_are_applied_in_their_order_each_validated_after_the_one_before() -> None:
     def script(world: World) -> None:
         tasks = [
-            world.loop.spawn(lambda n=n: world.order(f"{n}", Mutation(f"class/{n}", b"1"))) for n in range(20)
+            world.loop.spawn(lambda n=n: world.submit(f"{n}", Mutation(f"class/{n}", b"1")))
+            for n in range(20)
         ]
-        assert [task.join().answer for task in tasks] == [CommandResult(True, n + 1) for n in range(20)]
+        assert [task.join().result for task in tasks] == [CommandResult(True, n + 1) for n in range(20)]
         assert world.checked == list(range(20)) and len(world.proposed) == 20
 
-    played(script)
+    play(script)
 
 
-def test_one_that_waits_too_long_for_its_turn_says_so_and_leaves_the_turn_to_others() -> None:
+def test_change_set_that_waits_too_long_gives_up_and_those_after_it_are_applied() -> None:
     def script(world: World) -> None:
-        def asked(name: str) -> Task[wire.Told]:
-            return world.loop.spawn(lambda: world.order(name, Mutation(f"class/{name}", b"1")))
+        def submit(name: str) -> Task[wire.CommandReply]:
+            return world.loop.spawn(lambda: world.submit(name, Mutation(f"class/{name}", b"1")))
 
-        world.wait = PATIENCE + 1000
-        first, second = asked("first"), asked("second")
-        cancelled = asked("cancelled")
-        world.loop.sleep(PATIENCE // 2)
+        world.commit_time_us = LOCK_TIMEOUT_US + 1000
+        first, second = submit("first"), submit("second")
+        cancelled = submit("cancelled")
+        world.loop.sleep(LOCK_TIMEOUT_US // 2)
         cancelled.cancel()
-        late = asked("late")
-        assert first.join().answer == CommandResult(True, 1)
-        told = second.join()
-        assert told.answer is None and not told.sure and told.why == "other change sets are under way"
-        assert late.join().answer == CommandResult(True, 2)
-        assert world.order("again", CLASS).answer == CommandResult(True, 3), "the turn is free"
+        late = submit("late")
+        assert first.join().result == CommandResult(True, 1)
+        reply = second.join()
+        assert (
+            reply.result is None
+            and not reply.outcome_known
+            and reply.reason == "other change sets are under way"
+        )
+        assert late.join().result == CommandResult(True, 2)
+        assert world.submit("again", CLASS).result == CommandResult(True, 3), "the lock is free"
         assert [c.mutations[0].key for c in world.proposed] == ["class/first", "class/late", "class/a"]
 
-    played(script)
+    play(script)
 
 
-def test_a_check_that_fails_lets_nothing_in_and_the_next_one_has_its_turn() -> None:
+def test_check_that_raises_rejects_its_change_set_and_the_next_one_is_applied() -> None:
     def script(world: World) -> None:
-        told = world.order("1", Mutation("function/f", b"fail"))
-        assert told.answer is not None and not told.answer.ok and "a fault of the check" in told.errors[0]
+        reply = world.submit("1", Mutation("function/f", b"fail"))
+        assert reply.result is not None and not reply.result.ok and "a fault of the check" in reply.errors[0]
         assert len(world.log.lines) == 1 and not world.proposed
-        assert world.order("1", CLASS).answer == CommandResult(True, 1)
+        assert world.submit("1", CLASS).result == CommandResult(True, 1)
 
-    played(script)
+    play(script)
 
 
-def test_one_that_is_overtaken_for_ever_gives_up_without_a_claim() -> None:
+def test_change_set_that_is_always_overtaken_gives_up_with_an_unknown_outcome() -> None:
     def script(world: World) -> None:
         world.before = [[Mutation(f"class/{n}", b"1")] for n in range(1000)]
-        told = world.order("1", CLASS)
-        assert told.answer is None and not told.sure and "came in between" in told.why
+        reply = world.submit("1", CLASS)
+        assert reply.result is None and not reply.outcome_known and "came in between" in reply.reason
 
-    played(script)
+    play(script)
 
 
-def test_bodies_that_are_no_orders() -> None:
+def test_body_that_is_no_change_set_is_rejected() -> None:
     def script(world: World) -> None:
-        told = world.changes.order(b"x" * (BODY_MOST + 1))
-        assert told.errors == (f"change set: found {BODY_MOST + 1} bytes, wanted 131072 at most",)
-        for body in (b"noise", wire.encode(wire.SetOrder("", (CLASS,)))):
-            with pytest.raises(wire.BadWire):
-                world.changes.order(body)
+        reply = world.changes.submit(b"x" * (MAX_REQUEST_BYTES + 1))
+        assert reply.errors == (f"change set: found {MAX_REQUEST_BYTES + 1} bytes, wanted 131072 at most",)
+        for body in (b"noise", wire.encode(wire.ChangeSetRequest("", (CLASS,)))):
+            with pytest.raises(MalformedMessageError):
+                world.changes.submit(body)
         assert not world.proposed
 
-    played(script)
+    play(script)
--- /dev/null
+++ b/packages/controlplane/tests/test_control_plane_client.py
@@ -0,0 +1,41 @@
+"""The client of the control plane: which replica it asks, and what it makes of the answers."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from scripted_sockets import CONNECTION_FAULTS, scripted_sockets, to
+from walnutpost.controlplane import ControlPlaneClient, wire
+from walnutpost.eventloop import Loop, VirtualClock
+from walnutpost.fleet import CommandResult, ResumePlan
+from walnutpost.http import Exchange, Response
+from walnutpost.http.server import serve_on
+
+SECOND = 1_000_000
+
+
+@pytest.mark.parametrize(("operation", "number"), CONNECTION_FAULTS)
+def test_request_whose_connection_fails_is_sent_to_the_next_replica(operation: Any, number: int) -> None:
+    loop = Loop(VirtualClock())
+
+    def handler(exchange: Exchange) -> Response:
+        return Response(200, body=wire.encode(wire.CommandReply(CommandResult(True, 7))))
+
+    def body() -> None:
+        servers = [
+            serve_on(loop, ("127.0.0.1", 0), handler, lambda error: Response(error.status)) for _ in range(2)
+        ]
+        client = ControlPlaneClient(
+            loop, {f"k{n}": server.address for n, server in enumerate(servers)}, 10 * SECOND, SECOND
+        )
+        if operation == "socket":
+            faults.fail(operation, number)
+        else:
+            faults.fail(operation, number, when=to(servers[0].address))
+        assert client.command("c1", ResumePlan("p1")).index == 7
+        assert faults.failed[operation] == 1
+
+    with scripted_sockets() as faults:
+        loop.run(body)
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -17,8 +17,8 @@
 from walnutpost.config.base import parse_address
 from walnutpost.config.conversion import ms_to_us
 from walnutpost.config.membership import MembershipConfig
-from walnutpost.controlplane import KeeperClient, NoAnswer
-from walnutpost.controlplane.wire import BadWire, Report, Told
+from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError, MalformedMessageError
+from walnutpost.controlplane.wire import CommandReply, Report
 from walnutpost.daemon.endpoint_lists import EndpointLists
 from walnutpost.dispatch import Core
 from walnutpost.eventloop import Loop, remove_leftovers, replace_file
@@ -92,7 +92,7 @@
         self.follower = EndpointFollower(line.member, own or secrets.token_hex(6), own is not None)
         addresses = {name: parse_address(address) for name, address in line.keepers.items()}
         patience = max(self._report_interval_us, 1_000_000)
-        self._client = KeeperClient(loop, addresses, patience, patience // 2)
+        self._client = ControlPlaneClient(loop, addresses, patience, patience // 2)
         self._is_reachable = True
         self._cache_file = cache_file
         self._unwritten_snapshot: bytes | None = None  # set while the file is older
@@ -103,13 +103,13 @@
         if self._report() or self.follower.snapshot is not None:
             return
         try:
-            sight = msgspec.msgpack.decode(self._cache_file.read_bytes(), type=EndpointSnapshot)
+            snapshot = msgspec.msgpack.decode(self._cache_file.read_bytes(), type=EndpointSnapshot)
         except FileNotFoundError:
             return
         except (OSError, msgspec.MsgspecError) as error:
             self._log.warning("endpoint_cache_ignored", file=self._cache_file.name, error=str(error))
             return
-        self._apply(Told(CommandResult(False, 0), sight=sight))
+        self._apply(CommandReply(CommandResult(False, 0), endpoints=snapshot))
 
     def run(self) -> None:
         """Report periodically; until cancelled."""
@@ -124,15 +124,15 @@
         report = Report(
             follower.member,
             follower.incarnation,
-            acts=follower.applied_index,
-            figures=self._core.call_counts.as_tuple,
+            applied_index=follower.applied_index,
+            call_counts=self._core.call_counts.as_tuple,
         )
         try:
             if follower.must_register:
                 enter = RegisterMember(follower.member, FRONT_END, self._zone, follower.incarnation, "", True)
                 self._client.command(f"enter-{follower.incarnation}-{secrets.token_hex(4)}", enter)
-            told = self._client.report(report)
-        except (NoAnswer, BadWire) as error:
+            reply = self._client.report(report)
+        except (ControlPlaneUnavailableError, MalformedMessageError) as error:
             if self._is_reachable:
                 self._is_reachable = False
                 self._log.warning("control_plane_unreachable", error=str(error))
@@ -141,12 +141,12 @@
             self._is_reachable = True
             self._log.info("control_plane_reachable")
         entered = not follower.must_register
-        return self._apply(told) or (entered and follower.must_register)
+        return self._apply(reply) or (entered and follower.must_register)
 
-    def _apply(self, told: Told) -> bool:
+    def _apply(self, reply: CommandReply) -> bool:
         follower = self.follower
-        known = told.answer is not None and told.answer.ok
-        if not follower.receive(self._loop.now(), told.sight, known) or follower.snapshot is None:
+        known = reply.result is not None and reply.result.ok
+        if not follower.receive(self._loop.now(), reply.endpoints, known) or follower.snapshot is None:
             return False
         self._endpoint_lists.set_agreed(follower)
         follower.mark_applied()
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -13,7 +13,7 @@
 from test_settings_watch import SettingsFleet, put_function
 from walnutpost.config.membership import MembershipConfig
 from walnutpost.configstore import ConfigStore
-from walnutpost.controlplane.wire import Told
+from walnutpost.controlplane.wire import CommandReply
 from walnutpost.daemon.fleet import FleetMembership
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.eventloop import Loop, VirtualClock
@@ -102,7 +102,7 @@
         first = make_membership(loop, path, lists, Log())
         first._report = lambda: False  # type: ignore[method-assign]
         files.fails[call] = 3
-        first._apply(Told(CommandResult(True, 1), sight=EndpointSnapshot(5, ())))
+        first._apply(CommandReply(CommandResult(True, 1), endpoints=EndpointSnapshot(5, ())))
         task = loop.spawn(first.run)
         loop.sleep(2 * SECOND)
         task.cancel()
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -16,8 +16,8 @@
 
 from walnutpost.agent.child_process import processes_of
 from walnutpost.config import Config
-from walnutpost.controlplane import KeeperClient, NoAnswer
-from walnutpost.controlplane.wire import View
+from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
+from walnutpost.controlplane.wire import ReplicaStatus
 from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
 from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
 from walnutpost.faultinjection.fleet_script import FleetScript
@@ -64,8 +64,8 @@
     ended: Callable[[], str] = str,
     patience: int = START_PATIENCE,
 ) -> T:
-    """The answer of a quorum, which may be lost for a while: `ask` raises NoAnswer until then. Raises
-    StageError with the last of them and the processes that `ended` names."""
+    """The answer of a quorum, which may be lost for a while: `ask` raises ControlPlaneUnavailableError
+    until then. Raises StageError with the last of them and the processes that `ended` names."""
     answers: list[T] = []
     last = ""
 
@@ -73,7 +73,7 @@
         nonlocal last
         try:
             answers.append(ask())
-        except NoAnswer as error:
+        except ControlPlaneUnavailableError as error:
             last = str(error)
         return bool(answers)
 
@@ -206,7 +206,9 @@
         }
 
     def start_keeper(self, name: str, *options: str) -> None:
-        self.spawn(name, "keeper", self._write(f"{name}.json", self._file(name)), "--name", name, *options)
+        self.spawn(
+            name, "control-plane", self._write(f"{name}.json", self._file(name)), "--name", name, *options
+        )
 
     def start_agent(self, name: str) -> None:
         base = [sys.executable, "-m", "walnutpost.cli", "--log", "json"]
@@ -243,13 +245,17 @@
 
     def where(self, name: str) -> Address | None:
         """Where a keeper listens now."""
-        found = ADDRESS.search(self._said(name, '"event": "keeper"')) if name in self.processes else None
+        found = (
+            ADDRESS.search(self._said(name, '"event": "control_plane_listening"'))
+            if name in self.processes
+            else None
+        )
         return None if found is None else (found[1], int(found[2]))
 
-    def client(self, patience: int) -> KeeperClient:
+    def client(self, patience: int) -> ControlPlaneClient:
         """Beside the relays."""
         known = {n: w for n in self.keepers if (w := self.where(n)) is not None}
-        return KeeperClient(self.loop, known, patience, patience // 2)
+        return ControlPlaneClient(self.loop, known, patience, patience // 2)
 
     def state(self) -> FleetState:
         """What a quorum confirms; waits until one does. Raises StageError."""
@@ -259,16 +265,16 @@
         """What any keeper holds; the newest of those that answer."""
         found: list[FleetState] = []
         client = self.client(SECOND)
-        for name in client.keepers:
-            with suppress(NoAnswer):
-                found.append(Fleet.restore(client.here(name).state).state)
+        for name in client.replicas:
+            with suppress(ControlPlaneUnavailableError):
+                found.append(Fleet.restore(client.local_status(name).state).state)
         return max(found, key=lambda state: state.index, default=None)
 
     def leader(self) -> str:
         """Waits until there is one. Raises StageError."""
-        return self._confirmed()[0].keeper
+        return self._confirmed()[0].replica
 
-    def _confirmed(self) -> tuple[View, Fleet]:
+    def _confirmed(self) -> tuple[ReplicaStatus, Fleet]:
         return confirmed(self.loop, lambda: self.client(5 * SECOND).state(), self.folder, self._ended)
 
     def _ended(self) -> str:
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_stage.py
@@ -26,8 +26,8 @@
 )
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.consensus import Members
-from walnutpost.controlplane import KeeperClient, NoAnswer
-from walnutpost.controlplane.wire import keeper_of
+from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
+from walnutpost.controlplane.wire import replica_name
 from walnutpost.eventloop import Loop, Task
 from walnutpost.fakes.fleet import local_store, start_worker
 from walnutpost.faultinjection.fleet_stage import (
@@ -178,7 +178,7 @@
         cli = ["walnutpost.cli", "--log", "json"]
         if name in KEEPERS or name in RELAYS:
             path.write_text(json.dumps(self._keepers_file(name)))
-            kind = "keeper" if name in KEEPERS else "relay"
+            kind = "control-plane" if name in KEEPERS else "relay"
             command = [*cli, kind, str(path), "--name", name, *options]
         elif name in FRONTS:
             path.write_text(json.dumps(self._front(name)))
@@ -199,7 +199,7 @@
         """Where a process listens now."""
         if name not in self.processes:
             return None
-        word = '"keeper"' if name in KEEPERS else '"listening"'
+        word = '"control_plane_listening"' if name in KEEPERS else '"listening"'
         with suppress(OSError):
             for line in self._log(name).read_text().splitlines():
                 found = ADDRESS.search(line) if f'"event": {word}' in line else None
@@ -220,15 +220,15 @@
 
     # Asking, beside the ways that fail
 
-    def client(self, patience: int) -> KeeperClient:
+    def client(self, patience: int) -> ControlPlaneClient:
         known = {n: w for n in KEEPERS if (w := self.where(n)) is not None}
-        return KeeperClient(self.loop, known, patience, max(patience // 3, 300_000))
+        return ControlPlaneClient(self.loop, known, patience, max(patience // 3, 300_000))
 
     def change(self, ops: tuple[Mutation, ...]) -> int:
         """Asks until it is agreed on, always under one id; its revision. Raises StageError."""
         self._changes += 1
         id = f"change-{self._changes}"
-        answer, errors = self._confirmed(lambda client: client.set_entries(id, ops))
+        answer, errors = self._confirmed(lambda client: client.submit_change_set(id, ops))
         if errors or not answer.ok:
             raise StageError(f"{id}: {errors or answer.error}")
         return answer.index
@@ -245,13 +245,13 @@
         return self._confirmed(lambda client: client.status())
 
     def leader(self) -> str:
-        return self._confirmed(lambda client: client.state())[0].keeper
+        return self._confirmed(lambda client: client.state())[0].replica
 
     def agreed(self) -> dict[str, str]:
         """Those who follow the table, by name, as a quorum confirms it."""
         return dict(self._confirmed(lambda client: client.state())[1].state.followers)
 
-    def _confirmed(self, ask: Callable[[KeeperClient], T]) -> T:
+    def _confirmed(self, ask: Callable[[ControlPlaneClient], T]) -> T:
         """What a quorum says, which may be lost for a while. Raises StageError with its reason."""
         return confirmed(self.loop, lambda: ask(self.client(3 * SECOND)), self.folder, self._ended)
 
@@ -332,7 +332,7 @@
         on it."""
         while True:
             self.loop.sleep(STATUS_EVERY)
-            with suppress(NoAnswer):
+            with suppress(ControlPlaneUnavailableError):
                 client = self.client(SECOND)
                 agreed = dict(Fleet.restore(client.state()[0].state).state.followers)
                 status = client.status()
@@ -367,9 +367,11 @@
         """A keeper whose disk is new votes under another name: one voter less, then one more."""
         found = REPLICA.search(self._log(name).read_text())
         assert found is not None
-        voters = tuple(v for v in self.client(3 * SECOND).state()[0].members.voters if keeper_of(v) != name)
+        voters = tuple(
+            v for v in self.client(3 * SECOND).state()[0].members.voters if replica_name(v) != name
+        )
         for number, wanted in enumerate((voters, (*voters, found[1]))):
-            self.client(START_PATIENCE).change(f"{found[1]} {number}", Members(wanted))
+            self.client(START_PATIENCE).change_members(f"{found[1]} {number}", Members(wanted))
 
     def pause(self, name: str) -> None:
         self.processes[name].send_signal(signal.SIGSTOP)
--- a/packages/faultinjection/tests/test_stage_waits.py
+++ b/packages/faultinjection/tests/test_stage_waits.py
@@ -10,7 +10,7 @@
 import pytest
 
 from walnutpost.config import Config, load
-from walnutpost.controlplane import NoAnswer
+from walnutpost.controlplane import ControlPlaneUnavailableError
 from walnutpost.eventloop import Loop
 from walnutpost.eventloop.clock import VirtualClock
 from walnutpost.faultinjection.fleet_script import FleetScript
@@ -37,7 +37,7 @@
     loop = Loop(VirtualClock())
 
     def ask() -> str:
-        raise NoAnswer("k2: nobody leads")
+        raise ControlPlaneUnavailableError("k2: nobody leads")
 
     why = waits(loop, lambda: confirmed(loop, ask, tmp_path, lambda: "k1 ended with 1"))
     assert "a quorum's answer: k2: nobody leads; k1 ended with 1" in why and str(tmp_path) in why
@@ -49,7 +49,7 @@
     def ask() -> str:
         answer = answers.pop()
         if not answer:
-            raise NoAnswer("k2: nobody leads")
+            raise ControlPlaneUnavailableError("k2: nobody leads")
         return answer
 
     assert loop.run(lambda: confirmed(loop, ask, tmp_path)) == "state"
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -22,7 +22,7 @@
 )
 from walnutpost.configstore.member_registry import MemberRegistry
 from walnutpost.configstore.relay_selection import RelaySelector
-from walnutpost.controlplane import KeeperClient, NoAnswer
+from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.eventloop import Event, Loop, WaitTimeoutError
 from walnutpost.http import BadMessage, Exchange, Limits, Response
 from walnutpost.http.server import serve_on
@@ -88,7 +88,7 @@
         own_address = "{}:{}".format(*self.address)
         self.registry = MemberRegistry(name, self.incarnation, address or own_address)
         self.watches = self._create_watch_server()
-        self._client = KeeperClient(loop, replicas, REPORT_TIMEOUT_US, REPORT_ATTEMPT_TIMEOUT_US)
+        self._client = ControlPlaneClient(loop, replicas, REPORT_TIMEOUT_US, REPORT_ATTEMPT_TIMEOUT_US)
         self._report_due = Event(loop)
         self._is_leader_reachable = True  # the last report reached a leader
         self._stats_at_us = loop.now()
@@ -188,8 +188,8 @@
     def _send_report(self, now: int) -> None:
         summary = self.registry.next_summary(now, self.state.store.revision)
         try:
-            self.registry.handle_response(self._client.sums(summary))
-        except NoAnswer as error:
+            self.registry.handle_response(self._client.report_progress(summary))
+        except ControlPlaneUnavailableError as error:
             if self._is_leader_reachable:
                 self._log.warning("progress_report_failed", number=summary.number, error=str(error))
             self._is_leader_reachable = False
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -93,7 +93,9 @@
                 return self.watches[name].handle(body, exchange.stream)
             case target if target == PROGRESS_PATH:
                 if name != self.leader:
-                    return Response(421, body=wire.encode(wire.Told(None, True, NOT_LEADER, self.leader)))
+                    return Response(
+                        421, body=wire.encode(wire.CommandReply(None, True, NOT_LEADER, self.leader))
+                    )
                 self.reports.append((self.loop.now(), decode(body, ProgressSummary)))
                 return Response(
                     200, body=encode(self.progress.handle_summary(self.loop.now(), self.reports[-1][1]))
--- a/packages/relay/tests/test_with_keepers.py
+++ b/packages/relay/tests/test_with_keepers.py
@@ -8,7 +8,12 @@
 
 from walnutpost.configstore import PropagationStatus
 from walnutpost.consensus import Timing
-from walnutpost.controlplane import Keeper, KeeperClient, NoAnswer
+from walnutpost.controlplane import (
+    ControlPlaneClient,
+    ControlPlaneReplica,
+    ControlPlaneUnavailableError,
+    ReplicaSettings,
+)
 from walnutpost.eventloop import Loop
 from walnutpost.relay import Relay
 from watch_rig import SECOND, Log, Member, put_keys, until
@@ -21,42 +26,40 @@
     tmp_path: Path,
 ) -> None:
     loop = Loop()
-    keepers: dict[str, Keeper] = {}
+    keepers: dict[str, ControlPlaneReplica] = {}
     relays: dict[str, Relay] = {}
 
     def address_getter(name: str) -> Callable[[], tuple[str, int]]:
         return lambda: keepers[name].address
 
-    def status(client: KeeperClient) -> PropagationStatus | None:
-        with suppress(NoAnswer):
+    def status(client: ControlPlaneClient) -> PropagationStatus | None:
+        with suppress(ControlPlaneUnavailableError):
             return client.status()
         return None
 
     def script() -> None:
         address_getters = {name: address_getter(name) for name in NAMES}
         for seed, name in enumerate(NAMES):
-            keepers[name] = Keeper(
-                loop,
-                name,
-                address_getters,
-                ("127.0.0.1", 0),
-                tmp_path,
-                TIMING,
-                60 * SECOND,
-                Log(),
-                seed,
-                found=True,
+            settings = ReplicaSettings(
+                name=name,
+                addresses=address_getters,
+                listen=("127.0.0.1", 0),
+                folder=tmp_path,
+                timing=TIMING,
+                lease_us=60 * SECOND,
+                is_bootstrap=True,
             )
+            keepers[name] = ControlPlaneReplica(loop, settings, Log(), seed)
         addresses = {name: keeper.address for name, keeper in keepers.items()}
         for seed, name in enumerate(("r1", "r2")):
             relays[name] = Relay(loop, name, addresses, ("127.0.0.1", 0), Log(), seed)
         relay_addresses = {name: relay.address for name, relay in relays.items()}
         relay_getters = {name: lambda name=name: relay_addresses[name] for name in relay_addresses}
         members = [Member(loop, relay_getters, f"fe{n}", n) for n in range(8)]
-        client = KeeperClient(loop, addresses, 30 * SECOND, 2 * SECOND)
+        client = ControlPlaneClient(loop, addresses, 30 * SECOND, 2 * SECOND)
 
         def change(number: int) -> None:
-            answer, errors = client.set_entries(f"change {number}", put_keys(number, 3))
+            answer, errors = client.submit_change_set(f"change {number}", put_keys(number, 3))
             assert answer.ok and not errors
 
             def is_applied_everywhere() -> bool:
--- a/packages/store/src/walnutpost/store/replica.py
+++ b/packages/store/src/walnutpost/store/replica.py
@@ -1,4 +1,4 @@
-"""A keeper's vote, log and snapshot on disk: one commit for all writes that wait."""
+"""The disk of a replica of the control plane: its vote, its log and its snapshot, with group commit."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 from collections.abc import Sequence
 from contextlib import closing
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 
 import msgspec
@@ -23,32 +24,40 @@
 create table if not exists entries (place integer primary key, record blob not null);
 create table if not exists past (place integer primary key, record blob not null);
 """
-UNREADABLE_CODES = {sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB}  # of sqlite: no later try reads it
-PRIMARY_CODE_MASK = 0xFF  # an extended result code carries its primary one in the low byte
-_snapshots = msgspec.msgpack.Decoder(Snapshot)
-_entries = msgspec.msgpack.Decoder(LogEntry)
+ALL_ENTRIES = "(select place, record from past union select place, record from entries)"
+MAX_HISTORY_ENTRIES = 100_000
+"""Entries before the snapshot that stay readable, by default."""
+PERMANENT_CODES = {sqlite3.SQLITE_CORRUPT, sqlite3.SQLITE_NOTADB}
+"""Result codes of sqlite for a file that no later attempt can read."""
+PRIMARY_CODE_MASK = 0xFF
+"""An extended result code of sqlite has its primary code in the low byte."""
+USER_VERSION_LIMIT = 1 << 31
+"""`pragma user_version` is a signed integer of 32 bits."""
+_snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
+_entry_decoder = msgspec.msgpack.Decoder(LogEntry)
 
 
 class UnreadableStateError(StoreError):
-    """What is on the disk is not this replica's state, or less than it has answered for: a lost disk."""
+    """The file doesn't hold this replica's state, or less than it has acknowledged: a lost disk."""
 
 
-def may_pass(error: StoreError) -> bool:
-    """Whether it is a fault of the disk that may be over at a later try (EIO, ENOSPC, a lock), rather than a
-    file that is damaged or an error of this program."""
+def is_transient(error: StoreError) -> bool:
+    """Whether a later attempt may succeed: EIO, ENOSPC, a lock; not a damaged file or a programming error."""
     cause = error.__cause__
     if isinstance(error, UnreadableStateError):
         return False
     if isinstance(cause, sqlite3.DatabaseError):
         code = getattr(cause, "sqlite_errorcode", sqlite3.SQLITE_IOERR) & PRIMARY_CODE_MASK
-        return code not in UNREADABLE_CODES
+        return code not in PERMANENT_CODES
     return isinstance(cause, OSError | sqlite3.Error)
 
 
 @dataclass(slots=True)
 class DurableFloor:
-    """The least that the file holds, by the writes that were acknowledged: what a replica may have answered
-    for. `last_index` counts only entries that no unacknowledged write may have replaced."""
+    """The minimum that the file must hold, given the acknowledged writes.
+
+    `last_index` counts only entries that no unacknowledged write may have replaced.
+    """
 
     term: int = 0
     voted_for: str = ""
@@ -56,18 +65,20 @@
     last_index: int = 0
 
     @classmethod
-    def of(cls, state: PersistentState) -> DurableFloor:
+    def of_state(cls, state: PersistentState) -> DurableFloor:
+        """Return the floor of a state that is durable completely."""
         last_index = state.snapshot.index + len(state.entries)
         return cls(state.term, state.voted_for, state.snapshot.index, last_index)
 
-    def before(self, writes: Sequence[Write]) -> None:
-        """These are about to be written, and may be done in part: they may take entries away."""
+    def writes_started(self, writes: Sequence[Write]) -> None:
+        """Take into account that these may be done in part: they may remove entries."""
         self.last_index = min(self.last_index, *(write.last_retained_index for write in writes))
 
-    def after(self, writes: Sequence[Write]) -> None:
-        """These are durable."""
+    def writes_completed(self, writes: Sequence[Write]) -> None:
+        """Take into account that these are durable."""
         for write in writes:
-            self.term, self.voted_for = write.term, write.voted_for
+            self.term = write.term
+            self.voted_for = write.voted_for
             self.last_index = min(self.last_index, write.last_retained_index)
             if write.entries:
                 self.last_index = write.entries[-1].index
@@ -76,8 +87,8 @@
                 self.last_index = max(self.last_index, self.snapshot_index)
 
     def missing_from(self, state: PersistentState) -> str:
-        """What of it `state` lacks, for people; empty where it holds all."""
-        found = DurableFloor.of(state)
+        """Return what `state` lacks, for people; empty where it has everything."""
+        found = DurableFloor.of_state(state)
         if found.term < self.term:
             return f"term: found {found.term}, wanted {self.term} at least"
         if found.term == self.term and self.voted_for and found.voted_for != self.voted_for:
@@ -89,98 +100,123 @@
         return ""
 
 
+@dataclass(frozen=True, slots=True)
+class StoredReplica:
+    """A file's content. `identity`: the replica's id, created with the file: a new file, a new id."""
+
+    identity: str
+    state: PersistentState
+
+
+@dataclass(frozen=True, slots=True)
+class HistoryPage:
+    """Consecutive entries, oldest first. `first_index`: the oldest that the file still has, 0 for none."""
+
+    first_index: int
+    entries: list[LogEntry]
+
+
 class ReplicaStore(Database):
-    """One replica's disk. `identity` is the replica's name, made with the file: a new file, a new name.
-    Entries that a snapshot has taken the place of are kept for people, `past_most` of them at the most."""
+    """The file of one replica.
+
+    Entries that a snapshot replaces stay readable as history, up to `max_history_entries` of them.
+    """
 
-    def __init__(self, loop: Loop, path: Path, past_most: int = 100_000) -> None:
+    def __init__(self, loop: Loop, path: Path, max_history_entries: int = MAX_HISTORY_ENTRIES) -> None:
+        """Open or create the file. Raises StoreError."""
         super().__init__(loop, path, SCHEMA)
-        self._path, self._past_most = path, past_most
+        self._path = path
+        self._max_history_entries = max_history_entries
         self.floor = DurableFloor()
 
     def prove_durable(self) -> None:
-        """Returns once all that is read from the file is durable. Raises StoreError; blocks.
+        """Return once everything that can be read from the file is durable. Raises StoreError; blocks.
 
-        After a failed sync the kernel takes the pages for clean that never reached the disk, and a reopened
-        file shows them: a commit that nobody was told of. No later sync writes those pages. So a write of its
-        own shows that the disk takes writes again, and the checkpoint writes each page of the log anew, into
-        the main file, and syncs that."""
+        After a failed sync the kernel treats pages as clean that never reached the disk, and a reopened file
+        shows them: a commit that was not acknowledged. No later sync writes those pages. So a write of its
+        own shows that the disk accepts writes again, and the checkpoint writes each page of the log anew into
+        the main file, and syncs that.
+        """
         try:
             (version,) = self._db.execute("pragma user_version").fetchone()
-            self._db.execute(f"pragma user_version = {(version + 1) % (1 << 31)}")
-            busy, _, _ = self._db.execute("pragma wal_checkpoint(truncate)").fetchone()
+            self._db.execute(f"pragma user_version = {(version + 1) % USER_VERSION_LIMIT}")
+            is_busy, _, _ = self._db.execute("pragma wal_checkpoint(truncate)").fetchone()
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
-        if busy:
+        if is_busy:
             raise StoreError("checkpoint: the file is locked") from sqlite3.OperationalError("locked")
 
-    def load(self) -> tuple[str, PersistentState] | None:
-        """None where nothing was ever kept here. Raises StoreError: UnreadableStateError for what can't be
-        read whole."""
+    def load(self) -> StoredReplica | None:
+        """Read the file; None where it is new. Raises StoreError; UnreadableStateError for invalid data."""
         rows = self.select("select format, identity, term, voted, snapshot from replica")
         if not rows:
             return None
-        form, identity, term, voted, snapshot = rows[0]
-        if form != FORMAT:
-            raise UnreadableStateError(f"format {form}, wanted {FORMAT}")
+        found_format, identity, term, voted_for, snapshot_record = rows[0]
+        if found_format != FORMAT:
+            raise UnreadableStateError(f"format {found_format}, wanted {FORMAT}")
         try:
-            kept = _snapshots.decode(snapshot)
-            found = self.select("select place, record from entries order by place")
-            entries = tuple(_entries.decode(record) for _, record in found)
+            snapshot = _snapshot_decoder.decode(snapshot_record)
+            records = self.select("select place, record from entries order by place")
+            entries = tuple(_entry_decoder.decode(record) for _, record in records)
         except msgspec.MsgspecError as error:
             raise UnreadableStateError(f"a record that can't be read: {error}") from error
-        if [e.index for e in entries] != list(range(kept.index + 1, kept.index + 1 + len(entries))):
-            raise UnreadableStateError(f"entries that don't follow snapshot {kept.index} one by one")
-        state = PersistentState(term, voted, kept, entries)
-        self.floor = DurableFloor.of(state)
-        return identity, state
-
-    def make_new(self, identity: str, members: Members) -> PersistentState:
-        """The first start; before the loop runs."""
-        kept = PersistentState(snapshot=Snapshot(0, 0, members, b""))
-        values = (1, FORMAT, identity, 0, "", msgspec.msgpack.encode(kept.snapshot))
+        first_index = snapshot.index + 1
+        if [entry.index for entry in entries] != list(range(first_index, first_index + len(entries))):
+            raise UnreadableStateError(f"entries that don't follow snapshot {snapshot.index} one by one")
+        state = PersistentState(term, voted_for, snapshot, entries)
+        self.floor = DurableFloor.of_state(state)
+        return StoredReplica(identity, state)
+
+    def create(self, identity: str, members: Members) -> StoredReplica:
+        """Write the initial state to a new file, before the loop runs. Raises StoreError."""
+        state = PersistentState(snapshot=Snapshot(0, 0, members, b""))
+        values = (1, FORMAT, identity, 0, "", msgspec.msgpack.encode(state.snapshot))
         try:
             self._db.execute("insert into replica values (?, ?, ?, ?, ?, ?)", values)
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
-        return kept
+        return StoredReplica(identity, state)
 
     def write(self, writes: Sequence[Write]) -> None:
-        """Returns once all of them are durable, in their order, as one commit."""
-
-        def change(db: sqlite3.Connection) -> None:
-            for w in writes:
-                db.execute("update replica set term = ?, voted = ?", (w.term, w.voted_for))
-                db.execute("delete from entries where place > ?", (w.last_retained_index,))
-                rows = [(e.index, msgspec.msgpack.encode(e)) for e in w.entries]
-                db.executemany("insert or replace into entries values (?, ?)", rows)
-                if w.snapshot is not None:
-                    db.execute("update replica set snapshot = ?", (msgspec.msgpack.encode(w.snapshot),))
-                    covered = (w.snapshot.index,)
-                    db.execute(
-                        "insert or replace into past select place, record from entries where place <= ?",
-                        covered,
-                    )
-                    db.execute("delete from entries where place <= ?", covered)
-                    if not db.execute("select 1 from past where place = ?", covered).fetchone():
-                        db.execute("delete from past")  # it was sent the state: no history with a hole in it
-                    db.execute("delete from past where place <= ?", (w.snapshot.index - self._past_most,))
-
-        self.floor.before(writes)
-        self.submit(change)
-        self.floor.after(writes)
-
-    def past(self, after: int, most: int, last: int) -> tuple[int, list[LogEntry]]:
-        """The oldest entry that is still here, and what follows `after`, up to `last`. Raises StoreError.
-        Done while the loop runs, beside the commits: a reader of a WAL file waits for none of them."""
-        both = "(select place, record from past union select place, record from entries)"
+        """Return once all of them are durable, in their order, as one commit. Raises StoreError."""
+        self.floor.writes_started(writes)
+        self.submit(partial(self._write_all, writes))
+        self.floor.writes_completed(writes)
+
+    def _write_all(self, writes: Sequence[Write], db: sqlite3.Connection) -> None:
+        for write in writes:
+            db.execute("update replica set term = ?, voted = ?", (write.term, write.voted_for))
+            db.execute("delete from entries where place > ?", (write.last_retained_index,))
+            rows = [(entry.index, msgspec.msgpack.encode(entry)) for entry in write.entries]
+            db.executemany("insert or replace into entries values (?, ?)", rows)
+            if write.snapshot is not None:
+                self._write_snapshot(write.snapshot, db)
+
+    def _write_snapshot(self, snapshot: Snapshot, db: sqlite3.Connection) -> None:
+        """Replace the snapshot and move the entries that it covers into the history."""
+        db.execute("update replica set snapshot = ?", (msgspec.msgpack.encode(snapshot),))
+        covered = (snapshot.index,)
+        db.execute(
+            "insert or replace into past select place, record from entries where place <= ?",
+            covered,
+        )
+        db.execute("delete from entries where place <= ?", covered)
+        if not db.execute("select 1 from past where place = ?", covered).fetchone():
+            db.execute("delete from past")  # the snapshot was received: the history would have a hole
+        db.execute("delete from past where place <= ?", (snapshot.index - self._max_history_entries,))
+
+    def read_history(self, after: int, max_entries: int, last: int) -> HistoryPage:
+        """Read the oldest entries with `after` < index <= `last`. Raises StoreError.
+
+        May run beside commits: a reader of a WAL file waits for none of them.
+        """
         try:
             with closing(sqlite3.connect(f"{self._path.absolute().as_uri()}?mode=ro", uri=True)) as db:
-                (first,) = db.execute(f"select coalesce(min(place), 0) from {both}").fetchone()
+                (first_index,) = db.execute(f"select coalesce(min(place), 0) from {ALL_ENTRIES}").fetchone()
                 rows = db.execute(
-                    f"select record from {both} where place > ? and place <= ? order by place limit ?",
-                    (after, last, most),
+                    f"select record from {ALL_ENTRIES} where place > ? and place <= ? order by place limit ?",
+                    (after, last, max_entries),
                 ).fetchall()
-            return first, [_entries.decode(record) for (record,) in rows]
+            return HistoryPage(first_index, [_entry_decoder.decode(record) for (record,) in rows])
         except (sqlite3.Error, msgspec.MsgspecError) as error:
             raise StoreError(str(error)) from error
--- a/packages/store/tests/replica_forms.py
+++ b/packages/store/tests/replica_forms.py
@@ -25,7 +25,7 @@
 
 class Disk(NamedTuple):
     identity: str
-    kept: PersistentState
+    state: PersistentState
     past: list[LogEntry]
 
 
@@ -63,15 +63,15 @@
 
 def written(disk: Disk) -> bytes:
     """The disk as this version writes it: a first start, its log, and then its snapshot."""
-    identity, kept, past = disk
+    identity, state, past = disk
     with TemporaryDirectory() as folder:
         path = Path(folder) / "replica"
 
         def work(store: ReplicaStore) -> None:
-            store.make_new(identity, MEMBERS)
+            store.create(identity, MEMBERS)
             if past:
                 store.write([Write(1, 1, identity, 0, tuple(past))])
-                store.write([Write(2, kept.term, kept.voted_for, past[-1].index, (), kept.snapshot)])
+                store.write([Write(2, state.term, state.voted_for, past[-1].index, (), state.snapshot)])
 
         with_store(path, work)
         return sql_of(path).encode()
@@ -85,9 +85,9 @@
         def work(store: ReplicaStore) -> Disk:
             loaded = store.load()
             assert loaded is not None
-            identity, kept = loaded
-            last = kept.entries[-1].index if kept.entries else kept.snapshot.index
-            return Disk(identity, kept, store.past(0, 1000, last)[1])
+            state = loaded.state
+            last = state.entries[-1].index if state.entries else state.snapshot.index
+            return Disk(loaded.identity, state, store.read_history(0, 1000, last).entries)
 
         return with_store(path, work)
 
--- a/packages/store/tests/test_replica_store.py
+++ b/packages/store/tests/test_replica_store.py
@@ -1,4 +1,4 @@
-"""A replica's file: what of it is proven to be durable, and what it may not fall behind."""
+"""A replica's file: what is proven to be durable, and the minimum that it must have."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from walnutpost.consensus import EntryKind, LogEntry, Members, PersistentState, Snapshot, Write
 from walnutpost.eventloop import Loop
 from walnutpost.store import StoreError
-from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, may_pass
+from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, is_transient
 
 
 def entries(first: int, last: int, term: int = 1) -> tuple[LogEntry, ...]:
@@ -25,18 +25,18 @@
     return PersistentState(term, voted, snapshot, entries(snapshot_index + 1, last_index))
 
 
-def test_once_proven_the_main_file_alone_holds_what_is_read(tmp_path: Path) -> None:
-    """Else what a failed sync left in the page cache, in the log's file, would be believed."""
+def test_file_once_proven_has_all_that_is_read_in_its_main_part_alone(tmp_path: Path) -> None:
+    """Otherwise what a failed sync left in the page cache, in the log's file, would count."""
     loop, path, alone = Loop(), tmp_path / "k1.db", tmp_path / "alone.db"
     store = ReplicaStore(loop, path)
-    store.make_new("k1", Members(("k1",)))
+    store.create("k1", Members(("k1",)))
     loop.run(lambda: store.write([Write(1, 3, "k2", 0, entries(1, 4), None)]))
     store.prove_durable()
     shutil.copyfile(path, alone)
     copy = ReplicaStore(loop, alone)
-    known = store.load()
-    assert known is not None and known == copy.load()
-    assert (known[1].term, known[1].voted_for, len(known[1].entries)) == (3, "k2", 4)
+    stored = store.load()
+    assert stored is not None and stored == copy.load()
+    assert (stored.state.term, stored.state.voted_for, len(stored.state.entries)) == (3, "k2", 4)
     store.close()
     copy.close()
 
@@ -52,23 +52,23 @@
           Write(2, 1, "", 5, (), Snapshot(4, 1, Members(("k1",)), b""))], DurableFloor(1, "", 4, 5)),
     ],
 )  # fmt: skip
-def test_the_floor_is_what_the_acknowledged_writes_left(writes: list[Write], floor: DurableFloor) -> None:
+def test_floor_is_what_the_acknowledged_writes_left(writes: list[Write], floor: DurableFloor) -> None:
     found = DurableFloor()
     for write in writes:
-        found.before([write])
-        found.after([write])
+        found.writes_started([write])
+        found.writes_completed([write])
     assert found == floor
 
 
-def test_a_write_that_may_be_done_in_part_lowers_what_the_log_must_hold_and_nothing_else() -> None:
+def test_started_write_lowers_only_the_last_index_that_the_log_must_have() -> None:
     floor = DurableFloor(2, "k1", 3, 9)
-    floor.before([Write(1, 4, "k2", 6, entries(7, 8, 4), None)])
+    floor.writes_started([Write(1, 4, "k2", 6, entries(7, 8, 4), None)])
     assert floor == DurableFloor(2, "k1", 3, 6)
     assert not floor.missing_from(state(2, "k1", 3, 9)) and not floor.missing_from(state(4, "k2", 3, 8))
 
 
 @pytest.mark.parametrize(
-    ("found", "lacks"),
+    ("found", "missing"),
     [
         (state(1, "k1", 3, 9), "term"),
         (state(2, "", 3, 9), "vote"),
@@ -77,10 +77,12 @@
         (state(2, "k1", 3, 8), "last entry"),
     ],
 )
-def test_less_than_the_floor_is_named(found: PersistentState, lacks: str) -> None:
+def test_state_with_less_than_the_floor_is_reported_by_what_is_missing(
+    found: PersistentState, missing: str
+) -> None:
     floor = DurableFloor(2, "k1", 3, 9)
     assert not floor.missing_from(state(2, "k1", 3, 9)) and not floor.missing_from(state(3, "", 9, 9))
-    assert floor.missing_from(found).startswith(lacks)
+    assert floor.missing_from(found).startswith(missing)
 
 
 def _raised(cause: Exception | None, kind: type[StoreError] = StoreError) -> StoreError:
@@ -95,15 +97,20 @@
     return error
 
 
-def test_a_fault_of_the_disk_may_pass_and_a_damaged_file_does_not() -> None:
-    passing = [
+def test_disk_fault_is_transient_and_a_damaged_file_or_a_programming_error_is_not() -> None:
+    transient = [
         OSError(28, "no space"),
         _sqlite(sqlite3.SQLITE_IOERR_FSYNC),
         _sqlite(sqlite3.SQLITE_FULL),
         _sqlite(sqlite3.SQLITE_CANTOPEN),
         _sqlite(sqlite3.SQLITE_BUSY),
     ]
-    assert all(may_pass(_raised(cause)) for cause in passing)
-    lasting = [None, TypeError("a mistake"), _sqlite(sqlite3.SQLITE_CORRUPT), _sqlite(sqlite3.SQLITE_NOTADB)]
-    assert not any(may_pass(_raised(cause)) for cause in lasting)
-    assert not may_pass(_raised(OSError(5, "I/O error"), UnreadableStateError))
+    assert all(is_transient(_raised(cause)) for cause in transient)
+    permanent = [
+        None,
+        TypeError("a mistake"),
+        _sqlite(sqlite3.SQLITE_CORRUPT),
+        _sqlite(sqlite3.SQLITE_NOTADB),
+    ]
+    assert not any(is_transient(_raised(cause)) for cause in permanent)
+    assert not is_transient(_raised(OSError(5, "I/O error"), UnreadableStateError))
--- a/packages/store/tests/test_replica_store_golden.py
+++ b/packages/store/tests/test_replica_store_golden.py
@@ -20,7 +20,7 @@
     with_store,
 )
 from walnutpost.consensus import EntryKind, LogEntry, Timing, Write
-from walnutpost.controlplane import Keeper
+from walnutpost.controlplane import ControlPlaneReplica, ReplicaSettings
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
 from walnutpost.store.replica import ReplicaStore
@@ -45,10 +45,10 @@
 
 
 def test_the_state_of_a_golden_disk_is_that_of_the_golden_history() -> None:
-    _, kept, past = read(GOLDEN[DISK])
-    fleet = Fleet.restore(kept.snapshot.data)
+    _, state, past = read(GOLDEN[DISK])
+    fleet = Fleet.restore(state.snapshot.data)
     assert fleet.state.index == SNAPSHOT_AT
-    fleet_forms.applied(fleet, kept.entries)
+    fleet_forms.applied(fleet, state.entries)
     assert fleet.snapshot() == fleet_forms.GOLDEN["state-snapshot.after-the-history"]
     assert tuple(past) == fleet_forms.history()
 
@@ -61,18 +61,27 @@
     addresses = {ALONE: lambda: ("127.0.0.1", 1)}
     timing = Timing(election_timeout_us=50_000, heartbeat_interval_us=10_000)
 
-    def run() -> Keeper:
-        keeper = Keeper(loop, ALONE, addresses, ("127.0.0.1", 0), tmp_path, timing, LONG, Log(), 1)
+    settings = ReplicaSettings(
+        name=ALONE,
+        addresses=addresses,
+        listen=("127.0.0.1", 0),
+        folder=tmp_path,
+        timing=timing,
+        lease_us=LONG,
+    )
+
+    def run() -> ControlPlaneReplica:
+        replica = ControlPlaneReplica(loop, settings, Log(), 1)
         with loop.timeout(LONG):
-            while keeper.fleet.state.index < fleet_forms.history()[-1].index:
+            while replica.fleet.state.index < fleet_forms.history()[-1].index:
                 loop.sleep(timing.heartbeat_interval_us)
-        keeper.stop()
-        return keeper
+        replica.stop()
+        return replica
 
-    keeper = loop.run(run)
-    keeper.close()
-    assert keeper.raft.replica_id == ALONE and keeper.raft.term > TERM
-    assert keeper.fleet.snapshot() == fleet_forms.GOLDEN["state-snapshot.after-the-history"]
+    replica = loop.run(run)
+    replica.close()
+    assert replica.raft.replica_id == ALONE and replica.raft.term > TERM
+    assert replica.fleet.snapshot() == fleet_forms.GOLDEN["state-snapshot.after-the-history"]
 
 
 def test_a_golden_disk_takes_more_entries(tmp_path: Path) -> None:
@@ -82,11 +91,11 @@
     def work(store: ReplicaStore) -> tuple[str, tuple[LogEntry, ...]]:
         loaded = store.load()
         assert loaded is not None
-        last = loaded[1].entries[-1].index
+        last = loaded.state.entries[-1].index
         store.write([Write(1, 5, IDENTITY, last, (LogEntry(last + 1, 5, EntryKind.OPENING),))])
         again = store.load()
         assert again is not None
-        return again[1].voted_for, again[1].entries[-2:]
+        return again.state.voted_for, again.state.entries[-2:]
 
     last = fleet_forms.history()[-1]
     assert with_store(path, work) == (IDENTITY, (last, LogEntry(last.index + 1, 5, EntryKind.OPENING)))
--- a/tests/release_fleet.py
+++ b/tests/release_fleet.py
@@ -72,14 +72,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """`launcher` starts its command line with no other release's modules in reach."""
+    """`launcher` starts its command line with no other release's modules in reach. `replica_command`: the
+    subcommand that runs a replica of the control plane."""
 
     name: str
     root: Path
     launcher: Path
+    replica_command: str
 
     @classmethod
-    def at(cls, name: str, root: Path, folder: Path) -> Release:
+    def at(cls, name: str, root: Path, folder: Path, replica_command: str) -> Release:
         """The release whose packages are below `root`."""
         sources = [str(path) for path in sorted(root.glob("packages/*/src"))]
         paths = sysconfig.get_paths()
@@ -87,7 +89,7 @@
         launcher = folder / f"{name}.py"
         text = LAUNCHER.format(name=name, sources=sources, libraries=libraries, root=f"{root}/packages/")
         launcher.write_text(text)
-        return cls(name, root, launcher)
+        return cls(name, root, launcher, replica_command)
 
     def command(self, *words: object) -> list[str]:
         """Isolated (`-I`) and without `site` (`-S`), so that neither variables nor installs add modules."""
@@ -106,12 +108,12 @@
     root = folder / "former"
     with tarfile.open(ARCHIVE) as archive:
         archive.extractall(root, filter="data")
-    return Release.at("former", root, folder)
+    return Release.at("former", root, folder, "keeper")
 
 
 def present_release(folder: Path) -> Release:
     """This checkout."""
-    return Release.at("present", ROOT, folder)
+    return Release.at("present", ROOT, folder, "control-plane")
 
 
 def free_address() -> str:
@@ -241,7 +243,8 @@
     def start(self, name: str, *options: str) -> None:
         """Starts a replica, a relay or an agent with its release; it returns at once."""
         if name in REPLICAS:
-            words: tuple[object, ...] = ("keeper", self.file, "--name", name, *options)
+            command_name = self.releases[name].replica_command
+            words: tuple[object, ...] = (command_name, self.file, "--name", name, *options)
         elif name in RELAYS:
             words = ("relay", self.file, "--name", name)
         else:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from walnutpost.config.entries import encode_site
 from walnutpost.configstore import ConfigStore, Mutation, WatchRequest
 from walnutpost.controlplane import wire
-from walnutpost.controlplane.wire import Told
+from walnutpost.controlplane.wire import CommandReply
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import ConfirmPermit, Fleet, encode, endpoint_snapshot
 from walnutpost.http import Exchange, Response
@@ -84,13 +84,15 @@
     assert sum(m.follows_endpoints for m in state.members.values()) == 20
     sight = endpoint_snapshot(state, 0, made.ages(agreed))
     assert len(sight.workers) == 30 and sight.index == state.endpoints_index == agreed.index
-    assert wire.decode(wire.encode(Told(sight=sight)), Told).sight == sight
+    assert wire.decode(wire.encode(CommandReply(endpoints=sight)), CommandReply).endpoints == sight
 
 
 def test_the_list_grows_by_as_many_bytes_for_each_worker() -> None:
     def sent(workers: int) -> int:
         agreed = made.fleet(0, workers)
-        return len(wire.encode(Told(sight=endpoint_snapshot(agreed.fleet.state, 0, made.ages(agreed)))))
+        return len(
+            wire.encode(CommandReply(endpoints=endpoint_snapshot(agreed.fleet.state, 0, made.ages(agreed))))
+        )
 
     assert 55 < (sent(400) - sent(200)) / 200 < 75
 
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -19,8 +19,8 @@
 from system_faults import SystemFaults
 
 from fleet_rig import BASE, INVOKE, merged
-from test_keeper import NAMES, SECOND, Keepers, found, play
-from walnutpost.controlplane import NoAnswer
+from replica_processes import NAMES, SECOND, ReplicaProcesses, create_fleet, play
+from walnutpost.controlplane import ControlPlaneUnavailableError
 from walnutpost.fleet import FRONT_END, RegisterMember
 
 PATIENCE_S = 60.0
@@ -49,7 +49,7 @@
 class Registrations:
     """A client that registers one member after the other; `accepted` are those with an answer."""
 
-    def __init__(self, replicas: Keepers) -> None:
+    def __init__(self, replicas: ReplicaProcesses) -> None:
         self._replicas = replicas
         self.accepted: list[str] = []
         self.is_running = True
@@ -61,9 +61,9 @@
             number += 1
             name = f"front-{number}"
             try:
-                client = self._replicas.client(patience=COMMAND_TIMEOUT_US)
+                client = self._replicas.client(timeout_us=COMMAND_TIMEOUT_US)
                 answer = client.command(name, RegisterMember(name, FRONT_END, "a", "1"))
-            except NoAnswer:
+            except ControlPlaneUnavailableError:
                 continue
             assert answer.ok
             self.accepted.append(name)
@@ -80,9 +80,9 @@
     for name, value in faults.environment().items():
         monkeypatch.setenv(name, value)
 
-    def script(replicas: Keepers) -> None:
+    def script(replicas: ReplicaProcesses) -> None:
         loop = replicas.loop
-        found(replicas, members=0)
+        create_fleet(replicas, members=0)
         registrations = Registrations(replicas)
         loop.sleep(SECOND)
         faults.fail(files_per_thousand=per_thousand)
@@ -90,9 +90,9 @@
         faults.end()
         ended_at = loop.now()
         before = len(registrations.accepted)
-        replicas.until(lambda: len(registrations.accepted) > before)
+        replicas.wait_until(lambda: len(registrations.accepted) > before)
         served_after = loop.now() - ended_at
-        replicas.until(lambda: _are_all_in_service(replicas))
+        replicas.wait_until(lambda: _are_all_in_service(replicas))
         all_after = loop.now() - ended_at
         registrations.stop()
         failures = sum(_events(replicas, name).count("disk_failed") for name in NAMES)
@@ -106,17 +106,17 @@
     play(tmp_path, script)
 
 
-def _are_all_in_service(replicas: Keepers) -> bool:
+def _are_all_in_service(replicas: ReplicaProcesses) -> bool:
     client = replicas.client()
     try:
         newest = client.state()[0].index
-        return not client.failing_disks() and all(client.here(name).index >= newest for name in NAMES)
-    except NoAnswer:
+        return not client.failing_disks() and all(client.local_status(name).index >= newest for name in NAMES)
+    except ControlPlaneUnavailableError:
         return False
 
 
-def _events(replicas: Keepers, name: str) -> list[str]:
-    return [line["event"] for line in replicas._lines(name)]
+def _events(replicas: ReplicaProcesses, name: str) -> list[str]:
+    return [line["event"] for line in replicas.log_lines(name)]
 
 
 # A front end
