--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -24,30 +24,42 @@
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
-from walnutpost.metering import HOUR, Book, Ledger, Policy, Report, Rule, Saved, Slice, charge
-from walnutpost.metering.records import DAY
-from walnutpost.metering.reports import figures, grouped
+from walnutpost.metering import (
+    DAY_US,
+    HOUR_US,
+    AllocationRule,
+    Ledger,
+    LedgerState,
+    MeteringPolicy,
+    UsageRecorder,
+    UsageReport,
+    UsageSlice,
+    allocate_slice,
+    collect_figures,
+    group_figures,
+)
+from walnutpost.metering.records import IncarnationKey
 from walnutpost.store import read_ledger
 from walnutpost.store.usage import SCHEMA, LedgerRun, write_batch
 
 SECOND = 1_000_000
-START = 1000 * DAY
+START = 1000 * DAY_US
 TURNS, IN_A_TURN = 300, 60
 WORKERS, FUNCTIONS, TENANTS, COPIES, HOURS = 200, 2_000, 50, 30, 720
 
 
 def keeping_worker(loop: Loop) -> tuple[str, int]:
-    """Answers at once, and has a book of twenty copies."""
-    book = Book("w0", loop.now(), 4096)
+    """Answers at once, and has a recorder of twenty copies."""
+    recorder = UsageRecorder("w0", loop.now(), 4096)
     for copy in range(1, 21):
-        book.begin(loop.now(), copy, "price", 100)
+        recorder.start_copy(loop.now(), copy, "price", 100)
 
     def handle(exchange: Exchange) -> Response:
         path, _, query = exchange.request.target.decode().partition("?")
         if path != "/v2/usage":
             return null_worker(exchange)
         after = int(parse_qs(query)["after"][0])
-        return Response(200, {}, msgspec.json.encode(book.report(loop.now(), after)))
+        return Response(200, {}, msgspec.json.encode(recorder.build_report(loop.now(), after)))
 
     return serve_on(loop, LOCAL, handle, refusal).address
 
@@ -107,24 +119,24 @@
     loop.run(main)
 
 
-def an_hours_slices(rng: random.Random, worker: str, hour: int, number: int) -> list[Slice]:
+def an_hours_slices(rng: random.Random, worker: str, hour: int, number: int) -> list[UsageSlice]:
     out = []
     for copy in range(COPIES):
         function = f"function-{min(FUNCTIONS - 1, int(rng.paretovariate(0.7))):04}"
-        share = rng.randrange(HOUR // 400)
+        share = rng.randrange(HOUR_US // 400)
         runs = {f"tenant-{rng.randrange(TENANTS):02}": share for _ in range(rng.choice((1, 1, 2, 3)))}
         after = dict.fromkeys(runs, 10 * SECOND)
         first = next(iter(runs))
         copies = number * COPIES + copy + 1
         out.append(
-            Slice(
+            UsageSlice(
                 worker,
                 START,
                 copies,
                 hour,
                 function,
                 200 + copy,
-                hour + HOUR,
+                hour + HOUR_US,
                 True,
                 SECOND,
                 0,
@@ -138,21 +150,23 @@
 
 def stretches() -> None:
     """Finding the open stretches of one worker's start among all that are kept."""
-    known = Ledger(Policy(), Saved(), START)
+    known = Ledger(MeteringPolicy(), LedgerState(), START)
     rng = random.Random(1)
     for number in range(WORKERS):
-        slices = [s for n in range(10) for s in an_hours_slices(rng, f"w{number}", START + n * HOUR, n)]
-        slices[-COPIES:] = [msgspec.structs.replace(s, ended=False) for s in slices[-COPIES:]]
-        known.take(
-            Report(f"w{number}", START, START + 10 * HOUR, 1, 1 << 20, slices), f"w{number}", START + DAY
+        slices = [s for n in range(10) for s in an_hours_slices(rng, f"w{number}", START + n * HOUR_US, n)]
+        slices[-COPIES:] = [msgspec.structs.replace(s, is_final=False) for s in slices[-COPIES:]]
+        known.add_report(
+            UsageReport(f"w{number}", START, START + 10 * HOUR_US, 1, 1 << 20, slices),
+            f"w{number}",
+            START + DAY_US,
         )
-    life = ("w7", START)
+    incarnation = IncarnationKey("w7", START)
 
     def index() -> int:
-        return len(known._open[life])
+        return len(known._facts.slices._loaded[incarnation])
 
     def scan() -> int:
-        return sum(not s.ended and (s.worker, s.started) == life for s in known._slices.values())
+        return sum(not s.is_final and s.key.incarnation == incarnation for s in known.slices)
 
     assert index() == scan() == COPIES
     for look in (index, scan):
@@ -160,13 +174,13 @@
         for _ in range(20):
             look()
         took = (time.perf_counter() - began) / 20
-        print(f"open stretches of one worker among {len(known._slices)}: {look.__name__} {took * 1e6:.1f} us")
+        print(f"open stretches of one worker among {len(known.slices)}: {look.__name__} {took * 1e6:.1f} us")
 
 
 def rules() -> None:
     """The same copies under three rules: a steady tenant, a seldom one, one of short bursts, who share."""
     rng = random.Random(3)
-    book = Book("w", START, 1 << 20)
+    recorder = UsageRecorder("w", START, 1 << 20)
     plans = {"steady": (0.2, 0.15), "seldom": (7.0, 0.15), "bursts": (60.0, 2.0)}
     keep, now, running, copy, idle_since = 10.0, 0.0, 0, 0, -1e9
     events = []
@@ -181,24 +195,24 @@
         if begins:
             if not running and now - idle_since > keep:
                 if copy:
-                    book.gone(START + int((idle_since + keep) * SECOND), copy)
+                    recorder.remove_copy(START + int((idle_since + keep) * SECOND), copy)
                 copy += 1
-                book.begin(moment, copy, "f", 100)
-                book.ready(moment + SECOND // 100, copy)
-            book.ran(moment + SECOND // 100, copy, tenant)
+                recorder.start_copy(moment, copy, "f", 100)
+                recorder.mark_ready(moment + SECOND // 100, copy)
+            recorder.start_call(moment + SECOND // 100, copy, tenant)
             running += 1
         else:
-            book.rested(moment + SECOND // 100, copy, tenant)
+            recorder.end_call(moment + SECOND // 100, copy, tenant)
             running -= 1
             idle_since = now
-    book.gone(START + int((idle_since + keep) * SECOND), copy)
+    recorder.remove_copy(START + int((idle_since + keep) * SECOND), copy)
     print("| rule | " + " | ".join(plans) + " | nobody |")
     print("| --- |" + " --- |" * (len(plans) + 1))
-    slices = book.report(START + 2 * HOUR).slices
-    for rule in Rule:
+    slices = recorder.build_report(START + 2 * HOUR_US).slices
+    for rule in AllocationRule:
         sums: Counter[str] = Counter()
         for s in slices:
-            sums.update(charge(s, rule))
+            sums.update(allocate_slice(s, rule))
         whole = sum(sums.values())
         shares = [f"{100 * sums[t] / whole:.1f}%" for t in (*plans, "-")]
         print(f"| {rule.value} | " + " | ".join(shares) + " |")
@@ -210,23 +224,28 @@
     db = sqlite3.connect(path, isolation_level=None)
     db.execute("pragma journal_mode=wal")
     db.executescript(SCHEMA)
-    policy = Policy(keep_hours=7 * DAY)
-    known = Ledger(policy, Saved(), START)
+    policy = MeteringPolicy(hour_retention_us=7 * DAY_US)
+    known = Ledger(policy, LedgerState(), START)
     rng = random.Random(5)
     deciding = writing = 0.0
     lines = slices = 0
     for number in range(HOURS):
-        hour = START + number * HOUR
+        hour = START + number * HOUR_US
         reports = [
-            Report(
-                f"w{w}", START, hour + HOUR, number + 1, 1 << 20, an_hours_slices(rng, f"w{w}", hour, number)
+            UsageReport(
+                f"w{w}",
+                START,
+                hour + HOUR_US,
+                number + 1,
+                1 << 20,
+                an_hours_slices(rng, f"w{w}", hour, number),
             )
             for w in range(WORKERS)
         ]
         began = time.perf_counter()
         for report in reports:
-            known.take(report, report.worker, hour + HOUR)
-        batch = known.batch(hour + HOUR + policy.close_after)
+            known.add_report(report, report.worker, hour + HOUR_US)
+        batch = known.build_batch(hour + HOUR_US + policy.close_delay_us)
         assert batch is not None
         middle = time.perf_counter()
         db.execute("begin")
@@ -235,7 +254,7 @@
         writing += time.perf_counter() - middle
         deciding += middle - began
         began = time.perf_counter()
-        known.written(batch)
+        known.mark_written(batch)
         deciding += time.perf_counter() - began
         lines, slices = lines + len(batch.lines), slices + len(batch.slices)
     db.execute("pragma wal_checkpoint(truncate)")
@@ -246,9 +265,11 @@
     )
     print(f"on disk: {path.stat().st_size / 1e6:.0f} MB (slices for a day, hours for 7, days for all)")
     began = time.perf_counter()
-    end = START + HOURS * HOUR
+    end = START + HOURS * HOUR_US
     kept = read_ledger(path, START, end, records=False)
-    rows = grouped(figures([kept], policy, end + HOUR, START, end), ["tenant", "function"], {})
+    rows = group_figures(
+        collect_figures([kept], policy, end + HOUR_US, START, end), ["tenant", "function"], {}
+    )
     print(
         f"report of the month by tenant and function: {len(rows)} rows in {time.perf_counter() - began:.1f} s"
     )
--- a/packages/cli/src/walnutpost/cli/ledgers.py
+++ b/packages/cli/src/walnutpost/cli/ledgers.py
@@ -13,9 +13,15 @@
 from walnutpost.config import Config
 from walnutpost.config.conversion import build_metering_policy
 from walnutpost.config.metering import MeteringConfig
-from walnutpost.metering import Amount
-from walnutpost.metering.records import DAY, HOUR
-from walnutpost.metering.reports import Figure, Kept, figures, grouped
+from walnutpost.metering import (
+    DAY_US,
+    HOUR_US,
+    Amount,
+    LedgerExtract,
+    UsageFigure,
+    collect_figures,
+    group_figures,
+)
 from walnutpost.store import StoreError, read_ledger
 
 NS_PER_US = 1000
@@ -56,13 +62,13 @@
         `with_records`: workers' records are wanted for closed hours too, as always with several ledgers.
         """
         self.now_us = time.time_ns() // NS_PER_US
-        self.until_us = until if until is not None else (self.now_us // HOUR + 1) * HOUR
-        self.since_us = since if since is not None else (self.now_us - DAY) // HOUR * HOUR
+        self.until_us = until if until is not None else (self.now_us // HOUR_US + 1) * HOUR_US
+        self.since_us = since if since is not None else (self.now_us - DAY_US) // HOUR_US * HOUR_US
         if self.since_us >= self.until_us:
             exit_with("--from: found a time that is not before --to; wanted an earlier one")
         self.paths = list(configs)
         self.configs: list[Config] = []
-        self.ledgers: list[Kept] = []
+        self.extracts: list[LedgerExtract] = []
         for path in configs:
             self._read(path, with_records or len(configs) > 1)
         self.metering = _metering_of(self.paths[0], self.configs[0])
@@ -73,17 +79,17 @@
         file = path.parent / _metering_of(path, config).file
         self.configs.append(config)
         try:
-            self.ledgers.append(read_ledger(file, self.since_us, self.until_us, with_records))
+            self.extracts.append(read_ledger(file, self.since_us, self.until_us, with_records))
         except StoreError as error:
             exit_with(str(error))
 
-    def figures(self) -> list[Figure]:
+    def figures(self) -> list[UsageFigure]:
         """Return the figures of all ledgers as those of one."""
-        return figures(self.ledgers, self.policy, self.now_us, self.since_us, self.until_us)
+        return collect_figures(self.extracts, self.policy, self.now_us, self.since_us, self.until_us)
 
     def group_by(self, fields: Sequence[str]) -> dict[tuple[str, ...], Amount]:
         """Return the sums of the figures by the values of `fields`."""
-        return grouped(self.figures(), fields, self.metering.renamed, self._default_tenant)
+        return group_figures(self.figures(), fields, self.metering.renamed, self._default_tenant)
 
     def tenant_name(self, recorded: str) -> str:
         """Return the present name of a recorded tenant; calls without one belong to the default tenant."""
--- a/packages/cli/src/walnutpost/cli/usage.py
+++ b/packages/cli/src/walnutpost/cli/usage.py
@@ -18,9 +18,20 @@
 from walnutpost.cli.config_files import exit_with
 from walnutpost.cli.ledgers import CONFIGS_ARGUMENT, SINCE_OPTION, UNTIL_OPTION, US_PER_S, Ledgers
 from walnutpost.faultinjection.table import aligned
-from walnutpost.metering import Amount, Report
-from walnutpost.metering.records import DAY, HOUR, Slice
-from walnutpost.metering.reports import FIELDS, Part, compared, invoice, parts, proof
+from walnutpost.metering import (
+    DAY_US,
+    GROUP_FIELDS,
+    HOUR_US,
+    Amount,
+    LineKind,
+    SliceCharge,
+    UsageReport,
+    UsageSlice,
+    build_invoice,
+    compare_with_reports,
+    list_charges,
+    verify_bookings,
+)
 
 MB_US_PER_MB_S = 1_000_000
 MAX_DAYS_BY_HOUR = 7  # that a chart draws by the hour
@@ -38,7 +49,9 @@
 @CONFIGS_ARGUMENT
 @SINCE_OPTION
 @UNTIL_OPTION
-@click.option("--by", default="tenant,function", show_default=True, help=f"Some of {', '.join(FIELDS)}.")
+@click.option(
+    "--by", default="tenant,function", show_default=True, help=f"Some of {', '.join(GROUP_FIELDS)}."
+)
 @click.option("--format", "output_format", type=click.Choice(["table", "csv", "json"]), default="table")
 def report(
     configs: tuple[Path, ...], since: int | None, until: int | None, by: str, output_format: str
@@ -48,9 +61,9 @@
     CONFIGS are the front ends of one site: their ledgers are read as one.
     """
     fields = by.split(",")
-    unknown = [field for field in fields if field not in FIELDS]
+    unknown = [field for field in fields if field not in GROUP_FIELDS]
     if unknown:
-        exit_with(f"--by: found {', '.join(unknown)}; wanted some of {', '.join(FIELDS)}")
+        exit_with(f"--by: found {', '.join(unknown)}; wanted some of {', '.join(GROUP_FIELDS)}")
     rows = [
         [*map(_field_text, fields, values), *_amount_texts(amount)]
         for values, amount in Ledgers(configs, since, until).group_by(fields).items()
@@ -59,7 +72,7 @@
 
 
 def _amount_texts(amount: Amount) -> list[str]:
-    return [_mb_s_text(amount.best), _mb_s_text(amount.least), _mb_s_text(amount.most)]
+    return [_mb_s_text(amount.best), _mb_s_text(amount.lower_bound), _mb_s_text(amount.upper_bound)]
 
 
 def _mb_s_text(amount_mb_us: int) -> str:
@@ -93,49 +106,49 @@
 @UNTIL_OPTION
 @click.option("--tenant", help="Only what is charged to this one.")
 @click.option("--function", help="Only this one's copies.")
-@click.option("--most", "max_parts", default=30, show_default=True, type=click.IntRange(1, 100_000))
+@click.option("--most", "max_charges", default=30, show_default=True, type=click.IntRange(1, 100_000))
 def explain(
     configs: tuple[Path, ...],
     since: int | None,
     until: int | None,
     tenant: str | None,
     function: str | None,
-    max_parts: int,
+    max_charges: int,
 ) -> None:
     """Show which copies, and which stretches of their lives, make a figure. Greatest first."""
     ledgers = Ledgers(configs, since, until, with_records=True)
 
-    def is_wanted(charged: str, copy: Slice) -> bool:
+    def is_wanted(charged: str, copy: UsageSlice) -> bool:
         is_tenant = tenant is None or ledgers.tenant_name(charged) == tenant
         return is_tenant and (function is None or copy.function == function)
 
-    found = parts(ledgers.ledgers, ledgers.policy, ledgers.now_us, is_wanted)
+    found = list_charges(ledgers.extracts, ledgers.policy, ledgers.now_us, is_wanted)
     heads = ["tenant", "worker", "copy", "function", "hour", "MB", "ran s", "idle s", "first", "mb_s"]
-    rows = [_part_row(ledgers.tenant_name(part.tenant), part) for part in found[:max_parts]]
+    rows = [_charge_row(ledgers.tenant_name(charge.tenant), charge) for charge in found[:max_charges]]
     click.echo(aligned([heads, *rows]))
-    total = _mb_s_text(sum(part.amount for part in found))
+    total = _mb_s_text(sum(charge.mb_us for charge in found))
     retention_hours = ledgers.metering.slice_retention_hours
     click.echo(f"{len(found)} stretches, {total} MB s; records go back {retention_hours} h")
     _show_gaps(ledgers)
 
 
-def _part_row(tenant: str, part: Part) -> list[str]:
-    copy = part.slice
-    ran_s = copy.runs.get(part.tenant, 0) / US_PER_S
-    idle_s = copy.after.get(part.tenant, 0) / US_PER_S
-    is_first = (copy.first or "-") == part.tenant
-    doubts = f" ({', '.join(sorted(copy.doubts))})" if copy.doubts else ""
+def _charge_row(tenant: str, charge: SliceCharge) -> list[str]:
+    copy = charge.slice
+    ran_s = copy.running_us.get(charge.tenant, 0) / US_PER_S
+    idle_s = copy.idle_us.get(charge.tenant, 0) / US_PER_S
+    is_first = (copy.first_tenant or "-") == charge.tenant
+    contradictions = f" ({', '.join(sorted(copy.contradictions))})" if copy.contradictions else ""
     return [
         tenant,
         copy.worker,
         str(copy.copy),
-        copy.function + doubts,
-        _time_text(copy.hour),
+        copy.function + contradictions,
+        _time_text(copy.hour_us),
         str(copy.memory_mb),
         f"{ran_s:.3f}",
         f"{idle_s:.3f}",
-        f"{(copy.loading + copy.unused) / US_PER_S:.3f} s" if is_first else "",
-        _mb_s_text(part.amount),
+        f"{(copy.loading_us + copy.unused_us) / US_PER_S:.3f} s" if is_first else "",
+        _mb_s_text(charge.mb_us),
     ]
 
 
@@ -166,15 +179,15 @@
     ledgers = Ledgers(configs, since, until, with_records=True)
     exports = [_read_export(path) for path in records]
     differences: list[str] = []
-    for path, ledger in zip(ledgers.paths, ledgers.ledgers, strict=True):
+    for path, extract in zip(ledgers.paths, ledgers.extracts, strict=True):
         found = [
-            *proof(ledger, ledgers.policy, ledgers.now_us),
-            *compared(ledger, exports, ledgers.now_us),
+            *verify_bookings(extract, ledgers.policy, ledgers.now_us),
+            *compare_with_reports(extract, exports, ledgers.now_us),
         ]
         differences += [f"{path}: {each}" for each in found]
         click.echo(
-            f"{path}: {len(ledger.lines)} lines, {len(ledger.days)} days' lines, "
-            f"{len(ledger.saved.slices)} slices added again"
+            f"{path}: {len(extract.hour_lines)} lines, {len(extract.day_lines)} days' lines, "
+            f"{len(extract.state.slices)} slices added again"
         )
     for difference in differences:
         click.echo(difference, err=True)
@@ -182,9 +195,9 @@
     sys.exit(1 if differences else 0)
 
 
-def _read_export(path: Path) -> Report:
+def _read_export(path: Path) -> UsageReport:
     try:
-        return msgspec.json.decode(path.read_bytes(), type=Report)
+        return msgspec.json.decode(path.read_bytes(), type=UsageReport)
     except (OSError, msgspec.MsgspecError) as error:
         exit_with(f"{path}: {error}")
 
@@ -200,9 +213,9 @@
 def chart(configs: tuple[Path, ...], since: int | None, until: int | None, out: Path) -> None:
     """Draw memory-seconds by tenant over time: by the hour, or by the day where hours are folded."""
     ledgers = Ledgers(configs, since, until)
-    has_folded_hours = any(ledger.days for ledger in ledgers.ledgers)
-    is_long = ledgers.until_us - ledgers.since_us > MAX_DAYS_BY_HOUR * DAY
-    field, step = ("day", DAY) if has_folded_hours or is_long else ("hour", HOUR)
+    has_folded_hours = any(extract.day_lines for extract in ledgers.extracts)
+    is_long = ledgers.until_us - ledgers.since_us > MAX_DAYS_BY_HOUR * DAY_US
+    field, step = ("day", DAY_US) if has_folded_hours or is_long else ("hour", HOUR_US)
     times = range(ledgers.since_us // step * step, ledgers.until_us, step)
     out.write_bytes(_draw(ledgers.group_by(["tenant", field]), field, times))
 
@@ -239,7 +252,7 @@
     by_tenant: dict[str, dict[str, Amount]] = {}
     for (tenant, function), amount in ledgers.group_by(["tenant", "function"]).items():
         by_tenant.setdefault(tenant, {})[function] = amount
-    has_open_hours = any(figure.kind == "open" for figure in ledgers.figures())
+    has_open_hours = any(figure.kind == LineKind.OPEN for figure in ledgers.figures())
     for tenant, functions in by_tenant.items():
         _show_invoice(tenant, functions, price, digits, ledgers.metering.currency)
     if has_open_hours:
@@ -249,9 +262,9 @@
 def _show_invoice(
     tenant: str, functions: dict[str, Amount], price: Decimal, digits: int, currency: str
 ) -> None:
-    bill = invoice(tenant, functions, price, digits)
+    bill = build_invoice(tenant, functions, price, digits)
     click.echo(f"{tenant}: {bill.total} {currency} for {bill.gb_hours} GB h at {price} {currency}")
-    for function, amount in bill.lines:
-        click.echo(f"  {function}: {amount}")
-    if bill.least != bill.total or bill.most != bill.total:
-        click.echo(f"  not sure: at least {bill.least}, at most {bill.most}")
+    for line in bill.lines:
+        click.echo(f"  {line.function}: {line.price}")
+    if bill.lower_bound != bill.total or bill.upper_bound != bill.total:
+        click.echo(f"  not sure: at least {bill.lower_bound}, at most {bill.upper_bound}")
--- a/packages/cli/tests/test_cli_golden.py
+++ b/packages/cli/tests/test_cli_golden.py
@@ -16,7 +16,7 @@
 from fleet_rig import BASE, merged
 from golden_files import assert_as_golden, restore_dump
 from walnutpost.cli import main
-from walnutpost.metering import Report
+from walnutpost.metering import UsageReport
 
 GOLDEN = Path(__file__).parent / "golden"
 METERING = {"price_per_gb_hour": "0.25", "renamed": {"trade": "wholesale"}}
@@ -59,8 +59,8 @@
         restore_dump(stored.CALLS_DUMP, each / stored.CALLS_FILE)
         restore_dump(stored.USAGE_DUMP, each / stored.USAGE_FILE)
         (each / "site.json5").write_text(json.dumps(config))
-    export = Report(
-        "worker-1", stored.SLICE.started, stored.NOW + 901 * stored.MB_S, 7, 8192, [stored.CLOSED_SLICE]
+    export = UsageReport(
+        "worker-1", stored.SLICE.started_us, stored.NOW + 901 * stored.MB_S, 7, 8192, [stored.CLOSED_SLICE]
     )
     (folder / "worker-1.json").write_bytes(msgspec.json.encode(export))
 
--- a/packages/config/src/walnutpost/config/conversion.py
+++ b/packages/config/src/walnutpost/config/conversion.py
@@ -15,7 +15,7 @@
 from walnutpost.config.site import CallClass, FunctionConfig, LimitsConfig, RulesConfig, Site
 from walnutpost.cron import MissedPolicy, OverlapPolicy, Schedule, select_owner
 from walnutpost.gateway import Catalogue, Function, ListedWorker
-from walnutpost.metering import HOUR, Action, Budget, Policy
+from walnutpost.metering import HOUR_US, Budget, BudgetAction, MeteringPolicy
 
 US_PER_MS = 1000
 US_PER_S = 1_000_000
@@ -168,13 +168,13 @@
 # Metering
 
 
-def build_metering_policy(metering: MeteringConfig) -> Policy:
+def build_metering_policy(metering: MeteringConfig) -> MeteringPolicy:
     """Build the policy by which a ledger closes hours and drops old records."""
-    return Policy(
+    return MeteringPolicy(
         ms_to_us(metering.close_after_ms),
-        metering.slice_retention_hours * HOUR,
-        HOURS_PER_DAY * metering.hour_retention_days * HOUR,
-        HOURS_PER_DAY * metering.day_retention_days * HOUR,
+        metering.slice_retention_hours * HOUR_US,
+        HOURS_PER_DAY * metering.hour_retention_days * HOUR_US,
+        HOURS_PER_DAY * metering.day_retention_days * HOUR_US,
         ms_to_us(metering.max_silence_ms),
     )
 
@@ -188,10 +188,10 @@
     return Budget(
         tenant,
         round(budget.mb_s * US_PER_S),
-        HOUR if budget.period == "hour" else HOURS_PER_DAY * HOUR,
+        HOUR_US if budget.period == "hour" else HOURS_PER_DAY * HOUR_US,
         budget.warning_ratio,
         budget.hysteresis_ratio,
-        Action(budget.action),
+        BudgetAction(budget.action),
     )
 
 
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -14,8 +14,8 @@
 from walnutpost.eventloop import Loop, Task, TaskGroup
 from walnutpost.gateway import AttemptEnded, Function, LoadOrder, LoadOrderEnded, Rejected, Send
 from walnutpost.interface import Outcome
-from walnutpost.metering import HOUR, Budgets, Gap, Ledger, Sight, Size, Standing
-from walnutpost.metering.ledger import DOWN
+from walnutpost.metering import Budgets, BudgetState, Cause, FunctionSize, Ledger, UsageGap, UsageSampler
+from walnutpost.metering.units import hour_start_us
 from walnutpost.store import StoreError, UsageStore
 from walnutpost.store.usage import LedgerRun
 from walnutpost.workerclient import WorkerClient
@@ -26,17 +26,17 @@
 NO_TENANT = ""
 
 
-class FunctionSizes(Mapping[str, Size]):
+class FunctionSizes(Mapping[str, FunctionSize]):
     """Sizes of functions as configured at each lookup. Memory in whole MB, rounded up, as it is metered."""
 
     def __init__(self, functions: Mapping[str, Function]) -> None:
         """Look sizes up in `functions`, which may change."""
         self._functions = functions
 
-    def __getitem__(self, name: str) -> Size:
+    def __getitem__(self, name: str) -> FunctionSize:
         """Return a function's size."""
         function = self._functions[name]
-        return Size(ceil(function.memory_mb), int(function.lanes), function.load_time_us)
+        return FunctionSize(ceil(function.memory_mb), int(function.lanes), function.load_time_us)
 
     def __iter__(self) -> Iterator[str]:
         """Iterate over the functions' names."""
@@ -75,9 +75,9 @@
         self._store = UsageStore(loop, base / section.file)
         saved, last_run = self._store.load()
         self.ledger = Ledger(build_metering_policy(section), saved, now)
-        self.sight = Sight(now, FunctionSizes(functions), self._keep_alive_us)
+        self.sampler = UsageSampler(now, FunctionSizes(functions), self._keep_alive_us)
         self.budgets = Budgets(build_budgets(section))
-        self._budgets_act = self.budgets.act  # if so, workers with reports are sampled, too
+        self._budgets_act = self.budgets.can_restrict  # if so, workers with reports are sampled, too
         self._started_us = now
         self._attempts: dict[tuple[int, int], tuple[str, str, str]] = {}
         self._logged_inconsistencies: dict[str, list[str]] = {}
@@ -93,10 +93,12 @@
         lost_us = ms_to_us(self._section.write_interval_ms) + self._max_deadline_us + self._keep_alive_us
         upper_bound = last_run.at_risk_mb * lost_us
         source = f"front end {last_run.started_us}"  # stored text
-        self.ledger.gap(Gap(last_run.written_us // HOUR * HOUR, source, DOWN, upper_bound))
+        self.ledger.add_gap(
+            UsageGap(hour_start_us(last_run.written_us), source, Cause.FRONT_END_DOWN, upper_bound)
+        )
         self._log.warning(
             "usage_gap_recorded",
-            cause=DOWN,
+            cause=Cause.FRONT_END_DOWN,
             since_us=last_run.written_us,
             upper_bound_mb_s=upper_bound // US_PER_S,
         )
@@ -108,39 +110,39 @@
         if not self._budgets_act:
             return None
         name = tenant if tenant is not None else self._default_tenant
-        if name is None or self.budgets.standing(name) is not Standing.PAST:
+        if name is None or self.budgets.state(name) is not BudgetState.PAST:
             return None
         now = self._loop.now()
-        if self.budgets.lets_in(name, self.sight.stands(now, function)):
+        if self.budgets.admits_call(name, self.sampler.has_copies(now, function)):
             return None
         reason = "the tenant's budget of memory is used up, and the call would need a load"
-        return Rejected(reason, self.budgets.ends(name, now))
+        return Rejected(reason, self.budgets.time_to_period_end_us(name, now))
 
     def started(self, now: int, start: Send) -> None:
         """Sample an attempt that is being sent."""
-        if not self._budgets_act and not self.sight.estimates(start.worker):
+        if not self._budgets_act and not self.sampler.is_estimated(start.worker):
             return
         tenant = start.tenant if start.tenant is not None else NO_TENANT
         self._attempts[start.call, start.attempt] = (start.worker, start.function, tenant)
-        self.sight.began(now, start.worker, start.function, tenant)
+        self.sampler.start_call(now, start.worker, start.function, tenant)
 
     def done(self, now: int, done: AttemptEnded) -> None:
         """Sample the end of an attempt."""
         attempt = self._attempts.pop((done.call, done.attempt), None)
         if attempt is not None:
-            self.sight.ended(now, *attempt)
+            self.sampler.end_call(now, *attempt)
 
     def held(self, now: int, done: LoadOrderEnded) -> None:
         """Sample the end of a load order."""
         if done.outcome in (Outcome.OK, Outcome.FULL):
-            self.sight.stood(now, done.worker, done.function, done.copies)
+            self.sampler.set_copies(now, done.worker, done.function, done.copies)
 
     def lets_order(self, now: int, order: LoadOrder) -> bool:
         """Whether the budgets of the function's tenants allow a load order."""
         if not self._budgets_act or order.copies <= 0:
             return True
-        loaded = self.sight.stands(now, order.function)
-        return self.budgets.lets_order(self.sight.askers(order.function), loaded)
+        loaded = self.sampler.has_copies(now, order.function)
+        return self.budgets.admits_load_order(self.sampler.calling_tenants(order.function), loaded)
 
     # Collection
 
@@ -154,7 +156,7 @@
         """Read all reports once, update the budgets, and write the ledger if that is due."""
         self._read_all_reports()
         now = self._loop.now()
-        self.ledger.saw(self.sight.take(now))
+        self.ledger.add_samples(self.sampler.collect(now))
         self._update_budgets(now)
         if now - self._written_us >= ms_to_us(self._section.write_interval_ms):
             self.write()
@@ -171,8 +173,9 @@
             self._read_report(workers.pop())
 
     def _read_report(self, worker: str) -> None:
+        cursor = self.ledger.cursor(worker)
         try:
-            report = self._worker_client.fetch_usage(worker, *self.ledger.cursor(worker))
+            report = self._worker_client.fetch_usage(worker, cursor.started_us, cursor.change)
         except OSError:
             return  # the ledger accounts for an unreachable worker
         except ValueError as error:
@@ -181,9 +184,9 @@
         if report is None:
             self._log_missing_reports(worker)
             return
-        inconsistencies = self.ledger.take(report, worker, self._loop.now())
-        if self.ledger.reports(worker):
-            self.sight.counts_itself(worker)
+        inconsistencies = self.ledger.add_report(report, worker, self._loop.now())
+        if self.ledger.has_reports(worker):
+            self.sampler.mark_reporting(worker)
         self._log_inconsistencies(worker, inconsistencies)
 
     def _log_missing_reports(self, worker: str) -> None:
@@ -207,16 +210,19 @@
     def _update_budgets(self, now: int) -> None:
         if not self.budgets:
             return
-        used = {period: self.ledger.used(now // period * period, now) for period in self.budgets.periods}
-        for change in self.budgets.look(now, used):
-            log = self._log.warning if change.now > change.before else self._log.info
+        used = {
+            period_us: self.ledger.usage_by_tenant(now // period_us * period_us, now)
+            for period_us in self.budgets.periods_us
+        }
+        for change in self.budgets.update(now, used):
+            log = self._log.warning if change.current > change.previous else self._log.info
             log(
                 "budget_state_changed",
                 tenant=change.budget.tenant,
-                state=change.now.name,
-                previous_state=change.before.name,
-                used_mb_s=change.used // US_PER_S,
-                limit_mb_s=change.budget.limit // US_PER_S,
+                state=change.current.name,
+                previous_state=change.previous.name,
+                used_mb_s=change.used_mb_us // US_PER_S,
+                limit_mb_s=change.budget.limit_mb_us // US_PER_S,
                 action=change.budget.action.value,
             )
 
@@ -234,10 +240,10 @@
 
     def _write(self, is_last: bool) -> bool:
         now = self._loop.now()
-        batch = self.ledger.batch(now)
+        batch = self.ledger.build_batch(now)
         if batch is None:
             return True
-        run = LedgerRun(self._started_us, now, 0 if is_last else self.sight.at_risk(now))
+        run = LedgerRun(self._started_us, now, 0 if is_last else self.sampler.at_risk_mb(now))
         try:
             self._store.write(batch, run)
         except StoreError as error:
@@ -249,13 +255,13 @@
             self._log.info("ledger_write_recovered")
         self._store_error = ""
         self._written_us = now
-        self.ledger.written(batch)
+        self.ledger.mark_written(batch)
         return True
 
     def stop(self) -> None:
         """Collect and write a last time; the caller sets the timeout."""
         self._read_all_reports()
-        self.ledger.saw(self.sight.take(self._loop.now()))
+        self.ledger.add_samples(self.sampler.collect(self._loop.now()))
         self.write(is_last=True)
 
     def close(self) -> None:
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -25,7 +25,7 @@
 from walnutpost.fleet import EndpointSnapshot
 from walnutpost.fleet.endpoints import Endpoint
 from walnutpost.gateway import Execution, Status
-from walnutpost.metering import HOUR
+from walnutpost.metering import HOUR_US
 from walnutpost.store import read_history
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -143,7 +143,7 @@
         assert_settings_recovered(front)
         assert_journals_recovered(front)
         assert front.metering is not None
-        assert front.metering.ledger.statement(NOW - HOUR, START) == stored.BOOKED[NOW - HOUR]
+        assert front.metering.ledger.statement(NOW - HOUR_US, START) == stored.BOOKED[NOW - HOUR_US]
         assert_calls_recovered(f)
         front.stop()
 
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -14,11 +14,20 @@
 from walnutpost.eventloop import VirtualClock
 from walnutpost.faultinjection.usage import true_usage
 from walnutpost.gateway import LoadOrder
-from walnutpost.metering import HOUR, UNATTRIBUTED, Account, Amount, Batch, Gap, added
+from walnutpost.metering import (
+    HOUR_US,
+    UNATTRIBUTED,
+    Account,
+    Amount,
+    LedgerBatch,
+    UsageGap,
+    sum_amounts,
+    sum_statements,
+)
 from walnutpost.store.usage import LedgerRun
 
 MINUTE = 60 * SECOND
-START = 300 * HOUR - 15 * SECOND  # an hour ends soon
+START = 300 * HOUR_US - 15 * SECOND  # an hour ends soon
 
 
 def metered_fleet(path: Path, clock: int = START, **more: Any) -> Fleet:
@@ -35,8 +44,10 @@
     """Return the ledger's usage of all hours."""
     metering = metering or metering_of(f)
     metering.collect()
-    hours = range(START // HOUR * HOUR - HOUR, f.loop.now() + HOUR, HOUR)
-    return added(metering.ledger.statement(hour // HOUR * HOUR, f.loop.now()) for hour in hours)
+    hours = range(START // HOUR_US * HOUR_US - HOUR_US, f.loop.now() + HOUR_US, HOUR_US)
+    return sum_statements(
+        metering.ledger.statement(hour // HOUR_US * HOUR_US, f.loop.now()) for hour in hours
+    )
 
 
 def actual_usage(f: Fleet) -> dict[tuple[str, str], Fraction]:
@@ -53,7 +64,7 @@
     assert {a.cause for a in metered} <= {""}
     assert sum(a.best for a in metered.values()) == sum(actual.values())
     for account, amount in metered.items():
-        assert amount.least == amount.best == amount.most
+        assert amount.lower_bound == amount.best == amount.upper_bound
         assert abs(amount.best - actual[account.tenant, account.function]) < 400 * 200, account
     assert len(metered) == len(actual)
 
@@ -84,8 +95,8 @@
     for metering in ledgers or (metering_of(f),):
         metering.collect()
         metered = metered_usage(f, metering)
-        total = added([{Account("", ""): a} for a in metered.values()])[Account("", "")]
-        assert total.least <= sum(actual.values()) <= total.most
+        total = sum_amounts(metered.values())
+        assert total.lower_bound <= sum(actual.values()) <= total.upper_bound
         for account, amount in metered.items():
             if not account.cause and account.tenant != UNATTRIBUTED:
                 assert amount.best <= actual[account.tenant, account.function] + 400 * 200
@@ -100,10 +111,10 @@
             server.restart()
         f.loop.sleep(700_000)
         traffic(f, 15)
-        f.loop.sleep(HOUR // 10)
+        f.loop.sleep(HOUR_US // 10)
         assert_bounds_cover_actual(f)
         gaps = {a.cause: amount for a, amount in metered_usage(f).items() if a.cause}
-        assert set(gaps) == {"silent"} and 0 < gaps["silent"].most <= 3 * 8192 * 2 * SECOND
+        assert set(gaps) == {"silent"} and 0 < gaps["silent"].upper_bound <= 3 * 8192 * 2 * SECOND
 
     f.run(script)
 
@@ -140,7 +151,7 @@
         store = metering_of(f)._store
         write = store.write
 
-        def cancelled_meanwhile(batch: Batch, run: LedgerRun) -> None:
+        def cancelled_meanwhile(batch: LedgerBatch, run: LedgerRun) -> None:
             waiter.cancel()
             write(batch, run)
 
@@ -148,8 +159,8 @@
         waiter = f.loop.spawn(metering_of(f).write)
         f.until(lambda: waiter.is_done)
         assert metering_of(f).write()
-        booked = added(metering_of(f)._store.load()[0].booked.values())
-        stated = metering_of(f).ledger.statement(START // HOUR * HOUR, f.loop.now())
+        booked = sum_statements(metering_of(f)._store.load()[0].booked.values())
+        stated = metering_of(f).ledger.statement(START // HOUR_US * HOUR_US, f.loop.now())
         assert booked == {a: amount for a, amount in stated.items() if amount} and booked
 
     f.run(script)
@@ -184,7 +195,7 @@
         traffic(f, 7)
         assert_bounds_cover_actual(f)
         causes = {a.cause: amount for a, amount in metered_usage(f).items()}
-        assert set(causes) == {"estimated", "front end down"} and causes["front end down"].most > 0
+        assert set(causes) == {"estimated", "front end down"} and causes["front end down"].upper_bound > 0
 
     f.run(script)
 
@@ -199,7 +210,7 @@
         pages = db.execute("pragma page_count").fetchone()[0]
         db.execute(f"pragma max_page_count={pages}")
         for n in range(200):  # more names than the last pages of the file have space for
-            metering_of(f).ledger.gap(Gap(0, f"source {n}" * 40, "front end down", 0))
+            metering_of(f).ledger.add_gap(UsageGap(0, f"source {n}" * 40, "front end down", 0))
         assert not metering_of(f).write()
         traffic(f, 4)
         assert f.invoke("price").status == 200
@@ -217,7 +228,10 @@
 INVALID_REPORTS: dict[str, tuple[Any, str]] = {
     "no report": (lambda r: {"worker": 1}, "Expected"),
     "another's": (lambda r: msgspec.structs.replace(r, worker="worker-9"), "found a report of 'worker-9'"),
-    "a start ahead": (lambda r: msgspec.structs.replace(r, started=r.at + HOUR), "found start"),
+    "a start ahead": (
+        lambda r: msgspec.structs.replace(r, started_us=r.reported_us + HOUR_US),
+        "found start",
+    ),
 }
 
 
@@ -241,7 +255,7 @@
 
 def fleet_with_budget(path: Path, action: str) -> Fleet:
     budget = {"mb_s": 1, "period": "hour", "action": action}
-    return metered_fleet(path, 300 * HOUR - MINUTE, metering={"budgets": {"trade": budget}})
+    return metered_fleet(path, 300 * HOUR_US - MINUTE, metering={"budgets": {"trade": budget}})
 
 
 def test_tenant_past_its_budget_gets_no_new_loads_and_others_and_open_calls_do(tmp_path: Path) -> None:
--- a/packages/fakes/src/walnutpost/fakes/copies.py
+++ b/packages/fakes/src/walnutpost/fakes/copies.py
@@ -10,7 +10,7 @@
 from walnutpost.fakes.faults import Faults
 from walnutpost.fakes.reactions import CopyEvent, CopyEventKind, FetchPackage
 from walnutpost.fakes.specs import FunctionSpec, WorkerSpec
-from walnutpost.metering import Book
+from walnutpost.metering import UsageRecorder
 
 QUEUED_LOADS_PER_SLOT = 2  # for each load that may be under way
 
@@ -33,37 +33,39 @@
 
 
 class CopyRecord:
-    """Two accounts of the same events: the book, which the worker reports, and its own record."""
+    """Two accounts of the same events: the usage recorder, and the worker's own record."""
 
-    def __init__(self, book: Book, functions: dict[str, FunctionSpec], events: list[CopyEvent]) -> None:
-        """Take the book, and the list that events are appended to."""
-        self._book = book
+    def __init__(
+        self, recorder: UsageRecorder, functions: dict[str, FunctionSpec], events: list[CopyEvent]
+    ) -> None:
+        """Take the recorder, and the list that events are appended to."""
+        self._recorder = recorder
         self._functions = functions
         self._events = events
 
     def load_began(self, now_us: int, copy: Copy) -> None:
         """Record that a copy takes its memory from now on."""
-        self._book.begin(now_us, copy.number, copy.function, self._memory_mb(copy))
+        self._recorder.start_copy(now_us, copy.number, copy.function, self._memory_mb(copy))
         self._append(now_us, CopyEventKind.LOAD_BEGAN, copy)
 
     def ready(self, now_us: int, copy: Copy) -> None:
         """Record that a copy can be called."""
-        self._book.ready(now_us, copy.number)
+        self._recorder.mark_ready(now_us, copy.number)
         self._append(now_us, CopyEventKind.READY, copy)
 
     def call_started(self, now_us: int, copy: Copy, tenant: str) -> None:
         """Record that a call takes a lane."""
-        self._book.ran(now_us, copy.number, tenant)
+        self._recorder.start_call(now_us, copy.number, tenant)
         self._append(now_us, CopyEventKind.CALL_STARTED, copy, tenant)
 
     def call_ended(self, now_us: int, copy: Copy, tenant: str) -> None:
         """Record that a call leaves its lane."""
-        self._book.rested(now_us, copy.number, tenant)
+        self._recorder.end_call(now_us, copy.number, tenant)
         self._append(now_us, CopyEventKind.CALL_ENDED, copy, tenant)
 
     def removed(self, now_us: int, copy: Copy) -> None:
         """Record that a copy's memory is free."""
-        self._book.gone(now_us, copy.number)
+        self._recorder.remove_copy(now_us, copy.number)
         self._append(now_us, CopyEventKind.REMOVED, copy)
 
     def _append(self, now_us: int, kind: CopyEventKind, copy: Copy, tenant: str = "") -> None:
--- a/packages/fakes/src/walnutpost/fakes/model.py
+++ b/packages/fakes/src/walnutpost/fakes/model.py
@@ -28,7 +28,7 @@
 )
 from walnutpost.fakes.specs import FunctionSpec, WorkerSpec
 from walnutpost.interface import Warmth
-from walnutpost.metering import Book
+from walnutpost.metering import UsageRecorder
 
 
 class WorkerModel:
@@ -50,8 +50,8 @@
     def _reset(self, now_us: int, restarted_us: int) -> None:
         self._now_us = now_us
         self._reactions: list[Reaction] = []
-        self.book = Book(self.spec.name, now_us, ceil(self.spec.memory_mb))
-        self._record = CopyRecord(self.book, self._functions, self.copy_events)
+        self.usage = UsageRecorder(self.spec.name, now_us, ceil(self.spec.memory_mb))
+        self._record = CopyRecord(self.usage, self._functions, self.copy_events)
         self._copies = CopyPool(
             self.spec, self._functions, self.faults, self._record, self._copy_numbers, self._emit
         )
--- a/packages/fakes/src/walnutpost/fakes/worker.py
+++ b/packages/fakes/src/walnutpost/fakes/worker.py
@@ -20,7 +20,7 @@
 from walnutpost.fakes.store import PackageStore
 from walnutpost.http import BadMessage, Exchange, Response, Server, encode_response
 from walnutpost.http.server import serve_on
-from walnutpost.metering import Report
+from walnutpost.metering import UsageReport
 from walnutpost.workerclient import codec, orca
 
 DRAIN_CHECK_INTERVAL_US = 20_000
@@ -55,7 +55,7 @@
         """Listen at the address, with TLS if there is a `context`; raises OSError."""
         self.model = model
         self.reports_usage = True
-        self.alter_usage_report: Callable[[Report], Report] | None = None
+        self.alter_usage_report: Callable[[UsageReport], UsageReport] | None = None
         self._loop = loop
         self._tap = tap
         self._runner = ModelRunner(loop, model, store, tap)
@@ -189,7 +189,7 @@
         now_us = self._loop.now()
         self._runner.react(self.model.advance(now_us))
         after, started = (int(query.get(name, ["0"])[0]) for name in ("after", "started"))
-        report = self.model.book.report(now_us, after, started, self.model.is_draining)
+        report = self.model.usage.build_report(now_us, after, started, self.model.is_draining)
         if self.alter_usage_report is not None:
             report = self.alter_usage_report(report)
         return Response(200, {"content-type": "application/json"}, msgspec.json.encode(report))
--- a/packages/faultinjection/src/walnutpost/faultinjection/usage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/usage.py
@@ -16,7 +16,7 @@
 from walnutpost.fakes import CopyEvent, CopyEventKind
 from walnutpost.faultinjection.capture import read
 from walnutpost.faultinjection.facts import SUFFIX
-from walnutpost.metering.reports import figures, grouped, parts
+from walnutpost.metering import collect_figures, group_figures, list_charges
 from walnutpost.store import read_ledger
 
 Truth = dict[tuple[str, str], Fraction]  # by tenant and function, MB-microseconds
@@ -118,10 +118,11 @@
             true[tenant] += amount
     since = until - 24 * 3_600_000_000
     kept = [read_ledger(path, since, until) for path in ledgers]
-    told = grouped(
-        figures(kept, build_metering_policy(config.metering), until, since, until), ["tenant", "cause"], {}
+    policy = build_metering_policy(config.metering)
+    told = group_figures(collect_figures(kept, policy, until, since, until), ["tenant", "cause"], {})
+    gaps = sum(
+        amount.upper_bound - amount.best for (_, cause), amount in told.items() if cause != "estimated"
     )
-    gaps = sum(amount.most - amount.best for (_, cause), amount in told.items() if cause != "estimated")
     out = []
     for tenant in sorted({*true, *(t for t, _ in told)}):
         best = sum(amount.best for (t, _), amount in told.items() if t == tenant)
@@ -132,8 +133,7 @@
     alive = {worker for worker in by_worker if not ends.get(worker)}
     recorded = sum(amount for w in alive for amount in by_worker[w].values())
     metered = sum(
-        p.amount
-        for p in parts(kept, build_metering_policy(config.metering), until, lambda _, s: s.worker in alive)
+        charge.mb_us for charge in list_charges(kept, policy, until, lambda _, usage: usage.worker in alive)
     )
     out.append(Compared(f"{len(alive)} workers that did not die", round(recorded), metered, 0, 0))
     return out
--- a/packages/metering/src/walnutpost/metering/budgets.py
+++ b/packages/metering/src/walnutpost/metering/budgets.py
@@ -1,4 +1,7 @@
-"""Budgets of memory-time by tenant: where each stands, and what that allows. No I/O, no clock."""
+"""Budgets of memory-time by tenant: their states, and what these allow. No I/O, no clock.
+
+Times are microseconds, amounts MB-microseconds.
+"""
 
 from __future__ import annotations
 
@@ -6,18 +9,20 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
-from walnutpost.metering.records import DAY
+from walnutpost.metering.units import DAY_US
+
 
+class BudgetAction(Enum):
+    """What happens past a budget; the values are those of the settings. Open calls are never affected."""
 
-class Action(Enum):
-    """What happens past a budget. Calls that are in already are never touched."""
+    LOG = "note"
+    NO_FURTHER_COPIES = "no ahead loads"  # no copies are ordered in addition to loaded ones
+    REJECT_NEW_LOADS = "refuse new loads"  # and a call is rejected if no copy for it is loaded
 
-    NOTE = "note"
-    NO_AHEAD = "no ahead loads"  # no copies are ordered on top of those that stand
-    REFUSE = "refuse new loads"  # nor is a call let in for which nothing stands
 
+class BudgetState(IntEnum):
+    """How much of a budget is used; the names are logged."""
 
-class Standing(IntEnum):
     WITHIN = 0
     NEAR = 1
     PAST = 2
@@ -25,88 +30,119 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """`limit` in MB-microseconds for each period. `near` is a share of it; a state is left again only when
-    the use has fallen `back` of the limit below where it was entered, or a new period has begun."""
+    """`limit_mb_us` for each period.
+
+    `near_ratio` of it begins the state NEAR. A state ends only when usage has fallen `hysteresis_ratio` of
+    the limit below the threshold where it began, or when a new period has begun.
+    """
 
     tenant: str
-    limit: int
-    period: int = DAY
-    near: float = 0.8
-    back: float = 0.05
-    action: Action = Action.NOTE
+    limit_mb_us: int
+    period_us: int = DAY_US
+    near_ratio: float = 0.8
+    hysteresis_ratio: float = 0.05
+    action: BudgetAction = BudgetAction.LOG
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class BudgetStateChange:
+    """A budget has another state."""
+
     budget: Budget
-    before: Standing
-    now: Standing
-    used: int
+    previous: BudgetState
+    current: BudgetState
+    used_mb_us: int
 
 
 class Budgets:
+    """All budgets of a site, one for each tenant at most."""
+
     def __init__(self, budgets: Sequence[Budget]) -> None:
-        self._budgets = {b.tenant: b for b in budgets}
-        self._standing = dict.fromkeys(self._budgets, Standing.WITHIN)
-        self._began: dict[str, int] = {}
+        """Begin within all budgets."""
+        self._budgets = {budget.tenant: budget for budget in budgets}
+        self._states = dict.fromkeys(self._budgets, BudgetState.WITHIN)
+        self._period_starts_us: dict[str, int] = {}
 
     def __bool__(self) -> bool:
+        """Whether there are any."""
         return bool(self._budgets)
 
     @property
-    def act(self) -> bool:
-        """Whether any of them may turn calls or orders away."""
-        return any(b.action is not Action.NOTE for b in self._budgets.values())
+    def can_restrict(self) -> bool:
+        """Whether any of them may reject calls or load orders."""
+        return any(budget.action is not BudgetAction.LOG for budget in self._budgets.values())
 
     @property
-    def periods(self) -> set[int]:
-        return {b.period for b in self._budgets.values()}
+    def periods_us(self) -> set[int]:
+        """Return the lengths of all periods."""
+        return {budget.period_us for budget in self._budgets.values()}
 
-    def standing(self, tenant: str) -> Standing:
-        return self._standing.get(tenant, Standing.WITHIN)
+    def state(self, tenant: str) -> BudgetState:
+        """Return a tenant's state; WITHIN without a budget."""
+        return self._states.get(tenant, BudgetState.WITHIN)
 
-    def look(self, now: int, used: Mapping[int, Mapping[str, int]]) -> list[Change]:
-        """`used` by length of period, each since its start. Returns what has changed. A clock that steps
-        back begins no new period."""
+    def update(self, now_us: int, used: Mapping[int, Mapping[str, int]]) -> list[BudgetStateChange]:
+        """Return the changes of state after a new reading.
+
+        `used` is by length of period and by tenant, each since the period's start. A clock that steps back
+        begins no new period.
+        """
         changes = []
         for tenant, budget in self._budgets.items():
-            began = now // budget.period * budget.period
-            fresh = began > self._began.get(tenant, 0)
-            self._began[tenant] = max(began, self._began.get(tenant, 0))
-            amount, before = used.get(budget.period, {}).get(tenant, 0), self._standing[tenant]
-            after = _standing(budget, amount, Standing.WITHIN if fresh else before)
-            if after is not before:
-                self._standing[tenant] = after
-                changes.append(Change(budget, before, after, amount))
+            used_mb_us = used.get(budget.period_us, {}).get(tenant, 0)
+            previous = self._states[tenant]
+            base = BudgetState.WITHIN if self._begins_period(budget, now_us) else previous
+            current = _next_state(budget, used_mb_us, base)
+            if current is not previous:
+                self._states[tenant] = current
+                changes.append(BudgetStateChange(budget, previous, current, used_mb_us))
         return changes
 
-    def lets_in(self, tenant: str, stands: bool) -> bool:
-        """Whether a new call is let in; `stands`: a copy of its function does."""
-        return stands or not self._past(tenant, Action.REFUSE)
+    def admits_call(self, tenant: str, has_loaded_copy: bool) -> bool:
+        """Whether a new call is admitted; `has_loaded_copy`: one of its function is loaded."""
+        return has_loaded_copy or not self._is_past(tenant, BudgetAction.REJECT_NEW_LOADS)
+
+    def admits_load_order(self, tenants: Collection[str], has_loaded_copy: bool) -> bool:
+        """Whether copies may be ordered for the calls of these tenants.
 
-    def lets_order(self, askers: Collection[str], stands: bool) -> bool:
-        """Whether copies are ordered for these tenants' calls. With nothing standing, or anybody among
-        them within the budget, always: a call that is in would suffer."""
-        if not stands or not askers:
+        If none is loaded, or a tenant is within its budget, they always may: open calls would suffer.
+        """
+        if not has_loaded_copy or not tenants:
             return True
-        return not all(self._past(t, Action.NO_AHEAD) or self._past(t, Action.REFUSE) for t in askers)
+        return not all(self._restricts_copies(tenant) for tenant in tenants)
 
-    def ends(self, tenant: str, now: int) -> int:
-        """How long until the tenant's period is over."""
+    def time_to_period_end_us(self, tenant: str, now_us: int) -> int:
+        """Return how long the tenant's period lasts; 0 without a budget."""
         budget = self._budgets.get(tenant)
-        return budget.period - now % budget.period if budget is not None else 0
+        return budget.period_us - now_us % budget.period_us if budget is not None else 0
 
-    def _past(self, tenant: str, action: Action) -> bool:
-        budget = self._budgets.get(tenant)
-        return budget is not None and budget.action is action and self._standing[tenant] is Standing.PAST
+    def _begins_period(self, budget: Budget, now_us: int) -> bool:
+        start_us = now_us // budget.period_us * budget.period_us
+        previous_us = self._period_starts_us.get(budget.tenant, 0)
+        self._period_starts_us[budget.tenant] = max(start_us, previous_us)
+        return start_us > previous_us
 
+    def _restricts_copies(self, tenant: str) -> bool:
+        return self._is_past(tenant, BudgetAction.NO_FURTHER_COPIES) or self._is_past(
+            tenant, BudgetAction.REJECT_NEW_LOADS
+        )
 
-def _standing(budget: Budget, used: int, before: Standing) -> Standing:
-    """Up as soon as a threshold is reached, down only with the distance `back`."""
-    thresholds = {Standing.NEAR: budget.near * budget.limit, Standing.PAST: float(budget.limit)}
-    out = Standing.WITHIN
+    def _is_past(self, tenant: str, action: BudgetAction) -> bool:
+        budget = self._budgets.get(tenant)
+        if budget is None or budget.action is not action:
+            return False
+        return self._states[tenant] is BudgetState.PAST
+
+
+def _next_state(budget: Budget, used_mb_us: int, previous: BudgetState) -> BudgetState:
+    """Go up as soon as a threshold is reached, down only below it by the hysteresis."""
+    thresholds = {
+        BudgetState.NEAR: budget.near_ratio * budget.limit_mb_us,
+        BudgetState.PAST: float(budget.limit_mb_us),
+    }
+    current = BudgetState.WITHIN
     for state, threshold in thresholds.items():
-        held = budget.back * budget.limit if before >= state else 0.0
-        if used >= threshold - held:
-            out = state
-    return out
+        hysteresis = budget.hysteresis_ratio * budget.limit_mb_us if previous >= state else 0.0
+        if used_mb_us >= threshold - hysteresis:
+            current = state
+    return current
--- /dev/null
+++ b/packages/metering/tests/test_merge_and_allocation.py
@@ -0,0 +1,80 @@
+"""Merging two counts of a slice, and allocating a slice's memory-time to tenants."""
+
+from __future__ import annotations
+
+from fractions import Fraction
+
+import msgspec
+from hypothesis import given
+from hypothesis import strategies as st
+
+from metering_rig import FIRST_HOUR_US, START_US, TENANTS
+from walnutpost.metering import (
+    AllocationRule,
+    UsageSlice,
+    allocate_slice,
+    merge_slices,
+    split_proportionally,
+)
+
+COUNTS = st.integers(0, 50)
+SLICES = st.builds(
+    lambda counted_until, is_final, loading, unused, runs, after, first, mb: UsageSlice(
+        "w",
+        START_US,
+        1,
+        FIRST_HOUR_US,
+        "f",
+        mb,
+        counted_until,
+        is_final,
+        loading,
+        unused,
+        runs,
+        after,
+        first,
+    ),
+    st.integers(START_US, START_US + 9),
+    st.booleans(),
+    COUNTS,
+    COUNTS,
+    st.dictionaries(st.sampled_from(TENANTS), COUNTS, max_size=3),
+    st.dictionaries(st.sampled_from(TENANTS), COUNTS, max_size=3),
+    st.sampled_from((None, *TENANTS)),
+    st.sampled_from((100, 100, 200)),
+)
+
+
+def counters_of(s: UsageSlice) -> UsageSlice:
+    """Return the slice without the contradictions found on the way."""
+    return msgspec.structs.replace(s, contradictions=frozenset())
+
+
+@given(SLICES, SLICES, SLICES)
+def test_merging_is_idempotent_commutative_and_associative(
+    a: UsageSlice, b: UsageSlice, c: UsageSlice
+) -> None:
+    assert merge_slices(a, a) == a
+    assert merge_slices(a, b) == merge_slices(b, a)
+    assert counters_of(merge_slices(merge_slices(a, b), c)) == counters_of(
+        merge_slices(a, merge_slices(b, c))
+    )
+    assert merge_slices(a, merge_slices(a, b)).contradictions == merge_slices(a, b).contradictions
+
+
+@given(SLICES)
+def test_charges_of_a_slice_add_up_to_its_memory_time_under_each_rule(s: UsageSlice) -> None:
+    for rule in AllocationRule:
+        assert sum(allocate_slice(s, rule).values()) == s.memory_time
+
+
+@given(st.integers(0, 10**20), st.dictionaries(st.text(max_size=3), st.integers(0, 99), min_size=1))
+def test_a_proportional_split_adds_up_and_is_within_one_of_the_proportion(
+    total: int, weights: dict[str, int]
+) -> None:
+    if not sum(weights.values()):
+        return
+    parts = split_proportionally(total, weights)
+    assert sum(parts.values()) == total
+    for name, part in parts.items():
+        assert abs(part - Fraction(total * weights[name], sum(weights.values()))) < 1
--- a/packages/metering/tests/test_metering_golden.py
+++ b/packages/metering/tests/test_metering_golden.py
@@ -1,4 +1,4 @@
-"""Workers' books as bytes, and the words that the ledger stores: workers and ledgers of before are read."""
+"""Workers' reports as bytes, and the words that the ledger stores: earlier workers and ledgers are read."""
 
 from __future__ import annotations
 
@@ -8,79 +8,89 @@
 import pytest
 
 from golden_files import assert_as_golden, assert_every_field_tells, json_lines, with_defaults
-from walnutpost.metering import HOUR, UNATTRIBUTED, Action, Book, Report, Rule, Slice, charge
-from walnutpost.metering import ledger as words
-from walnutpost.metering.reports import FIELDS, OPEN
+from walnutpost.metering import (
+    GROUP_FIELDS,
+    HOUR_US,
+    UNATTRIBUTED,
+    AllocationRule,
+    BudgetAction,
+    Cause,
+    LineKind,
+    UsageRecorder,
+    UsageReport,
+    UsageSlice,
+    allocate_slice,
+)
 
 GOLDEN = Path(__file__).parent / "golden"
-START = 500_000 * HOUR  # microseconds since the epoch
+START = 500_000 * HOUR_US  # microseconds since the epoch
 
 # The one place that says which object a golden record is.
-SLICE = Slice(
+SLICE = UsageSlice(
     worker="worker-1",
-    started=START + 2,
+    started_us=START + 2,
     copy=3,
-    hour=START,
+    hour_us=START,
     function="function-5",
     memory_mb=600,
-    heard=START + 7,
-    ended=True,
-    loading=8,
-    unused=9,
-    runs={"tenant-10": 10, "": 11},
-    after={"tenant-12": 12},
-    first="tenant-13",
-    doubts=frozenset({"a counter went down"}),
+    counted_until_us=START + 7,
+    is_final=True,
+    loading_us=8,
+    unused_us=9,
+    running_us={"tenant-10": 10, "": 11},
+    idle_us={"tenant-12": 12},
+    first_tenant="tenant-13",
+    contradictions=frozenset({"a counter went down"}),
 )
-REPORT = Report(
+REPORT = UsageReport(
     worker="worker-1",
-    started=START + 2,
-    at=START + 3,
+    started_us=START + 2,
+    reported_us=START + 3,
     change=4,
     memory_mb=5000,
     slices=[SLICE, with_defaults(SLICE)],
-    draining=True,
-    forgotten=8,
-    forgotten_mb_us=9,
+    is_draining=True,
+    last_evicted_change=8,
+    evicted_mb_us=9,
 )
 
 
-def book_report(after: int = 0) -> Report:
-    """Two copies over an hour's end, as a worker's own book counts them."""
-    book = Book("worker-1", START + 5, 8192)
-    book.begin(START + 10, 1, "price", 400)
-    book.ready(START + 1000, 1)
-    book.ran(START + 2000, 1, "tills")
-    book.ran(START + 2500, 1, "trade")
-    book.begin(START + 3000, 2, "reserve", 300)
-    book.rested(START + 5000, 1, "tills")
-    book.rested(START + 9000, 1, "trade")
-    book.gone(START + HOUR + 700, 1)
-    return book.report(START + HOUR + 900, after=after, draining=True)
+def recorded_report(after_change: int = 0) -> UsageReport:
+    """Two copies over an hour's end, as a worker's own recorder counts them."""
+    recorder = UsageRecorder("worker-1", START + 5, 8192)
+    recorder.start_copy(START + 10, 1, "price", 400)
+    recorder.mark_ready(START + 1000, 1)
+    recorder.start_call(START + 2000, 1, "tills")
+    recorder.start_call(START + 2500, 1, "trade")
+    recorder.start_copy(START + 3000, 2, "reserve", 300)
+    recorder.end_call(START + 5000, 1, "tills")
+    recorder.end_call(START + 9000, 1, "trade")
+    recorder.remove_copy(START + HOUR_US + 700, 1)
+    return recorder.build_report(START + HOUR_US + 900, after_change, is_draining=True)
 
 
 REPORTS = {
     "report": REPORT,
     "report-defaults": with_defaults(REPORT),
-    "report-of-a-book": book_report(),
-    "report-of-a-book-after-a-change": book_report(after=2),
+    "report-of-a-book": recorded_report(),
+    "report-of-a-book-after-a-change": recorded_report(after_change=2),
 }
 STORED_WORDS = {
     "causes": [
-        words.CONTRADICTION,
-        words.REFUSED,
-        words.SILENT,
-        words.FORGOTTEN,
-        words.OVERFULL,
-        words.ESTIMATED,
-        words.TOO_LATE,
-        words.DOWN,
+        Cause.CONTRADICTION,
+        Cause.REJECTED,
+        Cause.SILENT,
+        Cause.EVICTED,
+        Cause.OVER_CAPACITY,
+        Cause.ESTIMATED,
+        Cause.TOO_LATE,
+        Cause.FRONT_END_DOWN,
     ],
-    "rules": {rule.value: charge(SLICE, rule) for rule in Rule},
-    "budget actions": [action.value for action in Action],
+    "rules": {rule.value: allocate_slice(SLICE, rule) for rule in AllocationRule},
+    "budget actions": [action.value for action in BudgetAction],
     "tenant that stands for nobody": UNATTRIBUTED,
-    "fields of a report": FIELDS,
-    "kind of what is not closed": OPEN,
+    "fields of a report": GROUP_FIELDS,
+    "kind of what is not closed": LineKind.OPEN,
 }
 
 
@@ -89,15 +99,15 @@
     return {**files, GOLDEN / "stored-words.json": json_lines(STORED_WORDS)}
 
 
-def test_reports_and_words_are_written_as_before() -> None:
+def test_reports_and_stored_words_are_the_golden_ones() -> None:
     assert_as_golden(golden_files())
 
 
 @pytest.mark.parametrize("name", REPORTS)
-def test_a_report_of_before_is_read(name: str) -> None:
-    assert msgspec.json.decode((GOLDEN / f"{name}.json").read_bytes(), type=Report) == REPORTS[name]
+def test_a_golden_report_is_read(name: str) -> None:
+    assert msgspec.json.decode((GOLDEN / f"{name}.json").read_bytes(), type=UsageReport) == REPORTS[name]
 
 
-def test_every_field_of_a_report_and_its_slices_is_told() -> None:
+def test_every_field_of_a_report_and_its_slices_is_in_the_golden_files() -> None:
     assert_every_field_tells(REPORT)
     assert_every_field_tells(SLICE)
--- a/packages/store/src/walnutpost/store/usage.py
+++ b/packages/store/src/walnutpost/store/usage.py
@@ -11,9 +11,19 @@
 import msgspec
 
 from walnutpost.eventloop import Loop
-from walnutpost.metering import Account, Amount, Batch, Gap, Life, Line, Saved, Seen, Slice
-from walnutpost.metering.records import DAY
-from walnutpost.metering.reports import Kept
+from walnutpost.metering import (
+    DAY_US,
+    Account,
+    Amount,
+    LedgerBatch,
+    LedgerExtract,
+    LedgerLine,
+    LedgerState,
+    UsageGap,
+    UsageSample,
+    UsageSlice,
+    WorkerIncarnation,
+)
 from walnutpost.store.database import COMMIT_RETRY_US, Database, StoreError
 
 SCHEMA = """
@@ -84,7 +94,7 @@
         """Open or make the file. Raises StoreError."""
         super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
 
-    def load(self) -> tuple[Saved, LedgerRun]:
+    def load(self) -> tuple[LedgerState, LedgerRun]:
         """Return the ledger's state and its last run; at start, before the loop runs. Raises StoreError."""
         try:
             state = _state(self._db)
@@ -93,7 +103,7 @@
             raise StoreError(str(error)) from error
         query = (
             "select hour, tenant, function, cause, sum(best), sum(least), sum(most) from lines, accounts"
-            f" where id=account and hour>={saved.drop_before} group by hour, id"
+            f" where id=account and hour>={saved.drop_before_us} group by hour, id"
         )
         for hour, tenant, function, cause, *amount in self.select(query):
             if any(amount):
@@ -101,12 +111,12 @@
         run = LedgerRun(state.get(RUN_STARTED, 0), state.get(RUN_WRITTEN, 0), state.get(RUN_AT_RISK, 0))
         return saved, run
 
-    def write(self, batch: Batch, run: LedgerRun) -> None:
+    def write(self, batch: LedgerBatch, run: LedgerRun) -> None:
         """Return once all of it is durable, in one commit. Raises StoreError, and nothing is written."""
         self.submit(lambda db: write_batch(db, batch, run))
 
 
-def write_batch(db: sqlite3.Connection, batch: Batch, run: LedgerRun) -> None:
+def write_batch(db: sqlite3.Connection, batch: LedgerBatch, run: LedgerRun) -> None:
     """Write a batch as part of a transaction. Raises sqlite3.DatabaseError if it isn't the next in order."""
     (last,) = db.execute("select coalesce(max(value), 0) from state where name=?", (SERIAL,)).fetchone()
     if last != batch.serial - 1:
@@ -118,48 +128,61 @@
     _delete_old(db, batch)
 
 
-def _write_observations(db: sqlite3.Connection, batch: Batch) -> None:
+def _write_observations(db: sqlite3.Connection, batch: LedgerBatch) -> None:
     db.executemany(
         f"insert or replace into slices values ({','.join('?' * SLICE_COLUMNS)})",
         [_slice_row(each) for each in batch.slices],
     )
     db.executemany(
         "insert or replace into lives values (?, ?, ?, ?, ?, ?, ?)",
-        [
-            (x.worker, x.started, x.heard, x.memory_mb, x.change, x.forgotten_mb_us, int(x.draining))
-            for x in batch.lives
-        ],
+        [_incarnation_row(each) for each in batch.incarnations],
     )
     db.executemany(
         "insert or replace into gaps values (?, ?, ?, ?)",
-        [(gap.hour, gap.source, gap.cause, gap.most) for gap in batch.gaps],
+        [(*gap.key, gap.upper_bound_mb_us) for gap in batch.gaps],
     )
     db.executemany(
         "insert or replace into seen values (?, ?, ?, ?, ?, ?, ?, ?)",
-        [(*seen.key, seen.amount.best, seen.amount.least, seen.amount.most) for seen in batch.seen],
+        [(*sample.key, *_amount_columns(sample.amount)) for sample in batch.samples],
     )
 
 
-def _slice_row(each: Slice) -> tuple[object, ...]:
+def _incarnation_row(each: WorkerIncarnation) -> tuple[object, ...]:
     return (
         each.worker,
-        each.started,
+        each.started_us,
+        each.last_heard_us,
+        each.memory_mb,
+        each.change,
+        each.evicted_mb_us,
+        int(each.is_draining),
+    )
+
+
+def _amount_columns(amount: Amount) -> tuple[int, int, int]:
+    return amount.best, amount.lower_bound, amount.upper_bound
+
+
+def _slice_row(each: UsageSlice) -> tuple[object, ...]:
+    return (
+        each.worker,
+        each.started_us,
         each.copy,
-        each.hour,
+        each.hour_us,
         each.function,
         each.memory_mb,
-        each.heard,
-        int(each.ended),
-        each.loading,
-        each.unused,
-        _encode(each.runs).decode(),
-        _encode(each.after).decode(),
-        each.first,
-        _encode(sorted(each.doubts)).decode(),
+        each.counted_until_us,
+        int(each.is_final),
+        each.loading_us,
+        each.unused_us,
+        _encode(each.running_us).decode(),
+        _encode(each.idle_us).decode(),
+        each.first_tenant,
+        _encode(sorted(each.contradictions)).decode(),
     )
 
 
-def _write_lines(db: sqlite3.Connection, batch: Batch) -> None:
+def _write_lines(db: sqlite3.Connection, batch: LedgerBatch) -> None:
     for line in batch.lines:
         account = line.account
         amount = line.amount
@@ -168,15 +191,15 @@
         db.execute(
             "insert into lines select ?, id, ?, ?, ?, ?, ? from accounts"
             " where tenant=? and function=? and cause=?",
-            (line.hour, line.kind, amount.best, amount.least, amount.most, line.at, *key),
+            (line.hour_us, line.kind, *_amount_columns(amount), line.booked_us, *key),
         )
 
 
-def _write_state(db: sqlite3.Connection, batch: Batch, run: LedgerRun) -> None:
+def _write_state(db: sqlite3.Connection, batch: LedgerBatch, run: LedgerRun) -> None:
     state = {
         SERIAL: batch.serial,
-        CLOSED_TO: batch.closed_to,
-        DROPPED_BEFORE: batch.drop_before,
+        CLOSED_TO: batch.closed_to_us,
+        DROPPED_BEFORE: batch.drop_before_us,
         RUN_STARTED: run.started_us,
         RUN_WRITTEN: run.written_us,
         RUN_AT_RISK: run.at_risk_mb,
@@ -184,27 +207,27 @@
     db.executemany("insert or replace into state values (?, ?)", list(state.items()))
 
 
-def _delete_old(db: sqlite3.Connection, batch: Batch) -> None:
+def _delete_old(db: sqlite3.Connection, batch: LedgerBatch) -> None:
     for table in ("slices", "gaps", "seen"):
-        db.execute(f"delete from {table} where hour<?", (batch.drop_before,))
+        db.execute(f"delete from {table} where hour<?", (batch.drop_before_us,))
     db.execute(
         "delete from lives where heard<? and started<(select max(started) from lives l"
         " where l.worker=lives.worker)",
-        (batch.drop_before,),
+        (batch.drop_before_us,),
     )
     # Lines by the hour become lines by the day; closed and corrected stay apart.
     db.execute(
-        f"insert into days select hour/{DAY}*{DAY}, account, kind, sum(best), sum(least), sum(most)"
-        f" from lines where hour<? group by hour/{DAY}, account, kind"
+        f"insert into days select hour/{DAY_US}*{DAY_US}, account, kind, sum(best), sum(least), sum(most)"
+        f" from lines where hour<? group by hour/{DAY_US}, account, kind"
         " on conflict (day, account, kind) do update set"
         " best=best+excluded.best, least=least+excluded.least, most=most+excluded.most",
-        (batch.fold_before,),
+        (batch.fold_before_us,),
     )
-    db.execute("delete from lines where hour<?", (batch.fold_before,))
-    db.execute("delete from days where day<?", (batch.end_before,))
+    db.execute("delete from lines where hour<?", (batch.fold_before_us,))
+    db.execute("delete from days where day<?", (batch.delete_before_us,))
 
 
-def read_ledger(path: Path, since: int, until: int, records: bool = True) -> Kept:
+def read_ledger(path: Path, since: int, until: int, records: bool = True) -> LedgerExtract:
     """Return the hours from `since` to before `until` of a file that may be in use. Raises StoreError.
 
     Without `records`, workers' records are read only for hours that are not closed.
@@ -215,17 +238,17 @@
             db.execute("begin")  # one snapshot for all of it
             state = _state(db)
             records_since = since if records else max(since, state.get(CLOSED_TO, 0))
-            ledger = Kept(_saved(db, state, records_since, until))
-            ledger.lines.extend(_read_lines(db, since, until))
-            ledger.days.extend(_read_days(db, since, until))
+            extract = LedgerExtract(_saved(db, state, records_since, until))
+            extract.hour_lines.extend(_read_lines(db, since, until))
+            extract.day_lines.extend(_read_days(db, since, until))
         finally:
             db.close()
     except sqlite3.Error as error:
         raise StoreError(f"{path}: {error}") from error
-    return ledger
+    return extract
 
 
-def _read_lines(db: sqlite3.Connection, since: int, until: int) -> list[Line]:
+def _read_lines(db: sqlite3.Connection, since: int, until: int) -> list[LedgerLine]:
     rows = db.execute(
         "select hour, tenant, function, cause, kind, best, least, most, at from lines, accounts"
         " where id=account and hour>=? and hour<? order by hour, id, at",
@@ -234,7 +257,7 @@
     return [_line(*row) for row in rows]
 
 
-def _read_days(db: sqlite3.Connection, since: int, until: int) -> list[Line]:
+def _read_days(db: sqlite3.Connection, since: int, until: int) -> list[LedgerLine]:
     rows = db.execute(
         "select day, tenant, function, cause, kind, best, least, most, 0 from days, accounts"
         " where id=account and day>=? and day<? order by day, id",
@@ -245,53 +268,55 @@
 
 def _line(
     hour: int, tenant: str, function: str, cause: str, kind: str, best: int, least: int, most: int, at: int
-) -> Line:
-    return Line(hour, Account(tenant, function, cause), kind, Amount(best, least, most), at)
+) -> LedgerLine:
+    return LedgerLine(hour, Account(tenant, function, cause), kind, Amount(best, least, most), at)
 
 
 def _state(db: sqlite3.Connection) -> dict[str, int]:
     return dict(db.execute("select name, value from state"))
 
 
-def _saved(db: sqlite3.Connection, state: dict[str, int], since: int, until: int) -> Saved:
+def _saved(db: sqlite3.Connection, state: dict[str, int], since: int, until: int) -> LedgerState:
     """Return the state without the booked amounts."""
     span = "where hour>=? and hour<?"
-    return Saved(
+    return LedgerState(
         _slices(db.execute(f"select * from slices {span}", (since, until))),
-        [_life(*row) for row in db.execute("select * from lives")],
-        [Gap(*row) for row in db.execute(f"select * from gaps {span}", (since, until))],
-        [_seen(*row) for row in db.execute(f"select * from seen {span}", (since, until))],
-        closed_to=state.get(CLOSED_TO, 0),
-        drop_before=state.get(DROPPED_BEFORE, 0),
+        [_incarnation(*row) for row in db.execute("select * from lives")],
+        [UsageGap(*row) for row in db.execute(f"select * from gaps {span}", (since, until))],
+        [_sample(*row) for row in db.execute(f"select * from seen {span}", (since, until))],
+        closed_to_us=state.get(CLOSED_TO, 0),
+        drop_before_us=state.get(DROPPED_BEFORE, 0),
         serial=state.get(SERIAL, 0),
     )
 
 
-def _life(
+def _incarnation(
     worker: str, started: int, heard: int, memory_mb: int, change: int, forgotten: int, draining: int
-) -> Life:
-    return Life(worker, started, heard, memory_mb, change, forgotten, bool(draining))
+) -> WorkerIncarnation:
+    return WorkerIncarnation(worker, started, heard, memory_mb, change, forgotten, bool(draining))
 
 
-def _seen(
+def _sample(
     run: int, hour: int, worker: str, function: str, tenant: str, best: int, least: int, most: int
-) -> Seen:
-    return Seen(run, hour, worker, function, tenant, Amount(best, least, most))
+) -> UsageSample:
+    return UsageSample(run, hour, worker, function, tenant, Amount(best, least, most))
 
 
-def _slices(rows: Iterable[tuple[Any, ...]]) -> list[Slice]:
+def _slices(rows: Iterable[tuple[Any, ...]]) -> list[UsageSlice]:
     slices = []
     for row in rows:
         worker, started, copy, hour, function, memory_mb, heard, ended, loading, unused = row[:10]
         runs, after, first, doubts = row[10:]
-        counted = Slice(worker, started, copy, hour, function, memory_mb, heard, bool(ended), loading, unused)
+        counted = UsageSlice(
+            worker, started, copy, hour, function, memory_mb, heard, bool(ended), loading, unused
+        )
         slices.append(
             msgspec.structs.replace(
                 counted,
-                runs=_decode(runs),
-                after=_decode(after),
-                first=first,
-                doubts=frozenset(_decode(doubts)),
+                running_us=_decode(runs),
+                idle_us=_decode(after),
+                first_tenant=first,
+                contradictions=frozenset(_decode(doubts)),
             )
         )
     return slices
--- a/packages/store/tests/stored_state.py
+++ b/packages/store/tests/stored_state.py
@@ -23,9 +23,20 @@
 )
 from walnutpost.journal import Line as JournalLine
 from walnutpost.journal.records import AnyRecord as AnyRecord
-from walnutpost.metering import HOUR, Account, Amount, Batch, Gap, Life, Line, Saved, Seen, Slice
-from walnutpost.metering.records import DAY
-from walnutpost.metering.reports import Kept
+from walnutpost.metering import (
+    DAY_US,
+    HOUR_US,
+    Account,
+    Amount,
+    LedgerBatch,
+    LedgerExtract,
+    LedgerLine,
+    LedgerState,
+    UsageGap,
+    UsageSample,
+    UsageSlice,
+    WorkerIncarnation,
+)
 from walnutpost.store import ExecutionStore, FiringStore, JournalStore, UsageStore
 from walnutpost.store.usage import LedgerRun
 
@@ -146,79 +157,105 @@
 # The ledger of memory-time: one hour by the day, one closed and corrected, one open.
 
 MB_S = 1_000_000
-SLICE = Slice(
+SLICE = UsageSlice(
     worker="worker-1",
-    started=NOW - HOUR + 2,
+    started_us=NOW - HOUR_US + 2,
     copy=3,
-    hour=NOW,
+    hour_us=NOW,
     function="price",
     memory_mb=600,
-    heard=NOW + 900 * MB_S,
-    ended=True,
-    loading=8 * MB_S,
-    unused=9 * MB_S,
-    runs={"tills": 10 * MB_S, "": 11 * MB_S},
-    after={"trade": 12 * MB_S},
-    first="trade",
-    doubts=frozenset({"a counter went down"}),
+    counted_until_us=NOW + 900 * MB_S,
+    is_final=True,
+    loading_us=8 * MB_S,
+    unused_us=9 * MB_S,
+    running_us={"tills": 10 * MB_S, "": 11 * MB_S},
+    idle_us={"trade": 12 * MB_S},
+    first_tenant="trade",
+    contradictions=frozenset({"a counter went down"}),
 )
-BARE_SLICE = Slice("worker-2", NOW + 1, 4, NOW, "reserve", 300, NOW + 60 * MB_S)
-CLOSED_SLICE = Slice(
-    "worker-1", NOW - HOUR + 2, 3, NOW - HOUR, "price", 600, NOW, True, 0, 0, {"tills": 5 * MB_S}, {}, "trade"
+BARE_SLICE = UsageSlice("worker-2", NOW + 1, 4, NOW, "reserve", 300, NOW + 60 * MB_S)
+CLOSED_SLICE = UsageSlice(
+    "worker-1",
+    NOW - HOUR_US + 2,
+    3,
+    NOW - HOUR_US,
+    "price",
+    600,
+    NOW,
+    True,
+    0,
+    0,
+    {"tills": 5 * MB_S},
+    {},
+    "trade",
 )
-LIVES = [
-    Life("worker-1", NOW - HOUR + 2, NOW + 901 * MB_S, 8192, 7, 13, True),
-    Life("worker-2", NOW + 1, NOW + 61 * MB_S, 4096),
+INCARNATIONS = [
+    WorkerIncarnation("worker-1", NOW - HOUR_US + 2, NOW + 901 * MB_S, 8192, 7, 13, True),
+    WorkerIncarnation("worker-2", NOW + 1, NOW + 61 * MB_S, 4096),
+]
+GAPS = [
+    UsageGap(NOW, "worker-3 started 5", "silent", 77 * MB_S),
+    UsageGap(NOW, "front end 6", "front end down", 88),
 ]
-GAPS = [Gap(NOW, "worker-3 started 5", "silent", 77 * MB_S), Gap(NOW, "front end 6", "front end down", 88)]
-SEEN = [
-    Seen(NOW - 5, NOW - HOUR, "worker-4", "reserve", "trade", Amount(9, 8, 10)),
-    Seen(NOW - 5, NOW, "worker-4", "reserve", "tills", Amount(30 * MB_S, 20 * MB_S, 40 * MB_S)),
+SAMPLES = [
+    UsageSample(NOW - 5, NOW - HOUR_US, "worker-4", "reserve", "trade", Amount(9, 8, 10)),
+    UsageSample(NOW - 5, NOW, "worker-4", "reserve", "tills", Amount(30 * MB_S, 20 * MB_S, 40 * MB_S)),
 ]
 TILLS, TRADE = Account("tills", "price"), Account("trade", "reserve", "estimated")
 CLOSED_AMOUNT = Amount(*[600 * 5 * MB_S] * 3)
 LINES = [
-    Line(NOW - HOUR, TILLS, "closed", CLOSED_AMOUNT + Amount(-3, -2, 5), NOW + 300),
-    Line(NOW - HOUR, TILLS, "correction", Amount(3, 2, -5), NOW + 400),
-    Line(NOW - HOUR, TRADE, "closed", Amount(9, 8, 10), NOW + 301),
+    LedgerLine(NOW - HOUR_US, TILLS, "closed", CLOSED_AMOUNT + Amount(-3, -2, 5), NOW + 300),
+    LedgerLine(NOW - HOUR_US, TILLS, "correction", Amount(3, 2, -5), NOW + 400),
+    LedgerLine(NOW - HOUR_US, TRADE, "closed", Amount(9, 8, 10), NOW + 301),
 ]
 OLD_LINES = [
-    Line(NOW - 40 * DAY + at * HOUR, TILLS, kind, Amount(100 + at, 50 + at, 200 + at), NOW)
+    LedgerLine(NOW - 40 * DAY_US + at * HOUR_US, TILLS, kind, Amount(100 + at, 50 + at, 200 + at), NOW)
     for kind in ("closed", "correction")
     for at in (0, 1)
 ]
-OLD_DAY = (NOW - 40 * DAY) // DAY * DAY
+OLD_DAY = (NOW - 40 * DAY_US) // DAY_US * DAY_US
 DAYS = [
-    Line(OLD_DAY, TILLS, "closed", Amount(201, 101, 401), 0),
-    Line(OLD_DAY, TILLS, "correction", Amount(201, 101, 401), 0),
+    LedgerLine(OLD_DAY, TILLS, "closed", Amount(201, 101, 401), 0),
+    LedgerLine(OLD_DAY, TILLS, "correction", Amount(201, 101, 401), 0),
 ]
 RUN = LedgerRun(started_us=NOW - 5, written_us=NOW + 950 * MB_S, at_risk_mb=1234)
 SLICES = [CLOSED_SLICE, SLICE, BARE_SLICE]
-DROP_BEFORE = NOW - 2 * HOUR
-SAVED = Saved(
+DROP_BEFORE = NOW - 2 * HOUR_US
+SAVED = LedgerState(
     slices=SLICES,
-    lives=LIVES,
+    incarnations=INCARNATIONS,
     gaps=GAPS[::-1],  # by source
-    seen=SEEN,
+    samples=SAMPLES,
     booked={},
-    closed_to=NOW,
-    drop_before=DROP_BEFORE,
+    closed_to_us=NOW,
+    drop_before_us=DROP_BEFORE,
     serial=2,
 )
-LEDGER = Kept(SAVED, LINES, DAYS)
-BOOKED = {NOW - HOUR: {TILLS: CLOSED_AMOUNT, TRADE: Amount(9, 8, 10)}}
+LEDGER = LedgerExtract(SAVED, LINES, DAYS)
+BOOKED = {NOW - HOUR_US: {TILLS: CLOSED_AMOUNT, TRADE: Amount(9, 8, 10)}}
 
 
 def write_usage(path: Path) -> None:
     """The content of USAGE_DUMP, in two batches: the second drops, folds and ends what is old."""
     loop = Loop()
     store = UsageStore(loop, path)
-    dropped = Slice("worker-1", NOW - HOUR + 2, 1, NOW - 3 * HOUR, "price", 600, NOW - 2 * HOUR)
-    ended = [Line(NOW - 500 * DAY, TILLS, "closed", Amount(1, 1, 1), NOW)]
-    ends = DROP_BEFORE, NOW - 35 * DAY, NOW - 400 * DAY
+    dropped = UsageSlice("worker-1", NOW - HOUR_US + 2, 1, NOW - 3 * HOUR_US, "price", 600, NOW - 2 * HOUR_US)
+    ended = [LedgerLine(NOW - 500 * DAY_US, TILLS, "closed", Amount(1, 1, 1), NOW)]
+    ends = DROP_BEFORE, NOW - 35 * DAY_US, NOW - 400 * DAY_US
     batches = [
-        Batch([CLOSED_SLICE, dropped], LIVES[:1], GAPS[:1], [], [*OLD_LINES, *ended], NOW - HOUR, 0, 0, 0, 1),
-        Batch([SLICE, BARE_SLICE], LIVES[1:], GAPS[1:], SEEN, LINES, NOW, *ends, 2),
+        LedgerBatch(
+            [CLOSED_SLICE, dropped],
+            INCARNATIONS[:1],
+            GAPS[:1],
+            [],
+            [*OLD_LINES, *ended],
+            NOW - HOUR_US,
+            0,
+            0,
+            0,
+            1,
+        ),
+        LedgerBatch([SLICE, BARE_SLICE], INCARNATIONS[1:], GAPS[1:], SAMPLES, LINES, NOW, *ends, 2),
     ]
 
     def write() -> None:
--- a/packages/store/tests/test_store_golden.py
+++ b/packages/store/tests/test_store_golden.py
@@ -40,8 +40,7 @@
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Status
 from walnutpost.journal import IntervalSet, make_batch
-from walnutpost.metering import HOUR
-from walnutpost.metering.records import DAY
+from walnutpost.metering import DAY_US, HOUR_US
 from walnutpost.store import ExecutionQuery, UsageStore, read_history, read_ledger
 from walnutpost.store.firings import FiringRow
 
@@ -144,13 +143,13 @@
 def test_ledger_when_read_from_a_golden_file_has_its_totals(tmp_path: Path) -> None:
     path = restore_dump(USAGE_DUMP, tmp_path / "usage.db")
     assert read_ledger(path, 0, 1 << 62) == LEDGER
-    assert read_ledger(path, NOW - 10 * DAY, NOW, records=False).lines == LEDGER.lines
+    assert read_ledger(path, NOW - 10 * DAY_US, NOW, records=False).hour_lines == LEDGER.hour_lines
     store = UsageStore(Loop(), path)
     saved, run = store.load()
     store.close()
     assert run == RUN
     assert saved == replace(SAVED, booked=BOOKED)
-    assert set(BOOKED) == {NOW - HOUR}
+    assert set(BOOKED) == {NOW - HOUR_US}
 
 
 def test_corrupt_line_when_stored_keeps_its_number_as_in_the_golden_file(tmp_path: Path) -> None:
--- a/packages/workerclient/src/walnutpost/workerclient/client.py
+++ b/packages/workerclient/src/walnutpost/workerclient/client.py
@@ -16,7 +16,7 @@
     Send,
     Unload,
 )
-from walnutpost.metering import Report
+from walnutpost.metering import UsageReport
 from walnutpost.workerclient import queries
 from walnutpost.workerclient.attempts import AttemptSender
 from walnutpost.workerclient.connector import Connector
@@ -142,7 +142,7 @@
         """Check a worker's health; `done` gets the outcome and the load report."""
         self._prober.probe(effect, done)
 
-    def fetch_usage(self, worker: str, started: int, after_change: int) -> Report | None:
+    def fetch_usage(self, worker: str, started: int, after_change: int) -> UsageReport | None:
         """Fetch the worker's usage records newer than a change; None where it has none.
 
         Raises WorkerUnavailableError without a response, InvalidUsageReportError for one that can't be used.
--- a/packages/workerclient/src/walnutpost/workerclient/codec.py
+++ b/packages/workerclient/src/walnutpost/workerclient/codec.py
@@ -17,7 +17,7 @@
 
 from walnutpost.http import Response, encode_request
 from walnutpost.interface import Outcome, Warmth
-from walnutpost.metering import Report
+from walnutpost.metering import UsageReport
 from walnutpost.workerclient import orca
 from walnutpost.workerclient.errors import InvalidUsageReportError
 
@@ -126,7 +126,7 @@
     return encode_request("GET", f"{USAGE_PATH}?started={started}&after={after_change}", HOST, {})
 
 
-def decode_usage_response(response: Response) -> Report | None:
+def decode_usage_response(response: Response) -> UsageReport | None:
     """Return the usage report, or None where the worker has none. Raise InvalidUsageReportError."""
     if response.status == HTTPStatus.NOT_FOUND:
         return None
@@ -134,7 +134,7 @@
         found, wanted = f"status {response.status}", "200"
         raise InvalidUsageReportError(found, wanted, f"found {found}, wanted {wanted}")
     try:
-        return msgspec.json.decode(response.body, type=Report)
+        return msgspec.json.decode(response.body, type=UsageReport)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         raise InvalidUsageReportError("an invalid body", "a usage report", str(error)) from error
 
--- a/packages/workerclient/src/walnutpost/workerclient/queries.py
+++ b/packages/workerclient/src/walnutpost/workerclient/queries.py
@@ -8,7 +8,7 @@
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Probe, ProbeEnded
 from walnutpost.interface import Outcome
-from walnutpost.metering import Report
+from walnutpost.metering import UsageReport
 from walnutpost.workerclient import codec, orca
 from walnutpost.workerclient.delivery import Delivery
 from walnutpost.workerclient.errors import WorkerUnavailableError
@@ -43,7 +43,7 @@
 
 def fetch_usage(
     delivery: Delivery, worker: str, started: int, after_change: int, timeout_us: int
-) -> Report | None:
+) -> UsageReport | None:
     """Fetch usage records; see `WorkerClient.fetch_usage`."""
     request = delivery.make_request(
         worker, lambda: codec.encode_usage_query(started, after_change), timeout_us
