--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -68,8 +68,8 @@
     def script() -> None:
         functions_by_name, add_execution = mutable_functions(f.front), f.front._store.add
 
-        def add_then_change(execution: Execution, also: Change | None = None) -> None:
-            add_execution(execution, also)
+        def add_then_change(execution: Execution, extra_change: Change | None = None) -> None:
+            add_execution(execution, extra_change)
             if is_removed:
                 del functions_by_name["price"]
             else:
--- a/packages/policy/tests/rig.py
+++ b/packages/policy/tests/rig.py
@@ -1,4 +1,4 @@
-"""Short ways to build settings and events for the tests; no behaviour of a fleet is modelled here."""
+"""Builders of settings and events for the tests; no behaviour of a fleet is modelled here."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from walnutpost.policy import Router
 
 SECOND = 1_000_000
-KEEP = 10 * SECOND
+KEEP_ALIVE_US = 10 * SECOND
 
 SAFE = api.RequestClass(SECOND, 3 * SECOND, 1.0, 0.2, api.Effect.SAFE, api.Group.ALL, 0, False, 0.0)
 UNSAFE = replace(SAFE, priority_weight=2.0, effect=api.Effect.UNSAFE)
@@ -24,7 +24,7 @@
     front_ends=1,
     index=0,
     tick_us=4_000,
-    keep_alive_us=KEEP,
+    keep_alive_us=KEEP_ALIVE_US,
     load_order_timeout_us=10 * SECOND,
     may_order_loads=True,
     loads_on_miss=False,
@@ -54,29 +54,33 @@
         self.actions: list[api.Action] = []
         self.all: list[api.Action] = []
         self._next = 0
-        self.listed(api.ListKind.CACHED, *(worker(i) for i in range(1, workers + 1)))
+        self.list_workers(api.ListKind.CACHED, *(worker(i) for i in range(1, workers + 1)))
 
     def feed(self, event: api.Event) -> list[api.Action]:
         self.actions = self.router.handle(self.now, event)
         self.all += self.actions
         return self.actions
 
-    def listed(self, kind: api.ListKind, *workers: api.Worker) -> list[api.Action]:
+    def list_workers(self, kind: api.ListKind, *workers: api.Worker) -> list[api.Action]:
         return self.feed(api.WorkersListed(kind, 1, workers))
 
-    def ask(self, function: int = 7, cls: int = 0, left: int = 3 * SECOND, lanes: float = 2) -> int:
+    def ask(
+        self, function: int = 7, class_index: int = 0, time_left_us: int = 3 * SECOND, lanes: float = 2
+    ) -> int:
         self._next += 1
         self.feed(
-            api.RequestArrived(self._next, cls, 0, function, left, None, 300.0, lanes, SECOND // 2, False)
+            api.RequestArrived(
+                self._next, class_index, 0, function, time_left_us, None, 300.0, lanes, SECOND // 2, False
+            )
         )
         return self._next
 
     def feed_request(self, function: int) -> list[api.Action]:
-        """The actions of a request for the function."""
+        """Return the actions of a request for the function."""
         self.ask(function=function)
         return self.actions
 
-    def ended(
+    def attempt_ended(
         self,
         request: int,
         attempt: int,
@@ -88,7 +92,7 @@
         ok = outcome is api.Outcome.OK
         return self.feed(api.AttemptEnded(request, attempt, worker, outcome, latency, ok, warmth, 0, ()))
 
-    def held(
+    def load_ended(
         self,
         worker: int,
         copies: int = 1,
@@ -96,11 +100,11 @@
         outcome: api.Outcome = api.Outcome.OK,
         wanted: int = 0,
     ) -> list[api.Action]:
-        """`wanted` is above 0 where the end is that of an order of this router's, not of a question."""
+        """Feed the end of a load order; `wanted` is above 0 for an order of this router, 0 for a poll."""
         return self.feed(api.LoadOrderEnded(worker, function, outcome, 500_000, copies, wanted))
 
     def pass_time(self, span: int, step: int = 20_000) -> list[api.Action]:
-        """Lets the clock run with nothing but timers; returns all that was done meanwhile."""
+        """Advance the clock with timers only; return all actions meanwhile."""
         done: list[api.Action] = []
         end = self.now + span
         while self.now < end:
@@ -109,12 +113,12 @@
         return done
 
     def warm(self, *workers: int, function: int = 7) -> None:
-        """Makes the router believe in copies on these workers."""
+        """Feed events after which the router believes that these workers have copies."""
         request = self.ask(function)
         for wid in workers:
-            self.held(wid, function=function)
+            self.load_ended(wid, function=function)
         sent = next(s for s in of(api.Send, self.all) if s.request == request)
-        self.ended(request, 0, sent.worker)
+        self.attempt_ended(request, 0, sent.worker)
 
 
 def of(kind: Any, actions: list[api.Action]) -> list[Any]:
@@ -122,5 +126,5 @@
 
 
 def orders(actions: list[api.Action]) -> list[api.LoadOrder]:
-    """Hold orders that count, not mere questions."""
+    """Return the load orders for copies, without polls."""
     return [a for a in of(api.LoadOrder, actions) if a.copies > 0]
--- a/packages/policy/tests/test_defences.py
+++ b/packages/policy/tests/test_defences.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from rig import KEEP, KEYED, SECOND, SETTINGS, Rig, of, orders, worker
+from rig import KEEP_ALIVE_US, KEYED, SECOND, SETTINGS, Rig, of, orders, worker
 from test_mechanism import first_in_order
 from walnutpost import interface as api
 from walnutpost.policy.timers import TimerKind
@@ -21,7 +21,7 @@
 
 
 def test_replaced_timers_do_not_multiply() -> None:
-    """Days stalled: each fired wake left another behind, and their number grew without end."""
+    """Regression: each timer that fired left another one armed, and their number grew without limit."""
     spent = replace(SETTINGS.guards, load_order_window_us=SECOND)
     rig = Rig(settings=replace(SETTINGS, guards=spent))
     for _ in range(40):
@@ -35,9 +35,9 @@
 def test_silent_worker_is_probed_then_set_aside_and_safe_work_moves() -> None:
     rig = Rig()
     rig.warm(1, 2)
-    safe, unsafe = rig.ask(), rig.ask(cls=1)
+    safe, unsafe = rig.ask(), rig.ask(class_index=1)
     at = {s.request: s.worker for s in of(api.Send, rig.all)}
-    rig.ended(unsafe, 0, at[unsafe])
+    rig.attempt_ended(unsafe, 0, at[unsafe])
     done = rig.pass_time(900_000, step=4_000)
     assert at[safe] in {a.worker for a in asks(done)}
     moved = [s for s in of(api.Send, done) if s.request == safe]
@@ -50,7 +50,7 @@
 def test_unsafe_work_on_a_silent_worker_is_not_retried() -> None:
     rig = Rig()
     rig.warm(1, 2)
-    rid = rig.ask(cls=1)
+    rid = rig.ask(class_index=1)
     done = rig.pass_time(3 * SECOND, step=4_000)
     assert not [s for s in of(api.Send, done) if s.request == rid]
     assert of(api.Fail, done) == [api.Fail(rid)]
@@ -67,7 +67,7 @@
         rig.now += 4_000
         for ask in asks(rig.feed(api.TimerDue(1))):
             rig.feed(api.LoadOrderEnded(ask.worker, ask.function, Outcome.OK, 1_000, 1))
-    rig.ended(1, 0, sent.worker)
+    rig.attempt_ended(1, 0, sent.worker)
     rig.ask()
     assert of(api.Send, rig.actions)
 
@@ -90,7 +90,7 @@
     rig = Rig(workers=4)
     rig.warm(1, 2, 3, 4)
     for _ in range(8):
-        rig.ask(cls=1)
+        rig.ask(class_index=1)
     assert {a.worker for a in asks(rig.pass_time(SECOND, step=4_000))} == {1, 2, 3, 4}
     known = rig.router.endpoints.workers.values()
     assert len([w for w in known if w.silent_since_us is not None]) == 2
@@ -102,17 +102,17 @@
     rid = rig.ask()
     lost = of(api.Send, rig.actions)[0].worker
     rig.pass_time(SECOND, step=4_000)
-    rig.ended(rid, 1, 3 - lost)
+    rig.attempt_ended(rid, 1, 3 - lost)
     rig.feed(api.LoadOrderEnded(lost, 7, Outcome.OK, 1_000, 1))
     for _ in range(10):  # answers enough that four at once are no shortage
         rid = rig.ask()
-        rig.ended(rid, 0, of(api.Send, rig.actions)[0].worker)
+        rig.attempt_ended(rid, 0, of(api.Send, rig.actions)[0].worker)
     chosen = {s.worker for _ in range(4) for s in of(api.Send, _ask(rig))}
     assert chosen == {1, 2}
 
 
-def _ask(rig: Rig, cls: int = 0) -> list[api.Action]:
-    rig.ask(cls=cls)
+def _ask(rig: Rig, class_index: int = 0) -> list[api.Action]:
+    rig.ask(class_index=class_index)
     return rig.actions
 
 
@@ -120,9 +120,9 @@
     rig = Rig()
     rig.ask()
     first = orders(rig.actions)[0].worker
-    second = orders(rig.held(first, copies=0, outcome=Outcome.ERROR))
+    second = orders(rig.load_ended(first, copies=0, outcome=Outcome.ERROR))
     assert [o.worker for o in second] == [first_in_order()[1]]
-    assert not orders(rig.held(second[0].worker, copies=0, outcome=Outcome.ERROR))
+    assert not orders(rig.load_ended(second[0].worker, copies=0, outcome=Outcome.ERROR))
     third = orders(rig.pass_time(2 * SECOND, step=4_000))
     assert third and third[0].worker == first_in_order()[2]
 
@@ -130,11 +130,11 @@
 def test_full_answer_to_a_load_ends_the_belief_in_the_copy() -> None:
     """On scan days a copy only sent to was believed in, and drew full answers by the hundred."""
     rig = Rig(settings=replace(SETTINGS, loads_on_miss=True, may_order_loads=False))
-    rid = rig.ask(cls=1)
+    rid = rig.ask(class_index=1)
     where = of(api.Send, rig.actions)[0].worker
-    again = of(api.Send, rig.ended(rid, 0, where, Outcome.FULL))
+    again = of(api.Send, rig.attempt_ended(rid, 0, where, Outcome.FULL))
     assert again and again[0].worker != where
-    rig.ended(rid, 1, again[0].worker, Outcome.FULL)
+    rig.attempt_ended(rid, 1, again[0].worker, Outcome.FULL)
     rig.ask()
     assert not of(api.Send, rig.actions)
 
@@ -156,10 +156,10 @@
 def test_miss_voids_the_belief_and_loads_again() -> None:
     rig = Rig()
     rig.warm(1)
-    rid = rig.ask(cls=1)
-    actions = rig.ended(rid, 0, 1, Outcome.MISS, warmth=api.Warmth.UNREPORTED)
+    rid = rig.ask(class_index=1)
+    actions = rig.attempt_ended(rid, 0, 1, Outcome.MISS, warmth=api.Warmth.UNREPORTED)
     assert not of(api.Send, actions) and orders(actions)
-    assert [s.request for s in of(api.Send, rig.held(orders(actions)[0].worker))] == [rid]
+    assert [s.request for s in of(api.Send, rig.load_ended(orders(actions)[0].worker))] == [rid]
 
 
 def test_shedding_begins_with_the_backlog_and_takes_the_lowest_priority_first() -> None:
@@ -170,13 +170,13 @@
     refused: list[int] = []
     for n in range(600):
         rig.now += 5_000
-        rid = rig.ask(cls=n % 2)
+        rid = rig.ask(class_index=n % 2)
         if of(api.Reject, rig.actions):
             refused.append(n % 2)
         open_requests += [(s.request, s.worker) for s in of(api.Send, rig.actions)]
         if n % 4 and open_requests:
             done, where = open_requests.pop(0)
-            rig.ended(done, 0, where, latency=SECOND)
+            rig.attempt_ended(done, 0, where, latency=SECOND)
         assert rid
     assert len(refused) > 60
     assert refused.count(0) > 4 * refused.count(1)
@@ -200,7 +200,7 @@
         queue += [(s.request, s.worker) for s in of(api.Send, actions)]
         if n % 2 and queue:
             done, where = queue.pop(0)
-            rig.ended(done, 0, where, latency=SECOND)
+            rig.attempt_ended(done, 0, where, latency=SECOND)
     assert refused[0] / asked[0] > 3 * refused[1] / asked[1]
 
 
@@ -220,7 +220,7 @@
         queue += [(s.request, s.worker) for s in of(api.Send, rig.actions)]
         if n % 4 and queue:
             done, where = queue.pop(0)
-            rig.ended(done, 0, where, latency=SECOND)
+            rig.attempt_ended(done, 0, where, latency=SECOND)
     assert refused[1] > 1.5 * refused[0]
 
 
@@ -231,12 +231,12 @@
     queue: list[tuple[int, int]] = []
     for _ in range(100):
         rig.now += 10_000
-        rig.ask(left=3 * SECOND)
+        rig.ask(time_left_us=3 * SECOND)
         assert not of(api.Reject, rig.actions)
         queue += [(s.request, s.worker) for s in of(api.Send, rig.actions)]
         if len(queue) > 20:
             done, where = queue.pop(0)
-            rig.ended(done, 0, where, latency=200_000)
+            rig.attempt_ended(done, 0, where, latency=200_000)
 
 
 def test_slow_worker_loses_traffic_and_its_copy_is_replaced() -> None:
@@ -246,7 +246,7 @@
         rig.now += 50_000
         rid = rig.ask()
         for s in of(api.Send, rig.actions):
-            rig.ended(rid, 0, s.worker, latency=900_000 if s.worker == 1 else 100_000)
+            rig.attempt_ended(rid, 0, s.worker, latency=900_000 if s.worker == 1 else 100_000)
     chosen = [s.worker for _ in range(2) for s in of(api.Send, _ask(rig))]
     assert chosen == [2, 2]
     other = Rig(workers=3)
@@ -255,8 +255,8 @@
         other.now += 50_000
         rid = other.ask()
         for s in of(api.Send, other.actions):
-            other.ended(rid, 0, s.worker, latency=900_000 if s.worker == 1 else 100_000)
-    other.listed(api.ListKind.DELTA, replace(_worker(2), state=api.WorkerState.GONE))
+            other.attempt_ended(rid, 0, s.worker, latency=900_000 if s.worker == 1 else 100_000)
+    other.list_workers(api.ListKind.DELTA, replace(_worker(2), state=api.WorkerState.GONE))
     other.ask()
     assert of(api.Send, other.actions)[0].worker == 1
     assert [o.worker for o in orders(other.actions)] == [3]
@@ -269,17 +269,17 @@
         first = [(rid, of(api.Send, rig.actions)[0].worker) for rid in (rig.ask() for _ in range(8))]
         for rid, wid in first:
             rig.now += 10_000
-            rig.ended(rid, 0, wid, api.Outcome.ERROR if wid == 1 else api.Outcome.OK)
+            rig.attempt_ended(rid, 0, wid, api.Outcome.ERROR if wid == 1 else api.Outcome.OK)
             for again in of(api.Send, rig.actions):
-                rig.ended(rid, 1, again.worker)
+                rig.attempt_ended(rid, 1, again.worker)
     sent = [s.worker for _ in range(2) for s in of(api.Send, _ask(rig))]
     assert sent == [2, 2]
-    rig.listed(api.ListKind.DELTA, replace(_worker(2), state=api.WorkerState.GONE))
-    assert not of(api.Send, _ask(rig, cls=1))  # unsafe: waits for a copy elsewhere, which is ordered
+    rig.list_workers(api.ListKind.DELTA, replace(_worker(2), state=api.WorkerState.GONE))
+    assert not of(api.Send, _ask(rig, class_index=1))  # unsafe: waits for a copy elsewhere, which is ordered
     assert [o.worker for o in orders(rig.all)][-1] == 3
     assert [s.worker for s in of(api.Send, _ask(rig))] == [1]  # safe: better than waiting
-    rig.now += KEEP // 2
-    assert [s.worker for s in of(api.Send, _ask(rig, cls=1))] == [1]
+    rig.now += KEEP_ALIVE_US // 2
+    assert [s.worker for s in of(api.Send, _ask(rig, class_index=1))] == [1]
 
 
 def test_a_worker_with_some_errors_comes_second_for_unsafe_calls() -> None:
@@ -288,12 +288,12 @@
     for number in range(32):
         rid = rig.ask()
         wid = of(api.Send, rig.actions)[0].worker
-        rig.ended(rid, 0, wid, api.Outcome.ERROR if wid == 1 and number % 4 == 0 else api.Outcome.OK)
+        rig.attempt_ended(rid, 0, wid, api.Outcome.ERROR if wid == 1 and number % 4 == 0 else api.Outcome.OK)
         for again in of(api.Send, rig.actions):
-            rig.ended(rid, 1, again.worker)
+            rig.attempt_ended(rid, 1, again.worker)
         rig.now += 10_000
         if wid == 1 and number % 4 == 0:
-            assert [s.worker for _ in range(5) for s in of(api.Send, _ask(rig, cls=1))] == [2] * 5
+            assert [s.worker for _ in range(5) for s in of(api.Send, _ask(rig, class_index=1))] == [2] * 5
             return
     raise AssertionError("worker 1 got no call")
 
@@ -304,22 +304,22 @@
     for _ in range(30):
         rid, attempt = rig.ask(), 0
         while sends := of(api.Send, rig.actions):
-            rig.ended(rid, attempt, sends[0].worker, api.Outcome.ERROR)
+            rig.attempt_ended(rid, attempt, sends[0].worker, api.Outcome.ERROR)
             attempt += 1
-    assert of(api.Send, _ask(rig, cls=1))
+    assert of(api.Send, _ask(rig, class_index=1))
 
 
-def test_a_worker_is_set_aside_after_a_reset_only_if_the_probe_breaks_too() -> None:
-    for asked, aside in ((api.Outcome.OK, False), (api.Outcome.CONNECT_FAILED, True)):
+def test_a_worker_is_ejected_after_a_reset_only_if_the_probe_fails_too() -> None:
+    for poll_outcome, is_ejected in ((api.Outcome.OK, False), (api.Outcome.CONNECT_FAILED, True)):
         rig = Rig(workers=4)
         rig.warm(1, 2)
-        rid = rig.ask(cls=1)
+        rid = rig.ask(class_index=1)
         worker = of(api.Send, rig.actions)[0].worker
-        rig.ended(rid, 0, worker, api.Outcome.RESET)
-        (question,) = [h for h in of(api.LoadOrder, rig.actions) if not h.copies]
-        assert question.worker == worker and not of(api.Log, rig.actions)
-        rig.held(worker, 1, outcome=asked)
-        assert bool(of(api.Log, rig.actions)) is aside
+        rig.attempt_ended(rid, 0, worker, api.Outcome.RESET)
+        (poll,) = [h for h in of(api.LoadOrder, rig.actions) if not h.copies]
+        assert poll.worker == worker and not of(api.Log, rig.actions)
+        rig.load_ended(worker, 1, outcome=poll_outcome)
+        assert bool(of(api.Log, rig.actions)) is is_ejected
 
 
 def _worker(wid: int) -> api.Worker:
@@ -335,9 +335,9 @@
             function = 7 if n % 4 == 0 else 100 + n
             rid = rig.ask(function)
             for order in orders(rig.actions):
-                rig.held(order.worker, function=order.function)
+                rig.load_ended(order.worker, function=order.function)
             sent = next(s for s in of(api.Send, rig.all) if s.request == rid)
-            rig.ended(rid, 0, sent.worker)
+            rig.attempt_ended(rid, 0, sent.worker)
             rig.now += SECOND // 10
         return len(rig.router.functions.by_key[7].copies)
 
@@ -354,8 +354,8 @@
         rig.warm(1)
         for _ in range(30):  # half a call a second at each: a worker bears 25 a second for all
             rig.now += 2 * SECOND
-            rig.ended(rid := rig.ask(), 0, rig.router.requests.by_id[rid].attempts[0].worker)
-        rig.listed(api.ListKind.DELTA, worker(2, started=rig.now))
+            rig.attempt_ended(rid := rig.ask(), 0, rig.router.requests.by_id[rid].attempts[0].worker)
+        rig.list_workers(api.ListKind.DELTA, worker(2, started=rig.now))
         sends += rig.router.slow_start.has_budget(rig.router.endpoints.workers[2])
     assert 0 < sends < 0.2 * 4 * 25  # start share x multiple x rate x the window of a second
 
@@ -372,9 +372,9 @@
             rig.now += SECOND // 4
             rid = rig.ask()
             chosen.append(of(api.Send, rig.actions)[0].worker)
-            told = (0.1, 0.95 if chosen[-1] == 1 else 0.4)
+            report = (0.1, 0.95 if chosen[-1] == 1 else 0.4)
             rig.feed(
-                api.AttemptEnded(rid, 0, chosen[-1], Outcome.OK, 100_000, True, api.Warmth.WARM, 0, told)
+                api.AttemptEnded(rid, 0, chosen[-1], Outcome.OK, 100_000, True, api.Warmth.WARM, 0, report)
             )
         return chosen.count(1)
 
@@ -389,21 +389,21 @@
         rig.router.context.now_us = rig.now
         rig.router.outliers.record_sample(slow, 4.0, 1)
     assert rig.router.outliers.slowness(slow) > 3
-    rig.router.context.now_us += 3 * KEEP
+    rig.router.context.now_us += 3 * KEEP_ALIVE_US
     assert rig.router.outliers.slowness(slow) == 1.0
 
 
 def test_copies_that_the_others_calls_refresh_are_not_refreshed_by_orders() -> None:
-    """At 70 front ends four orders went out a request, nearly all for copies that others kept in use."""
+    """At 70 front ends four orders went out a request, nearly all for copies that other front ends used."""
 
     def renewals(front_ends: int) -> int:
-        rig = Rig(1, replace(SETTINGS, front_ends=front_ends, keep_alive_us=KEEP))
+        rig = Rig(1, replace(SETTINGS, front_ends=front_ends, keep_alive_us=KEEP_ALIVE_US))
         rig.warm(1)
         for _ in range(4):
             rig.now += SECOND // 10
             rid = rig.ask()
-            rig.ended(rid, 0, of(api.Send, rig.actions)[0].worker)
-        return len(orders(rig.pass_time(KEEP, step=100_000)))
+            rig.attempt_ended(rid, 0, of(api.Send, rig.actions)[0].worker)
+        return len(orders(rig.pass_time(KEEP_ALIVE_US, step=100_000)))
 
     assert renewals(1) >= 1
     assert renewals(70) == 0
@@ -414,7 +414,7 @@
     site = replace(SETTINGS, limits=replace(SETTINGS.limits, max_attempts=1))
     rig = Rig(12, site)
     rig.warm(*range(1, 13))
-    stuck = [rig.ask(left=20 * SECOND) for _ in range(8)]
+    stuck_requests = [rig.ask(time_left_us=20 * SECOND) for _ in range(8)]
     refused = 0
     for n in range(60):
         rig.now += SECOND // 8
@@ -424,21 +424,21 @@
         sent = of(api.Send, rig.actions)
         refused += not sent and n > 24
         if sent:
-            rig.ended(rid, 0, sent[0].worker, latency=50_000)
-    assert rig.router.endpoints.total_in_flight >= len(stuck) // 2
+            rig.attempt_ended(rid, 0, sent[0].worker, latency=50_000)
+    assert rig.router.endpoints.total_in_flight >= len(stuck_requests) // 2
     assert refused == 0
 
 
 def test_parts_of_the_slow_start_budget_above_one_send_add_up_to_it_as_well() -> None:
-    """Each of twenty rounded its part up to the next whole send: 1.1 became 2."""
+    """Regression: each of twenty front ends rounded its share up to a whole send: 1.1 became 2."""
     sends, front_ends = 0, 20
     for index in range(front_ends):
         rig = Rig(2, replace(SETTINGS, front_ends=front_ends, index=index, keep_alive_us=100 * SECOND))
         rig.warm(1)
         for _ in range(100):  # 4.6 calls a second at each of two workers
             rig.now += SECOND * 10 // 46
-            rig.ended(rid := rig.ask(), 0, rig.router.requests.by_id[rid].attempts[0].worker)
-        rig.listed(api.ListKind.DELTA, worker(2, started=rig.now))
+            rig.attempt_ended(rid := rig.ask(), 0, rig.router.requests.by_id[rid].attempts[0].worker)
+        rig.list_workers(api.ListKind.DELTA, worker(2, started=rig.now))
         cold = rig.router.endpoints.workers[2]
         while rig.router.slow_start.has_budget(cold):
             cold.recent_sends_us.append(rig.now)
@@ -451,8 +451,8 @@
     """Its first answer, a millisecond after it began to count, was a rate of a thousand a second."""
     rig = Rig(2)
     rig.warm(1)
-    rig.listed(api.ListKind.DELTA, worker(2, started=rig.now))
-    rig.ended(rig.ask(), 0, 1, latency=1000)
+    rig.list_workers(api.ListKind.DELTA, worker(2, started=rig.now))
+    rig.attempt_ended(rig.ask(), 0, 1, latency=1000)
     rig.now += 1000
     rig.feed(api.TimerDue(1))
     cold, sends = rig.router.endpoints.workers[2], 0
@@ -470,21 +470,23 @@
 def test_a_send_says_how_long_its_decision_is_valid() -> None:
     rig = Rig(2)
     rig.warm(1, 2)
-    rig.ask(left=SECOND // 2)
+    rig.ask(time_left_us=SECOND // 2)
     assert holds_for(rig) == SECOND // 2 - SETTINGS.tick_us, "no first byte once the answer is out"
     rig.ask()
     assert holds_for(rig) == SETTINGS.guards.drain_grace_us
-    keyed = rig.ask(cls=2)
+    keyed = rig.ask(class_index=2)
     first = of(api.Send, rig.actions)[0].worker
     rig.now += SECOND // 4
-    rig.ended(keyed, 0, first, Outcome.RESET)
+    rig.attempt_ended(keyed, 0, first, Outcome.RESET)
     assert holds_for(rig) == KEYED.repeat_window_us - SECOND // 4, (
         "counted from the attempt that may have run"
     )
     for _ in range(40):
         rig.now += SECOND // 10
-        rig.ended(rid := rig.ask(), 0, rig.router.requests.by_id[rid].attempts[0].worker)
-    rig.listed(api.ListKind.DELTA, worker(1, started=rig.now - SECOND), worker(2, started=rig.now - SECOND))
+        rig.attempt_ended(rid := rig.ask(), 0, rig.router.requests.by_id[rid].attempts[0].worker)
+    rig.list_workers(
+        api.ListKind.DELTA, worker(1, started=rig.now - SECOND), worker(2, started=rig.now - SECOND)
+    )
     rig.warm(1, 2)
     rig.ask()
     assert holds_for(rig) == rig.router.context.grace_us, (
@@ -504,9 +506,9 @@
 def test_open_and_new_requests_are_answered_within_the_time_of_a_shutdown(cls: int, final: Any) -> None:
     rig = Rig(1)
     rig.warm(1)
-    early = rig.ask(cls=cls, left=60 * SECOND)
+    early = rig.ask(class_index=cls, time_left_us=60 * SECOND)
     rig.feed(api.ShuttingDown(SECOND))
-    late = rig.ask(cls=cls, left=60 * SECOND)
+    late = rig.ask(class_index=cls, time_left_us=60 * SECOND)
     rig.now += SECOND - SETTINGS.tick_us
     rig.feed(api.TimerDue(1))
     assert [a.request for a in of(final, rig.actions)] == [early, late]
--- a/packages/policy/tests/test_guards.py
+++ b/packages/policy/tests/test_guards.py
@@ -1,4 +1,4 @@
-"""The five rules, each at its boundary."""
+"""The five guards of the router, each at its limit."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 def test_queued_request_is_answered_once_just_before_its_deadline() -> None:
     rig = Rig()
-    rid = rig.ask(left=SECOND)  # far less than the class's deadline
+    rid = rig.ask(time_left_us=SECOND)  # far less than the class's deadline
     assert not finals(rig.pass_time(SECOND - 8_000, step=4_000))
     assert finals(rig.pass_time(8_000, step=4_000)) == [api.Reject(rid, SECOND // 4)]
     assert not of((api.Send, api.Reject, api.Fail), rig.pass_time(5 * SECOND))
@@ -28,24 +28,24 @@
 
 def test_request_without_time_left_is_rejected_at_once() -> None:
     rig = Rig()
-    rid = rig.ask(left=0)
+    rid = rig.ask(time_left_us=0)
     assert finals(rig.actions) == [api.Reject(rid, SECOND // 4)]
 
 
 def test_no_retry_advice_where_settings_have_none() -> None:
     rig = Rig(settings=replace(SETTINGS, limits=replace(SETTINGS.limits, may_send_retry_after=False)))
-    rid = rig.ask(left=0)
+    rid = rig.ask(time_left_us=0)
     assert finals(rig.actions) == [api.Reject(rid, 0)]
 
 
 def test_nothing_is_sent_after_the_client_left_and_late_outcomes_are_ignored() -> None:
     rig = Rig()
-    held = rig.ask()
-    rig.feed(api.RequestCancelled(held))
-    assert not of(api.Send, rig.held(1))
-    rig.feed(api.RequestCancelled(held))
+    queued = rig.ask()
+    rig.feed(api.RequestCancelled(queued))
+    assert not of(api.Send, rig.load_ended(1))
+    rig.feed(api.RequestCancelled(queued))
     rig.feed(api.RequestCancelled(999))
-    assert not finals(rig.ended(999, 0, 1)) and not finals(rig.ended(held, 3, 1))
+    assert not finals(rig.attempt_ended(999, 0, 1)) and not finals(rig.attempt_ended(queued, 3, 1))
 
 
 def test_answered_request_cancels_its_other_attempts() -> None:
@@ -54,16 +54,16 @@
     rid = rig.ask()
     rig.feed(api.RequestCancelled(rid))
     assert of(api.Cancel, rig.actions) == [api.Cancel(rid, 0)]
-    assert not finals(rig.ended(rid, 0, 1, Outcome.CANCELLED))
+    assert not finals(rig.attempt_ended(rid, 0, 1, Outcome.CANCELLED))
 
 
 @pytest.mark.parametrize("outcome", [Outcome.ERROR, Outcome.RESET, Outcome.CANCELLED, Outcome.TIMEOUT])
 def test_unsafe_request_that_may_have_run_is_failed_and_never_retried(outcome: Outcome) -> None:
     rig = Rig()
     rig.warm(1, 2)
-    rid = rig.ask(cls=1)
+    rid = rig.ask(class_index=1)
     sent = of(api.Send, rig.actions)[0]
-    actions = rig.ended(rid, 0, sent.worker, outcome)
+    actions = rig.attempt_ended(rid, 0, sent.worker, outcome)
     assert finals(actions) == [api.Fail(rid)]
     assert not of(api.Send, actions + rig.pass_time(3 * SECOND))
 
@@ -72,9 +72,9 @@
 def test_unsafe_request_that_never_ran_is_retried_elsewhere(outcome: Outcome) -> None:
     rig = Rig()
     rig.warm(1, 2)
-    rid = rig.ask(cls=1)
+    rid = rig.ask(class_index=1)
     sent = of(api.Send, rig.actions)[0]
-    again = of(api.Send, rig.ended(rid, 0, sent.worker, outcome, warmth=api.Warmth.UNREPORTED))
+    again = of(api.Send, rig.attempt_ended(rid, 0, sent.worker, outcome, warmth=api.Warmth.UNREPORTED))
     assert [s.worker for s in again] == [3 - sent.worker]
 
 
@@ -83,7 +83,7 @@
     rig.warm(1, 2)
     rid = rig.ask()
     sent = of(api.Send, rig.actions)[0]
-    assert of(api.Send, rig.ended(rid, 0, sent.worker, Outcome.ERROR))
+    assert of(api.Send, rig.attempt_ended(rid, 0, sent.worker, Outcome.ERROR))
 
 
 def test_attempts_stay_within_the_limit() -> None:
@@ -91,17 +91,17 @@
     rig.warm(1, 2, 3)
     rid = rig.ask()
     first = of(api.Send, rig.actions)[0].worker
-    second = of(api.Send, rig.ended(rid, 0, first, Outcome.FULL))[0].worker
-    actions = rig.ended(rid, 1, second, Outcome.FULL)
+    second = of(api.Send, rig.attempt_ended(rid, 0, first, Outcome.FULL))[0].worker
+    actions = rig.attempt_ended(rid, 1, second, Outcome.FULL)
     assert not of(api.Send, actions) and finals(actions)
 
 
 def keyed_rig() -> tuple[Rig, int, int]:
     rig = Rig(workers=0)
-    rig.listed(api.ListKind.FULL, worker(1, zone=0), worker(2, zone=0), worker(3, zone=1))
+    rig.list_workers(api.ListKind.FULL, worker(1, zone=0), worker(2, zone=0), worker(3, zone=1))
     rig.warm(1, 2, 3)
     while True:
-        rid = rig.ask(cls=2)
+        rid = rig.ask(class_index=2)
         sent = of(api.Send, rig.actions)[0]
         if sent.worker != 3:
             return rig, rid, sent.worker
@@ -109,7 +109,7 @@
 
 def test_keyed_request_is_repeated_only_in_its_group() -> None:
     rig, rid, first = keyed_rig()
-    again = of(api.Send, rig.ended(rid, 0, first, Outcome.ERROR))
+    again = of(api.Send, rig.attempt_ended(rid, 0, first, Outcome.ERROR))
     assert [s.worker for s in again if s.request == rid] == [3 - first]
 
 
@@ -117,7 +117,7 @@
 def test_keyed_request_is_not_repeated_after_its_window(late: int, sends: int) -> None:
     rig, rid, first = keyed_rig()
     rig.now += KEYED.repeat_window_us + late
-    again = of(api.Send, rig.ended(rid, 0, first, Outcome.ERROR))
+    again = of(api.Send, rig.attempt_ended(rid, 0, first, Outcome.ERROR))
     assert len([s for s in again if s.request == rid]) == sends
 
 
@@ -132,7 +132,7 @@
 def test_draining_worker_gets_neither_call_nor_order(state: api.WorkerState) -> None:
     rig = Rig(workers=1)
     rig.warm(1)
-    rig.listed(api.ListKind.DELTA, worker(1, state))
+    rig.list_workers(api.ListKind.DELTA, worker(1, state))
     rig.ask()
     assert not of(api.Send, rig.actions) and not orders(rig.actions + rig.pass_time(SECOND))
 
@@ -140,18 +140,18 @@
 def test_worker_missing_from_a_full_list_is_gone_and_one_missing_from_a_delta_stays() -> None:
     rig = Rig(workers=2)
     rig.warm(1, 2)
-    rig.listed(api.ListKind.DELTA, worker(1))
+    rig.list_workers(api.ListKind.DELTA, worker(1))
     assert {of(api.Send, [a])[0].worker for a in _sends(rig, 4)} == {1, 2}
-    rig.listed(api.ListKind.FULL, worker(1))
+    rig.list_workers(api.ListKind.FULL, worker(1))
     assert {of(api.Send, [a])[0].worker for a in _sends(rig, 4)} == {1}
-    rig.listed(api.ListKind.FAILED)
+    rig.list_workers(api.ListKind.FAILED)
     assert {of(api.Send, [a])[0].worker for a in _sends(rig, 4)} == {1}
 
 
 def _sends(rig: Rig, count: int) -> list[api.Send]:
     found: list[api.Send] = []
     for _ in range(count):
-        rig.ask(left=SECOND // 2)
+        rig.ask(time_left_us=SECOND // 2)
         found += of(api.Send, rig.actions)
     return found
 
@@ -164,8 +164,8 @@
         rid = rig.ask()
         sent = of(api.Send, rig.actions)
         assert sent, n
-        rig.ended(rid, 0, 1)
-    rig.listed(api.ListKind.DELTA, worker(1, started=rig.now))
+        rig.attempt_ended(rid, 0, 1)
+    rig.list_workers(api.ListKind.DELTA, worker(1, started=rig.now))
     assert not _sends(rig, 5), "what was sent just before the restart counts too"
     rig.now += SECOND
     sent = _sends(rig, 60)
@@ -190,23 +190,27 @@
 def test_load_orders_stay_within_the_limit_of_the_sliding_window(ideal: bool) -> None:
     rig = Rig(workers=8, settings=replace(RATIONED, is_ideal_network=ideal))
     given: list[int] = []
-    taken: list[int] = []
+    request_times: list[int] = []
     tries: dict[int, int] = {}
     for n in range(200):
         rig.now += 37_000
-        taken.append(rig.now)
+        request_times.append(rig.now)
         rig.ask(function=n)
         fresh = list(rig.actions)
         while fresh:
             action = fresh.pop()
             if isinstance(action, api.Send):  # a miss proves the request genuine, as an answer does
-                fresh += rig.ended(action.request, tries.get(action.request, 0), action.worker, Outcome.MISS)
+                fresh += rig.attempt_ended(
+                    action.request, tries.get(action.request, 0), action.worker, Outcome.MISS
+                )
                 tries[action.request] = tries.get(action.request, 0) + 1
             elif isinstance(action, api.LoadOrder) and action.copies:
                 given.append(rig.now)
                 since = rig.now - 10 * SECOND
-                assert len([t for t in given if t >= since]) <= 3 + 0.5 * len([t for t in taken if t > since])
-                fresh += rig.held(action.worker, function=action.function, wanted=1)
+                assert len([t for t in given if t >= since]) <= 3 + 0.5 * len(
+                    [t for t in request_times if t > since]
+                )
+                fresh += rig.load_ended(action.worker, function=action.function, wanted=1)
     assert len(given) > 30
 
 
@@ -218,7 +222,7 @@
     sent = [orders(rig.feed_request(function))[0] for function in range(3)]
     rig.now += 5 * SECOND
     for order in sent:
-        rig.held(order.worker, function=order.function, wanted=1)
+        rig.load_ended(order.worker, function=order.function, wanted=1)
     rig.now += 5 * SECOND + 20_000
     assert not orders(rig.feed_request(9)), "one window after they were decided"
     rig.now += 5 * SECOND - 20_000
@@ -246,26 +250,26 @@
     while rig.now < 102 * SECOND:
         if sent := of(api.Send, rig.actions):
             tried.append(sent[0].worker)
-            rig.ended(rid, len(tried) - 1, tried[-1], Outcome.MISS, warmth=api.Warmth.UNREPORTED)
+            rig.attempt_ended(rid, len(tried) - 1, tried[-1], Outcome.MISS, warmth=api.Warmth.UNREPORTED)
         else:
             rig.pass_time(20_000)
-    assert tried == [*first_in_order()[:2], first_in_order()[0]], "two attempts are kept for a copy"
+    assert tried == [*first_in_order()[:2], first_in_order()[0]], "two attempts are reserved for a copy"
     assert not of(api.LoadOrder, rig.all)
-    assert of(api.Send, rig.held(4))
+    assert of(api.Send, rig.load_ended(4))
 
 
 def test_among_many_front_ends_a_call_goes_where_others_copies_should_be_before_it_orders_one() -> None:
     rig = Rig(settings=replace(SETTINGS, front_ends=200))
-    rid = rig.ask(cls=1)
+    rid = rig.ask(class_index=1)
     for number, wid in enumerate(first_in_order()[:2]):
         assert [s.worker for s in of(api.Send, rig.actions)] == [wid] and not of(api.LoadOrder, rig.all)
-        rig.ended(rid, number, wid, Outcome.MISS, warmth=api.Warmth.UNREPORTED)
+        rig.attempt_ended(rid, number, wid, Outcome.MISS, warmth=api.Warmth.UNREPORTED)
     assert orders(rig.actions) == [api.LoadOrder(first_in_order()[0], 7, 1, SETTINGS.guards.drain_grace_us)]
     rig.ask()
-    assert not of(api.Send, rig.actions), "with a load of its own under way it waits for that"
+    assert not of(api.Send, rig.actions), "the request waits for a load that is under way"
     loading = Rig(settings=replace(SETTINGS, front_ends=200, loads_on_miss=True))
     loading.ask()
-    assert orders(loading.actions) and not of(api.Send, loading.actions), "a look would load there"
+    assert orders(loading.actions) and not of(api.Send, loading.actions), "a request there would start a load"
 
 
 def test_absurd_settings_and_requests_get_a_sane_decision() -> None:
@@ -273,7 +277,7 @@
     rid = rig.ask(lanes=0)
     assert not of(api.Send, rig.actions)
     assert of(api.Reject, rig.pass_time(3 * SECOND)) == [api.Reject(rid, SECOND // 4)]
-    rig.listed(api.ListKind.FULL, worker(1, api.WorkerState.DRAINING))
+    rig.list_workers(api.ListKind.FULL, worker(1, api.WorkerState.DRAINING))
     rig.ask()
     assert not of((api.Send, api.LoadOrder), rig.actions)
     bare = replace(
@@ -285,7 +289,7 @@
         classes=SETTINGS.classes[:1],
     )
     odd = Rig(settings=bare)
-    odd.ask(cls=200)
+    odd.ask(class_index=200)
     assert orders(odd.actions)
 
 
@@ -297,7 +301,9 @@
     rig.feed(api.AnswerStarted(rid, 0, where, 50_000))
     done = rig.pass_time(5 * SECOND)
     assert not finals(done) and not [s for s in of(api.Send, done) if s.request == rid]
-    assert not of((api.Send, api.Reject, api.Fail, api.Cancel), rig.ended(rid, 0, where, Outcome.RESET))
+    assert not of(
+        (api.Send, api.Reject, api.Fail, api.Cancel), rig.attempt_ended(rid, 0, where, Outcome.RESET)
+    )
 
 
 def test_list_that_must_be_asked_for_is_watched_and_asked_for_again_after_a_failure() -> None:
@@ -306,7 +312,7 @@
     )
     rig = Rig(settings=asked)
     assert of(api.WatchEndpoints, rig.pass_time(SECOND)) == [api.WatchEndpoints(True)]
-    rig.listed(api.ListKind.FAILED)
+    rig.list_workers(api.ListKind.FAILED)
     assert not of(api.WatchEndpoints, rig.pass_time(SECOND // 2))
     assert of(api.WatchEndpoints, rig.pass_time(SECOND)) == [api.WatchEndpoints(True)]
     rig.ask()
@@ -317,13 +323,15 @@
 def test_any_configured_number_of_front_ends_leaves_warm_workers_served(front_ends: int) -> None:
     rig = Rig(6, replace(SETTINGS, front_ends=front_ends, index=max(0, front_ends - 1)))
     rig.warm(1, 2)
-    rig.listed(api.ListKind.DELTA, worker(6, started=rig.now))  # a cold one is spared, the warm ones serve
+    rig.list_workers(
+        api.ListKind.DELTA, worker(6, started=rig.now)
+    )  # a cold one is spared, the warm ones serve
     for _ in range(20):
         rig.now += SECOND // 5
         rid = rig.ask()
         sent = of(api.Send, rig.actions)
         assert len(sent) == 1 and sent[0].worker in (1, 2)
-        rig.ended(rid, 0, sent[0].worker)
+        rig.attempt_ended(rid, 0, sent[0].worker)
 
 
 def test_list_of_many_workers_that_drains_most_at_once() -> None:
@@ -331,7 +339,7 @@
     rig = Rig(600, replace(SETTINGS, front_ends=70))
     rids = [rig.ask(function=100 + n) for n in range(40)]
     leaving = [worker(i, api.WorkerState.DRAINING) for i in range(1, 598)]
-    done = rig.listed(api.ListKind.DELTA, *leaving)
+    done = rig.list_workers(api.ListKind.DELTA, *leaving)
     done += rig.pass_time(4 * SECOND)
     assert {o.worker for o in orders(done)} | {s.worker for s in of(api.Send, done)} <= {598, 599, 600}
     assert {a.request for a in done if isinstance(a, api.Reject | api.Fail)} == set(rids)
@@ -340,7 +348,7 @@
 def test_list_that_becomes_empty_queues_requests_until_their_deadlines() -> None:
     rig = Rig(3)
     rig.warm(1)
-    rig.listed(api.ListKind.FULL)
+    rig.list_workers(api.ListKind.FULL)
     rid = rig.ask()
     assert not of(api.Send, rig.actions) and not orders(rig.actions)
     assert [a.request for a in of(api.Reject, rig.pass_time(4 * SECOND))] == [rid]
@@ -352,7 +360,7 @@
     for _ in range(9):
         rig.ask()
     rig.feed(api.LoadOrderEnded(1, 7, api.Outcome.OK, 1000, 1))
-    rig.listed(api.ListKind.DELTA, worker(1, api.WorkerState.DRAINING, rig.now))
+    rig.list_workers(api.ListKind.DELTA, worker(1, api.WorkerState.DRAINING, rig.now))
     assert not [a for a in rig.actions if isinstance(a, api.Send | api.LoadOrder) and a.worker == 1]
 
 
--- a/packages/policy/tests/test_load_order_limit.py
+++ b/packages/policy/tests/test_load_order_limit.py
@@ -247,8 +247,8 @@
     rig.now += 1
     rig.feed(api.RequestArrived(999, 0, 0, 1, 3 * SECOND, None, 300.0, 2, SECOND // 2, False))
     second = next(a for a in rig.actions if isinstance(a, api.Send))
-    rig.ended(rid, 0, sent[0].worker)
-    rig.ended(999, 0, second.worker)
+    rig.attempt_ended(rid, 0, sent[0].worker)
+    rig.attempt_ended(999, 0, second.worker)
     assert len(rig.ordered()) == 1, "the request of the very moment of the start is as old as what it charges"
 
 
@@ -329,14 +329,14 @@
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_a_late_order_settles_when_its_worker_is_forgotten_as_gone(outcome: Outcome) -> None:
     rig, order = late_order(outcome)
-    rig.listed(api.ListKind.DELTA, worker(order.worker, api.WorkerState.GONE))
+    rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.GONE))
     settles(rig)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_a_late_order_stays_charged_while_its_worker_drains(outcome: Outcome) -> None:
     rig, order = late_order(outcome)
-    rig.listed(api.ListKind.DELTA, worker(order.worker, api.WorkerState.DRAINING))
+    rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.DRAINING))
     rig.now += 2 * WINDOW
     assert rig.open_orders == 1 and not rig.ordered(1)
 
@@ -344,7 +344,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_a_late_order_settles_when_its_worker_restarts(outcome: Outcome) -> None:
     rig, order = late_order(outcome)
-    rig.listed(api.ListKind.DELTA, worker(order.worker, started=rig.now))
+    rig.list_workers(api.ListKind.DELTA, worker(order.worker, started=rig.now))
     settles(rig)
 
 
@@ -367,7 +367,7 @@
     rig, sent, late = out_before_late_orders()
     rig.now += 1
     for send in sent:
-        rig.ended(send.request, 0, send.worker)
+        rig.attempt_ended(send.request, 0, send.worker)
     assert rig.open_orders == len(late)
 
 
@@ -375,7 +375,7 @@
     rig, sent, late = out_before_late_orders()
     rig.now += 1
     for send in sent:
-        rig.ended(send.request, 0, send.worker)
+        rig.attempt_ended(send.request, 0, send.worker)
     rig.now += WINDOW + 2 * rig.router.context.grace_us
     arrived = len(late) + len(rig.ordered(30))  # the cut heals now
     found = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW), "front", [rig.now] * arrived, [])
@@ -392,7 +392,7 @@
     rig.now += SECOND // 10
     rig.order_ended(order, outcome)
     rig.now += SECOND // 10
-    rig.listed(api.ListKind.DELTA, worker(order.worker, started=restarted))
+    rig.list_workers(api.ListKind.DELTA, worker(order.worker, started=restarted))
     assert rig.open_orders == 1
 
 
@@ -406,7 +406,7 @@
 def test_an_order_to_a_worker_that_left_meanwhile_settles_with_its_end() -> None:
     rig = RationRig(patient(rationed(free=1.0, share=0.0)))
     (order,) = rig.ordered()
-    rig.listed(api.ListKind.DELTA, worker(order.worker, api.WorkerState.GONE))
+    rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.GONE))
     assert rig.open_orders == 1
     rig.order_ended(order, Outcome.RESET)
     assert rig.open_orders == 0
@@ -453,13 +453,13 @@
     came = rig.now
     assert rig.counted == []
     rig.now += SECOND
-    rig.ended(request, 0, where, outcome)
+    rig.attempt_ended(request, 0, where, outcome)
     assert rig.counted == [came]
 
 
 def test_a_request_that_waited_counts_from_the_earliest_moment_it_may_have_come() -> None:
     rig, request, where = asked(waited=300_000)
-    rig.ended(request, 0, where)
+    rig.attempt_ended(request, 0, where)
     assert rig.counted == [rig.now - 300_000]
 
 
@@ -469,7 +469,7 @@
 )
 def test_a_request_that_no_worker_proved_genuine_does_not_count(outcome: Outcome) -> None:
     rig, request, where = asked()
-    rig.ended(request, 0, where, outcome)
+    rig.attempt_ended(request, 0, where, outcome)
     assert rig.counted == []
 
 
@@ -478,7 +478,7 @@
     came = rig.now
     attempt = 0
     for _ in range(6):
-        actions = rig.ended(request, attempt, where, Outcome.FULL)
+        actions = rig.attempt_ended(request, attempt, where, Outcome.FULL)
         again = [a for a in actions if isinstance(a, api.Send) and a.request == request]
         if again:
             attempt, where = attempt + 1, again[0].worker
@@ -499,20 +499,20 @@
 def test_a_request_cancelled_while_in_flight_does_not_count_by_its_cancelled_attempt() -> None:
     rig, request, where = asked()
     rig.feed(api.RequestCancelled(request))
-    rig.ended(request, 0, where, Outcome.CANCELLED)
+    rig.attempt_ended(request, 0, where, Outcome.CANCELLED)
     assert rig.counted == []
 
 
 def test_a_cancelled_request_does_not_count_by_an_answer_that_crossed_the_cancel() -> None:
     rig, request, where = asked()
     rig.feed(api.RequestCancelled(request))
-    rig.ended(request, 0, where, Outcome.OK)
+    rig.attempt_ended(request, 0, where, Outcome.OK)
     assert rig.counted == []
 
 
 def test_cancelling_an_answered_request_leaves_the_others_counted() -> None:
     rig, request, where = asked()
-    rig.ended(request, 0, where)
+    rig.attempt_ended(request, 0, where)
     assert len(rig.counted) == 1
     rig.feed(api.RequestCancelled(request))
     assert len(rig.counted) == 1
@@ -534,7 +534,7 @@
 def test_requests_of_a_long_day_leave_no_memory() -> None:
     rig, request, where = asked()
     for _ in range(300):
-        rig.ended(request, 0, where)
+        rig.attempt_ended(request, 0, where)
         rig.now += SECOND
         request = rig.ask(function=rig.function)
         sent = [a for a in rig.actions if isinstance(a, api.Send) and a.request == request]
@@ -572,7 +572,7 @@
         else:
             wid, state = random.randint(1, 6), random.choice(list(api.WorkerState))
             starts[wid] = max(starts[wid], rig.now * random.randint(0, 1))
-            rig.listed(api.ListKind.DELTA, worker(wid, state, starts[wid]))
+            rig.list_workers(api.ListKind.DELTA, worker(wid, state, starts[wid]))
         out += orders(rig.actions)
         given += len(orders(rig.actions))
         assert rig.open_orders >= len(out)
--- a/packages/policy/tests/test_properties.py
+++ b/packages/policy/tests/test_properties.py
@@ -132,7 +132,7 @@
             wid, state = 1 + pick % 4, list(api.WorkerState)[pick % 3]
             self.states[wid] = state
             started = self.rig.now if pick % 2 else 0
-            self.check(self.rig.listed(api.ListKind.DELTA, worker(wid, state, started)))
+            self.check(self.rig.list_workers(api.ListKind.DELTA, worker(wid, state, started)))
         elif kind == "g" and self.open:
             rid = list(self.open)[pick % len(self.open)]
             del self.open[rid]
--- a/packages/policy/tests/test_slow_start.py
+++ b/packages/policy/tests/test_slow_start.py
@@ -24,7 +24,7 @@
     site = replace(SETTINGS, front_ends=front_ends, index=index, may_order_loads=False, loads_on_miss=True)
     rig = Rig(2, site, now=now)
     if now > cold_since:
-        rig.listed(api.ListKind.DELTA, worker(2, started=cold_since))
+        rig.list_workers(api.ListKind.DELTA, worker(2, started=cold_since))
     return rig
 
 
@@ -48,7 +48,7 @@
     while due[0][0] < until:
         rig.now, rid = heappop(due)
         if rid:
-            rig.ended(rid, 0, rig.router.requests.by_id[rid].attempts[0].worker)
+            rig.attempt_ended(rid, 0, rig.router.requests.by_id[rid].attempts[0].worker)
         else:
             rid = rig.ask()
             if of(api.Send, rig.actions):
@@ -81,7 +81,7 @@
         rng = Random(seed * FRONT_ENDS + index)
         rig = front_end(index, FRONT_ENDS, RESTART - 3 * SPAN, cold_since)
         serve(rig, cold_since, rate, rng)
-        rig.listed(api.ListKind.DELTA, worker(2, started=cold_since))
+        rig.list_workers(api.ListKind.DELTA, worker(2, started=cold_since))
         serve(rig, RESTART, rate, rng, sends)
         if index < restarted:
             rig = front_end(index, FRONT_ENDS, RESTART, cold_since)
@@ -102,7 +102,7 @@
         for seed in range(10):
             rig = front_end(0, 1, began, RESTART)
             serve(rig, RESTART + GUARDS.overload_window_us + SECOND // 10, 40.0, Random(seed))
-            rig.listed(api.ListKind.DELTA, worker(2, started=RESTART))
+            rig.list_workers(api.ListKind.DELTA, worker(2, started=RESTART))
             taken += take(rig)
         return taken
 
--- a/packages/policy/tests/test_slow_start_fleet.py
+++ b/packages/policy/tests/test_slow_start_fleet.py
@@ -106,7 +106,7 @@
             has_weights=True,
         )
         rig = Rig(0, site, seed=day.seed * 1000 + index, now=self.now)
-        rig.listed(api.ListKind.CACHED, *(worker(i + 1) for i in range(WARM_WORKERS)))
+        rig.list_workers(api.ListKind.CACHED, *(worker(i + 1) for i in range(WARM_WORKERS)))
         if self.now >= self.started + day.notice:
             self._tell(rig)
         return rig
@@ -114,8 +114,8 @@
     def _tell(self, rig: Rig) -> None:
         """The list tells of the cold worker, and a copy is known there. Every router's first choice, as it
         weighs more than all others."""
-        rig.listed(api.ListKind.DELTA, replace(worker(COLD, started=self.started), weight=1e6))
-        rig.held(COLD)
+        rig.list_workers(api.ListKind.DELTA, replace(worker(COLD, started=self.started), weight=1e6))
+        rig.load_ended(COLD)
 
     def _later(self, at: float, what: str, *ref: int) -> None:
         self._number += 1
@@ -149,7 +149,7 @@
         rig.ask(lanes=1000)
         self._carry_out(index)
         for wid in rig.router.endpoints.workers.keys() - rig.router.functions.by_key[7].copies.keys():
-            rig.held(wid)  # copies stand everywhere
+            rig.load_ended(wid)  # copies stand everywhere
             self._carry_out(index)
 
     def _carry_out(self, index: int) -> None:
@@ -180,7 +180,7 @@
             return
         rig = self.rigs[index]
         rig.now = self.now
-        rig.ended(request, attempt, wid, api.Outcome.OK if begun else api.Outcome.MOOT)
+        rig.attempt_ended(request, attempt, wid, api.Outcome.OK if begun else api.Outcome.MOOT)
         self._carry_out(index)
 
     def _listed(self) -> None:
@@ -268,7 +268,7 @@
         while (answered := answered + rng.expovariate(capacity * WARM_WORKERS / front_ends) * SECOND) < begin:
             rig.router.traffic.answers.add(int(answered))
         rig.now = begin
-        rig.listed(api.ListKind.DELTA, worker(WARM_WORKERS, started=begin - age))
+        rig.list_workers(api.ListKind.DELTA, worker(WARM_WORKERS, started=begin - age))
         cold = rig.router.endpoints.workers[WARM_WORKERS]
         for step in range(spans):
             rig.router.context.now_us = begin + GUARDS.overload_window_us * step // spans
@@ -297,13 +297,13 @@
     rig.warm(1)
     for _ in range(100):
         rig.now += SECOND // 10
-        rig.ended(rig.ask(), 0, 1)
+        rig.attempt_ended(rig.ask(), 0, 1)
     other = rig.router.endpoints.workers[2]
     rig.router.context.now_us = rig.now
     other.silent_since_us = rig.now
     other.recent_sends_us.extend([rig.now] * 60)
     rig.now += SECOND + 1
-    rig.held(2)
+    rig.load_ended(2)
     assert rig.router.slow_start.is_warming_up(other)
     assert not rig.router.slow_start.has_budget(other)
 
@@ -314,7 +314,7 @@
     for answered in range(rig.now, rig.now + 10 * SECOND, 500):
         rig.router.traffic.answers.add(answered)
     rig.now += 10 * SECOND
-    rig.listed(api.ListKind.DELTA, worker(2, started=rig.now - SECOND))
+    rig.list_workers(api.ListKind.DELTA, worker(2, started=rig.now - SECOND))
     cold, taken = rig.router.endpoints.workers[2], 0
     while rig.router.slow_start.has_budget(cold) and taken < 3000:
         cold.recent_sends_us.append(rig.now)
--- a/packages/store/src/walnutpost/store/__init__.py
+++ b/packages/store/src/walnutpost/store/__init__.py
@@ -1,7 +1,7 @@
 """What a process stores in sqlite: executions, firings, journals, the usage ledger, a replica's log.
 
-`database` commits in groups; all others are tables over it. Names of tables and columns, and stored words,
-are read by other versions and don't change.
+`database` commits in groups; all others are tables over it. Names of tables and
+columns, and stored values, are read by other versions and must not change.
 """
 
 from walnutpost.store.database import Change, Database, StoreError
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -14,14 +14,14 @@
 
 LOCK_TIMEOUT_S = 0.5  # how long another process's lock is waited for before a commit fails
 MAX_BATCH = 1_000  # changes in one commit
-# A commit of many changes writes many pages, any of which may fail; one of few changes costs a sync for few.
-# With these two, a disk on which single writes fail gets batches of which about one in four succeeds.
+# A large batch writes many pages, any of which may fail; a small one pays for a sync with few changes. With
+# these two factors about one batch in four succeeds on a disk on which single writes fail.
 SHRINK_ON_FAILURE = 2
 GROW_ON_SUCCESS = 8
-COMMIT_RETRY_US = 2_000_000  # how long a change whose commit fails is tried again, by default
-MIN_BACKOFF_US = 1_000  # between two tries
-MAX_QUICK_TRIES = 8  # in a row that fail, before the backoff doubles with each further one
-MAX_BACKOFF_US = 100_000  # also the longest that a disk which works again waits for the next try
+COMMIT_RETRY_US = 2_000_000  # how long a change is retried after its commit fails, by default
+MIN_BACKOFF_US = 1_000  # between two attempts
+MAX_QUICK_RETRIES = 8  # failures in a row before the backoff doubles with each further one
+MAX_BACKOFF_US = 100_000  # so a disk that works again is used at the latest after this
 
 
 class StoreError(Exception):
@@ -32,7 +32,7 @@
     """
 
     def __init__(self, message: str, is_uncertain: bool = False) -> None:
-        """`message` is for people."""
+        """Set a message for people and whether the change may be on disk."""
         super().__init__(message)
         self.is_uncertain = is_uncertain
 
@@ -44,14 +44,14 @@
 class _PendingChange:
     """A change that waits to be durable, until `deadline_us`."""
 
-    __slots__ = ("change", "deadline_us", "done", "error", "is_tried")
+    __slots__ = ("change", "deadline_us", "done", "error", "was_attempted")
 
     def __init__(self, loop: Loop, change: Change, deadline_us: int) -> None:
         self.change = change
         self.done = Event(loop)
         self.error: Exception | None = None
         self.deadline_us = deadline_us
-        self.is_tried = False
+        self.was_attempted = False
 
 
 class Database:
@@ -59,8 +59,8 @@
 
     Changes are committed on the loop's helper thread. Other accesses wait for a commit to end, so they belong
     on that thread, too, except while a process starts: its first tasks may commit before it has read all.
-    A commit that fails (EIO, a full disk, a lock) is rolled back and tried again with backoff, for `retry_us`
-    a change; 0 tries once. A change must therefore be one that can be run again.
+    A commit that fails (EIO, a full disk, a lock) is rolled back and retried with backoff, for `retry_us`
+    per change; 0 means one attempt. A change must therefore be repeatable.
     """
 
     def __init__(self, loop: Loop, path: Path, schema: str, retry_us: int = 0) -> None:
@@ -69,8 +69,8 @@
         self._retry_us = retry_us
         self._pending: list[_PendingChange] = []
         self._is_committing = False
-        self._may_have_reached_disk = False  # frames of a failed commit may lie behind the log's end
-        self._access_lock = threading.RLock()  # held by the one thread that uses the connection
+        self._may_have_reached_disk = False  # frames of a failed commit may be behind the log's end
+        self._access_lock = threading.RLock()  # owned by the thread that uses the connection
         self.before_commit: Change | None = None  # made part of each commit
         try:
             path.parent.mkdir(parents=True, exist_ok=True)
@@ -101,35 +101,35 @@
     def _commit_loop(self) -> None:
         """Commit pending changes, oldest first, until none is left (group commit).
 
-        After a failure fewer share the next try: fewer pages are written, and one change that can't be
-        written stops fewer others.
+        After a failure the next batch is smaller: fewer pages are written, and one change that can't be
+        written fails fewer others.
         """
-        size = MAX_BATCH
+        batch_size = MAX_BATCH
         failures = 0
         try:
             while self._pending:
-                batch = self._pending[:size]
+                batch = self._pending[:batch_size]
                 for pending in batch:
-                    pending.is_tried = True
+                    pending.was_attempted = True
                 try:
                     self._loop.run_blocking(self._commit, batch)
                 except Exception as error:
-                    size = max(1, len(batch) // SHRINK_ON_FAILURE)
+                    batch_size = max(1, len(batch) // SHRINK_ON_FAILURE)
                     failures += 1
                     if self._fail_expired(batch, error):
                         continue
-                    if size == 1:  # the next one's turn: what this one writes may be more than there is room
+                    if batch_size == 1:  # another one first: this one may need more space than the disk has
                         self._pending.append(self._pending.pop(0))
                     self._loop.sleep(_backoff_us(failures))
                 else:
-                    size = min(size * GROW_ON_SUCCESS, MAX_BATCH)
+                    batch_size = min(batch_size * GROW_ON_SUCCESS, MAX_BATCH)
                     failures = 0
                     self._finish(batch)
         finally:
             self._is_committing = False
 
     def _fail_expired(self, batch: Sequence[_PendingChange], error: Exception) -> bool:
-        """Fail the changes past their deadline, or all of the batch if another try can't help.
+        """Fail the changes past their deadline, or all of the batch if a retry can't help.
 
         Returns whether there were any.
         """
@@ -137,7 +137,7 @@
         now = self._loop.now()
         failed = list(batch)
         if is_retryable:
-            failed = [each for each in self._pending if each.is_tried and each.deadline_us <= now]
+            failed = [each for each in self._pending if each.was_attempted and each.deadline_us <= now]
         if not failed:
             return False
         is_uncertain = self._may_have_reached_disk and not self._loop.run_blocking(
@@ -181,7 +181,7 @@
                     self.before_commit(self._db)
                 self._end_with_commit()
             finally:
-                with suppress(sqlite3.Error):  # else it is ended before the next statement
+                with suppress(sqlite3.Error):  # else the next access rolls back
                     self._end_transaction()
         return True
 
@@ -194,7 +194,7 @@
         self._may_have_reached_disk = False
 
     def _end_transaction(self) -> None:
-        """Roll back what is open: sqlite does so itself after some errors of a commit, not after others."""
+        """Roll back an open transaction: sqlite does that itself only after some errors of a commit."""
         if self._db.in_transaction:
             self._db.execute("rollback")
 
@@ -202,7 +202,7 @@
         """Overwrite frames of a failed commit that may have reached the log; return whether that succeeded.
 
         They are not part of the log for this process, but would be for the next one after a kill. Any further
-        commit takes their place.
+        commit overwrites them.
         """
         try:
             with self._access_lock:
@@ -233,7 +233,7 @@
         """Return rows; while the process starts, or on the loop's helper thread. Raises StoreError."""
         try:
             with self._access_lock:
-                self._end_transaction()  # nothing uncommitted is read
+                self._end_transaction()  # so that nothing uncommitted is read
                 return self._db.execute(query, values).fetchall()
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
@@ -257,6 +257,6 @@
 
 
 def _backoff_us(failures: int) -> int:
-    """Return the wait before the next try, after so many in a row that failed."""
-    doublings = min(max(0, failures - MAX_QUICK_TRIES), MAX_BACKOFF_US.bit_length())
+    """Return the wait before the next attempt after a number of failures in a row."""
+    doublings = min(max(0, failures - MAX_QUICK_RETRIES), MAX_BACKOFF_US.bit_length())
     return min(MIN_BACKOFF_US << doublings, MAX_BACKOFF_US)
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -29,8 +29,8 @@
 create index if not exists by_time on executions (function, accepted_at, id);
 create index if not exists by_status on executions (status, ended_at);
 """
-STORING_TIME_DIVISOR = 2  # half of a call's time is for its function
-# The columns in the order of the table, as _row_of gives and _execution_of takes them.
+STORING_TIME_DIVISOR = 2  # half of a call's time is left for its function
+# The columns in the order of the table, as _row_of returns and _execution_of expects them.
 COLUMNS = (
     "id, name, function, version, tenant, payload, digest, accepted_at, expires_at, intended, status,"
     " ended_at, result, error_type, error_message"
@@ -64,14 +64,14 @@
         self.clock = StoredClock(loop, self, self._newest_epoch_us())
 
     def _newest_epoch_us(self) -> int | None:
-        """Return the newest time in the file: a process that wrote no time marks certainly still ran then."""
+        """Return the newest time in the file: a process that wrote no time marks was running then."""
         ((accepted_at, ended_at),) = self.select("select max(accepted_at), max(ended_at) from executions")
         return None if accepted_at is None else max(accepted_at, ended_at)
 
-    # Changes. Each returns once it is durable, and raises StoreError; `also` is part of the same commit.
+    # Changes. Each returns once it is durable, and raises StoreError; `extra_change` is in the same commit.
 
-    def add(self, execution: Execution, also: Change | None = None) -> None:
-        """Insert a new execution. A commit that fails is tried again for a part of the call's own time."""
+    def add(self, execution: Execution, extra_change: Change | None = None) -> None:
+        """Insert a new execution. A failed commit is retried for a part of the call's own time."""
         values = self._row_of(execution)
 
         def change(db: sqlite3.Connection) -> None:
@@ -80,15 +80,15 @@
             except sqlite3.IntegrityError:
                 if db.execute("select 1 from executions where id=?", (execution.id,)).fetchone() is None:
                     raise  # the name is another execution's
-                return  # a commit that was reported as failed is durable, and `also` with it
-            if also is not None:
-                also(db)
+                return  # a commit that was reported as failed is durable, with `extra_change`
+            if extra_change is not None:
+                extra_change(db)
 
         time_left_us = execution.expires_at - self._loop.now()
         self.submit(change, time_left_us // STORING_TIME_DIVISOR)
 
     def replace_recovered(self, executions: Sequence[Execution], withdrawn_ids: Sequence[str]) -> None:
-        """Write executions in place of what is stored of them, and delete those that were withdrawn."""
+        """Insert or overwrite executions, and delete those that were withdrawn."""
         rows = [self._row_of(execution) for execution in executions]
 
         def change(db: sqlite3.Connection) -> None:
@@ -97,7 +97,7 @@
 
         self.submit(change)
 
-    def update(self, execution: Execution, also: Change | None = None) -> None:
+    def update(self, execution: Execution, extra_change: Change | None = None) -> None:
         """Write an execution's status and result."""
         execution = self.with_stored_times(execution)
         values = (
@@ -113,27 +113,29 @@
             "update executions set intended=?, status=?, ended_at=?, result=?, error_type=?,"
             " error_message=? where id=?",
             values,
-            also,
+            extra_change,
         )
 
-    def record_intent(self, execution_id: str, also: Change | None = None) -> None:
+    def record_intent(self, execution_id: str, extra_change: Change | None = None) -> None:
         """Record that an attempt may be sent from now on."""
-        self._submit_statement("update executions set intended=1 where id=?", (execution_id,), also)
+        self._submit_statement("update executions set intended=1 where id=?", (execution_id,), extra_change)
 
-    def remove(self, execution_id: str, also: Change | None = None) -> None:
+    def remove(self, execution_id: str, extra_change: Change | None = None) -> None:
         """Delete an execution."""
-        self._submit_statement("delete from executions where id=?", (execution_id,), also)
+        self._submit_statement("delete from executions where id=?", (execution_id,), extra_change)
 
-    def purge(self, ended_before_us: int, also: Change | None = None) -> None:
+    def purge(self, ended_before_us: int, extra_change: Change | None = None) -> None:
         """Delete all executions that ended before a time."""
         values = (Status.RUNNING.value, self.clock.to_stored(ended_before_us))
-        self._submit_statement("delete from executions where status<>? and ended_at<?", values, also)
+        self._submit_statement("delete from executions where status<>? and ended_at<?", values, extra_change)
 
-    def _submit_statement(self, statement: str, values: Sequence[object], also: Change | None) -> None:
+    def _submit_statement(
+        self, statement: str, values: Sequence[object], extra_change: Change | None
+    ) -> None:
         def change(db: sqlite3.Connection) -> None:
             db.execute(statement, values)
-            if also is not None:
-                also(db)
+            if extra_change is not None:
+                extra_change(db)
 
         self.submit(change)
 
@@ -148,7 +150,7 @@
         return next(iter(self._read("where id=?", (execution_id,))), None)
 
     def find_by_name(self, function: str, name: str) -> Execution | None:
-        """Return the execution that has the name among its function's."""
+        """Return the execution with a name within its function."""
         return next(iter(self._read("where function=? and name=?", (function, name))), None)
 
     def list_page(self, query: ExecutionQuery) -> tuple[list[Execution], bool]:
--- a/packages/store/src/walnutpost/store/firings.py
+++ b/packages/store/src/walnutpost/store/firings.py
@@ -20,7 +20,7 @@
 create index if not exists firings_by_time on firings (decided_at);
 create table if not exists marks (schedule text primary key, mark integer not null) without rowid;
 """
-# Stored words of column firings.status, beside those of gateway.Status.
+# Values of column firings.status, besides those of gateway.Status. They are stored and must not change.
 FIRED = "RUNNING"
 SKIPPED = "SKIPPED"
 REFUSED = "REFUSED"
@@ -45,7 +45,7 @@
 
 
 class FiringStore:
-    """Firings, and for each schedule the mark up to which its due times are decided."""
+    """Firings, and for each schedule a mark: up to there all due times have an outcome."""
 
     def __init__(self, database: Database) -> None:
         """Add the tables, before the loop runs."""
@@ -55,7 +55,7 @@
     # Changes, to be committed
 
     def record_fired(self, schedule: str, due: int, now: int, execution: str) -> Change:
-        """Return the change that belongs into the commit of the execution itself."""
+        """Return the change that is committed together with the execution itself."""
 
         def change(db: sqlite3.Connection) -> None:
             db.execute(
@@ -66,25 +66,25 @@
 
         return change
 
-    def record_skipped(self, schedule: str, due: int, last: int, count: int, now: int, why: str) -> Change:
+    def record_skipped(self, schedule: str, due: int, last: int, count: int, now: int, reason: str) -> Change:
         """Return the change that records `count` due times without a call."""
 
         def change(db: sqlite3.Connection) -> None:
             db.execute(
                 "insert or ignore into firings values (?, ?, ?, ?, ?, '', ?, ?)",
-                (schedule, due, last, count, now, SKIPPED, why),
+                (schedule, due, last, count, now, SKIPPED, reason),
             )
             _advance_mark(db, schedule, last)
 
         return change
 
-    def record_rejected(self, schedule: str, due: int, now: int, why: str) -> Change:
+    def record_rejected(self, schedule: str, due: int, now: int, reason: str) -> Change:
         """Return the change that records a due time whose call was rejected."""
 
         def change(db: sqlite3.Connection) -> None:
             db.execute(
                 "insert or replace into firings values (?, ?, ?, 1, ?, '', ?, ?)",
-                (schedule, due, due, now, REFUSED, why),
+                (schedule, due, due, now, REFUSED, reason),
             )
             _advance_mark(db, schedule, due)
 
@@ -92,18 +92,18 @@
 
     def record_ended(self, execution: Execution) -> Change:
         """Return the change that gives a firing its execution's final status, if it is of a firing."""
-        why = f"{execution.error_type}: {execution.error_message}" if execution.error_type else ""
+        reason = f"{execution.error_type}: {execution.error_message}" if execution.error_type else ""
 
         def change(db: sqlite3.Connection) -> None:
             db.execute(
                 "update firings set status=?, why=? where execution=? and status=?",
-                (execution.status.value, why, execution.name, FIRED),
+                (execution.status.value, reason, execution.name, FIRED),
             )
 
         return change
 
     def register_schedules(self, schedules: Sequence[str], now: int) -> Change:
-        """Return the change that knows schedules from now on, so that due times missed later are found."""
+        """Return the change that registers schedules, so that due times missed from now on are found."""
 
         def change(db: sqlite3.Connection) -> None:
             for name in schedules:
--- a/packages/store/src/walnutpost/store/journal.py
+++ b/packages/store/src/walnutpost/store/journal.py
@@ -42,7 +42,7 @@
 """
 READ_CHUNK_LINES = 512  # lines read at a time
 
-# Column lines.kind: stored words, on which _purge selects. They don't change with the names of classes.
+# Values of column lines.kind, on which _purge selects. They are stored and must not change with class names.
 KINDS: dict[type[AnyRecord], str] = {
     CallAccepted: "accepted",
     AttemptIntended: "intended",
@@ -64,7 +64,7 @@
 
     def __call__(self, db: sqlite3.Connection) -> None:
         """Write the line as part of a commit."""
-        # Numbered within the commit: one that fails gives its numbers back, and nobody was sent them.
+        # Numbered within the commit: the numbers of a failed one are used again, as nobody was sent them.
         (seq,) = db.execute(
             "update journals set upto = upto + 1 where origin = ? returning upto", (self._origin,)
         ).fetchone()
@@ -75,8 +75,8 @@
 class JournalStore:
     """Journals in a database's file.
 
-    `own_origin` names this process's journal by its name and its disk: another disk is another journal.
-    `offsets` says up to which number each journal is here without a gap.
+    `own_origin` is the name of this process and its disk id: a new disk begins a new journal.
+    `offsets`: up to which number each journal is here without a gap.
     """
 
     def __init__(self, loop: Loop, database: Database, name: str) -> None:
@@ -85,11 +85,11 @@
         self._database = database
         database.create_tables(SCHEMA)
         rows = database.select("select origin, own, upto from journals")
-        own = [origin for origin, is_own, _ in rows if is_own]
-        if own and own[0].rpartition("#")[0] != name:
-            raise StoreError(f"the journal here is {own[0]}'s, wanted {name}'s")
-        self.own_origin = own[0] if own else f"{name}#{secrets.token_hex(6)}"
-        if not own:
+        own_origins = [origin for origin, is_own, _ in rows if is_own]
+        if own_origins and own_origins[0].rpartition("#")[0] != name:
+            raise StoreError(f"the journal here is {own_origins[0]}'s, wanted {name}'s")
+        self.own_origin = own_origins[0] if own_origins else f"{name}#{secrets.token_hex(6)}"
+        if not own_origins:
             database.commit_at_startup(
                 lambda db: db.execute("insert into journals values (?, 1, 0)", (self.own_origin,))
             )
@@ -148,7 +148,7 @@
                 (origin, last, upto, READ_CHUNK_LINES),
             )
             if not chunk:
-                last = upto  # the rest were of calls that were purged
+                last = upto  # the other lines were purged
             for line in chunk:
                 if lines and size_bytes + line.size_bytes > max_bytes:
                     return make_batch(origin, after, last, lines)
@@ -158,7 +158,7 @@
         return make_batch(origin, after, max(last, upto), lines)
 
     def read_journal(self, origin: str) -> tuple[IntervalSet, list[Line]]:
-        """Return a journal as it is here: the numbers accounted for, and the lines. Raises StoreError."""
+        """Return what is here of a journal: the covered numbers, and the lines. Raises StoreError."""
         lines = self._loop.run_blocking(self._read, "where origin = ? order by seq", (origin,))
         return IntervalSet([(0, self.offsets.get(origin, 0))]), lines
 
@@ -192,15 +192,15 @@
 def _decode(line: Line) -> AnyRecord | None:
     try:
         return line.decode()
-    except CorruptLineError:  # another replica may have it intact; this one stores it as it came
+    except CorruptLineError:  # another replica may have it intact; this one stores it as received
         return None
 
 
 def _purge(db: sqlite3.Connection, origin: str, before_us: int, seq: int) -> None:
     """Delete the lines of calls that expired before a time, and older purge records.
 
-    Not only of calls that ended: a replica that has the first line of a call, and never gets the last, must
-    be able to tell by the first alone that the call is no longer open.
+    Open calls are included: a replica that has the first line of a call but never received the last must not
+    show the call as open for ever.
     """
     db.execute(
         "delete from lines where origin = ?1 and call in"
--- a/packages/store/src/walnutpost/store/stored_time.py
+++ b/packages/store/src/walnutpost/store/stored_time.py
@@ -1,14 +1,14 @@
 """How stored times survive a step of the wall clock across a restart. No I/O, no clock.
 
 A process's clock is an epoch read once at its start and carried on by the monotonic clock, so the wall clock
-can step only between two processes. What is stored must not be aged by such a step. It is therefore written
-in *stored time*: an axis that goes on across restarts by the time that certainly passed, however the wall
-clock was set. `offset_us` is the process's epoch less stored time, one number for the life of a process.
-
-Within one boot the machine's own clock tells the passed time exactly. Across boots (or machines) nothing
-does: a downtime of an hour and a step of an hour look alike. Then only what the wall clock shows beyond
-`MAX_STEP_US` counts as passed, so that nothing ends or is purged early; what is stored may live up to twice
-that longer (once for the step assumed, once for a step back that was real).
+can step only between two processes. Such a step must not age what is stored. So times are written in
+*stored time*: an axis that advances across restarts by the time that certainly passed, however the wall clock
+was set. `offset_us` is the process's epoch less stored time, constant while a process runs.
+
+Within one boot the machine's own clock measures the passed time exactly. Across boots (or machines) nothing
+does: a downtime of an hour and a step of an hour can't be distinguished. Then only what the wall clock shows
+beyond `MAX_STEP_US` counts as passed, so that nothing ends or is purged early; what is stored may live up to
+twice that longer (once for the step assumed, once for a step back that was real).
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 from walnutpost.eventloop import BootTime
 
-MAX_STEP_US = 3_600_000_000  # by which a wall clock is set wrong at the most, either way
-READ_TOLERANCE_US = 100_000  # between the reads of two clocks; a step below it is taken for none
+MAX_STEP_US = 3_600_000_000  # the largest error of a wall clock that is assumed, in either direction
+READ_TOLERANCE_US = 100_000  # between the reads of two clocks; a smaller difference is not a step
 
 
 @dataclass(frozen=True, slots=True)
 class TimeMark:
-    """One moment by the machine's clock, by the process's, and on the axis of stored time."""
+    """One moment by the machine's clock, the process's clock, and in stored time."""
 
     boot: BootTime
     epoch_us: int
--- a/packages/store/src/walnutpost/store/usage.py
+++ b/packages/store/src/walnutpost/store/usage.py
@@ -66,7 +66,7 @@
 _decode = msgspec.json.Decoder().decode
 READ_LOCK_TIMEOUT_S = 1
 SLICE_COLUMNS = 14
-# Stored words: the keys of table `state`.
+# The keys of table `state`. They are stored and must not change.
 SERIAL = "serial"
 CLOSED_TO = "closed to"
 DROPPED_BEFORE = "dropped before"
@@ -120,7 +120,7 @@
     """Write a batch as part of a transaction. Raises sqlite3.DatabaseError if it isn't the next in order."""
     (last,) = db.execute("select coalesce(max(value), 0) from state where name=?", (SERIAL,)).fetchone()
     if last != batch.serial - 1:
-        # Else lines would be booked twice: another process on the same file, or one written unknown to us.
+        # Another process uses the file, or a batch reported as failed is in it: lines would count twice.
         raise sqlite3.DatabaseError(f"found batch {last} in the ledger, wanted {batch.serial - 1}: restart")
     _write_observations(db, batch)
     _write_lines(db, batch)
@@ -215,7 +215,7 @@
         " where l.worker=lives.worker)",
         (batch.drop_before_us,),
     )
-    # Lines by the hour become lines by the day; closed and corrected stay apart.
+    # Hourly lines are summed up by the day, closed ones and corrections apart.
     db.execute(
         f"insert into days select hour/{DAY_US}*{DAY_US}, account, kind, sum(best), sum(least), sum(most)"
         f" from lines where hour<? group by hour/{DAY_US}, account, kind"
@@ -235,7 +235,7 @@
     try:
         db = sqlite3.connect(f"file:{path}?mode=ro", uri=True, timeout=READ_LOCK_TIMEOUT_S)
         try:
-            db.execute("begin")  # one snapshot for all of it
+            db.execute("begin")  # all reads see one snapshot
             state = _state(db)
             records_since = since if records else max(since, state.get(CLOSED_TO, 0))
             extract = LedgerExtract(_saved(db, state, records_since, until))
--- a/packages/store/tests/stored_state.py
+++ b/packages/store/tests/stored_state.py
@@ -106,7 +106,7 @@
 
 @contextmanager
 def calls_store(path: Path) -> Iterator[tuple[Loop, ExecutionStore, JournalStore, FiringStore]]:
-    """Opens the three stores of a front end's file, as it does at its start; a new journal's disk is DISK."""
+    """Open the three stores of a front end's file, as at its start; a new journal's disk id is DISK."""
     loop = Loop()
     executions = ExecutionStore(loop, path)
     try:
@@ -118,7 +118,7 @@
 
 
 def write_calls(path: Path) -> None:
-    """The content of CALLS_DUMP, by the stores' own functions."""
+    """Write the content of CALLS_DUMP through the stores."""
     with calls_store(path) as (loop, executions, journal, firings):
 
         def write() -> None:
@@ -147,9 +147,9 @@
             )
             for record in OWN_RECORDS:
                 journal.append_durably(record)
-            take = plan_batch_write(journal.offsets, make_batch(OTHER, 0, OTHER_UPTO, OTHER_LINES))
-            assert take is not None
-            journal.write_batch(take)
+            batch_write = plan_batch_write(journal.offsets, make_batch(OTHER, 0, OTHER_UPTO, OTHER_LINES))
+            assert batch_write is not None
+            journal.write_batch(batch_write)
 
         loop.run(write)
 
@@ -236,7 +236,7 @@
 
 
 def write_usage(path: Path) -> None:
-    """The content of USAGE_DUMP, in two batches: the second drops, folds and ends what is old."""
+    """Write the content of USAGE_DUMP in two batches; the second one drops, folds and ends old lines."""
     loop = Loop()
     store = UsageStore(loop, path)
     dropped = UsageSlice("worker-1", NOW - HOUR_US + 2, 1, NOW - 3 * HOUR_US, "price", 600, NOW - 2 * HOUR_US)
@@ -269,7 +269,7 @@
 
 
 def shifted(execution: Execution, offset_us: int) -> Execution:
-    """With all its times as they are read when stored time and the clock differ by so much."""
+    """Return an execution as it is read when its stored times and the clock differ by an offset."""
     ended_at = execution.ended_at + offset_us if execution.ended_at else 0
     accepted_at, expires_at = execution.accepted_at + offset_us, execution.expires_at + offset_us
     return replace(execution, accepted_at=accepted_at, expires_at=expires_at, ended_at=ended_at)
--- a/packages/store/tests/test_commit_retries.py
+++ b/packages/store/tests/test_commit_retries.py
@@ -1,4 +1,4 @@
-"""Commits that fail: tried again, applied once, refused in time, and nothing of a refused one comes back."""
+"""Commits that fail: retried, applied once, rejected in time; a rejected change does not reappear."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     database = Database(loop, path, SCHEMA, retry_us)
 
     def main() -> T:
-        database.submit(insert(0))  # so that the log has a beginning
+        database.submit(insert(0))  # so that the log is not empty
         if script is not None:
             ScriptedConnection(database, path, script)
         return work(loop, database)
@@ -46,7 +46,7 @@
         database.close()
 
 
-def numbers(path: Path) -> list[int]:
+def read_numbers(path: Path) -> list[int]:
     with sqlite3.connect(path) as db:
         return [n for (n,) in db.execute("select n from other order by n")]
 
@@ -65,7 +65,7 @@
     def work(loop: Loop, database: Database) -> None:
         database.submit(insert(1))
         database.submit(insert(2))
-        assert numbers(after_a_kill(path)) == [0, 1, 2]
+        assert read_numbers(after_a_kill(path)) == [0, 1, 2]
 
     run(path, work, failing(times, fault, statement))
 
@@ -77,7 +77,7 @@
         lines = [
             store.append_durably(CallEnded(f"c{n}", "SUCCEEDED", 1, b"", "", "")).line.seq for n in range(3)
         ]
-        assert [found.seq for found in store.read_journal(store.own_origin)[1]] == lines
+        assert [line.seq for line in store.read_journal(store.own_origin)[1]] == lines
         return lines
 
     assert run(tmp_path / "calls.db", work) == [1, 2, 3]
@@ -88,63 +88,63 @@
 ) -> None:
     path = tmp_path / "calls.db"
 
-    def commits(statement: str) -> Fault | None:
+    def fail_commits(statement: str) -> Fault | None:
         return Fault.REACHED_DISK if statement == "commit" else None
 
     def work(loop: Loop, database: Database) -> None:
-        began = loop.now()
-        with pytest.raises(StoreError) as found:
+        began_us = loop.now()
+        with pytest.raises(StoreError) as raised:
             database.submit(insert(1))
-        assert COMMIT_RETRY_US <= loop.now() - began < COMMIT_RETRY_US + SECOND
-        assert not found.value.is_uncertain
-        assert numbers(after_a_kill(path)) == [0]
+        assert COMMIT_RETRY_US <= loop.now() - began_us < COMMIT_RETRY_US + SECOND
+        assert not raised.value.is_uncertain
+        assert read_numbers(after_a_kill(path)) == [0]
 
-    run(path, work, commits)
+    run(path, work, fail_commits)
 
 
 def test_change_when_it_could_not_be_undone_on_disk_fails_as_uncertain(tmp_path: Path) -> None:
     path = tmp_path / "calls.db"
 
-    def all_of_them(statement: str) -> Fault | None:
+    def fail_commits_and_pragmas(statement: str) -> Fault | None:
         return Fault.REACHED_DISK if statement == "commit" or statement.startswith("pragma") else None
 
     def work(loop: Loop, database: Database) -> None:
-        with pytest.raises(StoreError) as found:
+        with pytest.raises(StoreError) as raised:
             database.submit(insert(1))
-        assert found.value.is_uncertain
-        assert database.select("select n from other") == [(0,)]  # for this process it never was
-        assert numbers(after_a_kill(path)) == [0, 1]
+        assert raised.value.is_uncertain
+        assert database.select("select n from other") == [(0,)]  # this process does not see it
+        assert read_numbers(after_a_kill(path)) == [0, 1]
 
-    run(path, work, all_of_them)
+    run(path, work, fail_commits_and_pragmas)
 
 
 def test_commit_after_one_that_could_not_be_undone_overwrites_it(tmp_path: Path) -> None:
-    path, broken = tmp_path / "calls.db", True
+    path, is_broken = tmp_path / "calls.db", True
 
     def script(statement: str) -> Fault | None:
-        return Fault.REACHED_DISK if broken and statement.startswith(("commit", "pragma")) else None
+        return Fault.REACHED_DISK if is_broken and statement.startswith(("commit", "pragma")) else None
 
     def work(loop: Loop, database: Database) -> None:
-        nonlocal broken
+        nonlocal is_broken
         with pytest.raises(StoreError):
             database.submit(insert(1))
-        broken = False
+        is_broken = False
         database.submit(insert(2))
-        assert numbers(after_a_kill(path)) == [0, 2]
+        assert read_numbers(after_a_kill(path)) == [0, 2]
 
     run(path, work, script)
 
 
 def test_change_without_retry_time_is_tried_once(tmp_path: Path) -> None:
     def work(loop: Loop, database: Database) -> None:
-        began = loop.now()
+        began_us = loop.now()
         with pytest.raises(StoreError):
             database.submit(insert(1))
         database.submit(insert(2))
-        assert loop.now() == began
+        assert loop.now() == began_us
 
     run(tmp_path / "calls.db", work, failing(1), retry_us=0)
-    assert numbers(tmp_path / "calls.db") == [0, 2]
+    assert read_numbers(tmp_path / "calls.db") == [0, 2]
 
 
 def test_changes_when_the_disk_is_full_are_written_if_they_fit(tmp_path: Path) -> None:
@@ -152,7 +152,7 @@
         pages = database.select("pragma page_count")[0][0]
         database.select(f"pragma max_page_count={pages + 2}")
 
-        def taken(n: int, size: int) -> bool:
+        def is_written(n: int, size: int) -> bool:
             try:
                 database.submit(insert(n, size))
             except StoreError:
@@ -160,26 +160,26 @@
             return True
 
         sizes = [200_000, 10, 10, 200_000, 10, 10]
-        return [task.join() for task in [loop.spawn(taken, n + 1, size) for n, size in enumerate(sizes)]]
+        return [task.join() for task in [loop.spawn(is_written, n + 1, size) for n, size in enumerate(sizes)]]
 
     assert run(tmp_path / "calls.db", work) == [False, True, True, False, True, True]
-    assert numbers(tmp_path / "calls.db") == [0, 2, 3, 5, 6]
+    assert read_numbers(tmp_path / "calls.db") == [0, 2, 3, 5, 6]
 
 
 def test_change_when_it_violates_a_constraint_leaves_none_of_its_statements(tmp_path: Path) -> None:
-    def twice(db: sqlite3.Connection) -> None:
+    def violate_constraint(db: sqlite3.Connection) -> None:
         insert(1)(db)
         insert(0)(db)
 
     def work(loop: Loop, database: Database) -> None:
-        tasks = [loop.spawn(database.submit, change) for change in (insert(2), twice, insert(3))]
+        tasks = [loop.spawn(database.submit, change) for change in (insert(2), violate_constraint, insert(3))]
         tasks[0].join()
         with pytest.raises(StoreError):
             tasks[1].join()
         tasks[2].join()
 
     run(tmp_path / "calls.db", work)
-    assert numbers(tmp_path / "calls.db") == [0, 2, 3]
+    assert read_numbers(tmp_path / "calls.db") == [0, 2, 3]
 
 
 @pytest.mark.parametrize("seed", range(5))
@@ -198,17 +198,16 @@
             task.join()
 
     run(tmp_path / "calls.db", work, script)
-    assert numbers(tmp_path / "calls.db") == list(range(101))
+    assert read_numbers(tmp_path / "calls.db") == list(range(101))
 
 
 def test_disk_when_it_works_again_is_used_within_two_seconds(tmp_path: Path) -> None:
-    broken = True
+    is_broken = True
 
     def work(loop: Loop, database: Database) -> None:
-        nonlocal broken
+        nonlocal is_broken
 
-        def owed() -> int:
-            """As a fate is written: for ever."""
+        def submit_until_durable() -> int:
             while True:
                 try:
                     database.submit(insert(1))
@@ -216,10 +215,10 @@
                 except StoreError:
                     loop.sleep(200_000)
 
-        task = loop.spawn(owed)
+        task = loop.spawn(submit_until_durable)
         loop.sleep(7 * SECOND)
-        broken, ended = False, loop.now()
-        assert task.join() - ended < 2 * SECOND
+        is_broken, recovered_us = False, loop.now()
+        assert task.join() - recovered_us < 2 * SECOND
 
-    run(tmp_path / "calls.db", work, lambda s: Fault.OPEN if broken and s == "commit" else None)
-    assert numbers(tmp_path / "calls.db") == [0, 1]
+    run(tmp_path / "calls.db", work, lambda s: Fault.OPEN if is_broken and s == "commit" else None)
+    assert read_numbers(tmp_path / "calls.db") == [0, 1]
--- a/packages/store/tests/test_store_golden.py
+++ b/packages/store/tests/test_store_golden.py
@@ -1,4 +1,4 @@
-"""Files that released code left: today's code opens them, tells all that is in them, and writes the same."""
+"""Files of released code: the present code opens them, reads all of them, and writes equal ones."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def drop_marks(path: Path, dump: Path) -> None:
-    """Takes away the table that files of calls have had since these golden files were made."""
+    """Drop the table that was added to files of calls after these golden files were made."""
     if dump == CALLS_DUMP:
         with closing(sqlite3.connect(path)) as db:
             db.execute("drop table time_marks")
@@ -88,7 +88,7 @@
 def test_executions_when_read_from_a_golden_file_have_their_outcomes(tmp_path: Path) -> None:
     everything = ExecutionQuery("price", None, frozenset(), None, None, False, None, 100)
     with calls_store(restore_dump(CALLS_DUMP, tmp_path / "calls.db")) as (loop, executions, _, _):
-        # Without time marks it is not known how long nobody ran: all its times are read shifted alike.
+        # Without time marks the downtime is unknown: all times are read with one offset.
         calls = [shifted(e, executions.clock.offset_us) for e in CALLS]
         known = {e.id: e for e in calls}
         running = [e for e in calls if e.status is Status.RUNNING]
@@ -115,11 +115,11 @@
     lost = FiringRow("lost", NOW, NOW, 1, NOW + 32, "cron-lost-1800000000", "RUNNING", "")
     ended = FiringRow("hourly", NOW, NOW, 1, NOW + 31, FIRED_AND_ENDED.name, "FAILED", "T: why")
     skipped = FiringRow("often", NOW + 3, NOW + 9, 4, NOW + 33, "", "SKIPPED", "missed")
-    refused = FiringRow("full", NOW + 4, NOW + 4, 1, NOW + 34, "", "REFUSED", "no room")
+    rejected = FiringRow("full", NOW + 4, NOW + 4, 1, NOW + 34, "", "REFUSED", "no room")
     with calls_store(path) as (_, _, _, firings):
         assert firings.load_marks() == MARKS
         assert firings.load_unfinished() == ([fired], [lost])
-    assert read_history(path, None, 100) == [refused, skipped, ended, lost, fired]
+    assert read_history(path, None, 100) == [rejected, skipped, ended, lost, fired]
     assert read_history(path, "often", 100) == [skipped]
 
 
--- a/packages/store/tests/test_stored_time.py
+++ b/packages/store/tests/test_stored_time.py
@@ -40,7 +40,7 @@
 def test_elapsed_time_across_boots_is_never_more_than_passed_and_at_most_two_hours_less(
     step: int, downtime: int, boot: BootTime
 ) -> None:
-    """Another boot, an unknown one, another machine's that has been up for long, one that ran backwards."""
+    """Another boot, an unknown one, a clock that ran backwards, another machine that has been up for long."""
     epoch = EPOCH + downtime + step
     passed = elapsed_us(MARK, boot, epoch)
     assert max(0, downtime - 2 * MAX_STEP_US) <= passed <= downtime
@@ -54,8 +54,8 @@
     assert next_offset_us(None, boot, EPOCH) == 0
 
 
-def opened(path: Path, epoch: int, boot: BootTime, work: Callable[[Loop, ExecutionStore], T]) -> T:
-    """One process's life; it ends without a word."""
+def with_store(path: Path, epoch: int, boot: BootTime, work: Callable[[Loop, ExecutionStore], T]) -> T:
+    """Run one process on the file; it ends without a shutdown."""
     loop = Loop(VirtualClock(epoch, boot))
     store = ExecutionStore(loop, path)
     try:
@@ -65,8 +65,8 @@
 
 
 def execution(name: str, accepted_at: int, ended_at: int = 0) -> Execution:
-    made = Execution(name, name, "price", "1", None, b"1", "d", accepted_at, accepted_at + 10 * MINUTE)
-    return replace(made, status=Status.SUCCEEDED, ended_at=ended_at) if ended_at else made
+    execution = Execution(name, name, "price", "1", None, b"1", "d", accepted_at, accepted_at + 10 * MINUTE)
+    return replace(execution, status=Status.SUCCEEDED, ended_at=ended_at) if ended_at else execution
 
 
 def fill(loop: Loop, store: ExecutionStore) -> None:
@@ -81,20 +81,24 @@
 @pytest.mark.parametrize("downtime", [0, 5 * MINUTE])
 def test_ages_over_restarts_are_the_time_that_passed(tmp_path: Path, step: int, downtime: int) -> None:
     path, boot = tmp_path / "calls.db", BootTime("a", HOUR)
-    opened(path, EPOCH, boot, fill)
+    with_store(path, EPOCH, boot, fill)
     for n in (1, 2):  # each restart after a further step
-        lived = n * (MINUTE + downtime)
-        epoch = EPOCH + lived + n * step
+        elapsed = n * (MINUTE + downtime)
+        epoch = EPOCH + elapsed + n * step
 
-        def look(loop: Loop, store: ExecutionStore, lived: int = lived) -> None:
+        def check(loop: Loop, store: ExecutionStore, elapsed: int = elapsed) -> None:
             start = loop.now()
             (running,) = store.load_open()
-            assert start - running.accepted_at == lived and running.expires_at - start == 10 * MINUTE - lived
+            assert (
+                start - running.accepted_at == elapsed and running.expires_at - start == 10 * MINUTE - elapsed
+            )
             ended = store.find("ended")
-            assert ended is not None and start - ended.ended_at == lived and running.ended_at == 0
-            store.purge(start - lived)
+            assert ended is not None and start - ended.ended_at == elapsed and running.ended_at == 0
+            store.purge(start - elapsed)
             assert store.find("ended") is not None
-            everything = ExecutionQuery("price", None, frozenset(), start - lived - 1, start, False, None, 10)
+            everything = ExecutionQuery(
+                "price", None, frozenset(), start - elapsed - 1, start, False, None, 10
+            )
             rows, _ = store.list_page(everything)
             assert [e.name for e in rows] == ["open"]
             marker = (rows[0].accepted_at, rows[0].id)
@@ -103,46 +107,46 @@
             loop.sleep(MINUTE)
             store.purge(start - HOUR)
 
-        opened(path, epoch, BootTime("a", HOUR + lived), look)
+        with_store(path, epoch, BootTime("a", HOUR + elapsed), check)
 
-    def purged(loop: Loop, store: ExecutionStore) -> tuple[bool, bool]:
+    def purge_ended(loop: Loop, store: ExecutionStore) -> tuple[bool, bool]:
         store.purge(loop.now() - (2 * (MINUTE + downtime) + MINUTE - 1))
         return store.find("ended") is None, store.find("open") is not None
 
-    # What was lived is counted whole: nothing stands for ever.
+    # All elapsed time counts, so that everything is purged in the end.
     end = 2 * (MINUTE + downtime) + MINUTE
-    assert opened(path, EPOCH + end, BootTime("a", HOUR + end), purged) == (True, True)
+    assert with_store(path, EPOCH + end, BootTime("a", HOUR + end), purge_ended) == (True, True)
 
 
 @pytest.mark.parametrize("step", STEPS)
 def test_file_without_marks_when_opened_ages_by_no_step(tmp_path: Path, step: int) -> None:
     path = tmp_path / "calls.db"
-    opened(path, EPOCH, BootTime("a", HOUR), fill)
+    with_store(path, EPOCH, BootTime("a", HOUR), fill)
     with sqlite3.connect(path) as db:
         db.execute("drop table time_marks")
 
-    def look(loop: Loop, store: ExecutionStore) -> int:
+    def check(loop: Loop, store: ExecutionStore) -> int:
         (running,) = store.load_open()
         store.add(execution("new", loop.now()))
         return loop.now() - running.accepted_at
 
-    lived = 2 * MINUTE
-    assert 0 <= opened(path, EPOCH + lived + step, BootTime("a", HOUR + lived), look) <= lived
+    elapsed = 2 * MINUTE
+    assert 0 <= with_store(path, EPOCH + elapsed + step, BootTime("a", HOUR + elapsed), check) <= elapsed
 
 
-def test_commit_when_it_fails_leaves_the_former_mark(tmp_path: Path) -> None:
+def test_commit_when_it_fails_leaves_the_previous_mark(tmp_path: Path) -> None:
     path = tmp_path / "calls.db"
-    opened(path, EPOCH, BootTime("a", HOUR), fill)
+    with_store(path, EPOCH, BootTime("a", HOUR), fill)
 
-    def refused(loop: Loop, store: ExecutionStore) -> list[tuple[int, ...]]:
+    def fail_commit(loop: Loop, store: ExecutionStore) -> list[tuple[int, ...]]:
         before = store.select("select epoch_us from time_marks")
 
-        def broken(db: sqlite3.Connection) -> None:
+        def fail_as_full(db: sqlite3.Connection) -> None:
             raise sqlite3.OperationalError("disk is full")
 
         with pytest.raises(Exception, match="disk is full"):
-            store.submit(broken)
+            store.submit(fail_as_full)
         assert store.select("select epoch_us from time_marks") == before
         return before
 
-    assert opened(path, EPOCH + HOUR, BootTime("a", 2 * HOUR), refused) == [(EPOCH + MINUTE,)]
+    assert with_store(path, EPOCH + HOUR, BootTime("a", 2 * HOUR), fail_commit) == [(EPOCH + MINUTE,)]
