--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -24,7 +24,7 @@
 from walnutpost.config import Config, WorkerConfig
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.eventloop import Event, Loop, connect
-from walnutpost.http import BadMessage, Exchange, Response, encode_request
+from walnutpost.http import Exchange, HttpMessageError, Response, encode_request
 from walnutpost.http.server import serve_on
 
 FORK = mp.get_context("fork")
@@ -49,7 +49,7 @@
     return Response(200, ANSWER.headers, ANSWER.body)
 
 
-def refusal(error: BadMessage) -> Response:
+def refusal(error: HttpMessageError) -> Response:
     return Response(error.status)
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -327,10 +327,10 @@
             connection = fleet.connect()
             target = "/2015-03-31/functions/price/invocations"
             for _ in range(300):
-                connection.ask("POST", target, {}, b"1")
+                connection.request("POST", target, {}, b"1")
             began = time.process_time()
             for _ in range(calls):
-                connection.ask("POST", target, {}, b"1")
+                connection.request("POST", target, {}, b"1")
             return time.process_time() - began
 
         return fleet.run(script)
--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -19,7 +19,7 @@
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.wire import CommandReply
 from walnutpost.daemon.endpoint_lists import EndpointLists
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import (
     AnalysisPolicy,
@@ -128,7 +128,7 @@
         quiet: Any = Quiet()
         client = WorkerClient(loop, WorkerClientSettings("f"))
         gateway = Gateway(settings, build_catalogue(config.site), 1)
-        lists = EndpointLists(loop, Core(loop, gateway, client, quiet), client, config.site, quiet)
+        lists = EndpointLists(loop, Dispatcher(loop, gateway, client, quiet), client, config.site, quiet)
         follower = EndpointFollower("f", "1", True)
         lists.set_configured(ListKind.CACHED, 0, [])
 
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -16,7 +16,7 @@
 from walnutpost.configstore import ApplyOutcome, ConfigStore, WatchState
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, WaitTimeoutError
-from walnutpost.http import BadMessage, Connection
+from walnutpost.http import Connection, HttpMessageError
 from walnutpost.watch import Watcher
 
 SECOND = 1_000_000
@@ -109,13 +109,13 @@
             name, n = told["functions"][n % len(told["functions"])], n + 1
             began = time.monotonic()
             try:
-                if connection is None or not connection.reusable:
+                if connection is None or not connection.is_reusable:
                     connection = Connection.open(loop, parse_address(address))
                 with loop.timeout(PATIENCE):
                     target = f"/2015-03-31/functions/{name}/invocations"
-                    response = connection.ask("POST", target, {}, b"{}")
+                    response = connection.request("POST", target, {}, b"{}")
                 key = str(response.status)
-            except (OSError, BadMessage, WaitTimeoutError) as error:
+            except (OSError, HttpMessageError, WaitTimeoutError) as error:
                 key, connection = type(error).__name__, None
             took.append(time.monotonic() - began)
             counts[key] = counts.get(key, 0) + 1
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -21,7 +21,7 @@
 from walnutpost.controlplane.errors import ControlPlaneUnavailableError, MalformedMessageError
 from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
 from walnutpost.fleet import Command, CommandResult, Fleet, encode
-from walnutpost.http import BadMessage, Connection, Limits, Response
+from walnutpost.http import Connection, HttpMessageError, Limits, Response
 
 T = TypeVar("T", bound=config_messages.Record)
 RETRY_DELAY_US = 100_000
@@ -167,7 +167,7 @@
         try:
             with self._loop.timeout(self._attempt_timeout_us):
                 return wire.decode(self._exchange(replica, "GET", target, b"").body, kind)
-        except (OSError, BadMessage, WaitTimeoutError, MalformedMessageError) as error:
+        except (OSError, HttpMessageError, WaitTimeoutError, MalformedMessageError) as error:
             raise ControlPlaneUnavailableError(f"{replica}: {error}") from error
 
     def _result(self, target: str, body: bytes) -> CommandResult:
@@ -188,7 +188,7 @@
             try:
                 with self._loop.timeout(min(self._attempt_timeout_us, remaining_us)):
                     response = self._exchange(replica, method, target, body)
-            except (OSError, BadMessage, WaitTimeoutError) as error:
+            except (OSError, HttpMessageError, WaitTimeoutError) as error:
                 reason = f"{replica}: {type(error).__name__} {error}"
                 self._loop.sleep(RETRY_DELAY_US)
                 continue
@@ -207,10 +207,10 @@
         raise ControlPlaneUnavailableError(reason)
 
     def _exchange(self, replica: str, method: str, target: str, body: bytes) -> Response:
-        limits = Limits(body=wire.MAX_BODY_BYTES)
+        limits = Limits(max_body_bytes=wire.MAX_BODY_BYTES)
         connection = Connection.open(self._loop, self._addresses[replica], limits=limits)
         try:
-            return connection.ask(method, target, {"Content-Type": wire.CONTENT_TYPE}, body)
+            return connection.request(method, target, {"Content-Type": wire.CONTENT_TYPE}, body)
         finally:
             connection.close()
 
--- a/packages/controlplane/src/walnutpost/controlplane/peers.py
+++ b/packages/controlplane/src/walnutpost/controlplane/peers.py
@@ -8,7 +8,7 @@
 from walnutpost.consensus import Message
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Event, Loop, WaitTimeoutError
-from walnutpost.http import BadMessage, Connection, Limits
+from walnutpost.http import Connection, HttpMessageError, Limits
 
 MAX_QUEUED_MESSAGES = 512
 """To one replica; the oldest are dropped, since newer ones supersede them."""
@@ -66,7 +66,7 @@
             with self._loop.timeout(self._reply_timeout_us + len(body) // MIN_THROUGHPUT_BYTES_PER_US):
                 self._post(body)
             self.sent_count += len(batch.messages)
-        except (OSError, BadMessage, WaitTimeoutError):
+        except (OSError, HttpMessageError, WaitTimeoutError):
             self.lost_count += len(batch.messages)
             self._disconnect()
             self._loop.sleep(RECONNECT_DELAY_US)
@@ -81,12 +81,12 @@
 
     def _post(self, body: bytes) -> None:
         connection = self._connection
-        if connection is None or not connection.reusable:
+        if connection is None or not connection.is_reusable:
             self._disconnect()
-            limits = Limits(body=wire.MAX_BODY_BYTES)
+            limits = Limits(max_body_bytes=wire.MAX_BODY_BYTES)
             connection = Connection.open(self._loop, self._address(), limits=limits)
             self._connection = connection
-        connection.ask("POST", wire.MESSAGES_PATH, {"Content-Type": wire.CONTENT_TYPE}, body)
+        connection.request("POST", wire.MESSAGES_PATH, {"Content-Type": wire.CONTENT_TYPE}, body)
 
     def _disconnect(self) -> None:
         if self._connection is not None:
--- a/packages/controlplane/src/walnutpost/controlplane/replica.py
+++ b/packages/controlplane/src/walnutpost/controlplane/replica.py
@@ -84,7 +84,7 @@
             settings.listen,
             RequestHandler(self._context).serve,
             protocol_error_response,
-            Limits(body=wire.MAX_BODY_BYTES),
+            Limits(max_body_bytes=wire.MAX_BODY_BYTES),
             role="control_plane",
             log=log,
         )
@@ -179,7 +179,7 @@
             self._context.leadership.stop()
         self._context.disk.stop()
         self._server.stop_accepting()
-        self._server.group.cancel()
+        self._server.tasks.cancel()
         self._context.driver.cancel_timer()
         for peer in self._peers.values():
             peer.close()
--- a/packages/controlplane/src/walnutpost/controlplane/responses.py
+++ b/packages/controlplane/src/walnutpost/controlplane/responses.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from walnutpost.controlplane import wire
-from walnutpost.http import BadMessage, Response
+from walnutpost.http import HttpMessageError, Response
 
 OK = 200
 MISDIRECTED = 421
@@ -23,6 +23,6 @@
     return Response(status, {"Content-Type": wire.CONTENT_TYPE}, wire.encode(reply))
 
 
-def protocol_error_response(error: BadMessage) -> Response:
+def protocol_error_response(error: HttpMessageError) -> Response:
     """Return the response to bytes that are no HTTP request."""
     return Response(error.status, body=str(error).encode())
--- a/packages/controlplane/tests/config_rig.py
+++ b/packages/controlplane/tests/config_rig.py
@@ -17,7 +17,7 @@
 from walnutpost.configstore.watch_state import WatchState
 from walnutpost.controlplane import ControlPlaneUnavailableError
 from walnutpost.eventloop import Loop, WaitTimeoutError
-from walnutpost.http import BadMessage, Connection, Limits, Response
+from walnutpost.http import Connection, HttpMessageError, Limits, Response
 
 REPLY_TIMEOUT_US = 60 * SECOND  # a test fails then, whatever else
 
@@ -55,7 +55,7 @@
         try:
             with self.loop.timeout(REPLY_TIMEOUT_US):
                 response = self._exchange(encode(self.state.next_request(wait_timeout_us)))
-        except (OSError, BadMessage, WaitTimeoutError) as error:
+        except (OSError, HttpMessageError, WaitTimeoutError) as error:
             raise ControlPlaneUnavailableError(f"{self.name}: {error}") from error
         assert response.status in (200, 204), response
         self.age_us = int(response.headers[AGE_HEADER.lower()])
@@ -69,9 +69,9 @@
         address = self._cluster.address_of(self.name)
         if address is None:
             raise OSError("it is not up")
-        connection = Connection.open(self.loop, address, limits=Limits(body=1 << 20))
+        connection = Connection.open(self.loop, address, limits=Limits(max_body_bytes=1 << 20))
         try:
-            return connection.ask("POST", WATCH_PATH, {"Content-Type": "application/msgpack"}, body)
+            return connection.request("POST", WATCH_PATH, {"Content-Type": "application/msgpack"}, body)
         finally:
             connection.close()
 
--- a/packages/controlplane/tests/disk_rig.py
+++ b/packages/controlplane/tests/disk_rig.py
@@ -221,7 +221,7 @@
         """Send one request to one replica, without retries."""
         connection = Connection.open(self.loop, self.addresses[name])
         try:
-            return connection.ask("POST", target, {"Content-Type": "application/msgpack"}, body)
+            return connection.request("POST", target, {"Content-Type": "application/msgpack"}, body)
         finally:
             connection.close()
 
--- a/packages/controlplane/tests/test_control_plane_requests.py
+++ b/packages/controlplane/tests/test_control_plane_requests.py
@@ -25,7 +25,7 @@
             with cluster.loop.timeout(REPLY_TIMEOUT_US):
                 connection = Connection.open(cluster.loop, address)
                 try:
-                    response = connection.ask(method, target, {}, body)
+                    response = connection.request(method, target, {}, body)
                 finally:
                     connection.close()
             return response.status, response.body
--- a/packages/controlplane/tests/test_peers.py
+++ b/packages/controlplane/tests/test_peers.py
@@ -33,7 +33,7 @@
             ("127.0.0.1", 0),
             handler,
             lambda error: Response(error.status),
-            Limits(body=wire.MAX_BODY_BYTES),
+            Limits(max_body_bytes=wire.MAX_BODY_BYTES),
         )
         peer = PeerConnection(loop, lambda: server.address, REPLY_TIMEOUT_US)
         peer.send("k2", message)
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -10,7 +10,7 @@
 
 from walnutpost.daemon.open_calls import OpenCall, OpenCalls
 from walnutpost.daemon.replication import JournalReplication
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import (
     Admission,
@@ -53,7 +53,7 @@
     def __init__(
         self,
         loop: Loop,
-        core: Core,
+        dispatcher: Dispatcher,
         store: ExecutionStore,
         catalogue: Catalogue,
         log: Any,
@@ -62,14 +62,14 @@
         """Register with the core for intents and names of executions."""
         self._loop = loop
         self._replication = replication
-        self._core = core
+        self._dispatcher = dispatcher
         self._store = store
         self._catalogue = catalogue
         self._log = log
         self.open_calls = OpenCalls()
         self.recovered: dict[str, OpenCall] = {}  # by id: found at the start and not yet dispatched
-        core.intend = self._record_intent
-        core.execution = self._name_of
+        dispatcher.hooks.record_intent = self._record_intent
+        dispatcher.hooks.execution_name = self._name_of
         self.result_change: Callable[[Execution], Change] | None = None  # committed with each result
         self.on_end: Callable[[Execution], None] = _ignore  # called when a result is durable
 
@@ -234,12 +234,12 @@
         call's result, now or later.
         """
         execution = call.execution
-        self.open_calls.set_ticket(call, self._core.ticket())
+        self.open_calls.set_ticket(call, self._dispatcher.new_ticket())
         is_dispatching = True
 
         def on_final(final: Final) -> None:
             self.open_calls.clear_ticket(call)
-            self._core.told(final, request_id, execution.function, execution.tenant)
+            self._dispatcher.log_answer(final, request_id, execution.function, execution.tenant)
             if is_dispatching and isinstance(final, Rejected):
                 call.rejection = final
             else:
@@ -256,14 +256,14 @@
             rejection=self._budget_rejection(call),
             definition=call.function,
         )
-        self._core.arrive(arrival, on_final)
+        self._dispatcher.submit(arrival, on_final)
         is_dispatching = False
 
     def _budget_rejection(self, call: OpenCall) -> Rejected | None:
         """Return the rejection of a new call by its tenant's budget; a recovered call was accepted before."""
         if call.settled.is_set:
             return None
-        return self._core.barred(call.execution.function, call.execution.tenant)
+        return self._dispatcher.rejection_for(call.execution.function, call.execution.tenant)
 
     def _name_of(self, ticket: int) -> str:
         call = self.open_calls.by_ticket(ticket)
@@ -368,7 +368,7 @@
         if self.recovered.pop(execution_id, None) is not None:
             self.finish(call, Failed(Failure.STOPPED, "stopped by its owner"))
         else:
-            self._core.feed(CallStopped(call.ticket))
+            self._dispatcher.feed(CallStopped(call.ticket))
         return self._visible(call)
 
     def list(self, query: ExecutionQuery) -> tuple[list[Execution], bool]:
--- a/packages/daemon/src/walnutpost/daemon/deferred_recovery.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred_recovery.py
@@ -6,7 +6,7 @@
 
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.open_calls import OpenCall
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Failed, Failure, Rejected, recovery_action
 from walnutpost.interface import Effect
@@ -21,14 +21,14 @@
     def __init__(
         self,
         loop: Loop,
-        core: Core,
+        dispatcher: Dispatcher,
         store: ExecutionStore,
         deferred: DeferredCalls,
         are_functions_known: Callable[[], bool],
     ) -> None:
         """`are_functions_known`: until it returns True, a call of a function that isn't there waits."""
         self._loop = loop
-        self._core = core
+        self._dispatcher = dispatcher
         self._store = store
         self._deferred = deferred
         self._are_functions_known = are_functions_known
@@ -72,7 +72,7 @@
             action = Failed(Failure.RESTART, "the function is no longer configured")
         del self._deferred.recovered[execution.id]
         if isinstance(action, Failed):
-            self._core.told(action, execution.name, execution.function, execution.tenant)
+            self._dispatcher.log_answer(action, execution.name, execution.function, execution.tenant)
             self._deferred.finish(call, action)
             return
         self._dispatch(call, action)
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from walnutpost.config import ConfigError, Site, WorkerConfig, WorkerList, build_endpoint_list, load
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Loop
 from walnutpost.fleet.endpoints import EndpointFollower, ListedEndpoint
 from walnutpost.gateway import WorkersListed
@@ -27,7 +27,7 @@
     def __init__(
         self,
         loop: Loop,
-        core: Core,
+        dispatcher: Dispatcher,
         worker_client: WorkerClient,
         site: Site,
         log: Any,
@@ -35,7 +35,7 @@
     ) -> None:
         """`on_published` gets each list as it is published, for captures."""
         self._loop = loop
-        self._core = core
+        self._dispatcher = dispatcher
         self._worker_client = worker_client
         self._site = site
         self._log = log
@@ -71,7 +71,7 @@
         self._worker_client.update_workers(endpoints.addresses, endpoints.draining, names)
         if self._on_published is not None:
             self._on_published(version, lines)
-        self._core.feed(WorkersListed(kind, version, endpoints.workers))
+        self._dispatcher.feed(WorkersListed(kind, version, endpoints.workers))
 
     def read_file(self, path: Path, kind: ListKind = ListKind.FULL) -> bool:
         """Publish the file's list if it is new; an invalid one leaves the last one in use."""
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -20,7 +20,7 @@
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError, MalformedMessageError
 from walnutpost.controlplane.wire import CommandReply, Report
 from walnutpost.daemon.endpoint_lists import EndpointLists
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Loop, remove_leftovers, replace_file
 from walnutpost.fleet import (
     FRONT_END,
@@ -34,14 +34,14 @@
 from walnutpost.interface import RequestClass
 
 
-class CallCountingCore(Core):
+class CallCountingDispatcher(Dispatcher):
     """Counts how calls end, for canary analysis; the latency objectives are those of `classes`."""
 
     call_counts = CallCounts()
     functions: Mapping[str, Function] = {}
     classes: tuple[RequestClass, ...] = ()
 
-    def arrive(self, call: CallArrived, on_final: Callable[[Final], None]) -> None:
+    def submit(self, call: CallArrived, on_final: Callable[[Final], None]) -> None:
         """Count a call's final answer."""
         function = call.definition or self.functions.get(call.function)
         objective_at_us = self._loop.now() + (
@@ -52,13 +52,13 @@
             self._count_result(final, self._loop.now() <= objective_at_us)
             on_final(final)
 
-        super().arrive(call, counted)
+        super().submit(call, counted)
 
-    def leave(self, ticket: int) -> None:
+    def abandon(self, ticket: int) -> None:
         """Count a caller that disconnects before its answer."""
-        if ticket in self._waiting:
+        if self.is_awaited(ticket):
             self._count_result(None, False)
-        super().leave(ticket)
+        super().abandon(ticket)
 
     def _count_result(self, final: Final | None, within_objective: bool) -> None:
         is_served, is_rejected = isinstance(final, Served), isinstance(final, Rejected)
@@ -76,14 +76,14 @@
         loop: Loop,
         line: MembershipConfig,
         zone: str,
-        core: CallCountingCore,
+        dispatcher: CallCountingDispatcher,
         lists: EndpointLists,
         log: Any,
         cache_file: Path,
     ) -> None:
         """Use `cache_file` for the last list, for a start without the control plane."""
         self._loop = loop
-        self._core = core
+        self._dispatcher = dispatcher
         self._endpoint_lists = lists
         self._log = log
         self._zone = zone
@@ -125,7 +125,7 @@
             follower.member,
             follower.incarnation,
             applied_index=follower.applied_index,
-            call_counts=self._core.call_counts.as_tuple,
+            call_counts=self._dispatcher.call_counts.as_tuple,
         )
         try:
             if follower.must_register:
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -24,14 +24,14 @@
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.deferred_recovery import DeferredRecovery
 from walnutpost.daemon.endpoint_lists import EndpointLists
-from walnutpost.daemon.fleet import CallCountingCore, FleetMembership
+from walnutpost.daemon.fleet import CallCountingDispatcher, FleetMembership
 from walnutpost.daemon.keys import CertificateReloader
 from walnutpost.daemon.metering import UsageMetering
 from walnutpost.daemon.replication import JournalReplication
 from walnutpost.daemon.result_purge import ResultPurger
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.daemon.settings_watch import AgreedFunctions, SettingsWatch
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Loop, Tap, Task, WaitTimeoutError
 from walnutpost.fronts.cron import CronFront, FiringLimits
 from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
@@ -84,7 +84,7 @@
         self._build_gateway(tap)
         self._build_deferred_calls()
         self.endpoint_lists = EndpointLists(
-            loop, self.core, self.worker_client, config.site, log, tap.told if tap else None
+            loop, self.dispatcher, self.worker_client, config.site, log, tap.told if tap else None
         )
         self._spawn_background_tasks()
         self._build_metering()
@@ -98,7 +98,7 @@
     # Builders, in order: each needs those before it
 
     def _build_gateway(self, tap: Recorder | None) -> None:
-        """Build the catalogue, the connections to workers, and the core that feeds the gateway."""
+        """Build the catalogue, the connections to workers, and the dispatcher that feeds the gateway."""
         config = self._config
         front = config.front
         seed = front.seed if front.seed is not None else secrets.randbits(63)
@@ -112,14 +112,14 @@
             int(front.max_outcome_mb * BYTES_PER_MB),
         )
         self._build_worker_client(tap)
-        self._counting_core: CallCountingCore | None = None
+        self._counting_dispatcher: CallCountingDispatcher | None = None
         if config.agreement is None or not config.agreement.keepers:
-            self.core = Core(self._loop, gateway, self.worker_client, self._log)
+            self.dispatcher = Dispatcher(self._loop, gateway, self.worker_client, self._log)
             return
-        self._counting_core = CallCountingCore(self._loop, gateway, self.worker_client, self._log)
-        self._counting_core.functions = self.catalogue.functions
-        self._counting_core.classes = self._router_settings.classes
-        self.core = self._counting_core
+        self._counting_dispatcher = CallCountingDispatcher(self._loop, gateway, self.worker_client, self._log)
+        self._counting_dispatcher.functions = self.catalogue.functions
+        self._counting_dispatcher.classes = self._router_settings.classes
+        self.dispatcher = self._counting_dispatcher
 
     def _build_catalogue(self) -> None:
         """Build the catalogue: the configured functions, or the agreed ones as they change."""
@@ -160,7 +160,7 @@
             )
         self.deferred = DeferredCalls(
             self._loop,
-            self.core,
+            self.dispatcher,
             self._store,
             self.catalogue,
             self._log,
@@ -185,7 +185,7 @@
         self.metering = UsageMetering(
             self._loop, self._config, section, functions, self.worker_client, self._log, self._base
         )
-        self.core.watch = self.metering
+        self.dispatcher.hooks.observer = self.metering
         self._spawn(self.metering.run, name="metering")
 
     def _load_endpoint_list(self) -> None:
@@ -204,13 +204,13 @@
         config = self._config
         self._incarnation = os.environ.get(INCARNATION_VARIABLE) or secrets.token_hex(6)
         self.fleet: FleetMembership | None = None
-        if config.agreement is None or self._counting_core is None:
+        if config.agreement is None or self._counting_dispatcher is None:
             return
         self.fleet = FleetMembership(
             self._loop,
             config.agreement,
             config.front.zone or "all",
-            self._counting_core,
+            self._counting_dispatcher,
             self.endpoint_lists,
             self._log,
             self._base / f"{config.front.store}.agreed",
@@ -256,7 +256,7 @@
 
     def _recover_deferred_calls(self) -> None:
         recovery = DeferredRecovery(
-            self._loop, self.core, self._store, self.deferred, self._are_functions_known
+            self._loop, self.dispatcher, self._store, self.deferred, self._are_functions_known
         )
         self.recovered_calls = recovery.recover()
         self._spawn(recovery.await_functions, name="await functions")
@@ -264,7 +264,7 @@
     def _listen(self, tap: Recorder | None) -> None:
         front = self._config.front
         invoke = InvokeFront(
-            self.core,
+            self.dispatcher,
             self.deferred,
             self.catalogue,
             self._router_settings.classes,
@@ -345,7 +345,7 @@
             self._log.warning("usage_final_collection_timed_out")
 
     def _is_busy(self) -> bool:
-        has_open_calls = any(self.server.streams.values()) or self.core.open_calls > 0
+        has_open_calls = any(self.server.streams.values()) or self.dispatcher.open_calls > 0
         return has_open_calls or self.deferred.pending_writes > 0
 
     def close(self) -> None:
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -105,7 +105,7 @@
 
     # Called by the core (dispatch.Watch)
 
-    def barred(self, function: str, tenant: str | None) -> Rejected | None:
+    def rejection_for(self, function: str, tenant: str | None) -> Rejected | None:
         """Return the rejection of a call whose tenant's budget is used up, unless it needs no load."""
         if not self._budgets_act:
             return None
@@ -118,30 +118,30 @@
         reason = "the tenant's budget of memory is used up, and the call would need a load"
         return Rejected(reason, self.budgets.time_to_period_end_us(name, now))
 
-    def started(self, now: int, start: Send) -> None:
+    def on_sent(self, now_us: int, send: Send) -> None:
         """Sample an attempt that is being sent."""
-        if not self._budgets_act and not self.sampler.is_estimated(start.worker):
+        if not self._budgets_act and not self.sampler.is_estimated(send.worker):
             return
-        tenant = start.tenant if start.tenant is not None else NO_TENANT
-        self._attempts[start.call, start.attempt] = (start.worker, start.function, tenant)
-        self.sampler.start_call(now, start.worker, start.function, tenant)
+        tenant = send.tenant if send.tenant is not None else NO_TENANT
+        self._attempts[send.call, send.attempt] = (send.worker, send.function, tenant)
+        self.sampler.start_call(now_us, send.worker, send.function, tenant)
 
-    def done(self, now: int, done: AttemptEnded) -> None:
+    def on_attempt_ended(self, now_us: int, ended: AttemptEnded) -> None:
         """Sample the end of an attempt."""
-        attempt = self._attempts.pop((done.call, done.attempt), None)
+        attempt = self._attempts.pop((ended.call, ended.attempt), None)
         if attempt is not None:
-            self.sampler.end_call(now, *attempt)
+            self.sampler.end_call(now_us, *attempt)
 
-    def held(self, now: int, done: LoadOrderEnded) -> None:
+    def on_load_order_ended(self, now_us: int, ended: LoadOrderEnded) -> None:
         """Sample the end of a load order."""
-        if done.outcome in (Outcome.OK, Outcome.FULL):
-            self.sampler.set_copies(now, done.worker, done.function, done.copies)
+        if ended.outcome in (Outcome.OK, Outcome.FULL):
+            self.sampler.set_copies(now_us, ended.worker, ended.function, ended.copies)
 
-    def lets_order(self, now: int, order: LoadOrder) -> bool:
+    def may_order_load(self, now_us: int, order: LoadOrder) -> bool:
         """Whether the budgets of the function's tenants allow a load order."""
         if not self._budgets_act or order.copies <= 0:
             return True
-        loaded = self.sampler.has_copies(now, order.function)
+        loaded = self.sampler.has_copies(now_us, order.function)
         return self.budgets.admits_load_order(self.sampler.calling_tenants(order.function), loaded)
 
     # Collection
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -162,7 +162,7 @@
         connection = self.connect()
         try:
             named_headers = {key.replace("_", "-"): value for key, value in headers.items()}
-            return connection.ask(method, target, named_headers, body)
+            return connection.request(method, target, named_headers, body)
         finally:
             connection.close()
 
@@ -172,7 +172,7 @@
     def ask_worker(self, name: str, target: str) -> Response:
         connection = Connection.open(self.loop, self.workers[name].address)
         try:
-            return connection.ask("GET", target)
+            return connection.request("GET", target)
         finally:
             connection.close()
 
--- a/packages/daemon/tests/relay_rig.py
+++ b/packages/daemon/tests/relay_rig.py
@@ -6,7 +6,7 @@
 
 from walnutpost.configstore import ConfigStore, Mutation, WatchRequest
 from walnutpost.eventloop import Loop
-from walnutpost.http import BadMessage, Exchange, Response, Server
+from walnutpost.http import Exchange, HttpMessageError, Response, Server
 from walnutpost.http.server import serve_on
 from walnutpost.watch import WatchServer
 
@@ -39,5 +39,5 @@
             stream.reset()
 
 
-def _protocol_error(error: BadMessage) -> Response:
+def _protocol_error(error: HttpMessageError) -> Response:
     return Response(error.status, body=str(error).encode())
--- a/packages/daemon/tests/test_journal_replication.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -82,14 +82,14 @@
             headers["x-amz-durable-execution-name"] = name
         connection = Connection.open(self.loop, self.fronts[at].address)
         try:
-            return connection.ask("POST", INVOKE.format(function), headers, b'{"copy": 7}')
+            return connection.request("POST", INVOKE.format(function), headers, b'{"copy": 7}')
         finally:
             connection.close()
 
     def ask_status(self, at: str, response: Response) -> Response:
         connection = Connection.open(self.loop, self.fronts[at].address)
         try:
-            return connection.ask("GET", execution_path(response))
+            return connection.request("GET", execution_path(response))
         finally:
             connection.close()
 
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -302,13 +302,13 @@
         def script(f: Fleet = f, is_scaled: bool = is_scaled) -> None:
             f.invoke("price", x_amz_tenant_id="trade")
             metering_of(f).collect()
-            orders, send = [], f.front.worker_client.order
+            orders, send = [], f.front.worker_client.order_load
 
             def order(effect: LoadOrder, done: Any) -> None:
                 orders.append(effect.copies)
                 send(effect, done)
 
-            f.front.worker_client.order = order  # type: ignore[method-assign]
+            f.front.worker_client.order_load = order  # type: ignore[method-assign]
             calls = [f.loop.spawn(lambda: f.invoke("price", x_amz_tenant_id="trade")) for _ in range(12)]
             assert [c.join().status for c in calls] == [200] * 12
             assert (max(orders, default=0) > 0) is is_scaled
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -123,7 +123,7 @@
 
     def script() -> None:
         f.warm("reserve")
-        router = f.front.core._gateway._router
+        router = f.front.dispatcher._gateway._router
         events: list[Any] = []
         handle = router.handle
 
@@ -132,13 +132,13 @@
             return handle(now, event)
 
         router.handle = record  # type: ignore[method-assign]
-        key = f.front.core._gateway._functions.number("reserve")
+        key = f.front.dispatcher._gateway._functions.number("reserve")
         state = router.functions.by_key[key]
         copy_counts = {w: copies.count for w, copies in state.copies.items()}
         first = f.loop.spawn(f.invoke, "price")
         f.until(lambda: f.runs("price") == 1)
         f.change(put_function("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"}))
-        open_calls = f.front.core._gateway._calls.by_number.values()
+        open_calls = f.front.dispatcher._gateway._calls.by_number.values()
         assert [(copies.function.version, copies.function.lanes) for copies in open_calls] == [("1", 2.0)]
         second = f.invoke("price")
         assert (second.status, second.headers["x-amz-executed-version"]) == (200, "2")
@@ -147,9 +147,9 @@
         response = [(e.class_index, e.memory_mb, e.lanes, e.load_time_us) for e in arrivals]
         assert response == [(0, 400, 2.0, 300_000), (1, 512, 7.0, 80_000)]
         assert not [e for e in events if isinstance(e, WorkersListed)]
-        assert f.front.core._gateway._router is router and router.functions.by_key[key] is state
+        assert f.front.dispatcher._gateway._router is router and router.functions.by_key[key] is state
         assert {w: copies.count for w, copies in state.copies.items()} == copy_counts
-        assert f.warm("reserve") in {f.front.core._gateway._workers.name(w) for w in copy_counts}
+        assert f.warm("reserve") in {f.front.dispatcher._gateway._workers.name(w) for w in copy_counts}
 
     f.play(script)
 
@@ -184,7 +184,7 @@
         connection = Connection.open(f.loop, f.front.address)
         while not is_over():
             for function in order:
-                response = connection.ask("POST", INVOKE.format(function), {}, b"1")
+                response = connection.request("POST", INVOKE.format(function), {}, b"1")
                 assert response.status == 200, (function, response.status, response.body)
                 version = int(response.headers["x-amz-executed-version"])
                 assert version >= previous_version, "one function of a change set without the other"
@@ -387,7 +387,7 @@
         assert f.front.fleet is not None
         assert f.front.fleet.follower.incarnation == f.settings.watch_state.incarnation
         f.change(put_function("left", 2))
-        assert f.invoked_version("left") == "2" and f.front.core.call_counts.served == 1  # type: ignore[attr-defined]
+        assert f.invoked_version("left") == "2" and f.front.dispatcher.call_counts.served == 1  # type: ignore[attr-defined]
 
     f.play(script)
 
--- /dev/null
+++ b/packages/dispatch/src/walnutpost/dispatch/answers.py
@@ -0,0 +1,64 @@
+"""Final answers: how they are counted and logged."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+from typing import Any
+
+from walnutpost.gateway import Failed, Final, Rejected, Served
+
+CALLER_LEFT_REASON = "the caller hung up"
+
+
+class AnswerKind(Enum):
+    """How a call ended for its caller; the values are logged."""
+
+    SERVED = "served"
+    REJECTED = "refused"
+    FAILED = "failed"
+    ABANDONED = "left"  # the caller has gone before the answer
+
+
+@dataclass(slots=True)
+class AnswerCounts:
+    """Calls by how they ended, since the start."""
+
+    served: int = 0
+    rejected: int = 0
+    failed: int = 0
+    abandoned: int = 0
+
+    def count(self, final: Final) -> None:
+        """Count a final answer."""
+        match final:
+            case Served():
+                self.served += 1
+            case Rejected():
+                self.rejected += 1
+            case Failed():
+                self.failed += 1
+
+
+def log_answer(log: Any, final: Final | None, request_id: str, function: str, tenant: str | None) -> None:
+    """Log `request_answered` unless the call was served; None is a caller that left.
+
+    Payloads are never logged.
+    """
+    match final:
+        case Served():
+            return
+        case None:
+            kind, reason = AnswerKind.ABANDONED, CALLER_LEFT_REASON
+        case Rejected(reason):
+            kind = AnswerKind.REJECTED
+        case Failed(failure, message):
+            kind, reason = AnswerKind.FAILED, f"{failure.value}: {message}"
+    log.info(
+        "request_answered",
+        kind=kind.value,
+        reason=reason,
+        request_id=request_id,
+        function=function,
+        tenant=tenant,
+    )
--- /dev/null
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -0,0 +1,100 @@
+"""Hands each effect of the gateway to the one that carries it out."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from walnutpost.dispatch.interfaces import DispatchHooks, WorkerTransport
+from walnutpost.eventloop import Loop
+from walnutpost.gateway import (
+    Answered,
+    Cancel,
+    CloseIdleConnections,
+    Effect,
+    Input,
+    LoadOrder,
+    LoadOrderEnded,
+    Log,
+    Probe,
+    Send,
+    SetTimer,
+    TimerDue,
+    Unload,
+    WatchEndpoints,
+)
+from walnutpost.interface import Outcome
+
+
+class EffectRunner:
+    """Carries out effects; what comes of them goes back as an input, by `feed`."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        transport: WorkerTransport,
+        hooks: DispatchHooks,
+        log: Any,
+        feed: Callable[[Input], None],
+        on_answered: Callable[[Answered], None],
+    ) -> None:
+        """`on_answered` gets the effects that end a call."""
+        self._loop = loop
+        self._transport = transport
+        self._log = log
+        self._feed = feed
+        self._hooks = hooks
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {
+            Answered: on_answered,
+            Send: self._send,
+            Cancel: self._cancel,
+            LoadOrder: self._order_load,
+            Unload: transport.unload,
+            Probe: self._probe,
+            CloseIdleConnections: self._close_idle_connections,
+            SetTimer: self._set_timer,
+            WatchEndpoints: self._watch_endpoints,
+            Log: self._write_log,
+        }
+
+    def run(self, effect: Effect) -> None:
+        """Carry out one effect."""
+        self._handlers[type(effect)](effect)
+
+    def _send(self, effect: Send) -> None:
+        if self._hooks.observer is not None:
+            self._hooks.observer.on_sent(self._loop.now(), effect)
+        before_send = partial(self._record_intent, effect) if effect.must_persist_intent else None
+        self._transport.send(effect, self._feed, before_send, self._hooks.execution_name(effect.ticket))
+
+    def _record_intent(self, effect: Send) -> None:
+        """Look the hook up when it is needed: it may be set after the effect was given out."""
+        self._hooks.record_intent(effect)
+
+    def _cancel(self, effect: Cancel) -> None:
+        self._transport.cancel(effect.call, effect.attempt)
+
+    def _order_load(self, effect: LoadOrder) -> None:
+        if self._hooks.observer is None or self._hooks.observer.may_order_load(self._loop.now(), effect):
+            self._transport.order_load(effect, self._feed)
+            return
+        # Answered as by a worker that has no capacity left.
+        full = LoadOrderEnded(effect.worker, effect.function, Outcome.FULL, 0, 0, effect.copies)
+        self._loop.call_later(0, partial(self._feed, full))
+
+    def _probe(self, effect: Probe) -> None:
+        self._transport.probe(effect, self._feed)
+
+    def _close_idle_connections(self, effect: CloseIdleConnections) -> None:
+        self._transport.close_idle_connections(effect.worker)
+
+    def _set_timer(self, effect: SetTimer) -> None:
+        self._loop.call_later(effect.delay_us, partial(self._feed, TimerDue(effect.token)))
+
+    def _watch_endpoints(self, _: WatchEndpoints) -> None:
+        self._hooks.fetch_endpoints()
+
+    def _write_log(self, effect: Log) -> None:
+        # The policy logs nothing else.
+        self._log.warning("worker_set_aside", text=effect.text)
--- a/packages/eventloop/src/walnutpost/eventloop/timers.py
+++ b/packages/eventloop/src/walnutpost/eventloop/timers.py
@@ -28,7 +28,7 @@
     __slots__ = ("_owner", "callback", "due_us")
 
     def __init__(self, due_us: int, callback: Callable[[], object], owner: TimerOwner) -> None:
-        """`owner` is told of a cancellation."""
+        """`owner` counts a cancellation."""
         self.due_us = due_us
         self.callback: Callable[[], object] | None = callback
         self._owner = owner
--- a/packages/eventloop/tests/scripted_sockets.py
+++ b/packages/eventloop/tests/scripted_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets that fail as a test says: a seam under everything that uses `socket.socket`.
+"""Sockets that fail by a script: a seam under everything that uses `socket.socket`.
 
     with scripted_sockets() as faults:
         faults.fail("accept", errno.EPROTO, when=at(server.address))
@@ -86,7 +86,7 @@
         size: int,
         when: Callable[[ScriptedSocket], bool] = lambda sock: True,
     ) -> None:
-        """Each call moves `size` bytes at the most."""
+        """Each call moves at most `size` bytes."""
         self._limits.append(_Limit(operation, size, when))
 
     def heal(self) -> None:
@@ -156,9 +156,9 @@
         self.script.check("send", self)
         return super().send(data[: self.script.size("send", self, len(data))], flags)
 
-    def recv(self, most: int, flags: int = 0) -> bytes:
+    def recv(self, max_bytes: int, flags: int = 0) -> bytes:
         self.script.check("recv", self)
-        return super().recv(self.script.size("recv", self, most), flags)
+        return super().recv(self.script.size("recv", self, max_bytes), flags)
 
 
 def at(address: Address) -> Callable[[ScriptedSocket], bool]:
--- a/packages/fakes/src/walnutpost/fakes/store.py
+++ b/packages/fakes/src/walnutpost/fakes/store.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from walnutpost.eventloop import Loop, WaitTimeoutError
-from walnutpost.http import BadMessage, Connection, Exchange, Response, Server
+from walnutpost.http import Connection, Exchange, HttpMessageError, Response, Server
 from walnutpost.http.server import serve_on
 
 FETCH_TIMEOUT_US = 60_000_000
@@ -65,7 +65,7 @@
         return Response(404)
 
 
-def _bad_request(error: BadMessage) -> Response:
+def _bad_request(error: HttpMessageError) -> Response:
     return Response(error.status, body=str(error).encode())
 
 
@@ -83,8 +83,8 @@
             with self._loop.timeout(FETCH_TIMEOUT_US):
                 connection = Connection.open(self._loop, self._address)
                 try:
-                    return connection.ask("POST", f"/fetch/{function}?{usual_us}").status == 200
+                    return connection.request("POST", f"/fetch/{function}?{usual_us}").status == 200
                 finally:
                     connection.close()
-        except (OSError, WaitTimeoutError, BadMessage):
+        except (OSError, WaitTimeoutError, HttpMessageError):
             return False
--- a/packages/fakes/src/walnutpost/fakes/worker.py
+++ b/packages/fakes/src/walnutpost/fakes/worker.py
@@ -18,7 +18,7 @@
 from walnutpost.fakes.model_runner import ModelRunner, Recorder
 from walnutpost.fakes.reactions import CallEnded, CallOutcome, LoadOrderEnded, LoadOrderOutcome
 from walnutpost.fakes.store import PackageStore
-from walnutpost.http import BadMessage, Exchange, Response, Server, encode_response
+from walnutpost.http import Exchange, HttpMessageError, Response, Server, encode_response
 from walnutpost.http.server import serve_on
 from walnutpost.metering import UsageReport
 from walnutpost.workerclient import codec, orca
@@ -259,7 +259,7 @@
         return Response(ORDER_STATUS[ended.outcome], self._load_report(), body)
 
 
-def _bad_request(error: BadMessage) -> Response:
+def _bad_request(error: HttpMessageError) -> Response:
     return Response(
         error.status, {codec.ERROR_TYPE_HEADER: "InvalidRequestContentException"}, str(error).encode()
     )
--- a/packages/faultinjection/src/walnutpost/faultinjection/clients.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/clients.py
@@ -15,7 +15,7 @@
 from walnutpost.config.conversion import ms_to_us
 from walnutpost.eventloop import Loop, Tap, WaitTimeoutError
 from walnutpost.faultinjection.script import Burst, OneOffs, Script
-from walnutpost.http import BadMessage, Connection, Response
+from walnutpost.http import Connection, HttpMessageError, Response
 
 SECOND = 1_000_000
 ROLE = "client"
@@ -194,11 +194,11 @@
             return "unreachable"
         try:
             with self._loop.timeout(patience + PATIENCE):
-                response = connection.ask(method, target, headers, body)
-        except (OSError, WaitTimeoutError, BadMessage):
+                response = connection.request(method, target, headers, body)
+        except (OSError, WaitTimeoutError, HttpMessageError):
             connection.close()
             return None
-        if connection.reusable:
+        if connection.is_reusable:
             front.idle.append(connection)
         else:
             connection.close()
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_stage.py
@@ -23,7 +23,7 @@
 from walnutpost.faultinjection.fleet_script import FleetScript
 from walnutpost.faultinjection.mesh import Mesh
 from walnutpost.fleet import DisruptionBudget, Fleet, FleetState, SetBudgets
-from walnutpost.http import BadMessage, Connection
+from walnutpost.http import Connection, HttpMessageError
 
 SECOND = 1_000_000
 START_PATIENCE = 60 * SECOND
@@ -340,10 +340,10 @@
             with self.loop.timeout(ASK_WITHIN):
                 connection = Connection.open(self.loop, address)
                 try:
-                    answered = connection.ask("GET", target).status
+                    answered = connection.request("GET", target).status
                 finally:
                     connection.close()
-        except (OSError, WaitTimeoutError, BadMessage):
+        except (OSError, WaitTimeoutError, HttpMessageError):
             self._up.pop(name, None)
             return False
         self._up[name] = address
--- a/packages/faultinjection/src/walnutpost/faultinjection/stage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/stage.py
@@ -19,7 +19,7 @@
 from walnutpost.faultinjection.clients import one_off_name
 from walnutpost.faultinjection.facts import SUFFIX, facts_of, write_facts
 from walnutpost.faultinjection.script import Script
-from walnutpost.http import BadMessage, Connection
+from walnutpost.http import Connection, HttpMessageError
 
 SECOND = 1_000_000
 START_PATIENCE = 30 * SECOND
@@ -204,11 +204,11 @@
             with self.loop.timeout(5 * SECOND):
                 connection = Connection.open(self.loop, (host, int(port)))
                 try:
-                    if connection.ask("POST", target, {}, body).status != 200:
+                    if connection.request("POST", target, {}, body).status != 200:
                         self.failures.append(f"{address} refused {target} {body[:80]!r}")
                 finally:
                     connection.close()
-        except (OSError, WaitTimeoutError, BadMessage) as error:
+        except (OSError, WaitTimeoutError, HttpMessageError) as error:
             self.failures.append(f"{address}{target}: {error}")
 
     def silence(self, name: str) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/table_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/table_run.py
@@ -19,7 +19,7 @@
     TableStage,
     twin_ops,
 )
-from walnutpost.http import BadMessage, Connection
+from walnutpost.http import Connection, HttpMessageError
 
 SECOND = 1_000_000
 CALL_EVERY, CALL_WITHIN = 60_000, 25 * SECOND
@@ -165,10 +165,10 @@
             connection = Connection.open(stage.loop, address)
             try:
                 target = f"/2015-03-31/functions/{function}/invocations"
-                response = connection.ask("POST", target, {}, b"{}")
+                response = connection.request("POST", target, {}, b"{}")
             finally:
                 connection.close()
-    except (OSError, WaitTimeoutError, BadMessage) as error:
+    except (OSError, WaitTimeoutError, HttpMessageError) as error:
         return f"{type(error).__name__} {error}"
     failed = "x-amz-function-error" in response.headers
     return "" if response.status == 200 and not failed else f"{response.status} {response.body[:200]!r}"
--- a/packages/faultinjection/tests/test_audit.py
+++ b/packages/faultinjection/tests/test_audit.py
@@ -78,13 +78,13 @@
 
 
 def drop_answers(fleet: Fleet) -> None:
-    carry = fleet.front.core._carry_out
+    carry = fleet.front.dispatcher._effects.run
 
     def dropping(effect: Effect) -> None:
         if not isinstance(effect, Answered):
             carry(effect)
 
-    fleet.front.core._carry_out = dropping  # type: ignore[method-assign]
+    fleet.front.dispatcher._effects.run = dropping  # type: ignore[method-assign]
 
 
 def forget_drains(fleet: Fleet) -> None:
--- a/packages/fronts/src/walnutpost/fronts/invoke/errors.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/errors.py
@@ -10,7 +10,7 @@
 
 from walnutpost.fronts.errors import FrontError
 from walnutpost.gateway import NotStored, Rejected, ReplicationPending
-from walnutpost.http import BadMessage
+from walnutpost.http import HttpMessageError
 
 
 class ErrorType(Enum):
@@ -110,7 +110,7 @@
     )
 
 
-def bad_message(error: BadMessage) -> ApiError:
+def bad_message(error: HttpMessageError) -> ApiError:
     """Return the error of a message that the HTTP server rejects."""
     error_type = BAD_MESSAGE_TYPES.get(error.status, ErrorType.INVALID_REQUEST_CONTENT)
     return ApiError(error.status, error_type, str(error))
--- a/packages/fronts/src/walnutpost/fronts/invoke/responses.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/responses.py
@@ -14,7 +14,7 @@
 from walnutpost.fronts.invoke.errors import ApiError, ErrorType, bad_message, too_many_requests
 from walnutpost.fronts.invoke.queries import format_marker
 from walnutpost.gateway import Execution, Failed, Failure, Final, Rejected, Served, Status
-from walnutpost.http import BadMessage, Response
+from walnutpost.http import HttpMessageError, Response
 
 SECOND_US = 1_000_000
 JSON_TYPE = "application/json"
@@ -40,7 +40,7 @@
     return Response(error.status, headers, json.dumps(body).encode())
 
 
-def build_bad_message_response(error: BadMessage) -> Response:
+def build_bad_message_response(error: HttpMessageError) -> Response:
     """Return the answer to a message that the HTTP server could not read or accept."""
     return build_error_response(bad_message(error), NO_REQUEST_ID)
 
--- a/packages/fronts/tests/test_cron_front.py
+++ b/packages/fronts/tests/test_cron_front.py
@@ -83,7 +83,7 @@
     def script() -> None:
         for worker in f.workers.values():
             worker.model.faults.full = -1
-        f.until(lambda: len(read_outcomes(tmp_path)) == 2 and not f.front.core.open_calls)
+        f.until(lambda: len(read_outcomes(tmp_path)) == 2 and not f.front.dispatcher.open_calls)
         f.loop.sleep(25 * SECOND)
 
     f.run(script)
@@ -125,7 +125,7 @@
     )
 
     def script() -> None:
-        f.until(lambda: f.front.core.open_calls == 2, 2 * MINUTE)
+        f.until(lambda: f.front.dispatcher.open_calls == 2, 2 * MINUTE)
         changed = merged(BASE, {"schedules": {"look": EVERY_MINUTE | {"payload": 2}, "new": EVERY_MINUTE}})
         f.front.reload(parse(json.dumps(changed), "changed", Config))
         f.loop.sleep(2 * MINUTE)
--- a/packages/fronts/tests/test_invoke.py
+++ b/packages/fronts/tests/test_invoke.py
@@ -65,8 +65,9 @@
         fleet.until(lambda: fleet.front.worker_client.in_flight == 1)
         call.cancel()
         fleet.until(lambda: fleet.front.worker_client.in_flight == 0)
-        assert fleet.front.core.open_calls == 0 and fleet.front.core.answers["left"] == 1
-        assert ("answer", "left") in [(event, fields.get("kind")) for event, fields in fleet.log.lines]
+        assert fleet.front.dispatcher.open_calls == 0 and fleet.front.dispatcher.answers.abandoned == 1
+        kinds = [(event, fields.get("kind")) for event, fields in fleet.log.lines]
+        assert ("request_answered", "left") in kinds
 
     fleet.run(script)
 
@@ -80,8 +81,8 @@
         fleet.loop.sleep(5 * SECOND)
         again = fleet.invoke("reserve", b'"not-for-the-log"', amz_sdk_invocation_id="a")
         assert again.body == answer.body and fleet.runs("reserve") == 1
-        logged = [fields for event, fields in fleet.log.lines if event == "answer"]
-        assert logged[0]["kind"] == "failed" and logged[0]["request"] == answer.headers["x-amzn-requestid"]
+        logged = [fields for event, fields in fleet.log.lines if event == "request_answered"]
+        assert logged[0]["kind"] == "failed" and logged[0]["request_id"] == answer.headers["x-amzn-requestid"]
         assert "not-for-the-log" not in repr(fleet.log.lines)
 
     fleet.run(script)
--- a/packages/fronts/tests/test_invoke_golden.py
+++ b/packages/fronts/tests/test_invoke_golden.py
@@ -27,7 +27,7 @@
     Served,
     Status,
 )
-from walnutpost.http import BadMessage, Exchange, Request, Response, encode_response
+from walnutpost.http import Exchange, HttpMessageError, Request, Response, encode_response
 from walnutpost.interface import RequestClass
 from walnutpost.store import ExecutionQuery, StoreError
 
@@ -300,7 +300,7 @@
 def bad_messages() -> dict[str, Any]:
     """Messages that could not be read, or not be taken in."""
     return {
-        str(status): as_text(build_bad_message_response(BadMessage(status, "why")))
+        str(status): as_text(build_bad_message_response(HttpMessageError(status, "why")))
         for status in (400, 408, 413, 431, 503)
     }
 
--- a/packages/fronts/tests/test_store_faults.py
+++ b/packages/fronts/tests/test_store_faults.py
@@ -136,16 +136,16 @@
     def script() -> None:
         disk = FailingDisk(prefixes=("delete",))
         script_store(fleet, disk)
-        arrive = fleet.front.core.arrive
+        submit = fleet.front.dispatcher.submit
 
-        def reject(call: CallArrived, done: Callable[[Final], None], *more: Any) -> None:
-            done(Rejected("no room"))
+        def reject(call: CallArrived, on_final: Callable[[Final], None], *more: Any) -> None:
+            on_final(Rejected("no room"))
 
-        fleet.front.core.arrive = reject  # type: ignore[method-assign]
+        fleet.front.dispatcher.submit = reject  # type: ignore[method-assign]
         calls = DeferredClient(fleet)
         rejected = calls.start("reserve", b"1", "order")
         assert rejected.status == 500 and b"may run: ask again as order" in rejected.body
-        fleet.front.core.arrive = arrive  # type: ignore[method-assign]
+        fleet.front.dispatcher.submit = submit  # type: ignore[method-assign]
         assert calls.start("reserve", b"1", "order").status == 500  # a start now would find the first one
         disk.is_broken = False
         fleet.until(lambda: not fleet.front.deferred.open_calls)
--- a/packages/http/src/walnutpost/http/client.py
+++ b/packages/http/src/walnutpost/http/client.py
@@ -3,17 +3,21 @@
 from __future__ import annotations
 
 from walnutpost.eventloop import Loop, Stream, Tap, TlsClientSettings, connect, connect_tls
-from walnutpost.http.messages import BadMessage, Limits, Response, ResponseReader, encode_request
+from walnutpost.http.messages import Limits, Response, encode_request
+from walnutpost.http.parsing import ResponseParser
+
+HOST = "localhost"
 
 
 class Connection:
-    """A connection to a server; after an error or a response without keep-alive it is to be closed."""
+    """A connection to a server; after an error, or when it is not `is_reusable`, it is to be closed."""
 
     def __init__(self, stream: Stream, limits: Limits | None = None) -> None:
+        """Take over a stream."""
         self.stream = stream
-        self._reader = ResponseReader(limits or Limits())
-        self.reusable = True
-        self.used_at = 0
+        self._parser = ResponseParser(limits or Limits())
+        self.is_reusable = True
+        self.last_used_us = 0  # set by whoever keeps it for later
 
     @classmethod
     def open(
@@ -23,37 +27,38 @@
         tap: Tap | None = None,
         role: str = "",
         limits: Limits | None = None,
-        secure: TlsClientSettings | None = None,
+        tls: TlsClientSettings | None = None,
     ) -> Connection:
-        if secure is not None:
-            return cls(connect_tls(loop, address, secure, tap, role), limits)
+        """Connect to a server, under TLS where there are settings for it. Raises OSError."""
+        if tls is not None:
+            return cls(connect_tls(loop, address, tls, tap, role), limits)
         return cls(connect(loop, address, tap, role), limits)
 
     def exchange(self, data: bytes) -> Response:
-        """Sends an encoded request and waits for its whole response.
+        """Send an encoded request and wait for its complete response.
 
-        Raises OSError where the connection breaks or ends early, BadMessage where what comes is no HTTP.
-        Either way the request may have been acted on.
+        Raises OSError where the connection breaks or ends early, HttpMessageError where what comes is no
+        HTTP. Either way the request may have been acted on.
         """
-        self.reusable = False
+        self.is_reusable = False
         self.stream.send_all(data)
-        reader = self._reader
-        while reader.done is None:
+        parser = self._parser
+        while parser.response is None:
             part = self.stream.recv(wait_first=True)
             if not part:
                 raise ConnectionResetError("closed before the whole answer")
-            reader.feed(part)
-        response, reader.done = reader.done, None
-        self.reusable = response.keep_alive
+            parser.feed(part)
+        response = parser.response
+        parser.response = None
+        self.is_reusable = response.keep_alive
         return response
 
-    def ask(
+    def request(
         self, method: str, target: str, headers: dict[str, str] | None = None, body: bytes = b""
     ) -> Response:
-        return self.exchange(encode_request(method, target, "localhost", headers or {}, body))
+        """Encode and send a request and wait for its response; raises as `exchange`."""
+        return self.exchange(encode_request(method, target, HOST, headers or {}, body))
 
     def close(self) -> None:
+        """Close the connection."""
         self.stream.close()
-
-
-__all__ = ["BadMessage", "Connection"]
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -3,7 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from contextlib import suppress
 from dataclasses import dataclass
+from http import HTTPStatus
 from ssl import SSLContext
 from typing import Any
 
@@ -19,18 +21,15 @@
     WaitTimeoutError,
     tls_stream_factory,
 )
-from walnutpost.http.messages import (
-    BadMessage,
-    Limits,
-    Request,
-    RequestReader,
-    Response,
-    encode_response,
-)
+from walnutpost.http.errors import HttpMessageError
+from walnutpost.http.messages import Limits, Request, Response, encode_response
+from walnutpost.http.parsing import RequestParser
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-LINGER = 1_000_000  # how long a refused sender may go on sending before the connection is cut
-LINGER_BYTES = 16 << 20  # and how much of it is read, so that the answer is not lost to a reset
+LINGER_TIMEOUT_US = 1_000_000  # how long a rejected sender may go on sending before the connection is cut
+MAX_LINGER_BYTES = 16 << 20  # how much of it is read, so that the answer is not lost to a reset
+MAX_CONNECTIONS = 100_000
+TOO_SLOW = "the request took too long to arrive"
 
 
 @dataclass(slots=True)
@@ -39,16 +38,17 @@
 
     request: Request
     stream: Stream
-    started: int  # when its last byte was read
+    received_us: int  # when its last byte was read
 
 
 Handler = Callable[[Exchange], Response | None]
-Refusal = Callable[[BadMessage], Response]
+ErrorResponder = Callable[[HttpMessageError], Response]
 
 
 class Server:
-    """Serves `handler` on a listener; each connection is a task. A handler that returns None has dealt
-    with the connection itself, which is then closed.
+    """Serves `handler` on a listener; each connection is a task.
+
+    A handler that returns None has dealt with the connection itself, which is then closed.
     """
 
     def __init__(
@@ -56,65 +56,68 @@
         loop: Loop,
         listener: Listener,
         handler: Handler,
-        refusal: Refusal,
+        error_responder: ErrorResponder,
         limits: Limits | None = None,
-        connections: int = 100_000,
+        max_connections: int = MAX_CONNECTIONS,
     ) -> None:
+        """`error_responder` makes the response to a message that can't be served."""
         self._loop = loop
         self._listener = listener
         self._handler = handler
-        self._refusal = refusal
+        self._error_responder = error_responder
         self._limits = limits or Limits()
-        self._most = connections
-        self.group = TaskGroup(loop)
+        self._max_connections = max_connections
+        self.tasks = TaskGroup(loop)
         self.streams: dict[Stream, bool] = {}  # whether a request is being served on it
-        self.draining = False
+        self.is_draining = False
         self.context: SSLContext | None = None
 
     @property
     def address(self) -> tuple[str, int]:
+        """Where it listens."""
         return self._listener.address
 
     def serve(self) -> None:
-        """Accepts until cancelled, or until the listener is closed."""
-        sorry = encode_response(self._refusal(BadMessage(503, "no free descriptor")))
+        """Accept until cancelled, or until the listener is closed, which is an OSError."""
+        unavailable = HttpMessageError(HTTPStatus.SERVICE_UNAVAILABLE, "no free descriptor")
+        rejection = encode_response(self._error_responder(unavailable))
         while True:
-            stream = self._listener.accept(sorry)
-            if len(self.streams) >= self._most:
-                self._try_send(stream, sorry)
+            stream = self._listener.accept(rejection)
+            if len(self.streams) >= self._max_connections:
+                self._try_send(stream, rejection)
                 stream.close()
                 continue
             self.streams[stream] = False
-            self.group.spawn(self._connection, stream, name="connection")
+            self.tasks.spawn(self._serve_connection, stream, name="connection")
 
     def stop_accepting(self) -> None:
-        """No new connections; idle ones are closed, busy ones after their present answer."""
-        self.draining = True
+        """Take no new connections; idle ones are closed, busy ones after their present answer."""
+        self.is_draining = True
         self._listener.close()
-        for stream, busy in list(self.streams.items()):
-            if not busy:
+        for stream, is_busy in list(self.streams.items()):
+            if not is_busy:
                 stream.close()
 
-    def _connection(self, stream: Stream) -> None:
-        reader = RequestReader(self._limits)
+    def _serve_connection(self, stream: Stream) -> None:
+        parser = RequestParser(self._limits)
         try:
             if isinstance(stream, TlsStream):
-                with self._loop.timeout(self._limits.head_time):
+                with self._loop.timeout(self._limits.head_timeout_us):
                     stream.handshake()
-            self._exchanges(stream, reader)
+            self._serve_requests(stream, parser)
         except (OSError, WaitTimeoutError):
             pass  # the client has gone, or is too slow for an answer
         finally:
             self.streams.pop(stream, None)
             stream.close()
 
-    def _exchanges(self, stream: Stream, reader: RequestReader) -> None:
-        served = False
+    def _serve_requests(self, stream: Stream, parser: RequestParser) -> None:
+        is_first = True
         while not stream.closed:
             try:
-                request = self._next(stream, reader, served)
-            except BadMessage as error:
-                self._turn_off(stream, error)
+                request = self._read_request(stream, parser, is_first)
+            except HttpMessageError as error:
+                self._reject(stream, error)
                 return
             if request is None:
                 return
@@ -122,104 +125,113 @@
             response = self._handler(Exchange(request, stream, self._loop.now()))
             if response is None:
                 return
-            response.keep_alive = response.keep_alive and request.keep_alive and not self.draining
-            rest = stream.send_now(encode_response(response))
-            if rest:
-                with self._loop.timeout(self._limits.body_time):
-                    stream.send_all(rest)
-            self.streams[stream], served = False, True
+            response.keep_alive = response.keep_alive and request.keep_alive and not self.is_draining
+            self._send_response(stream, response)
+            self.streams[stream] = False
+            is_first = False
             if not response.keep_alive:
                 return
 
-    def _next(self, stream: Stream, reader: RequestReader, served: bool) -> Request | None:
-        """The next whole request; `served`: not the first one of its connection. The times run from its
-        first byte, so that a byte a second wins nothing.
+    def _send_response(self, stream: Stream, response: Response) -> None:
+        rest = stream.send_now(encode_response(response))
+        if rest:
+            with self._loop.timeout(self._limits.body_timeout_us):
+                stream.send_all(rest)
+
+    def _read_request(self, stream: Stream, parser: RequestParser, is_first: bool) -> Request | None:
+        """Return the next complete request; None where the client ended, or was idle for too long.
+
+        The times run from a request's first byte, so that a byte a second wins nothing.
         """
-        loop, limits = self._loop, self._limits
-        began: int | None = None
-        continued = False
-        while not reader.ready:
-            if reader.begun and began is None:
-                began = loop.now()
-            if began is None:
-                left = limits.idle_time
-            else:
-                allowed = limits.head_time + (limits.body_time if reader.head_done else 0)
-                left = began + allowed - loop.now()
-            if left <= 0:
-                raise BadMessage(408, "the request took too long to arrive")
-            try:
-                with loop.timeout(left):
-                    data = stream.recv(wait_first=served)
-            except WaitTimeoutError:
-                if began is None:
-                    return None
-                raise BadMessage(408, "the request took too long to arrive") from None
+        began_us: int | None = None
+        has_continued = False
+        while not parser.ready:
+            if parser.has_partial and began_us is None:
+                began_us = self._loop.now()
+            data = self._read_part(stream, parser, is_first, began_us)
             if not data:
                 return None
-            try:
-                reader.feed(data)
-            except BadMessage:
-                if not reader.ready:
-                    raise
-                self._broken_tail(reader)
-            if reader.wants_continue and not continued:
-                continued = True
+            self._parse(parser, data)
+            if parser.wants_continue and not has_continued:
+                has_continued = True
                 stream.send_all(CONTINUE)
-        return reader.ready.popleft()
+        return parser.ready.popleft()
+
+    def _read_part(
+        self, stream: Stream, parser: RequestParser, is_first: bool, began_us: int | None
+    ) -> bytes | None:
+        """Return the next bytes; none at the end, None after an idle time without a request."""
+        time_left_us = self._time_left_us(parser, began_us)
+        if time_left_us <= 0:
+            raise HttpMessageError(HTTPStatus.REQUEST_TIMEOUT, TOO_SLOW)
+        try:
+            with self._loop.timeout(time_left_us):
+                return stream.recv(wait_first=not is_first)
+        except WaitTimeoutError:
+            if began_us is None:
+                return None
+            raise HttpMessageError(HTTPStatus.REQUEST_TIMEOUT, TOO_SLOW) from None
+
+    def _time_left_us(self, parser: RequestParser, began_us: int | None) -> int:
+        limits = self._limits
+        if began_us is None:
+            return limits.idle_timeout_us
+        allowed_us = limits.head_timeout_us + (limits.body_timeout_us if parser.has_head else 0)
+        return began_us + allowed_us - self._loop.now()
 
     @staticmethod
-    def _broken_tail(reader: RequestReader) -> None:
-        """Whole requests before a broken one are served; the last of them ends the connection."""
-        reader.ready[-1].keep_alive = False
+    def _parse(parser: RequestParser, data: bytes) -> None:
+        """Parse bytes; complete requests before a broken one are served, the last ends the connection."""
+        try:
+            parser.feed(data)
+        except HttpMessageError:
+            if not parser.ready:
+                raise
+            parser.ready[-1].keep_alive = False
 
-    def _turn_off(self, stream: Stream, error: BadMessage) -> None:
-        response = self._refusal(error)
+    def _reject(self, stream: Stream, error: HttpMessageError) -> None:
+        """Answer a message that can't be served, and read on for a while, so that the answer arrives."""
+        response = self._error_responder(error)
         response.keep_alive = False
         self._try_send(stream, encode_response(response))
-        read = 0
-        try:
-            with self._loop.timeout(LINGER):
-                while read < LINGER_BYTES and (data := stream.recv()):
-                    read += len(data)
-        except (OSError, WaitTimeoutError):
-            pass
+        read_bytes = 0
+        with suppress(OSError, WaitTimeoutError), self._loop.timeout(LINGER_TIMEOUT_US):
+            while read_bytes < MAX_LINGER_BYTES and (data := stream.recv()):
+                read_bytes += len(data)
 
     def _try_send(self, stream: Stream, data: bytes) -> None:
-        try:
-            with self._loop.timeout(LINGER):
-                stream.send_all(data)
-        except (OSError, WaitTimeoutError):
-            pass
+        with suppress(OSError, WaitTimeoutError), self._loop.timeout(LINGER_TIMEOUT_US):
+            stream.send_all(data)
 
 
 def serve_on(
     loop: Loop,
     address: tuple[str, int],
     handler: Handler,
-    refusal: Refusal,
+    error_responder: ErrorResponder,
     limits: Limits | None = None,
     tap: Tap | None = None,
     role: str = "",
     context: SSLContext | None = None,
     log: Any = None,
 ) -> Server:
-    """A server that already accepts, as a task of its own; under TLS where there is a context. Failed accepts
-    go to `log`.
+    """Return a server that already accepts, as a task of its own; under TLS where there is a context.
+
+    Failed accepts go to `log`.
     """
-    make = tls_stream_factory(context) if context is not None else Stream
-    listener = Listener(loop, address, tap, role, stream_factory=make)
+    stream_factory = tls_stream_factory(context) if context is not None else Stream
+    listener = Listener(loop, address, tap, role, stream_factory=stream_factory)
     if log is not None:
         listener.on_accept_error = AcceptErrorLog(loop, log)
-    server = Server(loop, listener, handler, refusal, limits)
+    server = Server(loop, listener, handler, error_responder, limits)
     server.context = context
 
-    def accepting() -> None:
+    def accept_until_closed() -> None:
         try:
             server.serve()
         except (OSError, Cancelled):
-            if not server.draining:
+            if not server.is_draining:
                 raise
 
-    loop.spawn(accepting, name="accept")
+    loop.spawn(accept_until_closed, name="accept")
     return server
--- /dev/null
+++ b/packages/http/tests/http_rig.py
@@ -0,0 +1,69 @@
+"""What tests of HTTP share: a server on a virtual clock, and a handler that echoes."""
+
+from __future__ import annotations
+
+import errno
+from collections.abc import Callable
+from contextlib import suppress
+from typing import Any
+
+from walnutpost.eventloop import Loop, VirtualClock, WaitTimeoutError, connect
+from walnutpost.http import Exchange, HttpMessageError, Limits, Response, Server
+from walnutpost.http.server import serve_on
+
+SECOND = 1_000_000
+LOCAL = ("127.0.0.1", 0)
+LIMITS = Limits(
+    max_head_bytes=4096,
+    max_body_bytes=10_000,
+    head_timeout_us=10 * SECOND,
+    body_timeout_us=30 * SECOND,
+    idle_timeout_us=75 * SECOND,
+)
+ACCEPT_ERRORS = (
+    errno.ECONNABORTED,
+    errno.EHOSTUNREACH,
+    errno.EINTR,
+    errno.ENETDOWN,
+    errno.EPERM,
+    errno.EPROTO,
+    errno.ETIMEDOUT,
+)
+
+
+def error_response(error: HttpMessageError) -> Response:
+    return Response(error.status, body=str(error).encode())
+
+
+def echo(exchange: Exchange) -> Response:
+    return Response(200, {"x-target": exchange.request.target.decode()}, exchange.request.body)
+
+
+def run_with_server(
+    script: Callable[[Loop, Server], Any],
+    handler: Callable[[Exchange], Any] = echo,
+    limits: Limits | None = LIMITS,
+    log: Any = None,
+) -> Any:
+    """Runs `script` beside a server; no error may be reported."""
+    errors: list[BaseException] = []
+    loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
+
+    def main() -> Any:
+        return script(loop, serve_on(loop, LOCAL, handler, error_response, limits, log=log))
+
+    result = loop.run(main)
+    assert not errors, errors
+    return result
+
+
+def response_bytes(loop: Loop, server: Server, data: bytes) -> bytes:
+    """All that comes back for `data`, until the server closes or sends nothing for a minute."""
+    stream = connect(loop, server.address)
+    received = b""
+    stream.send_all(data)
+    with suppress(OSError, WaitTimeoutError), loop.timeout(60 * SECOND):
+        while part := stream.recv():
+            received += part
+    stream.close()
+    return received
--- /dev/null
+++ b/packages/http/tests/test_http_messages.py
@@ -0,0 +1,21 @@
+"""Parsing and encoding."""
+
+from __future__ import annotations
+
+from http_rig import LIMITS
+from walnutpost.http import encode_request
+from walnutpost.http.parsing import RequestParser
+
+
+def test_requests_parse_the_same_however_their_bytes_are_split() -> None:
+    data = encode_request("POST", "/a?b=c", "h", {"x": "1", "y": "2"}, b"body") * 2
+    for cut in range(len(data)):
+        parser = RequestParser(LIMITS)
+        parser.feed(data[:cut])
+        parser.feed(data[cut:])
+        assert [(r.target, r.body, r.headers["y"]) for r in parser.ready] == [(b"/a?b=c", b"body", "2")] * 2
+
+
+def test_line_break_in_a_header_value_starts_no_other_header() -> None:
+    data = encode_request("GET", "/", "h", {"x": "1\r\ny: 2"})
+    assert b"\r\ny:" not in data
--- /dev/null
+++ b/packages/http/tests/test_http_server.py
@@ -0,0 +1,116 @@
+"""Servers on sockets: limits, pipelining, slow senders. What a peer does wrong ends its own connection."""
+
+from __future__ import annotations
+
+import resource
+import socket
+from contextlib import suppress
+
+import pytest
+
+from http_rig import LIMITS, LOCAL, SECOND, echo, error_response, response_bytes, run_with_server
+from walnutpost.eventloop import Loop, VirtualClock, connect
+from walnutpost.http import Connection, Exchange, Response, Server, encode_request
+from walnutpost.http.server import serve_on
+
+POST = b"POST / HTTP/1.1\r\nhost: x\r\n"
+INVALID_REQUESTS = {
+    "no HTTP": (b"\x16\x03\x01 hello\r\n\r\n", 400),
+    "head too long": (b"GET / HTTP/1.1\r\n" + b"a: " + b"b" * 5000 + b"\r\n\r\n", 431),
+    "a line that never ends": (b"GET /" + b"a" * 9000, 431),
+    "many headers": (b"GET / HTTP/1.1\r\n" + b"a: b\r\n" * 2000, 431),
+    "announced body too long": (POST + b"content-length: 10001\r\n\r\n", 413),
+    "body too long in chunks": (
+        POST + b"transfer-encoding: chunked\r\n\r\n" + b"fff\r\n%b\r\n" % (b"x" * 4095) * 3,
+        413,
+    ),
+    "two lengths": (POST + b"content-length: 3\r\ncontent-length: 4\r\n\r\nabcd", 400),
+    "length and chunks": (POST + b"content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n", 400),
+    "negative length": (POST + b"content-length: -1\r\n\r\n", 400),
+    "half a head, then nothing": (b"GET / HTTP/1.1\r\nhos", 408),
+    "half a body, then nothing": (POST + b"content-length: 9\r\n\r\nabc", 408),
+}
+
+
+@pytest.mark.parametrize("name", INVALID_REQUESTS)
+def test_invalid_request_is_answered_with_its_status_and_the_connection_closed(name: str) -> None:
+    data, status = INVALID_REQUESTS[name]
+
+    def script(loop: Loop, server: Server) -> None:
+        good = Connection.open(loop, server.address)
+        assert good.request("POST", "/a", body=b"1").body == b"1"
+        answer = response_bytes(loop, server, data)
+        assert answer.startswith(b"HTTP/1.1 %d " % status), answer[:100]
+        assert b"connection: close" in answer
+        assert good.request("POST", "/b", body=b"2").body == b"2"
+
+    run_with_server(script)
+
+
+def test_chunked_and_pipelined_requests_are_answered_in_order() -> None:
+    chunked = POST + b"transfer-encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
+    plain = encode_request("POST", "/two", "x", {}, b"two")
+    broken = b"nonsense\r\n\r\n"
+
+    def script(loop: Loop, server: Server) -> None:
+        answers = response_bytes(loop, server, chunked + plain + broken)
+        assert answers.count(b"HTTP/1.1 200") == 2
+        assert answers.index(b"abcde") < answers.index(b"x-target: /two")
+
+    run_with_server(script)
+
+
+def test_client_that_expects_100_is_asked_for_its_body() -> None:
+    def script(loop: Loop, server: Server) -> None:
+        stream = connect(loop, server.address)
+        stream.send_all(POST + b"expect: 100-continue\r\ncontent-length: 2\r\n\r\n")
+        assert stream.recv() == b"HTTP/1.1 100 Continue\r\n\r\n"
+        stream.send_all(b"ok")
+        assert stream.recv().endswith(b"ok")
+
+    run_with_server(script)
+
+
+def test_error_of_a_handler_ends_its_own_connection_only() -> None:
+    errors: list[BaseException] = []
+    loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
+
+    def handler(exchange: Exchange) -> Response:
+        if exchange.request.target == b"/bad":
+            raise ValueError("bug")
+        return echo(exchange)
+
+    def main() -> None:
+        server = serve_on(loop, LOCAL, handler, error_response, LIMITS)
+        with pytest.raises(OSError):
+            Connection.open(loop, server.address).request("GET", "/bad")
+        assert Connection.open(loop, server.address).request("GET", "/good").status == 200
+
+    loop.run(main)
+    assert [type(e) for e in errors] == [ValueError]
+
+
+def test_thousands_of_slow_senders_delay_nobody_and_are_cut_off() -> None:
+    """Their time runs from the first byte, whatever drips in; an idle connection's does not."""
+    many = min(10_000, (resource.getrlimit(resource.RLIMIT_NOFILE)[0] - 1000) // 2 // 500 * 500)
+
+    def script(loop: Loop, server: Server) -> None:
+        good = Connection.open(loop, server.address)
+        slow: list[socket.socket] = []
+        while len(slow) < many:  # no faster than they are accepted, since a full backlog takes none
+            slow += [socket.create_connection(server.address) for _ in range(500)]
+            while len(server.streams) < len(slow) + 1:
+                loop.yield_now()
+        for second in range(12):
+            for sock in slow:
+                with suppress(OSError):
+                    sock.send(b"GET / HTTP/1.1\r\n"[second : second + 1])
+            began = loop.now()
+            assert good.request("POST", "/a", body=b"1").body == b"1"
+            assert loop.now() == began
+            loop.sleep(SECOND)
+        for sock in slow:
+            sock.close()
+        assert len(server.streams) == 1
+
+    run_with_server(script)
--- a/packages/node/src/walnutpost/node/client_context.py
+++ b/packages/node/src/walnutpost/node/client_context.py
@@ -4,7 +4,7 @@
 
 from typing import Any, Protocol
 
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Loop
 from walnutpost.node.open_requests import OpenRequests
 
@@ -15,7 +15,7 @@
     """The listener's side as one connection sees it."""
 
     loop: Loop
-    core: Core
+    dispatcher: Dispatcher
     log: Any
     class_indices: dict[str, int]
     class_deadlines_us: dict[str, int]
--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -198,15 +198,15 @@
         ticket = self.open.pop(message_id, None)
         if ticket is not None:
             self._context.requests.remove(ticket)
-            self._loop.run_guarded("cancel", partial(self._context.core.leave, ticket))
+            self._loop.run_guarded("cancel", partial(self._context.dispatcher.abandon, ticket))
 
     def _open(self, call: rpc.CallRequest) -> None:
-        core = self._context.core
-        ticket = core.ticket()
+        dispatcher = self._context.dispatcher
+        ticket = dispatcher.new_ticket()
         self.open[call.message_id] = ticket
         identity = RequestIdentity(call.request_id.encode(), call.request_class, call.idempotency_key)
         self._context.requests.add(ticket, identity, self._read_ahead)
-        core.arrive(self._arrival(call, ticket), partial(self._answer, call.message_id, ticket))
+        dispatcher.submit(self._arrival(call, ticket), partial(self._answer, call.message_id, ticket))
 
     def _arrival(self, call: rpc.CallRequest, ticket: int) -> CallArrived:
         """Return the gateway's input for a call.
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from walnutpost import interface as api
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import AcceptErrorLog, Listener, Loop, Stream
 from walnutpost.node.client_connection import ClientConnection
 from walnutpost.node.open_requests import OpenRequests, RequestIdentity
@@ -22,7 +22,7 @@
     def __init__(
         self,
         loop: Loop,
-        core: Core,
+        dispatcher: Dispatcher,
         settings: api.Settings,
         classes: tuple[str, ...],
         tenants: tuple[str, ...],
@@ -31,7 +31,7 @@
     ) -> None:
         """Start with no connections; `classes` are the names of the settings' classes."""
         self.loop = loop
-        self.core = core
+        self.dispatcher = dispatcher
         self.log = log
         self.class_indices = {name: index for index, name in enumerate(classes)}
         self.class_deadlines_us = {
--- a/packages/node/src/walnutpost/node/node.py
+++ b/packages/node/src/walnutpost/node/node.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Listener, Loop
 from walnutpost.gateway import Catalogue, Gateway, ShuttingDown, WorkersListed
 from walnutpost.interface import ListKind
@@ -38,10 +38,10 @@
         self._drain_limit_us = DRAIN_PERIOD_US + min(max_deadline_us, KILL_AFTER_US) - KILL_MARGIN_US
         self.pool = WorkerPool(loop, _worker_limits(config))
         self.workers = WorkerCommands(loop, self.pool, lambda ticket: self.clients.identity(ticket))
-        self.core = Core(loop, gateway, self.workers, log)
+        self.dispatcher = Dispatcher(loop, gateway, self.workers, log)
         self.clients = Clients(
             loop,
-            self.core,
+            self.dispatcher,
             config.settings,
             config.classes,
             config.tenants,
@@ -55,7 +55,7 @@
         )
         self.listener = Listener(loop, config.listen, role="client", free_descriptor=self._free_descriptor)
         self._accepting = loop.spawn(self.clients.accept, self.listener, name="accept")
-        stats = StatsReporter(self.core, self.clients, self.pool, self.workers, self.discovery, log)
+        stats = StatsReporter(self.dispatcher, self.clients, self.pool, self.workers, self.discovery, log)
         self.reporting = loop.call_every(STATS_INTERVAL_US, stats.report, "stats")
 
     def _free_descriptor(self) -> bool:
@@ -63,7 +63,7 @@
 
     def _apply_endpoints(self, endpoints: WorkersListed) -> None:
         self.pool.update_addresses(self.directory.addresses)
-        self.core.feed(endpoints)
+        self.dispatcher.feed(endpoints)
         if endpoints.kind is not ListKind.CACHED:
             states = " ".join(f"{worker.name}:{worker.state.value}" for worker in endpoints.workers)
             self._log.info("endpoints_applied", revision=endpoints.version, workers=states)
@@ -81,7 +81,7 @@
         """
         started_us = self._loop.now()
         self.clients.is_shutting_down = True
-        self.core.feed(ShuttingDown(self._drain_limit_us))
+        self.dispatcher.feed(ShuttingDown(self._drain_limit_us))
         self._loop.sleep(DRAIN_PERIOD_US)
         self._accepting.cancel()
         self.clients.take_queued(self.listener)
--- a/packages/node/src/walnutpost/node/stats.py
+++ b/packages/node/src/walnutpost/node/stats.py
@@ -5,7 +5,7 @@
 import time
 from typing import Any
 
-from walnutpost.dispatch import Core
+from walnutpost.dispatch import Dispatcher
 from walnutpost.interface import Outcome
 from walnutpost.node.clients import Clients
 from walnutpost.node.discovery import DiscoveryClient
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        core: Core,
+        dispatcher: Dispatcher,
         clients: Clients,
         pool: WorkerPool,
         workers: WorkerCommands,
@@ -28,7 +28,7 @@
         log: Any,
     ) -> None:
         """Take the parts whose counts are reported."""
-        self._core = core
+        self._dispatcher = dispatcher
         self._clients = clients
         self._pool = pool
         self._workers = workers
@@ -41,14 +41,14 @@
         self._report_attempts()
 
     def _report_counts(self) -> None:
-        answers = self._core.answers
+        answers = self._dispatcher.answers
         self._log.info(
             "node_stats",
-            served=answers["served"],
-            rejected=answers["refused"],
-            failed=answers["failed"],
-            cancelled=answers["left"],
-            open_requests=self._core.open_calls,
+            served=answers.served,
+            rejected=answers.rejected,
+            failed=answers.failed,
+            cancelled=answers.abandoned,
+            open_requests=self._dispatcher.open_calls,
             client_connections=len(self._clients.connections),
             worker_connections=self._pool.connection_count,
             connections_opened=self._pool.connections_opened,
--- a/packages/node/src/walnutpost/node/worker_commands.py
+++ b/packages/node/src/walnutpost/node/worker_commands.py
@@ -1,6 +1,6 @@
 """The gateway's effects on workers as exchanges: attempts of calls, load orders, queries, probes.
 
-Implements `dispatch.Carrier`; the connections are the pool's.
+Implements `dispatch.WorkerTransport`; the connections are the pool's.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
         self.copy_queries = 0
         self.attempt_outcomes: Counter[tuple[str, Outcome]] = Counter()  # since it was last cleared
 
-    def start(
+    def send(
         self,
         effect: Send,
         done: Callable[[AttemptEnded], None],
@@ -63,7 +63,7 @@
             return
         self._begin(effect.worker, exchange)
 
-    def abandon(self, call: int, attempt: int) -> None:
+    def cancel(self, call: int, attempt: int) -> None:
         """Give the attempt up, also where it has been sent."""
         exchange = self._attempts.get((call, attempt))
         if exchange is None:
@@ -73,7 +73,7 @@
             exchange.carrier.abandon(exchange)
         self._loop.call_soon(partial(exchange.finish, Outcome.CANCELLED))
 
-    def order(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
+    def order_load(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
         """Send a load order, or a query for copies; its outcome is as `interface.HoldEnded` says."""
         is_query = not effect.copies
         if is_query:
@@ -92,7 +92,7 @@
         )
         self._begin(effect.worker, exchange)
 
-    def ping(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
+    def probe(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
         """Send a probe."""
         id = self._next_id()
         exchange = Exchange(
@@ -105,13 +105,13 @@
         )
         self._begin(effect.worker, exchange)
 
-    def discard(self, effect: Unload) -> None:
+    def unload(self, effect: Unload) -> None:
         """Ask the worker to unload idle copies; there is no response."""
         connection = self._pool.select(effect.worker, self._next_id())
         if connection is not None:
             connection.send_one_way(resp.encode_reap(effect.function))
 
-    def close_idle(self, worker: str) -> None:
+    def close_idle_connections(self, worker: str) -> None:
         """Close the worker's connections that carry nothing."""
         self._pool.close_idle(worker)
 
--- a/packages/node/tests/client_rig.py
+++ b/packages/node/tests/client_rig.py
@@ -43,15 +43,15 @@
     world: World, patch: pytest.MonkeyPatch, during: Callable[[], None] = lambda: None
 ) -> list[CallArrived]:
     """Collect the calls that arrive at the gateway from now on; `during` runs just before each of them."""
-    core, arrived = world.node.core, list[CallArrived]()
-    arrive = core.arrive
+    dispatcher, arrived = world.node.dispatcher, list[CallArrived]()
+    arrive = dispatcher.submit
 
     def noting(call: CallArrived, done: Any) -> None:
         arrived.append(call)
         during()
         arrive(call, done)
 
-    patch.setattr(core, "arrive", noting)
+    patch.setattr(dispatcher, "submit", noting)
     return arrived
 
 
--- a/packages/node/tests/node_rig.py
+++ b/packages/node/tests/node_rig.py
@@ -320,7 +320,7 @@
     """A client whose second call is on its way to a warm worker, on a connection that is coming up."""
     client = world.client()
     worker = warm(world, client)
-    world.node.workers.close_idle(worker.name)
+    world.node.workers.close_idle_connections(worker.name)
     held.is_holding = True
     client.send(**fields)
     world.until(lambda: held.waiting)
--- a/packages/node/tests/test_client_backpressure.py
+++ b/packages/node/tests/test_client_backpressure.py
@@ -59,7 +59,7 @@
         monkeypatch.setattr(connection._stream, "send_now", leaves)
         large = bytes(120_000)
         for ticket in list(connection.open.values()):
-            world.node.core._waiting[ticket](Served(large, worker.name, ""))
+            world.node.dispatcher._on_final_by_ticket[ticket](Served(large, worker.name, ""))
         world.until(lambda: connection.is_idle)
         unpacker = msgpack.Unpacker()
         unpacker.feed(b"".join(left))
@@ -112,6 +112,6 @@
             answers.append(answer)
         assert [answer for answer in answers if answer[1] == number] == [[1, number, FAILED, None]]
         assert len(answers) == len(flood) + 1 and world.loop.now() - began < 50 * MS
-        assert world.node.core.open_calls == 0
+        assert world.node.dispatcher.open_calls == 0
 
     play_bounded(script, workers=1)
--- a/packages/node/tests/test_client_departure.py
+++ b/packages/node/tests/test_client_departure.py
@@ -33,7 +33,7 @@
         world.until(lambda: len(worker.calls()) == 2)
         client.stream.end_writing()
         assert client.next() == [1, number, FAILED, None] and client.next() is None
-        assert world.node.core.open_calls == 0 and not world.node.clients.connections
+        assert world.node.dispatcher.open_calls == 0 and not world.node.clients.connections
 
     play_bounded(script, workers=1)
 
@@ -57,7 +57,7 @@
         world.until(lambda: only_connection(world).open)
         client.stream.end_writing()
         assert client.next() == [1, number, REFUSED, None] and client.next() is None
-        assert world.node.core.open_calls == 0
+        assert world.node.dispatcher.open_calls == 0
 
     play_bounded(script, workers=0)
 
@@ -171,7 +171,7 @@
         client.send()
         world.until(lambda: arrived and not world.node.clients.requests.request_ids)
         world.loop.sleep(100 * MS)
-        assert len(calls(world)) == 1 and world.node.core.open_calls == 0
+        assert len(calls(world)) == 1 and world.node.dispatcher.open_calls == 0
 
     play_bounded(script)
 
@@ -309,7 +309,7 @@
         world.until(lambda: len(worker.calls()) == 2)
         client.raw(msgpack.packb([2, "interrupt", [number]]))
         world.until(lambda: worker.got[-1] == [b"KILL", worker.calls()[1][1]])
-        assert world.node.core.open_calls == 0 and not world.node.clients.requests.request_ids
+        assert world.node.dispatcher.open_calls == 0 and not world.node.clients.requests.request_ids
 
     play(script, workers=1)
 
@@ -322,6 +322,6 @@
         call = msgpack.packb([0, 7, "valuation", [fields, b""]])
         client.raw(call + msgpack.packb([2, "interrupt", [7]]) + msgpack.packb([0, 8, "check", [{}]]))
         assert client.next() == [1, 8, None, [True, {}]] and len(worker.calls()) == 1
-        assert world.node.core.answers["left"] == 0
+        assert world.node.dispatcher.answers.abandoned == 0
 
     play(script, workers=1)
--- a/packages/node/tests/test_load_order_properties.py
+++ b/packages/node/tests/test_load_order_properties.py
@@ -112,7 +112,7 @@
         tag = b"t%d" % (pool._last_id + 1)
         ends = self.outcomes.setdefault(tag, [])
         effect = LoadOrder(self.worker.name, ORDERED, 1, latest)
-        pool.order(effect, lambda done: ends.append((self.world.loop.now(), done.outcome)))
+        pool.order_load(effect, lambda done: ends.append((self.world.loop.now(), done.outcome)))
 
     def step(self, what: str, how: Any) -> None:
         match what:
--- a/packages/node/tests/test_load_orders.py
+++ b/packages/node/tests/test_load_orders.py
@@ -21,7 +21,7 @@
 
     def script(world: World) -> None:
         held.is_holding = True
-        world.node.workers.order(LoadOrder(world.workers[0].name, FUNCTION, 1, 50 * MS), ended.append)
+        world.node.workers.order_load(LoadOrder(world.workers[0].name, FUNCTION, 1, 50 * MS), ended.append)
         world.loop.sleep(60 * MS)
         held.come_up()
         world.until(lambda: ended)
@@ -170,7 +170,7 @@
         waiting = order(world, worker.name)
         world.node.pool.update_addresses({})
         late = order(world, worker.name)
-        world.node.workers.close_idle(worker.name)
+        world.node.workers.close_idle_connections(worker.name)
         world.until(lambda: waiting and late)
         assert outcomes(waiting) == [Outcome.MOOT] and outcomes(late) == [Outcome.CONNECT_FAILED]
         assert not sent and not connection.is_closed
--- a/packages/node/tests/test_send_guards.py
+++ b/packages/node/tests/test_send_guards.py
@@ -39,7 +39,7 @@
         world.until(lambda: not world.node.clients.requests.request_ids)
         held.come_up()
         world.loop.sleep(SECOND)
-        assert len(world.workers[0].calls()) == 1 and world.node.core.open_calls == 0
+        assert len(world.workers[0].calls()) == 1 and world.node.dispatcher.open_calls == 0
         assert not [words for words in world.workers[0].got if words[0] == b"KILL"]
 
     play(script, workers=1, settings=settings(PolicyLimits={"Cancel": cancel}))
@@ -218,7 +218,7 @@
         worker = warm(world, world.client())
         connection = one_connection(world, worker)
         worker.answer, pool, sent = silent, world.node.workers, len(worker.calls())
-        first = attempt(world, worker, SECOND, SECOND, 1_000_000, lambda: pool.abandon(1_000_001, 0))
+        first = attempt(world, worker, SECOND, SECOND, 1_000_000, lambda: pool.cancel(1_000_001, 0))
         world.until(lambda: len(worker.calls()) > sent)
         Throttle(monkeypatch, connection, 0)
         second = attempt(world, worker, SECOND, SECOND, 1_000_001)
--- a/packages/node/tests/test_worker_connection_close.py
+++ b/packages/node/tests/test_worker_connection_close.py
@@ -86,7 +86,7 @@
 def test_idle_connection_is_closed_without_a_reset() -> None:
     def script(world: World) -> None:
         worker = warm(world, world.client())
-        world.node.workers.close_idle(worker.name)
+        world.node.workers.close_idle_connections(worker.name)
         world.until(lambda: worker.ends)
         assert worker.ends == ["closed"]
 
@@ -149,7 +149,7 @@
             connection._outbox._waiting.appendleft(bytes(64 << 10))
             world.until(lambda: connection.is_connected and not connection._outbox)
             world.loop.sleep(10 * MS)
-            world.node.workers.abandon(1_000_000, 0)
+            world.node.workers.cancel(1_000_000, 0)
             world.until(lambda: told)
             assert [done.outcome for done in told] == [Outcome.CANCELLED]
             assert b"FN" not in received(listener)
--- a/packages/node/tests/test_worker_connection_failures.py
+++ b/packages/node/tests/test_worker_connection_failures.py
@@ -69,7 +69,7 @@
         told: list[LoadOrderEnded] = []
         worker.answer = answer
         for copies in (0, 1):
-            world.node.workers.order(LoadOrder(worker.name, "7f3a9c21e0b4d655", copies), told.append)
+            world.node.workers.order_load(LoadOrder(worker.name, "7f3a9c21e0b4d655", copies), told.append)
         world.until(lambda: len(told) == 2)
         assert {t.outcome for t in told} == {Outcome.OK} and not left[0]
         worker.answer = after(b"")
@@ -84,7 +84,7 @@
         worker = warm(world, world.client())
         told, answers = list[LoadOrderEnded](), [b""]
         worker.answer = lambda words: answers.pop() if answers else None
-        world.node.workers.order(LoadOrder(worker.name, "7f3a9c21e0b4d655", 0), told.append)
+        world.node.workers.order_load(LoadOrder(worker.name, "7f3a9c21e0b4d655", 0), told.append)
         world.until(lambda: told, step=SECOND // 2)
         assert [t.outcome for t in told] == [Outcome.TIMEOUT]
 
@@ -113,7 +113,7 @@
         warm(world, client)
         world.until(lambda: not any(open_calls(world)))
         for worker in world.workers:
-            world.node.workers.close_idle(worker.name)
+            world.node.workers.close_idle_connections(worker.name)
         began = sum(len(worker.calls()) for worker in world.workers)
         world.node.workers.attempt_outcomes.clear()
         if operation == "socket":
--- a/packages/node/tests/worker_rig.py
+++ b/packages/node/tests/worker_rig.py
@@ -70,7 +70,7 @@
 def order(world: World, worker: str, latest: int = 0) -> list[LoadOrderEnded]:
     """Orders one copy; where its outcomes will stand."""
     ended: list[LoadOrderEnded] = []
-    world.node.workers.order(LoadOrder(worker, ORDERED, 1, latest), ended.append)
+    world.node.workers.order_load(LoadOrder(worker, ORDERED, 1, latest), ended.append)
     return ended
 
 
@@ -133,5 +133,5 @@
 
     world.node.clients.requests.identities[call] = RequestIdentity(b"%016x" % call, "valuation", "")
     start = Send(call, 0, worker.name, FUNCTION, None, b"body", timeout, call, False, latest)
-    world.node.workers.start(start, done)
+    world.node.workers.send(start, done)
     return ended
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -24,7 +24,7 @@
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.eventloop import Event, Loop, WaitTimeoutError
-from walnutpost.http import BadMessage, Exchange, Limits, Response
+from walnutpost.http import Exchange, HttpMessageError, Limits, Response
 from walnutpost.http.server import serve_on
 from walnutpost.watch import Watcher, WatchServer
 
@@ -47,11 +47,11 @@
 """For one replica's answer."""
 STATS_INTERVAL_US = 10 * SECOND_US
 LIMITS = Limits(
-    head=8 * 1024,
-    body=64 * 1024,
-    head_time=5 * SECOND_US,
-    body_time=10 * SECOND_US,
-    idle_time=30 * SECOND_US,
+    max_head_bytes=8 * 1024,
+    max_body_bytes=64 * 1024,
+    head_timeout_us=5 * SECOND_US,
+    body_timeout_us=10 * SECOND_US,
+    idle_timeout_us=30 * SECOND_US,
 )
 INCARNATION_BITS = 0xFFFF_FFFF_FFFF
 MAX_SHOWN_TARGET_BYTES = 100
@@ -131,7 +131,7 @@
     def stop(self) -> None:
         """Stop; the members fail over to another relay."""
         self._server.stop_accepting()
-        self._server.group.cancel()
+        self._server.tasks.cancel()
         self._stats_timer.cancel()
         for task in self._tasks:
             task.cancel()
@@ -148,7 +148,7 @@
         return Response(404, body=f"found {request.method} {target}, wanted POST {WATCH_PATH}".encode())
 
     @staticmethod
-    def _protocol_error(error: BadMessage) -> Response:
+    def _protocol_error(error: HttpMessageError) -> Response:
         return Response(error.status, body=str(error).encode())
 
     def _store(self) -> ConfigStore | None:
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -504,7 +504,7 @@
 def test_other_requests_are_rejected_with_what_is_wanted() -> None:
     def script(control_plane: FakeControlPlane, tier: RelayTier) -> None:
         connection = Connection.open(control_plane.loop, tier.relays["r1"].address)
-        received = connection.ask("GET", "/")
+        received = connection.request("GET", "/")
         assert received.status == 404 and received.body == b"found GET /, wanted POST /table/1/watch"
 
     run_with_relays(script, 1)
--- a/packages/replication/src/walnutpost/replication/queries.py
+++ b/packages/replication/src/walnutpost/replication/queries.py
@@ -6,7 +6,7 @@
 from urllib.parse import quote
 
 from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
-from walnutpost.http import BadMessage, Connection, Limits
+from walnutpost.http import Connection, HttpMessageError, Limits
 from walnutpost.journal import JournalBatch, Line
 from walnutpost.replication import wire
 
@@ -56,7 +56,7 @@
     def query_one(name: str, address: tuple[str, int]) -> None:
         try:
             query(address)
-        except (OSError, BadMessage, WaitTimeoutError, wire.InvalidMessageError):
+        except (OSError, HttpMessageError, WaitTimeoutError, wire.InvalidMessageError):
             unreachable.append(name)
 
     with TaskGroup(loop) as group:
@@ -73,9 +73,9 @@
     timeout_us: int,
 ) -> wire.MessageT:
     with loop.timeout(timeout_us):
-        connection = Connection.open(loop, address, limits=Limits(body=wire.MAX_BODY_BYTES))
+        connection = Connection.open(loop, address, limits=Limits(max_body_bytes=wire.MAX_BODY_BYTES))
         try:
-            response = connection.ask("GET", target)
+            response = connection.request("GET", target)
         finally:
             connection.close()
     if response.status != 200:
--- a/packages/replication/src/walnutpost/replication/replica_server.py
+++ b/packages/replication/src/walnutpost/replication/replica_server.py
@@ -6,7 +6,7 @@
 from urllib.parse import unquote
 
 from walnutpost.eventloop import Loop
-from walnutpost.http import BadMessage, Exchange, Limits, Response, Server
+from walnutpost.http import Exchange, HttpMessageError, Limits, Response, Server
 from walnutpost.http.server import serve_on
 from walnutpost.journal import InvalidBatchError, JournalBatch, JournalOffset, plan_batch_write
 from walnutpost.replication import wire
@@ -23,13 +23,13 @@
         self._store = store
         self._log = log
         self._origins_being_written: set[str] = set()
-        limits = Limits(body=wire.MAX_BODY_BYTES)
+        limits = Limits(max_body_bytes=wire.MAX_BODY_BYTES)
         self.server: Server = serve_on(
             loop, address, self._handle, self._error_response, limits, None, "replica", log=log
         )
 
     @staticmethod
-    def _error_response(error: BadMessage) -> Response:
+    def _error_response(error: HttpMessageError) -> Response:
         return Response(error.status, body=str(error).encode())
 
     def _handle(self, exchange: Exchange) -> Response:
--- a/packages/replication/src/walnutpost/replication/sender.py
+++ b/packages/replication/src/walnutpost/replication/sender.py
@@ -7,7 +7,7 @@
 
 from walnutpost.eventloop import Loop, Task, WaitTimeoutError
 from walnutpost.eventloop.timers import Timer
-from walnutpost.http import BadMessage, Connection, Limits
+from walnutpost.http import Connection, HttpMessageError, Limits
 from walnutpost.journal import (
     JournalBatch,
     JournalOffset,
@@ -121,7 +121,7 @@
             batch = self._read_batch(after)
             with self._loop.timeout(self._timeout_us):
                 offset = self._post_batch(replica, wire.encode(batch))
-        except (OSError, BadMessage, WaitTimeoutError, wire.InvalidMessageError, StoreError) as error:
+        except (OSError, HttpMessageError, WaitTimeoutError, wire.InvalidMessageError, StoreError) as error:
             self._on_send_failed(replica, error)
             return
         self._feed(ReplicaAcknowledged(replica, offset.disk, offset.upto))
@@ -145,7 +145,7 @@
     def _post_batch(self, replica: str, body: bytes) -> JournalOffset:
         connection = self._connect(replica)
         headers = {"Content-Type": "application/msgpack"}
-        response = connection.ask("POST", wire.BATCHES_PATH, headers, body)
+        response = connection.request("POST", wire.BATCHES_PATH, headers, body)
         if response.status != 200:
             raise wire.InvalidMessageError(f"{response.status}: {response.body[:200]!r}")
         return wire.decode(response.body, JournalOffset)
@@ -153,13 +153,13 @@
     def _connect(self, replica: str) -> Connection:
         """Return the open connection to a replica, or a new one."""
         connection = self._connections.get(replica)
-        if connection is not None and connection.reusable:
+        if connection is not None and connection.is_reusable:
             return connection
         if connection is not None:
             connection.close()
         if replica not in self._addresses:
             raise ConnectionRefusedError("no longer a replica")
         address = self._addresses[replica]()
-        connection = Connection.open(self._loop, address, limits=Limits(body=wire.MAX_BODY_BYTES))
+        connection = Connection.open(self._loop, address, limits=Limits(max_body_bytes=wire.MAX_BODY_BYTES))
         self._connections[replica] = connection
         return connection
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -17,7 +17,7 @@
 from walnutpost.config.base import parse_address
 from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.faultinjection.mesh import Relay
-from walnutpost.http import BadMessage, Connection
+from walnutpost.http import Connection, HttpMessageError
 from walnutpost.journal import CallStage, MergedJournal
 from walnutpost.store import Database, JournalStore
 
@@ -84,10 +84,10 @@
             with self.loop.timeout(3 * SECOND):
                 connection = Connection.open(self.loop, address)
                 try:
-                    return connection.ask("POST", INVOKE.format(function), headers, b"{}").status
+                    return connection.request("POST", INVOKE.format(function), headers, b"{}").status
                 finally:
                     connection.close()
-        except (OSError, BadMessage, WaitTimeoutError):
+        except (OSError, HttpMessageError, WaitTimeoutError):
             return 0
 
     def faults(self, random: Random) -> None:
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -25,8 +25,7 @@
 )
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, Task, WaitTimeoutError
-from walnutpost.http import BadMessage as BadHttp
-from walnutpost.http import Connection, Limits, Response, encode_request
+from walnutpost.http import Connection, HttpMessageError, Limits, Response, encode_request
 from walnutpost.watch.errors import UnusableServerError
 from walnutpost.watch.pace import IdleBackoff, TokenBucket
 from walnutpost.watch.serving import CONTENT_CODING, WAITED_HEADER
@@ -163,7 +162,7 @@
                 except (
                     OSError,
                     WaitTimeoutError,
-                    BadHttp,
+                    HttpMessageError,
                     InvalidMessageError,
                     UnusableServerError,
                 ) as error:
@@ -180,7 +179,7 @@
         if not self.server or not self._state.member:
             return  # no server has recorded this watcher
         request = structs.replace(self._state.next_request(0), is_leaving=True)
-        with suppress(OSError, WaitTimeoutError, BadHttp), self._loop.timeout(LEAVE_TIMEOUT_US):
+        with suppress(OSError, WaitTimeoutError, HttpMessageError), self._loop.timeout(LEAVE_TIMEOUT_US):
             connection = self._open_connection()
             try:
                 connection.exchange(_encode_request(request))
@@ -226,7 +225,7 @@
         self._connect_to(server)
 
     def _open_connection(self) -> Connection:
-        limits = Limits(head=MAX_HEAD_BYTES, body=MAX_BODY_BYTES)
+        limits = Limits(max_head_bytes=MAX_HEAD_BYTES, max_body_bytes=MAX_BODY_BYTES)
         with self._loop.timeout(CONNECT_TIMEOUT_US):
             address = self._servers[self.server]()
             return Connection.open(self._loop, address, self._byte_counter, "watch", limits)
@@ -292,7 +291,7 @@
 
     def _reusable_connection(self) -> Connection:
         connection = self._connection
-        if connection is None or not connection.reusable:
+        if connection is None or not connection.is_reusable:
             self._close_connection()
             connection = self._connection = self._open_connection()
         return connection
--- a/packages/watch/tests/watch_rig.py
+++ b/packages/watch/tests/watch_rig.py
@@ -22,7 +22,7 @@
 )
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, VirtualClock
-from walnutpost.http import BadMessage, Connection, Exchange, Response, Server, encode_request
+from walnutpost.http import Connection, Exchange, HttpMessageError, Response, Server, encode_request
 from walnutpost.http.server import serve_on
 from walnutpost.watch import Watcher, WatchServer
 
@@ -30,7 +30,7 @@
 WAIT_TIMEOUT_US = 3 * SECOND
 
 
-def protocol_error(error: BadMessage) -> Response:
+def protocol_error(error: HttpMessageError) -> Response:
     return Response(error.status, body=str(error).encode())
 
 
--- a/packages/workerclient/src/walnutpost/workerclient/client.py
+++ b/packages/workerclient/src/walnutpost/workerclient/client.py
@@ -94,7 +94,7 @@
         """How many connections are open while nothing runs on them."""
         return self._idle.count
 
-    def close_idle(self, worker: str) -> None:
+    def close_idle_connections(self, worker: str) -> None:
         """Close the worker's idle connections."""
         self._idle.close(worker)
 
@@ -105,7 +105,7 @@
         """How many attempts have not ended."""
         return self._attempts.in_flight
 
-    def start(
+    def send(
         self,
         effect: Send,
         done: Callable[[AttemptEnded], None],
@@ -119,26 +119,26 @@
         """
         self._attempts.start(effect, done, before, execution)
 
-    def abandon(self, call: int, attempt: int) -> None:
+    def cancel(self, call: int, attempt: int) -> None:
         """Give an attempt up: no byte of it leaves from now on where none has left."""
         self._attempts.abandon(call, attempt)
 
     # Load orders
 
-    def order(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
+    def order_load(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
         """Send a load order; `done` is called once, however the order ends.
 
         Its outcome is as reliable as `interface.LoadOrderEnded` requires.
         """
         self._load_orders.order(effect, done)
 
-    def discard(self, effect: Unload) -> None:
+    def unload(self, effect: Unload) -> None:
         """Have the worker drop idle copies; how that ends is not reported."""
         self._load_orders.unload(effect)
 
     # Queries
 
-    def ping(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
+    def probe(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
         """Check a worker's health; `done` gets the outcome and the load report."""
         self._prober.probe(effect, done)
 
--- a/packages/workerclient/src/walnutpost/workerclient/connector.py
+++ b/packages/workerclient/src/walnutpost/workerclient/connector.py
@@ -77,7 +77,7 @@
         name = self.certificate_names.get(worker, worker)
         secure = TlsClientSettings(context, name, self._sessions.get(worker))
         try:
-            connection = Connection.open(self._loop, address, self._tap, CAPTURE_ROLE, secure=secure)
+            connection = Connection.open(self._loop, address, self._tap, CAPTURE_ROLE, tls=secure)
         except BaseException as error:
             if error is limit or isinstance(error, OSError):
                 self.handshakes.record_failure(self._loop.now(), worker)
--- a/packages/workerclient/src/walnutpost/workerclient/delivery.py
+++ b/packages/workerclient/src/walnutpost/workerclient/delivery.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from walnutpost.eventloop import Loop, WaitTimeoutError
-from walnutpost.http import BadMessage, Connection, Response
+from walnutpost.http import Connection, HttpMessageError, Response
 from walnutpost.interface import Outcome
 from walnutpost.workerclient.connector import Connector
 from walnutpost.workerclient.directory import Address, WorkerDirectory
@@ -127,7 +127,7 @@
             request.has_begun = True
             response = connection.exchange(data)
             return DeliveryResult(Outcome.OK, response)
-        except BadMessage:
+        except HttpMessageError:
             return DeliveryResult(Outcome.ERROR, may_still_arrive=True)
         except OSError as error:
             if not connection.stream.has_sent:  # the kernel took no byte, so the worker saw none
@@ -161,7 +161,7 @@
             # An ordinary close would still deliver what the kernel holds.
             connection.stream.reset()
             return
-        may_reuse = connection.reusable and not self._has_moved(request)
+        may_reuse = connection.is_reusable and not self._has_moved(request)
         if may_reuse and self._connector.allows_reuse(request.worker, connection):
             self._idle.put(request.worker, connection)
         else:
--- a/packages/workerclient/src/walnutpost/workerclient/idle_connections.py
+++ b/packages/workerclient/src/walnutpost/workerclient/idle_connections.py
@@ -27,7 +27,7 @@
         connections = self._connections.get(worker)
         while connections:
             connection = connections.pop()
-            is_fresh = self._loop.now() - connection.used_at < self._idle_timeout_us
+            is_fresh = self._loop.now() - connection.last_used_us < self._idle_timeout_us
             if is_fresh and not connection.stream.is_stale():
                 return connection
             connection.close()
@@ -39,7 +39,7 @@
         if len(connections) >= self._max_per_worker:
             connection.close()
             return
-        connection.used_at = self._loop.now()
+        connection.last_used_us = self._loop.now()
         connections.append(connection)
         if worker not in self._expiring:
             self._expiring.add(worker)
@@ -59,11 +59,11 @@
         """Close what has been idle for too long: connections of a burst, or to a worker that is not used."""
         connections = self._connections.get(worker, [])
         last_use_us = self._loop.now() - self._idle_timeout_us
-        for connection in [each for each in connections if each.used_at <= last_use_us]:
+        for connection in [each for each in connections if each.last_used_us <= last_use_us]:
             connections.remove(connection)
             connection.close()
         if connections:
-            next_check_us = connections[0].used_at - last_use_us
+            next_check_us = connections[0].last_used_us - last_use_us
             self._loop.call_later(next_check_us, lambda: self._expire(worker))
         else:
             self._expiring.discard(worker)
--- a/packages/workerclient/tests/test_abandoned_attempts.py
+++ b/packages/workerclient/tests/test_abandoned_attempts.py
@@ -20,11 +20,11 @@
 
     def script() -> None:
         send = rig.start_call()
-        rig.client.abandon(send.call, send.attempt)  # before its task has begun
+        rig.client.cancel(send.call, send.attempt)  # before its task has begun
         assert rig.wait_for_attempt_end().outcome is Outcome.MOOT
         send = rig.start_call()
         rig.wait_for(lambda: bool(rig.streams))
-        rig.client.abandon(send.call, send.attempt)
+        rig.client.cancel(send.call, send.attempt)
         assert rig.wait_for_attempt_end().outcome is Outcome.CANCELLED
 
     rig.run(stay_silent, script)
@@ -39,7 +39,7 @@
         for before in (lambda: rig.loop.sleep(100 * US_PER_MS), None):
             send = rig.start_call(before=before)
             rig.loop.sleep(50 * US_PER_MS)
-            rig.client.abandon(send.call, send.attempt)
+            rig.client.cancel(send.call, send.attempt)
             assert rig.wait_for_attempt_end().outcome is Outcome.MOOT
         rig.loop.sleep(US_PER_S)
         assert not rig.received
@@ -56,7 +56,7 @@
         send = rig.start_call(before=persisted.wait)
         rig.loop.sleep(US_PER_MS)
         persisted.set()
-        rig.client.abandon(send.call, send.attempt)
+        rig.client.cancel(send.call, send.attempt)
         assert rig.wait_for_attempt_end().outcome is Outcome.MOOT
         rig.loop.sleep(US_PER_S)
         assert len(rig.received) == 1
@@ -74,7 +74,7 @@
             pass
         send = rig.start_call()
         rig.loop.sleep(50 * US_PER_MS)
-        rig.client.abandon(send.call, send.attempt)
+        rig.client.cancel(send.call, send.attempt)
         assert rig.wait_for_attempt_end().outcome is Outcome.MOOT
         handshakes.record_success("w")
         rig.loop.sleep(US_PER_S)
@@ -108,7 +108,7 @@
         else:
             send = rig.start_call()
             rig.wait_for(lambda: bool(rig.received))
-            rig.client.abandon(send.call, send.attempt)
+            rig.client.cancel(send.call, send.attempt)
             assert rig.wait_for_attempt_end().outcome is Outcome.CANCELLED
         rig.loop.sleep(US_PER_S)
         assert rig.resets == 1
--- a/packages/workerclient/tests/test_call_outcomes.py
+++ b/packages/workerclient/tests/test_call_outcomes.py
@@ -10,7 +10,8 @@
 from walnutpost.eventloop import Listener, Stream
 from walnutpost.gateway import LoadOrder, LoadOrderEnded
 from walnutpost.http import Response, encode_response
-from walnutpost.http.messages import Limits, RequestReader
+from walnutpost.http.messages import Limits
+from walnutpost.http.parsing import RequestParser
 from walnutpost.interface import Outcome, Warmth
 from walnutpost.workerclient import WorkerClient, WorkerClientSettings, codec
 from worker_client_rig import (
@@ -118,7 +119,7 @@
         addresses = dict(rig.client.addresses)
         ended = rig.call(before=lambda: rig.client.update_workers(addresses, {"w"}))
         assert ended.outcome is Outcome.MOOT
-        rig.client.order(LoadOrder("w", "f", 1), rig.ended.append)
+        rig.client.order_load(LoadOrder("w", "f", 1), rig.ended.append)
         rig.wait_for(lambda: bool(rig.ended))
         order_ended = rig.ended.pop()
         assert isinstance(order_ended, LoadOrderEnded)
@@ -160,7 +161,7 @@
 
 
 def read_deadline_ms(request: bytes) -> int:
-    reader = RequestReader(Limits())
+    reader = RequestParser(Limits())
     reader.feed(request)
     return int(reader.ready.popleft().headers[codec.DEADLINE_MS_HEADER])
 
--- a/packages/workerclient/tests/test_load_order_outcomes.py
+++ b/packages/workerclient/tests/test_load_order_outcomes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from walnutpost.eventloop import Stream
-from walnutpost.http import BadMessage, Connection, Response, encode_response
+from walnutpost.http import Connection, HttpMessageError, Response, encode_response
 from walnutpost.interface import Outcome
 from walnutpost.workerclient import codec
 from worker_client_rig import TWO_COPIES_LOADED, US_PER_S, RespondingWorkerRig, delay_connects
@@ -64,7 +64,7 @@
         # The network broke; what the worker's machine holds can still be read.
         (OSError(errno.EHOSTUNREACH, "no route"), True, Outcome.TIMEOUT),
         (TimeoutError(errno.ETIMEDOUT, "gave up"), True, Outcome.TIMEOUT),
-        (BadMessage(400, "no HTTP"), True, Outcome.TIMEOUT),
+        (HttpMessageError(400, "no HTTP"), True, Outcome.TIMEOUT),
     ],
 )
 def test_an_order_that_met_an_error_is_reported_as_what_the_error_proves(
--- a/packages/workerclient/tests/test_may_begin.py
+++ b/packages/workerclient/tests/test_may_begin.py
@@ -42,10 +42,10 @@
 
     def script() -> None:
         assert rig.order(begin_within_us=100 * US_PER_MS).outcome is Outcome.MOOT
-        rig.client.close_idle("w")
+        rig.client.close_idle_connections("w")
         assert rig.call(begin_within_us=100 * US_PER_MS).outcome is Outcome.MOOT
         assert not rig.received
-        rig.client.close_idle("w")
+        rig.client.close_idle_connections("w")
         assert rig.order(begin_within_us=150 * US_PER_MS).outcome is Outcome.OK
 
     rig.run_script(script)
@@ -55,7 +55,7 @@
     rig = RespondingWorkerRig(TWO_COPIES_LOADED)
 
     def script() -> None:
-        rig.client.order(LoadOrder("w", "f", 2, 100 * US_PER_MS), rig.ended.append)
+        rig.client.order_load(LoadOrder("w", "f", 2, 100 * US_PER_MS), rig.ended.append)
         rig.loop.clock.advance_to(rig.loop.now() + 150 * US_PER_MS)  # other work keeps the loop busy
         rig.wait_for(lambda: bool(rig.ended))
         assert rig.ended.pop().outcome is Outcome.MOOT
@@ -92,7 +92,7 @@
         # The former address is another worker's now.
         after = {"new": before["w"]} if is_gone else {"new": before["w"], "w": other.address}
         rig.start_call()
-        rig.client.order(LoadOrder("w", "f", 2), rig.ended.append)
+        rig.client.order_load(LoadOrder("w", "f", 2), rig.ended.append)
         rig.loop.sleep(50 * US_PER_MS)
         rig.client.update_workers(after, set())
         rig.wait_for(lambda: len(rig.ended) == 2)
@@ -110,7 +110,7 @@
     delay_connects(monkeypatch, rig, 100 * US_PER_MS)
 
     def script() -> None:
-        rig.client.order(LoadOrder("w", "f", 2), rig.ended.append)
+        rig.client.order_load(LoadOrder("w", "f", 2), rig.ended.append)
         rig.loop.sleep(50 * US_PER_MS)
         rig.client.update_workers(dict(rig.client.addresses), {"w"})
         rig.wait_for(lambda: bool(rig.ended))
--- a/packages/workerclient/tests/test_tls_streams.py
+++ b/packages/workerclient/tests/test_tls_streams.py
@@ -54,9 +54,7 @@
         context = client_context(AUTHORITY)
         session = None
         for round_number in range(3):
-            connection = Connection.open(
-                loop, server.address, secure=TlsClientSettings(context, NAME, session)
-            )
+            connection = Connection.open(loop, server.address, tls=TlsClientSettings(context, NAME, session))
             for size in (0, 10, 900_000):
                 body = bytes(n % 251 for n in range(1000)) * (size // 1000) or b"x" * size
                 assert connection.exchange(encode_request("POST", "/", "x", {}, body)).body == body
@@ -91,7 +89,7 @@
         context = server_context(issued, tmp_path)
         server = serve_on(loop, ("127.0.0.1", 0), handler, lambda e: Response(400), context=context)
         with pytest.raises(ssl.SSLCertVerificationError):
-            Connection.open(loop, server.address, secure=TlsClientSettings(client_context(authority), NAME))
+            Connection.open(loop, server.address, tls=TlsClientSettings(client_context(authority), NAME))
         server.stop_accepting()
 
     run(script)
@@ -114,11 +112,11 @@
             context = server_context(ISSUED, tmp_path)
             server = serve_on(loop, ("127.0.0.1", 0), handler, lambda e: Response(400), context=context)
             connection = Connection.open(
-                loop, server.address, secure=TlsClientSettings(client_context(AUTHORITY), NAME)
+                loop, server.address, tls=TlsClientSettings(client_context(AUTHORITY), NAME)
             )
             connection.stream.has_sent = False
             with pytest.raises(ConnectionResetError, match="farewell" if is_cut else "before the whole"):
-                connection.ask("GET", "/")
+                connection.request("GET", "/")
             assert connection.stream.has_sent and connection.stream.is_stale()
             server.stop_accepting()
 
@@ -136,7 +134,7 @@
                     Connection.open(
                         loop,
                         listener.getsockname()[:2],
-                        secure=TlsClientSettings(client_context(AUTHORITY), NAME),
+                        tls=TlsClientSettings(client_context(AUTHORITY), NAME),
                     )
 
             attempt = loop.spawn(lambda: pytest.raises((OSError, WaitTimeoutError), connect))
--- a/packages/workerclient/tests/worker_client_rig.py
+++ b/packages/workerclient/tests/worker_client_rig.py
@@ -66,7 +66,7 @@
     ) -> Send:
         self.call_count += 1
         send = Send(self.call_count, 0, WORKER, "f", None, b"1", timeout_us, 1, False, begin_within_us)
-        self.client.start(send, self.ended.append, before)
+        self.client.send(send, self.ended.append, before)
         return send
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
@@ -92,7 +92,7 @@
 
     def order(self, begin_within_us: int = 0) -> LoadOrderEnded:
         """Send a load order; return its end, after a time in which no other may be reported."""
-        self.client.order(LoadOrder(WORKER, "f", 2, begin_within_us), self.ended.append)
+        self.client.order_load(LoadOrder(WORKER, "f", 2, begin_within_us), self.ended.append)
         self.wait_for(lambda: bool(self.ended))
         self.loop.sleep(20 * US_PER_S)
         (ended,) = self.ended
