--- a/packages/cli/tests/test_config_commands.py
+++ b/packages/cli/tests/test_config_commands.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 import json
+import random
 import socket
 import subprocess
 import sys
 import time
 from collections.abc import Callable, Iterator, Mapping
+from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
@@ -27,12 +29,19 @@
 
 SITE = BASE["site"]
 PRICE, RESERVE = SITE["functions"]["price"], SITE["functions"]["reserve"]
+PORTS = 12_000, 20_000  # below the ports that Linux gives to sockets by itself (net.ipv4.ip_local_port_range)
 
 
 def free_address() -> str:
-    with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
-        sock.bind(("127.0.0.1", 0))
-        return "{}:{}".format(*sock.getsockname())
+    """Return a loopback address that nobody listens on.
+
+    Its port is one that the system gives to no other socket, since it must stay free until a process listens.
+    """
+    while True:
+        port = random.randrange(*PORTS)
+        with suppress(OSError), socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
+            sock.bind(("127.0.0.1", port))
+            return f"127.0.0.1:{port}"
 
 
 def wait_for_leader(
