--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -19,9 +19,10 @@
 from walnutpost.config import Config, load, overlay_sections, parse
 from walnutpost.controlplane.wire import Report
 from walnutpost.eventloop import Loop, TaskGroup
+from walnutpost.faultinjection.call_results import CallResultKind
+from walnutpost.faultinjection.fleet_cluster import FleetCluster
 from walnutpost.faultinjection.fleet_run import FleetOutcome, play_fleet
-from walnutpost.faultinjection.fleet_script import FleetScript, random_acts
-from walnutpost.faultinjection.fleet_stage import FleetStage
+from walnutpost.faultinjection.fleet_scenario import FleetScenario, random_faults
 from walnutpost.fleet import (
     BeginPermit,
     Command,
@@ -45,7 +46,7 @@
 DAY_SECONDS, FAULTS, AT_ONCE = 24.0, 6, 2
 
 
-def random_day(seed: int) -> FleetScript:
+def random_day(seed: int) -> FleetScenario:
     """A release, then a worker out and back, while six faults befall keepers and members."""
     script = {
         "config": "kilbride.json5",
@@ -71,14 +72,14 @@
             },
         ],
     }
-    day = parse(json.dumps(script), f"seed {seed}", FleetScript)
+    day = parse(json.dumps(script), f"seed {seed}", FleetScenario)
     members = ["f0", "f1", "f2", "f3", "worker-1", "worker-2", "worker-3", "worker-4"]
     return day.model_copy(
-        update={"acts": [*day.acts, *random_acts(seed, 3, members, DAY_SECONDS - 6, FAULTS)]}
+        update={"acts": [*day.acts, *random_faults(seed, 3, members, DAY_SECONDS - 6, FAULTS)]}
     )
 
 
-def play_day(day: FleetScript, folder: Path) -> FleetOutcome:
+def play_day(day: FleetScenario, folder: Path) -> FleetOutcome:
     told = load(EXAMPLES / day.config, Config).model_dump(mode="json", by_alias=True)
     config = parse(json.dumps(overlay_sections(told, day.over)), "day", Config)
     return play_fleet(day, config, folder, Log())
@@ -90,14 +91,16 @@
         out = play_day(random_day(seed), Path(folder))
     kinds = [r.kind for r in out.results]
     plans = ", ".join(f"{p.id}: {p.end_reason or p.halt_reason}" for p in out.state.plans.values())
-    found = "; ".join([*out.broken, *out.failures, *(b for r in out.verdict.rules for b in r.breaks)])
-    rules = "kept" if out.verdict.kept else "BROKEN"
+    broken = [violation for rule in out.verdict.rules for violation in rule.violations]
+    found = "; ".join([*out.violations, *out.failures, *broken])
+    rules = "kept" if out.verdict.has_passed else "BROKEN"
+    down = out.max_unavailable
     print(
-        f"| {seed} | {len(kinds)} | {kinds.count('served')} | {out.most_out['front_end']} "
-        f"| {out.most_out['worker']} | {rules} | {plans} | {found or '-'} |",
+        f"| {seed} | {len(kinds)} | {kinds.count(CallResultKind.SERVED)} | {down['front_end']} "
+        f"| {down['worker']} | {rules} | {plans} | {found or '-'} |",
         flush=True,
     )
-    sys.exit(0 if out.good else 1)
+    sys.exit(0 if out.has_passed else 1)
 
 
 def days(first: int, count: int) -> None:
@@ -118,7 +121,7 @@
     """Keepers as processes, and a loop of our own that asks them."""
 
     def __init__(self, loop: Loop, folder: Path, count: int, delay: int = 0) -> None:
-        script = FleetScript.model_validate(
+        script = FleetScenario.model_validate(
             {
                 "config": "-",
                 "duration_s": 1.0,
@@ -128,12 +131,14 @@
             }
         )
         folder.mkdir(parents=True, exist_ok=True)
-        self.stage = FleetStage(loop, load(EXAMPLES / "kilbride.json5", Config), script, folder)
-        for name in self.stage.keepers:
-            self.stage.start_keeper(name, "--found")
-        self.stage.until(lambda: all(map(self.stage.where, self.stage.keepers)), "keepers")
-        self.stage.leader()
-        self.stage.mesh.slow(delay)
+        self.cluster = FleetCluster(loop, load(EXAMPLES / "kilbride.json5", Config), script, folder)
+        for name in self.cluster.replicas:
+            self.cluster.start_replica(name, "--found")
+        self.cluster.wait_until(
+            lambda: all(map(self.cluster.replica_address, self.cluster.replicas)), "keepers"
+        )
+        self.cluster.leader()
+        self.cluster.network.slow_down(delay)
 
 
 def in_loop(work: Callable[[Loop], T]) -> T:
@@ -153,20 +158,20 @@
             with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
                 group = Group(loop, Path(folder), count)
                 try:
-                    return [rate(loop, group.stage, askers) for askers in (1, ASKERS)]
+                    return [rate(loop, group.cluster, askers) for askers in (1, ASKERS)]
                 finally:
-                    group.stage.stop()
+                    group.cluster.stop()
 
         one, many = in_loop(work)
         for askers, found in ((1, one), (ASKERS, many)):
             print(f"| {count} | {askers} | {found:.0f} | {found / one:.2f} |", flush=True)
 
 
-def rate(loop: Loop, stage: FleetStage, askers: int) -> float:
+def rate(loop: Loop, cluster: FleetCluster, askers: int) -> float:
     each = COMMANDS // askers
 
     def ask(number: int) -> None:
-        client = stage.client(20 * SECOND)
+        client = cluster.client(20 * SECOND)
         for n in range(each):
             client.command(f"{askers}-{number}-{n}", RegisterMember(f"m{number}", "worker", "a", f"m.{n}"))
 
@@ -185,20 +190,20 @@
         def work(loop: Loop, delay: int = delay) -> list[float]:
             with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
                 group, found = Group(loop, Path(folder), 3, delay * 1000), []
-                stage = group.stage
+                cluster = group.cluster
                 try:
                     for _ in range(times):
-                        leader = stage.leader()
-                        stage.kill(leader)
+                        leader = cluster.leader()
+                        cluster.kill(leader)
                         began = time.monotonic()
-                        stage.leader()
+                        cluster.leader()
                         found.append((time.monotonic() - began) * 1000)
-                        stage.back(leader)
-                        stage.until(lambda name=leader: stage.where(name), "it")  # type: ignore[misc]
+                        cluster.restart(leader)
+                        cluster.wait_until(lambda name=leader: cluster.replica_address(name), "it")  # type: ignore[misc]
                         loop.sleep(2 * SECOND)
                     return sorted(found)
                 finally:
-                    stage.stop()
+                    cluster.stop()
 
         found = in_loop(work)
         print(f"| {delay} | {found[0]:.0f} | {found[len(found) // 2]:.0f} | {found[-1]:.0f} |", flush=True)
@@ -209,16 +214,16 @@
 
     def work(loop: Loop) -> tuple[float, int]:
         with tempfile.TemporaryDirectory(prefix="fleet-") as folder:
-            stage = Group(loop, Path(folder), 3).stage
+            cluster = Group(loop, Path(folder), 3).cluster
             try:
-                client, count, until = stage.client(20 * SECOND), 0, 0
+                client, count, until = cluster.client(20 * SECOND), 0, 0
                 for n in range(fronts + workers):
                     kind = "front_end" if n < fronts else "worker"
                     client.command(
                         f"e{n}", RegisterMember(f"m{n}", kind, "a", f"m{n}.1", "v", n < fronts, "127.0.0.1:1")
                     )
-                leader = stage.leader()
-                told = stage.client(20 * SECOND)
+                leader = cluster.leader()
+                told = cluster.client(20 * SECOND)
 
                 def report(n: int) -> None:
                     nonlocal count
@@ -231,13 +236,13 @@
                         loop.sleep(every)
 
                 until = loop.now() + seconds * SECOND
-                before = cpu(stage.processes[leader].pid)
+                before = cpu(cluster.processes[leader].pid)
                 with TaskGroup(loop) as tasks:
                     for n in range(fronts + workers):
                         tasks.spawn(report, n)
-                return (cpu(stage.processes[leader].pid) - before) / seconds, count
+                return (cpu(cluster.processes[leader].pid) - before) / seconds, count
             finally:
-                stage.stop()
+                cluster.stop()
 
     share, count = in_loop(work)
     rate, who = f"{count / seconds:.0f} reports a second", f"{fronts} front ends, {workers} workers"
--- a/benchmarks/scale/keepers.py
+++ b/benchmarks/scale/keepers.py
@@ -13,8 +13,8 @@
 from walnutpost.config import Config, load
 from walnutpost.controlplane.wire import Report
 from walnutpost.eventloop import Loop, TaskGroup
-from walnutpost.faultinjection.fleet_script import FleetScript
-from walnutpost.faultinjection.fleet_stage import FleetStage
+from walnutpost.faultinjection.fleet_cluster import FleetCluster
+from walnutpost.faultinjection.fleet_scenario import FleetScenario
 from walnutpost.fleet import FRONT_END, RegisterMember, StoreVersion
 
 SECOND = 1_000_000
@@ -26,7 +26,7 @@
 
     def __init__(self, loop: Loop, folder: Path) -> None:
         self.loop = loop
-        script = FleetScript.model_validate(
+        script = FleetScenario.model_validate(
             {
                 "config": "-",
                 "duration_s": 1.0,
@@ -36,13 +36,15 @@
             }
         )
         config = load(ROOT / "examples" / "kilbride.json5", Config)
-        self.stage = FleetStage(loop, config, script, folder)
-        for name in self.stage.keepers:
-            self.stage.start_keeper(name, "--found")
-        self.stage.until(lambda: all(map(self.stage.where, self.stage.keepers)), "keepers")
-        self.client = self.stage.client(20 * SECOND)
-        self.leader = self.stage.leader()
-        self.pid = self.stage.processes[self.leader].pid
+        self.cluster = FleetCluster(loop, config, script, folder)
+        for name in self.cluster.replicas:
+            self.cluster.start_replica(name, "--found")
+        self.cluster.wait_until(
+            lambda: all(map(self.cluster.replica_address, self.cluster.replicas)), "keepers"
+        )
+        self.client = self.cluster.client(20 * SECOND)
+        self.leader = self.cluster.leader()
+        self.pid = self.cluster.processes[self.leader].pid
 
     def cpu(self, work: Callable[[], object]) -> float:
         before = process_cpu(self.pid)
@@ -68,7 +70,7 @@
             try:
                 return work(keepers)
             finally:
-                keepers.stage.stop()
+                keepers.cluster.stop()
 
     return loop.run(run)
 
--- a/packages/cli/src/walnutpost/cli/fleet_views.py
+++ b/packages/cli/src/walnutpost/cli/fleet_views.py
@@ -17,7 +17,7 @@
 from walnutpost.cli.fleet_status import describe_fleet, return_condition
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.controlplane.wire import History, HistoryEntry, ReplicaStatus
-from walnutpost.faultinjection.table import aligned
+from walnutpost.faultinjection.text_tables import align_columns
 from walnutpost.fleet import CommandResult, Fleet, FleetState
 from walnutpost.fleet.budgets import unavailable_members
 
@@ -64,7 +64,7 @@
         f"index {described['index']}, led by {described['leader']} in term {described['term']}",
         f"halted: {halted}" if halted else "not halted",
         *described["budgets"],
-        aligned([heads, *rows]) if rows else "nobody is out",
+        align_columns([heads, *rows]) if rows else "nobody is out",
         *(f"without a quorum: {change}" for change in described["alone"]),
     ]
 
@@ -93,7 +93,7 @@
         return
     heads = ["plan", "to", "step", "done", "ended, or waits for"]
     rows = [_plan_row(plan_name, plan) for plan_name, plan in shown.items()]
-    click.echo(aligned([heads, *rows]) if rows else "no plans")
+    click.echo(align_columns([heads, *rows]) if rows else "no plans")
 
 
 def _plan_row(name: str, plan: dict[str, Any]) -> list[str]:
@@ -122,7 +122,7 @@
         return
     heads = ["member", "kind", "zone", "version", "incarnation", "stands"]
     rows = [[str(member[head]) for head in heads] for member in described]
-    click.echo(aligned([heads, *rows]))
+    click.echo(align_columns([heads, *rows]))
 
 
 def _describe_members(state: FleetState) -> list[dict[str, Any]]:
@@ -175,7 +175,7 @@
         click.echo(f"entries before {found.first_index} are not kept by {replica} any more", err=True)
     heads = ["index", "asked at", "what", "told", "answer"]
     rows = [_history_row(entry) for entry in found.entries]
-    click.echo(aligned([heads, *rows]) if rows else "nothing")
+    click.echo(align_columns([heads, *rows]) if rows else "nothing")
 
 
 def _history_row(entry: HistoryEntry) -> list[str]:
--- a/packages/cli/src/walnutpost/cli/keys.py
+++ b/packages/cli/src/walnutpost/cli/keys.py
@@ -18,7 +18,7 @@
 from walnutpost.config.front_end import TlsConfig
 from walnutpost.eventloop import replace_file
 from walnutpost.fakes.authority import Authority
-from walnutpost.faultinjection.table import aligned
+from walnutpost.faultinjection.text_tables import align_columns
 from walnutpost.workerclient.tls_contexts import read_file
 
 NS_PER_US = 1000
@@ -76,4 +76,4 @@
         format_local_time(own.valid_until_us, "UTC"),
         f"{(own.valid_until_us - now_us) / DAY_US:.1f} days left",
     ]
-    click.echo(aligned([["names", "serial", "from", "until", "left"], row]))
+    click.echo(align_columns([["names", "serial", "from", "until", "left"], row]))
--- a/packages/cli/src/walnutpost/cli/scenarios.py
+++ b/packages/cli/src/walnutpost/cli/scenarios.py
@@ -14,14 +14,14 @@
 
 from walnutpost.cli.config_files import EXIT_INVALID, exit_with, read_config_with_fleet
 from walnutpost.config import Config, ConfigError, load, overlay_sections, parse
-from walnutpost.faultinjection import days, table
-from walnutpost.faultinjection.facts import audit_folder
+from walnutpost.faultinjection import text_tables
+from walnutpost.faultinjection.audit import audit_folder
+from walnutpost.faultinjection.errors import ClusterError
 from walnutpost.faultinjection.fleet_run import FleetOutcome, play_fleet
-from walnutpost.faultinjection.fleet_script import FleetScript
-from walnutpost.faultinjection.fleet_stage import StageError as FleetStageError
-from walnutpost.faultinjection.run import Outcome, play
-from walnutpost.faultinjection.script import Script
-from walnutpost.faultinjection.stage import StageError
+from walnutpost.faultinjection.fleet_scenario import FleetScenario
+from walnutpost.faultinjection.scenario import Scenario
+from walnutpost.faultinjection.scenario_run import ScenarioOutcome, play
+from walnutpost.faultinjection.simulator_days import read_day
 
 EXIT_NOT_PLAYED = 3  # the scenario itself could not go on
 OUT_OPTION = click.option(
@@ -52,10 +52,11 @@
         raise click.UsageError("either SCRIPT or --from-day FILE is wanted")
     try:
         if from_day is not None:
-            checked, config = days.read_day(from_day)
+            day = read_day(from_day)
+            checked, config = day.scenario, day.config
         else:
             assert script is not None
-            checked = load(script, Script)
+            checked = load(script, Scenario)
             config = read_config_with_fleet(script.parent / checked.config)
     except ConfigError as error:
         exit_with(*error.lines)
@@ -64,20 +65,20 @@
     with _output_folder(out, "trial-") as folder:
         try:
             outcome = play(checked, config, folder, log)
-        except StageError as error:
+        except ClusterError as error:
             exit_with(f"trial: {error}", code=EXIT_NOT_PLAYED)
     _show_outcome(outcome)
-    is_covered = all(each.covered for each in outcome.usage)
-    sys.exit(0 if outcome.verdict.kept and is_covered and not outcome.failures else 1)
+    is_covered = all(each.is_covered for each in outcome.usage)
+    sys.exit(0 if outcome.verdict.has_passed and is_covered and not outcome.failures else 1)
 
 
-def _show_outcome(outcome: Outcome) -> None:
-    click.echo(table.calls_table(outcome.results))
+def _show_outcome(outcome: ScenarioOutcome) -> None:
+    click.echo(text_tables.calls_table(outcome.results))
     click.echo()
-    click.echo(table.rules_table(outcome.verdict))
+    click.echo(text_tables.rules_table(outcome.verdict))
     if outcome.usage:
         click.echo()
-        click.echo(table.usage_table(outcome.usage))
+        click.echo(text_tables.usage_table(outcome.usage))
     _show_failures(outcome.failures)
 
 
@@ -96,7 +97,7 @@
     Exits 1 where a rule was broken, or more were out than agreed, by an observer who asks the processes.
     """
     try:
-        checked = load(script, FleetScript)
+        checked = load(script, FleetScenario)
         base = read_config_with_fleet(script.parent / checked.config).model_dump(mode="json")
         config = parse(json.dumps(overlay_sections(base, checked.over)), f"{script}: over", Config)
     except ConfigError as error:
@@ -104,22 +105,22 @@
     with _output_folder(out, "fleet-") as folder:
         try:
             outcome = play_fleet(checked, config, folder.absolute(), log)
-        except (StageError, FleetStageError) as error:
+        except ClusterError as error:
             exit_with(f"trial: {error}", code=EXIT_NOT_PLAYED)
     _show_fleet_outcome(outcome)
-    sys.exit(0 if outcome.good else 1)
+    sys.exit(0 if outcome.has_passed else 1)
 
 
 def _show_fleet_outcome(outcome: FleetOutcome) -> None:
-    click.echo(table.calls_table(outcome.results))
+    click.echo(text_tables.calls_table(outcome.results))
     click.echo()
-    click.echo(table.rules_table(outcome.verdict))
+    click.echo(text_tables.rules_table(outcome.verdict))
     click.echo()
-    click.echo(table.plans_table(outcome.state))
-    for kind, count in outcome.most_out.items():
+    click.echo(text_tables.plans_table(outcome.state))
+    for kind, count in outcome.max_unavailable.items():
         click.echo(f"most {kind}s out at once, but for what the script did: {count}")
-    for broken in outcome.broken:
-        click.echo(f"broken: {broken}")
+    for violation in outcome.violations:
+        click.echo(f"broken: {violation}")
     _show_failures(outcome.failures)
 
 
@@ -131,5 +132,5 @@
         verdict = audit_folder(capture)
     except (OSError, ValueError) as error:
         exit_with(f"{capture}: cannot be audited: {error}", code=EXIT_INVALID)
-    click.echo(table.rules_table(verdict))
-    sys.exit(0 if verdict.kept else 1)
+    click.echo(text_tables.rules_table(verdict))
+    sys.exit(0 if verdict.has_passed else 1)
--- a/packages/cli/src/walnutpost/cli/usage.py
+++ b/packages/cli/src/walnutpost/cli/usage.py
@@ -17,7 +17,7 @@
 
 from walnutpost.cli.config_files import exit_with
 from walnutpost.cli.ledgers import CONFIGS_ARGUMENT, SINCE_OPTION, UNTIL_OPTION, US_PER_S, Ledgers
-from walnutpost.faultinjection.table import aligned
+from walnutpost.faultinjection.text_tables import align_columns
 from walnutpost.metering import (
     DAY_US,
     GROUP_FIELDS,
@@ -94,7 +94,7 @@
         out = io.StringIO()
         csv.writer(out, lineterminator="\n").writerows([heads, *rows])
         return out.getvalue().rstrip("\n")
-    return aligned([heads, *rows])
+    return align_columns([heads, *rows])
 
 
 # Explanations
@@ -125,7 +125,7 @@
     found = list_charges(ledgers.extracts, ledgers.policy, ledgers.now_us, is_wanted)
     heads = ["tenant", "worker", "copy", "function", "hour", "MB", "ran s", "idle s", "first", "mb_s"]
     rows = [_charge_row(ledgers.tenant_name(charge.tenant), charge) for charge in found[:max_charges]]
-    click.echo(aligned([heads, *rows]))
+    click.echo(align_columns([heads, *rows]))
     total = _mb_s_text(sum(charge.mb_us for charge in found))
     retention_hours = ledgers.metering.slice_retention_hours
     click.echo(f"{len(found)} stretches, {total} MB s; records go back {retention_hours} h")
--- a/packages/controlplane/tests/replica_processes.py
+++ b/packages/controlplane/tests/replica_processes.py
@@ -12,7 +12,7 @@
 
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.eventloop import Loop
-from walnutpost.faultinjection.mesh import Mesh
+from walnutpost.faultinjection.network import ProxiedNetwork
 from walnutpost.fleet import FRONT_END, DisruptionBudget, RegisterMember, SetBudgets
 
 SECOND = 1_000_000
@@ -30,14 +30,14 @@
         self.loop, self.folder = loop, folder
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         self.starts = dict.fromkeys(NAMES, 0)
-        self.mesh = Mesh(loop, NAMES, self.address_of)
+        self.network = ProxiedNetwork(loop, NAMES, self.address_of)
         for name in NAMES:
             self.start(name, "--found")
         self.wait_until(lambda: all(self.address_of(name) for name in NAMES))
 
     def start(self, name: str, *options: str) -> None:
         self.starts[name] += 1
-        at = {n: self.mesh.address(name, n) for n in NAMES if n != name} | {name: ("127.0.0.1", 1)}
+        at = {n: self.network.address(name, n) for n in NAMES if n != name} | {name: ("127.0.0.1", 1)}
         lines = [{"name": n, "address": "{}:{}".format(*at[n])} for n in NAMES]
         own = next(line for line in lines if line["name"] == name)
         own["listen"] = "127.0.0.1:0"
--- a/packages/controlplane/tests/test_config_change_sets.py
+++ b/packages/controlplane/tests/test_config_change_sets.py
@@ -14,15 +14,15 @@
         client = cluster.client()
         assert client.submit_change_set("first", [op("limit/a", "1"), op("function/f", "x")])[0].ok
         leader = cluster.leader()
-        for (_, dialled), relay in cluster.mesh.relays.items():
+        for (_, dialled), link in cluster.network.links.items():
             if dialled == leader:
-                relay.there.hold()  # its followers' messages don't arrive: it can't answer
+                link.forward.block()  # its followers' messages don't arrive: it can't answer
         task = cluster.loop.spawn(
             lambda: cluster.client(timeout_us=30 * SECOND).submit_change_set("second", [op("limit/a", "2")])
         )
         cluster.loop.sleep(100_000)
         cluster.kill(leader)
-        cluster.mesh.heal()
+        cluster.network.heal()
         answer, errors = task.join()
         assert answer.ok and not errors
         # The same once more, after another change of the same key: it must not be applied again.
--- a/packages/controlplane/tests/test_config_watches.py
+++ b/packages/controlplane/tests/test_config_watches.py
@@ -65,9 +65,9 @@
         cluster.kill(lost)
         for file in (tmp_path / "keepers").glob(f"{lost}.db*"):
             file.unlink()
-        for (_, dialled), relay in cluster.mesh.relays.items():
+        for (_, dialled), link in cluster.network.links.items():
             if dialled == lost:
-                relay.there.rate = 2_000_000
+                link.forward.rate = 2_000_000
         cluster.start(lost)
         cluster.wait_until(lambda: cluster.address_of(lost))
         replica = cluster.replica_id(lost)
@@ -82,8 +82,8 @@
         revision, configuration = client.entries()
         watcher.reach(revision)
         watcher.become_fresh()
-        for relay in cluster.mesh.relays.values():
-            relay.there.rate = 0
+        for link in cluster.network.links.values():
+            link.forward.rate = 0
         for n, members in enumerate((Members((*NAMES, replica)), Members((*rest, replica)))):
             cluster.wait_until(lambda m=members, n=n: client.change_members(f"m{n + 1}", m).ok)  # type: ignore[misc]
         assert (
@@ -123,7 +123,7 @@
         watcher = ReplicaWatcher(cluster, cut)
         watcher.reach(committed.index)
         watcher.become_fresh()
-        cluster.mesh.cut(cut)
+        cluster.network.cut(cut)
         cut_at_us = cluster.loop.now()
         task = cluster.loop.spawn(lambda: _try_change(cluster, cut))
         answer, _ = cluster.client(*rest, timeout_us=30 * SECOND).submit_change_set("2", [op("limit/a", "2")])
@@ -137,7 +137,7 @@
             ages.append(watcher.age_us)
         assert ages[0] < ages[1] < ages[2]
         assert watcher.state.store.entries["limit/a"].value == b"1"
-        cluster.mesh.heal()
+        cluster.network.heal()
         watcher.reach(answer.index)
         watcher.become_fresh()
         assert watcher.state.store.entries["limit/a"].value == b"2"
--- a/packages/controlplane/tests/test_replica_faults.py
+++ b/packages/controlplane/tests/test_replica_faults.py
@@ -20,9 +20,9 @@
     def script(cluster: ReplicaProcesses) -> None:
         create_fleet(cluster)
         leader = cluster.leader()
-        for (_, dialled), relay in cluster.mesh.relays.items():
+        for (_, dialled), link in cluster.network.links.items():
             if dialled == leader:
-                relay.there.hold()  # its followers' messages don't arrive: it can't answer
+                link.forward.block()  # its followers' messages don't arrive: it can't answer
         task = cluster.loop.spawn(
             lambda: cluster.client(timeout_us=30 * SECOND).command(
                 "ask-1", RequestPermit("m0", "agent", "test")
@@ -30,7 +30,7 @@
         )
         cluster.loop.sleep(50_000)
         cluster.kill(leader)
-        cluster.mesh.heal()
+        cluster.network.heal()
         answer = task.join()
         assert answer.ok and cluster.client().command("ask-1", RequestPermit("m0", "agent", "test")) == answer
         assert (
@@ -49,20 +49,20 @@
     def script(cluster: ReplicaProcesses) -> None:
         create_fleet(cluster)
         old = cluster.leader()
-        cluster.mesh.mute(old)
+        cluster.network.mute(old)
         others = tuple(n for n in NAMES if n != old)
         new = cluster.leader(*others)
         assert new != old
         assert cluster.client(*others).command("x", RequestPermit("m0", "agent", "test")).ok
         with pytest.raises(ControlPlaneUnavailableError):
             cluster.client(old, timeout_us=SECOND).state()
-        cluster.mesh.heal()
-        cluster.mesh.cut(new)  # and then the next one, both ways
+        cluster.network.heal()
+        cluster.network.cut(new)  # and then the next one, both ways
         last = cluster.leader(*(n for n in NAMES if n != new))
         client = cluster.client(last)
         assert not client.command("y", RequestPermit("m0", "other", "test")).ok
         assert cluster.client().local_status(new).index < client.state()[0].index
-        cluster.mesh.heal()
+        cluster.network.heal()
         cluster.wait_until(lambda: cluster.client().local_status(new).index >= client.state()[0].index)
 
     play(tmp_path, script)
@@ -126,13 +126,13 @@
     def script(cluster: ReplicaProcesses) -> None:
         client = create_fleet(cluster)
         cluster.leader()
-        cluster.mesh.slow(40_000)
-        for relay in cluster.mesh.relays.values():
-            relay.there.left = 700
+        cluster.network.slow_down(40_000)
+        for link in cluster.network.links.values():
+            link.forward.reset_after_bytes = 700
         for n in range(10):
             assert client.command(f"s{n}", RegisterMember(f"m{n}", FRONT_END, "b", "2")).ok
-        for relay in cluster.mesh.relays.values():
-            relay.heal()
+        for link in cluster.network.links.values():
+            link.heal()
         newest = client.state()[0].index
         cluster.wait_until(lambda: all(cluster.client().local_status(n).index >= newest for n in NAMES))
         states = {cluster.client().local_status(n).state for n in NAMES}
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -55,7 +55,7 @@
 class Recorder(Tap, Protocol):
     """A tap that also records the endpoint lists that the front end was given."""
 
-    def told(self, version: int, lines: list[WorkerConfig]) -> None:
+    def on_endpoints_listed(self, version: int, lines: list[WorkerConfig]) -> None:
         """Record a list."""
 
 
@@ -84,7 +84,12 @@
         self._build_gateway(tap)
         self._build_deferred_calls()
         self.endpoint_lists = EndpointLists(
-            loop, self.dispatcher, self.worker_client, config.site, log, tap.told if tap else None
+            loop,
+            self.dispatcher,
+            self.worker_client,
+            config.site,
+            log,
+            tap.on_endpoints_listed if tap else None,
         )
         self._spawn_background_tasks()
         self._build_metering()
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -13,9 +13,9 @@
 from walnutpost.eventloop import Clock, Loop, VirtualClock
 from walnutpost.fakes import LocalStore, WorkerServer
 from walnutpost.fakes.fleet import local_store, start_worker
-from walnutpost.faultinjection.audit import Verdict
-from walnutpost.faultinjection.capture import Capture
-from walnutpost.faultinjection.facts import SUFFIX, audit_folder, facts_of, write_facts
+from walnutpost.faultinjection.audit import Verdict, audit_folder
+from walnutpost.faultinjection.capture import CAPTURE_SUFFIX, Capture
+from walnutpost.faultinjection.facts import facts_of, write_facts
 from walnutpost.http import Connection, Response
 from walnutpost.interface import ListKind
 
@@ -124,7 +124,7 @@
             self.lines.append(WorkerConfig(name=line.name, address="{}:{}".format(*server.address)))
 
     def tap(self, kind: str, name: str) -> Capture:
-        return Capture(self.path / f"{name}{SUFFIX}", kind, name, self.loop.now)
+        return Capture(self.path / f"{name}{CAPTURE_SUFFIX}", kind, name, self.loop.now)
 
     def start_front(self, listed: bool = True, path: Path | None = None) -> FrontEnd:
         front = self.front_config.front.model_copy(update={"workers": self.lines if listed else []})
--- a/packages/daemon/tests/test_journal_replication.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -14,7 +14,7 @@
 from walnutpost.config import Config, parse
 from walnutpost.config.base import parse_address
 from walnutpost.daemon.front_end import FrontEnd
-from walnutpost.faultinjection.mesh import Relay
+from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, Response
 from walnutpost.journal import CallStage, CallState, MergedJournal
 
@@ -28,7 +28,7 @@
     def __init__(self, path: Path, copies: int = 1, without: str = "refuse", **journal: Any) -> None:
         super().__init__(path)
         self.fronts: dict[str, FrontEnd] = {}
-        self.relays: dict[str, Relay] = {}
+        self.relays: dict[str, LinkProxy] = {}
         self.classes = {name: {"copies": copies, "without": without} for name in ("valuation", "reservation")}
         self.more = {"lost_after_ms": 2000, "replace_after_ms": 3_600_000, **journal}
 
@@ -36,7 +36,7 @@
         def main() -> None:
             self.start_workers()
             for name in SITES:
-                self.relays[name] = Relay(self.loop, lambda name=name: self.journal_address(name))  # type: ignore[misc]
+                self.relays[name] = LinkProxy(self.loop, lambda name=name: self.journal_address(name))  # type: ignore[misc]
             for name in SITES:
                 self.start(name)
             self.loop.sleep(SECOND)
@@ -147,7 +147,7 @@
         assert sites.defer("a1", RUN, "warm").status == 202
         sites.loop.sleep(3 * SECOND)
         for relay in ("b1", "c1"):
-            sites.relays[relay].there.hold()
+            sites.relays[relay].forward.block()
         uncertain = sites.defer("a1", RUN, "unsure")
         assert uncertain.status == 500 and b"ask again as unsure" in uncertain.body
         assert sites.runs(RUN) == 1
--- a/packages/fakes/src/walnutpost/fakes/model_runner.py
+++ b/packages/fakes/src/walnutpost/fakes/model_runner.py
@@ -23,13 +23,13 @@
 class Recorder(Tap, Protocol):
     """A tap that also records what the worker itself knows of its executions and copies."""
 
-    def ran(self, call_id: str, run: int) -> None:
+    def on_execution_started(self, call_id: str, run: int) -> None:
         """Record an execution."""
 
-    def started(self, cold: bool) -> None:
+    def on_worker_started(self, cold: bool) -> None:
         """Record a start."""
 
-    def lived(self, event: CopyEvent) -> None:
+    def on_copy_changed(self, event: CopyEvent) -> None:
         """Record what happened to a copy."""
 
 
@@ -136,7 +136,7 @@
         function = pending.function if pending is not None else ""
         self.runs.append((call_id, function, started.run))
         if self._recorder is not None:
-            self._recorder.ran(call_id, started.run)
+            self._recorder.on_execution_started(call_id, started.run)
         if pending is not None and pending.is_cut:
             pending.event.set()
 
@@ -151,7 +151,7 @@
             return
         events = self.model.copy_events
         for event in events[self._recorded_events :]:
-            self._recorder.lived(event)
+            self._recorder.on_copy_changed(event)
         self._recorded_events = len(events)
 
     def _fetch(self, fetch: FetchPackage, incarnation: int) -> None:
--- a/packages/fakes/src/walnutpost/fakes/worker.py
+++ b/packages/fakes/src/walnutpost/fakes/worker.py
@@ -117,7 +117,7 @@
         self.model.restart(self._loop.now())
         self._wake_stalled()
         if self._tap is not None:
-            self._tap.started(True)
+            self._tap.on_worker_started(True)
 
     def stop(self) -> None:
         """Accept no more connections."""
--- a/packages/faultinjection/src/walnutpost/faultinjection/usage.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/usage.py
@@ -1,4 +1,4 @@
-"""Memory-time by tenant from workers' own records of their copies' lives, apart from what they report.
+"""Memory-time by tenant from workers' own records of their copies, apart from what they report.
 
 Shares no code with the books: each copy's events are walked in exact fractions.
 """
@@ -10,130 +10,176 @@
 from dataclasses import dataclass
 from fractions import Fraction
 from pathlib import Path
+from typing import Any
 
 from walnutpost.config import Config
 from walnutpost.config.conversion import build_metering_policy
 from walnutpost.fakes import CopyEvent, CopyEventKind
-from walnutpost.faultinjection.capture import read
-from walnutpost.faultinjection.facts import SUFFIX
+from walnutpost.faultinjection.capture import CAPTURE_SUFFIX, RecordKind, read_records
 from walnutpost.metering import collect_figures, group_figures, list_charges
 from walnutpost.store import read_ledger
 
-Truth = dict[tuple[str, str], Fraction]  # by tenant and function, MB-microseconds
+UsageByAccount = dict[tuple[str, str], Fraction]  # by tenant and function, MB-microseconds
 NOBODY = "-"
+ESTIMATED = "estimated"
+ALL_TENANTS = "all"
+LEDGER_SPAN_US = 24 * 3_600_000_000
+MIN_SLACK_MB_US = 10_000_000  # shares are whole microseconds
+SLACK_DIVISOR = 1_000_000
 
 
-def true_usage(events: Iterable[CopyEvent], until: int) -> Truth:
-    """One worker's record, in order. What stands at `until` is counted to then. Idle time is its last
-    user's, loading and unused time its first user's."""
-    out: Truth = defaultdict(Fraction)
-    standing: dict[int, list[CopyEvent]] = defaultdict(list)
+def true_usage(events: Iterable[CopyEvent], until_us: int) -> UsageByAccount:
+    """Return the usage by one worker's record, in order; copies that are left count until `until_us`.
+
+    Idle time is its last user's, loading and unused time its first user's.
+    """
+    usage: defaultdict[tuple[str, str], Fraction] = defaultdict(Fraction)
+    present: defaultdict[int, list[CopyEvent]] = defaultdict(list)
     for event in events:
         if event.kind is CopyEventKind.DIED:
-            for life in standing.values():
-                _copy(life, event.at_us, out)
-            standing.clear()
+            for history in present.values():
+                _add_copy(history, event.at_us, usage)
+            present.clear()
         else:
-            standing[event.copy].append(event)
+            present[event.copy].append(event)
             if event.kind is CopyEventKind.REMOVED:
-                _copy(standing.pop(event.copy), event.at_us, out)
-    for life in standing.values():
-        _copy(life, until, out)
-    return dict(out)
-
-
-def _copy(life: list[CopyEvent], end: int, out: Truth) -> None:
-    function, memory = life[0].function, life[0].memory_mb
-    users = [e.tenant for e in life if e.kind is CopyEventKind.CALL_STARTED]
-    first = users[0] if users else NOBODY
+                _add_copy(present.pop(event.copy), event.at_us, usage)
+    for history in present.values():
+        _add_copy(history, until_us, usage)
+    return dict(usage)
+
+
+def _add_copy(history: list[CopyEvent], end_us: int, usage: UsageByAccount) -> None:
+    """Add the usage of one copy, from its first event until `end_us`."""
+    function = history[0].function
+    memory_mb = history[0].memory_mb
+    users = [event.tenant for event in history if event.kind is CopyEventKind.CALL_STARTED]
+    idle_user = users[0] if users else NOBODY
     running: list[str] = []
-    last: str | None = None
-    for event, at in zip(life, [*(e.at_us for e in life[1:]), end], strict=True):
+    ends_us = [*(event.at_us for event in history[1:]), end_us]
+    for event, next_us in zip(history, ends_us, strict=True):
         if event.kind is CopyEventKind.CALL_STARTED:
             running.append(event.tenant)
         elif event.kind is CopyEventKind.CALL_ENDED:
             running.remove(event.tenant)
-            last = event.tenant
-        time = Fraction(at - event.at_us)
-        for tenant in running or [last if last is not None else first]:
-            out[tenant, function] += memory * time / max(1, len(running))
-
-
-def true_usage_of(folder: Path, ends: dict[str, list[int]], until: int) -> dict[str, Truth]:
-    """By worker, from the captures of a trial; `ends` says when each was killed, which it can't record."""
-    out: dict[str, Truth] = {}
-    for path in sorted(folder.glob(f"*{SUFFIX}")):
-        events: list[CopyEvent] = []
-        name = ""
-        kills: Iterator[int] = iter(())
-        for at, what, *rest in read(path):
-            if what == "begin":
-                if rest[0] != "worker":
-                    break
-                if name:  # another process, after the kill of the last one
-                    events.append(CopyEvent(next(kills, at), CopyEventKind.DIED))
-                else:
-                    name = rest[1]
-                    kills = iter(ends.get(name, ()))
-            elif what == "lived":
-                kind = CopyEventKind(rest[1])
-                events.append(CopyEvent(rest[0], kind, *rest[2:]))
-        if name:
-            out[name] = true_usage(events, until)
-    return out
+            idle_user = event.tenant
+        time_us = Fraction(next_us - event.at_us)
+        for tenant in running or [idle_user]:
+            usage[tenant, function] += memory_mb * time_us / max(1, len(running))
+
+
+def true_usage_of(folder: Path, kills_us: dict[str, list[int]], until_us: int) -> dict[str, UsageByAccount]:
+    """Return the usage by worker, from the captures of a scenario.
+
+    `kills_us` has the times at which each worker was killed, which it can't record itself.
+    """
+    usage: dict[str, UsageByAccount] = {}
+    for path in sorted(folder.glob(f"*{CAPTURE_SUFFIX}")):
+        worker = _WorkerEvents(kills_us)
+        for record in read_records(path):
+            if not worker.add(record):
+                break
+        if worker.name:
+            usage[worker.name] = true_usage(worker.events, until_us)
+    return usage
+
+
+class _WorkerEvents:
+    """The copy events of one capture file, which may hold several incarnations of its worker."""
+
+    def __init__(self, kills_us: dict[str, list[int]]) -> None:
+        self.name = ""
+        self.events: list[CopyEvent] = []
+        self._kills_us = kills_us
+        self._next_kill_us: Iterator[int] = iter(())
+
+    def add(self, record: list[Any]) -> bool:
+        """Take a record; False if this is no worker's file."""
+        at_us, kind, *fields = record
+        if kind == RecordKind.BEGIN:
+            if fields[0] != "worker":
+                return False
+            self._begin(at_us, fields[1])
+        elif kind == RecordKind.COPY_EVENT:
+            self.events.append(CopyEvent(fields[0], CopyEventKind(fields[1]), *fields[2:]))
+        return True
+
+    def _begin(self, at_us: int, name: str) -> None:
+        if self.name:  # another process, after the kill of the last one
+            died_us = next(self._next_kill_us, at_us)
+            self.events.append(CopyEvent(died_us, CopyEventKind.DIED))
+        else:
+            self.name = name
+            self._next_kill_us = iter(self._kills_us.get(name, ()))
 
 
 @dataclass(frozen=True, slots=True)
-class Compared:
-    """MB-microseconds of one tenant: what workers recorded, and what the ledgers say. `gaps` is the most of
-    what ledgers can't attribute, the same for all tenants."""
+class UsageComparison:
+    """MB-microseconds of one tenant: what workers recorded, and what the ledgers have.
+
+    `gaps` is an upper bound of what ledgers can't attribute, the same for all tenants.
+    """
 
     tenant: str
-    true: int
-    best: int
+    recorded: int
+    metered: int
     estimated: int
     gaps: int
 
     @property
-    def off(self) -> float:
-        """Share of the truth by which the figure differs."""
-        return (self.best - self.true) / max(1, self.true)
+    def error_ratio(self) -> float:
+        """The part of the recorded usage by which the ledgers differ."""
+        return (self.metered - self.recorded) / max(1, self.recorded)
 
     @property
-    def covered(self) -> bool:
-        """No more than the truth, and no less than it by more than the gaps."""
-        slack = max(10_000_000, self.true // 1_000_000)  # shares are whole microseconds
-        return self.estimated > 0 or self.best - slack <= self.true <= self.best + self.gaps + slack
+    def is_covered(self) -> bool:
+        """Whether the ledgers have no more than was recorded, and no less by more than the gaps."""
+        slack = max(MIN_SLACK_MB_US, self.recorded // SLACK_DIVISOR)
+        is_bounded = self.metered - slack <= self.recorded <= self.metered + self.gaps + slack
+        return self.estimated > 0 or is_bounded
 
 
-def compare(
-    folder: Path, ledgers: Sequence[Path], config: Config, ends: dict[str, list[int]], until: int
-) -> list[Compared]:
-    """Of a trial that has ended; raises StoreError."""
+def compare_usage(
+    folder: Path, ledgers: Sequence[Path], config: Config, kills_us: dict[str, list[int]], until_us: int
+) -> list[UsageComparison]:
+    """Compare records and ledgers of a scenario that has ended, by tenant and in sum; raises StoreError."""
     assert config.metering is not None
-    by_worker = true_usage_of(folder, ends, until)
-    true: dict[str, Fraction] = defaultdict(Fraction)
-    for usage in by_worker.values():
-        for (tenant, _), amount in usage.items():
-            true[tenant] += amount
-    since = until - 24 * 3_600_000_000
-    kept = [read_ledger(path, since, until) for path in ledgers]
     policy = build_metering_policy(config.metering)
-    told = group_figures(collect_figures(kept, policy, until, since, until), ["tenant", "cause"], {})
-    gaps = sum(
-        amount.upper_bound - amount.best for (_, cause), amount in told.items() if cause != "estimated"
+    by_worker = true_usage_of(folder, kills_us, until_us)
+    since_us = until_us - LEDGER_SPAN_US
+    read = [read_ledger(path, since_us, until_us) for path in ledgers]
+    amounts = group_figures(
+        collect_figures(read, policy, until_us, since_us, until_us), ["tenant", "cause"], {}
     )
-    out = []
-    for tenant in sorted({*true, *(t for t, _ in told)}):
-        best = sum(amount.best for (t, _), amount in told.items() if t == tenant)
-        estimated = sum(amount.best for (t, c), amount in told.items() if t == tenant and c == "estimated")
-        out.append(Compared(tenant, round(true[tenant]), best, estimated, gaps))
-    best, estimated = sum(c.best for c in out), sum(c.estimated for c in out)
-    out.append(Compared("all", sum(c.true for c in out), best, estimated, gaps))
-    alive = {worker for worker in by_worker if not ends.get(worker)}
-    recorded = sum(amount for w in alive for amount in by_worker[w].values())
-    metered = sum(
-        charge.mb_us for charge in list_charges(kept, policy, until, lambda _, usage: usage.worker in alive)
+    gaps = sum(
+        amount.upper_bound - amount.best for (_, cause), amount in amounts.items() if cause != ESTIMATED
     )
-    out.append(Compared(f"{len(alive)} workers that did not die", round(recorded), metered, 0, 0))
-    return out
+    recorded = _by_tenant(by_worker)
+    rows = []
+    for tenant in sorted({*recorded, *(tenant for tenant, _ in amounts)}):
+        causes = {cause: amount.best for (name, cause), amount in amounts.items() if name == tenant}
+        metered = sum(causes.values())
+        rows.append(UsageComparison(tenant, round(recorded[tenant]), metered, causes.get(ESTIMATED, 0), gaps))
+    rows.append(_sum(rows, gaps))
+    alive = {worker for worker in by_worker if not kills_us.get(worker)}
+    alive_recorded = sum(amount for worker in alive for amount in by_worker[worker].values())
+    alive_charges = list_charges(read, policy, until_us, lambda _, usage: usage.worker in alive)
+    alive_metered = sum(charge.mb_us for charge in alive_charges)
+    name = f"{len(alive)} workers that did not die"
+    rows.append(UsageComparison(name, round(alive_recorded), alive_metered, 0, 0))
+    return rows
+
+
+def _by_tenant(by_worker: dict[str, UsageByAccount]) -> defaultdict[str, Fraction]:
+    recorded: defaultdict[str, Fraction] = defaultdict(Fraction)
+    for usage in by_worker.values():
+        for (tenant, _), amount in usage.items():
+            recorded[tenant] += amount
+    return recorded
+
+
+def _sum(rows: list[UsageComparison], gaps: int) -> UsageComparison:
+    recorded = sum(row.recorded for row in rows)
+    metered = sum(row.metered for row in rows)
+    estimated = sum(row.estimated for row in rows)
+    return UsageComparison(ALL_TENANTS, recorded, metered, estimated, gaps)
--- a/packages/faultinjection/tests/test_audit.py
+++ b/packages/faultinjection/tests/test_audit.py
@@ -1,5 +1,4 @@
-"""The audit bites: an honest front end passes, and one that breaks a rule on purpose is caught at that
-rule."""
+"""The audit passes an honest front end, and finds the rule that another breaks on purpose."""
 
 from __future__ import annotations
 
@@ -34,7 +33,7 @@
         fleet.loop.sleep(gap)
 
 
-def stay_silent(fleet: Fleet) -> None:
+def silence_workers(fleet: Fleet) -> None:
     for worker in fleet.workers.values():
         worker.command({"silent": True})
     many(fleet, 3)
@@ -99,10 +98,10 @@
 Break = Callable[[Fleet], None]
 CASES: dict[str, tuple[str, Break, dict[str, Any], Break | None]] = {
     # name: rule that breaks, what happens, what the front end wrongly believes, what is broken in it
-    "an answer is lost": ("1", stay_silent, {}, drop_answers),
+    "an answer is lost": ("1", silence_workers, {}, drop_answers),
     "an answer is late": (
         "1",
-        stay_silent,
+        silence_workers,
         {"site": {"classes": {"valuation": {"deadline_ms": 4000}}}},
         None,
     ),
@@ -119,7 +118,7 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_a_broken_rule_is_caught(name: str, tmp_path: Path) -> None:
+def test_rule_broken_on_purpose_is_found_and_no_other(name: str, tmp_path: Path) -> None:
     rule, happens, believes, breaks = CASES[name]
     for broken in (False, True):
         path = tmp_path / str(broken)
@@ -133,18 +132,18 @@
 
         fleet.run(script)
         verdict = fleet.audit()
-        said = {r.name[0]: r.breaks for r in verdict.rules if r.breaks}
-        assert set(said) == ({rule} if broken else set()), said
+        found = {r.name[0]: r.violations for r in verdict.rules if r.violations}
+        assert set(found) == ({rule} if broken else set()), found
         assert CliRunner().invoke(main, ["audit", str(path)]).exit_code == int(broken)
-        looked = sum(r.looked_at for r in verdict.rules if r.name[0] == rule)
-        assert looked > 0
+        checked = sum(r.checked for r in verdict.rules if r.name[0] == rule)
+        assert checked > 0
 
 
-def test_timer_calls_are_audited_each_on_its_own(tmp_path: Path) -> None:
+def test_scheduled_calls_are_audited_each_on_its_own(tmp_path: Path) -> None:
     """All firings of a schedule have one payload; they are not taken for one call that ran often."""
     line = {"cron": "* * * * *", "function": "reserve", "missed": "all"}
     fleet = Fleet(tmp_path, {"schedules": {"buy": line}}, capture=True)
     fleet.run(lambda: fleet.loop.sleep(200 * SECOND))
     verdict = fleet.audit()
-    assert verdict.kept and fleet.runs("reserve") == 3
-    assert next(r.looked_at for r in verdict.rules if r.name.startswith("2")) == 3
+    assert verdict.has_passed and fleet.runs("reserve") == 3
+    assert next(r.checked for r in verdict.rules if r.name.startswith("2")) == 3
--- a/packages/faultinjection/tests/test_capture_faults.py
+++ b/packages/faultinjection/tests/test_capture_faults.py
@@ -7,7 +7,7 @@
 import pytest
 
 from disk_faults import scripted_files
-from walnutpost.faultinjection.capture import Capture, read
+from walnutpost.faultinjection.capture import Capture, read_records
 
 
 def opened(path: Path) -> Capture:
@@ -15,23 +15,23 @@
 
 
 def kinds(path: Path) -> list[str]:
-    return [record[1] for record in read(path)]
+    return [record[1] for record in read_records(path)]
 
 
 @pytest.mark.parametrize("cut", [1, 3, 5, 9])
-def test_a_record_that_a_kill_cut_short_is_cut_off_before_the_next(tmp_path: Path, cut: int) -> None:
+def test_record_that_a_kill_cut_short_is_removed_before_the_next(tmp_path: Path, cut: int) -> None:
     path = tmp_path / "front.capture"
     first = opened(path)
-    first.ran("a", 1)
+    first.on_execution_started("a", 1)
     first.close()
     path.write_bytes(path.read_bytes()[:-cut])
     second = opened(path)
-    second.ran("b", 1)
+    second.on_execution_started("b", 1)
     second.close()
     assert kinds(path) == ["begin", "begin", "ran"]
 
 
-def test_an_empty_file_is_begun_anew(tmp_path: Path) -> None:
+def test_empty_file_is_begun_anew(tmp_path: Path) -> None:
     path = tmp_path / "front.capture"
     path.write_bytes(b"")
     opened(path).close()
@@ -44,7 +44,7 @@
     with scripted_files() as files:
         files.fails = {"short write": 1, "write": 3}  # the first ends half done
         for run in range(4):
-            capture.ran("a", run)
+            capture.on_execution_started("a", run)
     capture.close()
-    records = list(read(path))
+    records = list(read_records(path))
     assert [record[1:] for record in records[1:]] == [["lost", 3], ["ran", "a", 3]]
--- a/packages/faultinjection/tests/test_capture_golden.py
+++ b/packages/faultinjection/tests/test_capture_golden.py
@@ -13,9 +13,8 @@
 from golden_files import assert_as_golden
 from walnutpost.config import Config, WorkerConfig, load
 from walnutpost.fakes import CopyEvent, CopyEventKind
-from walnutpost.faultinjection.audit import Facts
-from walnutpost.faultinjection.capture import LENGTH, Capture, read
-from walnutpost.faultinjection.facts import FACTS, facts_of, write_facts
+from walnutpost.faultinjection.capture import LENGTH_BYTES, Capture, read_records
+from walnutpost.faultinjection.facts import FACTS_FILE, Facts, facts_of, write_facts
 
 GOLDEN = Path(__file__).parent / "golden"
 EXAMPLE = Path(__file__).parents[3] / "examples" / "kilbride.json5"
@@ -41,13 +40,13 @@
             6,
             [["worker-1", "127.0.0.1:2", "draining", 3.5], ["w-4", "127.0.0.1:5", "ready", 0.0]],
         ],
-        lambda c: c.told(6, WORKERS),
+        lambda c: c.on_endpoints_listed(6, WORKERS),
     ),
-    (["ran", "call-1", 2], lambda c: c.ran("call-1", 2)),
-    (["started", True], lambda c: c.started(True)),
+    (["ran", "call-1", 2], lambda c: c.on_execution_started("call-1", 2)),
+    (["started", True], lambda c: c.on_worker_started(True)),
     (
         ["lived", 1, "ran", 3, "function-4", 5, "tenant-6"],
-        lambda c: c.lived(CopyEvent(1, CopyEventKind.CALL_STARTED, 3, "function-4", 5, "tenant-6")),
+        lambda c: c.on_copy_changed(CopyEvent(1, CopyEventKind.CALL_STARTED, 3, "function-4", 5, "tenant-6")),
     ),
 ]
 RECORDS: list[list[Any]] = [["begin", "worker", "worker-1"], *(record for record, _ in WRITES)]
@@ -62,29 +61,29 @@
             write(capture)
         capture.close()
         write_facts(Path(folder), facts_of(load(EXAMPLE, Config)))
-        return {FILE: path.read_bytes(), GOLDEN / FACTS: (Path(folder) / FACTS).read_bytes()}
+        return {FILE: path.read_bytes(), GOLDEN / FACTS_FILE: (Path(folder) / FACTS_FILE).read_bytes()}
 
 
 def test_records_are_written_as_before() -> None:
     assert_as_golden(golden_files())
 
 
-def test_a_capture_of_before_is_read(tmp_path: Path) -> None:
-    assert list(read(FILE)) == [[START + at, *record] for at, record in enumerate(RECORDS)]
+def test_capture_of_before_is_read(tmp_path: Path) -> None:
+    assert list(read_records(FILE)) == [[START + at, *record] for at, record in enumerate(RECORDS)]
     cut = tmp_path / "cut"
     cut.write_bytes(FILE.read_bytes()[:-1])
-    assert len(list(read(cut))) == len(RECORDS) - 1
+    assert len(list(read_records(cut))) == len(RECORDS) - 1
 
 
 def test_facts_of_before_are_read() -> None:
-    found = msgspec.json.decode((GOLDEN / FACTS).read_bytes(), type=Facts)
+    found = msgspec.json.decode((GOLDEN / FACTS_FILE).read_bytes(), type=Facts)
     assert found == facts_of(load(EXAMPLE, Config))
 
 
-def test_a_record_stands_behind_its_length() -> None:
+def test_record_is_behind_its_length() -> None:
     data = FILE.read_bytes()
-    size = int.from_bytes(data[:LENGTH], "little")
-    assert msgspec.msgpack.decode(data[LENGTH : LENGTH + size]) == [START, *RECORDS[0]]
+    size = int.from_bytes(data[:LENGTH_BYTES], "little")
+    assert msgspec.msgpack.decode(data[LENGTH_BYTES : LENGTH_BYTES + size]) == [START, *RECORDS[0]]
 
 
 def test_each_kind_of_record_is_in_the_golden_file() -> None:
--- a/packages/faultinjection/tests/test_mesh_faults.py
+++ b/packages/faultinjection/tests/test_network_faults.py
@@ -1,4 +1,4 @@
-"""A mesh's relays on sockets that fail: a relay passes on until it is closed."""
+"""Link proxies on sockets that fail: a proxy passes on until it is closed."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from scripted_sockets import at, scripted_sockets, to
 from walnutpost.eventloop import Listener, Loop, VirtualClock, connect
-from walnutpost.faultinjection.mesh import Relay
+from walnutpost.faultinjection.network import LinkProxy
 
 
 @pytest.mark.parametrize("number", [errno.EPROTO, errno.ENETDOWN, errno.EPERM])
-def test_a_relay_passes_on_after_failed_accepts_and_dials(number: int) -> None:
+def test_proxy_after_failed_accepts_and_connects_passes_on(number: int) -> None:
     loop = Loop(VirtualClock())
 
     def body() -> None:
         target = Listener(loop, ("127.0.0.1", 0))
-        relay = Relay(loop, lambda: target.address)
-        faults.fail("accept", number, times=3, when=at(relay.address))
+        proxy = LinkProxy(loop, lambda: target.address)
+        faults.fail("accept", number, times=3, when=at(proxy.address))
         faults.fail("connect", number, when=to(target.address))
         with loop.timeout(10_000_000):
             with pytest.raises(ConnectionResetError):  # as it connects, or after
-                connect(loop, relay.address).recv()
-            near = connect(loop, relay.address)
+                connect(loop, proxy.address).recv()
+            near = connect(loop, proxy.address)
             near.send_all(b"passed on")
             far = target.accept()
             assert far.recv() == b"passed on"
--- a/packages/faultinjection/tests/test_script_golden.py
+++ b/packages/faultinjection/tests/test_scenario_golden.py
@@ -1,4 +1,4 @@
-"""Scripts of trials: every key with its default, and what is read of the examples."""
+"""Files of scenarios: every key with its default, and what is read of the examples."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from config_keys import keys
 from golden_files import assert_as_golden, json_lines
 from walnutpost.config import load, parse
-from walnutpost.faultinjection.fleet_script import FleetScript
-from walnutpost.faultinjection.script import Script
+from walnutpost.faultinjection.fleet_scenario import FleetScenario
+from walnutpost.faultinjection.scenario import Scenario
 
 GOLDEN = Path(__file__).parent / "golden" / "scripts"
 EXAMPLES = Path(__file__).parents[3] / "examples"
 
 # The one place that says which model reads a file.
-MODELS: dict[str, type[BaseModel]] = {"script": Script, "fleet-script": FleetScript}
+MODELS: dict[str, type[BaseModel]] = {"script": Scenario, "fleet-script": FleetScenario}
 EXAMPLE_MODELS: dict[str, type[BaseModel]] = {
-    "bad-day": Script,
-    "timers-day": Script,
-    "release-day": FleetScript,
+    "bad-day": Scenario,
+    "timers-day": Scenario,
+    "release-day": FleetScenario,
 }
 
 
@@ -33,11 +33,11 @@
     return files
 
 
-def test_scripts_are_read_as_before() -> None:
+def test_scenario_files_are_read_as_before() -> None:
     assert_as_golden(golden_files())
 
 
 @pytest.mark.parametrize("name", EXAMPLE_MODELS)
-def test_what_was_read_is_read_again_the_same(name: str) -> None:
+def test_scenario_that_was_read_and_written_is_read_the_same(name: str) -> None:
     read, model = (GOLDEN / f"example.{name}.read.json").read_text(), EXAMPLE_MODELS[name]
     assert parse(read, name, model) == load(EXAMPLES / f"{name}.json5", model)
--- a/packages/faultinjection/tests/test_processes.py
+++ b/packages/faultinjection/tests/test_scenarios.py
@@ -1,5 +1,4 @@
-"""Whole processes: the commands start and stop cleanly, and a killed front end's deferred calls get
-their fates."""
+"""Processes: commands start and stop cleanly, and a killed front end's deferred calls get their outcomes."""
 
 from __future__ import annotations
 
@@ -14,22 +13,23 @@
 
 from fleet_rig import BASE, Log, merged
 from walnutpost.config import Config, parse
-from walnutpost.faultinjection import table
-from walnutpost.faultinjection.run import play
-from walnutpost.faultinjection.script import Script
+from walnutpost.faultinjection import text_tables
+from walnutpost.faultinjection.call_results import CallResultKind
+from walnutpost.faultinjection.scenario import Scenario
+from walnutpost.faultinjection.scenario_run import play
 
-PATIENCE = 30.0
+TIMEOUT_S = 30.0
 
 
 def wait_for(path: Path, text: str) -> None:
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + TIMEOUT_S
     while text not in path.read_text():
         assert time.monotonic() < end, path.read_text()
         time.sleep(0.01)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
-def test_up_says_where_it_listens_and_stops_when_asked(tmp_path: Path, number: signal.Signals) -> None:
+def test_up_logs_where_it_listens_and_stops_on_a_signal(tmp_path: Path, number: signal.Signals) -> None:
     config = tmp_path / "site.json5"
     config.write_text(json.dumps(BASE))
     log = tmp_path / "log"
@@ -39,7 +39,7 @@
     try:
         wait_for(log, '"event": "listening"')
         process.send_signal(number)
-        assert process.wait(PATIENCE) == 0
+        assert process.wait(TIMEOUT_S) == 0
         events = [json.loads(line)["event"] for line in log.read_text().splitlines()]
         assert events == ["fake_workers_started", "listening", "stopping", "stopped"]
     finally:
@@ -61,7 +61,7 @@
         "fleet": {"workers": [{"name": f"worker-{i}"} for i in range(1, 5)]},
     },
 )
-SCRIPT = {
+SCENARIO = {
     "config": "-",
     "seed": 3,
     "duration_s": 6,
@@ -82,12 +82,12 @@
 }
 
 
-def test_a_small_bad_day_keeps_the_rules(tmp_path: Path) -> None:
-    """The slack is wide, since this shares its machine; the rules are not."""
-    script = parse(json.dumps(SCRIPT), "script", Script)
-    outcome = play(script, parse(json.dumps(SITE), "site", Config), tmp_path, Log())
-    assert outcome.verdict.kept and not outcome.failures, table.rules_table(outcome.verdict)
-    looked = {rule.name: rule.looked_at for rule in outcome.verdict.rules}
-    assert looked["1 one fate for each deferred call"] > 20 and looked["2 no effect twice"] > 20
-    assert sum(r.kind == "served" for r in outcome.results) > 50
-    assert "reserve deferred" in table.calls_table(outcome.results)
+def test_small_scenario_with_faults_keeps_the_rules(tmp_path: Path) -> None:
+    """The slack is wide, since this shares its machine; the rules are as ever."""
+    scenario = parse(json.dumps(SCENARIO), "script", Scenario)
+    outcome = play(scenario, parse(json.dumps(SITE), "site", Config), tmp_path, Log())
+    assert outcome.verdict.has_passed and not outcome.failures, text_tables.rules_table(outcome.verdict)
+    checked = {rule.name: rule.checked for rule in outcome.verdict.rules}
+    assert checked["1 one fate for each deferred call"] > 20 and checked["2 no effect twice"] > 20
+    assert sum(r.kind is CallResultKind.SERVED for r in outcome.results) > 50
+    assert "reserve deferred" in text_tables.calls_table(outcome.results)
--- a/packages/faultinjection/tests/test_days.py
+++ b/packages/faultinjection/tests/test_simulator_days.py
@@ -1,4 +1,4 @@
-"""Day files as scripts; the day here is made up for the test."""
+"""Day files of the simulator as scenarios; the day here is made up for the test."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 from walnutpost.config import ConfigError
-from walnutpost.faultinjection.days import MOST_FRONTS, MOST_WORKERS, read_day
+from walnutpost.faultinjection.simulator_days import MAX_FRONT_ENDS, MAX_WORKERS, read_day
 
 SECOND = 1_000_000
 CLASS = {
@@ -76,26 +76,27 @@
 }
 
 
-def test_a_days_troubles_become_a_script_and_the_rest_is_named(tmp_path: Path) -> None:
+def test_days_faults_become_a_scenario_and_the_rest_is_named(tmp_path: Path) -> None:
     path = tmp_path / "day.json"
     path.write_text(json.dumps(DAY))
-    script, config = read_day(path)
-    assert {t.what for t in script.troubles} == {
+    imported = read_day(path)
+    scenario, config = imported.scenario, imported.config
+    assert {t.what for t in scenario.troubles} == {
         *("burst", "released", "silent", "restart", "slow", "ageing", "store_slow", "reports_late", "heavy"),
         *("one_offs", "kill_front"),
     }
-    assert len([t for t in script.troubles if t.what == "kill_front"]) == 1 + MOST_FRONTS
-    assert any("something_new" in missing for missing in script.no_counterpart)
-    assert any("prices" in missing for missing in script.no_counterpart)
-    assert config.fleet is not None and len(config.fleet.workers) == MOST_WORKERS
+    assert len([t for t in scenario.troubles if t.what == "kill_front"]) == 1 + MAX_FRONT_ENDS
+    assert any("something_new" in missing for missing in scenario.no_counterpart)
+    assert any("prices" in missing for missing in scenario.no_counterpart)
+    assert config.fleet is not None and len(config.fleet.workers) == MAX_WORKERS
     # Half of what twelve workers of two cores do, at 0.1 s of work a call.
-    assert script.traffic.rate_per_s == pytest.approx(0.5 * MOST_WORKERS * 2 / 0.1)
+    assert scenario.traffic.rate_per_s == pytest.approx(0.5 * MAX_WORKERS * 2 / 0.1)
 
 
 @pytest.mark.parametrize(
     "text", ["", "[]", '{"family": "cold"}', '{"family": "warm"}', json.dumps(DAY | {"fam": {}})]
 )
-def test_what_is_no_day_is_said_to_be_none(tmp_path: Path, text: str) -> None:
+def test_file_that_is_no_day_is_an_error_that_names_it(tmp_path: Path, text: str) -> None:
     path = tmp_path / "day.json"
     path.write_text(text)
     with pytest.raises(ConfigError, match=r"day\.json"):
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -16,7 +16,7 @@
 from fleet_rig import BASE, INVOKE, SECOND, merged
 from walnutpost.config.base import parse_address
 from walnutpost.eventloop import Loop, WaitTimeoutError
-from walnutpost.faultinjection.mesh import Relay
+from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, HttpMessageError
 from walnutpost.journal import CallStage, MergedJournal
 from walnutpost.store import Database, JournalStore
@@ -29,7 +29,7 @@
     def __init__(self, path: Path, loop: Loop, copies: int) -> None:
         self.path, self.loop = path, loop
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.relays = {name: Relay(loop, partial(self.told, name, "journal_address")) for name in SITES}
+        self.relays = {name: LinkProxy(loop, partial(self.told, name, "journal_address")) for name in SITES}
         holders = [
             {"name": n, "address": "{}:{}".format(*self.relays[n].address), "region": r, "zone": z}
             for n, (r, z) in SITES.items()
@@ -94,7 +94,8 @@
         """What happens to the holders before the origin is lost."""
         for name in ("b1", "c1"):
             if random.random() < 0.5:
-                self.relays[name].there.left = random.randrange(20_000)  # torn in the middle of a message
+                torn_at = random.randrange(20_000)  # in the middle of a message
+                self.relays[name].forward.reset_after_bytes = torn_at
         paused = random.choice(("b1", "c1"))
         self.processes[paused].send_signal(signal.SIGSTOP)
         self.loop.sleep(random.randrange(SECOND))
--- a/packages/workerclient/tests/test_tls_fleet.py
+++ b/packages/workerclient/tests/test_tls_fleet.py
@@ -35,7 +35,7 @@
             assert fleet.invoke(("price", "reserve")[n % 2], b"%d" % n).status == 200
 
     fleet.run(script)
-    assert fleet.audit().kept and fleet.runs() == 30
+    assert fleet.audit().has_passed and fleet.runs() == 30
 
 
 def test_a_worker_with_the_certificate_of_another_gets_no_call_and_the_others_do(tmp_path: Path) -> None:
@@ -48,7 +48,7 @@
         assert not fleet.workers["worker-1"].runs
 
     fleet.run(script)
-    assert fleet.audit().kept and fleet.runs() == 20
+    assert fleet.audit().has_passed and fleet.runs() == 20
 
 
 @pytest.mark.parametrize("idle_ms", [0, 15_000])  # a connection for each call, or reused ones
@@ -110,7 +110,7 @@
         "reloaded",
     ]
     assert "found no whole private key" in str(certificate_events()[1][1]["error"])
-    assert fleet.audit().kept
+    assert fleet.audit().has_passed
 
 
 def test_idle_connections_are_closed_when_certificates_are_reloaded(tmp_path: Path) -> None:
