--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -514,12 +514,13 @@
     def script(control_plane: FakeControlPlane, tier: RelayTier) -> None:
         loop = control_plane.loop
 
+        relay = tier.relays.pop("r1")
+
         def messages_of_r1() -> tuple[int, int]:
-            requests = sum(request.member == "r1" for request in control_plane.requests)
+            requests = sum(request.incarnation == relay.incarnation for request in control_plane.requests)
             reports = sum(summary.relay == "r1" for _, summary in control_plane.reports)
             return requests, reports
 
-        relay = tier.relays.pop("r1")
         tier.places["r1"] = ("127.0.0.1", 1)
         relay.stop()
         messages_at_stop = messages_of_r1()
