--- a/packages/cli/tests/test_config_commands.py
+++ b/packages/cli/tests/test_config_commands.py
@@ -3,13 +3,10 @@
 from __future__ import annotations
 
 import json
-import random
-import socket
 import subprocess
 import sys
 import time
 from collections.abc import Callable, Iterator, Mapping
-from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
@@ -18,6 +15,7 @@
 from msgspec.structs import replace
 
 from fleet_rig import BASE, merged
+from loopback import free_address
 from walnutpost.cli import main
 from walnutpost.cli.config_changes import Change
 from walnutpost.cli.config_status import applying_members
@@ -29,19 +27,6 @@
 
 SITE = BASE["site"]
 PRICE, RESERVE = SITE["functions"]["price"], SITE["functions"]["reserve"]
-PORTS = 12_000, 20_000  # below the ports that Linux gives to sockets by itself (net.ipv4.ip_local_port_range)
-
-
-def free_address() -> str:
-    """Return a loopback address that nobody listens on.
-
-    Its port is one that the system gives to no other socket, since it must stay free until a process listens.
-    """
-    while True:
-        port = random.randrange(*PORTS)
-        with suppress(OSError), socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
-            sock.bind(("127.0.0.1", port))
-            return f"127.0.0.1:{port}"
 
 
 def wait_for_leader(
--- a/packages/cli/tests/test_config_processes.py
+++ b/packages/cli/tests/test_config_processes.py
@@ -15,7 +15,8 @@
 from click.testing import CliRunner, Result
 
 from fleet_rig import BASE, merged
-from test_config_commands import free_address, wait_for_leader
+from loopback import free_address
+from test_config_commands import wait_for_leader
 from walnutpost.cli import main
 
 FEW_DESCRIPTORS = 512
--- a/tests/release_fleet.py
+++ b/tests/release_fleet.py
@@ -13,7 +13,6 @@
 
 import http.client
 import json
-import random
 import socket
 import subprocess
 import sys
@@ -29,12 +28,13 @@
 
 import msgspec
 
+from loopback import free_address
+
 ROOT = Path(__file__).parent.parent
 ARCHIVE = Path(__file__).parent / "release_b43418d.tar.xz"
 CONDITION_LIMIT_S = 90.0  # a failure says what was waited for; a test that passes takes far less
 COMMAND_LIMIT_S = 120.0  # above the 60 s that `config status --wait` is given
 PAUSE_S = 0.05
-PORTS = 20_000, 32_000  # below Linux's usual net.ipv4.ip_local_port_range
 STOP_LIMIT_S = 40.0  # an agent gives its process time to end
 HTTP_LIMIT_S = 10.0
 LOG_TAIL = 1500  # characters
@@ -116,16 +116,6 @@
     return Release.at("present", ROOT, folder, "control-plane")
 
 
-def free_address() -> str:
-    """A loopback address that nobody listens on. Of ports that no outgoing connection is given by the system:
-    it must stay free while its process is replaced."""
-    while True:
-        port = random.randrange(*PORTS)
-        with suppress(OSError), socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
-            sock.bind(("127.0.0.1", port))
-            return f"127.0.0.1:{port}"
-
-
 @dataclass(frozen=True, slots=True)
 class Reply:
     """An answer over HTTP; the names of its headers in small letters."""
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -18,7 +18,7 @@
 import pytest
 from system_faults import SystemFaults
 
-from fleet_rig import BASE, INVOKE, merged
+from fleet_rig import BASE, EXECUTION_ARN_HEADER, INVOKE, merged
 from replica_processes import NAMES, SECOND, ReplicaProcesses, create_fleet, play
 from walnutpost.controlplane import ControlPlaneUnavailableError
 from walnutpost.fleet import FRONT_END, RegisterMember
@@ -29,7 +29,6 @@
 HOUR_S = 3600
 CALLS = 40
 DEADLINE_MS = 15 * 60 * 1000
-EXECUTION = "x-amz-durable-execution-arn"
 
 
 @pytest.fixture(scope="module")
@@ -163,7 +162,7 @@
         """Return the execution's name of a deferred call that is accepted."""
         response = self.try_to_defer(function, body)
         assert response.status == 202, response.read()
-        return response.headers[EXECUTION]
+        return response.headers[EXECUTION_ARN_HEADER]
 
     def try_to_defer(self, function: str, body: bytes) -> http.client.HTTPResponse:
         """Ask for a deferred call with a deadline of DEADLINE_MS."""
@@ -226,7 +225,7 @@
     with front_end(tmp_path, SETTINGS, faults.environment()) as process:
         faults.fail(files_per_thousand=100)
         answers = [process.try_to_defer("price", b"%d" % number) for number in range(CALLS)]
-        accepted = [answer.headers[EXECUTION] for answer in answers if answer.status == 202]
+        accepted = [answer.headers[EXECUTION_ARN_HEADER] for answer in answers if answer.status == 202]
         faults.end()
         assert {answer.status for answer in answers} <= {202, 500}
         assert len(accepted) > CALLS // 2
