--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -5,9 +5,6 @@
 import base64
 import http.client
 import json
-import os
-import subprocess
-import sys
 import time
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -21,6 +18,8 @@
 from fleet_rig import BASE, EXECUTION_ARN_HEADER, INVOKE, merged
 from replica_processes import NAMES, SECOND, ReplicaProcesses, create_fleet, play
 from walnutpost.controlplane import ControlPlaneUnavailableError
+from walnutpost.eventloop import Loop
+from walnutpost.faultinjection.cluster_process import ClusterProcess
 from walnutpost.fleet import FRONT_END, RegisterMember
 
 PATIENCE_S = 60.0
@@ -124,39 +123,24 @@
 class FrontEndProcess:
     """`walnutpost up`: a front end and its workers in one process, asked over HTTP."""
 
-    def __init__(self, folder: Path, settings: dict[str, Any], environment: dict[str, str]) -> None:
+    def __init__(self, folder: Path, settings: dict[str, Any]) -> None:
         config = folder / "site.json"
         config.write_text(json.dumps(settings))
-        self._log = folder / "log"
-        command = [sys.executable, "-m", "walnutpost.cli", "--log", "json", "up", str(config)]
-        with self._log.open("wb") as out:
-            self._process = subprocess.Popen(
-                command, stdout=out, stderr=out, env={**os.environ, **environment}
-            )
-        self._address = self._await_address()
-
-    def _await_address(self) -> str:
-        def address() -> str:
-            for line in self._log.read_text().splitlines():
-                event = json.loads(line)
-                if event["event"] == "listening":
-                    return str(event["address"])
-            return ""
-
-        await_true(address, self._log.read_text)
-        return address()
+        self._process = ClusterProcess("front end", folder / "log")
+        self._process.start(["up", str(config)])
+        loop = Loop()
+        loop.run(lambda: self._process.wait_until_listening(loop))
 
     def kill(self) -> None:
         self._process.kill()
-        self._process.wait()
 
     def ask(self, method: str, path: str, body: bytes = b"", **headers: str) -> http.client.HTTPResponse:
-        connection = http.client.HTTPConnection(self._address, timeout=PATIENCE_S)
+        connection = http.client.HTTPConnection(self._process.address, timeout=PATIENCE_S)
         connection.request(method, path, body, headers)
         return connection.getresponse()
 
     def log(self) -> str:
-        return self._log.read_text()
+        return self._process.log.read_text()
 
     def defer(self, function: str, body: bytes) -> str:
         """Return the execution's name of a deferred call that is accepted."""
@@ -186,10 +170,11 @@
 
 
 @contextmanager
-def front_end(
-    folder: Path, settings: dict[str, Any], environment: dict[str, str]
-) -> Iterator[FrontEndProcess]:
-    process = FrontEndProcess(folder, settings, environment)
+def front_end(folder: Path, environment: dict[str, str]) -> Iterator[FrontEndProcess]:
+    with pytest.MonkeyPatch.context() as patch:
+        for name, value in environment.items():
+            patch.setenv(name, value)
+        process = FrontEndProcess(folder, SETTINGS)
     try:
         yield process
     finally:
@@ -210,11 +195,11 @@
 def test_calls_of_a_killed_front_end_keep_their_status_when_the_wall_clock_is_set(
     tmp_path: Path, faults: SystemFaults, step_s: int
 ) -> None:
-    with front_end(tmp_path, SETTINGS, faults.environment()) as first:
+    with front_end(tmp_path, faults.environment()) as first:
         ended = [first.defer("price", b"%d" % number) for number in range(CALLS)]
         open_calls = [first.defer("reserve", b"%d" % number) for number in range(2)]
         await_true(lambda: {first.status(each) for each in ended} == {"SUCCEEDED"}, lambda: "no fates")
-    with front_end(tmp_path, SETTINGS, faults.environment(clock_offset_s=step_s)) as second:
+    with front_end(tmp_path, faults.environment(clock_offset_s=step_s)) as second:
         assert [second.status(each) for each in ended] == ["SUCCEEDED"] * CALLS
         assert [second.status(each) for each in open_calls] == ["RUNNING"] * len(open_calls)
 
@@ -222,7 +207,7 @@
 def test_accepted_calls_of_a_front_end_whose_writes_and_syncs_fail_get_their_status(
     tmp_path: Path, faults: SystemFaults
 ) -> None:
-    with front_end(tmp_path, SETTINGS, faults.environment()) as process:
+    with front_end(tmp_path, faults.environment()) as process:
         faults.fail(files_per_thousand=100)
         answers = [process.try_to_defer("price", b"%d" % number) for number in range(CALLS)]
         accepted = [answer.headers[EXECUTION_ARN_HEADER] for answer in answers if answer.status == 202]
@@ -233,7 +218,7 @@
 
 
 def test_a_front_end_whose_accepts_fail_answers_each_client(tmp_path: Path, faults: SystemFaults) -> None:
-    with front_end(tmp_path, SETTINGS, faults.environment()) as process:
+    with front_end(tmp_path, faults.environment()) as process:
         faults.fail(accepts_per_thousand=200)
         statuses = [process.ask("POST", INVOKE.format("price"), b"%d" % n).status for n in range(5 * CALLS)]
         assert statuses == [200] * len(statuses)
