--- a/packages/adapter/src/walnutpost/adapter/decoding.py
+++ b/packages/adapter/src/walnutpost/adapter/decoding.py
@@ -32,7 +32,6 @@
     """Decodes the records of batches; the numbered worker tables outlive a batch."""
 
     def __init__(self) -> None:
-        """Begin without worker tables."""
         self._worker_tables: dict[int, tuple[api.Worker, ...]] = {}
         self._decoders: dict[int, Callable[[bytes], InstanceInput]] = {
             InputCode.ANSWER_STARTED: _decode_answer_started,
--- a/packages/adapter/src/walnutpost/adapter/errors.py
+++ b/packages/adapter/src/walnutpost/adapter/errors.py
@@ -14,7 +14,6 @@
     """
 
     def __init__(self, problem: str, place: str = "") -> None:
-        """Make a text of both."""
         super().__init__(f"{place}: {problem}" if place else problem)
         self.problem = problem
         self.place = place
@@ -24,6 +23,5 @@
     """An instance's settings lack or misstate something that is needed; `key` is its full name, if any."""
 
     def __init__(self, text: str, key: str = "") -> None:
-        """Keep the key beside the text, which names it."""
         super().__init__(text)
         self.key = key
--- a/packages/adapter/src/walnutpost/adapter/host.py
+++ b/packages/adapter/src/walnutpost/adapter/host.py
@@ -18,7 +18,6 @@
     """Answers batches. An instance that failed is ignored until it is started anew."""
 
     def __init__(self) -> None:
-        """Begin without instances."""
         self._decoder = decoding.Decoder()
         self._routers: dict[int, Router] = {}
         self._failed: set[int] = set()
--- a/packages/agent/src/walnutpost/agent/agent.py
+++ b/packages/agent/src/walnutpost/agent/agent.py
@@ -10,13 +10,12 @@
 from dataclasses import replace
 from pathlib import Path
 from random import Random
-from typing import Any
 
 from walnutpost.agent.child_process import KILL_TIMEOUT_US, POLL_INTERVAL_US, ChildProcess, processes_of
 from walnutpost.agent.control_plane import ControlPlaneLink
 from walnutpost.agent.errors import ManualOrderError
 from walnutpost.agent.folder import AgentFolder
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import Fleet, RequestPermit, StoreVersion
 from walnutpost.fleet.agent_state import (
     ControllerSettings,
@@ -59,7 +58,7 @@
         keepers: Mapping[str, tuple[str, int]],
         settings: ControllerSettings,
         report_interval_us: int,
-        log: Any,
+        log: Logger,
         request_timeout_us: int = DEFAULT_REQUEST_TIMEOUT_US,
         follows: bool = False,
     ) -> None:
--- a/packages/agent/src/walnutpost/agent/control_plane.py
+++ b/packages/agent/src/walnutpost/agent/control_plane.py
@@ -6,11 +6,10 @@
 from collections import deque
 from collections.abc import Mapping
 from random import Random
-from typing import Any
 
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.controlplane.wire import Report
-from walnutpost.eventloop import Event, Loop
+from walnutpost.eventloop import Event, Logger, Loop
 from walnutpost.fleet import Command, CommandResult, Fleet, RequestPermit, command_name
 
 
@@ -25,7 +24,7 @@
         replicas: Mapping[str, tuple[str, int]],
         timeout_us: int,
         random: Random,
-        log: Any,
+        log: Logger,
     ) -> None:
         """Send nothing yet; `run_sender` is to be run as a task."""
         self._loop = loop
--- a/packages/agent/src/walnutpost/agent/errors.py
+++ b/packages/agent/src/walnutpost/agent/errors.py
@@ -13,7 +13,6 @@
     """The agent's folder can't be used, for the reason in `cause`."""
 
     def __init__(self, folder: Path, cause: Exception) -> None:
-        """Name the folder and the cause."""
         super().__init__(f"{folder}: {cause}")
         self.folder = folder
         self.cause = cause
@@ -23,7 +22,6 @@
     """An operator's order can't be carried out."""
 
     def __init__(self, path: Path, reason: str) -> None:
-        """Name the file of the order and what is wrong with it."""
         super().__init__(f"{path}: {reason}")
         self.path = path
         self.reason = reason
--- a/packages/agent/src/walnutpost/agent/folder.py
+++ b/packages/agent/src/walnutpost/agent/folder.py
@@ -14,12 +14,11 @@
 from contextlib import suppress
 from dataclasses import dataclass, field, replace
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
 from walnutpost.agent.errors import AgentFolderError, ManualOrderError
-from walnutpost.eventloop import remove_leftovers, replace_file
+from walnutpost.eventloop import Logger, remove_leftovers, replace_file
 from walnutpost.fleet.agent_state import OperatorOrder
 
 VERSION_CHARACTERS = 16  # of the hexadecimal digest
@@ -69,7 +68,7 @@
 class AgentFolder:
     """One agent's part of the folder."""
 
-    def __init__(self, folder: Path, member: str, log: Any) -> None:
+    def __init__(self, folder: Path, member: str, log: Logger) -> None:
         """Touch nothing on disk yet; `open` does."""
         self._folder = folder
         self._member = member
--- a/packages/certificates/src/walnutpost/certificates/errors.py
+++ b/packages/certificates/src/walnutpost/certificates/errors.py
@@ -11,7 +11,6 @@
     """A certificate, key or root can't be used. The text never contains a key."""
 
     def __init__(self, place: str, found: str, wanted: str) -> None:
-        """Keep the place (a file, or a number in its chain), what was found there, and what is wanted."""
         super().__init__(f"{place}: found {found}, wanted {wanted}")
         self.place = place
         self.found = found
--- a/packages/certificates/src/walnutpost/certificates/handshake_limit.py
+++ b/packages/certificates/src/walnutpost/certificates/handshake_limit.py
@@ -34,7 +34,6 @@
     """Decides whether a handshake may begin. Times are microseconds of the caller's clock."""
 
     def __init__(self, limits: HandshakeLimits) -> None:
-        """Begin with no handshake in flight."""
         self._limits = limits
         self._workers: dict[str, _WorkerState] = {}
         self._in_flight = 0
--- a/packages/certificates/src/walnutpost/certificates/reload.py
+++ b/packages/certificates/src/walnutpost/certificates/reload.py
@@ -38,7 +38,6 @@
     """
 
     def __init__(self, files: Sequence[FileState], valid_from_us: int, valid_until_us: int) -> None:
-        """Begin with the set in use; its validity is 0, 0 where nothing expires."""
         self._files = tuple(files)
         self._valid_from_us = valid_from_us
         self._valid_until_us = valid_until_us
--- a/packages/cli/src/walnutpost/cli/config_set.py
+++ b/packages/cli/src/walnutpost/cli/config_set.py
@@ -24,6 +24,7 @@
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import ChangeSet, Mutation, encode, validate_mutations
 from walnutpost.controlplane import ControlPlaneClient
+from walnutpost.eventloop import Logger
 from walnutpost.fleet import ForgetMember
 
 MAX_SHOWN_CHANGES = 50  # of one file
@@ -74,7 +75,7 @@
 @ID_OPTION
 @click.pass_obj
 def set_settings(
-    log: Any,
+    log: Logger,
     config: Path,
     rest: tuple[str, ...],
     function: str | None,
@@ -239,6 +240,6 @@
 @click.argument("member")
 @ID_OPTION
 @click.pass_obj
-def forget(log: Any, config: Path, member: str, command_id: str | None) -> None:
+def forget(log: Logger, config: Path, member: str, command_id: str | None) -> None:
     """Remove MEMBER, which is gone for good: no revision, budget or plan waits for it."""
     give_command(log, config, command_id, ForgetMember(member))
--- a/packages/cli/src/walnutpost/cli/config_status.py
+++ b/packages/cli/src/walnutpost/cli/config_status.py
@@ -17,7 +17,7 @@
 from walnutpost.cli.text import columns
 from walnutpost.configstore import MemberStatus, PropagationStatus
 from walnutpost.controlplane import ControlPlaneClient
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 
 POLL_INTERVAL_US = 250_000
 US_PER_S = 1_000_000
@@ -71,7 +71,7 @@
 @FORMAT_OPTION
 @click.pass_obj
 def show_status(
-    log: Any,
+    log: Logger,
     config: Path,
     revision: int | None,
     min_members: int,
--- a/packages/cli/src/walnutpost/cli/config_views.py
+++ b/packages/cli/src/walnutpost/cli/config_views.py
@@ -22,6 +22,7 @@
 from walnutpost.configstore import Entry
 from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.controlplane.wire import HistoryEntry
+from walnutpost.eventloop import Logger
 
 HISTORY_WINDOW = 1000  # lines of the history that are asked for at a time
 SECTION_BY_PREFIX = {CLASS_PREFIX: "classes", FUNCTION_PREFIX: "functions", TENANT_PREFIX: "tenants"}
@@ -40,7 +41,7 @@
     help="`site`: as a section of a configuration file.",
 )
 @click.pass_obj
-def get(log: Any, config: Path, key: str | None, output_format: str) -> None:
+def get(log: Logger, config: Path, key: str | None, output_format: str) -> None:
     """Show what is agreed on: all of it, or of one KEY as function/NAME, or of one kind as function."""
     kind, _, name = (key or "").partition("/")
     query = {"key": key} if key is not None and name else {"kind": kind}
@@ -75,7 +76,7 @@
 @click.argument("file", type=click.Path(path_type=Path))
 @FORMAT_OPTION
 @click.pass_obj
-def diff(log: Any, config: Path, file: Path, output_format: str) -> None:
+def diff(log: Logger, config: Path, file: Path, output_format: str) -> None:
     """Show what `config set KEEPERS FILE` would change. Exits 1 where there is anything."""
     wanted = wanted_entries(file)
     revision, current = ask(config, log, agreed_entries)
@@ -112,7 +113,7 @@
 @click.option("--most", "max_changes", default=20, show_default=True, type=click.IntRange(1, 10_000))
 @FORMAT_OPTION
 @click.pass_obj
-def history(log: Any, config: Path, after: int, max_changes: int, output_format: str) -> None:
+def history(log: Logger, config: Path, after: int, max_changes: int, output_format: str) -> None:
     """Show the last changes: revision, when by the asker's clock, by whom, which keys."""
     found = ask(config, log, lambda client: _read_history(client, after, max_changes))
     changes = [_describe_change(entry) for entry in found.entries]
--- a/packages/cli/src/walnutpost/cli/control_plane.py
+++ b/packages/cli/src/walnutpost/cli/control_plane.py
@@ -5,7 +5,7 @@
 import secrets
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import click
 
@@ -15,7 +15,7 @@
 from walnutpost.cli.process import make_loop
 from walnutpost.config.base import parse_address
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import Command, CommandResult
 
 Result = TypeVar("Result")
@@ -31,7 +31,7 @@
 )
 
 
-def ask(config: Path, log: Any, question: Callable[[ControlPlaneClient], Result]) -> Result:
+def ask(config: Path, log: Logger, question: Callable[[ControlPlaneClient], Result]) -> Result:
     """Ask within a loop and return the answer.
 
     Ends the program with code 3 if no replica answers, or as a CommandFailedError says.
@@ -39,7 +39,7 @@
     return ask_in_loop(config, log, lambda _, client: question(client))
 
 
-def ask_in_loop(config: Path, log: Any, question: Callable[[Loop, ControlPlaneClient], Result]) -> Result:
+def ask_in_loop(config: Path, log: Logger, question: Callable[[Loop, ControlPlaneClient], Result]) -> Result:
     """Do the same as `ask` with a question that also sleeps on the loop."""
     loop = make_loop(log)
     replicas = load_control_plane_file(config).keepers
@@ -65,7 +65,7 @@
     return announced
 
 
-def give_command(log: Any, config: Path, command_id: str | None, command: Command) -> None:
+def give_command(log: Logger, config: Path, command_id: str | None, command: Command) -> None:
     """Give a command and print its result; one repeated under its id gets the result of the first time."""
     announced = announce_id(command_id)
     show_result(ask(config, log, lambda client: client.command(announced, command)))
--- a/packages/cli/src/walnutpost/cli/errors.py
+++ b/packages/cli/src/walnutpost/cli/errors.py
@@ -11,7 +11,6 @@
     """Ends a command from within its loop, which is closed first: what to print, and the exit code."""
 
     def __init__(self, *lines: str, exit_code: int = 1) -> None:
-        """Take the lines for standard error and the exit code of the program."""
         super().__init__(*lines)
         self.lines = lines
         self.exit_code = exit_code
--- a/packages/cli/src/walnutpost/cli/fleet_commands.py
+++ b/packages/cli/src/walnutpost/cli/fleet_commands.py
@@ -4,7 +4,6 @@
 
 import secrets
 from pathlib import Path
-from typing import Any
 
 import click
 
@@ -13,6 +12,7 @@
 from walnutpost.cli.fleet import fleet
 from walnutpost.cli.fleet_processes import load_control_plane_file
 from walnutpost.consensus import Members
+from walnutpost.eventloop import Logger
 from walnutpost.fleet import (
     DisruptionBudget,
     EndDrain,
@@ -31,7 +31,7 @@
 @click.option("--why", "reason", required=True)
 @ID_OPTION
 @click.pass_obj
-def halt(log: Any, config: Path, plan: str, reason: str, command_id: str | None) -> None:
+def halt(log: Logger, config: Path, plan: str, reason: str, command_id: str | None) -> None:
     """Halt plans: nothing that has not begun begins; in effect begin_within_ms after it is agreed."""
     give_command(log, config, command_id, HaltPlan(reason, plan))
 
@@ -41,7 +41,7 @@
 @click.option("--plan", default="", help="This plan alone.")
 @ID_OPTION
 @click.pass_obj
-def resume(log: Any, config: Path, plan: str, command_id: str | None) -> None:
+def resume(log: Logger, config: Path, plan: str, command_id: str | None) -> None:
     """Let what was halted go on."""
     give_command(log, config, command_id, ResumePlan(plan))
 
@@ -52,7 +52,7 @@
 @click.option("--operator", required=True, help="Who vouches that the member is not out.")
 @ID_OPTION
 @click.pass_obj
-def remove(log: Any, config: Path, permit: str, operator: str, command_id: str | None) -> None:
+def remove(log: Logger, config: Path, permit: str, operator: str, command_id: str | None) -> None:
     """Give back a permit whose holder will never do so."""
     give_command(log, config, command_id, RevokePermit(permit, operator))
 
@@ -63,7 +63,7 @@
 @click.option("--operator", required=True)
 @ID_OPTION
 @click.pass_obj
-def end_drain(log: Any, config: Path, member: str, operator: str, command_id: str | None) -> None:
+def end_drain(log: Logger, config: Path, member: str, operator: str, command_id: str | None) -> None:
     """Let MEMBER, which was drained, come back."""
     give_command(log, config, command_id, EndDrain(member, operator))
 
@@ -73,7 +73,7 @@
 @click.argument("member")
 @ID_OPTION
 @click.pass_obj
-def forget(log: Any, config: Path, member: str, command_id: str | None) -> None:
+def forget(log: Logger, config: Path, member: str, command_id: str | None) -> None:
     """Remove MEMBER, which is gone for good: no budget, plan or drain waits for it any more."""
     give_command(log, config, command_id, ForgetMember(member))
 
@@ -83,7 +83,7 @@
 @click.option("--agree", is_flag=True, help="Have those of CONFIG agreed on in place of what holds.")
 @ID_OPTION
 @click.pass_obj
-def budgets(log: Any, config: Path, agree: bool, command_id: str | None) -> None:
+def budgets(log: Logger, config: Path, agree: bool, command_id: str | None) -> None:
     """Show how many may be out at once, as agreed."""
     if agree:
         give_command(log, config, command_id, SetBudgets(_configured_budgets(config)))
@@ -118,7 +118,7 @@
 @click.option("--why", "reason", default="")
 @ID_OPTION
 @click.pass_obj
-def judge(log: Any, config: Path, plan: str, verdict: str, reason: str, command_id: str | None) -> None:
+def judge(log: Logger, config: Path, plan: str, verdict: str, reason: str, command_id: str | None) -> None:
     """Record how the present step of PLAN has gone; bad halts it and rolls back where it says so."""
     _, agreed = ask(config, log, lambda client: client.state())
     plans = agreed.state.plans
@@ -133,7 +133,7 @@
 @click.option("--voter", "voters", multiple=True, help="By the name of its disk; all of them to be.")
 @click.option("--learner", "learners", multiple=True, help="Is sent everything, and counts for nothing yet.")
 @click.pass_obj
-def replicas(log: Any, config: Path, voters: tuple[str, ...], learners: tuple[str, ...]) -> None:
+def replicas(log: Logger, config: Path, voters: tuple[str, ...], learners: tuple[str, ...]) -> None:
     """Show the keepers, or change them by one voter: add one as a learner, then as a voter."""
     if voters:
         members = Members(voters, learners)
--- a/packages/cli/src/walnutpost/cli/fleet_plans.py
+++ b/packages/cli/src/walnutpost/cli/fleet_plans.py
@@ -6,7 +6,6 @@
 import secrets
 from collections import Counter
 from pathlib import Path
-from typing import Any
 
 import click
 
@@ -16,7 +15,7 @@
 from walnutpost.cli.fleet import fleet
 from walnutpost.cli.fleet_processes import AGENTS_FOLDER, load_control_plane_file
 from walnutpost.controlplane import ControlPlaneClient
-from walnutpost.eventloop import replace_file
+from walnutpost.eventloop import Logger, replace_file
 from walnutpost.fleet import FRONT_END, CommandResult, FleetState, StartPlan, StoreVersion
 
 PLAN_NAME_BYTES = 3
@@ -70,7 +69,7 @@
 @PLAN_OPTION
 @click.pass_obj
 def release(
-    log: Any,
+    log: Logger,
     config: Path,
     content: Path,
     steps: str,
@@ -126,7 +125,7 @@
 @REASON_OPTION
 @click.pass_obj
 def rollback(
-    log: Any,
+    log: Logger,
     config: Path,
     names: tuple[str, ...],
     version: str,
@@ -163,7 +162,7 @@
 @REASON_OPTION
 @click.pass_obj
 def cycle(
-    log: Any,
+    log: Logger,
     config: Path,
     members: tuple[str, ...],
     plan: str | None,
@@ -184,12 +183,12 @@
 @click.argument("members", nargs=-1, required=True)
 @PLAN_OPTION
 @click.pass_obj
-def drain(log: Any, config: Path, members: tuple[str, ...], plan: str | None) -> None:
+def drain(log: Logger, config: Path, members: tuple[str, ...], plan: str | None) -> None:
     """Take MEMBERS out, within the budgets, until `fleet return` lets each come back."""
     name = _plan_name("drain", plan)
     _start(log, config, StartPlan(name, members, keeps_members_out=True))
 
 
-def _start(log: Any, config: Path, plan: StartPlan) -> None:
+def _start(log: Logger, config: Path, plan: StartPlan) -> None:
     click.echo(f"plan {plan.plan}")
     show_result(ask(config, log, lambda client: client.command(f"{plan.plan}-start", plan)))
--- a/packages/cli/src/walnutpost/cli/fleet_processes.py
+++ b/packages/cli/src/walnutpost/cli/fleet_processes.py
@@ -7,7 +7,6 @@
 from copy import copy
 from inspect import cleandoc
 from pathlib import Path
-from typing import Any
 
 import click
 
@@ -23,7 +22,7 @@
 from walnutpost.config.entry_validation import validate_changes
 from walnutpost.consensus import Timing
 from walnutpost.controlplane import ControlPlaneReplica, ReplicaFailedError, ReplicaSettings
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import AnalysisPolicy
 from walnutpost.fleet.agent_state import ControllerSettings
 from walnutpost.relay import Relay
@@ -72,7 +71,7 @@
 @click.option("--name", required=True, help="Which of CONFIG's keepers.")
 @click.option("--found", is_flag=True, help="The first start of all replicas: they are each other's members.")
 @click.pass_obj
-def control_plane(log: Any, config: Path, name: str, found: bool) -> None:
+def control_plane(log: Logger, config: Path, name: str, found: bool) -> None:
     """Run one replica of the control plane.
 
     Without --found, one whose folder is empty waits until the others have added it (`fleet keepers`).
@@ -113,7 +112,7 @@
 
 
 def _run_replica(
-    loop: Loop, settings: ReplicaSettings, failures: list[ReplicaFailedError], log: Any
+    loop: Loop, settings: ReplicaSettings, failures: list[ReplicaFailedError], log: Logger
 ) -> ControlPlaneReplica:
     """Run until a signal, or a failure, which is added to `failures`."""
     stop = stop_event(loop, log)
@@ -152,7 +151,7 @@
 @CONFIG_ARGUMENT
 @click.option("--name", required=True, help="Which of CONFIG's relays.")
 @click.pass_obj
-def relay(log: Any, config: Path, name: str) -> None:
+def relay(log: Logger, config: Path, name: str) -> None:
     """Run one relay: it carries the agreed settings from the control plane to their members.
 
     It holds no disk; members whose relay is lost go on at another.
@@ -187,7 +186,7 @@
 @CONFIG_ARGUMENT
 @click.option("--member", required=True, help="Which of CONFIG's agents.")
 @click.pass_obj
-def agent(log: Any, config: Path, member: str) -> None:
+def agent(log: Logger, config: Path, member: str) -> None:
     """Run one process of the fleet and take it from version to version as agreed."""
     checked = load_control_plane_file(config)
     lines = {line.member: line for line in checked.agents}
@@ -209,7 +208,7 @@
 
 
 def _create_agent(
-    loop: Loop, checked: ControlPlaneConfig, line: AgentConfig, folder: Path, log: Any
+    loop: Loop, checked: ControlPlaneConfig, line: AgentConfig, folder: Path, log: Logger
 ) -> Agent:
     return Agent(
         loop,
--- a/packages/cli/src/walnutpost/cli/fleet_views.py
+++ b/packages/cli/src/walnutpost/cli/fleet_views.py
@@ -17,6 +17,7 @@
 from walnutpost.cli.fleet_status import describe_fleet, return_condition
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.controlplane.wire import History, HistoryEntry, ReplicaStatus
+from walnutpost.eventloop import Logger
 from walnutpost.faultinjection.text_tables import align_columns
 from walnutpost.fleet import CommandResult, Fleet, FleetState
 from walnutpost.fleet.budgets import unavailable_members
@@ -28,7 +29,7 @@
 @CONFIG_ARGUMENT
 @FORMAT_OPTION
 @click.pass_obj
-def status(log: Any, config: Path, output_format: str) -> None:
+def status(log: Logger, config: Path, output_format: str) -> None:
     """Show the leader, halts, how far each budget is used, who is out and why, whose disk fails."""
     view, agreed, failing_disks = ask(config, log, _read_status)
     described = describe_fleet(view, agreed)
@@ -81,7 +82,7 @@
 @click.argument("name", required=False)
 @FORMAT_OPTION
 @click.pass_obj
-def show_plan(log: Any, config: Path, name: str | None, output_format: str) -> None:
+def show_plan(log: Logger, config: Path, name: str | None, output_format: str) -> None:
     """Show the plans, or NAME alone: how far each is, and what it waits for."""
     view, agreed = ask(config, log, lambda client: client.state())
     plans = describe_fleet(view, agreed)["plans"]
@@ -113,7 +114,7 @@
 @CONFIG_ARGUMENT
 @FORMAT_OPTION
 @click.pass_obj
-def members(log: Any, config: Path, output_format: str) -> None:
+def members(log: Logger, config: Path, output_format: str) -> None:
     """Show every member: zone, version, whether it is in."""
     view, agreed = ask(config, log, lambda client: client.state())
     described = _describe_members(agreed.state)
@@ -156,7 +157,7 @@
 @click.option("--most", "max_lines", default=100, show_default=True, type=click.IntRange(1, 10_000))
 @FORMAT_OPTION
 @click.pass_obj
-def history(log: Any, config: Path, after: int, max_lines: int, output_format: str) -> None:
+def history(log: Logger, config: Path, after: int, max_lines: int, output_format: str) -> None:
     """Show what was agreed on, oldest first.
 
     Times are the askers' clocks, hints alone; the order is the index.
--- a/packages/cli/src/walnutpost/cli/process.py
+++ b/packages/cli/src/walnutpost/cli/process.py
@@ -5,12 +5,11 @@
 import resource
 import signal
 from collections.abc import Callable
-from typing import Any
 
-from walnutpost.eventloop import Event, Loop
+from walnutpost.eventloop import Event, Logger, Loop
 
 
-def make_loop(log: Any) -> Loop:
+def make_loop(log: Logger) -> Loop:
     """Return an event loop that logs what ends a task by an exception."""
 
     def log_task_failure(name: str, error: BaseException) -> None:
@@ -26,7 +25,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
 
 
-def stop_event(loop: Loop, log: Any) -> Event:
+def stop_event(loop: Loop, log: Logger) -> Event:
     """Return an event that SIGINT and SIGTERM set."""
     event = Event(loop)
 
--- a/packages/cli/src/walnutpost/cli/process_commands.py
+++ b/packages/cli/src/walnutpost/cli/process_commands.py
@@ -5,7 +5,6 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
 
 import click
 
@@ -24,6 +23,7 @@
     run_fake_store,
     run_fake_worker,
 )
+from walnutpost.eventloop import Logger
 
 CAPTURE_OPTION = click.option(
     "--capture", type=click.Path(path_type=Path), help="Write what the sockets carry to this file."
@@ -46,7 +46,7 @@
 )
 @CAPTURE_OPTION
 @click.pass_obj
-def serve(log: Any, config: Path, own: Path | None, capture: Path | None) -> None:
+def serve(log: Logger, config: Path, own: Path | None, capture: Path | None) -> None:
     """Run a front end for the workers that CONFIG lists.
 
     With --own, files that are named are looked for beside that file.
@@ -62,7 +62,7 @@
 @CONFIG_ARGUMENT
 @CAPTURE_OPTION
 @click.pass_obj
-def up(log: Any, config: Path, capture: Path | None) -> None:
+def up(log: Logger, config: Path, capture: Path | None) -> None:
     """Run a front end and the stand-in workers of CONFIG's fleet in one process."""
     checked = read_config_with_fleet(config)
     addresses = [*front_end_addresses(checked), *fake_worker_addresses(checked)]
@@ -79,7 +79,7 @@
 @CAPTURE_OPTION
 @click.pass_obj
 def worker(
-    log: Any,
+    log: Logger,
     config: Path,
     name: str,
     store: str | None,
@@ -101,7 +101,7 @@
 @CONFIG_ARGUMENT
 @click.option("--listen", default="127.0.0.1:0", show_default=True)
 @click.pass_obj
-def store(log: Any, config: Path, listen: str) -> None:
+def store(log: Logger, config: Path, listen: str) -> None:
     """Run the stand-in package store of CONFIG's fleet."""
     checked = read_config_with_fleet(config)
     with checked_addresses("walnutpost store", [ListenAddress("--listen", listen)]):
--- a/packages/cli/src/walnutpost/cli/runners.py
+++ b/packages/cli/src/walnutpost/cli/runners.py
@@ -7,14 +7,13 @@
 from contextlib import ExitStack
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
 from walnutpost.cli.process import make_loop, stop_event
 from walnutpost.config import Config, ConfigError, FakeWorkerConfig, WorkerConfig, load, load_with_overlay
 from walnutpost.config.base import parse_address
 from walnutpost.config.conversion import ms_to_us
 from walnutpost.daemon.front_end import FrontEnd
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.fakes import WorkerServer
 from walnutpost.fakes.fleet import local_store, start_worker
 from walnutpost.fakes.store import PackageStore, RemoteStore, StoreServer
@@ -38,7 +37,7 @@
 class FrontEndRunner:
     """Runs one front end; SIGHUP reads the schedules anew."""
 
-    def __init__(self, config: Config, files: FrontEndFiles, log: Any, starts_fake_workers: bool) -> None:
+    def __init__(self, config: Config, files: FrontEndFiles, log: Logger, starts_fake_workers: bool) -> None:
         """Take a configuration that was read from `files`. Fake workers run in the same process."""
         self._config = config
         self._files = files
@@ -118,7 +117,9 @@
     was_restarted: bool = False
 
 
-def run_fake_worker(config: Config, worker: FakeWorkerConfig, options: FakeWorkerOptions, log: Any) -> None:
+def run_fake_worker(
+    config: Config, worker: FakeWorkerConfig, options: FakeWorkerOptions, log: Logger
+) -> None:
     """Run one fake worker until a signal ends it; without `store_address` it has a store of its own."""
     loop = make_loop(log)
 
@@ -146,7 +147,7 @@
     return local_store(loop, config)
 
 
-def run_fake_store(config: Config, address: str, log: Any) -> None:
+def run_fake_store(config: Config, address: str, log: Logger) -> None:
     """Run the fake package store until a signal ends it."""
     loop = make_loop(log)
 
--- a/packages/cli/src/walnutpost/cli/scenarios.py
+++ b/packages/cli/src/walnutpost/cli/scenarios.py
@@ -8,12 +8,12 @@
 from collections.abc import Iterator
 from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
 
 import click
 
 from walnutpost.cli.config_files import EXIT_INVALID, exit_with, read_config_with_fleet
 from walnutpost.config import Config, ConfigError, load, overlay_sections, parse
+from walnutpost.eventloop import Logger
 from walnutpost.faultinjection import text_tables
 from walnutpost.faultinjection.audit import audit_folder
 from walnutpost.faultinjection.errors import ClusterError
@@ -46,7 +46,7 @@
 )
 @OUT_OPTION
 @click.pass_obj
-def trial(log: Any, script: Path | None, from_day: Path | None, out: Path | None) -> None:
+def trial(log: Logger, script: Path | None, from_day: Path | None, out: Path | None) -> None:
     """Play a scripted bad day with processes on this machine, then audit it. Exits 1 on a broken rule."""
     if (script is None) == (from_day is None):
         raise click.UsageError("either SCRIPT or --from-day FILE is wanted")
@@ -91,7 +91,7 @@
 @click.argument("script", type=click.Path(path_type=Path))
 @OUT_OPTION
 @click.pass_obj
-def fleet_trial(log: Any, script: Path, out: Path | None) -> None:
+def fleet_trial(log: Logger, script: Path, out: Path | None) -> None:
     """Play a fleet's day with keepers, agents, front ends, workers and clients on this machine.
 
     Exits 1 where a rule was broken, or more were out than agreed, by an observer who asks the processes.
--- a/packages/config/src/walnutpost/config/errors.py
+++ b/packages/config/src/walnutpost/config/errors.py
@@ -7,7 +7,6 @@
     """Base class of this package's errors, and the error of a file. `lines`: each fault with its place."""
 
     def __init__(self, lines: list[str]) -> None:
-        """Take one line for each fault: source, place, what was found and what was wanted."""
         super().__init__("\n".join(lines))
         self.lines = lines
 
@@ -16,6 +15,5 @@
     """An entry of the configuration store that is no valid setting; `key` is that of the entry."""
 
     def __init__(self, key: str, lines: list[str]) -> None:
-        """Take the entry's key and one line for each fault."""
         super().__init__(lines)
         self.key = key
--- a/packages/configstore/src/walnutpost/configstore/digest_check.py
+++ b/packages/configstore/src/walnutpost/configstore/digest_check.py
@@ -19,7 +19,6 @@
     """Reads the store as it was when the check began, a part at a time, while changes go on."""
 
     def __init__(self, store: ConfigStore) -> None:
-        """Begin a check of the store at its present revision."""
         self._expected = store.bucket_digests()
         self._entries: Iterator[Entry] = iter(store.entries.values())
         self._bucket_sums = [0] * DIGEST_BUCKETS
--- a/packages/configstore/src/walnutpost/configstore/errors.py
+++ b/packages/configstore/src/walnutpost/configstore/errors.py
@@ -64,5 +64,4 @@
     """There is no relay to select from."""
 
     def __init__(self) -> None:
-        """Take no arguments: the fault is always the same."""
         super().__init__("relays: found none, wanted at least one")
--- a/packages/configstore/src/walnutpost/configstore/propagation.py
+++ b/packages/configstore/src/walnutpost/configstore/propagation.py
@@ -25,7 +25,6 @@
     """The latencies of the last change sets."""
 
     def __init__(self) -> None:
-        """Start without any change set."""
         self._recent: deque[_CommittedRevision] = deque(maxlen=MAX_LATENCIES)
         self._pending: deque[_CommittedRevision] = deque(maxlen=MAX_LATENCIES)
 
--- a/packages/consensus/src/walnutpost/consensus/append_responses.py
+++ b/packages/consensus/src/walnutpost/consensus/append_responses.py
@@ -25,7 +25,6 @@
         commitment: Commitment,
         transfers: LeadershipTransfers,
     ) -> None:
-        """Work on the given state."""
         self._state = state
         self._roles = roles
         self._replication = replication
--- a/packages/consensus/src/walnutpost/consensus/commitment.py
+++ b/packages/consensus/src/walnutpost/consensus/commitment.py
@@ -25,7 +25,6 @@
         replication: Replication,
         reads: Reads,
     ) -> None:
-        """Work on the given state."""
         self._state = state
         self._rules = rules
         self._gate = gate
--- a/packages/consensus/src/walnutpost/consensus/election.py
+++ b/packages/consensus/src/walnutpost/consensus/election.py
@@ -30,7 +30,6 @@
         roles: Roles,
         replication: Replication,
     ) -> None:
-        """Work on the given state."""
         self._state = state
         self._rules = rules
         self._gate = gate
--- a/packages/consensus/src/walnutpost/consensus/errors.py
+++ b/packages/consensus/src/walnutpost/consensus/errors.py
@@ -9,7 +9,6 @@
     """An entry doesn't follow the one before it."""
 
     def __init__(self, found_index: int, wanted_index: int) -> None:
-        """Name the index of the entry, and the index that it should have."""
         self.found_index = found_index
         self.wanted_index = wanted_index
         super().__init__(f"entry {found_index} in the place of entry {wanted_index}")
@@ -19,7 +18,6 @@
     """A leader's entry differs from one that is committed here: some disk has lost what it had accepted."""
 
     def __init__(self, replica_id: str, index: int, commit_index: int) -> None:
-        """Name the replica, the index of the entry, and the last committed index."""
         self.replica_id = replica_id
         self.index = index
         self.commit_index = commit_index
--- a/packages/consensus/src/walnutpost/consensus/following.py
+++ b/packages/consensus/src/walnutpost/consensus/following.py
@@ -22,7 +22,6 @@
     __slots__ = ("_freshness", "_gate", "_roles", "_state")
 
     def __init__(self, state: RaftState, gate: PersistenceGate, roles: Roles, freshness: Freshness) -> None:
-        """Work on the given state."""
         self._state = state
         self._gate = gate
         self._roles = roles
--- a/packages/consensus/src/walnutpost/consensus/membership.py
+++ b/packages/consensus/src/walnutpost/consensus/membership.py
@@ -17,7 +17,6 @@
     def __init__(
         self, state: RaftState, rules: SafetyRules, replication: Replication, commitment: Commitment
     ) -> None:
-        """Work on the given state."""
         self._state = state
         self._rules = rules
         self._replication = replication
--- a/packages/consensus/src/walnutpost/consensus/persistence.py
+++ b/packages/consensus/src/walnutpost/consensus/persistence.py
@@ -15,7 +15,6 @@
     __slots__ = ("_rules", "_state")
 
     def __init__(self, state: RaftState, rules: SafetyRules) -> None:
-        """Work on the given state."""
         self._state = state
         self._rules = rules
 
--- a/packages/consensus/src/walnutpost/consensus/reads.py
+++ b/packages/consensus/src/walnutpost/consensus/reads.py
@@ -14,7 +14,6 @@
     __slots__ = ("_gate", "_replication", "_state")
 
     def __init__(self, state: RaftState, gate: PersistenceGate, replication: Replication) -> None:
-        """Work on the given state."""
         self._state = state
         self._gate = gate
         self._replication = replication
--- a/packages/consensus/src/walnutpost/consensus/replication.py
+++ b/packages/consensus/src/walnutpost/consensus/replication.py
@@ -25,7 +25,6 @@
     __slots__ = ("_freshness", "_gate", "_state")
 
     def __init__(self, state: RaftState, gate: PersistenceGate, freshness: Freshness) -> None:
-        """Work on the given state."""
         self._state = state
         self._gate = gate
         self._freshness = freshness
--- a/packages/consensus/src/walnutpost/consensus/roles.py
+++ b/packages/consensus/src/walnutpost/consensus/roles.py
@@ -13,7 +13,6 @@
     __slots__ = ("_gate", "_state")
 
     def __init__(self, state: RaftState, gate: PersistenceGate) -> None:
-        """Work on the given state."""
         self._state = state
         self._gate = gate
 
--- a/packages/consensus/src/walnutpost/consensus/snapshots.py
+++ b/packages/consensus/src/walnutpost/consensus/snapshots.py
@@ -14,7 +14,6 @@
     __slots__ = ("_following", "_gate", "_state")
 
     def __init__(self, state: RaftState, gate: PersistenceGate, following: Following) -> None:
-        """Work on the given state."""
         self._state = state
         self._gate = gate
         self._following = following
--- a/packages/consensus/src/walnutpost/consensus/timers.py
+++ b/packages/consensus/src/walnutpost/consensus/timers.py
@@ -22,7 +22,6 @@
         election: Election,
         transfers: LeadershipTransfers,
     ) -> None:
-        """Work on the given state."""
         self._state = state
         self._roles = roles
         self._replication = replication
--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -4,7 +4,6 @@
 
 import time
 from collections.abc import Callable, Sequence
-from typing import Any
 
 from walnutpost.configstore.messages import Mutation
 from walnutpost.configstore.store import ConfigStore
@@ -12,7 +11,7 @@
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.errors import MalformedMessageError
 from walnutpost.controlplane.fifo_lock import FifoLock
-from walnutpost.eventloop import Loop, WaitTimeoutError
+from walnutpost.eventloop import Logger, Loop, WaitTimeoutError
 from walnutpost.fleet import CHANGED_MEANWHILE, ApplyChangeSet, CommandResult, Fleet, encode
 
 Check = Callable[[ConfigStore, Sequence[Mutation]], list[str]]
@@ -34,7 +33,7 @@
         confirm: Callable[[], wire.CommandReply],
         check: Check | None,
         lock_timeout_us: int,
-        log: Any,
+        log: Logger,
     ) -> None:
         """Create a coordinator over the applied state.
 
--- a/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
@@ -9,10 +9,9 @@
 
 from collections.abc import Callable
 from contextlib import suppress
-from typing import Any
 
 from walnutpost.consensus import PersistentState
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.store import StoreError
 from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, is_transient
 
@@ -33,7 +32,7 @@
         reopen: Callable[[], ReplicaStore],
         resume: Callable[[ReplicaStore, PersistentState], None],
         lost: Callable[[str], None],
-        log: Any,
+        log: Logger,
     ) -> None:
         """Do nothing until a failure.
 
--- a/packages/controlplane/src/walnutpost/controlplane/effects.py
+++ b/packages/controlplane/src/walnutpost/controlplane/effects.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from typing import Any
 
 from walnutpost.consensus import (
     Apply,
@@ -25,6 +24,7 @@
 from walnutpost.controlplane.history import describe_entry
 from walnutpost.controlplane.leadership import LeaderDuties
 from walnutpost.controlplane.peers import PeerConnection
+from walnutpost.eventloop import Logger
 from walnutpost.fleet import CommandResult, InvalidStateError
 
 
@@ -36,7 +36,7 @@
         context: ReplicaContext,
         peers: Mapping[str, PeerConnection],
         on_failed: Callable[[str], None],
-        log: Any,
+        log: Logger,
     ) -> None:
         """Execute on `context`. `on_failed`: called with the reason if the replica can't go on."""
         self._context = context
--- a/packages/controlplane/src/walnutpost/controlplane/errors.py
+++ b/packages/controlplane/src/walnutpost/controlplane/errors.py
@@ -11,7 +11,6 @@
     """Bytes that are no message of this protocol, or a message that no client sends."""
 
     def __init__(self, message_name: str, reason: str) -> None:
-        """Take the message's name in the protocol, and what was found and wanted."""
         super().__init__(f"{message_name}: {reason}")
         self.message_name = message_name
         self.reason = reason
@@ -24,7 +23,6 @@
     """
 
     def __init__(self, reason: str) -> None:
-        """Take what the last replica that was asked answered, or why it didn't."""
         super().__init__(reason)
         self.reason = reason
 
@@ -33,6 +31,5 @@
     """A replica can't go on: its disk or a snapshot holds what can't be read."""
 
     def __init__(self, reason: str) -> None:
-        """Take what was found and wanted."""
         super().__init__(reason)
         self.reason = reason
--- a/packages/controlplane/src/walnutpost/controlplane/fifo_lock.py
+++ b/packages/controlplane/src/walnutpost/controlplane/fifo_lock.py
@@ -12,7 +12,6 @@
     """Held by one task at a time; a task that is cancelled while it waits is passed over."""
 
     def __init__(self, loop: Loop) -> None:
-        """Create a free lock."""
         self._loop = loop
         self._is_locked = False
         self._waiting: deque[tuple[Task[Any], int]] = deque()
--- a/packages/controlplane/src/walnutpost/controlplane/pending.py
+++ b/packages/controlplane/src/walnutpost/controlplane/pending.py
@@ -13,7 +13,6 @@
     """Tasks that wait for replies, by the id of their command or read."""
 
     def __init__(self, loop: Loop) -> None:
-        """Create it with nobody waiting."""
         self._loop = loop
         self._waiting: dict[str, list[tuple[Task[Any], int]]] = {}
 
--- a/packages/controlplane/src/walnutpost/controlplane/replica.py
+++ b/packages/controlplane/src/walnutpost/controlplane/replica.py
@@ -4,7 +4,6 @@
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from walnutpost.configstore.store import ConfigStore
 from walnutpost.consensus import (
@@ -32,7 +31,7 @@
 from walnutpost.controlplane.responses import protocol_error_response
 from walnutpost.controlplane.settings import Address, ReplicaSettings
 from walnutpost.controlplane.submission import ConsensusSubmitter
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import Fleet
 from walnutpost.http import Limits
 from walnutpost.http.server import serve_on
@@ -54,7 +53,7 @@
         self,
         loop: Loop,
         settings: ReplicaSettings,
-        log: Any,
+        log: Logger,
         seed: int,
         on_failed: Callable[[ReplicaFailedError], None] | None = None,
         check: Check | None = None,
--- a/packages/controlplane/tests/test_changes.py
+++ b/packages/controlplane/tests/test_changes.py
@@ -25,6 +25,8 @@
     def error(self, event: str, **fields: Any) -> None:
         self.lines.append(f"{event} {fields}")
 
+    info = warning = error
+
 
 class World:
     """A log that commits after a while, and has other leaders' change sets as well."""
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -6,12 +6,11 @@
 from collections.abc import Callable
 from dataclasses import replace
 from hashlib import blake2b
-from typing import Any
 
 from walnutpost.daemon.open_calls import OpenCall, OpenCalls
 from walnutpost.daemon.replication import JournalReplication
 from walnutpost.dispatch import Dispatcher
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.gateway import (
     Admission,
     CallArrived,
@@ -56,10 +55,9 @@
         dispatcher: Dispatcher,
         store: ExecutionStore,
         catalogue: Catalogue,
-        log: Any,
+        log: Logger,
         replication: JournalReplication | None = None,
     ) -> None:
-        """Register with the core for intents and names of executions."""
         self._loop = loop
         self._replication = replication
         self._dispatcher = dispatcher
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -8,11 +8,10 @@
 
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from walnutpost.config import ConfigError, Site, WorkerConfig, WorkerList, build_endpoint_list, load
 from walnutpost.dispatch import Dispatcher
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet.endpoints import EndpointFollower, ListedEndpoint
 from walnutpost.gateway import WorkersListed
 from walnutpost.interface import ListKind
@@ -30,7 +29,7 @@
         dispatcher: Dispatcher,
         worker_client: WorkerClient,
         site: Site,
-        log: Any,
+        log: Logger,
         on_published: Callable[[int, list[WorkerConfig]], None] | None = None,
     ) -> None:
         """`on_published` gets each list as it is published, for captures."""
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -9,7 +9,6 @@
 import secrets
 from collections.abc import Callable, Mapping
 from pathlib import Path
-from typing import Any
 
 import msgspec
 
@@ -21,7 +20,7 @@
 from walnutpost.controlplane.wire import CommandReply, Report
 from walnutpost.daemon.endpoint_lists import EndpointLists
 from walnutpost.dispatch import Dispatcher
-from walnutpost.eventloop import Loop, remove_leftovers, replace_file
+from walnutpost.eventloop import Logger, Loop, remove_leftovers, replace_file
 from walnutpost.fleet import (
     FRONT_END,
     CallCounts,
@@ -78,7 +77,7 @@
         zone: str,
         dispatcher: CallCountingDispatcher,
         lists: EndpointLists,
-        log: Any,
+        log: Logger,
         cache_file: Path,
     ) -> None:
         """Use `cache_file` for the last list, for a start without the control plane."""
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -32,7 +32,7 @@
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.daemon.settings_watch import AgreedFunctions, SettingsWatch
 from walnutpost.dispatch import Dispatcher
-from walnutpost.eventloop import Loop, Tap, Task, WaitTimeoutError
+from walnutpost.eventloop import Logger, Loop, Tap, Task, WaitTimeoutError
 from walnutpost.fronts.cron import CronFront, FiringLimits
 from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
 from walnutpost.gateway import Gateway
@@ -66,7 +66,7 @@
         self,
         loop: Loop,
         config: Config,
-        log: Any,
+        log: Logger,
         tap: Recorder | None = None,
         base: Path | None = None,
         wall: Callable[[], int] | None = None,
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -5,11 +5,10 @@
 import ssl
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from walnutpost.certificates import DAY_US, FileState, InvalidCertificateError, ReloadTracker
 from walnutpost.config.front_end import TlsConfig
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.workerclient import WorkerClient, tls_contexts
 from walnutpost.workerclient.tls_contexts import CertificateFiles
 
@@ -19,7 +18,9 @@
 class CertificateReloader:
     """Reads the files of one `tls` section. Invalid files leave the certificates in use."""
 
-    def __init__(self, loop: Loop, section: TlsConfig, base: Path, wall: Callable[[], int], log: Any) -> None:
+    def __init__(
+        self, loop: Loop, section: TlsConfig, base: Path, wall: Callable[[], int], log: Logger
+    ) -> None:
         """Raise InvalidCertificateError for unusable files: a front end doesn't start with these."""
         self._loop = loop
         self._section = section
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -6,12 +6,11 @@
 from collections.abc import Iterator, Mapping
 from math import ceil
 from pathlib import Path
-from typing import Any
 
 from walnutpost.config import Config
 from walnutpost.config.conversion import build_budgets, build_metering_policy, ms_to_us
 from walnutpost.config.metering import MeteringConfig
-from walnutpost.eventloop import Loop, Task, TaskGroup
+from walnutpost.eventloop import Logger, Loop, Task, TaskGroup
 from walnutpost.gateway import AttemptEnded, Function, LoadOrder, LoadOrderEnded, Rejected, Send
 from walnutpost.interface import Outcome
 from walnutpost.metering import Budgets, BudgetState, Cause, FunctionSize, Ledger, UsageGap, UsageSampler
@@ -60,7 +59,7 @@
         section: MeteringConfig,
         functions: Mapping[str, Function],
         worker_client: WorkerClient,
-        log: Any,
+        log: Logger,
         base: Path,
     ) -> None:
         """Open the ledger. Raises StoreError."""
--- a/packages/daemon/src/walnutpost/daemon/open_calls.py
+++ b/packages/daemon/src/walnutpost/daemon/open_calls.py
@@ -34,7 +34,6 @@
     """Index of the open calls. An id, or a name within a function, belongs to one call at most."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._by_name: dict[tuple[str, str], OpenCall] = {}
         self._by_id: dict[str, OpenCall] = {}
         self._by_ticket: dict[int, OpenCall] = {}
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -10,13 +10,12 @@
 from collections.abc import Callable
 from dataclasses import replace
 from functools import partial
-from typing import Any
 
 from walnutpost.config import Config
 from walnutpost.config.base import parse_address
 from walnutpost.config.conversion import ms_to_us
 from walnutpost.config.journal import JournalConfig, ReplicationConfig
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.fronts.errors import SitesUnreachableError
 from walnutpost.gateway import Execution, Function, Rejected, Status
 from walnutpost.interface import RequestClass
@@ -56,9 +55,8 @@
         section: JournalConfig,
         executions: ExecutionStore,
         classes: tuple[RequestClass, ...],
-        log: Any,
+        log: Logger,
     ) -> None:
-        """Listen, and recover lines that only replicas have, before any line is numbered."""
         self._loop = loop
         self._section = section
         self._log = log
--- a/packages/daemon/src/walnutpost/daemon/result_purge.py
+++ b/packages/daemon/src/walnutpost/daemon/result_purge.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from walnutpost.daemon.replication import JournalReplication
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.store import ExecutionStore, StoreError
 
 PURGE_INTERVAL_US = 60_000_000
@@ -19,7 +17,7 @@
         loop: Loop,
         store: ExecutionStore,
         keep_results_us: int,
-        log: Any,
+        log: Logger,
         replication: JournalReplication | None,
     ) -> None:
         """Purge `store`, and with `replication` the journal."""
--- a/packages/daemon/src/walnutpost/daemon/schedule_progress.py
+++ b/packages/daemon/src/walnutpost/daemon/schedule_progress.py
@@ -14,7 +14,6 @@
     """
 
     def __init__(self, path: Path) -> None:
-        """Remove leftovers of an interrupted replacement."""
         self._path = path
         self._newest_due = 0
         remove_leftovers(path)
--- a/packages/daemon/src/walnutpost/daemon/settings_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/settings_watch.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable, Iterator, Mapping, Sequence
 from pathlib import Path
 from random import Random
-from typing import Any
 
 from immutables import Map
 
@@ -19,7 +18,7 @@
 from walnutpost.config.membership import MembershipConfig
 from walnutpost.configstore import ApplyOutcome, ConfigStore, Entry, InvalidSnapshotError, WatchState
 from walnutpost.configstore.relay_selection import RelaySelector
-from walnutpost.eventloop import Loop, Task, remove_leftovers, replace_file
+from walnutpost.eventloop import Logger, Loop, Task, remove_leftovers, replace_file
 from walnutpost.gateway import Function
 from walnutpost.watch import Watcher
 
@@ -103,7 +102,7 @@
         zone: str | None,
         incarnation: str,
         functions: AgreedFunctions,
-        log: Any,
+        log: Logger,
         cache_file: Path,
     ) -> None:
         """Load the table as last applied from `cache_file`; an invalid one is logged, and not used."""
--- a/packages/dispatch/src/walnutpost/dispatch/answers.py
+++ b/packages/dispatch/src/walnutpost/dispatch/answers.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
 
+from walnutpost.eventloop import Logger
 from walnutpost.gateway import Failed, Final, Rejected, Served
 
 CALLER_LEFT_REASON = "the caller hung up"
@@ -40,7 +40,7 @@
                 self.failed += 1
 
 
-def log_answer(log: Any, final: Final | None, request_id: str, function: str, tenant: str | None) -> None:
+def log_answer(log: Logger, final: Final | None, request_id: str, function: str, tenant: str | None) -> None:
     """Log `request_answered` unless the call was served; None is a caller that left.
 
     Payloads are never logged.
--- a/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
+++ b/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
@@ -4,12 +4,11 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 from walnutpost.dispatch.answers import AnswerCounts, log_answer
 from walnutpost.dispatch.effects import EffectRunner
 from walnutpost.dispatch.interfaces import DispatchHooks, WorkerTransport
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.gateway import (
     Answered,
     AttemptEnded,
@@ -29,7 +28,7 @@
     `hooks` may be set by the process that owns it; `answers` counts since the start.
     """
 
-    def __init__(self, loop: Loop, gateway: Gateway, transport: WorkerTransport, log: Any) -> None:
+    def __init__(self, loop: Loop, gateway: Gateway, transport: WorkerTransport, log: Logger) -> None:
         """`log` is a structured logger."""
         self._loop = loop
         self._gateway = gateway
--- a/packages/dispatch/src/walnutpost/dispatch/effects.py
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from walnutpost.dispatch.interfaces import DispatchHooks, WorkerTransport
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.gateway import (
     Answered,
     Cancel,
@@ -35,7 +35,7 @@
         loop: Loop,
         transport: WorkerTransport,
         hooks: DispatchHooks,
-        log: Any,
+        log: Logger,
         feed: Callable[[Input], None],
         on_answered: Callable[[Answered], None],
     ) -> None:
--- a/packages/eventloop/src/walnutpost/eventloop/__init__.py
+++ b/packages/eventloop/src/walnutpost/eventloop/__init__.py
@@ -27,6 +27,7 @@
     write_all,
 )
 from walnutpost.eventloop.listener import Listener
+from walnutpost.eventloop.logger import Logger
 from walnutpost.eventloop.loop import Loop
 from walnutpost.eventloop.streams import Stream, Tap
 from walnutpost.eventloop.sync import Event, Queue, TaskGroup
@@ -43,6 +44,7 @@
     "EventLoopError",
     "FileCalls",
     "Listener",
+    "Logger",
     "Loop",
     "NotInTaskError",
     "Queue",
--- a/packages/eventloop/src/walnutpost/eventloop/accept_errors.py
+++ b/packages/eventloop/src/walnutpost/eventloop/accept_errors.py
@@ -4,8 +4,8 @@
 
 import os
 from contextlib import suppress
-from typing import Any
 
+from walnutpost.eventloop.logger import Logger
 from walnutpost.eventloop.loop import Loop
 
 MAX_ACCEPT_ERRORS_IN_ROW = 32  # accepts that may fail one after the other before a pause
@@ -17,7 +17,7 @@
 class AcceptErrorLog:
     """Logs failed accepts as the event `accept_failed`, once a second at most, with their count."""
 
-    def __init__(self, loop: Loop, log: Any) -> None:
+    def __init__(self, loop: Loop, log: Logger) -> None:
         """`log` is a structured logger."""
         self._loop = loop
         self._log = log
@@ -38,7 +38,6 @@
     """Which failed accept is followed by a pause, and by how long a one."""
 
     def __init__(self) -> None:
-        """Start without errors."""
         self._errors_in_row = 0
         self._backoff_us = MIN_ACCEPT_BACKOFF_US
 
--- a/packages/eventloop/src/walnutpost/eventloop/clock.py
+++ b/packages/eventloop/src/walnutpost/eventloop/clock.py
@@ -45,7 +45,6 @@
     is_virtual = False
 
     def __init__(self) -> None:
-        """Read the wall clock."""
         self._base_ns = time.time_ns() - time.monotonic_ns()
         self._boot_id = _read_boot_id()
 
--- a/packages/eventloop/src/walnutpost/eventloop/errors.py
+++ b/packages/eventloop/src/walnutpost/eventloop/errors.py
@@ -21,7 +21,6 @@
     """A wait was begun outside the tasks of a loop: in a callback, or on another thread."""
 
     def __init__(self) -> None:
-        """Set the message."""
         super().__init__("only a task of this loop can wait; this is a callback or another thread")
 
 
@@ -59,7 +58,6 @@
     """A stream was used after it had been closed on this side."""
 
     def __init__(self) -> None:
-        """Set the error number, ECONNABORTED, and the message."""
         super().__init__(errno.ECONNABORTED, "closed here")
 
 
@@ -67,5 +65,4 @@
     """A connection ended without TLS's close_notify: somebody else may have cut it (RFC 8446, 6.1)."""
 
     def __init__(self) -> None:
-        """Set the error number, ECONNRESET, and the message."""
         super().__init__(errno.ECONNRESET, "cut off without TLS's farewell")
--- a/packages/eventloop/src/walnutpost/eventloop/periodic.py
+++ b/packages/eventloop/src/walnutpost/eventloop/periodic.py
@@ -24,7 +24,6 @@
     __slots__ = ("_callback", "_loop", "_name", "_period_us", "_timer", "failures")
 
     def __init__(self, loop: GuardingLoop, name: str, period_us: int, callback: Callable[[], object]) -> None:
-        """Schedule the first run after one period."""
         self._loop = loop
         self._name = name
         self._period_us = period_us
--- a/packages/eventloop/src/walnutpost/eventloop/sync.py
+++ b/packages/eventloop/src/walnutpost/eventloop/sync.py
@@ -18,7 +18,6 @@
     """Set once; every wait ends then."""
 
     def __init__(self, loop: TaskScheduler) -> None:
-        """Start unset."""
         self._loop = loop
         self._waiters: list[_Waiter] = []
         self.is_set = False
@@ -41,7 +40,6 @@
     """A bounded queue: first in, first out."""
 
     def __init__(self, loop: TaskScheduler, max_items: int) -> None:
-        """Start empty."""
         self._loop = loop
         self._max_items = max_items
         self._items: deque[T] = deque()
@@ -86,7 +84,6 @@
     """Tasks that end together: leaving the block waits for all, or cancels all when an error leaves it."""
 
     def __init__(self, loop: TaskScheduler) -> None:
-        """Start without tasks."""
         self._loop = loop
         self._tasks: dict[Task[Any], None] = {}
 
--- a/packages/eventloop/src/walnutpost/eventloop/timeouts.py
+++ b/packages/eventloop/src/walnutpost/eventloop/timeouts.py
@@ -29,7 +29,6 @@
     __slots__ = ("_error", "_loop", "_task", "_timeout_us", "_timer")
 
     def __init__(self, loop: InterruptingLoop, timeout_us: int) -> None:
-        """Prepare the block; the time runs from its entry."""
         self._loop = loop
         self._timeout_us = timeout_us
 
--- a/packages/eventloop/src/walnutpost/eventloop/worker_thread.py
+++ b/packages/eventloop/src/walnutpost/eventloop/worker_thread.py
@@ -27,7 +27,6 @@
     """Runs jobs on a thread that is started when first needed, and hands their outcomes to the loop."""
 
     def __init__(self) -> None:
-        """Start without a thread."""
         self._jobs: queue.SimpleQueue[Job | None] | None = None
         self._thread: threading.Thread | None = None
         self._finished: deque[Job] = deque()
--- a/packages/eventloop/tests/test_listener.py
+++ b/packages/eventloop/tests/test_listener.py
@@ -186,6 +186,8 @@
         def warning(self, event: str, **fields: Any) -> None:
             lines.append((event, fields))
 
+        info = error = warning
+
     def script(loop: Loop, faults: SocketFaults) -> None:
         log = AcceptErrorLog(loop, Log())
         for _ in range(5):
--- a/packages/fakes/src/walnutpost/fakes/authority.py
+++ b/packages/fakes/src/walnutpost/fakes/authority.py
@@ -63,7 +63,6 @@
     """A root and an intermediate, valid from a day before `now`."""
 
     def __init__(self, now: datetime | None = None, name: str = "test root") -> None:
-        """Make both with new keys."""
         self._now = now or datetime.now(UTC)
         root_key = _new_key()
         self._intermediate_key = _new_key()
--- a/packages/fakes/src/walnutpost/fakes/calls.py
+++ b/packages/fakes/src/walnutpost/fakes/calls.py
@@ -29,7 +29,6 @@
     """All calls that are not answered, and by function those that are queued."""
 
     def __init__(self) -> None:
-        """Begin without any."""
         self._calls: dict[int, Call] = {}
         self._queues: defaultdict[str, deque[Call]] = defaultdict(deque)
 
--- a/packages/fakes/src/walnutpost/fakes/cold_start.py
+++ b/packages/fakes/src/walnutpost/fakes/cold_start.py
@@ -13,7 +13,6 @@
     """The time since a restart at `restarted_us`; NEVER_RESTARTED_US is a worker that was warm all along."""
 
     def __init__(self, spec: WorkerSpec, restarted_us: int) -> None:
-        """Take the worker's figures and the time of its restart."""
         self._spec = spec
         self._restarted_us = restarted_us
         self._arrivals: deque[tuple[int, float]] = deque()  # time, work
--- a/packages/fakes/src/walnutpost/fakes/copies.py
+++ b/packages/fakes/src/walnutpost/fakes/copies.py
@@ -38,7 +38,6 @@
     def __init__(
         self, recorder: UsageRecorder, functions: dict[str, FunctionSpec], events: list[CopyEvent]
     ) -> None:
-        """Take the recorder, and the list that events are appended to."""
         self._recorder = recorder
         self._functions = functions
         self._events = events
--- a/packages/fakes/src/walnutpost/fakes/errors.py
+++ b/packages/fakes/src/walnutpost/fakes/errors.py
@@ -11,7 +11,6 @@
     """A command of a name that no fake worker knows. `found` is that name, `wanted` those that are known."""
 
     def __init__(self, found: str, wanted: tuple[str, ...]) -> None:
-        """Take the name that was found and those that would do."""
         super().__init__(f"no command {found!r}")
         self.found = found
         self.wanted = wanted
--- a/packages/fakes/src/walnutpost/fakes/load_orders.py
+++ b/packages/fakes/src/walnutpost/fakes/load_orders.py
@@ -19,7 +19,6 @@
     """The orders that are not answered, oldest first."""
 
     def __init__(self) -> None:
-        """Begin without any."""
         self._orders: list[LoadOrder] = []
 
     def __iter__(self) -> Iterator[LoadOrder]:
--- a/packages/fakes/src/walnutpost/fakes/load_reports.py
+++ b/packages/fakes/src/walnutpost/fakes/load_reports.py
@@ -11,7 +11,6 @@
     """Remembers what was true, for reports that are late."""
 
     def __init__(self, faults: Faults) -> None:
-        """Take the faults that decide what is reported."""
         self._faults = faults
         self._history: deque[tuple[int, dict[str, float]]] = deque()
 
--- a/packages/fakes/src/walnutpost/fakes/model_runner.py
+++ b/packages/fakes/src/walnutpost/fakes/model_runner.py
@@ -55,7 +55,6 @@
     def __init__(
         self, loop: Loop, model: WorkerModel, store: PackageStore, recorder: Recorder | None
     ) -> None:
-        """Take the model, and the store that its packages are in."""
         self.model = model
         self.runs: list[tuple[str, str, int]] = []
         self.loads: list[str] = []
--- a/packages/fakes/src/walnutpost/fakes/processor.py
+++ b/packages/fakes/src/walnutpost/fakes/processor.py
@@ -16,7 +16,6 @@
     """Runs calls: first their work, with an even share of the cores each, then their wait."""
 
     def __init__(self, spec: WorkerSpec, faults: Faults, cold_start: ColdStart) -> None:
-        """Begin without calls."""
         self._spec = spec
         self._faults = faults
         self._cold_start = cold_start
--- a/packages/fakes/src/walnutpost/fakes/store.py
+++ b/packages/fakes/src/walnutpost/fakes/store.py
@@ -22,7 +22,6 @@
     """A store in this process. `slowdown` is the factor by which every fetch takes longer."""
 
     def __init__(self, loop: Loop, max_concurrent: int, limit: int) -> None:
-        """Take the number of fetches at full speed, and the number past which fetches are rejected."""
         self._loop = loop
         self._max_concurrent = max_concurrent
         self._limit = limit
@@ -73,7 +72,6 @@
     """A StoreServer, seen from a worker."""
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
-        """Take the server's address; each fetch opens a connection."""
         self._loop = loop
         self._address = address
 
--- a/packages/faultinjection/src/walnutpost/faultinjection/audit/evidence.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/audit/evidence.py
@@ -80,7 +80,6 @@
     """What one incarnation of a front end shows."""
 
     def __init__(self, process: CapturedProcess, facts: Facts) -> None:
-        """Sort the exchanges of a capture."""
         self.process = process
         self.requests = list(_client_requests(process, facts))
         self.sends: list[WorkerSend] = []
--- a/packages/faultinjection/src/walnutpost/faultinjection/clients.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/clients.py
@@ -76,7 +76,6 @@
         front_ends: Sequence[FindAddress],
         tap: Tap | None,
     ) -> None:
-        """Take the front ends, of which each call chooses one at random."""
         self.results: list[CallResult] = []
         self._loop = loop
         self._scenario = scenario
--- a/packages/faultinjection/src/walnutpost/faultinjection/cluster.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/cluster.py
@@ -48,7 +48,6 @@
     """The processes of a scenario. `stop` ends them; whatever goes wrong meanwhile is in `failures`."""
 
     def __init__(self, loop: Loop, config: Config, scenario: Scenario, folder: Path) -> None:
-        """Take the folder for configurations, logs and captures."""
         self.loop = loop
         self.config = with_one_offs(config, scenario.one_off_functions)
         self.scenario = scenario
--- a/packages/faultinjection/src/walnutpost/faultinjection/config_faults.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/config_faults.py
@@ -71,7 +71,6 @@
     """Injects faults into a cluster, one after the other."""
 
     def __init__(self, cluster: ConfigCluster) -> None:
-        """Take the cluster."""
         self._cluster = cluster
 
     def inject(self, fault: ConfigFault) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/config_observer.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/config_observer.py
@@ -59,7 +59,6 @@
     """Follows the store, and reads the logs of members. What is not as agreed is in `violations`."""
 
     def __init__(self, loop: Loop, folder: Path, find_replica: Callable[[str], Address | None]) -> None:
-        """Take the folder of the logs, and where replicas are now, beside the proxied links."""
         self.violations: list[str] = []
         self.status_checks = 0
         self._folder = folder
--- a/packages/faultinjection/src/walnutpost/faultinjection/errors.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/errors.py
@@ -21,7 +21,6 @@
     """A process did not start: `found` is what it did instead; `log` is its log."""
 
     def __init__(self, process: str, found: str, log: Path) -> None:
-        """Take the process's name, what was found, and where to look."""
         super().__init__(f"{process} {found}; see {log}")
         self.process = process
         self.found = found
@@ -32,7 +31,6 @@
     """A wait that ended in vain: `wanted` is what it was for, `found` the reason; `logs` is their folder."""
 
     def __init__(self, wanted: str, found: str, logs: Path) -> None:
-        """Take what was waited for, the reason if it is known, and where to look."""
         super().__init__(f"waited in vain for {wanted}{': ' if found else ''}{found}; see {logs}")
         self.wanted = wanted
         self.found = found
@@ -43,7 +41,6 @@
     """A change set that the control plane rejected: `found` is its answer."""
 
     def __init__(self, change_id: str, found: str) -> None:
-        """Take the change and the answer."""
         super().__init__(f"{change_id}: {found}")
         self.change_id = change_id
         self.found = found
--- a/packages/faultinjection/src/walnutpost/faultinjection/fault_steps.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fault_steps.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 from random import Random
-from typing import Any
 
+from walnutpost.eventloop import Logger
 from walnutpost.faultinjection.cluster import Cluster, front_end_name
 from walnutpost.faultinjection.scenario import (
     AgeingWorkers,
@@ -30,8 +30,7 @@
 class FaultInjector:
     """One fault; machines that it does not name are chosen by `rng`."""
 
-    def __init__(self, cluster: Cluster, fault: AnyFault, rng: Random, log: Any) -> None:
-        """Take the cluster that the fault is for."""
+    def __init__(self, cluster: Cluster, fault: AnyFault, rng: Random, log: Logger) -> None:
         self._cluster = cluster
         self._fault = fault
         self._rng = rng
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_cluster.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_cluster.py
@@ -46,7 +46,6 @@
     """
 
     def __init__(self, loop: Loop, config: Config, scenario: FleetScenario, folder: Path) -> None:
-        """Take the folder for configurations, logs and captures."""
         assert config.fleet is not None
         self.loop = loop
         self.config = config
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_observer.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_observer.py
@@ -40,7 +40,6 @@
     """Health checks of all members. `outages` are those seen once `is_recording`."""
 
     def __init__(self, loop: Loop, folder: Path, front_ends: Sequence[str], workers: Sequence[str]) -> None:
-        """Take the folder in which agents write their processes' output."""
         self.outages: list[Outage] = []
         self.is_recording = False
         self._loop = loop
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
@@ -5,10 +5,9 @@
 from dataclasses import dataclass
 from functools import partial
 from pathlib import Path
-from typing import Any
 
 from walnutpost.config import Config
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.faultinjection.audit import Verdict, audit_folder
 from walnutpost.faultinjection.call_results import CallResult
 from walnutpost.faultinjection.capture import CAPTURE_SUFFIX, Capture
@@ -52,7 +51,7 @@
     state: FleetState
 
 
-def play_fleet(scenario: FleetScenario, config: Config, folder: Path, log: Any) -> FleetOutcome:
+def play_fleet(scenario: FleetScenario, config: Config, folder: Path, log: Logger) -> FleetOutcome:
     """Play a scenario in real time; logs and captures stay in `folder`. Raises ClusterError."""
     task_failures: list[str] = []
     loop = Loop(on_error=lambda name, error: task_failures.append(f"{name}: {error!r}"))
@@ -72,7 +71,7 @@
     )
 
 
-def _run(cluster: FleetCluster, log: Any) -> _Run:
+def _run(cluster: FleetCluster, log: Logger) -> _Run:
     """Run traffic and steps against a cluster, from its start until its plans have ended."""
     loop, scenario = cluster.loop, cluster.scenario
     cluster.start()
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_steps.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_steps.py
@@ -4,9 +4,9 @@
 
 import json
 from contextlib import ExitStack
-from typing import Any
 
 from walnutpost.config import overlay_sections
+from walnutpost.eventloop import Logger
 from walnutpost.faultinjection.fleet_cluster import FleetCluster
 from walnutpost.faultinjection.fleet_faults import injected
 from walnutpost.faultinjection.fleet_scenario import AnyStep, OperatorStep, ProcessFault
@@ -25,8 +25,7 @@
 class StepRunner:
     """Takes the steps of a scenario; `halts` are the times in which a halt was in effect."""
 
-    def __init__(self, cluster: FleetCluster, log: Any) -> None:
-        """Take the cluster that the steps are for."""
+    def __init__(self, cluster: FleetCluster, log: Logger) -> None:
         self.halts: list[HaltSpan] = []
         self._cluster = cluster
         self._log = log
--- a/packages/faultinjection/src/walnutpost/faultinjection/network.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/network.py
@@ -73,7 +73,6 @@
     """
 
     def __init__(self, loop: Loop, find_target: Callable[[], Address | None]) -> None:
-        """Listen, and accept until the loop ends."""
         self.forward = LinkDirection(loop)
         self.backward = LinkDirection(loop)
         self._loop = loop
@@ -145,8 +144,6 @@
     def __init__(
         self, loop: Loop, names: tuple[str, ...], find_address: Callable[[str], Address | None]
     ) -> None:
-        """Listen for each pair."""
-
         def target(name: str) -> Callable[[], Address | None]:
             return lambda: find_address(name)
 
--- a/packages/faultinjection/src/walnutpost/faultinjection/scenario_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/scenario_run.py
@@ -6,11 +6,10 @@
 from functools import partial
 from pathlib import Path
 from random import Random
-from typing import Any
 
 from walnutpost.config import Config
 from walnutpost.config.conversion import ms_to_us
-from walnutpost.eventloop import Loop, TaskGroup
+from walnutpost.eventloop import Logger, Loop, TaskGroup
 from walnutpost.faultinjection.audit import Verdict, audit_folder
 from walnutpost.faultinjection.call_results import CallResult
 from walnutpost.faultinjection.capture import CAPTURE_SUFFIX, Capture
@@ -35,7 +34,7 @@
     usage: list[UsageComparison] = field(default_factory=list)
 
 
-def play(scenario: Scenario, config: Config, folder: Path, log: Any) -> ScenarioOutcome:
+def play(scenario: Scenario, config: Config, folder: Path, log: Logger) -> ScenarioOutcome:
     """Play a scenario in real time; captures and logs stay in `folder`. Raises ClusterError."""
     task_failures: list[str] = []
     loop = Loop(on_error=lambda name, error: task_failures.append(f"{name}: {error!r}"))
@@ -52,7 +51,7 @@
     return ScenarioOutcome(results, audit_folder(folder), [*task_failures, *cluster.failures], usage)
 
 
-def _run(cluster: Cluster, log: Any) -> list[CallResult]:
+def _run(cluster: Cluster, log: Logger) -> list[CallResult]:
     """Run traffic and faults against a cluster, from its start on."""
     loop, scenario, folder = cluster.loop, cluster.scenario, cluster.folder
     cluster.start()
--- a/packages/faultinjection/src/walnutpost/faultinjection/simulated_members.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/simulated_members.py
@@ -89,7 +89,6 @@
     def __init__(
         self, loop: Loop, name: str, relays: Mapping[str, str], write: Write, fault: MemberFault
     ) -> None:
-        """Take the addresses of the relays by name, and where its lines go."""
         self._loop = loop
         self._write = write
         self._fault = fault
--- a/packages/fleet/src/walnutpost/fleet/context.py
+++ b/packages/fleet/src/walnutpost/fleet/context.py
@@ -15,7 +15,6 @@
     """
 
     def __init__(self, state: FleetState | None = None, table: ConfigStore | None = None) -> None:
-        """Empty where nothing is given."""
         self.state = state or FleetState()
         self.table = table or ConfigStore()
         self.followers_version = 0
--- a/packages/fleet/src/walnutpost/fleet/endpoints.py
+++ b/packages/fleet/src/walnutpost/fleet/endpoints.py
@@ -44,7 +44,6 @@
     """
 
     def __init__(self) -> None:
-        """Know no worker yet."""
         self._since: dict[str, tuple[str, int]] = {}  # incarnation and time, by name
         self._index = -1
 
--- a/packages/fleet/src/walnutpost/fleet/permit_holder.py
+++ b/packages/fleet/src/walnutpost/fleet/permit_holder.py
@@ -25,7 +25,6 @@
     """
 
     def __init__(self, requested_at_us: int, begin_timeout_us: int) -> None:
-        """Begin with the request that has just been sent."""
         self._deadline_us = requested_at_us + begin_timeout_us
         self.phase = PermitPhase.REQUESTED
         self.permit = ""
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -8,10 +8,9 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
-from typing import Any
 
 from walnutpost.cron import Fire, Planner, Schedule, Skip, format_execution_name
-from walnutpost.eventloop import Event, Loop
+from walnutpost.eventloop import Event, Logger, Loop
 from walnutpost.fronts.calls import DeferOutcome, DeferredCalls
 from walnutpost.fronts.cron.pacer import FiringLimits, Pacer
 from walnutpost.fronts.cron.recorder import MAX_SKIPS_PER_COMMIT, FiringRecorder, RejectionReason
@@ -53,7 +52,7 @@
         store: FiringStore,
         uncertain_until_us: int,
         limits: FiringLimits,
-        log: Any,
+        log: Logger,
         on_progress: Callable[[int, int], None],
     ) -> None:
         """Read the store, before the loop runs.
--- a/packages/fronts/src/walnutpost/fronts/cron/recorder.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/recorder.py
@@ -4,10 +4,9 @@
 
 from collections.abc import Callable, Iterable, Sequence
 from enum import Enum
-from typing import Any
 
 from walnutpost.cron import Skip
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.store import Change, FiringRow, FiringStore, StoreError
 
 STORE_RETRY_INTERVAL_US = 500_000
@@ -25,7 +24,7 @@
 class FiringRecorder:
     """Commits outcomes of due times, and retries until they are durable."""
 
-    def __init__(self, loop: Loop, store: FiringStore, epoch_us: Callable[[], int], log: Any) -> None:
+    def __init__(self, loop: Loop, store: FiringStore, epoch_us: Callable[[], int], log: Logger) -> None:
         """`epoch_us` gives the time of day, which may jump either way."""
         self._loop = loop
         self._store = store
--- a/packages/fronts/src/walnutpost/fronts/errors.py
+++ b/packages/fronts/src/walnutpost/fronts/errors.py
@@ -13,6 +13,5 @@
     """Whether an execution exists cannot be known now: `sites`, which may know it, did not answer."""
 
     def __init__(self, sites: Iterable[str]) -> None:
-        """Take the names of the sites."""
         self.sites = sorted(sites)
         super().__init__(f"no site that can be reached knows it; not asked: {', '.join(self.sites)}")
--- a/packages/fronts/src/walnutpost/fronts/invoke/front.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/front.py
@@ -65,7 +65,6 @@
         arns: ArnFormat,
         max_deferred_deadline_us: int,
     ) -> None:
-        """Take the core's interfaces and what it knows of functions."""
         self._calls = calls
         self._deferred = deferred
         self._catalogue = catalogue
--- a/packages/fronts/tests/fronts_rig.py
+++ b/packages/fronts/tests/fronts_rig.py
@@ -22,7 +22,6 @@
     """Deferred calls as a client makes and sees them."""
 
     def __init__(self, fleet: Fleet) -> None:
-        """Send to the fleet's front end."""
         self.fleet = fleet
 
     def start(self, function: str, payload: bytes, name: str) -> Response:
--- a/packages/gateway/src/walnutpost/gateway/calls.py
+++ b/packages/gateway/src/walnutpost/gateway/calls.py
@@ -65,7 +65,6 @@
     """The open calls, by their number and by the tickets of their callers."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self.by_number: dict[int, Call] = {}
         self.by_ticket: dict[int, Call] = {}
         self._last_number = 0
--- a/packages/gateway/src/walnutpost/gateway/catalogue.py
+++ b/packages/gateway/src/walnutpost/gateway/catalogue.py
@@ -85,7 +85,6 @@
     """
 
     def __init__(self, bits: int, names: Iterable[str] = ()) -> None:
-        """Start with the given names, which are never forgotten."""
         self._bits = bits
         self._numbers: dict[str, int] = {}
         self._names: dict[int, str] = {}
--- a/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
+++ b/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
@@ -29,7 +29,6 @@
     """
 
     def __init__(self, ttl_us: int, max_bytes: int) -> None:
-        """Start empty."""
         self._ttl_us = ttl_us
         self._max_bytes = max_bytes
         self._open: dict[Hashable, int] = {}
--- a/packages/http/src/walnutpost/http/client.py
+++ b/packages/http/src/walnutpost/http/client.py
@@ -13,7 +13,6 @@
     """A connection to a server; after an error, or when it is not `is_reusable`, it is to be closed."""
 
     def __init__(self, stream: Stream, limits: Limits | None = None) -> None:
-        """Take over a stream."""
         self.stream = stream
         self._parser = ResponseParser(limits or Limits())
         self.is_reusable = True
--- a/packages/http/src/walnutpost/http/parsing.py
+++ b/packages/http/src/walnutpost/http/parsing.py
@@ -95,7 +95,6 @@
     """Takes bytes; `ready` has the complete requests, in order."""
 
     def __init__(self, limits: Limits) -> None:
-        """Start between two requests."""
         super().__init__(limits)
         self.ready: deque[Request] = deque()
         self.wants_continue = False  # the client waits for 100 before it sends the body
@@ -144,7 +143,6 @@
     """Takes bytes of one response after another; `response` is the last complete one until taken."""
 
     def __init__(self, limits: Limits) -> None:
-        """Start between two responses."""
         super().__init__(limits)
         self.response: Response | None = None
         self.has_input = False  # any byte at all since the last complete response
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 from http import HTTPStatus
 from ssl import SSLContext
-from typing import Any
 
 from walnutpost.eventloop import (
     AcceptErrorLog,
     Cancelled,
     Listener,
+    Logger,
     Loop,
     Stream,
     Tap,
@@ -213,7 +213,7 @@
     tap: Tap | None = None,
     role: str = "",
     context: SSLContext | None = None,
-    log: Any = None,
+    log: Logger | None = None,
 ) -> Server:
     """Return a server that already accepts, as a task of its own; under TLS where there is a context.
 
--- a/packages/metering/src/walnutpost/metering/bookings.py
+++ b/packages/metering/src/walnutpost/metering/bookings.py
@@ -12,7 +12,6 @@
     """Booked statements, of the hours whose records are retained."""
 
     def __init__(self, booked: Mapping[int, Statement]) -> None:
-        """Begin with what is on disk."""
         self._booked = {hour_us: dict(statement) for hour_us, statement in booked.items()}
 
     def statement(self, hour_us: int) -> Statement:
--- a/packages/metering/src/walnutpost/metering/budgets.py
+++ b/packages/metering/src/walnutpost/metering/budgets.py
@@ -58,7 +58,6 @@
     """All budgets of a site, one for each tenant at most."""
 
     def __init__(self, budgets: Sequence[Budget]) -> None:
-        """Begin within all budgets."""
         self._budgets = {budget.tenant: budget for budget in budgets}
         self._states = dict.fromkeys(self._budgets, BudgetState.WITHIN)
         self._period_starts_us: dict[str, int] = {}
--- a/packages/metering/src/walnutpost/metering/closing.py
+++ b/packages/metering/src/walnutpost/metering/closing.py
@@ -11,7 +11,6 @@
     """All hours before `closed_to_us` are closed. Those whose statement may have changed since are stale."""
 
     def __init__(self, closed_to_us: int, slice_retention_us: int) -> None:
-        """Begin without stale hours; none is older than the retention of slices."""
         self.closed_to_us = closed_to_us
         self._slice_retention_us = slice_retention_us
         self._stale: set[int] = set()
--- a/packages/metering/src/walnutpost/metering/errors.py
+++ b/packages/metering/src/walnutpost/metering/errors.py
@@ -11,7 +11,6 @@
     """Usage that a worker cannot have: what was `found`, and what was `wanted` instead."""
 
     def __init__(self, found: str, wanted: str) -> None:
-        """Both are texts with the figures in them."""
         super().__init__(f"found {found}, wanted {wanted}")
         self.found = found
         self.wanted = wanted
--- a/packages/metering/src/walnutpost/metering/recorder.py
+++ b/packages/metering/src/walnutpost/metering/recorder.py
@@ -65,7 +65,6 @@
     def __init__(
         self, worker: str, started_us: int, memory_mb: int, max_final_slices: int = MAX_FINAL_SLICES
     ) -> None:
-        """Begin without copies."""
         self._worker = worker
         self._started_us = started_us
         self._memory_mb = memory_mb
--- a/packages/metering/src/walnutpost/metering/tracked_records.py
+++ b/packages/metering/src/walnutpost/metering/tracked_records.py
@@ -24,7 +24,6 @@
     """Records by key. One that replaces another must be persisted again."""
 
     def __init__(self) -> None:
-        """Begin without records."""
         self._records: dict[Key, Record] = {}
         self._unwritten: dict[Key, None] = {}  # in order of their change
 
--- a/packages/metering/tests/metering_rig.py
+++ b/packages/metering/tests/metering_rig.py
@@ -36,7 +36,6 @@
     """
 
     def __init__(self, rng: Random, max_final_slices: int = 20_000) -> None:
-        """Begin without copies."""
         self.rng = rng
         self.now = START_US
         self.recorder = UsageRecorder("w", START_US, 4096, max_final_slices)
--- a/packages/metering/tests/test_sampling.py
+++ b/packages/metering/tests/test_sampling.py
@@ -66,7 +66,6 @@
     """A worker that reports no usage, driven at random by two front ends with a sampler each."""
 
     def __init__(self, rng: Random) -> None:
-        """Begin without copies."""
         self.rng = rng
         self.now = START_US
         self.samplers = [UsageSampler(number, SIZES, KEEP_ALIVE_US) for number in (1, 2)]
--- a/packages/node/src/walnutpost/node/client_context.py
+++ b/packages/node/src/walnutpost/node/client_context.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from typing import Protocol
 
 from walnutpost.dispatch import Dispatcher
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.node.open_requests import OpenRequests
 
 MAX_OPEN_REQUESTS = 32  # on one connection
@@ -16,7 +16,7 @@
 
     loop: Loop
     dispatcher: Dispatcher
-    log: Any
+    log: Logger
     class_indices: dict[str, int]
     class_deadlines_us: dict[str, int]
     tenants: tuple[str, ...]
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -4,11 +4,10 @@
 
 from contextlib import suppress
 from functools import partial
-from typing import Any
 
 from walnutpost import interface as api
 from walnutpost.dispatch import Dispatcher
-from walnutpost.eventloop import AcceptErrorLog, Listener, Loop, Stream
+from walnutpost.eventloop import AcceptErrorLog, Listener, Logger, Loop, Stream
 from walnutpost.node.client_connection import ClientConnection
 from walnutpost.node.open_requests import OpenRequests, RequestIdentity
 
@@ -27,7 +26,7 @@
         classes: tuple[str, ...],
         tenants: tuple[str, ...],
         max_connections: int,
-        log: Any,
+        log: Logger,
     ) -> None:
         """Start with no connections; `classes` are the names of the settings' classes."""
         self.loop = loop
--- a/packages/node/src/walnutpost/node/directory.py
+++ b/packages/node/src/walnutpost/node/directory.py
@@ -75,7 +75,6 @@
     """The list of workers, and which responses may replace it."""
 
     def __init__(self, names: TopologyNames) -> None:
-        """Start with an empty list."""
         self._names = names
         self._endpoints: dict[str, Endpoint] = {}
         self._open_queries: dict[int, None] = {}
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -10,9 +10,8 @@
 from collections.abc import Callable
 from contextlib import suppress
 from random import Random
-from typing import Any
 
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.gateway import WorkersListed
 from walnutpost.node.directory import Address, Directory, EndpointListError
 
@@ -33,7 +32,7 @@
         address: Address,
         seed: int,
         on_change: Callable[[WorkersListed], None],
-        log: Any,
+        log: Logger,
     ) -> None:
         """Begin to poll at `address`; `on_change` is called with each new list."""
         self._loop = loop
--- a/packages/node/src/walnutpost/node/node.py
+++ b/packages/node/src/walnutpost/node/node.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 from walnutpost.dispatch import Dispatcher
-from walnutpost.eventloop import Listener, Loop
+from walnutpost.eventloop import Listener, Logger, Loop
 from walnutpost.gateway import Catalogue, Gateway, ShuttingDown, WorkersListed
 from walnutpost.interface import ListKind
 from walnutpost.node.clients import Clients
@@ -29,7 +27,7 @@
 class Node:
     """A front end: listens for clients as soon as it is made."""
 
-    def __init__(self, loop: Loop, config: Config, log: Any) -> None:
+    def __init__(self, loop: Loop, config: Config, log: Logger) -> None:
         """Raise EndpointListError or OSError where the list can't be read or the address can't be had."""
         self._loop = loop
         self._log = log
--- a/packages/node/src/walnutpost/node/open_requests.py
+++ b/packages/node/src/walnutpost/node/open_requests.py
@@ -24,7 +24,6 @@
     """
 
     def __init__(self) -> None:
-        """Start with none."""
         self.identities: dict[int, RequestIdentity] = {}
         self.request_ids: set[bytes] = set()
         self._read_ahead: dict[int, Callable[[], None]] = {}  # of the connection that each came on
--- a/packages/node/src/walnutpost/node/outbox.py
+++ b/packages/node/src/walnutpost/node/outbox.py
@@ -17,7 +17,6 @@
     """
 
     def __init__(self) -> None:
-        """Start empty."""
         self._waiting: deque[Exchange | bytes] = deque()
         self._unsent = b""  # what is left of the command that has begun to leave
         self._partial: Exchange | None = None  # whose command that is
--- a/packages/node/src/walnutpost/node/resp.py
+++ b/packages/node/src/walnutpost/node/resp.py
@@ -113,7 +113,6 @@
     """Parses the bytes of one connection into responses; buffers no more than one response may have."""
 
     def __init__(self, report_fields: Iterable[str]) -> None:
-        """Take the names of the load report's values in the order of the settings."""
         self._incomplete = b""
         self._report_fields = tuple(report_fields)
 
--- a/packages/node/src/walnutpost/node/stats.py
+++ b/packages/node/src/walnutpost/node/stats.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 import time
-from typing import Any
 
 from walnutpost.dispatch import Dispatcher
+from walnutpost.eventloop import Logger
 from walnutpost.interface import Outcome
 from walnutpost.node.clients import Clients
 from walnutpost.node.discovery import DiscoveryClient
@@ -25,9 +25,8 @@
         pool: WorkerPool,
         workers: WorkerCommands,
         discovery: DiscoveryClient,
-        log: Any,
+        log: Logger,
     ) -> None:
-        """Take the parts whose counts are reported."""
         self._dispatcher = dispatcher
         self._clients = clients
         self._pool = pool
--- a/packages/node/src/walnutpost/node/worker_pool.py
+++ b/packages/node/src/walnutpost/node/worker_pool.py
@@ -22,7 +22,6 @@
     """All connections to workers, bounded by `limits`; the owner of each `WorkerConnection`."""
 
     def __init__(self, loop: Loop, limits: WorkerLimits) -> None:
-        """Start with no workers."""
         self.loop = loop
         self.limits = limits
         self.connection_count = 0
--- a/packages/node/tests/node_rig.py
+++ b/packages/node/tests/node_rig.py
@@ -68,7 +68,7 @@
     def info(self, event: str, **fields: object) -> None:
         self.lines.append(f"{event} {fields}")
 
-    warning = info
+    warning = error = info
 
 
 Words = list[bytes]
--- a/packages/policy/src/walnutpost/policy/attempt_results.py
+++ b/packages/policy/src/walnutpost/policy/attempt_results.py
@@ -43,7 +43,6 @@
         placement: Placement,
         failures: FailureDetection,
     ) -> None:
-        """Work on the given parts."""
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
--- a/packages/policy/src/walnutpost/policy/attempts.py
+++ b/packages/policy/src/walnutpost/policy/attempts.py
@@ -22,7 +22,6 @@
         slow_start: SlowStart,
         health_checks: HealthChecks,
     ) -> None:
-        """Work on the given parts."""
         self._context = context
         self._endpoints = endpoints
         self._slow_start = slow_start
--- a/packages/policy/src/walnutpost/policy/endpoint_updates.py
+++ b/packages/policy/src/walnutpost/policy/endpoint_updates.py
@@ -44,7 +44,6 @@
         placement: Placement,
         failures: FailureDetection,
     ) -> None:
-        """Work on the given parts."""
         self._context = context
         self._timers = timers
         self._endpoints = endpoints
--- a/packages/policy/src/walnutpost/policy/endpoints.py
+++ b/packages/policy/src/walnutpost/policy/endpoints.py
@@ -29,7 +29,6 @@
     __slots__ = ("_settings", "list_version", "ready_count", "total_in_flight", "total_weight", "workers")
 
     def __init__(self, context: DecisionContext) -> None:
-        """Start without workers."""
         self._settings = context.settings
         self.workers: dict[int, Worker] = {}
         self.ready_count = 0
--- a/packages/policy/src/walnutpost/policy/failure_detection.py
+++ b/packages/policy/src/walnutpost/policy/failure_detection.py
@@ -37,7 +37,6 @@
         health_checks: HealthChecks,
         placement: Placement,
     ) -> None:
-        """Work on the given parts."""
         self._context = context
         self._timers = timers
         self._endpoints = endpoints
--- a/packages/policy/src/walnutpost/policy/functions.py
+++ b/packages/policy/src/walnutpost/policy/functions.py
@@ -54,7 +54,6 @@
     __slots__ = ("_time_constant_us", "by_key")
 
     def __init__(self, keep_alive_us: int) -> None:
-        """Start empty."""
         self._time_constant_us = CALL_RATE_KEEP_ALIVES * keep_alive_us
         self.by_key: dict[int, Function] = {}
 
--- a/packages/policy/src/walnutpost/policy/health_checks.py
+++ b/packages/policy/src/walnutpost/policy/health_checks.py
@@ -28,7 +28,6 @@
         outliers: OutlierDetection,
         orders: LoadOrders,
     ) -> None:
-        """Derive the time until a probe from its price."""
         self._context = context
         self._timers = timers
         self._functions = functions
--- a/packages/policy/src/walnutpost/policy/load_balancing.py
+++ b/packages/policy/src/walnutpost/policy/load_balancing.py
@@ -31,7 +31,6 @@
         orders: LoadOrders,
         attempts: Attempts,
     ) -> None:
-        """Read the given parts."""
         self._context = context
         self._endpoints = endpoints
         self._outliers = outliers
--- a/packages/policy/src/walnutpost/policy/load_order_limit.py
+++ b/packages/policy/src/walnutpost/policy/load_order_limit.py
@@ -23,7 +23,6 @@
     __slots__ = ("_arrivals_us", "_guards", "_settings", "open_orders", "request_arrivals_us")
 
     def __init__(self, settings: api.Settings) -> None:
-        """Start without orders or requests."""
         self._settings = settings
         self._guards = settings.guards
         self.open_orders = 0
--- a/packages/policy/src/walnutpost/policy/load_order_results.py
+++ b/packages/policy/src/walnutpost/policy/load_order_results.py
@@ -25,7 +25,6 @@
         placement: Placement,
         failures: FailureDetection,
     ) -> None:
-        """Work on the given parts."""
         self._context = context
         self._endpoints = endpoints
         self._functions = functions
--- a/packages/policy/src/walnutpost/policy/load_orders.py
+++ b/packages/policy/src/walnutpost/policy/load_orders.py
@@ -20,7 +20,6 @@
     __slots__ = ("_context", "limit", "usual_load_time_us")
 
     def __init__(self, context: DecisionContext, limit: LoadOrderLimit) -> None:
-        """Start with the usual load time."""
         self._context = context
         self.limit = limit
         self.usual_load_time_us = INITIAL_LOAD_TIME_OBJECTIVES * context.objective_us
--- a/packages/policy/src/walnutpost/policy/load_shedding.py
+++ b/packages/policy/src/walnutpost/policy/load_shedding.py
@@ -25,7 +25,6 @@
     def __init__(
         self, context: DecisionContext, endpoints: Endpoints, requests: OpenRequests, traffic: TrafficRates
     ) -> None:
-        """Read the given parts."""
         self._context = context
         self._endpoints = endpoints
         self._requests = requests
--- a/packages/policy/src/walnutpost/policy/outlier_detection.py
+++ b/packages/policy/src/walnutpost/policy/outlier_detection.py
@@ -44,7 +44,6 @@
     )
 
     def __init__(self, context: DecisionContext, endpoints: Endpoints) -> None:
-        """Start with the usual figures."""
         self._context = context
         self._endpoints = endpoints
         self._fade_us = SAMPLE_KEEP_ALIVES * context.keep_alive_us
--- a/packages/policy/src/walnutpost/policy/placement.py
+++ b/packages/policy/src/walnutpost/policy/placement.py
@@ -46,7 +46,6 @@
         balancing: LoadBalancing,
         scaling: Scaling,
     ) -> None:
-        """Work on the given parts."""
         self._context = context
         self._timers = timers
         self._requests = requests
--- a/packages/policy/src/walnutpost/policy/prewarming.py
+++ b/packages/policy/src/walnutpost/policy/prewarming.py
@@ -29,7 +29,6 @@
         copies: WarmCopies,
         orders: LoadOrders,
     ) -> None:
-        """Work on the given parts."""
         self._context = context
         self._timers = timers
         self._endpoints = endpoints
--- a/packages/policy/src/walnutpost/policy/rates.py
+++ b/packages/policy/src/walnutpost/policy/rates.py
@@ -47,6 +47,5 @@
     __slots__ = ("answers", "arrivals")
 
     def __init__(self, keep_alive_us: int, objective_us: int) -> None:
-        """Start both counters empty."""
         self.arrivals = DecayingRate(CALL_RATE_KEEP_ALIVES * keep_alive_us)
         self.answers = DecayingRate(ANSWER_RATE_OBJECTIVES * objective_us)
--- a/packages/policy/src/walnutpost/policy/requests.py
+++ b/packages/policy/src/walnutpost/policy/requests.py
@@ -54,7 +54,6 @@
     __slots__ = ("_context", "by_id")
 
     def __init__(self, context: DecisionContext) -> None:
-        """Start empty."""
         self._context = context
         self.by_id: dict[int, Request] = {}
 
--- a/packages/policy/src/walnutpost/policy/slow_start.py
+++ b/packages/policy/src/walnutpost/policy/slow_start.py
@@ -21,7 +21,6 @@
     __slots__ = ("_context", "_endpoints", "_guards", "_history_us", "_index", "_traffic")
 
     def __init__(self, context: DecisionContext, endpoints: Endpoints, traffic: TrafficRates) -> None:
-        """Read the given parts."""
         self._context = context
         self._endpoints = endpoints
         self._traffic = traffic
--- a/packages/policy/src/walnutpost/policy/timers.py
+++ b/packages/policy/src/walnutpost/policy/timers.py
@@ -26,7 +26,6 @@
     __slots__ = ("_armed_us", "_context", "_due_us", "_min_delay_us", "queue")
 
     def __init__(self, context: DecisionContext) -> None:
-        """Start without timers."""
         self._context = context
         self._min_delay_us = max(1, context.settings.tick_us)
         self._due_us: dict[tuple[TimerKind, int], int] = {}
--- a/packages/policy/src/walnutpost/policy/warm_copies.py
+++ b/packages/policy/src/walnutpost/policy/warm_copies.py
@@ -26,7 +26,6 @@
         outliers: OutlierDetection,
         traffic: TrafficRates,
     ) -> None:
-        """Read the given parts; the copies themselves are in each function's state."""
         self._context = context
         self._endpoints = endpoints
         self._outliers = outliers
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -9,7 +9,6 @@
 from collections.abc import Callable, Mapping
 from contextlib import suppress
 from random import Random
-from typing import Any
 
 from walnutpost.configstore import (
     MAX_LOG_BYTES,
@@ -23,7 +22,7 @@
 from walnutpost.configstore.member_registry import MemberRegistry
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
-from walnutpost.eventloop import Event, Loop, WaitTimeoutError
+from walnutpost.eventloop import Event, Logger, Loop, WaitTimeoutError
 from walnutpost.http import Exchange, HttpMessageError, Limits, Response
 from walnutpost.http.server import serve_on
 from walnutpost.watch import Watcher, WatchServer
@@ -66,7 +65,7 @@
         name: str,
         replicas: Mapping[str, Address],
         listen: Address,
-        log: Any,
+        log: Logger,
         seed: int,
         address: str = "",
     ) -> None:
--- a/packages/replication/src/walnutpost/replication/replica_server.py
+++ b/packages/replication/src/walnutpost/replication/replica_server.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any
 from urllib.parse import unquote
 
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Logger, Loop
 from walnutpost.http import Exchange, HttpMessageError, Limits, Response, Server
 from walnutpost.http.server import serve_on
 from walnutpost.journal import InvalidBatchError, JournalBatch, JournalOffset, plan_batch_write
@@ -18,7 +17,7 @@
 class ReplicaServer:
     """Serves the journals of one store. At most one batch of an origin is written at a time."""
 
-    def __init__(self, loop: Loop, store: JournalStore, address: tuple[str, int], log: Any) -> None:
+    def __init__(self, loop: Loop, store: JournalStore, address: tuple[str, int], log: Logger) -> None:
         """Listen on `address`."""
         self._store = store
         self._log = log
--- a/packages/replication/src/walnutpost/replication/sender.py
+++ b/packages/replication/src/walnutpost/replication/sender.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from walnutpost.eventloop import Loop, Task, WaitTimeoutError
+from walnutpost.eventloop import Logger, Loop, Task, WaitTimeoutError
 from walnutpost.eventloop.timers import Timer
 from walnutpost.http import Connection, HttpMessageError, Limits
 from walnutpost.journal import (
@@ -42,7 +42,7 @@
         replicas: Iterable[str],
         policy: ReplicationPolicy,
         timeout_us: int,
-        log: Any,
+        log: Logger,
     ) -> None:
         """Start with `replicas`, names in `addresses`; `timeout_us` is for each message."""
         self._loop = loop
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -32,7 +32,6 @@
     """
 
     def __init__(self, message: str, is_uncertain: bool = False) -> None:
-        """Set a message for people and whether the change may be on disk."""
         super().__init__(message)
         self.is_uncertain = is_uncertain
 
--- a/packages/store/src/walnutpost/store/firings.py
+++ b/packages/store/src/walnutpost/store/firings.py
@@ -48,7 +48,6 @@
     """Firings, and for each schedule a mark: up to there all due times have an outcome."""
 
     def __init__(self, database: Database) -> None:
-        """Add the tables, before the loop runs."""
         self._database = database
         database.create_tables(SCHEMA)
 
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -8,7 +8,6 @@
 from contextlib import suppress
 from dataclasses import dataclass
 from functools import partial
-from typing import Any
 
 from msgspec import structs
 
@@ -24,7 +23,7 @@
     encode,
 )
 from walnutpost.configstore.relay_selection import RelaySelector
-from walnutpost.eventloop import Loop, Task, WaitTimeoutError
+from walnutpost.eventloop import Logger, Loop, Task, WaitTimeoutError
 from walnutpost.http import Connection, HttpMessageError, Limits, Response, encode_request
 from walnutpost.watch.errors import UnusableServerError
 from walnutpost.watch.pace import IdleBackoff, TokenBucket
@@ -104,7 +103,7 @@
         state: WatchState,
         selector: RelaySelector,
         on_outcome: Callable[[ApplyOutcome], None],
-        log: Any,
+        log: Logger,
         wait_timeout_us: int = 3_000_000,
         rate_bytes_per_s: int = RECEIVE_RATE_BYTES_PER_S,
         max_server_age_us: int = MAX_SERVER_AGE_US,
--- a/packages/watch/src/walnutpost/watch/pace.py
+++ b/packages/watch/src/walnutpost/watch/pace.py
@@ -12,7 +12,6 @@
     """
 
     def __init__(self, rate_bytes_per_s: int, burst_bytes: int, now: int) -> None:
-        """Begin with the full burst available."""
         self._rate = rate_bytes_per_s
         self._debt_bytes = -burst_bytes  # negative: what is left of the burst
         self._updated_us = now
@@ -37,7 +36,6 @@
     """The delay before the next request after a response without progress: doubles with each in a row."""
 
     def __init__(self, min_wait_us: int, max_wait_us: int) -> None:
-        """Begin with the minimum."""
         self._min_wait_us = min_wait_us
         self._max_wait_us = max_wait_us
         self._next_wait_us = min_wait_us
--- a/packages/workerclient/src/walnutpost/workerclient/errors.py
+++ b/packages/workerclient/src/walnutpost/workerclient/errors.py
@@ -13,7 +13,6 @@
     """A query got no response; `outcome` is how it ended. Also a ConnectionError, like its usual causes."""
 
     def __init__(self, worker: str, outcome: Outcome) -> None:
-        """Keep the worker and the outcome of the query."""
         super().__init__(outcome.value)
         self.worker = worker
         self.outcome = outcome
