--- a/packages/adapter/src/walnutpost/adapter/decoding.py
+++ b/packages/adapter/src/walnutpost/adapter/decoding.py
@@ -113,7 +113,7 @@
 def _decode_request_arrived(fields: bytes) -> InstanceInput:
     unpacked = frames.REQUEST_ARRIVED.unpack(fields)
     instance, request, class_index, tenant, function, time_left_us, hint_us = unpacked[:7]
-    memory_mb, lanes, load_time_ms, flags = unpacked[7:]
+    memory_mb, concurrency, load_time_ms, flags = unpacked[7:]
     event = api.RequestArrived(
         request=request,
         class_index=class_index,
@@ -122,7 +122,7 @@
         time_left_us=time_left_us,
         cost_hint_us=hint_us if flags & frames.HINT_VALID_FLAG else None,
         memory_mb=memory_mb,
-        lanes=lanes,
+        concurrency=concurrency,
         load_time_us=int(load_time_ms * frames.US_PER_MS),
         is_repeat=bool(flags & frames.CLIENT_REPEAT_FLAG),
     )
--- a/packages/config/src/walnutpost/config/conversion.py
+++ b/packages/config/src/walnutpost/config/conversion.py
@@ -46,7 +46,7 @@
         name,
         class_index=classes.index(function.class_),
         memory_mb=function.memory_mb,
-        lanes=float(function.lanes),
+        concurrency=float(function.concurrency),
         load_time_us=ms_to_us(function.load_time_ms),
         cost_hint_us=ms_to_us(function.cost_hint_ms) if function.cost_hint_ms is not None else None,
         version=function.version,
--- a/packages/config/src/walnutpost/config/site.py
+++ b/packages/config/src/walnutpost/config/site.py
@@ -12,7 +12,7 @@
 from walnutpost.config.base import Milliseconds, Name, Ratio, StrictModel
 
 MAX_CLASSES = 64
-MAX_LANES = 1024
+MAX_CONCURRENCY = 1024
 RESERVED_TENANT = "-"  # stands for calls without a tenant
 
 
@@ -41,11 +41,11 @@
 
 
 class FunctionConfig(StrictModel):
-    """A function: memory of one copy, calls at a time in one copy (`lanes`), hints for the first choices."""
+    """A function: memory and concurrency (key `lanes`) of one copy, hints for the first choices."""
 
     class_: Name = Field(alias="class")
     memory_mb: float = Field(gt=0)
-    lanes: int = Field(1, ge=1, le=MAX_LANES)
+    concurrency: int = Field(1, alias="lanes", ge=1, le=MAX_CONCURRENCY)
     load_time_ms: Milliseconds = Field(0.0, alias="load_ms")
     cost_hint_ms: float | None = Field(None, alias="cost_ms", gt=0)
     version: Annotated[str, StringConstraints(pattern=r"^[0-9]{1,18}$")] = "1"
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -35,7 +35,7 @@
     def __getitem__(self, name: str) -> FunctionSize:
         """Return a function's size."""
         function = self._functions[name]
-        return FunctionSize(ceil(function.memory_mb), int(function.lanes), function.load_time_us)
+        return FunctionSize(ceil(function.memory_mb), int(function.concurrency), function.load_time_us)
 
     def __iter__(self) -> Iterator[str]:
         """Iterate over the functions' names."""
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -137,14 +137,18 @@
         copy_counts = {w: copies.count for w, copies in state.copies.items()}
         first = f.loop.spawn(f.invoke, "price")
         f.until(lambda: f.runs("price") == 1)
-        f.change(put_function("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"}))
+        f.change(
+            put_function("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"})
+        )
         open_calls = f.front.dispatcher._gateway._calls.by_number.values()
-        assert [(copies.function.version, copies.function.lanes) for copies in open_calls] == [("1", 2.0)]
+        assert [(copies.function.version, copies.function.concurrency) for copies in open_calls] == [
+            ("1", 2.0)
+        ]
         second = f.invoke("price")
         assert (second.status, second.headers["x-amz-executed-version"]) == (200, "2")
         assert (first.join().status, first.join().headers["x-amz-executed-version"]) == (200, "1")
         arrivals = [e for e in events if isinstance(e, RequestArrived)]
-        response = [(e.class_index, e.memory_mb, e.lanes, e.load_time_us) for e in arrivals]
+        response = [(e.class_index, e.memory_mb, e.concurrency, e.load_time_us) for e in arrivals]
         assert response == [(0, 400, 2.0, 300_000), (1, 512, 7.0, 80_000)]
         assert not [e for e in events if isinstance(e, WorkersListed)]
         assert f.front.dispatcher._gateway._router is router
--- a/packages/fakes/src/walnutpost/fakes/copies.py
+++ b/packages/fakes/src/walnutpost/fakes/copies.py
@@ -22,7 +22,7 @@
     number: int
     function: str
     is_ready: bool = False
-    running: int = 0  # lanes in use
+    running: int = 0  # slots in use
     idle_since_us: int = 0
     ready_at_us: int | None = None  # the end of its start phase, once its package is there
 
@@ -53,12 +53,12 @@
         self._append(now_us, CopyEventKind.READY, copy)
 
     def call_started(self, now_us: int, copy: Copy, tenant: str) -> None:
-        """Record that a call takes a lane."""
+        """Record that a call takes a slot."""
         self._recorder.start_call(now_us, copy.number, tenant)
         self._append(now_us, CopyEventKind.CALL_STARTED, copy, tenant)
 
     def call_ended(self, now_us: int, copy: Copy, tenant: str) -> None:
-        """Record that a call leaves its lane."""
+        """Record that a call leaves its slot."""
         self._recorder.end_call(now_us, copy.number, tenant)
         self._append(now_us, CopyEventKind.CALL_ENDED, copy, tenant)
 
@@ -121,10 +121,10 @@
         """Return how many copies of a function are ready."""
         return sum(copy.is_ready for copy in self._copies.get(function, ()))
 
-    def free_lane(self, function: str) -> Copy | None:
+    def copy_with_free_slot(self, function: str) -> Copy | None:
         """Return the copy with the fewest running calls that can take another."""
-        lanes = self._functions[function].lanes
-        free = [c for c in self._copies[function] if c.is_ready and c.running < lanes]
+        concurrency = self._functions[function].concurrency
+        free = [c for c in self._copies[function] if c.is_ready and c.running < concurrency]
         return min(free, key=lambda c: c.running) if free else None
 
     def due_times_us(self) -> list[int]:
--- a/packages/fakes/src/walnutpost/fakes/fleet.py
+++ b/packages/fakes/src/walnutpost/fakes/fleet.py
@@ -33,7 +33,7 @@
         specs[name] = FunctionSpec(
             name=name,
             memory_mb=function.memory_mb,
-            lanes=function.lanes,
+            concurrency=function.concurrency,
             work_us=ms_to_us(work.work_ms),
             wait_us=ms_to_us(work.wait_ms),
             work_spread=work.spread,
--- a/packages/fakes/src/walnutpost/fakes/model.py
+++ b/packages/fakes/src/walnutpost/fakes/model.py
@@ -1,4 +1,4 @@
-"""What a fake worker does, as a state machine: copies, lanes, memory, loads, cores, cold starts, drains.
+"""What a fake worker does, as a state machine: copies, slots, memory, loads, cores, cold starts, drains.
 
 No I/O and no clock: times (microseconds) come in with each event, and reactions come out.
 """
@@ -81,9 +81,9 @@
             return self._reject(call, rejection)
         self._calls.enqueue(call)
         self._dispatch(function)
-        lanes = spec.lanes * len(copies)
-        if queue and crowd + 1 > lanes:
-            self._copies.begin_load(now_us, function)  # all lanes are in use: another copy, if one fits
+        concurrency = spec.concurrency * len(copies)
+        if queue and crowd + 1 > concurrency:
+            self._copies.begin_load(now_us, function)  # all slots are in use: another copy, if one fits
         return self._take_reactions()
 
     def order_load(self, now_us: int, request_id: int, function: str, copies: int) -> list[Reaction]:
@@ -240,10 +240,10 @@
         self._settle_orders()
 
     def _dispatch(self, function: str) -> None:
-        """Start queued calls of a function, as long as lanes are free."""
+        """Start queued calls of a function, as long as slots are free."""
         queue = self._calls.queue_of(function)
         while queue:
-            copy = self._copies.free_lane(function)
+            copy = self._copies.copy_with_free_slot(function)
             if copy is None:
                 return
             call = queue.popleft()
--- a/packages/fakes/src/walnutpost/fakes/specs.py
+++ b/packages/fakes/src/walnutpost/fakes/specs.py
@@ -9,13 +9,13 @@
 class FunctionSpec:
     """A function: `work_us` of a core of speed 1, then `wait_us` for other systems.
 
-    A call's work differs from the mean by up to the ratio `work_spread`. `lanes` calls run at a time in one
-    copy. A load takes `load_us`, of which the ratio `fetch_share` is the fetch of the package.
+    A call's work differs from the mean by up to the ratio `work_spread`. `concurrency` calls run at a time
+    in one copy. A load takes `load_us`, of which the ratio `fetch_share` is the fetch of the package.
     """
 
     name: str
     memory_mb: float
-    lanes: int
+    concurrency: int
     work_us: int
     wait_us: int
     work_spread: float
--- a/packages/fakes/tests/test_worker_model.py
+++ b/packages/fakes/tests/test_worker_model.py
@@ -73,12 +73,12 @@
         return found[0] if found else None
 
 
-def test_load_takes_fetch_and_start_and_then_lanes_share_the_cores() -> None:
+def test_load_takes_fetch_and_start_and_then_calls_share_the_cores() -> None:
     rig = Rig()
     order = rig.order_load(1)
     rig.run_until(2 * SECOND)
     assert rig.answer(order) == (SECOND + 500 * MS, LoadOrderOutcome.OK)
-    calls = [rig.call() for _ in range(3)]  # two lanes; the third waits for one, while another copy loads
+    calls = [rig.call() for _ in range(3)]  # two slots; the third waits for one, while another copy loads
     rig.run_until(10 * SECOND)
     times = [rig.answer(c) for c in calls]
     assert times[:2] == [(2 * SECOND + 100 * MS, CallOutcome.OK)] * 2
--- a/packages/faultinjection/src/walnutpost/faultinjection/config_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/config_run.py
@@ -19,8 +19,8 @@
 CALL_TIMEOUT_US = 25 * SECOND_US
 WARM_UP_ROUNDS = 3
 QUIET_DELAY_US = 2 * SECOND_US  # after which requests that waited at the last change have been sent again
-MIN_LANES = 2
-LANES_VARIANTS = 50
+MIN_CONCURRENCY = 2
+CONCURRENCY_VARIANTS = 50
 MAX_SHOWN_BYTES = 200
 
 
@@ -140,7 +140,9 @@
     def _change(self) -> None:
         while self._is_under_load:
             self.outcome.changes += 1
-            self._cluster.change(twin_mutations(MIN_LANES + self.outcome.changes % LANES_VARIANTS))
+            self._cluster.change(
+                twin_mutations(MIN_CONCURRENCY + self.outcome.changes % CONCURRENCY_VARIANTS)
+            )
             self._cluster.loop.sleep(round(self._scenario.change_interval_s * SECOND_US))
 
     def _call_repeatedly(self, name: str) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/config_topology.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/config_topology.py
@@ -46,9 +46,9 @@
     return {"classes": {"plain": CALL_CLASS}, "functions": functions, "keep_alive_ms": KEEP_ALIVE_MS}
 
 
-def twin_mutations(lanes: int) -> tuple[Mutation, ...]:
+def twin_mutations(concurrency: int) -> tuple[Mutation, ...]:
     """Return the change that all scenarios are made of: both twins get the same settings at once."""
-    settings = {"class": "plain", "lanes": lanes, "load_ms": 20.0, "memory_mb": 64.0}
+    settings = {"class": "plain", "lanes": concurrency, "load_ms": 20.0, "memory_mb": 64.0}
     value = json.dumps(settings, sort_keys=True, separators=(",", ":")).encode()
     return tuple(Mutation(key, value) for key in TWIN_KEYS)
 
--- a/packages/fronts/tests/test_invoke.py
+++ b/packages/fronts/tests/test_invoke.py
@@ -57,7 +57,7 @@
     fleet.run(script)
 
 
-def test_a_client_that_hangs_up_frees_its_lane(tmp_path: Path) -> None:
+def test_a_client_that_hangs_up_frees_its_slot(tmp_path: Path) -> None:
     fleet = Fleet(tmp_path)
 
     def script() -> None:
--- a/packages/gateway/src/walnutpost/gateway/catalogue.py
+++ b/packages/gateway/src/walnutpost/gateway/catalogue.py
@@ -20,14 +20,14 @@
 class Function:
     """What is configured of a function.
 
-    `class_index` points into Settings.classes; `memory_mb` is of one copy; `lanes` are calls at a time in one
-    copy; `load_time_us` is 0 and `cost_hint_us` (on a standard core) None where not configured.
+    `class_index` points into Settings.classes; `memory_mb` is of one copy; `concurrency` is calls at a time
+    in one copy; `load_time_us` is 0 and `cost_hint_us` (on a standard core) None where not configured.
     """
 
     name: str
     class_index: int
     memory_mb: float
-    lanes: float
+    concurrency: float
     load_time_us: int = 0
     cost_hint_us: int | None = None
     version: str = "1"
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -115,7 +115,7 @@
                 time_left_us=event.time_left_us,
                 cost_hint_us=function.cost_hint_us,
                 memory_mb=function.memory_mb,
-                lanes=function.lanes,
+                concurrency=function.concurrency,
                 load_time_us=function.load_time_us,
                 is_repeat=event.is_repeat,
                 waited_us=event.waited_us,
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -239,7 +239,7 @@
 
     def seen(now: int, event: Any) -> Any:
         if isinstance(event, RequestArrived):
-            asked.append((event.class_index, event.memory_mb, event.lanes, event.load_time_us))
+            asked.append((event.class_index, event.memory_mb, event.concurrency, event.load_time_us))
         return handle(now, event)
 
     rig.gateway._router.handle = seen  # type: ignore[method-assign]
--- a/packages/interface/src/walnutpost/interface/events.py
+++ b/packages/interface/src/walnutpost/interface/events.py
@@ -44,7 +44,7 @@
     time_left_us: int
     cost_hint_us: int | None
     memory_mb: float
-    lanes: float
+    concurrency: float
     load_time_us: int
     is_repeat: bool
     waited_us: int = 0
--- a/packages/metering/src/walnutpost/metering/allocation.py
+++ b/packages/metering/src/walnutpost/metering/allocation.py
@@ -1,6 +1,6 @@
 """Whom a copy's memory-time is charged to. No I/O.
 
-Running time is charged to the tenants that ran, by lanes in use. Three rules for the rest are compared in
+Running time is charged to the tenants that ran, by slots in use. Three rules for the rest are compared in
 docs/metering.md; the ledger uses LAST_USER.
 """
 
--- a/packages/metering/src/walnutpost/metering/recorder.py
+++ b/packages/metering/src/walnutpost/metering/recorder.py
@@ -27,7 +27,7 @@
     is_ready: bool = False
     first_tenant: str | None = None
     last_tenant: str | None = None
-    lanes: Counter[str] = field(default_factory=Counter)  # in use, by tenant
+    running_calls: Counter[str] = field(default_factory=Counter)  # in use, by tenant
     loading_us: int = 0
     unused_us: int = 0
     running_us: dict[str, int] = field(default_factory=dict)
@@ -38,8 +38,8 @@
         time_us = end_us - self.counted_until_us
         if not self.is_ready:
             self.loading_us += time_us
-        elif self.lanes:
-            for tenant, share_us in split_proportionally(time_us, self.lanes).items():
+        elif self.running_calls:
+            for tenant, share_us in split_proportionally(time_us, self.running_calls).items():
                 self.running_us[tenant] = self.running_us.get(tenant, 0) + share_us
         elif self.last_tenant is None:
             self.unused_us += time_us
@@ -85,17 +85,17 @@
         self._counted(now_us, copy).is_ready = True
 
     def start_call(self, now_us: int, copy: int, tenant: str) -> None:
-        """Record that a call uses a lane of a copy."""
+        """Record that a call uses a slot of a copy."""
         record = self._counted(now_us, copy)
         if record.first_tenant is None:
             record.first_tenant = tenant
-        record.lanes[tenant] += 1
+        record.running_calls[tenant] += 1
 
     def end_call(self, now_us: int, copy: int, tenant: str) -> None:
         """Record that a call has ended."""
         record = self._counted(now_us, copy)
-        record.lanes[tenant] -= 1
-        record.lanes += Counter()  # removes those at 0
+        record.running_calls[tenant] -= 1
+        record.running_calls += Counter()  # removes those at 0
         record.last_tenant = tenant
 
     def remove_copy(self, now_us: int, copy: int) -> None:
--- a/packages/metering/src/walnutpost/metering/records.py
+++ b/packages/metering/src/walnutpost/metering/records.py
@@ -42,7 +42,7 @@
 
     Each microsecond that the copy held memory is counted in one place: `loading_us` until it was ready,
     `unused_us` from then to its first call ever, `running_us` while calls ran, shared among their tenants by
-    lanes in use, `idle_us` while no call ran, by the tenant whose call ended last. A call without a tenant
+    slots in use, `idle_us` while no call ran, by the tenant whose call ended last. A call without a tenant
     has the empty string. The counters hold up to `counted_until_us`.
     """
 
--- a/packages/metering/src/walnutpost/metering/sampling.py
+++ b/packages/metering/src/walnutpost/metering/sampling.py
@@ -1,6 +1,6 @@
 """Usage sampling: a front end's estimate of copies at workers that report no usage, with its bounds.
 
-No I/O. Lower bound: the lanes that its calls took, as if the lanes of every copy were full. Upper bound: each
+No I/O. Lower bound: the slots that its calls took, as if the slots of every copy were full. Upper bound: each
 call and each ordered copy on a copy of its own, loaded for it and kept alive after it. The estimate: as many
 copies as the calls in flight need, or as the worker's answers to load orders report; idle time to the last
 user.
@@ -23,7 +23,7 @@
     """What a copy of a function takes."""
 
     memory_mb: int
-    lanes: int
+    concurrency: int
     load_time_us: int
 
 
@@ -39,13 +39,13 @@
     idle_since_us: int = 0
     last_tenant: str = UNATTRIBUTED
     best_us: dict[str, int] = field(default_factory=dict)
-    lane_us: dict[str, int] = field(default_factory=dict)
+    slot_us: dict[str, int] = field(default_factory=dict)
     upper_bound_us: dict[str, int] = field(default_factory=dict)
 
     @property
     def needed_copies(self) -> int:
         """Return how many copies the calls in flight fill."""
-        return -(-self.call_count // self.size.lanes)
+        return -(-self.call_count // self.size.concurrency)
 
     def has_copies(self, now_us: int, keep_alive_us: int) -> bool:
         """Whether a copy is believed to be loaded."""
@@ -91,9 +91,9 @@
         copies = max(self.copies, self.needed_copies)
         for tenant, share_us in split_proportionally(time_us, self.calls).items():
             _add(self.best_us, tenant, share_us * copies)
-        for tenant, lanes in self.calls.items():
-            _add(self.lane_us, tenant, time_us * lanes)
-            _add(self.upper_bound_us, tenant, time_us * lanes)
+        for tenant, calls in self.calls.items():
+            _add(self.slot_us, tenant, time_us * calls)
+            _add(self.upper_bound_us, tenant, time_us * calls)
 
     def _count_idle(self, end_us: int, keep_alive_us: int) -> None:
         unload_us = self.idle_since_us + keep_alive_us
@@ -106,7 +106,7 @@
     def reset_counters(self) -> None:
         """Begin a new hour."""
         self.best_us = {}
-        self.lane_us = {}
+        self.slot_us = {}
         self.upper_bound_us = {}
 
     def amounts(self) -> dict[str, Amount]:
@@ -115,7 +115,7 @@
         found = {}
         for tenant in {*self.best_us, *self.upper_bound_us}:
             best_us = self.best_us.get(tenant, 0)
-            lower_us = self.lane_us.get(tenant, 0) // self.size.lanes
+            lower_us = self.slot_us.get(tenant, 0) // self.size.concurrency
             upper_us = max(best_us, self.upper_bound_us.get(tenant, 0))
             found[tenant] = Amount(
                 memory_mb * max(best_us, lower_us), memory_mb * lower_us, memory_mb * upper_us
--- a/packages/metering/tests/metering_rig.py
+++ b/packages/metering/tests/metering_rig.py
@@ -26,7 +26,7 @@
 TENANTS = ("tills", "trade", "website")
 POLICY = MeteringPolicy()
 MAX_COPIES = 6
-MAX_LANES = 3
+MAX_CONCURRENCY = 3
 
 
 class RandomWorker:
@@ -66,7 +66,7 @@
             self.ready.add(copy)
             self.recorder.mark_ready(self.now, copy)
             self.note("ready", copy)
-        elif len(self.copies[copy]) < MAX_LANES and self.rng.random() < 0.6:
+        elif len(self.copies[copy]) < MAX_CONCURRENCY and self.rng.random() < 0.6:
             self.start_call(copy)
         elif self.copies[copy]:
             self.end_call(copy)
--- a/packages/metering/tests/test_recorder.py
+++ b/packages/metering/tests/test_recorder.py
@@ -25,11 +25,11 @@
     assert sum(amount.best for amount in metered.values()) == sum(true.values())
     for account, amount in metered.items():
         assert amount == exact_amount(amount.best)
-        # Shares are whole microseconds: each span with several lanes may be off by one of them.
+        # Shares are whole microseconds: each span with several slots may be off by one of them.
         assert abs(amount.best - true[account.tenant, account.function]) <= 102 * (120 + len(reports)) * 6
 
 
-def test_a_copy_that_serves_three_tenants_beyond_its_lanes_is_shared_by_lanes_in_use() -> None:
+def test_a_copy_that_serves_three_tenants_beyond_its_concurrency_is_shared_by_slots_in_use() -> None:
     recorder = UsageRecorder("w", START_US, 1000)
     recorder.start_copy(START_US, 1, "f", 100)
     recorder.mark_ready(START_US + 10, 1)
--- a/packages/metering/tests/test_sampling.py
+++ b/packages/metering/tests/test_sampling.py
@@ -40,9 +40,9 @@
 
 KEEP_ALIVE_US = 10 * SECOND_US
 LOAD_TIME_US = SECOND_US
-LANES = 2
+CONCURRENCY = 2
 MAX_CALLS = 5
-SIZES = {"f": FunctionSize(100, LANES, LOAD_TIME_US)}
+SIZES = {"f": FunctionSize(100, CONCURRENCY, LOAD_TIME_US)}
 
 
 @dataclass
@@ -96,10 +96,10 @@
             self.start_call()
 
     def start_call(self) -> None:
-        """Let a random tenant call by a random front end; load a copy if no lane is free."""
+        """Let a random tenant call by a random front end; load a copy if no slot is free."""
         tenant = self.rng.choice(TENANTS)
         sampler = self.rng.choice(self.samplers)
-        free = [number for number, copy in self.copies.items() if len(copy.calls) < LANES]
+        free = [number for number, copy in self.copies.items() if len(copy.calls) < CONCURRENCY]
         number = free[0] if free else self.load_copy()
         self.copies[number].calls.append(tenant)
         self.note("ran", number, tenant)
--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -217,7 +217,7 @@
             call.function,
             self._context.class_indices[call.request_class],
             call.memory_mb,
-            call.lanes,
+            call.concurrency,
             call.load_time_us,
             call.cost_us,
         )
--- a/packages/node/src/walnutpost/node/rpc.py
+++ b/packages/node/src/walnutpost/node/rpc.py
@@ -25,7 +25,7 @@
 NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?")
 IDEMPOTENCY_KEY = re.compile(r"[\w.:-]{0,64}", re.ASCII)  # goes into a list of fields as it is
 MAX_COST_MS = 1e9
-MAX_MEMORY_MB, MAX_LANES, MAX_LOAD_MS = 1e6, 1e4, 1e7
+MAX_MEMORY_MB, MAX_CONCURRENCY, MAX_LOAD_MS = 1e6, 1e4, 1e7
 BUDGET_SLACK_MS = 1000  # the check is whether a number is sane, not how a client rounds it
 
 
@@ -43,8 +43,8 @@
 class CallRequest(Message, frozen=True):
     """A call of a function.
 
-    `memory_mb`, `lanes` and `load_time_us` are those of one copy. `tenant`, `cost_us` (of a standard core)
-    and `idempotency_key` come on some platforms only.
+    `memory_mb`, `concurrency` and `load_time_us` are those of one copy. `tenant`, `cost_us` (of a standard
+    core) and `idempotency_key` come on some platforms only.
     """
 
     message_id: int
@@ -54,7 +54,7 @@
     budget_us: int
     is_retry: bool
     memory_mb: float
-    lanes: float
+    concurrency: float
     load_time_us: int
     body: bytes
     tenant: str | None = None
@@ -203,7 +203,7 @@
             int(budget_ms * 1000),
             "again" in fields,
             _parse_number(attributes, "memory_mb", 0, MAX_MEMORY_MB, 0.0),
-            _parse_number(attributes, "lanes", 1, MAX_LANES, 1.0),
+            _parse_number(attributes, "lanes", 1, MAX_CONCURRENCY, 1.0),
             int(_parse_number(attributes, "load_ms", 0, MAX_LOAD_MS, 0.0) * 1000),
             body,
             tenant,
--- a/packages/node/tests/test_node_golden.py
+++ b/packages/node/tests/test_node_golden.py
@@ -61,7 +61,7 @@
                 message.budget_us,
                 message.is_retry,
                 message.memory_mb,
-                message.lanes,
+                message.concurrency,
                 message.load_time_us,
                 message.body,
                 optional(message.tenant),
--- a/packages/policy/src/walnutpost/policy/functions.py
+++ b/packages/policy/src/walnutpost/policy/functions.py
@@ -22,7 +22,7 @@
 
     key: int
     calls: DecayingRate
-    lanes: int = 1  # requests that one copy serves at a time
+    concurrency: int = 1  # requests that one copy serves at a time
     load_time_us: int = 0  # as the request says; 0 if unknown
     copies: dict[int, Copy] = field(default_factory=dict)  # by worker, believed warm
     in_flight: Counter[int] = field(default_factory=Counter)  # own attempts by worker; no zeros
--- a/packages/policy/src/walnutpost/policy/load_balancing.py
+++ b/packages/policy/src/walnutpost/policy/load_balancing.py
@@ -41,7 +41,7 @@
     def choose_warm_worker(self, request: Request) -> Worker | None:
         """Return the warm worker with the least in flight for its weight and slowness, ties at random.
 
-        Workers with a free lane come first. An unsafe call, which can't be tried again, never goes to an
+        Workers with a free slot come first. An unsafe call, which can't be tried again, never goes to an
         outlier, and to a suspected worker only if there is no other.
         """
         function, outliers, random = request.function, self._outliers, self._context.random
@@ -50,7 +50,7 @@
         def busyness(worker: Worker) -> tuple[bool, bool, float, float]:
             load = (worker.in_flight + 1) * outliers.slowness(worker) / worker.weight
             is_second_choice = is_unsafe and outliers.is_suspected(worker)
-            return is_second_choice, self._copies.exceeds_lanes(function, worker), load, random.random()
+            return is_second_choice, self._copies.exceeds_concurrency(function, worker), load, random.random()
 
         candidates = [w for w in self._copies.warm_workers(function) if self._may_choose(request, w)]
         return min(candidates, key=busyness, default=None)
--- a/packages/policy/src/walnutpost/policy/load_shedding.py
+++ b/packages/policy/src/walnutpost/policy/load_shedding.py
@@ -13,7 +13,7 @@
 MAX_SHED_RATIO = 0.9  # of the requests
 CHANCE_DEVIATIONS = 1.0  # standard deviations of the number in flight that are put down to chance
 STUCK_OBJECTIVES = 2.0  # an attempt in flight for longer is stuck: it tells nothing of the next
-NO_FREE_LANE_FACTOR = 0.5  # on the priority of a request with no free lane, which would cost a load besides
+NO_FREE_SLOT_FACTOR = 0.5  # on the priority of a request with no free slot, which would cost a load besides
 MAX_RECENT_PRIORITIES = 256  # requests among which a priority is ranked
 
 
@@ -37,7 +37,7 @@
         The time to answer is estimated by Little's law: requests in flight over the rate of answers.
         """
         context = self._context
-        busy = self._busy_lanes()
+        busy = self._busy_slots()
         if context.now_us - context.began_us < context.objective_us or busy <= CHANCE_DEVIATIONS**2:
             return 0.0
         rate = max(self._traffic.answers.per_us(context.now_us), 1 / context.objective_us)
@@ -45,11 +45,11 @@
         excess = (wait_objectives - SHED_START_OBJECTIVES) / (SHED_FULL_OBJECTIVES - SHED_START_OBJECTIVES)
         return min(MAX_SHED_RATIO, excess)
 
-    def should_shed(self, request: Request, tenant: int, no_free_lane: bool) -> bool:
+    def should_shed(self, request: Request, tenant: int, has_no_free_slot: bool) -> bool:
         """Decide on arrival; the request's priority is ranked among those of the last requests."""
         priority = self._priority(request, tenant)
-        if no_free_lane:
-            priority *= NO_FREE_LANE_FACTOR
+        if has_no_free_slot:
+            priority *= NO_FREE_SLOT_FACTOR
         self._recent.append((priority, tenant))
         shortage = self.shortage()
         if shortage <= 0:
@@ -58,7 +58,7 @@
         equal = sum(other == priority for other, _ in self._recent)
         return (lower + self._context.random.random() * equal) / len(self._recent) < shortage
 
-    def _busy_lanes(self) -> int:
+    def _busy_slots(self) -> int:
         """Return the attempts in flight on warm copies; a few slow workers are no shortage."""
         since_us = self._context.now_us - STUCK_OBJECTIVES * self._context.objective_us
         by_worker = Counter(
--- a/packages/policy/src/walnutpost/policy/placement.py
+++ b/packages/policy/src/walnutpost/policy/placement.py
@@ -20,7 +20,7 @@
 
 
 class Placement:
-    """The design's path: the least busy warm worker, over its lanes too; queue only while nothing is warm."""
+    """The design's path: the least busy warm worker, even past its concurrency; queue if nothing is warm."""
 
     __slots__ = (
         "_attempts",
@@ -63,7 +63,7 @@
         if worker is None:
             self._place_without_copy(request)
             return
-        needs_copies = self._copies.exceeds_lanes(function, worker) or len(
+        needs_copies = self._copies.exceeds_concurrency(function, worker) or len(
             function.copies
         ) < self._copies.spread_target(function)
         self._attempts.send(request, worker)
--- a/packages/policy/src/walnutpost/policy/router.py
+++ b/packages/policy/src/walnutpost/policy/router.py
@@ -114,7 +114,7 @@
         """Reject the request in shortage or when it comes too late; else place it."""
         now_us = self.context.now_us
         function = self.functions.get_or_create(event.function)
-        function.lanes = max(1, int(event.lanes))
+        function.concurrency = max(1, int(event.concurrency))
         function.load_time_us = event.load_time_us
         self._prewarming.schedule_refresh(function)
         self.traffic.arrivals.add(now_us)
@@ -123,9 +123,9 @@
         # On a network a request is counted only once a worker's answer proves it genuine.
         self.load_orders.count_request(request, is_genuine=self.context.settings.is_ideal_network)
         warm = self._copies.warm_workers(function)
-        no_free_lane = all(self._copies.exceeds_lanes(function, worker) for worker in warm)
+        has_no_free_slot = all(self._copies.exceeds_concurrency(function, worker) for worker in warm)
         is_late = request.deadline_us <= now_us
-        if is_late or self._shedding.should_shed(request, event.tenant, no_free_lane):
+        if is_late or self._shedding.should_shed(request, event.tenant, has_no_free_slot):
             self.requests.reject_or_fail(request)
             return
         self._schedule_deadline(request)
--- a/packages/policy/src/walnutpost/policy/scaling.py
+++ b/packages/policy/src/walnutpost/policy/scaling.py
@@ -77,7 +77,8 @@
         """Return how many copies to order now.
 
         None in shortage: more copies add no cores, and their loads take some. One elsewhere in any case if
-        all warm ones are on overloaded workers: lanes say what a copy takes, not what a worker's cores bear.
+        all warm ones are on overloaded workers: concurrency says what a copy takes,
+        not what a worker's cores bear.
         """
         warm = self._copies.warm_workers(function)
         lacking = self._copies.target(function, warm) - sum(function.copies[w.info.id].count for w in warm)
--- a/packages/policy/src/walnutpost/policy/warm_copies.py
+++ b/packages/policy/src/walnutpost/policy/warm_copies.py
@@ -1,4 +1,4 @@
-"""Belief in copies: where they are warm, how many are wanted, whether they have a free lane."""
+"""Belief in copies: where they are warm, how many are wanted, whether they have a free slot."""
 
 import math
 
@@ -44,10 +44,12 @@
         workers = map(self._endpoints.workers.__getitem__, copies)
         return [w for w in workers if w.is_ready and w.silent_since_us is None]
 
-    def exceeds_lanes(self, function: Function, worker: Worker) -> bool:
-        """Whether the worker's copies have no free lane, or its cores none to give."""
-        lanes = function.lanes * function.copies[worker.info.id].count
-        return function.in_flight.get(worker.info.id, 0) >= lanes or self._outliers.is_overloaded(worker)
+    def exceeds_concurrency(self, function: Function, worker: Worker) -> bool:
+        """Whether the worker's copies have no free slot, or its cores none to give."""
+        concurrency = function.concurrency * function.copies[worker.info.id].count
+        return function.in_flight.get(worker.info.id, 0) >= concurrency or self._outliers.is_overloaded(
+            worker
+        )
 
     def others_refresh(self, function: Function) -> bool:
         """Whether the other front ends' calls, estimated from this one's, refresh each copy often enough."""
@@ -71,4 +73,4 @@
         """Return the copies wanted: for the demand and one request more, or for the spread."""
         in_flight = sum(function.in_flight.get(w.info.id, 0) for w in warm)
         demand = in_flight + len(function.queued) + 1
-        return max(1, math.ceil(demand / function.lanes), self.spread_target(function))
+        return max(1, math.ceil(demand / function.concurrency), self.spread_target(function))
--- a/packages/policy/tests/neutral_form.py
+++ b/packages/policy/tests/neutral_form.py
@@ -48,8 +48,8 @@
     11: (api.WorkersListed, "kind version workers"),
     12: (
         api.RequestArrived,
-        "request class_index tenant function time_left_us cost_hint_us memory_mb lanes load_time_us is_repeat"
-        " waited_us",
+        "request class_index tenant function time_left_us cost_hint_us memory_mb concurrency load_time_us"
+        " is_repeat waited_us",
     ),
     13: (api.AnswerStarted, "request attempt worker latency_us"),
     14: (api.AttemptEnded, "request attempt worker outcome latency_us is_finished warmth crowd report"),
@@ -73,7 +73,7 @@
     40: (api.FetchEndpoints, ""),
     41: (api.Log, "text"),
     # The gateway's inputs
-    50: (gateway.Function, "name class_index memory_mb lanes load_time_us cost_hint_us version"),
+    50: (gateway.Function, "name class_index memory_mb concurrency load_time_us cost_hint_us version"),
     51: (
         gateway.CallArrived,
         "ticket function payload time_left_us tenant idempotency_key is_repeat is_durable outlives_callers"
--- a/packages/policy/tests/rig.py
+++ b/packages/policy/tests/rig.py
@@ -65,12 +65,21 @@
         return self.feed(api.WorkersListed(kind, 1, workers))
 
     def ask(
-        self, function: int = 7, class_index: int = 0, time_left_us: int = 3 * SECOND, lanes: float = 2
+        self, function: int = 7, class_index: int = 0, time_left_us: int = 3 * SECOND, concurrency: float = 2
     ) -> int:
         self._next += 1
         self.feed(
             api.RequestArrived(
-                self._next, class_index, 0, function, time_left_us, None, 300.0, lanes, SECOND // 2, False
+                self._next,
+                class_index,
+                0,
+                function,
+                time_left_us,
+                None,
+                300.0,
+                concurrency,
+                SECOND // 2,
+                False,
             )
         )
         return self._next
--- a/packages/policy/tests/test_defences.py
+++ b/packages/policy/tests/test_defences.py
@@ -142,15 +142,15 @@
 
 
 def test_crowded_worker_is_passed_over_and_a_copy_is_ordered_elsewhere() -> None:
-    """Functions with many lanes piled up on one worker's cores without ever being over target."""
+    """Functions with many slots piled up on one worker's cores without ever being over target."""
     home = first_in_order(7)[0]
     other = next(f for f in range(8, 99) if first_in_order(f)[0] == home)
     rig = Rig(workers=4)
     rig.warm(home, function=7)
     rig.warm(home, function=other)
     for _ in range(6):
-        rig.ask(function=7, lanes=8)
-    rig.ask(function=other, lanes=8)
+        rig.ask(function=7, concurrency=8)
+    rig.ask(function=other, concurrency=8)
     assert of(api.Send, rig.actions)[0].worker == home
     assert [(o.function, o.worker) for o in orders(rig.actions)] == [(other, first_in_order(other)[1])]
 
@@ -207,8 +207,8 @@
     assert refused[0] / asked[0] > 3 * refused[1] / asked[1]
 
 
-def test_in_shortage_requests_without_a_free_lane_are_shed_first() -> None:
-    """Overloaded days spent a third of their answers' number on loads that calls past the lanes had begun."""
+def test_in_shortage_requests_without_a_free_slot_are_shed_first() -> None:
+    """Overloaded days spent a third of their answers' number on loads that calls past the slots had begun."""
     rig = Rig(workers=4)
     rig.warm(1, 2, function=7)
     rig.warm(3, 4, function=8)
@@ -216,8 +216,8 @@
     refused, asked = [0, 0], [0, 0]
     for n in range(1200):
         rig.now += 5_000
-        tight = n % 2  # one function has a lane a copy, the other plenty
-        rig.ask(function=7 + tight, lanes=1 if tight else 64)
+        tight = n % 2  # one function has a slot a copy, the other plenty
+        rig.ask(function=7 + tight, concurrency=1 if tight else 64)
         asked[tight] += 1
         refused[tight] += len(of(api.Reject, rig.actions))
         queue += [(s.request, s.worker) for s in of(api.Send, rig.actions)]
--- a/packages/policy/tests/test_guards.py
+++ b/packages/policy/tests/test_guards.py
@@ -279,7 +279,7 @@
 
 def test_absurd_settings_and_requests_get_a_sane_decision() -> None:
     rig = Rig(workers=0)
-    rid = rig.ask(lanes=0)
+    rid = rig.ask(concurrency=0)
     assert not of(api.Send, rig.actions)
     assert of(api.Reject, rig.pass_time(3 * SECOND)) == [api.Reject(rid, SECOND // 4)]
     rig.list_workers(api.ListKind.FULL, worker(1, api.WorkerState.DRAINING))
--- a/packages/policy/tests/test_mechanism.py
+++ b/packages/policy/tests/test_mechanism.py
@@ -49,15 +49,15 @@
 
 def test_one_scale_up_in_flight_sized_from_demand() -> None:
     rig = Rig()
-    rig.ask()  # 1 queued + 1 over 2 lanes: one copy
+    rig.ask()  # 1 queued + 1 over 2 slots: one copy
     assert len(orders(rig.actions)) == 1
     for _ in range(4):
         rig.ask()
         assert not orders(rig.actions), "a second scale-up began before the first was over"
     rig.load_ended(first_in_order()[0])
-    # Five were queued and sent to the copy: 5 in flight + 1 over 2 lanes makes 3, one of which exists.
+    # Five were queued and sent to the copy: 5 in flight + 1 over 2 slots makes 3, one of which exists.
     rig.ask()
-    assert len(orders(rig.actions)) == 3  # 6 in flight + 1 over 2 lanes makes 4
+    assert len(orders(rig.actions)) == 3  # 6 in flight + 1 over 2 slots makes 4
 
 
 def test_all_queued_requests_are_sent_to_the_first_copy() -> None:
@@ -90,7 +90,7 @@
     assert chosen == {1, 2}
 
 
-def test_send_over_the_lanes_goes_out_at_once_and_starts_the_scale_up() -> None:
+def test_send_past_the_concurrency_goes_out_at_once_and_starts_the_scale_up() -> None:
     rig = Rig()
     rig.warm(1)
     for _ in range(2):
--- a/packages/policy/tests/test_slow_start_fleet.py
+++ b/packages/policy/tests/test_slow_start_fleet.py
@@ -146,7 +146,7 @@
     def _ask(self, index: int) -> None:
         rig = self.rigs[index]
         rig.now = self.now
-        rig.ask(lanes=1000)
+        rig.ask(concurrency=1000)
         self._carry_out(index)
         for wid in rig.router.endpoints.workers.keys() - rig.router.functions.by_key[7].copies.keys():
             rig.load_ended(wid)  # copies stand everywhere
