--- a/benchmarks/firings.py
+++ b/benchmarks/firings.py
@@ -92,7 +92,7 @@
             loop,
             config.model_copy(update={"front": front}),
             Silent(),
-            wall=lambda: WALL + time.time_ns() // 1000 - began,
+            wall_clock=lambda: WALL + time.time_ns() // 1000 - began,
         )
         return end.address
 
--- a/packages/cli/src/walnutpost/cli/runners.py
+++ b/packages/cli/src/walnutpost/cli/runners.py
@@ -130,8 +130,8 @@
     def run() -> None:
         stop = stop_event(loop, log)
         store = _package_store(loop, config, options.store_address)
-        tap = open_capture if options.capture is not None else None
-        server = start_worker(loop, config, worker, store, tap, options.base)
+        traffic_observer = open_capture if options.capture is not None else None
+        server = start_worker(loop, config, worker, store, traffic_observer, options.base)
         if options.was_restarted:
             server.restart()
         log.info("listening", worker=worker.name, address=_address_text(server.address))
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -232,11 +232,11 @@
         call's result, now or later.
         """
         execution = call.execution
-        self.open_calls.set_ticket(call, self._dispatcher.new_ticket())
+        self.open_calls.set_caller(call, self._dispatcher.new_caller_id())
         is_dispatching = True
 
         def on_final(final: Final) -> None:
-            self.open_calls.clear_ticket(call)
+            self.open_calls.clear_caller(call)
             self._dispatcher.log_answer(final, request_id, execution.function, execution.tenant)
             if is_dispatching and isinstance(final, Rejected):
                 call.rejection = final
@@ -244,7 +244,7 @@
                 self.finish(call, final)
 
         arrival = CallArrived(
-            call.ticket,
+            call.caller_id,
             execution.function,
             execution.payload,
             time_left_us,
@@ -263,8 +263,8 @@
             return None
         return self._dispatcher.rejection_for(call.execution.function, call.execution.tenant)
 
-    def _name_of(self, ticket: int) -> str:
-        call = self.open_calls.by_ticket(ticket)
+    def _name_of(self, caller_id: int) -> str:
+        call = self.open_calls.by_caller(caller_id)
         return call.execution.name if call is not None else ""
 
     def _record_intent(self, attempt: Send) -> None:
@@ -272,7 +272,7 @@
 
         Raises LookupError if it must not be sent: ConnectionError would mean that the worker is at fault.
         """
-        call = self.open_calls.by_ticket(attempt.ticket)
+        call = self.open_calls.by_caller(attempt.caller_id)
         if call is None or (call.execution.intended and self._replication is None):
             return
         execution = call.execution
@@ -366,7 +366,7 @@
         if self.recovered.pop(execution_id, None) is not None:
             self.finish(call, Failed(Failure.STOPPED, "stopped by its owner"))
         else:
-            self._dispatcher.feed(CallStopped(call.ticket))
+            self._dispatcher.feed(CallStopped(call.caller_id))
         return self._visible(call)
 
     def list(self, query: ExecutionQuery) -> tuple[list[Execution], bool]:
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -53,11 +53,11 @@
 
         super().submit(call, counted)
 
-    def abandon(self, ticket: int) -> None:
+    def abandon(self, caller_id: int) -> None:
         """Count a caller that disconnects before its answer."""
-        if self.is_awaited(ticket):
+        if self.is_awaited(caller_id):
             self._count_result(None, False)
-        super().abandon(ticket)
+        super().abandon(caller_id)
 
     def _count_result(self, final: Final | None, within_objective: bool) -> None:
         is_served, is_rejected = isinstance(final, Served), isinstance(final, Rejected)
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -32,7 +32,7 @@
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.daemon.settings_watch import AgreedFunctions, SettingsWatch
 from walnutpost.dispatch import Dispatcher
-from walnutpost.eventloop import Logger, Loop, Tap, Task, WaitTimeoutError
+from walnutpost.eventloop import Logger, Loop, Task, TrafficObserver, WaitTimeoutError
 from walnutpost.fronts.cron import CronFront, FiringLimits
 from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
 from walnutpost.gateway import Gateway
@@ -47,13 +47,13 @@
 BYTES_PER_MB = 1 << 20
 
 
-def wall_time() -> int:
+def read_wall_clock() -> int:
     """Return the time of day in microseconds since the epoch."""
     return time.time_ns() // 1000
 
 
-class Recorder(Tap, Protocol):
-    """A tap that also records the endpoint lists that the front end was given."""
+class FrontEndObserver(TrafficObserver, Protocol):
+    """A traffic observer that also records the endpoint lists that the front end was given."""
 
     def on_endpoints_listed(self, version: int, lines: list[WorkerConfig]) -> None:
         """Record a list."""
@@ -67,21 +67,21 @@
         loop: Loop,
         config: Config,
         log: Logger,
-        tap: Recorder | None = None,
+        traffic_observer: FrontEndObserver | None = None,
         base: Path | None = None,
-        wall: Callable[[], int] | None = None,
+        wall_clock: Callable[[], int] | None = None,
     ) -> None:
         """Build all parts and listen. Paths in `config` are relative to `base`.
 
-        `wall` is the time of day for schedules, which may be set; the loop's own time never steps.
+        `wall_clock` is the time of day for schedules, which may be set; the loop's own time never steps.
         """
         self._loop = loop
         self._log = log
         self._config = config
         self._base = base or Path()
-        self._wall = wall or wall_time
+        self._wall_clock = wall_clock or read_wall_clock
         self._tasks: list[Task[Any]] = []
-        self._build_gateway(tap)
+        self._build_gateway(traffic_observer)
         self._build_deferred_calls()
         self.endpoint_lists = EndpointLists(
             loop,
@@ -89,7 +89,7 @@
             self.worker_client,
             config.site,
             log,
-            tap.on_endpoints_listed if tap else None,
+            traffic_observer.on_endpoints_listed if traffic_observer else None,
         )
         self._spawn_background_tasks()
         self._build_metering()
@@ -98,11 +98,11 @@
         self._build_settings_watch()
         self._build_schedules()
         self._recover_deferred_calls()
-        self._listen(tap)
+        self._listen(traffic_observer)
 
     # Builders, in order: each needs those before it
 
-    def _build_gateway(self, tap: Recorder | None) -> None:
+    def _build_gateway(self, traffic_observer: FrontEndObserver | None) -> None:
         """Build the catalogue, the connections to workers, and the dispatcher that feeds the gateway."""
         config = self._config
         front = config.front
@@ -116,7 +116,7 @@
             ms_to_us(front.outcome_ttl_ms),
             int(front.max_outcome_mb * BYTES_PER_MB),
         )
-        self._build_worker_client(tap)
+        self._build_worker_client(traffic_observer)
         self._counting_dispatcher: CallCountingDispatcher | None = None
         if config.agreement is None or not config.agreement.keepers:
             self.dispatcher = Dispatcher(self._loop, gateway, self.worker_client, self._log)
@@ -136,7 +136,7 @@
             self._agreed_functions = AgreedFunctions(self.catalogue.functions, classes)
             self.catalogue = replace(self.catalogue, functions=self._agreed_functions, is_changing=True)
 
-    def _build_worker_client(self, tap: Recorder | None) -> None:
+    def _build_worker_client(self, traffic_observer: FrontEndObserver | None) -> None:
         """Build the connections to workers, with certificates that are reloaded."""
         front = self._config.front
         site = self._config.site
@@ -149,9 +149,13 @@
         )
         self._certificates: CertificateReloader | None = None
         if front.tls is not None:
-            self._certificates = CertificateReloader(self._loop, front.tls, self._base, wall_time, self._log)
+            self._certificates = CertificateReloader(
+                self._loop, front.tls, self._base, read_wall_clock, self._log
+            )
         context = self._certificates.context if self._certificates is not None else None
-        self.worker_client = WorkerClient(self._loop, settings, tap, context, time_of_day=self._wall)
+        self.worker_client = WorkerClient(
+            self._loop, settings, traffic_observer, context, wall_clock=self._wall_clock
+        )
 
     def _build_deferred_calls(self) -> None:
         """Open the store and build the deferred calls, with replication if there is a journal."""
@@ -247,7 +251,7 @@
         newest_mark = max(firings.load_marks().values(), default=0)
         self.cron = CronFront(
             self._loop,
-            self._wall,
+            self._wall_clock,
             build_own_schedules(self._config),
             self.deferred,
             firings,
@@ -266,7 +270,7 @@
         self.recovered_calls = recovery.recover()
         self._spawn(recovery.await_functions, name="await functions")
 
-    def _listen(self, tap: Recorder | None) -> None:
+    def _listen(self, traffic_observer: FrontEndObserver | None) -> None:
         front = self._config.front
         invoke = InvokeFront(
             self.dispatcher,
@@ -284,7 +288,7 @@
             invoke.handle,
             build_bad_message_response,
             limits,
-            tap,
+            traffic_observer,
             "front",
             log=self._log,
         )
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -19,13 +19,13 @@
     """Reads the files of one `tls` section. Invalid files leave the certificates in use."""
 
     def __init__(
-        self, loop: Loop, section: TlsConfig, base: Path, wall: Callable[[], int], log: Logger
+        self, loop: Loop, section: TlsConfig, base: Path, wall_clock: Callable[[], int], log: Logger
     ) -> None:
         """Raise InvalidCertificateError for unusable files: a front end doesn't start with these."""
         self._loop = loop
         self._section = section
         self._base = base
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._log = log
         self._names = (section.roots, section.chain, section.key)
         files = self._read_file_states()
@@ -44,7 +44,7 @@
                 self._reload(worker_client)
 
     def _warn_before_expiry(self) -> None:
-        warning = self._tracker.expiry_warning(self._wall())
+        warning = self._tracker.expiry_warning(self._wall_clock())
         if warning is not None:
             expires_in_days = round(warning.time_left_us / DAY_US, 2)
             self._log.warning("certificate_expiring", expires_in_days=expires_in_days)
@@ -66,7 +66,7 @@
         if section.chain is not None and section.key is not None:
             files = CertificateFiles(self._base / section.chain, self._base / section.key)
         roots = self._base / section.roots
-        tls = tls_contexts.make_client_context(roots, files, section.minimum_version, self._wall())
+        tls = tls_contexts.make_client_context(roots, files, section.minimum_version, self._wall_clock())
         if tls.own is None:
             return tls.context, 0, 0
         return tls.context, tls.own.valid_from_us, tls.own.valid_until_us
--- a/packages/daemon/src/walnutpost/daemon/open_calls.py
+++ b/packages/daemon/src/walnutpost/daemon/open_calls.py
@@ -1,4 +1,4 @@
-"""The deferred calls of this process that are not finished, indexed by id, name and ticket."""
+"""The deferred calls of this process that are not finished, indexed by id, name and caller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class OpenCall:
     """An execution without a durable final status."""
 
-    __slots__ = ("accepted_as", "execution", "function", "rejection", "replication", "settled", "ticket")
+    __slots__ = ("accepted_as", "caller_id", "execution", "function", "rejection", "replication", "settled")
 
     def __init__(self, loop: Loop, execution: Execution, function: Function | None) -> None:
         """Open a call; `function` is None if it was removed before this process started."""
@@ -20,7 +20,7 @@
         self.function = function
         self.accepted_as = execution  # what clients see while its final status could be lost with the site
         self.replication: QuorumReached | QuorumFailed | None = None  # None without a journal
-        self.ticket = 0
+        self.caller_id = 0
         self.settled = Event(loop)  # set once it is durable, or could not be stored
         self.rejection: Rejected | NotStored | None = None
 
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self._by_name: dict[tuple[str, str], OpenCall] = {}
         self._by_id: dict[str, OpenCall] = {}
-        self._by_ticket: dict[int, OpenCall] = {}
+        self._by_caller: dict[int, OpenCall] = {}
 
     def __len__(self) -> int:
         """Return the number of open calls."""
@@ -64,18 +64,18 @@
         """Return the call with a name within its function."""
         return self._by_name.get((function, name))
 
-    def by_ticket(self, ticket: int) -> OpenCall | None:
-        """Return the call that the gateway knows by a ticket."""
-        return self._by_ticket.get(ticket)
+    def by_caller(self, caller_id: int) -> OpenCall | None:
+        """Return the call that the gateway knows by a caller."""
+        return self._by_caller.get(caller_id)
 
-    def set_ticket(self, call: OpenCall, ticket: int) -> None:
-        """Make a call known by the ticket of its dispatch."""
-        call.ticket = ticket
-        self._by_ticket[ticket] = call
+    def set_caller(self, call: OpenCall, caller_id: int) -> None:
+        """Index a call by the caller of its dispatch."""
+        call.caller_id = caller_id
+        self._by_caller[caller_id] = call
 
-    def clear_ticket(self, call: OpenCall) -> None:
-        """Forget the ticket of a dispatch that has ended."""
-        self._by_ticket.pop(call.ticket, None)
+    def clear_caller(self, call: OpenCall) -> None:
+        """Forget the caller of a dispatch that has ended."""
+        self._by_caller.pop(call.caller_id, None)
 
     @property
     def running(self) -> int:
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -118,23 +118,23 @@
         assert self.config.fleet is not None
         self.store = local_store(self.loop, self.config)
         for line in self.config.fleet.workers:
-            tap = (lambda name: self.tap("worker", name)) if self.capture else None
-            server = start_worker(self.loop, self.config, line, self.store, tap, self.path)
+            traffic_observer = (lambda name: self.traffic_observer("worker", name)) if self.capture else None
+            server = start_worker(self.loop, self.config, line, self.store, traffic_observer, self.path)
             self.workers[line.name] = server
             self.lines.append(WorkerConfig(name=line.name, address="{}:{}".format(*server.address)))
 
-    def tap(self, kind: str, name: str) -> Capture:
+    def traffic_observer(self, kind: str, name: str) -> Capture:
         return Capture(self.path / f"{name}{CAPTURE_SUFFIX}", kind, name, self.loop.now)
 
     def start_front(self, listed: bool = True, path: Path | None = None) -> FrontEnd:
         front = self.front_config.front.model_copy(update={"workers": self.lines if listed else []})
         config = self.front_config.model_copy(update={"front": front})
-        tap = self.tap("front", "front-0") if self.capture else None
+        traffic_observer = self.traffic_observer("front", "front-0") if self.capture else None
         return FrontEnd(
             self.loop,
             config,
             self.log,
-            tap,
+            traffic_observer,
             path or self.path,
             lambda: self.loop.now() + self.wall_clock_offset_us,
         )
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -137,9 +137,7 @@
         copy_counts = {w: copies.count for w, copies in state.copies.items()}
         first = f.loop.spawn(f.invoke, "price")
         f.until(lambda: f.runs("price") == 1)
-        f.change(
-            put_function("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"})
-        )
+        f.change(put_function("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"}))
         open_calls = f.front.dispatcher._gateway._calls.by_number.values()
         assert [(copies.function.version, copies.function.concurrency) for copies in open_calls] == [
             ("1", 2.0)
--- a/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
+++ b/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
@@ -33,25 +33,25 @@
         self._loop = loop
         self._gateway = gateway
         self._log = log
-        self._last_ticket = 0
-        self._on_final_by_ticket: dict[int, Callable[[Final], None]] = {}
+        self._last_caller_id = 0
+        self._on_final_by_caller: dict[int, Callable[[Final], None]] = {}
         self.hooks = DispatchHooks()
         self._effects = EffectRunner(loop, transport, self.hooks, log, self.feed, self._on_answered)
         self.answers = AnswerCounts()
 
-    def new_ticket(self) -> int:
+    def new_caller_id(self) -> int:
         """Return the number under which a call is to be submitted."""
-        self._last_ticket += 1
-        return self._last_ticket
+        self._last_caller_id += 1
+        return self._last_caller_id
 
     @property
     def open_calls(self) -> int:
         """How many calls have no final answer yet."""
         return self._gateway.open_calls
 
-    def is_awaited(self, ticket: int) -> bool:
+    def is_awaited(self, caller_id: int) -> bool:
         """Whether somebody waits for the final answer of this call."""
-        return ticket in self._on_final_by_ticket
+        return caller_id in self._on_final_by_caller
 
     def feed(self, event: Input) -> None:
         """Give the gateway an input and carry out its effects.
@@ -76,18 +76,18 @@
 
     def submit(self, call: CallArrived, on_final: Callable[[Final], None]) -> None:
         """Start a call; `on_final` gets the one final answer, perhaps before this returns."""
-        self._on_final_by_ticket[call.ticket] = on_final
+        self._on_final_by_caller[call.caller_id] = on_final
         try:
             self.feed(call)
         except BaseException:
-            self._on_final_by_ticket.pop(call.ticket, None)
+            self._on_final_by_caller.pop(call.caller_id, None)
             raise
 
-    def abandon(self, ticket: int) -> None:
+    def abandon(self, caller_id: int) -> None:
         """Record that the caller has left; without effect once the final answer was given."""
-        if self._on_final_by_ticket.pop(ticket, None) is not None:
+        if self._on_final_by_caller.pop(caller_id, None) is not None:
             self.answers.abandoned += 1
-            self.feed(CallerLeft(ticket))
+            self.feed(CallerLeft(caller_id))
 
     def call(
         self,
@@ -106,7 +106,7 @@
         `watch_hangup` registers a callback for the caller's hang-up, and returns what ends the registration.
         """
         call = CallArrived(
-            self.new_ticket(),
+            self.new_caller_id(),
             function,
             payload,
             time_left_us,
@@ -137,11 +137,11 @@
             final: Final | None = self._loop.park()
         finally:
             end_watch()
-            self.abandon(call.ticket)
+            self.abandon(call.caller_id)
         return final
 
     def _on_answered(self, effect: Answered) -> None:
         self.answers.count(effect.final)
-        on_final = self._on_final_by_ticket.pop(effect.ticket, None)
+        on_final = self._on_final_by_caller.pop(effect.caller_id, None)
         if on_final is not None:
             on_final(effect.final)
--- a/packages/dispatch/src/walnutpost/dispatch/effects.py
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -66,7 +66,7 @@
         if self._hooks.observer is not None:
             self._hooks.observer.on_sent(self._loop.now(), effect)
         before_send = partial(self._record_intent, effect) if effect.must_persist_intent else None
-        self._transport.send(effect, self._feed, before_send, self._hooks.execution_name(effect.ticket))
+        self._transport.send(effect, self._feed, before_send, self._hooks.execution_name(effect.caller_id))
 
     def _record_intent(self, effect: Send) -> None:
         """Look the hook up when it is needed: it may be set after the effect was given out."""
--- a/packages/dispatch/src/walnutpost/dispatch/interfaces.py
+++ b/packages/dispatch/src/walnutpost/dispatch/interfaces.py
@@ -72,7 +72,7 @@
     """Do nothing."""
 
 
-def _no_name(ticket: int) -> str:
+def _no_name(caller_id: int) -> str:
     return ""
 
 
@@ -81,7 +81,7 @@
     """What the process that owns a dispatcher adds; each default does nothing.
 
     `record_intent` runs before the first byte of a Send that must be persisted first, and may raise to
-    prevent it. `execution_name` returns the name of the execution of a ticket, empty where it has none.
+    prevent it. `execution_name` returns the name of the execution of a caller, empty where it has none.
     `fetch_endpoints` is called when the gateway wants the endpoint list.
     """
 
--- a/packages/eventloop/src/walnutpost/eventloop/__init__.py
+++ b/packages/eventloop/src/walnutpost/eventloop/__init__.py
@@ -29,7 +29,7 @@
 from walnutpost.eventloop.listener import Listener
 from walnutpost.eventloop.logger import Logger
 from walnutpost.eventloop.loop import Loop
-from walnutpost.eventloop.streams import Stream, Tap
+from walnutpost.eventloop.streams import Stream, TrafficObserver
 from walnutpost.eventloop.sync import Event, Queue, TaskGroup
 from walnutpost.eventloop.tasks import Task
 from walnutpost.eventloop.tls import TlsClientSettings, TlsStream, connect_tls, tls_stream_factory
@@ -52,12 +52,12 @@
     "RealClock",
     "Stream",
     "StreamClosedError",
-    "Tap",
     "Task",
     "TaskGroup",
     "TlsClientSettings",
     "TlsStream",
     "TlsTruncatedError",
+    "TrafficObserver",
     "VirtualClock",
     "WaitTimeoutError",
     "connect",
--- a/packages/eventloop/src/walnutpost/eventloop/connecting.py
+++ b/packages/eventloop/src/walnutpost/eventloop/connecting.py
@@ -7,14 +7,16 @@
 import socket
 
 from walnutpost.eventloop.loop import Loop
-from walnutpost.eventloop.streams import Address, Stream, Tap
+from walnutpost.eventloop.streams import Address, Stream, TrafficObserver
 
 
-def connect(loop: Loop, address: Address, tap: Tap | None = None, role: str = "") -> Stream:
+def connect(
+    loop: Loop, address: Address, traffic_observer: TrafficObserver | None = None, role: str = ""
+) -> Stream:
     """Return a connection to `address`. Raises OSError if there is none."""
     sock = connect_socket(loop, address)
     try:
-        return Stream(loop, sock, tap, role)
+        return Stream(loop, sock, traffic_observer, role)
     except OSError:  # gone before its addresses could be read
         sock.close()
         raise
--- a/packages/eventloop/src/walnutpost/eventloop/listener.py
+++ b/packages/eventloop/src/walnutpost/eventloop/listener.py
@@ -9,7 +9,7 @@
 
 from walnutpost.eventloop.accept_errors import AcceptBackoff, SpareDescriptor
 from walnutpost.eventloop.loop import Loop
-from walnutpost.eventloop.streams import Address, Stream, Tap
+from walnutpost.eventloop.streams import Address, Stream, TrafficObserver
 
 SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 NO_SPARE_PAUSE_US = 50_000  # after an accept failed for want of descriptors and no spare one was left
@@ -31,7 +31,7 @@
         self,
         loop: Loop,
         address: Address,
-        tap: Tap | None = None,
+        traffic_observer: TrafficObserver | None = None,
         role: str = "",
         backlog: int = BACKLOG,
         stream_factory: Callable[..., Stream] = Stream,
@@ -39,15 +39,15 @@
     ) -> None:
         """Listen on `address`. Raises OSError.
 
-        `stream_factory` builds a stream of loop, socket, tap and role; `free_descriptor` is called when no
-        descriptor is left, to close something that can be spared, and returns whether it did.
+        `stream_factory` builds a stream of loop, socket, traffic observer and role; `free_descriptor` is
+        called when no descriptor is left, to close something that can be spared, and returns whether it did.
         """
         self._loop = loop
         self._stream_factory = stream_factory
         self._free_descriptor = free_descriptor
         # Called with each error that `accept` of the socket raises while it is open.
         self.on_accept_error: Callable[[OSError], object] = lambda error: None
-        self._tap = tap
+        self._traffic_observer = traffic_observer
         self._role = role
         self._sock = _listening_socket(address, backlog)
         self.address: Address = self._sock.getsockname()[:2]
@@ -133,7 +133,7 @@
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            return self._stream_factory(self._loop, sock, self._tap, self._role)
+            return self._stream_factory(self._loop, sock, self._traffic_observer, self._role)
         except OSError:
             sock.close()
             return None
--- a/packages/eventloop/src/walnutpost/eventloop/streams.py
+++ b/packages/eventloop/src/walnutpost/eventloop/streams.py
@@ -14,7 +14,7 @@
 NO_LINGER = b"\1\0\0\0\0\0\0\0"  # struct linger {1, 0}: close(2) then resets the connection (socket(7))
 
 
-class Tap(Protocol):
+class TrafficObserver(Protocol):
     """Sees the bytes of both directions: what the sockets carried, or under TLS the plaintext of it."""
 
     def on_opened(self, stream: int, role: str, local: Address, remote: Address) -> None:
@@ -35,19 +35,21 @@
 
     _count = 0
 
-    def __init__(self, loop: Loop, sock: socket.socket, tap: Tap | None = None, role: str = "") -> None:
+    def __init__(
+        self, loop: Loop, sock: socket.socket, traffic_observer: TrafficObserver | None = None, role: str = ""
+    ) -> None:
         """Take over a connected socket that never blocks. Raises OSError if it has lost its peer already."""
         self._loop = loop
         self._sock = sock
         self._fd = sock.fileno()
-        self._tap = tap
+        self._traffic_observer = traffic_observer
         self._number = self._fd
         self.closed = False
         self.has_sent = False  # whether the kernel ever took a byte; if not, the other end saw none
-        if tap is not None:
+        if traffic_observer is not None:
             Stream._count += 1
             self._number = Stream._count
-            tap.on_opened(self._number, role, sock.getsockname()[:2], sock.getpeername()[:2])
+            traffic_observer.on_opened(self._number, role, sock.getsockname()[:2], sock.getpeername()[:2])
 
     @property
     def fd(self) -> int:
@@ -62,8 +64,8 @@
         if wait_first and not self.closed:
             self._loop.wait_readable(self._fd)
         data = self._recv_from_kernel(max_bytes)
-        if self._tap is not None and data:
-            self._tap.on_bytes(self._number, False, data)
+        if self._traffic_observer is not None and data:
+            self._traffic_observer.on_bytes(self._number, False, data)
         return data
 
     def recv_now(self, max_bytes: int = CHUNK_BYTES) -> bytes | None:
@@ -74,8 +76,8 @@
             data = self._sock.recv(max_bytes)
         except BlockingIOError:
             return None
-        if self._tap is not None and data:
-            self._tap.on_bytes(self._number, False, data)
+        if self._traffic_observer is not None and data:
+            self._traffic_observer.on_bytes(self._number, False, data)
         return data
 
     def send_all(self, data: bytes) -> None:
@@ -84,8 +86,8 @@
         while view:
             count = self._send_to_kernel(view)
             self.has_sent = True
-            if self._tap is not None:
-                self._tap.on_bytes(self._number, True, bytes(view[:count]))
+            if self._traffic_observer is not None:
+                self._traffic_observer.on_bytes(self._number, True, bytes(view[:count]))
             view = view[count:]
 
     def send_now(self, data: bytes) -> bytes:
@@ -97,8 +99,8 @@
         except BlockingIOError:
             return data
         self.has_sent = True
-        if self._tap is not None:
-            self._tap.on_bytes(self._number, True, data[:count])
+        if self._traffic_observer is not None:
+            self._traffic_observer.on_bytes(self._number, True, data[:count])
         self._loop.count_operation()
         return data[count:]
 
@@ -149,8 +151,8 @@
             self.closed = True
             self._loop.forget(self._fd)
             self._sock.close()
-            if self._tap is not None:
-                self._tap.on_closed(self._number)
+            if self._traffic_observer is not None:
+                self._traffic_observer.on_closed(self._number)
 
     def _recv_from_kernel(self, max_bytes: int) -> bytes:
         """Return what the kernel has, as soon as it has something; none at the end."""
--- a/packages/eventloop/src/walnutpost/eventloop/tls.py
+++ b/packages/eventloop/src/walnutpost/eventloop/tls.py
@@ -11,7 +11,7 @@
 from walnutpost.eventloop.connecting import connect_socket
 from walnutpost.eventloop.errors import StreamClosedError, TlsTruncatedError
 from walnutpost.eventloop.loop import Loop
-from walnutpost.eventloop.streams import CHUNK_BYTES, Address, Stream, Tap
+from walnutpost.eventloop.streams import CHUNK_BYTES, Address, Stream, TrafficObserver
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 
 class TlsStream(Stream):
-    """A stream whose bytes are encrypted. Taps see the plaintext.
+    """A stream whose bytes are encrypted. Traffic observers see the plaintext.
 
     Errors of TLS are OSErrors; TlsTruncatedError is one of them.
     """
@@ -40,11 +40,11 @@
         context: ssl.SSLContext,
         server_name: str | None = None,
         session: ssl.SSLSession | None = None,
-        tap: Tap | None = None,
+        traffic_observer: TrafficObserver | None = None,
         role: str = "",
     ) -> None:
         """Take over a connected socket: a client's where `server_name` is given, else a server's."""
-        super().__init__(loop, sock, tap, role)
+        super().__init__(loop, sock, traffic_observer, role)
         self.context = context
         self._incoming = ssl.MemoryBIO()
         self._outgoing = ssl.MemoryBIO()
@@ -91,8 +91,8 @@
                 raise StreamClosedError
             data = self._decrypt(max_bytes)
             if data is not None:
-                if self._tap is not None and data:
-                    self._tap.on_bytes(self._number, False, data)
+                if self._traffic_observer is not None and data:
+                    self._traffic_observer.on_bytes(self._number, False, data)
                 return data
             self._flush(has_payload=False)  # an answer that TLS itself owes
             self._add_ciphertext(self._recv_from_kernel(CHUNK_BYTES))
@@ -105,8 +105,8 @@
         view = memoryview(data)
         while view:
             count = self._tls.write(view[:CHUNK_BYTES])
-            if self._tap is not None:
-                self._tap.on_bytes(self._number, True, bytes(view[:count]))
+            if self._traffic_observer is not None:
+                self._traffic_observer.on_bytes(self._number, True, bytes(view[:count]))
             view = view[count:]
             self._flush(has_payload=True)
 
@@ -190,14 +190,20 @@
 
 
 def connect_tls(
-    loop: Loop, address: Address, settings: TlsClientSettings, tap: Tap | None = None, role: str = ""
+    loop: Loop,
+    address: Address,
+    settings: TlsClientSettings,
+    traffic_observer: TrafficObserver | None = None,
+    role: str = "",
 ) -> TlsStream:
     """Return a connection whose other end has proved its name; bound its time with `Loop.timeout`.
 
     Raises OSError if there is none.
     """
     sock = connect_socket(loop, address)
-    stream = TlsStream(loop, sock, settings.context, settings.server_name, settings.session, tap, role)
+    stream = TlsStream(
+        loop, sock, settings.context, settings.server_name, settings.session, traffic_observer, role
+    )
     try:
         stream.handshake()
         return stream
@@ -208,6 +214,8 @@
 
 def tls_stream_factory(
     context: ssl.SSLContext,
-) -> Callable[[Loop, socket.socket, Tap | None, str], TlsStream]:
+) -> Callable[[Loop, socket.socket, TrafficObserver | None, str], TlsStream]:
     """Return what builds a Listener's streams; whoever serves a stream makes the handshake."""
-    return lambda loop, sock, tap, role: TlsStream(loop, sock, context, tap=tap, role=role)
+    return lambda loop, sock, traffic_observer, role: TlsStream(
+        loop, sock, context, traffic_observer=traffic_observer, role=role
+    )
--- a/packages/fakes/src/walnutpost/fakes/fleet.py
+++ b/packages/fakes/src/walnutpost/fakes/fleet.py
@@ -13,7 +13,7 @@
 from walnutpost.config.fakes import FakeFunctionConfig
 from walnutpost.eventloop import Loop
 from walnutpost.fakes.model import WorkerModel
-from walnutpost.fakes.model_runner import Recorder
+from walnutpost.fakes.model_runner import WorkerObserver
 from walnutpost.fakes.specs import FunctionSpec, WorkerSpec
 from walnutpost.fakes.store import LocalStore, PackageStore
 from walnutpost.fakes.worker import WorkerServer
@@ -74,10 +74,10 @@
     config: Config,
     line: FakeWorkerConfig,
     store: PackageStore,
-    tap: Callable[[str], Recorder] | None = None,
+    open_observer: Callable[[str], WorkerObserver] | None = None,
     base: Path | None = None,
 ) -> WorkerServer:
-    """Start a worker of the fleet; `tap` makes its recorder, `base` is the configuration's folder.
+    """Start a worker of the fleet; `open_observer` opens its capture, `base` is the configuration's folder.
 
     Raises OSError where its address is in use.
     """
@@ -85,8 +85,8 @@
     context = _tls_context(config, line, base or Path())
     seed = config.fleet.seed ^ number_of(line.name, SEED_BITS)
     model = WorkerModel(worker_spec(config, line), function_specs(config), seed, loop.now())
-    recorder = tap(line.name) if tap else None
-    return WorkerServer(loop, model, store, parse_address(line.listen), recorder, context)
+    worker_observer = open_observer(line.name) if open_observer else None
+    return WorkerServer(loop, model, store, parse_address(line.listen), worker_observer, context)
 
 
 def _tls_context(config: Config, line: FakeWorkerConfig, base: Path) -> SSLContext | None:
--- a/packages/fakes/src/walnutpost/fakes/model_runner.py
+++ b/packages/fakes/src/walnutpost/fakes/model_runner.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from walnutpost.eventloop import Event, Loop, Tap
+from walnutpost.eventloop import Event, Loop, TrafficObserver
 from walnutpost.eventloop.timers import Timer
 from walnutpost.fakes.model import WorkerModel
 from walnutpost.fakes.reactions import (
@@ -20,8 +20,8 @@
 from walnutpost.http import Exchange
 
 
-class Recorder(Tap, Protocol):
-    """A tap that also records what the worker itself knows of its executions and copies."""
+class WorkerObserver(TrafficObserver, Protocol):
+    """A traffic observer that also records what the worker itself knows of its executions and copies."""
 
     def on_execution_started(self, call_id: str, run: int) -> None:
         """Record an execution."""
@@ -53,7 +53,7 @@
     """
 
     def __init__(
-        self, loop: Loop, model: WorkerModel, store: PackageStore, recorder: Recorder | None
+        self, loop: Loop, model: WorkerModel, store: PackageStore, worker_observer: WorkerObserver | None
     ) -> None:
         self.model = model
         self.runs: list[tuple[str, str, int]] = []
@@ -61,7 +61,7 @@
         self.incarnation = 0
         self._loop = loop
         self._store = store
-        self._recorder = recorder
+        self._worker_observer = worker_observer
         self._last_request_id = 0
         self._pending: dict[int, PendingRequest] = {}
         self._timer: Timer | None = None
@@ -134,8 +134,8 @@
         call_id = pending.call_id if pending is not None else ""
         function = pending.function if pending is not None else ""
         self.runs.append((call_id, function, started.run))
-        if self._recorder is not None:
-            self._recorder.on_execution_started(call_id, started.run)
+        if self._worker_observer is not None:
+            self._worker_observer.on_execution_started(call_id, started.run)
         if pending is not None and pending.is_cut:
             pending.event.set()
 
@@ -146,11 +146,11 @@
             pending.event.set()
 
     def _record_copy_events(self) -> None:
-        if self._recorder is None:
+        if self._worker_observer is None:
             return
         events = self.model.copy_events
         for event in events[self._recorded_events :]:
-            self._recorder.on_copy_changed(event)
+            self._worker_observer.on_copy_changed(event)
         self._recorded_events = len(events)
 
     def _fetch(self, fetch: FetchPackage, incarnation: int) -> None:
--- a/packages/fakes/src/walnutpost/fakes/worker.py
+++ b/packages/fakes/src/walnutpost/fakes/worker.py
@@ -15,7 +15,7 @@
 from walnutpost.fakes.errors import UnknownCommandError
 from walnutpost.fakes.faults import Faults
 from walnutpost.fakes.model import WorkerModel
-from walnutpost.fakes.model_runner import ModelRunner, Recorder
+from walnutpost.fakes.model_runner import ModelRunner, WorkerObserver
 from walnutpost.fakes.reactions import CallEnded, CallOutcome, LoadOrderEnded, LoadOrderOutcome
 from walnutpost.fakes.store import PackageStore
 from walnutpost.http import Exchange, HttpMessageError, Response, Server, encode_response
@@ -49,7 +49,7 @@
         model: WorkerModel,
         store: PackageStore,
         address: tuple[str, int],
-        tap: Recorder | None = None,
+        traffic_observer: WorkerObserver | None = None,
         context: SSLContext | None = None,
     ) -> None:
         """Listen at the address, with TLS if there is a `context`; raises OSError."""
@@ -57,11 +57,17 @@
         self.reports_usage = True
         self.alter_usage_report: Callable[[UsageReport], UsageReport] | None = None
         self._loop = loop
-        self._tap = tap
-        self._runner = ModelRunner(loop, model, store, tap)
+        self._traffic_observer = traffic_observer
+        self._runner = ModelRunner(loop, model, store, traffic_observer)
         self._responsive_again = Event(loop)
         self.server: Server = serve_on(
-            loop, address, self._handle, _bad_request, tap=tap, role="worker", context=context
+            loop,
+            address,
+            self._handle,
+            _bad_request,
+            traffic_observer=traffic_observer,
+            role="worker",
+            context=context,
         )
 
     @property
@@ -116,8 +122,8 @@
             stream.reset()
         self.model.restart(self._loop.now())
         self._wake_stalled()
-        if self._tap is not None:
-            self._tap.on_worker_started(True)
+        if self._traffic_observer is not None:
+            self._traffic_observer.on_worker_started(True)
 
     def stop(self) -> None:
         """Accept no more connections."""
--- a/packages/faultinjection/src/walnutpost/faultinjection/capture.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/capture.py
@@ -54,7 +54,7 @@
 
 
 class Capture:
-    """A tap for one process; the file holds payloads, so only its owner may read it."""
+    """A traffic observer for one process; the file holds payloads, so only its owner may read it."""
 
     def __init__(self, path: Path, kind: str, name: str, now: Callable[[], int]) -> None:
         """Begin or go on with a file; `now` gives microseconds since the epoch. Raises OSError."""
--- a/packages/faultinjection/src/walnutpost/faultinjection/clients.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/clients.py
@@ -13,7 +13,7 @@
 from walnutpost.config import Config
 from walnutpost.config.conversion import ms_to_us
 from walnutpost.config.site import CallClass
-from walnutpost.eventloop import Loop, Tap, WaitTimeoutError
+from walnutpost.eventloop import Loop, TrafficObserver, WaitTimeoutError
 from walnutpost.faultinjection.call_results import (
     CallResult,
     CallResultKind,
@@ -74,14 +74,14 @@
         scenario: Scenario,
         config: Config,
         front_ends: Sequence[FindAddress],
-        tap: Tap | None,
+        traffic_observer: TrafficObserver | None,
     ) -> None:
         self.results: list[CallResult] = []
         self._loop = loop
         self._scenario = scenario
         self._site = config.site
         self._front_ends = [_FrontEnd(find_address) for find_address in front_ends]
-        self._tap = tap
+        self._traffic_observer = traffic_observer
         self._rng = Random(scenario.seed)
         self._call_count = 0
         self._one_off_count = 0
@@ -238,7 +238,7 @@
         if address is None:
             raise ConnectionRefusedError("nobody is there")
         with self._loop.timeout(CONNECT_TIMEOUT_US):
-            return Connection.open(self._loop, address, self._tap, ROLE)
+            return Connection.open(self._loop, address, self._traffic_observer, ROLE)
 
 
 def _choose(rng: Random, weights: dict[str, float]) -> str:
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_run.py
@@ -101,9 +101,11 @@
         duration_s=scenario.duration_s,
         traffic=scenario.traffic,
     )
-    tap = Capture(cluster.folder / f"clients{CAPTURE_SUFFIX}", "client", "clients", cluster.loop.now)
+    traffic_observer = Capture(
+        cluster.folder / f"clients{CAPTURE_SUFFIX}", "client", "clients", cluster.loop.now
+    )
     find_addresses = [partial(cluster.observer.address_of, name) for name in cluster.front_ends]
-    return Clients(cluster.loop, traffic, cluster.config, find_addresses, tap)
+    return Clients(cluster.loop, traffic, cluster.config, find_addresses, traffic_observer)
 
 
 def _has_settled(state: FleetState) -> bool:
--- a/packages/faultinjection/src/walnutpost/faultinjection/scenario_run.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/scenario_run.py
@@ -56,9 +56,9 @@
     loop, scenario, folder = cluster.loop, cluster.scenario, cluster.folder
     cluster.start()
     log.info("cluster_started", folder=str(folder), processes=len(cluster.processes))
-    tap = Capture(folder / f"clients{CAPTURE_SUFFIX}", "client", "clients", loop.now)
+    traffic_observer = Capture(folder / f"clients{CAPTURE_SUFFIX}", "client", "clients", loop.now)
     find_addresses = [partial(lambda address: address, each) for each in cluster.front_end_addresses]
-    clients = Clients(loop, scenario, cluster.config, find_addresses, tap)
+    clients = Clients(loop, scenario, cluster.config, find_addresses, traffic_observer)
     with TaskGroup(loop) as group:
         for number, fault in enumerate(scenario.troubles):
             rng = Random(scenario.seed * FAULT_SEED_FACTOR + number)
--- a/packages/faultinjection/tests/test_audit.py
+++ b/packages/faultinjection/tests/test_audit.py
@@ -88,9 +88,9 @@
 
 def forget_drains(fleet: Fleet) -> None:
     def forgetting(kind: Any, version: int, lines: Any) -> None:
-        tap = fleet.front.endpoint_lists._on_published
-        assert tap is not None
-        tap(version, lines)
+        traffic_observer = fleet.front.endpoint_lists._on_published
+        assert traffic_observer is not None
+        traffic_observer(version, lines)
 
     fleet.front.endpoint_lists.set_configured = forgetting  # type: ignore[method-assign]
 
--- a/packages/gateway/src/walnutpost/gateway/calls.py
+++ b/packages/gateway/src/walnutpost/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Open calls: their tickets, their attempts, and what is known of each."""
+"""Open calls: their callers, their attempts, and what is known of each."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     identity: Hashable
     is_durable: bool
     outlives_callers: bool
-    tickets: list[int]  # of the callers that wait for the answer
+    caller_ids: list[int]  # of the callers that wait for the answer
     workers: list[str] = field(default_factory=list)  # of each attempt
     outcomes: list[api.Outcome | None] = field(default_factory=list)  # None while in flight
     last_result: str = "nothing was sent"  # how the latest attempt ended, for the message of a failure
@@ -62,11 +62,11 @@
 
 
 class CallTable:
-    """The open calls, by their number and by the tickets of their callers."""
+    """The open calls, by their number and by the numbers of their callers."""
 
     def __init__(self) -> None:
         self.by_number: dict[int, Call] = {}
-        self.by_ticket: dict[int, Call] = {}
+        self.by_caller: dict[int, Call] = {}
         self._last_number = 0
 
     def next_number(self) -> int:
@@ -75,16 +75,16 @@
         return self._last_number
 
     def add(self, call: Call) -> None:
-        """Take the call in with its tickets."""
+        """Add a call with its callers."""
         self.by_number[call.number] = call
-        for ticket in call.tickets:
-            self.by_ticket[ticket] = call
+        for caller_id in call.caller_ids:
+            self.by_caller[caller_id] = call
 
-    def join(self, number: int, ticket: int) -> None:
+    def join(self, number: int, caller_id: int) -> None:
         """Let one more caller wait for an open call."""
         call = self.by_number[number]
-        call.tickets.append(ticket)
-        self.by_ticket[ticket] = call
+        call.caller_ids.append(caller_id)
+        self.by_caller[caller_id] = call
 
     def forget_if_ended(self, call: Call) -> None:
         """Forget an answered call once no attempt is in flight."""
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -100,10 +100,10 @@
         tenant_index = self._catalogue.tenant_index(event.tenant)
         request_class = self._settings.classes[function.class_index]
         identity = identity_of(event)
-        if identity is not None and self._answer_repeat(event.ticket, identity, request_class):
+        if identity is not None and self._answer_repeat(event.caller_id, identity, request_class):
             return
         if event.rejection is not None:
-            self._effects.append(Answered(event.ticket, event.rejection))
+            self._effects.append(Answered(event.caller_id, event.rejection))
             return
         call = self._open_call(event, function, request_class, identity)
         self._route(
@@ -122,11 +122,11 @@
             )
         )
 
-    def _answer_repeat(self, ticket: int, identity: Hashable, request_class: api.RequestClass) -> bool:
+    def _answer_repeat(self, caller_id: int, identity: Hashable, request_class: api.RequestClass) -> bool:
         """Join the open call, give the known outcome, or reject what could not be remembered."""
         open_call = self._recent.open_call(identity)
         if open_call is not None:
-            self._calls.join(open_call, ticket)
+            self._calls.join(open_call, caller_id)
             return True
         outcome = self._recent.outcome(self._now_us, identity)
         if outcome is None and not self._recent.has_capacity(self._now_us, request_class.effect):
@@ -134,7 +134,7 @@
             outcome = Rejected("too many recent outcomes to remember", retry_after_us)
         if outcome is None:
             return False
-        self._effects.append(Answered(ticket, outcome))
+        self._effects.append(Answered(caller_id, outcome))
         return True
 
     def _open_call(
@@ -150,7 +150,7 @@
             identity=identity,
             is_durable=event.is_durable,
             outlives_callers=event.outlives_callers,
-            tickets=[event.ticket],
+            caller_ids=[event.caller_id],
         )
         self._calls.add(call)
         if identity is not None:
@@ -159,17 +159,17 @@
 
     def _on_caller_left(self, event: CallerLeft) -> None:
         """Cancel the call that nobody waits for, unless its outcome must be known to a repeat."""
-        call = self._calls.by_ticket.pop(event.ticket, None)
+        call = self._calls.by_caller.pop(event.caller_id, None)
         if call is None or call.is_answered:
             return
-        call.tickets.remove(event.ticket)
-        if call.tickets or call.outlives_callers or call.must_know_outcome():
+        call.caller_ids.remove(event.caller_id)
+        if call.caller_ids or call.outlives_callers or call.must_know_outcome():
             return
         self._end(call, None)
         self._route(api.RequestCancelled(call.number))
 
     def _on_call_stopped(self, event: CallStopped) -> None:
-        call = self._calls.by_ticket.get(event.ticket)
+        call = self._calls.by_caller.get(event.caller_id)
         if call is not None:
             self._end(call, Failed(Failure.STOPPED, "stopped by its owner"))
             self._route(api.RequestCancelled(call.number))
@@ -211,11 +211,11 @@
         call.is_answered = True
         if call.identity is not None:
             self._recent.closed(self._now_us, call.identity, call.request_class.effect, final)
-        for ticket in call.tickets:
-            self._calls.by_ticket.pop(ticket, None)
+        for caller_id in call.caller_ids:
+            self._calls.by_caller.pop(caller_id, None)
             if final is not None:
-                self._effects.append(Answered(ticket, final))
-        call.tickets.clear()
+                self._effects.append(Answered(caller_id, final))
+        call.caller_ids.clear()
         call.payload = b""
         self._calls.forget_if_ended(call)
 
@@ -293,7 +293,7 @@
             tenant=call.tenant,
             payload=call.payload,
             timeout_us=action.timeout_us,
-            ticket=call.tickets[0] if call.tickets else 0,
+            caller_id=call.caller_ids[0] if call.caller_ids else 0,
             must_persist_intent=call.is_durable and is_unsafe,
             begin_within_us=action.begin_within_us,
         )
--- a/packages/gateway/src/walnutpost/gateway/effects.py
+++ b/packages/gateway/src/walnutpost/gateway/effects.py
@@ -10,9 +10,9 @@
 
 
 class Answered(Message, frozen=True):
-    """The one final answer for a ticket."""
+    """The one final answer for a caller."""
 
-    ticket: int
+    caller_id: int
     final: Final
 
 
@@ -31,7 +31,7 @@
     tenant: str | None
     payload: bytes
     timeout_us: int
-    ticket: int
+    caller_id: int
     must_persist_intent: bool
     begin_within_us: int = 0
 
--- a/packages/gateway/src/walnutpost/gateway/inputs.py
+++ b/packages/gateway/src/walnutpost/gateway/inputs.py
@@ -14,14 +14,14 @@
 class CallArrived(Message, frozen=True):
     """A caller asks for a call.
 
-    `ticket` is the embedding program's own number for this, not used before; exactly one Answered comes for
-    it, unless CallerLeft does. Where `idempotency_key` isn't empty, another call with the same key, tenant,
+    `caller_id` is the embedding program's own number for this, not used before; exactly one Answered comes
+    for it, unless CallerLeft does. If `idempotency_key` isn't empty, another call with the same key, tenant,
     function and payload is the same call. `definition` is the function's where each call brings its own; else
     the catalogue knows it. `waited_us` is the longest time for which the request may have been there before
     it was read; `time_left_us` counts from now.
     """
 
-    ticket: int
+    caller_id: int
     function: str
     payload: bytes
     time_left_us: int
@@ -36,15 +36,15 @@
 
 
 class CallerLeft(Message, frozen=True):
-    """The caller of this ticket wants no answer any more."""
+    """The caller no longer wants an answer."""
 
-    ticket: int
+    caller_id: int
 
 
 class CallStopped(Message, frozen=True):
-    """Ends the call of this ticket as failed, whoever else waits for it."""
+    """Ends the call of this caller as failed, for all other callers too."""
 
-    ticket: int
+    caller_id: int
 
 
 class AttemptEnded(Message, frozen=True):
--- a/packages/gateway/tests/golden_gateway_days.py
+++ b/packages/gateway/tests/golden_gateway_days.py
@@ -81,7 +81,7 @@
         self.rows.append(start_row(site, seed))
         self.gateway = make_gateway(self.rows[0])
         self.tenants = TENANTS[site]
-        self.ticket, self.version = 0, 0
+        self.caller_id, self.version = 0, 0
         self.states = {f"w-{place}": READY for place in range(6)}
         self.copies: set[tuple[str, str]] = set()
         self.silent_until: dict[str, int] = {}
@@ -177,13 +177,13 @@
 
     def call(self) -> None:
         draw = self.random
-        self.ticket += 1
-        ticket, function = self.ticket, draw.choice(FUNCTIONS[:4] if draw.random() < 0.8 else FUNCTIONS)
+        self.caller_id += 1
+        caller_id, function = self.caller_id, draw.choice(FUNCTIONS[:4] if draw.random() < 0.8 else FUNCTIONS)
         key = f"key-{draw.randrange(30)}" if draw.random() < 0.3 else ""
         carried = gw.Function("g-1", 0, 200.0, 2.0, cost_hint_us=90 * MS) if draw.random() < 0.1 else None
         self.feed(
             gw.CallArrived(
-                ticket,
+                caller_id,
                 function.name if carried is None else carried.name,
                 b"%d" % draw.randrange(3) * (1 if draw.random() < 0.9 else 200),
                 draw.choice([3 * SECOND, SECOND, 300 * MS, 0]),
@@ -198,9 +198,9 @@
             )
         )
         if draw.random() < 0.06:
-            self.feed_later(draw.randrange(300 * MS), gw.CallerLeft(ticket))
+            self.feed_later(draw.randrange(300 * MS), gw.CallerLeft(caller_id))
         elif draw.random() < 0.03:
-            self.feed_later(draw.randrange(300 * MS), gw.CallStopped(ticket))
+            self.feed_later(draw.randrange(300 * MS), gw.CallStopped(caller_id))
 
     # The fleet
 
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -53,7 +53,7 @@
         self.now = 100 * SECOND
         self.gateway = Gateway(SITE, CATALOGUE, 1, **more)
         self.effects: list[Any] = []
-        self.tickets = 0
+        self.caller_ids = 0
         listed = tuple(ListedWorker(f"w{i}") for i in range(workers))
         self.feed(WorkersListed(ListKind.CACHED, 1, listed))
 
@@ -66,16 +66,16 @@
         return effects
 
     def ask(self, function: str = "price", **more: Any) -> int:
-        self.tickets += 1
+        self.caller_ids += 1
         told: dict[str, Any] = {"payload": b"1", "time_left_us": 3 * SECOND} | more
-        self.feed(CallArrived(self.tickets, function, **told))
-        return self.tickets
+        self.feed(CallArrived(self.caller_ids, function, **told))
+        return self.caller_ids
 
     def starts(self) -> list[Send]:
         return [e for e in self.effects if isinstance(e, Send)]
 
-    def answers(self, ticket: int) -> list[Any]:
-        return [e.final for e in self.effects if isinstance(e, Answered) and e.ticket == ticket]
+    def answers(self, caller_id: int) -> list[Any]:
+        return [e.final for e in self.effects if isinstance(e, Answered) and e.caller_id == caller_id]
 
     def done(self, outcome: Outcome = Outcome.OK, place: int = -1, **more: Any) -> None:
         start = self.starts()[place]
@@ -95,10 +95,10 @@
 
 def test_a_call_is_served_once() -> None:
     rig = Rig()
-    ticket = rig.ask()
+    caller_id = rig.ask()
     rig.done(payload=b"five")
     rig.done(payload=b"six")
-    assert [a.payload for a in rig.answers(ticket)] == [b"five"]
+    assert [a.payload for a in rig.answers(caller_id)] == [b"five"]
     assert rig.gateway.open_calls == 0
 
 
@@ -143,10 +143,10 @@
 def test_an_answer_after_the_callers_time_is_not_served() -> None:
     """Also where it comes before the timer that would have ended the call."""
     rig = Rig()
-    ticket = rig.ask("reserve")
+    caller_id = rig.ask("reserve")
     rig.now += 3 * SECOND + 1
     rig.done()
-    assert [type(a) for a in rig.answers(ticket)] == [Failed]
+    assert [type(a) for a in rig.answers(caller_id)] == [Failed]
 
 
 def test_the_functions_own_error_is_final_and_a_workers_is_not() -> None:
@@ -180,12 +180,12 @@
     function: str, sent: bool, goes_on: bool
 ) -> None:
     rig = Rig(workers=3 if sent else 0)
-    ticket = rig.ask(function, idempotency_key="id")
+    caller_id = rig.ask(function, idempotency_key="id")
     assert bool(rig.starts()) == sent
-    rig.feed(CallerLeft(ticket))
+    rig.feed(CallerLeft(caller_id))
     assert (rig.gateway.open_calls == 1) == goes_on
     assert any(isinstance(e, Cancel) for e in rig.effects) == (sent and not goes_on)
-    assert not rig.answers(ticket)
+    assert not rig.answers(caller_id)
     if goes_on:
         rig.done(payload=b"x")
         assert rig.answers(rig.ask(function, idempotency_key="id"))[0].payload == b"x"
@@ -202,12 +202,12 @@
 
 def test_a_stopped_call_ends_at_once() -> None:
     rig = Rig()
-    ticket = rig.ask("reserve", outlives_callers=True)
-    rig.feed(CallStopped(ticket))
-    assert rig.answers(ticket)[0].failure is Failure.STOPPED
+    caller_id = rig.ask("reserve", outlives_callers=True)
+    rig.feed(CallStopped(caller_id))
+    assert rig.answers(caller_id)[0].failure is Failure.STOPPED
     assert any(isinstance(e, Cancel) for e in rig.effects)
     rig.done()
-    assert len(rig.answers(ticket)) == 1
+    assert len(rig.answers(caller_id)) == 1
 
 
 def test_unknown_names_change_nothing() -> None:
@@ -289,8 +289,8 @@
     elif what in ("done", "error") and rig.starts():
         place = n % len(rig.starts())
         rig.done(Outcome.OK if what == "done" else Outcome.RESET, place)
-    elif what == "leave" and rig.tickets:
-        rig.feed(CallerLeft(1 + n % rig.tickets))
+    elif what == "leave" and rig.caller_ids:
+        rig.feed(CallerLeft(1 + n % rig.caller_ids))
     else:
         rig.later(n * SECOND // 4)
 
@@ -310,19 +310,19 @@
 
 
 @given(EVENTS)
-def test_under_any_inputs_each_ticket_gets_one_answer_at_most_and_in_time(
+def test_under_any_inputs_each_caller_gets_one_answer_at_most_and_in_time(
     steps: list[tuple[str, int]],
 ) -> None:
     rig = Rig()
     left: set[int] = set()
     for what, n in steps:
-        if what == "leave" and rig.tickets:
-            left.add(1 + n % rig.tickets)
+        if what == "leave" and rig.caller_ids:
+            left.add(1 + n % rig.caller_ids)
         play(rig, (what, n))
     rig.later(4 * SECOND)
-    for ticket in range(1, rig.tickets + 1):
-        assert len(rig.answers(ticket)) <= 1
-        assert ticket in left or len(rig.answers(ticket)) == 1
+    for caller_id in range(1, rig.caller_ids + 1):
+        assert len(rig.answers(caller_id)) <= 1
+        assert caller_id in left or len(rig.answers(caller_id)) == 1
     assert rig.gateway.open_calls == 0
 
 
--- a/packages/http/src/walnutpost/http/client.py
+++ b/packages/http/src/walnutpost/http/client.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from walnutpost.eventloop import Loop, Stream, Tap, TlsClientSettings, connect, connect_tls
+from walnutpost.eventloop import Loop, Stream, TlsClientSettings, TrafficObserver, connect, connect_tls
 from walnutpost.http.messages import Limits, Response, encode_request
 from walnutpost.http.parsing import ResponseParser
 
@@ -23,15 +23,15 @@
         cls,
         loop: Loop,
         address: tuple[str, int],
-        tap: Tap | None = None,
+        traffic_observer: TrafficObserver | None = None,
         role: str = "",
         limits: Limits | None = None,
         tls: TlsClientSettings | None = None,
     ) -> Connection:
         """Connect to a server, under TLS where there are settings for it. Raises OSError."""
         if tls is not None:
-            return cls(connect_tls(loop, address, tls, tap, role), limits)
-        return cls(connect(loop, address, tap, role), limits)
+            return cls(connect_tls(loop, address, tls, traffic_observer, role), limits)
+        return cls(connect(loop, address, traffic_observer, role), limits)
 
     def exchange(self, data: bytes) -> Response:
         """Send an encoded request and wait for its complete response.
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -15,9 +15,9 @@
     Logger,
     Loop,
     Stream,
-    Tap,
     TaskGroup,
     TlsStream,
+    TrafficObserver,
     WaitTimeoutError,
     tls_stream_factory,
 )
@@ -210,7 +210,7 @@
     handler: Handler,
     error_responder: ErrorResponder,
     limits: Limits | None = None,
-    tap: Tap | None = None,
+    traffic_observer: TrafficObserver | None = None,
     role: str = "",
     context: SSLContext | None = None,
     log: Logger | None = None,
@@ -220,7 +220,7 @@
     Failed accepts go to `log`.
     """
     stream_factory = tls_stream_factory(context) if context is not None else Stream
-    listener = Listener(loop, address, tap, role, stream_factory=stream_factory)
+    listener = Listener(loop, address, traffic_observer, role, stream_factory=stream_factory)
     if log is not None:
         listener.on_accept_error = AcceptErrorLog(loop, log)
     server = Server(loop, listener, handler, error_responder, limits)
--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -38,7 +38,7 @@
         self._came_after_us = came_after_us  # of the message that is being taken
         self._last_message_id = NO_MESSAGE_ID
         self._cancelled_ahead: set[int] = set()  # message ids of requests that have not come yet
-        self.open: dict[int, int] = {}  # message id -> ticket
+        self.open: dict[int, int] = {}  # message id -> caller
         self.rejected = 0  # messages that were rejected or of no use
         self.has_valid_message = False  # a message of the protocol has come
         self.last_used_us = self._loop.now()  # when the last message was taken
@@ -74,8 +74,8 @@
 
         Rejected, so that a retry is harmless, is only what no attempt was started for.
         """
-        for message_id, ticket in list(self.open.items()):
-            was_attempted = self._context.requests.was_attempted(ticket)
+        for message_id, caller_id in list(self.open.items()):
+            was_attempted = self._context.requests.was_attempted(caller_id)
             self._cancel(message_id)
             if was_attempted:
                 self._output.write(rpc.encode_internal_error(message_id))
@@ -195,20 +195,20 @@
         self._input.discard()
 
     def _cancel(self, message_id: int) -> None:
-        ticket = self.open.pop(message_id, None)
-        if ticket is not None:
-            self._context.requests.remove(ticket)
-            self._loop.run_guarded("cancel", partial(self._context.dispatcher.abandon, ticket))
+        caller_id = self.open.pop(message_id, None)
+        if caller_id is not None:
+            self._context.requests.remove(caller_id)
+            self._loop.run_guarded("cancel", partial(self._context.dispatcher.abandon, caller_id))
 
     def _open(self, call: rpc.CallRequest) -> None:
         dispatcher = self._context.dispatcher
-        ticket = dispatcher.new_ticket()
-        self.open[call.message_id] = ticket
+        caller_id = dispatcher.new_caller_id()
+        self.open[call.message_id] = caller_id
         identity = RequestIdentity(call.request_id.encode(), call.request_class, call.idempotency_key)
-        self._context.requests.add(ticket, identity, self._read_ahead)
-        dispatcher.submit(self._arrival(call, ticket), partial(self._answer, call.message_id, ticket))
+        self._context.requests.add(caller_id, identity, self._read_ahead)
+        dispatcher.submit(self._arrival(call, caller_id), partial(self._answer, call.message_id, caller_id))
 
-    def _arrival(self, call: rpc.CallRequest, ticket: int) -> CallArrived:
+    def _arrival(self, call: rpc.CallRequest, caller_id: int) -> CallArrived:
         """Return the gateway's input for a call.
 
         Its budget counts from when its client wrote the last byte, taken as early as that can have been.
@@ -223,7 +223,7 @@
         )
         waited_us = max(0, self._loop.now() - self._came_after_us)
         return CallArrived(
-            ticket,
+            caller_id,
             call.function,
             call.body,
             max(0, call.budget_us - waited_us),
@@ -234,8 +234,8 @@
             waited_us=waited_us,
         )
 
-    def _answer(self, message_id: int, ticket: int, final: Final) -> None:
-        self._context.requests.remove(ticket)
+    def _answer(self, message_id: int, caller_id: int, final: Final) -> None:
+        self._context.requests.remove(caller_id)
         if self.open.pop(message_id, None) is None:
             return
         match final:
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -49,9 +49,9 @@
         self._backlog_since_us: int | None = loop.now()
         self.sweeping = loop.call_every(SWEEP_INTERVAL_US, self._sweep, "sweep of clients")
 
-    def identity(self, ticket: int) -> RequestIdentity | None:
+    def identity(self, caller_id: int) -> RequestIdentity | None:
         """Return what a worker is given of a request; None where no attempt may begin for it any more."""
-        return self.requests.identity(ticket)
+        return self.requests.identity(caller_id)
 
     def accept(self, listener: Listener) -> None:
         """Accept connections until the listener is closed (the work of a task)."""
--- a/packages/node/src/walnutpost/node/node.py
+++ b/packages/node/src/walnutpost/node/node.py
@@ -35,7 +35,7 @@
         max_deadline_us = max((each.deadline_us for each in config.settings.classes), default=0)
         self._drain_limit_us = DRAIN_PERIOD_US + min(max_deadline_us, KILL_AFTER_US) - KILL_MARGIN_US
         self.pool = WorkerPool(loop, _worker_limits(config))
-        self.workers = WorkerCommands(loop, self.pool, lambda ticket: self.clients.identity(ticket))
+        self.workers = WorkerCommands(loop, self.pool, lambda caller_id: self.clients.identity(caller_id))
         self.dispatcher = Dispatcher(loop, gateway, self.workers, log)
         self.clients = Clients(
             loop,
--- a/packages/node/src/walnutpost/node/open_requests.py
+++ b/packages/node/src/walnutpost/node/open_requests.py
@@ -1,4 +1,4 @@
-"""The clients' requests that are open at this node, by ticket.
+"""The clients' requests that are open at this node, by caller.
 
 Says what workers are given of a request, and whether an attempt for it may still begin.
 """
@@ -29,38 +29,38 @@
         self._read_ahead: dict[int, Callable[[], None]] = {}  # of the connection that each came on
         self._attempted: set[int] = set()
 
-    def add(self, ticket: int, identity: RequestIdentity, read_ahead: Callable[[], None]) -> None:
+    def add(self, caller_id: int, identity: RequestIdentity, read_ahead: Callable[[], None]) -> None:
         """Take up a request; `read_ahead` finds unread bytes that cancel it, and then calls `withdraw`."""
-        self.identities[ticket] = identity
+        self.identities[caller_id] = identity
         self.request_ids.add(identity.request_id)
-        self._read_ahead[ticket] = read_ahead
+        self._read_ahead[caller_id] = read_ahead
 
-    def identity(self, ticket: int) -> RequestIdentity | None:
+    def identity(self, caller_id: int) -> RequestIdentity | None:
         """Return what a worker is given of a request.
 
         Asked before an attempt is made and before its first byte leaves. None once its client has left, also
         where that is still unread, or once it has been answered.
         """
-        read_ahead = self._read_ahead.get(ticket)
+        read_ahead = self._read_ahead.get(caller_id)
         if read_ahead is not None:
             read_ahead()
-        identity = self.identities.get(ticket)
+        identity = self.identities.get(caller_id)
         if identity is not None:
-            self._attempted.add(ticket)
+            self._attempted.add(caller_id)
         return identity
 
-    def was_attempted(self, ticket: int) -> bool:
+    def was_attempted(self, caller_id: int) -> bool:
         """Return whether an attempt was started for it, so that it may have run."""
-        return ticket in self._attempted
+        return caller_id in self._attempted
 
-    def withdraw(self, ticket: int) -> None:
+    def withdraw(self, caller_id: int) -> None:
         """Let no attempt begin for it from now on."""
-        identity = self.identities.pop(ticket, None)
+        identity = self.identities.pop(caller_id, None)
         if identity is not None:
             self.request_ids.discard(identity.request_id)
-        self._read_ahead.pop(ticket, None)
+        self._read_ahead.pop(caller_id, None)
 
-    def remove(self, ticket: int) -> None:
+    def remove(self, caller_id: int) -> None:
         """Forget a request that has ended here."""
-        self.withdraw(ticket)
-        self._attempted.discard(ticket)
+        self.withdraw(caller_id)
+        self._attempted.discard(caller_id)
--- a/packages/node/src/walnutpost/node/worker_commands.py
+++ b/packages/node/src/walnutpost/node/worker_commands.py
@@ -26,7 +26,7 @@
     def __init__(
         self, loop: Loop, pool: WorkerPool, identity: Callable[[int], RequestIdentity | None]
     ) -> None:
-        """`identity` gives what a worker is given of a ticket, and None once nobody waits for its answer."""
+        """`identity` gives what a worker is given of a caller, and None once nobody waits for its answer."""
         self._loop = loop
         self._pool = pool
         self._identity = identity
@@ -45,7 +45,7 @@
     ) -> None:
         """Send an attempt of a call; its timeout runs from now."""
         now_us = self._loop.now()
-        identity = self._identity(effect.ticket)
+        identity = self._identity(effect.caller_id)
         deadline_us = now_us + effect.timeout_us
         exchange = Exchange(
             CommandKind.CALL,
@@ -55,7 +55,7 @@
             effect.timeout_us,
             partial(self._end_attempt, effect, done),
             effect.begin_within_us,
-            partial(self._is_wanted, effect.ticket),
+            partial(self._is_wanted, effect.caller_id),
         )
         self._attempts[effect.call, effect.attempt] = exchange
         if identity is None:  # the client left while this was decided
@@ -181,8 +181,8 @@
             exchange.carrier.abandon(exchange)
         exchange.finish(Outcome.TIMEOUT if was_sent else Outcome.MOOT)
 
-    def _is_wanted(self, ticket: int) -> bool:
-        return self._identity(ticket) is not None
+    def _is_wanted(self, caller_id: int) -> bool:
+        return self._identity(caller_id) is not None
 
     def _next_id(self) -> bytes:
         self._last_id += 1
--- a/packages/node/tests/test_client_backpressure.py
+++ b/packages/node/tests/test_client_backpressure.py
@@ -59,8 +59,8 @@
 
         monkeypatch.setattr(connection._stream, "send_now", leaves)
         large = bytes(120_000)
-        for ticket in list(connection.open.values()):
-            world.node.dispatcher._on_final_by_ticket[ticket](Served(large, worker.name, ""))
+        for caller_id in list(connection.open.values()):
+            world.node.dispatcher._on_final_by_caller[caller_id](Served(large, worker.name, ""))
         world.until(lambda: connection.is_idle)
         unpacker = msgpack.Unpacker()
         unpacker.feed(b"".join(left))
--- a/packages/policy/tests/neutral_form.py
+++ b/packages/policy/tests/neutral_form.py
@@ -76,11 +76,11 @@
     50: (gateway.Function, "name class_index memory_mb concurrency load_time_us cost_hint_us version"),
     51: (
         gateway.CallArrived,
-        "ticket function payload time_left_us tenant idempotency_key is_repeat is_durable outlives_callers"
+        "caller_id function payload time_left_us tenant idempotency_key is_repeat is_durable outlives_callers"
         " rejection definition waited_us",
     ),
-    52: (gateway.CallerLeft, "ticket"),
-    53: (gateway.CallStopped, "ticket"),
+    52: (gateway.CallerLeft, "caller_id"),
+    53: (gateway.CallStopped, "caller_id"),
     54: (
         gateway.AttemptEnded,
         "call attempt outcome latency_us payload is_function_error warmth crowd report",
@@ -95,10 +95,11 @@
     70: (gateway.Served, "payload worker version"),
     71: (gateway.Rejected, "reason retry_after_us"),
     72: (gateway.Failed, "failure message payload"),
-    73: (gateway.Answered, "ticket final"),
+    73: (gateway.Answered, "caller_id final"),
     74: (
         gateway.Send,
-        "call attempt worker function tenant payload timeout_us ticket must_persist_intent begin_within_us",
+        "call attempt worker function tenant payload timeout_us caller_id must_persist_intent"
+        " begin_within_us",
     ),
     75: (gateway.Cancel, "call attempt"),
     76: (gateway.LoadOrder, "worker function copies begin_within_us"),
--- a/packages/workerclient/src/walnutpost/workerclient/attempts.py
+++ b/packages/workerclient/src/walnutpost/workerclient/attempts.py
@@ -33,13 +33,13 @@
     """Sends attempts, and reports the one outcome of each."""
 
     def __init__(
-        self, loop: Loop, settings: WorkerClientSettings, delivery: Delivery, time_of_day: Callable[[], int]
+        self, loop: Loop, settings: WorkerClientSettings, delivery: Delivery, wall_clock: Callable[[], int]
     ) -> None:
-        """Send deadlines by `time_of_day`, in microseconds since the epoch."""
+        """Send deadlines by `wall_clock`, in microseconds since the epoch."""
         self._loop = loop
         self._settings = settings
         self._delivery = delivery
-        self._time_of_day = time_of_day
+        self._wall_clock = wall_clock
         self._attempts: dict[tuple[int, int], _Attempt] = {}  # by call and attempt
 
     @property
@@ -99,7 +99,7 @@
             payload=effect.payload,
             call_id=f"{self._settings.call_id_prefix}-{effect.call}",
             attempt=effect.attempt,
-            deadline_us=self._time_of_day() + time_left_us,
+            deadline_us=self._wall_clock() + time_left_us,
             execution=execution,
         )
         return codec.encode_call(call)
--- a/packages/workerclient/src/walnutpost/workerclient/client.py
+++ b/packages/workerclient/src/walnutpost/workerclient/client.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Mapping
 from collections.abc import Set as AbstractSet
 
-from walnutpost.eventloop import Loop, Tap
+from walnutpost.eventloop import Loop, TrafficObserver
 from walnutpost.gateway import (
     AttemptEnded,
     LoadOrder,
@@ -34,22 +34,22 @@
         self,
         loop: Loop,
         settings: WorkerClientSettings,
-        tap: Tap | None = None,
+        traffic_observer: TrafficObserver | None = None,
         context: ssl.SSLContext | None = None,
-        time_of_day: Callable[[], int] | None = None,
+        wall_clock: Callable[[], int] | None = None,
     ) -> None:
         """Begin without workers.
 
-        With `context`, workers are reached over TLS, and prove their names. `time_of_day` is the clock by
+        With `context`, workers are reached over TLS, and prove their names. `wall_clock` is the clock by
         which workers are sent their deadlines, in microseconds since the epoch: the loop's own does not
         follow when it is corrected.
         """
         self._settings = settings
         self._directory = WorkerDirectory()
-        self._connector = Connector(loop, settings.connect_timeout_us, tap, context)
+        self._connector = Connector(loop, settings.connect_timeout_us, traffic_observer, context)
         self._idle = IdleConnections(loop, settings.idle_timeout_us, settings.max_idle_connections)
         self._delivery = Delivery(loop, self._directory, self._connector, self._idle)
-        self._attempts = AttemptSender(loop, settings, self._delivery, time_of_day or loop.now)
+        self._attempts = AttemptSender(loop, settings, self._delivery, wall_clock or loop.now)
         self._load_orders = LoadOrderSender(loop, self._delivery, self._directory, settings.order_timeout_us)
         self._prober = queries.Prober(loop, self._delivery, settings.report_fields)
 
--- a/packages/workerclient/src/walnutpost/workerclient/connector.py
+++ b/packages/workerclient/src/walnutpost/workerclient/connector.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from walnutpost.certificates import HandshakeLimiter, HandshakeLimits
-from walnutpost.eventloop import Loop, Tap, TlsClientSettings, TlsStream, WaitTimeoutError
+from walnutpost.eventloop import Loop, TlsClientSettings, TlsStream, TrafficObserver, WaitTimeoutError
 from walnutpost.http import Connection
 from walnutpost.workerclient.directory import Address
 
@@ -24,12 +24,16 @@
     """
 
     def __init__(
-        self, loop: Loop, connect_timeout_us: int, tap: Tap | None, context: ssl.SSLContext | None
+        self,
+        loop: Loop,
+        connect_timeout_us: int,
+        traffic_observer: TrafficObserver | None,
+        context: ssl.SSLContext | None,
     ) -> None:
-        """Open connections that `tap` sees, under TLS where there is a context."""
+        """Open connections that `traffic_observer` sees, under TLS where there is a context."""
         self._loop = loop
         self._connect_timeout_us = connect_timeout_us
-        self._tap = tap
+        self._traffic_observer = traffic_observer
         self._context = context
         self._sessions: dict[str, ssl.SSLSession] = {}
         self.handshakes = HandshakeLimiter(HandshakeLimits())
@@ -51,7 +55,7 @@
         with self._loop.timeout(self._connect_timeout_us) as limit:
             try:
                 if self._context is None:
-                    return Connection.open(self._loop, address, self._tap, CAPTURE_ROLE)
+                    return Connection.open(self._loop, address, self._traffic_observer, CAPTURE_ROLE)
                 return self._connect_secure(worker, address, self._context, limit)
             except WaitTimeoutError as error:
                 if error is not limit:  # the caller's own timeout
@@ -77,7 +81,9 @@
         name = self.certificate_names.get(worker, worker)
         secure = TlsClientSettings(context, name, self._sessions.get(worker))
         try:
-            connection = Connection.open(self._loop, address, self._tap, CAPTURE_ROLE, tls=secure)
+            connection = Connection.open(
+                self._loop, address, self._traffic_observer, CAPTURE_ROLE, tls=secure
+            )
         except BaseException as error:
             if error is limit or isinstance(error, OSError):
                 self.handshakes.record_failure(self._loop.now(), worker)
--- a/packages/workerclient/tests/test_call_outcomes.py
+++ b/packages/workerclient/tests/test_call_outcomes.py
@@ -146,7 +146,7 @@
     rig = RespondingWorkerRig()
     correction_us = 7 * US_PER_S  # by which the clock of the machine was set since the loop began
     rig.client = WorkerClient(
-        rig.loop, WorkerClientSettings("p"), time_of_day=lambda: rig.loop.now() + correction_us
+        rig.loop, WorkerClientSettings("p"), wall_clock=lambda: rig.loop.now() + correction_us
     )
 
     def script() -> None:
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -41,7 +41,8 @@
     "policy",
     "interface",
 ]
-# faultinjection.capture is a tap that the shell hands down; fakes may use the worker protocol's words.
+# faultinjection.capture is a traffic observer that the shell hands down; fakes may use the words of the
+# worker protocol.
 NO_IO = ["consensus", "fleet", "gateway", "journal", "metering", "cron", "configstore", "certificates"]
 NO_IO += ["policy", "interface"]
 # The modules of fakes that make up the state machine of a worker.
