--- a/packages/agent/src/walnutpost/agent/agent.py
+++ b/packages/agent/src/walnutpost/agent/agent.py
@@ -17,21 +17,17 @@
 from walnutpost.agent.folder import AgentFolder
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import Fleet, RequestPermit, StoreVersion
-from walnutpost.fleet.agent_state import (
-    ControllerSettings,
+from walnutpost.fleet.agent_effects import (
     Effect,
-    FleetStateObserved,
-    Input,
-    InstanceController,
     LogEvent,
-    PermitAnswered,
-    ProcessExited,
     SendCommand,
     SendPermitRequest,
     StartProcess,
     StopProcess,
-    Tick,
 )
+from walnutpost.fleet.agent_inputs import FleetStateObserved, Input, PermitAnswered, ProcessExited, Tick
+from walnutpost.fleet.agent_instance import ControllerSettings, DurableState, ManagedInstance
+from walnutpost.fleet.agent_state import InstanceController
 
 OBSERVE_INTERVAL_US = 500_000  # of the fleet's state (up to twice that, at random), and of orders
 RETRY_INTERVAL_US = 500_000  # of a state that could not be written, and of orphans' ends
@@ -72,18 +68,13 @@
         self._saved = self._folder.open(first)
         self._save_again_at_us: int | None = None  # where the file is older than the state
         state = self._saved
+        self.agent = state.agent
         self.controller = InstanceController(
-            state.agent,
-            member,
-            kind,
-            zone,
-            state.current,
+            ManagedInstance(state.agent, member, kind, zone, follows),
+            DurableState(state.current, state.previous, state.drain_permit or ""),
             settings,
             self._random.getrandbits(63),
-            follows,
-            state.drain_permit or "",
         )
-        self.controller.previous = state.previous
         self._link = ControlPlaneLink(
             loop, state.agent, member, keepers, request_timeout_us, self._random, log
         )
@@ -107,7 +98,7 @@
 
     def _send_current_version(self) -> None:
         """Let the fleet store the version that runs, so that it can be rolled back to."""
-        version = self.controller.current
+        version = self.controller.durable.current
         content = self._folder.version_path(version).read_bytes()
         self._link.send(StoreVersion(version, content), f"keep-{version}")
 
@@ -117,7 +108,7 @@
         It is found by its environment, since a note of its process id might not have been written any more.
         """
         patience_us = KILL_TIMEOUT_US
-        while orphans := processes_of(self.controller.agent):
+        while orphans := processes_of(self.agent):
             for pid in orphans:
                 with suppress(ProcessLookupError):
                     os.kill(pid, signal.SIGTERM if patience_us > 0 else signal.SIGKILL)
@@ -148,12 +139,12 @@
 
     def _save(self) -> None:
         """Write the state if it has changed; after a failure, `_poll` tries again."""
-        controller = self.controller
+        durable = self.controller.durable
         state = replace(
             self._saved,
-            current=controller.current,
-            previous=controller.previous,
-            drain_permit=controller.drain_permit,
+            current=durable.current,
+            previous=durable.previous,
+            drain_permit=durable.drain_permit,
         )
         self._save_again_at_us = None
         if state == self._saved:
@@ -174,7 +165,7 @@
         while not self._has_stopped:
             result = self._link.request(id, command)
             if result is not None:
-                self._handle(PermitAnswered(result.permit, result.error))
+                self._handle(PermitAnswered(result.permit))
                 return
 
     def _observe_fleet(self) -> None:
@@ -229,7 +220,7 @@
 
     def _start_process(self, version: str) -> None:
         try:
-            self.process.start(self.controller.agent, self._folder.version_path(version))
+            self.process.start(self.agent, self._folder.version_path(version))
         except OSError as error:
             self._log.error("process_start_failed", member=self._member, version=version, error=str(error))
             self._loop.call_soon(lambda: self._handle(ProcessExited()))
--- a/packages/agent/src/walnutpost/agent/child_process.py
+++ b/packages/agent/src/walnutpost/agent/child_process.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from walnutpost.eventloop import Loop
-from walnutpost.fleet.agent_state import ProcessReady
+from walnutpost.fleet.agent_inputs import ProcessReady
 
 KILL_TIMEOUT_US = 10_000_000  # from the request to end
 POLL_INTERVAL_US = 50_000
--- a/packages/agent/src/walnutpost/agent/folder.py
+++ b/packages/agent/src/walnutpost/agent/folder.py
@@ -19,7 +19,7 @@
 
 from walnutpost.agent.errors import AgentFolderError, ManualOrderError
 from walnutpost.eventloop import Logger, remove_leftovers, replace_file
-from walnutpost.fleet.agent_state import OperatorOrder
+from walnutpost.fleet.agent_inputs import OperatorOrder
 
 VERSION_CHARACTERS = 16  # of the hexadecimal digest
 REQUIRED_KEYS = frozenset({"agent", "current", "previous"})
--- a/packages/agent/tests/agent_forms.py
+++ b/packages/agent/tests/agent_forms.py
@@ -15,7 +15,9 @@
 from walnutpost.cli.fleet_plans import write_manual_orders
 from walnutpost.cli.fleet_processes import AGENTS_FOLDER
 from walnutpost.fleet import FRONT_END
-from walnutpost.fleet.agent_state import ControllerSettings, Input, InstanceController, OperatorOrder
+from walnutpost.fleet.agent_inputs import Input, OperatorOrder
+from walnutpost.fleet.agent_instance import ControllerSettings, DurableState, ManagedInstance
+from walnutpost.fleet.agent_state import InstanceController
 from watch_rig import Log
 
 MEMBER, NAME = "f1", "f1@0a1b2c3d"
@@ -51,16 +53,11 @@
             folder.store_version(content)
         agent = _agent(folder)
         agent.controller = InstanceController(
-            state.agent,
-            MEMBER,
-            FRONT_END,
-            "a",
-            state.current,
+            ManagedInstance(state.agent, MEMBER, FRONT_END, "a"),
+            DurableState(state.current, state.previous, state.drain_permit),
             ControllerSettings(1, 1),
             0,
-            drain_permit=state.drain_permit,
         )
-        agent.controller.previous = state.previous
         agent._saved = AgentState(state.agent, "", "")
         agent._save()
         return _dumped(path)
--- a/packages/agent/tests/test_agent_files.py
+++ b/packages/agent/tests/test_agent_files.py
@@ -18,7 +18,7 @@
 from walnutpost.agent.folder import AgentFolder, AgentState
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import FRONT_END
-from walnutpost.fleet.agent_state import ControllerSettings
+from walnutpost.fleet.agent_instance import ControllerSettings
 
 SECOND = 1_000_000
 KEEPERS = {"k1": ("127.0.0.1", 1)}
@@ -66,7 +66,7 @@
 
 def name_of(folder: Path) -> str:
     names: list[str] = []
-    play(folder, lambda agent, loop, log: names.append(agent.controller.agent))
+    play(folder, lambda agent, loop, log: names.append(agent.agent))
     return names[0]
 
 
@@ -77,8 +77,8 @@
     (tmp_path / "f0.json.0a1b2c3d.new").write_bytes(b"half")
 
     def script(agent: Agent, loop: Loop, log: Log) -> None:
-        assert agent.controller.agent == name
-        assert agent.controller.current == version_of(V1)
+        assert agent.agent == name
+        assert agent.controller.durable.current == version_of(V1)
         unreadable = [fields["file"] for event, fields in log.lines if event == "state_file_unreadable"]
         assert unreadable == ["f0.json"]
         assert not (tmp_path / "f0.json.0a1b2c3d.new").exists()
@@ -105,7 +105,7 @@
         (tmp_path / "versions" / version_of(V2)).write_bytes(content)
 
     def script(agent: Agent, loop: Loop, log: Log) -> None:
-        assert agent.controller.current == version_of(V1)
+        assert agent.controller.durable.current == version_of(V1)
         unusable = [fields["version"] for event, fields in log.lines if event == "version_unusable"]
         assert unusable == [version_of(V2)]
         stored = agent._folder.store_version(V2)  # sent again by the control plane
@@ -120,7 +120,7 @@
     def script(agent: Agent, loop: Loop, log: Log) -> None:
         with scripted_files() as files:
             files.fails[call] = 1_000
-            agent.controller.previous = "before"
+            agent.controller.durable.previous = "before"
             agent._save()
             until(loop, lambda: files.fails[call] < 998)  # it is tried again, and its process cared for
             assert agent.process.is_alive
--- a/packages/cli/src/walnutpost/cli/fleet_processes.py
+++ b/packages/cli/src/walnutpost/cli/fleet_processes.py
@@ -24,7 +24,7 @@
 from walnutpost.controlplane import ControlPlaneReplica, ReplicaFailedError, ReplicaSettings
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import AnalysisPolicy
-from walnutpost.fleet.agent_state import ControllerSettings
+from walnutpost.fleet.agent_instance import ControllerSettings
 from walnutpost.relay import Relay
 from walnutpost.store import StoreError
 
--- a/packages/fleet/tests/state_machine_rig.py
+++ b/packages/fleet/tests/state_machine_rig.py
@@ -20,22 +20,24 @@
     StoreVersion,
     encode,
 )
-from walnutpost.fleet.agent_state import (
-    ControllerSettings,
+from walnutpost.fleet.agent_effects import (
     Effect,
-    FleetStateObserved,
-    InstanceController,
     LogEvent,
-    PermitAnswered,
-    Phase,
-    ProcessExited,
-    ProcessReady,
     SendCommand,
     SendPermitRequest,
     StartProcess,
     StopProcess,
+)
+from walnutpost.fleet.agent_inputs import (
+    FleetStateObserved,
+    PermitAnswered,
+    ProcessExited,
+    ProcessReady,
     Tick,
 )
+from walnutpost.fleet.agent_instance import ControllerSettings, DurableState, ManagedInstance
+from walnutpost.fleet.agent_process import Phase
+from walnutpost.fleet.agent_state import InstanceController
 
 
 class FleetRig:
@@ -112,7 +114,8 @@
         self.do(self.controller.start(self.now))
 
     def agent(self) -> InstanceController:
-        return InstanceController("agent-m", "m", self.kind, "a", "v1", SETTINGS, 1)
+        instance = ManagedInstance("agent-m", "m", self.kind, "a")
+        return InstanceController(instance, DurableState("v1"), SETTINGS, 1)
 
     def current_phase(self) -> Phase:
         return self.controller.phase
@@ -141,7 +144,7 @@
                     self.logged.append(effect)
                 case SendPermitRequest(command) if answer:
                     sent = self.apply(command)
-                    self.handle(PermitAnswered("", sent) if sent.startswith("no") else PermitAnswered(sent))
+                    self.handle(PermitAnswered("" if sent.startswith("no") else sent))
 
     def handle(self, event: object, answer: bool = True) -> None:
         self.do(self.controller.handle(self.now, event), answer)  # type: ignore[arg-type]
--- a/packages/fleet/tests/test_agent_state.py
+++ b/packages/fleet/tests/test_agent_state.py
@@ -23,17 +23,15 @@
     RequestPermit,
     StartPlan,
 )
-from walnutpost.fleet.agent_state import (
+from walnutpost.fleet.agent_effects import LogEvent, SendPermitRequest, StopProcess
+from walnutpost.fleet.agent_inputs import (
     FleetStateObserved,
-    LogEvent,
     OperatorOrder,
     PermitAnswered,
-    Phase,
     ProcessExited,
-    SendPermitRequest,
-    StopProcess,
     Tick,
 )
+from walnutpost.fleet.agent_process import Phase
 
 
 def test_controller_when_a_release_reaches_its_member_installs_the_version_under_a_permit() -> None:
@@ -41,8 +39,8 @@
     release(rig)
     rig.observe()
     assert rig.started == ["v1", "v2"]
-    assert rig.controller.current == "v2"
-    assert rig.controller.previous == "v1"
+    assert rig.controller.durable.current == "v2"
+    assert rig.controller.durable.previous == "v1"
     assert [type(c) for c in rig.sent] == [RegisterMember, BeginPermit, CompletePermit]
     assert not rig.fleet.state.permits
     assert rig.fleet.state.plans["r"].completed == ["m"]
@@ -155,9 +153,9 @@
     assert rig.started == ["v1"]
     rig.acknowledge()
     assert rig.current_phase() is Phase.DRAINED
-    assert rig.controller.drain_permit
-    held, rig.controller = rig.controller.drain_permit, rig.agent()
-    rig.controller.drain_permit = held
+    assert rig.controller.durable.drain_permit
+    held, rig.controller = rig.controller.durable.drain_permit, rig.agent()
+    rig.controller.durable.drain_permit = held
     rig.do(rig.controller.start(rig.now))
     rig.observe()
     assert rig.current_phase() is Phase.DRAINED
@@ -167,7 +165,7 @@
     assert rig.started == ["v1", "v1"]
     assert rig.fleet.state.plans["d"].end_reason == "done"
     assert not rig.fleet.state.permits
-    assert not rig.controller.drain_permit
+    assert not rig.controller.durable.drain_permit
 
 
 def test_draining_worker_when_it_crashes_counts_as_stopped() -> None:
@@ -212,7 +210,7 @@
     rig = WorkerAgentRig()
     rig.handle(OperatorOrder("jo", "no quorum", 7.0, "v2"))
     assert rig.started == ["v1", "v2"]
-    assert rig.controller.current == "v2"
+    assert rig.controller.durable.current == "v2"
     assert [a.reason for a in rig.fleet.state.manual_changes] == ["no quorum"]
     assert not rig.fleet.state.permits
     assert rig.fleet.state.members["m"].version == "v2"
@@ -220,7 +218,7 @@
     rig.bad = ("v2",)
     rig.handle(OperatorOrder("jo", "no quorum", 7.0, "v2"))
     rig.pass_time(60 * SECOND)
-    assert rig.controller.current == "v1"
+    assert rig.controller.durable.current == "v1"
     assert rig.current_phase() is Phase.RUNNING
 
 
--- a/packages/fleet/tests/test_fleet_golden.py
+++ b/packages/fleet/tests/test_fleet_golden.py
@@ -14,7 +14,13 @@
 from walnutpost.fleet import (
     Command,
     Fleet,
+    agent_effects,
+    agent_inputs,
+    agent_instance,
+    agent_process,
+    agent_reports,
     agent_state,
+    agent_transitions,
     analysis,
     budgets,
     commands,
@@ -32,7 +38,13 @@
 )
 
 MODULES = (
+    agent_effects,
+    agent_inputs,
+    agent_instance,
+    agent_process,
+    agent_reports,
     agent_state,
+    agent_transitions,
     analysis,
     budgets,
     commands,
