--- a/packages/configstore/src/walnutpost/configstore/__init__.py
+++ b/packages/configstore/src/walnutpost/configstore/__init__.py
@@ -6,6 +6,7 @@
 of all members), `relay_selection` (which server a member asks).
 """
 
+from walnutpost.configstore.digest_check import VERIFY_INTERVAL_US
 from walnutpost.configstore.digests import DIGEST_BUCKETS, bucket_of, entry_digest
 from walnutpost.configstore.errors import (
     ConfigStoreError,
@@ -53,7 +54,7 @@
     pending_events,
     respond,
 )
-from walnutpost.configstore.watch_state import STALE_AFTER_US, VERIFY_INTERVAL_US, WatchState
+from walnutpost.configstore.watch_state import STALE_AFTER_US, WatchState
 
 __all__ = [
     "AGE_HEADER",
--- a/packages/configstore/tests/test_store_orders.py
+++ b/packages/configstore/tests/test_store_orders.py
@@ -30,6 +30,7 @@
 )
 from walnutpost.configstore.outcome import SyncEventKind
 from walnutpost.configstore.snapshot_load import SnapshotLoad
+from walnutpost.configstore.store_sync import StoreSync
 
 KEYS = [f"{kind}/{name}" for kind in ("class", "function") for name in "abcdef"]
 LIMITS = {"max_log_entries": 5, "max_log_bytes": 100_000}
@@ -463,19 +464,14 @@
 
 
 def takes_any_page_of_the_whole_state(patch: pytest.MonkeyPatch) -> None:
-    answered = WatchState.handle_response
+    handle_page = StoreSync.handle_page
 
-    def any_after(self: WatchState, now: int, page: WatchResponse | None, age: int | None) -> ApplyOutcome:
-        if (
-            page is not None
-            and page.is_snapshot
-            and self._load is not None
-            and self._load.after_key is not None
-        ):
-            page = replace(page, after_key=self._load.after_key)
-        return answered(self, now, page, age)
+    def any_after(self: StoreSync, page: WatchResponse) -> ApplyOutcome:
+        if page.is_snapshot and self.load is not None and self.load.after_key is not None:
+            page = replace(page, after_key=self.load.after_key)
+        return handle_page(self, page)
 
-    patch.setattr(WatchState, "handle_response", any_after)
+    patch.setattr(StoreSync, "handle_page", any_after)
 
 
 def in_force_before_it_is_complete(patch: pytest.MonkeyPatch) -> None:
@@ -483,7 +479,7 @@
 
 
 def not_compared(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(WatchState, "_has_committed_digest", staticmethod(lambda load, table: True))
+    patch.setattr(SnapshotLoad, "has_committed_digest", lambda load, table: True)
 
 
 def neither_complete_nor_compared(patch: pytest.MonkeyPatch) -> None:
@@ -501,28 +497,28 @@
 
 
 def lays_from_the_highest_page(patch: pytest.MonkeyPatch) -> None:
-    answered = WatchState.handle_response
+    handle_page = StoreSync.handle_page
 
-    def highest(self: WatchState, now: int, page: WatchResponse | None, age: int | None) -> ApplyOutcome:
-        taken = answered(self, now, page, age)
-        load = self._load
-        if load is not None and page is not None and page.is_last_page and load.is_replaying:
+    def highest(self: StoreSync, page: WatchResponse) -> ApplyOutcome:
+        taken = handle_page(self, page)
+        load = self.load
+        if load is not None and page.is_last_page and load.is_replaying:
             load.replayed_revision = load.target_revision
         return taken
 
-    patch.setattr(WatchState, "handle_response", highest)
+    patch.setattr(StoreSync, "handle_page", highest)
 
 
 def begins_from_what_is_held(patch: pytest.MonkeyPatch) -> None:
     """Then what was deleted meanwhile comes back."""
-    begin = WatchState._start_snapshot_load
+    begin = SnapshotLoad.of_snapshot
 
-    def from_held(self: WatchState) -> SnapshotLoad:
-        load = begin(self)
-        load.entries.update(self.store.entries)
+    def from_held(store: ConfigStore) -> SnapshotLoad:
+        load = begin(store)
+        load.entries.update(store.entries)
         return load
 
-    patch.setattr(WatchState, "_start_snapshot_load", from_held)
+    patch.setattr(SnapshotLoad, "of_snapshot", from_held)
 
 
 def an_older_relay_answers(patch: pytest.MonkeyPatch) -> None:
@@ -533,18 +529,18 @@
             return respond(table, replace(question, revision=0, after_key=""), 100_000)
         return respond(table, question, most)
 
-    answered = WatchState.handle_response
+    handle_page = StoreSync.handle_page
 
-    def taken_over(self: WatchState, now: int, page: WatchResponse | None, age: int | None) -> ApplyOutcome:
-        if page is not None and page.is_snapshot and page.is_last_page and page.after_key == "":
-            self._load = None
+    def taken_over(self: StoreSync, page: WatchResponse) -> ApplyOutcome:
+        if page.is_snapshot and page.is_last_page and page.after_key == "":
+            self.load = None
             entries = {entry.key: entry for entry in page.entries}
             self.store = Watched.from_entries(entries, page.revision, max_log_entries=0)
             return ApplyOutcome(is_replaced=True)
-        return answered(self, now, page, age)
+        return handle_page(self, page)
 
     patch.setattr(World, "owed", staticmethod(whole))
-    patch.setattr(WatchState, "handle_response", taken_over)
+    patch.setattr(StoreSync, "handle_page", taken_over)
 
 
 def in_force_goes_back(patch: pytest.MonkeyPatch) -> None:
@@ -590,8 +586,8 @@
 def a_range_is_added_to(patch: pytest.MonkeyPatch) -> None:
     """What stands in it and should not, stays."""
 
-    def added(self: WatchState, page: WatchResponse) -> ApplyOutcome:
-        load = self._load
+    def added(self: StoreSync, page: WatchResponse) -> ApplyOutcome:
+        load = self.load
         if load is None or not set(page.repaired_buckets) <= load.wanted_buckets:
             return ApplyOutcome()
         load.entries |= {entry.key: entry for entry in page.entries if entry.key not in load.entries}
@@ -599,7 +595,7 @@
         load.record_position(page)
         return self._finish_load(load)
 
-    patch.setattr(WatchState, "_handle_repair", added)
+    patch.setattr(StoreSync, "_handle_repair", added)
 
 
 @pytest.mark.parametrize(
