--- a/packages/configstore/src/walnutpost/configstore/relay_report.py
+++ b/packages/configstore/src/walnutpost/configstore/relay_report.py
@@ -1,4 +1,4 @@
-"""What a leader remembers of one relay's reports, and whether a further report fits to it. No I/O."""
+"""One relay's reports as a leader has received them, and whether another report fits them. No I/O."""
 
 from __future__ import annotations
 
@@ -8,6 +8,18 @@
 from walnutpost.configstore.messages import MemberProgress, ProgressSummary
 
 
+@dataclass(frozen=True, slots=True)
+class MemberReport:
+    """What a relay has last reported of one member.
+
+    `heard_at_us`: when the relay last heard the member, None if no relay ever reported it.
+    """
+
+    relay: str
+    blocked_reason: str
+    heard_at_us: int | None
+
+
 @dataclass(slots=True)
 class RelayState:
     """One relay by its reports so far.
@@ -17,7 +29,7 @@
     `members`: all members that the relay has reported, with their last progress by name.
     `common_revision`: registered members at home here that are not in `individual` have applied at least
     this revision; they are `common_count`.
-    `individual`: members at home here of which another revision is proved, each by itself.
+    `individual`: members at home here of which another revision is proved.
     """
 
     name: str
@@ -37,16 +49,16 @@
         """Whether a report that is relative to report `number` of this incarnation can be added."""
         return self.full_report_number <= number <= self.number
 
-    def last_report_of(self, member: str) -> tuple[str, str, int]:
-        """Return this relay's name, why the member is blocked, and when the member was last heard."""
+    def last_report_of(self, member: str) -> MemberReport:
+        """Return what this relay's last report says of a member."""
         listed = self.lagging.get(member)
         if listed is None:
-            return self.name, "", self.reported_at_us
-        return self.name, listed.blocked_reason, self.reported_at_us - listed.silent_for_us
+            return MemberReport(self.name, "", self.reported_at_us)
+        return MemberReport(self.name, listed.blocked_reason, self.reported_at_us - listed.silent_for_us)
 
 
 def is_consistent(members: Mapping[str, MemberProgress], summary: ProgressSummary) -> bool:
-    """Return whether a report fits to the members that its relay has reported before.
+    """Return whether a report fits the members that its relay has reported before.
 
     Otherwise `min_applied_revision` would be taken to cover a member that the relay does not have, or
     another process of that name.
--- a/packages/configstore/tests/test_fleet_progress.py
+++ b/packages/configstore/tests/test_fleet_progress.py
@@ -10,7 +10,7 @@
 
 from progress_rig import FakeStore, Fleet, ask, tell
 from walnutpost.configstore import member_registry
-from walnutpost.configstore.fleet_progress import RELAY_GONE_AFTER_US, RELAY_SILENT_AFTER_US, FleetProgress
+from walnutpost.configstore.fleet_progress import FleetProgress
 from walnutpost.configstore.member_registry import (
     LAG_GRACE_US,
     MEMBER_GONE_AFTER_US,
@@ -23,6 +23,8 @@
     ProgressSummary,
     ProgressSummaryResponse,
 )
+from walnutpost.configstore.registration_changes import RELAY_SILENT_AFTER_US
+from walnutpost.configstore.report_handler import RELAY_GONE_AFTER_US
 
 
 def test_min_applied_revision_is_over_all_registered_members() -> None:
@@ -433,9 +435,9 @@
             tell(0, relay, leader, 10)
         for found in (fleet.leader, leader):
             walked = [
-                found._unreported,
-                found._mismatched,
-                *(relay.individual for relay in found._relays.values()),
+                found._fleet.unreported,
+                found._registrations._mismatched,
+                *(relay.individual for relay in found._fleet.relays.values()),
             ]
             sizes.append([sys.getsizeof(each) for each in walked])
     assert sizes == [[sys.getsizeof(set())] * 4] * 4
--- a/packages/configstore/tests/test_progress_orders.py
+++ b/packages/configstore/tests/test_progress_orders.py
@@ -12,7 +12,17 @@
 from hypothesis import strategies as st
 
 from progress_world import STEPS, World
-from walnutpost.configstore import fleet_progress, member_registry, relay_report
+from walnutpost.configstore import (
+    applied_minimum,
+    fleet_progress,
+    home_relays,
+    known_fleet,
+    member_registry,
+    proved_revisions,
+    registration_changes,
+    relay_report,
+    report_handler,
+)
 
 SIZES = [(500, 100), (2, 1), (1, 2)]
 steps = st.lists(st.tuples(st.integers(0, len(STEPS) - 1), st.integers(0, 999)), min_size=10, max_size=120)
@@ -42,20 +52,21 @@
     return [(random.randrange(len(STEPS)), random.randrange(1000)) for _ in range(120)]
 
 
-UNREPORTED = "            found += [self._members[name].proved_revision for name in self._unreported]\n"
-INDIVIDUAL = "found += [self._members[name].proved_revision for name in relay.individual]"
+UNREPORTED = "            found += [members[name].proved_revision for name in self._fleet.unreported]\n"
+INDIVIDUAL = "found += [members[name].proved_revision for name in relay.individual]"
 BROKEN = {
     "a new incarnation inherits": [
         (
-            "= _RegisteredMember(incarnation)\n",
-            "= _RegisteredMember(incarnation, former.proved_revision if former else 0)\n",
+            "= RegisteredMember(incarnation)\n",
+            "= RegisteredMember(incarnation, members[name].proved_revision if name in members else 0)\n",
         )
     ],
     "a never heard member is ignored": [
         (
             UNREPORTED,
             UNREPORTED.replace(
-                "_unreported]", "_unreported if self._members[name].last_heard_us is not None]"
+                "unreported]",
+                "unreported if members[name].last_report.heard_at_us is not None]",
             ),
         )
     ],
@@ -65,7 +76,7 @@
         ("others += [applied for applied, _ in lagging[MAX_LAGGING_REPORTED:]]", "pass")
     ],
     "any incarnation counts": [
-        ("if progress is None or progress.incarnation != known.incarnation:", "if progress is None:")
+        ("if progress is None or progress.incarnation != member.incarnation:", "if progress is None:")
     ],
     "a missed report is not noticed": [
         (
@@ -76,7 +87,7 @@
     ],
     "one who leaves takes back": [
         (
-            "        self._track_individually(home, name)\n        home.individual",
+            "        self._proved.track_individually(home, name)\n        home.individual",
             "        home.common_count -= name not in home.individual\n        home.individual",
         )
     ],
@@ -84,10 +95,13 @@
         ("relay.common_revision = max(relay.common_revision, reported)", "relay.common_revision = reported")
     ],
     "the sum speaks for those it names": [
-        ("reported = min(listed.applied_revision, self._revision)", "reported = relay.reported_min_revision")
+        (
+            "reported = min(listed.applied_revision, self._fleet.revision)",
+            "reported = relay.reported_min_revision",
+        )
     ],
     "apart is over before it has caught up": [
-        ("if listed is None and known.proved_revision == relay.common_revision:", "if True:")
+        ("if listed is None and member.proved_revision == relay.common_revision:", "if True:")
     ],
     "one that is named stays with the others": [
         ("if progress.member not in relay.lagging:", "if progress.member == '':")
@@ -106,19 +120,30 @@
     ],
     "a join is covered by the sum before it": [
         (
-            "        home.individual.add(name)\n",
-            "        home.individual.add(name)\n        self._raise_proved(home, name)\n",
+            "        self._proved.begin_individually(home, name)\n",
+            "        self._proved.begin_individually(home, name)\n"
+            "        self._proved.raise_individual(home, name)\n",
         )
     ],
     "agreed is proved": [
         (
-            "            self._raise_proved(known.home, name)\n",
-            "            known.proved_revision = self._revision\n",
+            "            self._proved.raise_individual(member.home, name)\n",
+            "            member.proved_revision = self._fleet.revision\n",
         )
     ],
     "unknown ones are not kept": [("self._mismatched.add(name)", "pass")],
 }
-RULES = member_registry, relay_report, fleet_progress  # in the order of their imports
+RULES = (  # in the order of their imports
+    member_registry,
+    relay_report,
+    known_fleet,
+    applied_minimum,
+    proved_revisions,
+    home_relays,
+    registration_changes,
+    report_handler,
+    fleet_progress,
+)
 
 
 @pytest.fixture(params=list(BROKEN))
@@ -139,7 +164,7 @@
 
 
 def test_a_rule_broken_on_purpose_is_found(broken: tuple[ModuleType, ...]) -> None:
-    registry, _, progress = broken
+    registry, *_, progress = broken
     with pytest.raises((AssertionError, KeyError)):
         for seed in range(300):
             World(progress.FleetProgress, registry.MemberRegistry).run(drawn(seed))
