--- a/packages/gateway/src/walnutpost/gateway/__init__.py
+++ b/packages/gateway/src/walnutpost/gateway/__init__.py
@@ -3,7 +3,7 @@
     gateway = Gateway(settings, catalogue, seed)
     effects = gateway.handle(now, input)
 
-The same inputs at the same times give the same effects; who carries them out is the caller's matter.
+The same inputs at the same times give the same effects; the embedder carries them out.
 """
 
 from walnutpost.gateway.catalogue import Catalogue, Function, UnknownNameError
--- a/packages/gateway/src/walnutpost/gateway/calls.py
+++ b/packages/gateway/src/walnutpost/gateway/calls.py
@@ -1,4 +1,4 @@
-"""Open calls: their callers, their attempts, and what is known of each."""
+"""Open calls: their callers and their attempts."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def identity_of(event: CallArrived) -> Hashable:
-    """Return what makes two calls the same one, None where the client gave no idempotency key."""
+    """Return what makes two calls the same one, None if the client gave no idempotency key."""
     if not event.idempotency_key:
         return None
     digest = blake2b(event.payload, digest_size=DIGEST_BYTES).digest()
--- a/packages/gateway/src/walnutpost/gateway/catalogue.py
+++ b/packages/gateway/src/walnutpost/gateway/catalogue.py
@@ -1,4 +1,4 @@
-"""What can be called, and the numbers that the Router knows it by."""
+"""The functions and tenants that can be called, and the numbers by which the Router knows names."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 FUNCTION_BITS = 40
 WORKER_BITS = 32
 NUMBER_BYTES = 8  # of the digest that a number is the first bits of
-SPARE_NAMES = 256  # beyond twice the wanted ones, so that a cleanup is paid for by many new names
+SPARE_NAMES = 256  # beyond twice the wanted ones, so that a cleanup comes after many new names only
 
 
 class UnknownNameError(LookupError):
-    """A function or tenant that isn't in the catalogue."""
+    """A function or tenant that is not in the catalogue."""
 
 
 @dataclass(frozen=True, slots=True)
 class Function:
-    """What is configured of a function.
+    """The configuration of a function.
 
     `class_index` points into Settings.classes; `memory_mb` is of one copy; `concurrency` is calls at a time
     in one copy; `load_time_us` is 0 and `cost_hint_us` (on a standard core) None where not configured.
@@ -37,13 +37,13 @@
 class Catalogue:
     """The functions and tenants that can be named.
 
-    `functions` may be another at each reading where `is_changing`; a call goes by the one it arrived under.
+    If `is_changing`, `functions` may differ at each reading; a call keeps the one that it arrived under.
     """
 
     functions: Mapping[str, Function]
     tenants: tuple[str, ...] = ()
     default_tenant: str | None = None
-    allows_no_tenant: bool = False  # where there are tenants, a call without one belongs to none of them
+    allows_no_tenant: bool = False  # if there are tenants, a call without one belongs to none of them
     is_changing: bool = False  # then no function's name is remembered for good
 
     def function(self, name: str) -> Function:
@@ -72,7 +72,7 @@
 
 
 def number_of(name: str, bits: int) -> int:
-    """Return the name's number, the same at every front end and start, as the shared hash order needs it."""
+    """Return the name's number: the same at every front end and start, so that their hash orders agree."""
     digest = blake2b(name.encode(), digest_size=NUMBER_BYTES).digest()
     return int.from_bytes(digest, "big") >> (8 * NUMBER_BYTES - bits)
 
@@ -80,8 +80,8 @@
 class NumberedNames:
     """Names to numbers and back.
 
-    Two names with one number (of 2^32 or 2^40: improbable) are told apart by counting on, in the order in
-    which they come: front ends may then differ on those two alone.
+    `names` are never forgotten. If two names hash to one number (of 2^32 or 2^40: improbable), the later one
+    gets the next free number: front ends may then differ on those two alone.
     """
 
     def __init__(self, bits: int, names: Iterable[str] = ()) -> None:
@@ -93,6 +93,10 @@
         self._permanent = frozenset(self._names)
         self._cleanup_above = self._cleanup_limit()
 
+    def __len__(self) -> int:
+        """Return how many names are remembered."""
+        return len(self._names)
+
     def _cleanup_limit(self) -> int:
         return 2 * len(self._names) + SPARE_NAMES
 
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -1,49 +1,41 @@
-"""Gateway: names to numbers, payloads, repeats; every routing decision is the Router's."""
+"""The Gateway: calls, their callers and final answers; every routing decision is the Router's."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Hashable
-from typing import Any
+from collections.abc import Hashable
+from typing import assert_never
 
 from walnutpost import interface as api
 from walnutpost.gateway.calls import Call, CallTable, identity_of
-from walnutpost.gateway.catalogue import FUNCTION_BITS, WORKER_BITS, Catalogue, Function, NumberedNames
-from walnutpost.gateway.effects import (
-    Answered,
-    Cancel,
-    CloseIdleConnections,
-    Effect,
-    LoadOrder,
-    Log,
-    Probe,
-    Send,
-    SetTimer,
-    Unload,
-    WatchEndpoints,
-)
+from walnutpost.gateway.catalogue import Catalogue, Function
+from walnutpost.gateway.effects import Answered, Effect, Send
 from walnutpost.gateway.inputs import (
     AttemptEnded,
     CallArrived,
     CallerLeft,
     CallStopped,
     Input,
-    ListedWorker,
     LoadOrderEnded,
     ProbeEnded,
     WorkersListed,
 )
 from walnutpost.gateway.messages import Failed, Failure, Final, Rejected, Served
 from walnutpost.gateway.recent_outcomes import RecentOutcomes
+from walnutpost.gateway.router_names import RouterNames
 from walnutpost.interface import Outcome
 from walnutpost.policy import Router
 
 OUTCOME_TTL_US = 60_000_000
 MAX_OUTCOME_BYTES = 64 << 20
-RETRY_AFTER_DIVISOR = 4  # of the latency objective: when a caller may come back where memory is short
+RETRY_AFTER_DIVISOR = 4  # of the latency objective: when a caller may come back if memory is short
 
 
 class Gateway:
-    """One front end's decisions. `settings.classes` is what `catalogue` functions point into."""
+    """One front end's calls: inputs in, effects out. Starts without calls or workers; not thread-safe.
+
+    `settings.classes` is what the functions of `catalogue` point into. `seed` starts the Router's random
+    generator. Outcomes are remembered for `outcome_ttl_us`, in at most `max_outcome_bytes`.
+    """
 
     def __init__(
         self,
@@ -53,33 +45,25 @@
         outcome_ttl_us: int = OUTCOME_TTL_US,
         max_outcome_bytes: int = MAX_OUTCOME_BYTES,
     ) -> None:
-        """Start without calls or workers; `seed` starts the Router's random generator."""
         self._settings = settings
         self._catalogue = catalogue
         self._router = Router(settings, seed)
-        self._functions = NumberedNames(FUNCTION_BITS, () if catalogue.is_changing else catalogue.functions)
-        self._workers = NumberedNames(WORKER_BITS)
+        self._names = RouterNames(() if catalogue.is_changing else catalogue.functions)
         self._calls = CallTable()
         self._recent = RecentOutcomes(outcome_ttl_us, max_outcome_bytes)
         self._now_us = 0
         self._effects: list[Effect] = []
-        self._handlers: dict[type[Any], Callable[[Any], None]] = {
-            CallArrived: self._on_call,
-            AttemptEnded: self._on_attempt_ended,
-            CallerLeft: self._on_caller_left,
-            CallStopped: self._on_call_stopped,
-            LoadOrderEnded: self._on_load_order_ended,
-            ProbeEnded: self._on_probe_ended,
-            WorkersListed: self._on_workers_listed,
-            api.TimerDue: self._route,
-            api.ShuttingDown: self._route,
-        }
 
     @property
     def open_calls(self) -> int:
         """How many calls have no final answer yet."""
         return sum(not call.is_answered for call in self._calls.by_number.values())
 
+    @property
+    def known_function_count(self) -> int:
+        """How many functions are remembered by name, for checks that memory does not grow."""
+        return self._names.function_count
+
     def handle(self, now: int, event: Input) -> list[Effect]:
         """Decide on one input at `now` (microseconds; never runs back).
 
@@ -87,13 +71,32 @@
         """
         self._now_us = now
         self._effects = []
-        self._handlers[type(event)](event)
-        if self._functions.needs_cleanup or self._workers.needs_cleanup:
-            self._forget_names()
+        self._dispatch(event)
+        if self._names.needs_cleanup:
+            self._names.retain(*self._router.referenced_ids())  # an open call has its own names
         effects, self._effects = self._effects, []
         return effects
 
-    # Calls
+    def _dispatch(self, event: Input) -> None:
+        match event:
+            case CallArrived():
+                self._on_call(event)
+            case AttemptEnded():
+                self._on_attempt_ended(event)
+            case CallerLeft():
+                self._on_caller_left(event)
+            case CallStopped():
+                self._on_call_stopped(event)
+            case LoadOrderEnded():
+                self._route(self._names.load_order_event(event))
+            case ProbeEnded():
+                self._route(self._names.probe_event(event))
+            case WorkersListed():
+                self._route(self._names.endpoints_event(event))
+            case api.TimerDue() | api.ShuttingDown():
+                self._route(event)
+            case _:
+                assert_never(event)
 
     def _on_call(self, event: CallArrived) -> None:
         function = event.definition or self._catalogue.function(event.function)
@@ -111,7 +114,7 @@
                 request=call.number,
                 class_index=function.class_index,
                 tenant=tenant_index,
-                function=self._functions.number(function.name),
+                function=self._names.functions.number(function.name),
                 time_left_us=event.time_left_us,
                 cost_hint_us=function.cost_hint_us,
                 memory_mb=function.memory_mb,
@@ -158,7 +161,7 @@
         return call
 
     def _on_caller_left(self, event: CallerLeft) -> None:
-        """Cancel the call that nobody waits for, unless its outcome must be known to a repeat."""
+        """Cancel a call without callers, unless a repeat must get its outcome."""
         call = self._calls.by_caller.pop(event.caller_id, None)
         if call is None or call.is_answered:
             return
@@ -193,7 +196,7 @@
             api.AttemptEnded(
                 request=call.number,
                 attempt=event.attempt,
-                worker=self._workers.number(worker),
+                worker=self._names.workers.number(worker),
                 outcome=outcome,
                 latency_us=event.latency_us,
                 is_finished=call.is_answered,
@@ -205,7 +208,7 @@
         self._calls.forget_if_ended(call)
 
     def _end(self, call: Call, final: Final | None) -> None:
-        """Make an answer final: the one place for it; None where nobody gets one."""
+        """Make an answer final: the only place that does; None if no caller gets one."""
         if call.is_answered:
             return
         call.is_answered = True
@@ -219,50 +222,6 @@
         call.payload = b""
         self._calls.forget_if_ended(call)
 
-    # Workers
-
-    def _on_load_order_ended(self, event: LoadOrderEnded) -> None:
-        self._route(
-            api.LoadOrderEnded(
-                worker=self._workers.number(event.worker),
-                function=self._functions.number(event.function),
-                outcome=event.outcome,
-                latency_us=event.latency_us,
-                copies=event.copies,
-                ordered_copies=event.ordered_copies,
-            )
-        )
-
-    def _on_probe_ended(self, event: ProbeEnded) -> None:
-        worker = self._workers.number(event.worker)
-        self._route(api.ProbeEnded(worker, event.outcome, event.latency_us, event.report))
-
-    def _on_workers_listed(self, event: WorkersListed) -> None:
-        workers = tuple(map(self._numbered, event.workers))
-        self._route(api.WorkersListed(event.kind, event.version, workers))
-
-    def _numbered(self, listed: ListedWorker) -> api.Worker:
-        return api.Worker(
-            id=self._workers.number(listed.name),
-            zone=listed.zone,
-            kind=listed.kind,
-            cell=listed.cell,
-            state=listed.state,
-            weight=listed.weight,
-            started_at_us=listed.started_at_us,
-        )
-
-    def _forget_names(self) -> None:
-        """Guard against memory that grows with each function and worker ever seen.
-
-        An open call has its names by itself.
-        """
-        functions, workers = self._router.referenced_ids()
-        self._functions.retain(functions)
-        self._workers.retain(workers)
-
-    # The Router
-
     def _route(self, event: api.Event) -> None:
         for action in self._router.handle(self._now_us, event):
             self._carry_out(action)
@@ -279,11 +238,11 @@
             case api.Fail(request):
                 self._fail(self._calls.by_number[request])
             case _:
-                self._effects.append(self._named(action))
+                self._effects.append(self._names.effect_of(action))
 
     def _send(self, action: api.Send) -> Send:
         call = self._calls.by_number[action.request]
-        worker = self._workers.name(action.worker)
+        worker = self._names.workers.name(action.worker)
         is_unsafe = call.request_class.effect is not api.Effect.SAFE
         return Send(
             call=action.request,
@@ -303,27 +262,3 @@
             self._end(call, Failed(Failure.DEADLINE, "no answer in time"))
         else:
             self._end(call, Failed(Failure.WORKER, f"it may have run: {call.last_result}"))
-
-    def _named(self, action: api.Action) -> Effect:
-        """Return the effect with names for the action's numbers."""
-        match action:
-            case api.Cancel(request, attempt):
-                return Cancel(request, attempt)
-            case api.SetTimer(delay_us, token):
-                return SetTimer(delay_us, token)
-            case api.LoadOrder(worker, function, copies, begin_within_us):
-                name = self._functions.name(function)
-                return LoadOrder(self._workers.name(worker), name, copies, begin_within_us)
-            case api.Unload(worker, function):
-                return Unload(self._workers.name(worker), self._functions.name(function))
-            case api.Probe(worker):
-                return Probe(self._workers.name(worker))
-            case api.CloseIdleConnections(worker):
-                return CloseIdleConnections(self._workers.name(worker))
-            case api.WatchEndpoints(is_on):
-                return WatchEndpoints(is_on)
-            case api.FetchEndpoints():
-                return WatchEndpoints()
-            case api.Log(text):
-                return Log(text)
-        raise TypeError(f"no effect for {action!r}")
--- a/packages/gateway/src/walnutpost/gateway/effects.py
+++ b/packages/gateway/src/walnutpost/gateway/effects.py
@@ -1,4 +1,4 @@
-"""Effects of the Gateway: what its caller carries out.
+"""Effects of the Gateway, which its embedder carries out.
 
 Where a name is that of an action of `walnutpost.interface`, it is the same thing with names of workers and
 functions in place of numbers.
@@ -17,11 +17,10 @@
 
 
 class Send(Message, frozen=True):
-    """Send the call to the worker; give up after `timeout_us`.
+    """Send the call to the worker; cancel the attempt after `timeout_us`.
 
-    Where `must_persist_intent`, the store must have on disk that it is being sent before the first byte
-    leaves. Where that has not left within `begin_within_us` (0: at any time), it must not begin any more, and
-    the attempt ends as MOOT.
+    If `must_persist_intent`, the intent to send must be durable before the first byte leaves. If that byte
+    has not left within `begin_within_us` (0: no limit), the attempt must not begin any more and ends as MOOT.
     """
 
     call: int
@@ -37,9 +36,9 @@
 
 
 class Cancel(Message, frozen=True):
-    """Wait no longer for the attempt.
+    """Stop waiting for the attempt.
 
-    Its AttemptEnded is CANCELLED, unless another outcome is on its way.
+    Its AttemptEnded is CANCELLED, unless another outcome has come before.
     """
 
     call: int
@@ -47,7 +46,7 @@
 
 
 class LoadOrder(Message, frozen=True):
-    """Have the worker load at least so many copies; with none, ask how many there are.
+    """Order the worker to load at least so many copies; zero copies only asks how many there are.
 
     `begin_within_us` as in Send.
     """
@@ -59,7 +58,7 @@
 
 
 class Unload(Message, frozen=True):
-    """Have the worker drop its idle copies of the function."""
+    """Order the worker to unload its idle copies of the function."""
 
     worker: str
     function: str
@@ -78,20 +77,20 @@
 
 
 class SetTimer(Message, frozen=True):
-    """A TimerDue with this token is wanted after `delay_us`; it can't be cancelled."""
+    """Input a TimerDue with this token after `delay_us`; it cannot be cancelled."""
 
     delay_us: int
     token: int
 
 
 class WatchEndpoints(Message, frozen=True):
-    """Watch the endpoint list, stop watching it, or (None) ask for it once."""
+    """Watch the endpoint list, stop watching it, or (None) fetch it once."""
 
     is_on: bool | None = None
 
 
 class Log(Message, frozen=True):
-    """A line for the log."""
+    """Write a line to the log."""
 
     text: str
 
--- a/packages/gateway/src/walnutpost/gateway/executions.py
+++ b/packages/gateway/src/walnutpost/gateway/executions.py
@@ -1,6 +1,6 @@
-"""Deferred calls: what a name stands for, what a restart does with an open one, what its end is called.
+"""Deferred calls: admission under a name, recovery after a restart, final status.
 
-Decides; no I/O, no clock. Terms of the AWS Lambda API, durable executions.
+No I/O, no clock. Terms of the AWS Lambda API, durable executions.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Status(Enum):
-    """The status of a durable execution; the values are stored and in answers."""
+    """The status of a durable execution; the values are stored and appear in answers."""
 
     RUNNING = "RUNNING"
     SUCCEEDED = "SUCCEEDED"
@@ -45,9 +45,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationPending:
-    """Accepted on this disk, but not yet on as many replicas as its class asks for.
+    """Accepted on this disk, but not yet on as many replicas as its class requires.
 
-    The same name again is the same call, another name may be a second one.
+    A retry under the same name is the same call; under another name it may be a second one.
     """
 
     execution: Execution
@@ -56,10 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotStored:
-    """The disk did not take the call: the fault is ours, not the caller's.
+    """The disk did not take the call: a fault of the service, not of the caller.
 
-    `is_uncertain`: it may have, and the next start may find and run the call, so that only the same name can
-    be retried safely. Otherwise nothing of it is left.
+    `is_uncertain`: it may be on disk, and the next start may find and run it, so only a retry under the same
+    name is safe. Otherwise nothing of it is left.
     """
 
     name: str
@@ -68,7 +68,7 @@
 
 
 class Admission(Enum):
-    """What a deferred call is to the execution that has its name."""
+    """How a deferred call relates to the execution that has its name."""
 
     NEW = "new"
     SAME = "same"
@@ -76,17 +76,17 @@
 
 
 def admit(known: Execution | None, digest: str) -> Admission:
-    """Return what a deferred call is, given the execution that has its name at present."""
+    """Return how a deferred call relates to the execution that has its name now, if there is one."""
     if known is None:
         return Admission.NEW
     return Admission.SAME if known.digest == digest else Admission.CONFLICT
 
 
 def recovery_action(execution: Execution, effect: Effect, now: int) -> int | Failed:
-    """Return what a restarted front end does with an open execution: run it in the time left, or fail it.
+    """Return the time left in microseconds to run an open execution after a restart, or why it fails.
 
-    The time is in microseconds. An unsafe or keyed one whose sending was intended may have run: the keyed
-    ones' group and the time since the send are lost with the process, so neither is sent again.
+    An unsafe or keyed one whose sending was intended may have run, and what proves the opposite was lost with
+    the process, so it is not sent again.
     """
     if execution.intended and effect is not Effect.SAFE:
         return Failed(Failure.RESTART, "the front end restarted while the call may have been running")
@@ -96,7 +96,7 @@
 
 
 def with_final_status(execution: Execution, final: Final, now: int) -> Execution:
-    """Return the execution with how it ended."""
+    """Return the execution with the status, result and error of its final answer."""
     match final:
         case Served(payload):
             return replace(execution, status=Status.SUCCEEDED, ended_at=now, result=payload)
--- a/packages/gateway/src/walnutpost/gateway/inputs.py
+++ b/packages/gateway/src/walnutpost/gateway/inputs.py
@@ -12,13 +12,13 @@
 
 
 class CallArrived(Message, frozen=True):
-    """A caller asks for a call.
+    """A caller sends a call.
 
     `caller_id` is the embedding program's own number for this, not used before; exactly one Answered comes
     for it, unless CallerLeft does. If `idempotency_key` isn't empty, another call with the same key, tenant,
-    function and payload is the same call. `definition` is the function's where each call brings its own; else
-    the catalogue knows it. `waited_us` is the longest time for which the request may have been there before
-    it was read; `time_left_us` counts from now.
+    function and payload is the same call. `definition` is the function's, if each call brings its own;
+    else the catalogue has it. `waited_us` is the longest time for which the request may have been there
+    before it was read; `time_left_us` counts from now.
     """
 
     caller_id: int
@@ -28,8 +28,8 @@
     tenant: str | None = None
     idempotency_key: str = ""
     is_repeat: bool = False  # marked so by the client
-    is_durable: bool = False  # a Send of it must be on disk before it is carried out, if it is unsafe
-    outlives_callers: bool = False  # goes on without a caller: deferred calls
+    is_durable: bool = False  # if unsafe, its Send must be on disk before it is carried out
+    outlives_callers: bool = False  # continues without a caller: deferred calls
     rejection: Rejected | None = None  # the answer, unless a call with its key is known already
     definition: Function | None = None
     waited_us: int = 0
@@ -48,9 +48,9 @@
 
 
 class AttemptEnded(Message, frozen=True):
-    """How the attempt of a Send ended; one for each, also after Cancel.
+    """How the attempt of a Send ended: exactly one for each Send, also after Cancel.
 
-    `payload` is the answer of an OK, or the function's own error where `is_function_error`.
+    `payload` is the answer of an OK, or the function's own error if `is_function_error`.
     """
 
     call: int
@@ -85,7 +85,7 @@
 
 
 class ListedWorker(Message, frozen=True):
-    """An entry of the endpoint list; `started_at_us` is 0 where long ago or not known."""
+    """An entry of the endpoint list; `started_at_us` is 0 if long ago or not known."""
 
     name: str
     zone: int = 0
--- a/packages/gateway/src/walnutpost/gateway/messages.py
+++ b/packages/gateway/src/walnutpost/gateway/messages.py
@@ -8,15 +8,15 @@
 
 
 class Message(msgspec.Struct, frozen=True):
-    """A frozen value. A frozen dataclass takes five times as long to make, and each call makes a dozen."""
+    """A frozen value. A frozen dataclass takes five times as long to build, and each call builds a dozen."""
 
 
 class Failure(Enum):
     """Why a call failed. Only FUNCTION is the function's own answer."""
 
     FUNCTION = "function"  # the function ran and raised
-    DEADLINE = "deadline"  # no answer in the time its caller gave it
-    WORKER = "worker"  # a worker or the way to it failed, and the call may have run
+    DEADLINE = "deadline"  # no answer in the time that its caller allowed
+    WORKER = "worker"  # a worker or the connection to it failed, and the call may have run
     STOPPED = "stopped"  # its owner stopped it
     RESTART = "restart"  # the front end restarted while an unsafe call may have been running
 
@@ -30,14 +30,14 @@
 
 
 class Rejected(Message, frozen=True):
-    """Trying again does no harm; not before `retry_after_us`, where that is above zero."""
+    """A retry is harmless, after `retry_after_us` if that is above zero."""
 
     reason: str
     retry_after_us: int = 0
 
 
 class Failed(Message, frozen=True):
-    """No promise whether the call took effect; `payload` is the function's own error, if it gave one."""
+    """The call may have taken effect; `payload` is the function's own error, if it gave one."""
 
     failure: Failure
     message: str
--- a/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
+++ b/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
@@ -1,4 +1,4 @@
-"""Which calls are the same call, and what its outcome was. Decides; no I/O, no clock."""
+"""Idempotency: which calls are the same call, and its outcome after its end. No I/O, no clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from walnutpost.gateway.messages import Final, Rejected, Served
 from walnutpost.interface import Effect
 
-ENTRY_BYTES = 400  # what an entry costs besides its payload, by measurement rounded up
+ENTRY_BYTES = 400  # memory of an entry besides its payload, as measured, rounded up
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
 class RecentOutcomes:
     """Open calls by identity, and outcomes for `ttl_us` after their end within `max_bytes`.
 
-    Guards against a client that calls again after a lost answer: an SDK does so by itself under the same
+    Guards against a client that repeats a call after a lost answer: SDKs do so automatically under the same
     invocation id. A rejection is not remembered, since it invites the next attempt. Outcomes of safe calls
     are evicted when memory is short; what may have taken effect is not, so then no new call of that kind has
     capacity, and is rejected.
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -273,7 +273,7 @@
             functions[f"new{n}"] = Function(f"new{n}", 0, 300.0, 1.0)
             rig.ask(f"new{n}", time_left_us=1000)
             rig.later(20 * SECOND if n % 100 == 0 else 1000)
-        held = len(rig.gateway._functions._names)
+        held = rig.gateway.known_function_count
         assert held < 1000 if changing else held >= 1000
 
 
--- a/packages/interface/src/walnutpost/interface/__init__.py
+++ b/packages/interface/src/walnutpost/interface/__init__.py
@@ -1,4 +1,4 @@
-"""What goes into and comes out of the decision module: settings, events and actions.
+"""Input and output of the policy: settings, events and actions.
 
 Types only; every decision is in policy. Times and durations are whole microseconds.
 """
--- a/packages/interface/src/walnutpost/interface/actions.py
+++ b/packages/interface/src/walnutpost/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the policy has done by its caller."""
+"""Actions: the decisions of the policy, which its caller carries out."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Begin an attempt of the request at the worker, and give it up after `timeout_us`.
+    """Begin an attempt of the request at the worker; cancel it after `timeout_us`.
 
-    `begin_within_us`: for how long the decision is valid, 0 for ever. Where the first byte has not been sent
-    by then, the attempt must not begin any more and ends as MOOT.
+    `begin_within_us`: how long the decision is valid (0: no limit). If the first byte has not been sent by
+    then, the attempt must not begin any more and ends as MOOT.
     """
 
     request: int
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Give a `TimerDue` with the token after the delay."""
+    """Send a `TimerDue` with the token after the delay."""
 
     delay_us: int
     token: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """Have the worker load at least so many copies; zero copies only asks how many there are.
+    """Order the worker to load at least so many copies; zero copies only asks how many there are.
 
     `begin_within_us` as in `Send`.
     """
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unload:
-    """Have the worker drop its idle copies of the function."""
+    """Order the worker to unload its idle copies of the function."""
 
     worker: int
     function: int
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask for the endpoint list once."""
+    """Fetch the endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/interface/src/walnutpost/interface/events.py
+++ b/packages/interface/src/walnutpost/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what the policy is notified of."""
+"""Events: the inputs of the policy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """An entry of the endpoint list; `started_at_us` is 0 where long ago or not known."""
+    """An entry of the endpoint list; `started_at_us` is 0 if long ago or not known."""
 
     id: int
     zone: int
@@ -64,7 +64,7 @@
 class AttemptEnded:
     """How an attempt ended; `is_finished` if the client has its final answer with it.
 
-    `crowd` counts the requests at the worker where it reports them; `report` has the values of
+    `crowd` counts the requests at the worker, if it reports them; `report` has the values of
     `Settings.report_fields`.
     """
 
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The client has left or taken the request back."""
+    """The client has left or has cancelled the request."""
 
     request: int
 
@@ -90,10 +90,10 @@
 class LoadOrderEnded:
     """How a load order ended.
 
-    MOOT and CONNECT_FAILED: it never reaches the worker complete. RESET and TIMEOUT: it may have, or may
-    still (a stopped worker reads what its kernel has, also after a reset). Any other outcome: the worker has
-    answered it. `copies` is how many are there. `ordered_copies` repeats the order's copies, and is 0 where
-    it only asked or where the transport does not say.
+    MOOT and CONNECT_FAILED: it never reaches the worker complete. RESET and TIMEOUT: it may have, or still may
+    (a paused worker later reads the data in its kernel, also after a reset). Any other outcome: the worker has
+    answered it. `copies` is how many are there. `ordered_copies` repeats the order's copies; it is 0 for a
+    query and if the transport does not say.
     """
 
     worker: int
@@ -123,14 +123,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ShuttingDown:
-    """Every request, also one that comes later, gets its final answer within so long."""
+    """Every request, also a later one, must get its final answer within `within_us`."""
 
     within_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Another front end sent something."""
+    """A message of another front end."""
 
     peer: int
     data: bytes
--- a/packages/interface/src/walnutpost/interface/settings.py
+++ b/packages/interface/src/walnutpost/interface/settings.py
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What the requests of a class are worth and what may be done with them."""
+    """The weight of a class of requests, and what may be done with them."""
 
-    latency_objective_us: int  # the time to answer to be met
+    latency_objective_us: int  # the latency that an answer should meet
     deadline_us: int
     priority_weight: float
     late_priority_weight: float  # of an answer after the objective
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant's share of what is served, from 0 to 1, and its quota in requests per second."""
+    """A tenant's share of the served requests, from 0 to 1, and its quota in requests per second."""
 
     share: float
     quota_per_s: float
@@ -52,15 +52,15 @@
     start_capacity: float  # the part of its capacity that a worker starts with
     overload_factor: float  # times its mean load that a worker bears ...
     overload_window_us: int  # ... within this window
-    watch_within_us: int  # in which the endpoint list must be asked for
-    free_load_orders: float  # in a window, whatever requests come
+    watch_within_us: int  # in which the endpoint list must be fetched
+    free_load_orders: float  # in a window, independent of the requests in it
     load_orders_per_request: float
     load_order_window_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """What things cost, in the weight of one served request."""
+    """Costs in the weight of one served request."""
 
     cross_zone: float
     waste: float
@@ -77,7 +77,7 @@
     `is_ideal_network`: a load order reaches its worker as it is given and each request is genuine, as in the
     simulator. On a real one orders may arrive much later, and clients may copy or invent requests.
     `are_restarts_unseen`: an earlier process under the same name may have ended just before this one began,
-    and nothing tells of it.
+    without any trace of it.
     """
 
     classes: tuple[RequestClass, ...]
@@ -95,7 +95,7 @@
     loads_on_miss: bool  # a request without a copy loads one; else it ends as MISS
     reports_warmth: bool
     reports_crowd: bool
-    must_watch_endpoints: bool  # the endpoint list comes only if it is asked for
+    must_watch_endpoints: bool  # the endpoint list comes only on request
     has_weights: bool
     weighs_priority_by_work: bool
     over_share_weight: float  # factor on the priority of what a tenant asks beyond its share
--- a/packages/interface/src/walnutpost/interface/vocabulary.py
+++ b/packages/interface/src/walnutpost/interface/vocabulary.py
@@ -6,10 +6,10 @@
 
 
 class Effect(Enum):
-    """What a second run of a request of the class would do."""
+    """Effect of a second run of a request of the class."""
 
     SAFE = "safe"  # nothing: it is idempotent
-    KEYED = "keyed"  # nothing where workers know its idempotency key
+    KEYED = "keyed"  # nothing, as long as workers know its idempotency key
     UNSAFE = "unsafe"  # it takes effect again
 
 
@@ -44,7 +44,7 @@
 
 
 class ListKind(Enum):
-    """What an update of the endpoint list is."""
+    """Kind of an update of the endpoint list."""
 
     FAILED = "failed"  # no list came
     CACHED = "cached"  # a complete list that may be old
@@ -53,7 +53,7 @@
 
 
 class Warmth(IntEnum):
-    """What an answer reported of the copy that served it."""
+    """State of the serving copy, as an answer reports it."""
 
     UNREPORTED = 0
     WARM = 1
