--- a/packages/agent/src/walnutpost/agent/__init__.py
+++ b/packages/agent/src/walnutpost/agent/__init__.py
@@ -1,15 +1,20 @@
-"""The agent: looks after one front end or worker, and changes its version as the fleet has agreed."""
+"""The agent: looks after one front end or worker, and changes its version as the control plane permits."""
 
-from walnutpost.agent.agent import Agent
-from walnutpost.agent.child_process import INCARNATION_VARIABLE
-from walnutpost.agent.errors import AgentError, AgentFolderError
-from walnutpost.agent.folder import manual_order_path, version_of
+from walnutpost.agent.agent import Agent, AgentSettings, build_agent
+from walnutpost.agent.child_process import INCARNATION_VARIABLE, processes_of
+from walnutpost.agent.errors import AgentError, AgentFolderError, ManualOrderError
+from walnutpost.agent.manual_orders import manual_order_path
+from walnutpost.agent.versions import version_of
 
 __all__ = [
     "INCARNATION_VARIABLE",
     "Agent",
     "AgentError",
     "AgentFolderError",
+    "AgentSettings",
+    "ManualOrderError",
+    "build_agent",
     "manual_order_path",
+    "processes_of",
     "version_of",
 ]
--- a/packages/agent/tests/agent_forms.py
+++ b/packages/agent/tests/agent_forms.py
@@ -10,14 +10,15 @@
 from unittest.mock import patch
 
 from golden_forms import Form, Golden, as_json
-from walnutpost.agent import Agent, child_process, manual_order_path, version_of
-from walnutpost.agent.folder import AgentFolder, AgentState
+from walnutpost.agent import child_process, manual_order_path, version_of
+from walnutpost.agent.manual_orders import ManualOrders
+from walnutpost.agent.state_file import AgentState, StateFile, StateSaver
+from walnutpost.agent.versions import VersionStore
 from walnutpost.cli.fleet_plans import write_manual_orders
 from walnutpost.cli.fleet_processes import AGENTS_FOLDER
-from walnutpost.fleet import FRONT_END
+from walnutpost.eventloop import Loop
 from walnutpost.fleet.agent_inputs import Input, OperatorOrder
-from walnutpost.fleet.agent_instance import ControllerSettings, DurableState, ManagedInstance
-from walnutpost.fleet.agent_state import InstanceController
+from walnutpost.fleet.agent_instance import DurableState
 from watch_rig import Log
 
 MEMBER, NAME = "f1", "f1@0a1b2c3d"
@@ -32,34 +33,31 @@
     versions: list[bytes]
 
 
-def _agent(folder: AgentFolder) -> Agent:
-    """One that starts nothing and sends nothing: only its folder is in use."""
-    agent = Agent.__new__(Agent)
-    agent._folder, agent._member, agent._log = folder, MEMBER, Log()
-    return agent
+class InputList:
+    """Handler that records the inputs of the agent's state machine."""
+
+    def __init__(self) -> None:
+        self.inputs: list[Input] = []
+
+    def handle(self, event: Input) -> None:
+        self.inputs.append(event)
 
 
 def written(value: Folder) -> bytes:
-    state, versions = value
+    state, contents = value
     with TemporaryDirectory() as name:
         path = Path(name)
         (path / "versions").mkdir()
-        folder = AgentFolder(path, MEMBER, Log())
-        if state.drain_permit is None:  # its very first start, which makes its name up
-            with patch.object(secrets, "token_hex", lambda size: state.agent.partition("@")[2]):
-                assert folder.open(versions[0]) == state
+        versions = VersionStore(path)
+        file = StateFile(path, MEMBER, versions, Log())
+        if state.drain_permit is None:  # the first start, which creates the agent's name
+            with patch.object(secrets, "token_hex", return_value=state.agent.partition("@")[2]):
+                assert file.open(contents[0]) == state
             return _dumped(path)
-        for content in versions:
-            folder.store_version(content)
-        agent = _agent(folder)
-        agent.controller = InstanceController(
-            ManagedInstance(state.agent, MEMBER, FRONT_END, "a"),
-            DurableState(state.current, state.previous, state.drain_permit),
-            ControllerSettings(1, 1),
-            0,
-        )
-        agent._saved = AgentState(state.agent, "", "")
-        agent._save()
+        for content in contents:
+            versions.store(content)
+        durable = DurableState(state.current, state.previous, state.drain_permit)
+        StateSaver(Loop(), file, AgentState(state.agent, "", ""), durable, Log()).save()
         return _dumped(path)
 
 
@@ -83,10 +81,10 @@
     with TemporaryDirectory() as name:
         path = Path(name)
         make_folder(path, dumped)
-        folder = AgentFolder(path, MEMBER, Log())
-        state = folder.open(b"not taken")
+        versions = VersionStore(path)
+        state = StateFile(path, MEMBER, versions, Log()).open(b"not taken")
         stored = [version for version in (state.current, state.previous) if version]
-        return Folder(state, [folder.version_path(version).read_bytes() for version in stored])
+        return Folder(state, [versions.path(version).read_bytes() for version in stored])
 
 
 def order_written(order: OperatorOrder) -> bytes:
@@ -103,20 +101,17 @@
 
 
 def order_read(dumped: bytes) -> OperatorOrder:
-    """As the agent takes it up; the time is that of its taking up."""
-    found: list[Input] = []
+    """As the agent takes it; the time is that of taking it."""
+    handler = InputList()
     with TemporaryDirectory() as name:
         path = Path(name)
         make_folder(path, dumped)
         (path / "versions").mkdir()
-        folder = AgentFolder(path, MEMBER, Log())
-        folder.store_version(SECOND)
-        agent = _agent(folder)
-        agent._has_stopped = True  # so that it looks once
-        with patch.object(agent, "_handle", found.append):
-            agent._poll_orders()
+        versions = VersionStore(path)
+        versions.store(SECOND)
+        ManualOrders(path, MEMBER, versions, handler, Log()).poll()
         assert not manual_order_path(path, MEMBER).exists()
-    (order,) = found
+    (order,) = handler.inputs
     assert isinstance(order, OperatorOrder)
     return order
 
--- a/packages/agent/tests/test_agent.py
+++ b/packages/agent/tests/test_agent.py
@@ -146,7 +146,8 @@
         wrong = [sys.executable, "-m", "walnutpost.cli", "fleet", "release"]
         wrong += [str(agents.folder / "f0.json"), str(agents.folder / "v1")]
         done = subprocess.run(wrong, check=False, capture_output=True, text=True)
-        assert done.returncode == 2 and "site" in done.stderr, "no front end could start with it"
+        assert done.returncode == 2
+        assert "site" in done.stderr, "no front end could start with it"
         agents.release("r", BAD)
         agents.until(lambda: agents.state().plans["r"].end_reason)
         assert "does not come up" in agents.state().plans["r"].end_reason
@@ -179,7 +180,8 @@
         assert agents.most_out <= 1
         assert not agents.state().permits
         now = processes_of(agent)
-        assert len(now) == 1 and not set(left) & set(now), "what it left behind has ended"
+        assert len(now) == 1
+        assert not set(left) & set(now), "what it left behind has ended"
 
     play(tmp_path, script)
 
--- a/packages/agent/tests/test_agent_files.py
+++ b/packages/agent/tests/test_agent_files.py
@@ -1,135 +1,161 @@
-"""An agent's files: torn at its start, and on a disk that takes nothing for a while."""
+"""An agent's files: torn when it starts, and on a disk that rejects writes for a while."""
 
 from __future__ import annotations
 
 import json
 import sys
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import pytest
 
 from disk_faults import scripted_files
 from fleet_rig import Log
-from walnutpost.agent import Agent, AgentFolderError, manual_order_path, version_of
-from walnutpost.agent.errors import ManualOrderError
-from walnutpost.agent.folder import AgentFolder, AgentState
+from walnutpost.agent import (
+    Agent,
+    AgentFolderError,
+    AgentSettings,
+    ManualOrderError,
+    build_agent,
+    manual_order_path,
+    version_of,
+)
+from walnutpost.agent.manual_orders import take_order
+from walnutpost.agent.state_file import AgentState
+from walnutpost.agent.versions import VersionStore
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import FRONT_END
 from walnutpost.fleet.agent_instance import ControllerSettings
 
 SECOND = 1_000_000
-KEEPERS = {"k1": ("127.0.0.1", 1)}
 V1, V2 = b'{"version": "v1"}', b'{"version": "v2"}'
 CHILD = "import time; print('ready', flush=True); time.sleep(600)"
 
 
-def play(folder: Path, script: Callable[[Agent, Loop, Log], None]) -> None:
-    """An agent whose keepers can't be reached, and its process."""
-    loop, log = Loop(), Log()
-
-    def main() -> None:
-        command = [sys.executable, "-c", CHILD, "{config}"]
-        terms = ControllerSettings(60 * SECOND, 60 * SECOND)
-        agent: Any = Agent(
-            loop,
-            "f0",
-            FRONT_END,
-            "a",
-            command,
-            "ready",
-            V1,
-            folder,
-            {"k1": ("127.0.0.1", 1)},
-            terms,
-            SECOND,
-            log,
-        )
-        try:
-            script(agent, loop, log)
-        finally:
-            agent.stop()
-
-    loop.run(main)
-
-
-def until(loop: Loop, met: Callable[[], bool]) -> None:
-    while not met():
+def settings(folder: Path) -> AgentSettings:
+    """Those of an agent whose control plane can't be reached."""
+    return AgentSettings(
+        member="f0",
+        kind=FRONT_END,
+        zone="a",
+        command=[sys.executable, "-c", CHILD, "{config}"],
+        ready_text="ready",
+        first_version=V1,
+        folder=folder,
+        replicas={"k1": ("127.0.0.1", 1)},
+        controller=ControllerSettings(60 * SECOND, 60 * SECOND),
+        report_interval_us=SECOND,
+    )
+
+
+@contextmanager
+def running_agent(loop: Loop, folder: Path, log: Log) -> Iterator[Agent]:
+    agent = build_agent(loop, settings(folder), log)
+    try:
+        agent.start()
+        yield agent
+    finally:
+        agent.stop()
+
+
+def wait_until(loop: Loop, condition: Callable[[], bool]) -> None:
+    while not condition():
         loop.sleep(20_000)
 
 
-def state(folder: Path, suffix: str = "") -> dict[str, str]:
+def stored_state(folder: Path, suffix: str = "") -> dict[str, str]:
     return dict(json.loads((folder / f"f0.json{suffix}").read_text()))
 
 
-def name_of(folder: Path) -> str:
+def run_once(folder: Path) -> str:
+    """Run an agent until it has started its process, and return its name."""
+    loop = Loop()
     names: list[str] = []
-    play(folder, lambda agent, loop, log: names.append(agent.agent))
+
+    def main() -> None:
+        with running_agent(loop, folder, Log()) as agent:
+            names.append(agent.name)
+
+    loop.run(main)
     return names[0]
 
 
 @pytest.mark.parametrize("content", [b"", b'{"agent": "f0', b"{}", b"[1]", b"\xff\x00"])
 def test_agent_when_its_state_file_is_torn_logs_it_and_uses_the_copy(tmp_path: Path, content: bytes) -> None:
-    name = name_of(tmp_path)
+    name = run_once(tmp_path)
     (tmp_path / "f0.json").write_bytes(content)
     (tmp_path / "f0.json.0a1b2c3d.new").write_bytes(b"half")
+    loop, log = Loop(), Log()
 
-    def script(agent: Agent, loop: Loop, log: Log) -> None:
-        assert agent.agent == name
-        assert agent.controller.durable.current == version_of(V1)
+    def main() -> None:
+        with running_agent(loop, tmp_path, log) as agent:
+            assert agent.name == name
+            assert agent.runner.controller.durable.current == version_of(V1)
         unreadable = [fields["file"] for event, fields in log.lines if event == "state_file_unreadable"]
         assert unreadable == ["f0.json"]
         assert not (tmp_path / "f0.json.0a1b2c3d.new").exists()
 
-    play(tmp_path, script)
+    loop.run(main)
 
 
 def test_agent_when_both_state_files_are_torn_starts_no_second_process(tmp_path: Path) -> None:
-    name_of(tmp_path)
+    run_once(tmp_path)
     for suffix in ("", ".copy"):
         (tmp_path / f"f0.json{suffix}").write_bytes(b"")
     with pytest.raises(AgentFolderError):
-        play(tmp_path, lambda agent, loop, log: None)
+        run_once(tmp_path)
 
 
 @pytest.mark.parametrize("content", [b"", V2[:5], None])
 def test_agent_when_its_version_is_torn_logs_it_and_runs_the_previous_one(
     tmp_path: Path, content: bytes | None
 ) -> None:
-    name_of(tmp_path)
-    known = state(tmp_path) | {"current": version_of(V2), "previous": version_of(V1)}
+    run_once(tmp_path)
+    known = stored_state(tmp_path) | {"current": version_of(V2), "previous": version_of(V1)}
     (tmp_path / "f0.json").write_text(json.dumps(known))
     if content is not None:
         (tmp_path / "versions" / version_of(V2)).write_bytes(content)
+    loop, log = Loop(), Log()
+
+    def main() -> None:
+        with running_agent(loop, tmp_path, log) as agent:
+            assert agent.runner.controller.durable.current == version_of(V1)
+            unusable = [fields["version"] for event, fields in log.lines if event == "version_unusable"]
+            assert unusable == [version_of(V2)]
+            assert agent.runner.process.versions.store(V2) == version_of(
+                V2
+            )  # sent again by the control plane
+            assert (tmp_path / "versions" / version_of(V2)).read_bytes() == V2
 
-    def script(agent: Agent, loop: Loop, log: Log) -> None:
-        assert agent.controller.durable.current == version_of(V1)
-        unusable = [fields["version"] for event, fields in log.lines if event == "version_unusable"]
-        assert unusable == [version_of(V2)]
-        stored = agent._folder.store_version(V2)  # sent again by the control plane
-        assert stored == version_of(V2)
-        assert (tmp_path / "versions" / version_of(V2)).read_bytes() == V2
+    loop.run(main)
 
-    play(tmp_path, script)
 
+@pytest.mark.parametrize("operation", ["write", "fsync", "rename", "fsync folder"])
+def test_agent_when_the_disk_fails_saves_its_state_once_it_works_again(
+    tmp_path: Path, operation: str
+) -> None:
+    loop = Loop()
 
-@pytest.mark.parametrize("call", ["write", "fsync", "rename", "fsync folder"])
-def test_agent_when_the_disk_fails_saves_its_state_once_it_works_again(tmp_path: Path, call: str) -> None:
-    def script(agent: Agent, loop: Loop, log: Log) -> None:
-        with scripted_files() as files:
-            files.fails[call] = 1_000
-            agent.controller.durable.previous = "before"
-            agent._save()
-            until(loop, lambda: files.fails[call] < 998)  # it is tried again, and its process cared for
-            assert agent.process.is_alive
-            files.fails[call], ended = 0, loop.now()
-            until(loop, lambda: agent._save_again_at_us is None)
-            assert loop.now() - ended < 2 * SECOND
-        assert state(tmp_path)["previous"] == state(tmp_path, ".copy")["previous"] == "before"
+    def main() -> None:
+        with running_agent(loop, tmp_path, Log()) as agent:
+            with scripted_files() as files:
+                files.fails[operation] = 1_000
+                agent.runner.controller.durable.previous = "before"
+                agent.runner.saver.save()
+                wait_until(
+                    loop, lambda: files.fails[operation] < 998
+                )  # retried, and the process looked after
+                assert agent.runner.process.is_alive
+                files.fails[operation], repaired_at_us = 0, loop.now()
+                wait_until(loop, lambda: not agent.runner.saver.is_retrying)
+                assert loop.now() - repaired_at_us < 2 * SECOND
+            assert (
+                stored_state(tmp_path)["previous"] == stored_state(tmp_path, ".copy")["previous"] == "before"
+            )
 
-    play(tmp_path, script)
+    loop.run(main)
 
 
 def test_agent_state_when_written_by_a_later_version_keeps_its_unknown_keys() -> None:
@@ -144,10 +170,10 @@
 
 
 def test_order_when_its_version_is_not_on_disk_is_rejected_and_removed(tmp_path: Path) -> None:
-    folder = AgentFolder(tmp_path, "f0", Log())
+    versions = VersionStore(tmp_path)
     path = manual_order_path(tmp_path, "f0")
     path.write_text(json.dumps({"version": "0" * 16, "operator": "ann", "why": "fire"}))
     with pytest.raises(ManualOrderError, match="is not on this disk"):
-        folder.take_order()
+        take_order(tmp_path, "f0", versions)
     assert not path.exists()
-    assert folder.take_order() is None
+    assert take_order(tmp_path, "f0", versions) is None
--- a/packages/cli/src/walnutpost/cli/fleet_processes.py
+++ b/packages/cli/src/walnutpost/cli/fleet_processes.py
@@ -10,7 +10,7 @@
 
 import click
 
-from walnutpost.agent import Agent, AgentError
+from walnutpost.agent import AgentError, AgentSettings, build_agent
 from walnutpost.cli.config_files import CONFIG_ARGUMENT, exit_with
 from walnutpost.cli.listen_addresses import ListenAddress, checked_addresses
 from walnutpost.cli.process import make_loop, raise_descriptor_limit, stop_event
@@ -197,7 +197,8 @@
 
     def run() -> None:
         stop = stop_event(loop, log)
-        process = _create_agent(loop, checked, lines[member], config.parent, log)
+        process = build_agent(loop, _agent_settings(checked, lines[member], config.parent), log)
+        process.start()
         stop.wait()
         process.stop()
 
@@ -207,21 +208,17 @@
         exit_with(f"{config}: agent {member}: {error}")
 
 
-def _create_agent(
-    loop: Loop, checked: ControlPlaneConfig, line: AgentConfig, folder: Path, log: Logger
-) -> Agent:
-    return Agent(
-        loop,
-        line.member,
-        line.kind,
-        line.zone,
-        line.command,
-        line.ready_text,
-        (folder / line.first_version_file).read_bytes(),
-        folder / AGENTS_FOLDER,
-        _replica_addresses(checked),
-        ControllerSettings(ms_to_us(checked.begin_within_ms), ms_to_us(line.ready_within_ms)),
-        ms_to_us(checked.lease_ms) // REPORTS_PER_LEASE,
-        log,
-        follows=line.reports_itself,
+def _agent_settings(checked: ControlPlaneConfig, line: AgentConfig, folder: Path) -> AgentSettings:
+    return AgentSettings(
+        member=line.member,
+        kind=line.kind,
+        zone=line.zone,
+        command=line.command,
+        ready_text=line.ready_text,
+        first_version=(folder / line.first_version_file).read_bytes(),
+        folder=folder / AGENTS_FOLDER,
+        replicas=_replica_addresses(checked),
+        controller=ControllerSettings(ms_to_us(checked.begin_within_ms), ms_to_us(line.ready_within_ms)),
+        report_interval_us=ms_to_us(checked.lease_ms) // REPORTS_PER_LEASE,
+        follows_endpoints=line.reports_itself,
     )
--- a/packages/fleet/src/walnutpost/fleet/agent_state.py
+++ b/packages/fleet/src/walnutpost/fleet/agent_state.py
@@ -38,8 +38,8 @@
     def __init__(
         self, instance: ManagedInstance, durable: DurableState, settings: ControllerSettings, seed: int
     ) -> None:
+        self.instance = instance
         self.durable = durable
-        self._instance = instance
         self._effects = EffectQueue()
         self._reports = InstanceReports(instance, self._effects)
         self._process = ProcessLifecycle(settings, self._effects)
@@ -149,7 +149,7 @@
 
         The process is ready, so the permit is completed, unless it belongs to a drain that keeps it out.
         """
-        permit = next((each for each in state.permits.values() if each.holder == self._instance.agent), None)
+        permit = next((each for each in state.permits.values() if each.holder == self.instance.agent), None)
         if permit is None or not self._transitions.is_idle or permit.id == self.durable.drain_permit:
             return
         plan = state.plans.get(permit.plan)
@@ -188,7 +188,7 @@
     def _on_permit_answered(self, permit: str) -> None:
         if not self._transitions.take_answer(self._now_us, permit, self.phase is Phase.RUNNING):
             return
-        if self._instance.kind == WORKER:  # it stops once no responsive front end sends it new work
+        if self.instance.kind == WORKER:  # it stops once no responsive front end sends it new work
             self._process.drain()
         else:
             self._process.stop()
