--- a/packages/controlplane/src/walnutpost/controlplane/history.py
+++ b/packages/controlplane/src/walnutpost/controlplane/history.py
@@ -10,7 +10,7 @@
     CommandResult,
     InvalidCommandError,
     command_name,
-    decode_with_time,
+    decode_frame,
     describe_command,
 )
 
@@ -26,9 +26,10 @@
         description = f"votes: {voters}; learns: {learners}"
     elif entry.kind is EntryKind.COMMAND:
         try:
-            command, sent_at_s = decode_with_time(entry.data)
-            name = command_name(command)
-            description = describe_command(command)
+            frame = decode_frame(entry.data)
+            sent_at_s = frame.sent_at_s
+            name = command_name(frame.command)
+            description = describe_command(frame.command)
         except InvalidCommandError as error:
             name = "unreadable"
             description = str(error)
--- a/packages/fleet/src/walnutpost/fleet/__init__.py
+++ b/packages/fleet/src/walnutpost/fleet/__init__.py
@@ -10,6 +10,7 @@
     ApplyChangeSet,
     BeginPermit,
     Command,
+    CommandFrame,
     CommandResult,
     CompletePermit,
     ConfirmPermit,
@@ -30,7 +31,7 @@
     StoreVersion,
     UpdateFollowers,
     decode,
-    decode_with_time,
+    decode_frame,
     encode,
 )
 from walnutpost.fleet.endpoints import (
@@ -58,6 +59,7 @@
     "BeginPermit",
     "CallCounts",
     "Command",
+    "CommandFrame",
     "CommandResult",
     "CompletePermit",
     "ConfirmPermit",
@@ -99,7 +101,7 @@
     "analyze",
     "command_name",
     "decode",
-    "decode_with_time",
+    "decode_frame",
     "describe_command",
     "encode",
     "endpoint_snapshot",
--- /dev/null
+++ b/packages/fleet/src/walnutpost/fleet/commands/records.py
@@ -0,0 +1,18 @@
+"""Base of commands and of the values within them, and the result of a command."""
+
+from __future__ import annotations
+
+import msgspec
+
+
+class ArrayRecord(msgspec.Struct, frozen=True, array_like=True):
+    """An immutable value that is written as an array of its fields in order."""
+
+
+class CommandResult(ArrayRecord, frozen=True):
+    """Whether a command was accepted, by log entry `index`; else the `error`. `permit`: the one granted."""
+
+    ok: bool
+    index: int
+    error: str = ""
+    permit: str = ""
--- a/packages/fleet/src/walnutpost/fleet/machine.py
+++ b/packages/fleet/src/walnutpost/fleet/machine.py
@@ -46,13 +46,13 @@
 }
 
 
-class _StateSnapshot(FleetState):
+class StateSnapshot(FleetState):
     """What a snapshot holds. `table` is empty where the config store was left out or did not exist yet."""
 
     table: bytes = b""
 
 
-_decoder = msgspec.msgpack.Decoder(_StateSnapshot)
+_decoder = msgspec.msgpack.Decoder(StateSnapshot)
 
 
 class Fleet(FleetContext):
@@ -64,7 +64,7 @@
         `table` False leaves out the config store, which may be large.
         """
         store = self.table.snapshot() if table else b""
-        return msgspec.msgpack.encode(_StateSnapshot(**structs.asdict(self.state), table=store))
+        return msgspec.msgpack.encode(StateSnapshot(**structs.asdict(self.state), table=store))
 
     @classmethod
     def restore(cls, data: bytes) -> Fleet:
--- a/packages/fleet/tests/fleet_forms.py
+++ b/packages/fleet/tests/fleet_forms.py
@@ -17,6 +17,7 @@
     ApplyChangeSet,
     BeginPermit,
     Command,
+    CommandFrame,
     CommandResult,
     CompletePermit,
     ConfirmPermit,
@@ -36,7 +37,7 @@
     StartPlan,
     StoreVersion,
     UpdateFollowers,
-    decode_with_time,
+    decode_frame,
     encode,
 )
 from walnutpost.fleet.endpoints import Endpoint, EndpointSnapshot
@@ -322,7 +323,11 @@
 
 def _command(command: Command, at: float = ASKED_AT) -> Form:
     """As the log holds it, with the time by the asker's clock."""
-    return Form((command, at), lambda told: encode(*told), decode_with_time)
+    return Form(_frame(command, at), lambda frame: encode(frame.command, frame.sent_at_s), decode_frame)
+
+
+def _frame(command: Command, sent_at_s: float) -> CommandFrame:
+    return CommandFrame(commands.FORMAT, command, sent_at_s)
 
 
 def _answers() -> list[CommandResult]:
@@ -347,7 +352,7 @@
     **{f"command.{name}": _command(command) for name, command in COMMANDS.items()},
     "command.asked-at-no-known-time": Form(COMMANDS["forget.all-fields"], encode, commands.decode),
     "command.of-a-version-without-times": Form(
-        (COMMANDS["forget.all-fields"], 0.0), lambda _: OF_A_VERSION_WITHOUT_TIMES, decode_with_time
+        _frame(COMMANDS["forget.all-fields"], 0.0), lambda _: OF_A_VERSION_WITHOUT_TIMES, decode_frame
     ),
     "answer.all-fields": packed(CommandResult(ok=False, index=91, error="no member w1", permit="p91")),
     "answer.defaults": packed(CommandResult(ok=True, index=92)),
--- a/packages/fleet/tests/test_fleet_golden.py
+++ b/packages/fleet/tests/test_fleet_golden.py
@@ -47,7 +47,12 @@
     agent_transitions,
     analysis,
     budgets,
-    commands,
+    commands.encoding,
+    commands.members,
+    commands.permits,
+    commands.plans,
+    commands.records,
+    commands.settings,
     context,
     endpoints,
     leases,
@@ -60,8 +65,8 @@
     settings,
     state,
 )
-# What others hold: `encode` frames each command, and `Fleet.snapshot` adds the table to the state.
-FRAMES: set[type[msgspec.Struct]] = {commands._CommandFrame, machine._StateSnapshot}
+# `Fleet.snapshot` writes it as a `FleetState` with the config store added.
+FRAMES: set[type[msgspec.Struct]] = {machine.StateSnapshot}
 
 
 def values() -> list[object]:
