--- a/packages/configstore/tests/test_configstore_golden.py
+++ b/packages/configstore/tests/test_configstore_golden.py
@@ -2,46 +2,20 @@
 
 from __future__ import annotations
 
+from importlib import import_module
+from pkgutil import iter_modules
+
 import pytest
 
 from configstore_forms import GOLDEN
 from golden_forms import check_covered, check_fields_distinguishable, structs_of
-from walnutpost.configstore import (
-    digest_check,
-    digests,
-    errors,
-    fleet_progress,
-    member_registry,
-    messages,
-    outcome,
-    propagation,
-    relay_report,
-    relay_selection,
-    snapshot_load,
-    store,
-    validation,
-    watch,
-    watch_state,
-)
+from walnutpost import configstore
 from walnutpost.configstore.errors import InvalidSnapshotError
 from walnutpost.configstore.store import ConfigStore
+from walnutpost.configstore.stored_snapshot import StoredSnapshot
 
-MODULES = (
-    digest_check,
-    digests,
-    errors,
-    fleet_progress,
-    member_registry,
-    messages,
-    outcome,
-    propagation,
-    relay_report,
-    relay_selection,
-    snapshot_load,
-    store,
-    validation,
-    watch,
-    watch_state,
+MODULES = tuple(
+    import_module(f"{configstore.__name__}.{module.name}") for module in iter_modules(configstore.__path__)
 )
 
 
@@ -60,7 +34,7 @@
 
 
 def test_every_type_that_is_written_has_a_golden_form() -> None:
-    held_by_snapshots_alone = {store._StoredSnapshot}  # "table-snapshot...": `Table.snapshot` makes it
+    held_by_snapshots_alone = {StoredSnapshot}  # "table-snapshot...": made by `ConfigStore.snapshot`
     wanted = {kind for module in MODULES for kind in structs_of(module)} - held_by_snapshots_alone
     check_covered(wanted, GOLDEN.values())
 
--- a/packages/configstore/tests/test_store_orders.py
+++ b/packages/configstore/tests/test_store_orders.py
@@ -34,6 +34,7 @@
 
 KEYS = [f"{kind}/{name}" for kind in ("class", "function") for name in "abcdef"]
 LIMITS = {"max_log_entries": 5, "max_log_bytes": 100_000}
+NO_LOG = {"max_log_entries": 0, "max_log_bytes": 0}
 FLIPPED = b"!flipped"
 Entries = dict[str, Entry]
 
@@ -99,7 +100,7 @@
             follower.store = Watched.from_entries(held.entries, held.revision, max_log_entries=0)
         else:
             follower = self.follower_of(member, name, self.now, **limits)
-            follower.store = Watched(follower.store._max_log_entries, follower.store._max_log_bytes)
+            follower.store = Watched(**(limits or NO_LOG))
         return Place(follower, seen=follower.store.revision, disk=disk)
 
     # The history
@@ -491,7 +492,7 @@
     apply = ConfigStore._commit
 
     def whatever(self: ConfigStore, change: ChangeSet) -> None:
-        apply(self, replace(change, digest=self._digests_after(change.revision, change.mutations)[1]))
+        apply(self, replace(change, digest=self._digest_after(change.revision, change.mutations)))
 
     patch.setattr(Watched, "_commit", whatever)
 
--- a/packages/configstore/tests/test_watch_state.py
+++ b/packages/configstore/tests/test_watch_state.py
@@ -71,6 +71,13 @@
     return [event.detail for event in outcome.events if event.kind is kind]
 
 
+class CorruptibleStore(ConfigStore):
+    """A store whose digest can be corrupted, as by a fault of the memory."""
+
+    def flip_digest(self, bits: int) -> None:
+        self._digests.digest ^= bits
+
+
 # Change sets
 
 
@@ -460,8 +467,9 @@
 
 def test_a_corrupted_digest_is_corrected_without_loading_entries() -> None:
     store, watcher = filled(30), WatchState("fe1", "fe1.1")
+    corrupted = watcher.store = CorruptibleStore(0, 0)
     follow(watcher, store)
-    watcher.store.digest ^= 4
+    corrupted.flip_digest(4)
     outcome = follow(watcher, store)
     assert len(outcome) == 1
     assert "no bucket differs" in details(outcome[0], DIVERGED)[0]
@@ -530,8 +538,8 @@
 def test_repeatedly_failing_repairs_load_a_snapshot() -> None:
     store, watcher = filled(100), WatchState("fe1", "fe1.1")
     follow(watcher, store)
-    bad = ConfigStore.restore(store.snapshot())
-    bad.digest ^= 1
+    bad = CorruptibleStore.restore(store.snapshot())
+    bad.flip_digest(1)
     outcome: list[ApplyOutcome] = []
     while sum(t.is_inconsistent for t in outcome) < 2:
         page = respond(bad, watcher.next_request(0))
