--- a/packages/configstore/src/walnutpost/configstore/registration_changes.py
+++ b/packages/configstore/src/walnutpost/configstore/registration_changes.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 
 from walnutpost.configstore.known_fleet import KnownFleet
-from walnutpost.configstore.member_registry import MEMBER_SILENT_AFTER_US, SECOND_US
+from walnutpost.configstore.member_state import MEMBER_SILENT_AFTER_US, SECOND_US
 
 RELAY_SILENT_AFTER_US = 10 * SECOND_US
 """Reports of a relay without a newer one for so long are not used to find members to be registered."""
--- a/packages/configstore/src/walnutpost/configstore/report_handler.py
+++ b/packages/configstore/src/walnutpost/configstore/report_handler.py
@@ -8,7 +8,7 @@
 from walnutpost.configstore.applied_minimum import AppliedMinimum
 from walnutpost.configstore.home_relays import HomeRelays
 from walnutpost.configstore.known_fleet import KnownFleet
-from walnutpost.configstore.member_registry import SECOND_US
+from walnutpost.configstore.member_state import SECOND_US
 from walnutpost.configstore.messages import MemberProgress, ProgressSummary, ProgressSummaryResponse
 from walnutpost.configstore.proved_revisions import ProvedRevisions
 from walnutpost.configstore.registration_changes import RegistrationChanges
--- a/packages/configstore/tests/test_fleet_progress.py
+++ b/packages/configstore/tests/test_fleet_progress.py
@@ -9,15 +9,11 @@
 import pytest
 
 from progress_rig import FakeStore, Fleet, ask, tell
-from walnutpost.configstore import member_registry
+from walnutpost.configstore import report_changes
 from walnutpost.configstore.fleet_progress import FleetProgress
-from walnutpost.configstore.member_registry import (
-    LAG_GRACE_US,
-    MEMBER_GONE_AFTER_US,
-    MEMBER_SILENT_AFTER_US,
-    SECOND_US,
-    MemberRegistry,
-)
+from walnutpost.configstore.lag_tracker import LAG_GRACE_US
+from walnutpost.configstore.member_registry import MEMBER_GONE_AFTER_US, SECOND_US, MemberRegistry
+from walnutpost.configstore.member_state import MEMBER_SILENT_AFTER_US
 from walnutpost.configstore.messages import (
     MemberProgress,
     ProgressSummary,
@@ -268,10 +264,10 @@
 
 def test_ended_processes_are_remembered_up_to_a_limit() -> None:
     registry = MemberRegistry("r1", "x")
-    for n in range(member_registry.MAX_ENDED_PROCESSES + 5):
+    for n in range(report_changes.MAX_ENDED_PROCESSES + 5):
         registry.observe(0, ask("a", 1, incarnation=f"a.{n}", is_leaving=True))
     assert registry.next_summary(0, 1).ended_processes[0] == ("a", "a.5")
-    assert len(registry.next_summary(0, 1).ended_processes) == member_registry.MAX_CHANGES_PER_REPORT
+    assert len(registry.next_summary(0, 1).ended_processes) == report_changes.MAX_CHANGES_PER_REPORT
 
 
 def test_members_without_a_report_are_absent_after_the_given_time() -> None:
--- a/packages/configstore/tests/test_member_registry.py
+++ b/packages/configstore/tests/test_member_registry.py
@@ -5,15 +5,11 @@
 import pytest
 
 from progress_rig import Fleet, ask, names_of, tell
-from walnutpost.configstore import member_registry
+from walnutpost.configstore import report_changes
 from walnutpost.configstore.fleet_progress import FleetProgress
-from walnutpost.configstore.member_registry import (
-    LAG_GRACE_US,
-    MEMBER_GONE_AFTER_US,
-    MEMBER_SILENT_AFTER_US,
-    SECOND_US,
-    MemberRegistry,
-)
+from walnutpost.configstore.lag_tracker import LAG_GRACE_US
+from walnutpost.configstore.member_registry import MEMBER_GONE_AFTER_US, SECOND_US, MemberRegistry
+from walnutpost.configstore.member_state import MEMBER_SILENT_AFTER_US
 from walnutpost.configstore.messages import (
     MemberProgress,
     ProgressSummary,
@@ -222,7 +218,7 @@
 
 def test_a_member_that_left_between_pages_is_reported_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whom the leader may know, by a report whose answer was lost, comes before those that it can't know."""
-    monkeypatch.setattr(member_registry, "MAX_CHANGES_PER_REPORT", 2)
+    monkeypatch.setattr(report_changes, "MAX_CHANGES_PER_REPORT", 2)
     registry, leader = MemberRegistry("r1", "x"), FleetProgress(0, 20)
     leader.set_members(0, {"d": "d.1"})
     for name in ("a", "b"):
--- a/packages/configstore/tests/test_progress_orders.py
+++ b/packages/configstore/tests/test_progress_orders.py
@@ -17,10 +17,13 @@
     fleet_progress,
     home_relays,
     known_fleet,
+    lag_tracker,
     member_registry,
+    member_state,
     proved_revisions,
     registration_changes,
     relay_report,
+    report_changes,
     report_handler,
 )
 
@@ -34,8 +37,8 @@
 ) -> None:
     """Reports lost, doubled, late; relays restarted and doubled; members that move, restart, are agreed on
     and forgotten; leaders that come and go. And once reports arrive, what is so is claimed."""
-    monkeypatch.setattr(member_registry, "MAX_CHANGES_PER_REPORT", page)
-    monkeypatch.setattr(member_registry, "MAX_LAGGING_REPORTED", named)
+    monkeypatch.setattr(report_changes, "MAX_CHANGES_PER_REPORT", page)
+    monkeypatch.setattr(lag_tracker, "MAX_LAGGING_REPORTED", named)
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(steps)
@@ -108,9 +111,9 @@
     ],
     "a whole keeps whom it doesn't tell": [("for name in list(relay.members):", "for name in ():")],
     "leaves wait for a page": [("if name in self._possibly_known]", "if name in ()]")],
-    "the sum is of some": [("for name in self._next_known:", "for name in list(self._next_known)[:1]:")],
+    "the sum is of some": [("for name in covered:", "for name in list(covered)[:1]:")],
     "a change on the way is taken as told": [
-        ("if self._pending.get(name, self._number) < self._number:", "if name in self._pending:")
+        ("if self._pending.get(name, number) < number:", "if name in self._pending:")
     ],
     "another incarnation isn't told": [
         (
@@ -134,6 +137,9 @@
     "unknown ones are not kept": [("self._mismatched.add(name)", "pass")],
 }
 RULES = (  # in the order of their imports
+    member_state,
+    report_changes,
+    lag_tracker,
     member_registry,
     relay_report,
     known_fleet,
@@ -147,24 +153,25 @@
 
 
 @pytest.fixture(params=list(BROKEN))
-def broken(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> tuple[ModuleType, ...]:
+def broken(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> dict[str, ModuleType]:
     """Copies of the modules of rules with one rule broken; each imports the copies before it."""
     sources = [Path(module.__file__ or "").read_text() for module in RULES]
     for right, wrong in BROKEN[request.param]:
         assert sum(source.count(right) for source in sources) == 1, right
         sources = [source.replace(right, wrong) for source in sources]
-    copies = []
+    copies: dict[str, ModuleType] = {}
     for module, source in zip(RULES, sources, strict=True):
         copy = ModuleType(module.__name__)
         monkeypatch.setitem(sys.modules, module.__name__, copy)
         exec(compile(source, f"broken {module.__name__}", "exec"), copy.__dict__)
-        copies.append(copy)
-    vars(copies[0]).update(MAX_CHANGES_PER_REPORT=2, MAX_LAGGING_REPORTED=1)
-    return tuple(copies)
+        copies[module.__name__] = copy
+    vars(copies[report_changes.__name__]).update(MAX_CHANGES_PER_REPORT=2)
+    vars(copies[lag_tracker.__name__]).update(MAX_LAGGING_REPORTED=1)
+    return copies
 
 
-def test_a_rule_broken_on_purpose_is_found(broken: tuple[ModuleType, ...]) -> None:
-    registry, *_, progress = broken
+def test_a_rule_broken_on_purpose_is_found(broken: dict[str, ModuleType]) -> None:
+    registry, progress = broken[member_registry.__name__], broken[fleet_progress.__name__]
     with pytest.raises((AssertionError, KeyError)):
         for seed in range(300):
             World(progress.FleetProgress, registry.MemberRegistry).run(drawn(seed))
