--- a/packages/journal/src/walnutpost/journal/batches.py
+++ b/packages/journal/src/walnutpost/journal/batches.py
@@ -26,7 +26,7 @@
     origin: str
     after: int
     upto: int
-    lines: tuple[Line, ...] = ()
+    lines: tuple[Line, ...] = msgspec.field(name="lines", default=())
     checksum: int = msgspec.field(name="sum", default=0)
 
 
--- a/packages/replication/src/walnutpost/replication/wire.py
+++ b/packages/replication/src/walnutpost/replication/wire.py
@@ -26,7 +26,7 @@
 class CallLines(msgspec.Struct, frozen=True):
     """All lines about one call in the journals that a front end stores."""
 
-    lines: tuple[Line, ...]
+    lines: tuple[Line, ...] = msgspec.field(name="lines")
 
 
 MessageT = TypeVar("MessageT", JournalBatch, JournalOffset, CallLines)
