--- a/packages/interface/src/walnutpost/interface/events.py
+++ b/packages/interface/src/walnutpost/interface/events.py
@@ -90,10 +90,10 @@
 class LoadOrderEnded:
     """How a load order ended.
 
-    MOOT and CONNECT_FAILED: it never reaches the worker complete. RESET and TIMEOUT: it may have, or still may
-    (a paused worker later reads the data in its kernel, also after a reset). Any other outcome: the worker has
-    answered it. `copies` is how many are there. `ordered_copies` repeats the order's copies; it is 0 for a
-    query and if the transport does not say.
+    MOOT and CONNECT_FAILED: it never reaches the worker complete. RESET and TIMEOUT: it may have, or still
+    may (a paused worker later reads the data in its kernel, also after a reset). Any other outcome: the
+    worker has answered it. `copies` is how many are there. `ordered_copies` repeats the order's copies; it is
+    0 for a query and if the transport does not say.
     """
 
     worker: int
