--- a/packages/fleet/src/walnutpost/fleet/machine.py
+++ b/packages/fleet/src/walnutpost/fleet/machine.py
@@ -1,6 +1,6 @@
 """The replicated state machine: the same log gives the same state, byte for byte, at every replica.
 
-No I/O, no clock, no randomness. Each command has one handler, in the module of its concern.
+No I/O, no clock, no randomness. Each command has one handler, in the module of its subject.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from walnutpost.fleet.settings import CHANGED_MEANWHILE
 from walnutpost.fleet.state import FleetState
 
-Handler = Callable[[FleetContext, Any], CommandResult]
+Handler = Callable[[FleetContext, Any], CommandResult]  # Any: each takes the command it is listed with
 
 HANDLERS: Mapping[type, Handler] = {
     commands.RegisterMember: members.register_member,
@@ -47,7 +47,7 @@
 
 
 class StateSnapshot(FleetState):
-    """What a snapshot holds. `table` is empty where the config store was left out or did not exist yet."""
+    """Content of a snapshot. `table`: the config store; empty if it was left out or did not exist yet."""
 
     table: bytes = b""
 
@@ -61,7 +61,7 @@
     def snapshot(self, table: bool = True) -> bytes:
         """Return the state as bytes, the same at each replica that has applied the same entries.
 
-        `table` False leaves out the config store, which may be large.
+        `table=False` leaves out the config store, which may be large.
         """
         store = self.table.snapshot() if table else b""
         return msgspec.msgpack.encode(StateSnapshot(**structs.asdict(self.state), table=store))
@@ -81,21 +81,21 @@
         fields["results"] = dict(sorted(fields["results"].items(), key=lambda item: item[1].index))
         return cls(FleetState(**fields), table)
 
-    def apply(self, index: int, id: str, data: bytes) -> CommandResult:
-        """Apply a log entry, once for each id: a repeated command gets the result of the first time.
+    def apply(self, index: int, request_id: str, data: bytes) -> CommandResult:
+        """Apply a log entry, once for each `request_id`: a repeated command gets the first result again.
 
-        Bytes that are no command are rejected, the same at every replica.
+        Bytes that are no command are rejected, in the same way at every replica.
         """
         self.state.index = index
-        known = self.state.results.get(id) if id else None
+        known = self.state.results.get(request_id) if request_id else None
         if known is not None:
             return known
         try:
             result = self._execute(decode(data))
         except InvalidCommandError as error:
             result = self.rejected(str(error))
-        if id and result.error != CHANGED_MEANWHILE:
-            remember_result(self.state, id, result)
+        if request_id and result.error != CHANGED_MEANWHILE:
+            remember_result(self.state, request_id, result)
         return result
 
     def _execute(self, command: Command) -> CommandResult:
--- a/packages/fleet/src/walnutpost/fleet/members.py
+++ b/packages/fleet/src/walnutpost/fleet/members.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from walnutpost.fleet import permits, plans
+from walnutpost.fleet import permits, plan_progress
 from walnutpost.fleet.commands import (
     CommandResult,
     ForgetMember,
@@ -15,7 +15,7 @@
 
 
 def register_member(fleet: FleetContext, command: RegisterMember) -> CommandResult:
-    """Add or replace a member; under a permit it stays unavailable until its holder says that it is back."""
+    """Add or replace a member; under a permit it stays unavailable until its holder completes the permit."""
     fleet.state.members[command.member] = Member(
         kind=command.kind,
         zone=command.zone,
@@ -30,19 +30,19 @@
 
 
 def mark_unresponsive(fleet: FleetContext, command: MarkUnresponsive) -> CommandResult:
-    """Halt the plans whose budget is used up by members that are unresponsive without a permit."""
+    """Mark a member; halt the plans whose budget is used up by unresponsive members without a permit."""
     member = _member_as(fleet, command.member, command.incarnation)
     if member is None:
         return _is_other(fleet, command.member, command.incarnation)
     member.unresponsive = True
     for usage in permits.usages_for(fleet, member):
         if len(usage.unplanned) >= usage.limit:
-            plans.halt_for_usage(fleet, member.kind, usage)
+            plan_progress.halt_for_usage(fleet, member.kind, usage)
     return fleet.accepted()
 
 
 def mark_responsive(fleet: FleetContext, command: MarkResponsive) -> CommandResult:
-    """Plans that were halted stay so until an operator resumes them."""
+    """Mark a member. Plans that were halted remain so until an operator resumes them."""
     member = _member_as(fleet, command.member, command.incarnation)
     if member is None:
         return _is_other(fleet, command.member, command.incarnation)
@@ -51,7 +51,7 @@
 
 
 def forget_member(fleet: FleetContext, command: ForgetMember) -> CommandResult:
-    """Remove the member from permits, plans and the followers of the config store."""
+    """Remove a member, its permits, and its places in plans and among the followers of the config store."""
     state, name = fleet.state, command.member
     for permit in [permit for permit in state.permits.values() if permit.member == name]:
         permits.release_permit(fleet, permit)
@@ -62,7 +62,7 @@
     if member is None:
         return fleet.accepted() if was_follower else fleet.rejected(f"no member {name}")
     fleet.mark_endpoints_changed(member.kind)
-    plans.remove_member(fleet, name)
+    plan_progress.remove_member(fleet, name)
     return fleet.accepted()
 
 
--- a/packages/fleet/src/walnutpost/fleet/permits.py
+++ b/packages/fleet/src/walnutpost/fleet/permits.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from walnutpost.fleet import budgets, plans
+from walnutpost.fleet import budgets, plan_progress
 from walnutpost.fleet.commands import (
     AbandonPermit,
     BeginPermit,
@@ -17,11 +17,11 @@
     RevokePermit,
 )
 from walnutpost.fleet.context import FleetContext
-from walnutpost.fleet.state import Member, Permit, permit_id
+from walnutpost.fleet.state import Member, Permit, permit_id_of
 
 
 def usages_for(fleet: FleetContext, member: Member) -> list[budgets.BudgetUsage]:
-    """Return the use of the budgets in which this member counts."""
+    """Return the use of the budgets that cover this member."""
     state = fleet.state
     return budgets.budget_usages(
         state.budgets, state.members, state.permits.values(), member.kind, member.zone
@@ -29,7 +29,7 @@
 
 
 def release_permit(fleet: FleetContext, permit: Permit) -> None:
-    """End a permit: its member is available again as far as the permit goes."""
+    """End a permit: it no longer makes its member unavailable."""
     del fleet.state.permits[permit.id]
     member = fleet.state.members.get(permit.member)
     if member is not None:
@@ -45,18 +45,20 @@
     held = next((permit for permit in state.permits.values() if permit.member == command.member), None)
     if held is not None:
         return fleet.rejected(f"{command.member} is out by {held.holder} under {held.id}")
-    reason = state.halt_reason or plans.blocking_reason(fleet, command) or _exhausted_budget(fleet, member)
+    reason = (
+        state.halt_reason or plan_progress.blocking_reason(fleet, command) or _exhausted_budget(fleet, member)
+    )
     if reason:
         return fleet.rejected(reason)
     index = state.index
-    permit = Permit(permit_id(index), command.member, command.holder, command.reason, index, command.plan)
+    permit = Permit(permit_id_of(index), command.member, command.holder, command.reason, index, command.plan)
     state.permits[permit.id] = permit
     fleet.mark_endpoints_changed(member.kind)
     return fleet.accepted(permit.id)
 
 
 def _exhausted_budget(fleet: FleetContext, member: Member) -> str:
-    """Return the budget that allows no more; none for an unresponsive member, which uses it up already."""
+    """Return the text of a used-up budget; empty for an unresponsive member, which is counted already."""
     if member.unresponsive:
         return ""
     for usage in usages_for(fleet, member):
@@ -66,7 +68,7 @@
 
 
 def begin_permit(fleet: FleetContext, command: BeginPermit) -> CommandResult:
-    """Note that the holder has begun: from now on only proof that the member is back ends the permit."""
+    """Record that the holder has begun: from now on the permit ends only once the member is back."""
     permit = _permit_of(fleet, command.permit, command.holder)
     if permit is None:
         return fleet.rejected(f"{command.holder} holds no permit {command.permit}")
@@ -113,7 +115,7 @@
 
 
 def complete_permit(fleet: FleetContext, command: CompletePermit) -> CommandResult:
-    """End the permit of a member that is back; the plans that wait for it go on or fail."""
+    """End the permit of a member that is back; the plans that wait for it continue or fail."""
     permit = _permit_of(fleet, command.permit, command.holder)
     if permit is None:
         return fleet.rejected(f"{command.holder} holds no permit {command.permit}")
@@ -123,12 +125,12 @@
     member.unresponsive = False
     member.address = command.address or member.address
     release_permit(fleet, permit)
-    plans.on_member_back(fleet, permit, command)
+    plan_progress.on_member_back(fleet, permit, command)
     return fleet.accepted()
 
 
 def revoke_permit(fleet: FleetContext, command: RevokePermit) -> CommandResult:
-    """End a permit on an operator's word."""
+    """End a permit because an operator says that the member is available."""
     permit = fleet.state.permits.get(command.permit)
     if permit is None:
         return fleet.rejected(f"no permit {command.permit}")
@@ -136,7 +138,7 @@
     return fleet.accepted()
 
 
-def _permit_of(fleet: FleetContext, id: str, holder: str) -> Permit | None:
-    """Return the permit, if it is this holder's."""
-    permit = fleet.state.permits.get(id)
+def _permit_of(fleet: FleetContext, permit_id: str, holder: str) -> Permit | None:
+    """Return the permit if it belongs to this holder."""
+    permit = fleet.state.permits.get(permit_id)
     return permit if permit is not None and permit.holder == holder else None
--- a/packages/fleet/src/walnutpost/fleet/state.py
+++ b/packages/fleet/src/walnutpost/fleet/state.py
@@ -1,4 +1,4 @@
-"""The state that the replicas agree on, as plain values.
+"""The replicated state, as plain values.
 
 They are written to snapshots as maps, under the names given by `field(name=...)` where these differ from the
 attributes' own. Neither a stored name nor the order of fields may change: replicas compare snapshots by
@@ -18,7 +18,7 @@
 
 
 class Member(StateRecord):
-    """A named place in the fleet; `incarnation` is the process that fills it now."""
+    """A named place in the fleet; `incarnation` is the process that has it now."""
 
     kind: str
     zone: str
@@ -32,8 +32,8 @@
 class Permit(StateRecord):
     """The right of `holder` to take a member out, granted by log entry `granted_index`.
 
-    It ends only by a command that proves the member available, never by time. `confirmed_index`: the entry by
-    which all front ends had acknowledged it, 0 before; `acknowledgements`: by whom. `return_requested`: an
+    It ends only by a command that proves the member available, never by time. `confirmed_index`: the entry
+    that confirmed it, 0 before; `acknowledgements`: those of all front ends for it. `return_requested`: an
     operator has ended the drain.
     """
 
@@ -49,7 +49,7 @@
     return_requested: bool = field(default=False, name="returning")
 
 
-def permit_id(index: int) -> str:
+def permit_id_of(index: int) -> str:
     """Return the id of the permit that log entry `index` grants."""
     return f"p{index}"
 
@@ -60,7 +60,7 @@
 
 
 class Plan(StateRecord):
-    """A release, rollback or drain. `members` are in the order in which they are taken, zones interleaved.
+    """A release, rollback or drain. `members`: in the order in which they are taken out, zones interleaved.
 
     `step`: how many steps have passed their verdict. `halt_reason` and `end_reason` are empty while it is not
     halted or ended. `baseline`: call counts of the old version, from earlier steps.
@@ -80,20 +80,20 @@
     baseline: tuple[int, ...] = field(default=(), name="before")
 
     def eligible_count(self) -> int:
-        """How many members, from the first, may have begun: one, then a ratio of them at each step."""
+        """Return how many members, from the first, may have begun: one, then a ratio of them at each step."""
         if not self.requires_verdict or self.step >= len(self.steps):
             return len(self.members)
         ratio = self.steps[self.step - 1] if self.step else 0.0
         return max(1, int(ratio * len(self.members) + ROUNDING))
 
 
-ROUNDING = 1e-9  # lets ratios such as 3 * 0.1 reach the whole number that they stand for
+ROUNDING = 1e-9  # so that int() of a product such as 0.29 * 100 is 29
 
 
 class FleetState(StateRecord):
-    """Everything but the config store. Dicts keep the order of the log: the oldest are trimmed first.
+    """Everything but the config store. Dicts have the order of the log: the oldest entries come first.
 
-    `endpoints_index`: the entry that last changed the list of workers. `manual_changes`: what was done
+    `endpoints_index`: the entry that last changed the list of workers. `manual_changes`: changes made
     without a quorum, newest last. `results`: by the id of the command, newest last. `followers`: of the
     config store, incarnations by name.
     """
