--- a/packages/fleet/src/walnutpost/fleet/__init__.py
+++ b/packages/fleet/src/walnutpost/fleet/__init__.py
@@ -1,6 +1,13 @@
 """The replicated state machine of a fleet: members, permits, plans, versions, the config store. No I/O."""
 
-from walnutpost.fleet.analysis import AnalysisPolicy, CallCounts, StepAnalysis, Verdict, analyze
+from walnutpost.fleet.analysis import (
+    AnalysisPolicy,
+    AnalysisResult,
+    CallCounts,
+    StepAnalysis,
+    Verdict,
+    analyze,
+)
 from walnutpost.fleet.command_text import command_name, describe_command
 from walnutpost.fleet.commands import (
     FRONT_END,
@@ -55,6 +62,7 @@
     "AbandonPermit",
     "Acknowledgement",
     "AnalysisPolicy",
+    "AnalysisResult",
     "ApplyChangeSet",
     "BeginPermit",
     "CallCounts",
--- a/packages/fleet/src/walnutpost/fleet/analysis.py
+++ b/packages/fleet/src/walnutpost/fleet/analysis.py
@@ -1,4 +1,4 @@
-"""Canary analysis: whether members on a release's version serve as well as those on the old one. No I/O.
+"""Canary analysis: whether members on a release's version serve calls as well as the others. No I/O.
 
 The texts of verdicts become part of the replicated state (`RecordStepVerdict.reason`).
 """
@@ -42,7 +42,7 @@
 
     @property
     def as_tuple(self) -> tuple[int, int, int, int]:
-        """The counts in the order in which they are sent and stored."""
+        """The counts in the order in which reports and `RecordStepVerdict.baseline` hold them."""
         return self.served, self.rejected, self.failed, self.within_objective
 
     @property
@@ -52,19 +52,35 @@
 
 
 class Verdict(Enum):
-    """What the analysis of a step says."""
+    """Outcome of the analysis of a step."""
 
     PASSED = "good"
     FAILED = "bad"
     INCONCLUSIVE = "not yet"
 
 
+@dataclass(frozen=True, slots=True)
+class AnalysisResult:
+    """A verdict and the reason for it."""
+
+    verdict: Verdict
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class ReportedCounts:
+    """Calls of one process since it began."""
+
+    incarnation: str
+    counts: CallCounts
+
+
 @dataclass(frozen=True, slots=True)
 class AnalysisPolicy:
-    """When a difference counts.
+    """When a difference between two versions is significant.
 
-    `min_calls`: needed on either side. `max_regression`: the tolerated difference of a ratio. `confidence`:
-    by how many standard deviations the difference must exceed that, or stay within it.
+    `min_calls`: needed of either version. `max_regression`: the tolerated difference of a ratio.
+    `confidence`: by how many standard deviations the difference must exceed that, or stay below it.
     """
 
     min_calls: int = 200
@@ -74,15 +90,15 @@
 
 def analyze(
     canary: Iterable[CallCounts], baseline: Iterable[CallCounts], policy: AnalysisPolicy
-) -> tuple[Verdict, str]:
-    """Return the verdict and its reason; too few calls are inconclusive, never passed.
+) -> AnalysisResult:
+    """Return the verdict; too few calls are inconclusive, never passed.
 
     The ratios of failed, rejected and late calls are compared, each as a difference of two proportions.
     """
     new, old = sum(canary, CallCounts()), sum(baseline, CallCounts())
     if min(new.total, old.total) < policy.min_calls:
         reason = f"{new.total} and {old.total} calls, {policy.min_calls} wanted on either side"
-        return Verdict.INCONCLUSIVE, reason
+        return AnalysisResult(Verdict.INCONCLUSIVE, reason)
     unsure = ""
     for name, new_ratio, old_ratio in (
         ("failed", new.failed / new.total, old.failed / old.total),
@@ -93,52 +109,62 @@
         deviation = _deviation(new_ratio, new.total) + _deviation(old_ratio, old.total)
         if regression - policy.confidence * deviation > policy.max_regression:
             found = f"{new_ratio:.3f} of {new.total} calls, {old_ratio:.3f} of {old.total} before"
-            return Verdict.FAILED, f"{name}: {found}"
+            return AnalysisResult(Verdict.FAILED, f"{name}: {found}")
         if not unsure and regression + policy.confidence * deviation > 2 * policy.max_regression:
             unsure = f"{name}: {new_ratio:.3f} against {old_ratio:.3f}, too few calls to tell"
     if unsure:
-        return Verdict.INCONCLUSIVE, unsure
-    return Verdict.PASSED, f"{new.total} calls no worse than {old.total}"
+        return AnalysisResult(Verdict.INCONCLUSIVE, unsure)
+    return AnalysisResult(Verdict.PASSED, f"{new.total} calls no worse than {old.total}")
 
 
 @dataclass(frozen=True, slots=True)
 class _MemberCounts:
-    """What one process has served since the step began."""
+    """Calls of one process since the step began."""
 
     is_canary: bool
     zone: str
     counts: CallCounts
 
 
+@dataclass(frozen=True, slots=True)
+class _ProcessKey:
+    """Identifies one process among those that have run as a member."""
+
+    member: str
+    incarnation: str
+
+
 class StepAnalysis:
-    """One step of a release: what each process has served since the step began, by its version."""
+    """One step of a release: the calls of each process since the step began, by version.
+
+    `known_baseline`: the old version's counts in earlier steps, needed once no member runs that version.
+    """
 
     def __init__(self, number: int, known_baseline: CallCounts) -> None:
-        """`known_baseline`: the old version's counts in earlier steps, for when no member runs it."""
         self.number = number
         self._known_baseline = known_baseline
-        self._at_begin: dict[tuple[str, str], CallCounts] = {}  # by member and incarnation
-        self._since_begin: dict[tuple[str, str], _MemberCounts] = {}
+        self._at_begin: dict[_ProcessKey, CallCounts] = {}
+        self._since_begin: dict[_ProcessKey, _MemberCounts] = {}
 
     def update(
         self,
         members: Mapping[str, Member],
         version: str,
-        reported: Mapping[str, tuple[str, CallCounts]],
+        reported: Mapping[str, ReportedCounts],
     ) -> None:
-        """Take in reports: by member, its incarnation and the counts since that incarnation began.
+        """Update the counts from the last reports, by member.
 
-        A process that comes up during the step counts from its beginning, one that was there before from the
-        first update. Counts of an incarnation remain when it is gone.
+        The calls of a process that started during the step all count; those of an earlier process count from
+        the first update. Counts remain after their process has ended.
         """
         is_first = not self._at_begin
         for name, member in members.items():
-            incarnation, counts = reported.get(name, ("", CallCounts()))
-            key = (name, member.incarnation)
-            if incarnation == member.incarnation:
-                counts -= self._at_begin.setdefault(key, counts if is_first else CallCounts())
-            else:
-                counts = CallCounts()  # this process has reported none: too few, if it is a canary
+            report = reported.get(name)
+            key = _ProcessKey(name, member.incarnation)
+            counts = CallCounts()  # this process has reported none: too few, if it is a canary
+            if report is not None and report.incarnation == member.incarnation:
+                at_begin = report.counts if is_first else CallCounts()
+                counts = report.counts - self._at_begin.setdefault(key, at_begin)
             self._since_begin[key] = _MemberCounts(member.version == version, member.zone, counts)
 
     @property
@@ -147,27 +173,30 @@
         known = (each.counts for each in self._since_begin.values() if not each.is_canary)
         return sum(known, self._known_baseline)
 
-    def analyze(self, policy: AnalysisPolicy) -> tuple[Verdict, str]:
-        """Return the verdict over each zone and over all: other zones must not hide a regression in one."""
+    def analyze(self, policy: AnalysisPolicy) -> AnalysisResult:
+        """Analyze each zone and all together: a regression in one zone must not be hidden by the others."""
         zones: dict[str, list[CallCounts]] = {}
         for each in self._since_begin.values():
             if each.is_canary:
                 zones.setdefault(each.zone, []).append(each.counts)
         if not zones:
-            return Verdict.INCONCLUSIVE, "no figures of the new version"
+            return AnalysisResult(Verdict.INCONCLUSIVE, "no figures of the new version")
         baseline = [self.baseline]
-        by_zone = [(zone, *analyze(counts, baseline, policy)) for zone, counts in sorted(zones.items())]
+        results = {zone: analyze(counts, baseline, policy) for zone, counts in sorted(zones.items())}
         for wanted in (Verdict.FAILED, Verdict.INCONCLUSIVE):
-            for zone, verdict, reason in by_zone:
-                if verdict is wanted:
-                    return verdict, f"{reason} in {zone}" if len(zones) > 1 else reason
+            for zone, result in results.items():
+                if result.verdict is wanted and len(zones) > 1:
+                    return AnalysisResult(wanted, f"{result.reason} in {zone}")
+                if result.verdict is wanted:
+                    return result
         return analyze([each for counts in zones.values() for each in counts], baseline, policy)
 
 
 def _deviation(ratio: float, calls: int) -> float:
-    """Return the standard deviation of a ratio of so many calls.
+    """Return the standard deviation of a ratio that was measured over `calls` calls.
 
-    One call of each kind is added (Laplace's rule of succession), since none seen doesn't mean none to come.
+    One call of each outcome is added (Laplace's rule of succession): a ratio of 0 in a sample does not prove
+    that the true ratio is 0.
     """
     smoothed = (ratio * calls + 1) / (calls + 2)
     return math.sqrt(smoothed * (1 - smoothed) / calls)
--- a/packages/fleet/src/walnutpost/fleet/budgets.py
+++ b/packages/fleet/src/walnutpost/fleet/budgets.py
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetUsage:
-    """The use of one budget in one zone, or in all where `zone` is empty.
+    """The use of one budget in one zone, or in all zones if `zone` is empty.
 
-    `unavailable`: names of the members that use it up. `unplanned`: those of them that no permit explains; a
-    member that is being replaced under a permit may well be unresponsive for longer than a lease.
+    `unavailable`: names of the members that count against it. `unplanned`: those of them without a permit; a
+    member that is being replaced under a permit may be unresponsive for longer than a lease.
     """
 
     budget: DisruptionBudget
@@ -28,7 +28,7 @@
 
     @property
     def description(self) -> str:
-        """The use in words. It is stored in results and plans: replicas must agree on it."""
+        """The use as text. It is stored in results and plans: all replicas must give the same text."""
         where = f" in {self.zone}" if self.zone else ""
         names = f": {', '.join(self.unavailable)}" if self.unavailable else ""
         used = f"{len(self.unavailable)} of {self.limit}"
@@ -36,7 +36,7 @@
 
 
 def unavailable_members(members: Mapping[str, Member], permits: Iterable[Permit]) -> set[str]:
-    """Members that a permit may take out, and members that are unresponsive."""
+    """Return the members for which there is a permit, and the unresponsive ones."""
     permitted = {permit.member for permit in permits}
     return permitted | {name for name, member in members.items() if member.unresponsive}
 
@@ -48,7 +48,7 @@
     kind: str,
     zone: str,
 ) -> list[BudgetUsage]:
-    """Return the use of each budget in which a member of this kind and zone counts."""
+    """Return the use of each budget that covers members of this kind and zone."""
     permits = list(permits)
     permitted = {permit.member for permit in permits}
     unavailable = unavailable_members(members, permits)
--- a/packages/fleet/src/walnutpost/fleet/command_text.py
+++ b/packages/fleet/src/walnutpost/fleet/command_text.py
@@ -1,6 +1,6 @@
-"""Commands as text for the history: its words are on the wire and in JSON that programs read.
+"""Commands as text for the history. The words are sent on the wire and in JSON that programs read.
 
-They come from the stored tag and from the tables here, not from names in the code, so that these may change.
+They come from the stored tags and from the table here, so that names in the code may change.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 MAX_VALUE_CHARACTERS = 60  # of a tuple that is shown in full
 MAX_SHOWN_KEYS = 5  # of a change set
 
-# The published names of fields, where they differ from the attributes.
+# The published names of fields that differ from the attributes' names.
 PUBLISHED_NAMES: Mapping[type, Mapping[str, str]] = {
     RegisterMember: {"follows_endpoints": "follows"},
     RequestPermit: {"reason": "why"},
@@ -50,7 +50,7 @@
 
 
 def describe_command(command: Command) -> str:
-    """Return the fields set as `name=value`, large values by their size, change sets by their keys."""
+    """Return the fields that are set as `name=value`; large values by size, change sets by their keys."""
     published = PUBLISHED_NAMES.get(type(command), {})
     parts = []
     for name in command.__struct_fields__:
--- a/packages/fleet/src/walnutpost/fleet/commands/encoding.py
+++ b/packages/fleet/src/walnutpost/fleet/commands/encoding.py
@@ -85,7 +85,7 @@
 def decode_frame(data: bytes) -> CommandFrame:
     """Return a log entry's command with the time at which it was sent; raise InvalidCommandError.
 
-    The texts of the errors are results of commands, which replicas compare and store: they must not change.
+    The texts of the errors are results of commands, which replicas store and compare: they must not change.
     """
     try:
         frame = _decoder.decode(data)
--- a/packages/fleet/src/walnutpost/fleet/commands/members.py
+++ b/packages/fleet/src/walnutpost/fleet/commands/members.py
@@ -8,10 +8,10 @@
 
 
 class RegisterMember(ArrayRecord, frozen=True, tag="Enter"):
-    """A process is up and ready. A known name with another incarnation replaces the process of that name.
+    """A process is ready. A known name with another incarnation replaces the process of that name.
 
     `follows_endpoints`: it acts on the fleet's list of workers and acknowledges each version of it.
-    `address`: where a worker is called; empty where it is not known.
+    `address`: of a worker; empty if it is not known.
     """
 
     member: str
--- a/packages/fleet/src/walnutpost/fleet/commands/permits.py
+++ b/packages/fleet/src/walnutpost/fleet/commands/permits.py
@@ -6,7 +6,7 @@
 
 
 class RequestPermit(ArrayRecord, frozen=True, tag="Ask"):
-    """`holder` asks to take the member out, for `plan`; an empty plan means by hand."""
+    """`holder` asks to take the member out for `plan`; without a plan it acts for an operator."""
 
     member: str
     holder: str
@@ -29,7 +29,7 @@
 
 
 class Acknowledgement(ArrayRecord, frozen=True):
-    """This process acts on the list of workers of log entry `index`."""
+    """A front end's process acts on the list of workers of log entry `index`."""
 
     member: str
     incarnation: str
@@ -37,9 +37,9 @@
 
 
 class ConfirmPermit(ArrayRecord, frozen=True, tag="Clear"):
-    """All responsive front ends act on a list without the worker, so it may end.
+    """All responsive front ends act on a list without the worker, so it may stop.
 
-    `acknowledgements` is what the leader has heard; it is checked against the members when it is applied.
+    `acknowledgements`: those reported to the leader; they are checked against the members when applied.
     """
 
     permit: str
@@ -56,7 +56,7 @@
 class CompletePermit(ArrayRecord, frozen=True, tag="Back"):
     """The member is ready again as this incarnation, and its permit ends.
 
-    `failure`: why it does not run the version that its plan wants; empty where the plan may simply retry.
+    `failure`: why it does not run the version that its plan wants; empty if the plan may simply retry.
     """
 
     permit: str
@@ -68,7 +68,7 @@
 
 
 class RevokePermit(ArrayRecord, frozen=True, tag="Remove"):
-    """An operator vouches that the member is available, whatever the permit's holder does."""
+    """An operator states that the member is available, without regard to the permit's holder."""
 
     permit: str
     operator: str
--- a/packages/fleet/src/walnutpost/fleet/commands/records.py
+++ b/packages/fleet/src/walnutpost/fleet/commands/records.py
@@ -10,7 +10,10 @@
 
 
 class CommandResult(ArrayRecord, frozen=True):
-    """Whether a command was accepted, by log entry `index`; else the `error`. `permit`: the one granted."""
+    """Result of the command in log entry `index`.
+
+    `ok`: it was accepted. `error`: why it was not. `permit`: the permit that it granted.
+    """
 
     ok: bool
     index: int
--- a/packages/fleet/src/walnutpost/fleet/commands/settings.py
+++ b/packages/fleet/src/walnutpost/fleet/commands/settings.py
@@ -10,7 +10,7 @@
     """How many members of a kind may be unavailable at once.
 
     Either `max_unavailable`, or `max_unavailable_ratio` of the members, rounded down but at least one, since
-    nothing could ever be replaced otherwise. `zone`: empty counts all zones together, `*` each by itself.
+    no member could ever be replaced otherwise. `zone`: empty counts all zones together, `*` each zone alone.
     """
 
     kind: str
@@ -19,7 +19,7 @@
     max_unavailable_ratio: float | None = None
 
     def limit(self, members: int) -> int:
-        """How many of so many members may be unavailable."""
+        """Return how many of this number of members may be unavailable."""
         if self.max_unavailable is not None:
             return self.max_unavailable
         return max(1, int((self.max_unavailable_ratio or 0.0) * members))
@@ -39,7 +39,7 @@
 
 
 class RecordManualChange(ArrayRecord, frozen=True, tag="Alone"):
-    """What an operator had an agent do without a permit while there was no quorum, reported afterwards.
+    """A restart that an operator ordered from an agent while there was no quorum, reported afterwards.
 
     `recorded_at_s`: seconds by the agent's wall clock, for information only.
     """
@@ -54,7 +54,7 @@
 class ApplyChangeSet(ArrayRecord, frozen=True, tag="SetEntries"):
     """One change set of the config store, validated by the leader against the store at `base_revision`.
 
-    It is rejected where another one came first; that result is not remembered, so its id may be used again.
+    It is rejected if another one was applied first; that result is not stored, so its id may be used again.
     """
 
     mutations: tuple[Mutation, ...]
--- a/packages/fleet/src/walnutpost/fleet/context.py
+++ b/packages/fleet/src/walnutpost/fleet/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of commands work on: the state, the config store, and results for the entry applied."""
+"""What the handlers of commands get: the state, the config store, and constructors of results."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FleetContext:
-    """The replicated data of one replica. Handlers change it; everybody else only reads.
+    """The replicated data of one replica. Only handlers of commands change it.
 
     `followers_version` counts the commands applied by this process that changed who follows the config store.
     It is no part of the replicated state.
@@ -26,11 +26,11 @@
     def rejected(self, error: str) -> CommandResult:
         """Return the result of a command that has changed nothing.
 
-        Results are stored, and replicas of two versions must agree on them: the texts must not change.
+        Results are stored, and replicas of two versions must give the same ones: the texts must not change.
         """
         return CommandResult(False, self.state.index, error)
 
     def mark_endpoints_changed(self, kind: str) -> None:
-        """Note that a member of this kind has changed in a way that shows in the list of workers."""
+        """Record that the list of workers has changed, if `kind` is that of workers."""
         if kind == WORKER:
             self.state.endpoints_index = self.state.index
--- a/packages/fleet/src/walnutpost/fleet/leases.py
+++ b/packages/fleet/src/walnutpost/fleet/leases.py
@@ -1,7 +1,7 @@
 """What a leader hears of members, and the commands that it proposes for it.
 
-No I/O; clocks are passed in, in microseconds. Nothing here is agreed on: all of it is lost with the
-leadership, and a new leader waits for a full lease before it takes anybody for unresponsive.
+No I/O; clocks are passed in, in microseconds. Nothing here is committed: all of it is lost with the
+leadership, and a new leader waits for a full lease before it proposes that a member is unresponsive.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from walnutpost.fleet.analysis import AnalysisPolicy, CallCounts, StepAnalysis, Verdict
+from walnutpost.fleet.analysis import AnalysisPolicy, CallCounts, ReportedCounts, StepAnalysis, Verdict
 from walnutpost.fleet.commands import (
     Acknowledgement,
     Command,
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberReport:
-    """What a process reports of itself.
+    """A report of a process, or of the agent in its name.
 
-    `applied_index`: the entry whose list of workers it acts on; None from one that follows no list, such as
-    an agent for its process. `call_counts`: since the process began.
+    `applied_index`: the entry whose list of workers the process acts on; None from a sender that follows no
+    list, such as an agent. `call_counts`: since the process began.
     """
 
     member: str
@@ -35,48 +35,57 @@
     call_counts: CallCounts | None = None
 
 
+@dataclass(frozen=True, slots=True)
+class _LastReport:
+    """The last report of a member: by which incarnation, and when."""
+
+    incarnation: str
+    at_us: int
+
+
 class MemberLeases:
-    """Which members have reported within the lease."""
+    """Which members have reported within the lease. `began_at_us`: when the leadership began."""
 
     def __init__(self, began_at_us: int, lease_us: int) -> None:
-        """Begin with no reports; `began_at_us`: when the leadership began."""
         self._began_at_us, self._lease_us = began_at_us, lease_us
-        self._reported: dict[str, tuple[str, int]] = {}  # incarnation and time, by name
+        self._reports: dict[str, _LastReport] = {}  # by name
 
     def report(self, now_us: int, member: str, incarnation: str) -> None:
         """Renew the lease of a member."""
-        self._reported[member] = incarnation, now_us
+        self._reports[member] = _LastReport(incarnation, now_us)
 
     def check(self, now_us: int, members: Mapping[str, Member]) -> list[Command]:
         """Return the commands to propose; the same ones again until they have been applied."""
         proposals: list[Command] = []
         for name, member in sorted(members.items()):
-            incarnation, reported_at_us = self._reported.get(name, ("", self._began_at_us))
-            is_alive = incarnation == member.incarnation and now_us - reported_at_us < self._lease_us
-            silent_for_us = now_us - max(reported_at_us, self._began_at_us)
+            last = self._reports.get(name, _LastReport("", self._began_at_us))
+            is_alive = last.incarnation == member.incarnation and now_us - last.at_us < self._lease_us
+            silent_for_us = now_us - max(last.at_us, self._began_at_us)
             if member.unresponsive and is_alive:
                 proposals.append(MarkResponsive(name, member.incarnation))
             elif not member.unresponsive and not is_alive and silent_for_us >= self._lease_us:
                 proposals.append(MarkUnresponsive(name, member.incarnation))
-        for name in [name for name in self._reported if name not in members]:
-            del self._reported[name]
+        for name in [name for name in self._reports if name not in members]:
+            del self._reports[name]
         return proposals
 
 
 class FleetMonitor:
-    """Everything that a leader hears: leases, acknowledged lists of workers, and call counts."""
+    """Everything that is reported to a leader: leases, acknowledged lists of workers, and call counts.
+
+    `began_at_us`: when the leadership began. `pending_verdicts`: by plan, why its step has no verdict yet.
+    """
 
     def __init__(self, began_at_us: int, lease_us: int, policy: AnalysisPolicy) -> None:
-        """Begin with no reports; `began_at_us`: when the leadership began."""
         self.leases = MemberLeases(began_at_us, lease_us)
         self._policy = policy
         self._acknowledgements: dict[str, Acknowledgement] = {}
-        self._call_counts: dict[str, tuple[str, CallCounts]] = {}  # with the incarnation, by name
+        self._call_counts: dict[str, ReportedCounts] = {}  # by name
         self._steps: dict[str, StepAnalysis] = {}
-        self.pending_verdicts: dict[str, str] = {}  # by plan: why its step has no verdict yet
+        self.pending_verdicts: dict[str, str] = {}
 
     def report(self, now_us: int, report: MemberReport, state: FleetState) -> bool:
-        """Whether the member is known as this incarnation; reports of others are ignored.
+        """Record a report, and return whether the member is known as this incarnation; others are ignored.
 
         A front end that follows the list renews its lease only by its own reports: those of its agent would
         hide that it hangs.
@@ -92,7 +101,7 @@
         acknowledgement = Acknowledgement(report.member, report.incarnation, report.applied_index)
         self._acknowledgements[report.member] = acknowledgement
         if report.call_counts is not None:
-            self._call_counts[report.member] = report.incarnation, report.call_counts
+            self._call_counts[report.member] = ReportedCounts(report.incarnation, report.call_counts)
         return True
 
     def propose(self, now_us: int, state: FleetState) -> list[Command]:
@@ -116,7 +125,7 @@
         return known is not None and known.incarnation == member.incarnation and known.index >= index
 
     def _confirm_permits(self, state: FleetState) -> list[Command]:
-        """For the permits that all front ends have acknowledged."""
+        """Return confirmations of the permits that all responsive front ends have acknowledged."""
         names = sorted(name for name in self._acknowledgements if name in state.members)
         known = [self._acknowledgements[name] for name in names]
         return [
@@ -128,14 +137,16 @@
         ]
 
     def _analyze_steps(self, state: FleetState) -> list[Command]:
-        """Verdicts on the steps whose members are all back."""
+        """Return verdicts on the steps whose members are all back."""
         running = {
             plan.id: plan
             for plan in state.plans.values()
             if plan.requires_verdict and not plan.end_reason and not plan.halt_reason
         }
-        self._steps = {id: step for id, step in self._steps.items() if id in running}
-        self.pending_verdicts = {id: why for id, why in self.pending_verdicts.items() if id in running}
+        self._steps = {plan: step for plan, step in self._steps.items() if plan in running}
+        self.pending_verdicts = {
+            plan: reason for plan, reason in self.pending_verdicts.items() if plan in running
+        }
         verdicts = [self._analyze_step(plan, state) for plan in running.values()]
         return [verdict for verdict in verdicts if verdict is not None]
 
@@ -149,9 +160,9 @@
         if missing > 0:
             self.pending_verdicts[plan.id] = f"{missing} members of step {plan.step} are not back"
             return None
-        verdict, reason = step.analyze(self._policy)
-        self.pending_verdicts[plan.id] = reason
-        if verdict is Verdict.INCONCLUSIVE:
+        result = step.analyze(self._policy)
+        self.pending_verdicts[plan.id] = result.reason
+        if result.verdict is Verdict.INCONCLUSIVE:
             return None
-        baseline = step.baseline.as_tuple
-        return RecordStepVerdict(plan.id, plan.step, verdict is Verdict.PASSED, reason, baseline)
+        has_passed = result.verdict is Verdict.PASSED
+        return RecordStepVerdict(plan.id, plan.step, has_passed, result.reason, step.baseline.as_tuple)
--- a/packages/fleet/src/walnutpost/fleet/permit_holder.py
+++ b/packages/fleet/src/walnutpost/fleet/permit_holder.py
@@ -14,14 +14,14 @@
     REQUESTED = "asked"
     GRANTED = "may begin"
     BEGUN = "begun"
-    ABANDONED = "given up"  # the control plane has to be told, until it has acknowledged
+    ABANDONED = "given up"  # AbandonPermit has to be sent until it is answered
 
 
 class PermitHolder:
     """One request for a permit, which may only be used for a limited time.
 
     The time limit runs from the request, not from the answer: an answer may wait in a socket while its reader
-    is paused, and whoever halts a plan has to know when nothing can begin any more.
+    is paused, but after a halt it must be certain at what time no holder can begin any more.
     """
 
     def __init__(self, requested_at_us: int, begin_timeout_us: int) -> None:
@@ -30,13 +30,16 @@
         self.permit = ""
 
     def granted(self, now_us: int, permit: str) -> None:
-        """Take the answer to the request, with this permit."""
+        """Record that the request was granted with this permit."""
         if self.phase is PermitPhase.REQUESTED:
             self.permit = permit
             self.phase = PermitPhase.GRANTED if now_us < self._deadline_us else PermitPhase.ABANDONED
 
     def begin(self, now_us: int) -> bool:
-        """Whether it has just begun; to be called right before the first irrevocable act, True only once."""
+        """Return whether the holder may begin now, True only once.
+
+        To be called right before the first irrevocable act.
+        """
         if self.phase is not PermitPhase.GRANTED:
             return False
         self.phase = PermitPhase.BEGUN if now_us < self._deadline_us else PermitPhase.ABANDONED
@@ -44,5 +47,5 @@
 
     @property
     def must_return(self) -> bool:
-        """Whether it has a permit under which it will never begin."""
+        """Whether there is a permit that will never be used."""
         return self.phase is PermitPhase.ABANDONED and bool(self.permit)
--- a/packages/fleet/src/walnutpost/fleet/settings.py
+++ b/packages/fleet/src/walnutpost/fleet/settings.py
@@ -14,7 +14,7 @@
 from walnutpost.fleet.context import FleetContext
 from walnutpost.fleet.retention import remember_manual_change, trim_versions
 
-CHANGED_MEANWHILE = "changed meanwhile"  # stored, sent and compared: another change set came first
+CHANGED_MEANWHILE = "changed meanwhile"  # stored, sent and compared: another change set was applied first
 
 
 def set_budgets(fleet: FleetContext, command: SetBudgets) -> CommandResult:
@@ -24,20 +24,20 @@
 
 
 def store_version(fleet: FleetContext, command: StoreVersion) -> CommandResult:
-    """Store a version's content, and trims versions that nothing needs."""
+    """Store a version's content, and remove versions that are not needed."""
     fleet.state.versions[command.version] = command.content
     trim_versions(fleet.state)
     return fleet.accepted()
 
 
 def record_manual_change(fleet: FleetContext, command: RecordManualChange) -> CommandResult:
-    """Store what an operator did without a quorum."""
+    """Store a change that an operator made without a quorum."""
     remember_manual_change(fleet.state, command)
     return fleet.accepted()
 
 
 def apply_change_set(fleet: FleetContext, command: ApplyChangeSet) -> CommandResult:
-    """Apply all of a change set or nothing, and only to the revision that it was validated against."""
+    """Apply a complete change set, or reject it if the store has changed since it was validated."""
     if command.base_revision != fleet.table.revision:
         return fleet.rejected(CHANGED_MEANWHILE)
     try:
@@ -48,7 +48,11 @@
 
 
 def update_followers(fleet: FleetContext, command: UpdateFollowers) -> CommandResult:
-    """Who has left is compared by incarnation: another process of that name may have joined meanwhile."""
+    """Record who follows the config store.
+
+    A follower that has left is removed only as this incarnation: another process of that name may have
+    joined since.
+    """
     followers = fleet.state.followers
     for name, incarnation in command.left:
         if followers.get(name) == incarnation:
--- a/packages/fleet/tests/test_analysis.py
+++ b/packages/fleet/tests/test_analysis.py
@@ -40,7 +40,7 @@
 def test_analyze_given_counts_of_both_versions_returns_the_verdict(
     new: CallCounts, old: CallCounts, verdict: Verdict
 ) -> None:
-    assert analyze([new], [old], AnalysisPolicy())[0] is verdict
+    assert analyze([new], [old], AnalysisPolicy()).verdict is verdict
 
 
 class AnalysisRig:
