--- a/packages/agent/tests/test_agent_files.py
+++ b/packages/agent/tests/test_agent_files.py
@@ -25,7 +25,7 @@
 from walnutpost.agent.manual_orders import take_order
 from walnutpost.agent.state_file import AgentState
 from walnutpost.agent.versions import VersionStore
-from walnutpost.eventloop import Loop
+from walnutpost.eventloop import Loop, replace_file
 from walnutpost.fleet import FRONT_END
 from walnutpost.fleet.agent_instance import ControllerSettings
 
@@ -177,3 +177,10 @@
         take_order(tmp_path, "f0", versions)
     assert not path.exists()
     assert take_order(tmp_path, "f0", versions) is None
+
+
+def test_version_when_another_agent_is_storing_it_is_stored_too(tmp_path: Path) -> None:
+    """Four agents once stored their first version at the same time; one found its temporary file gone."""
+    (tmp_path / "version.new").mkdir()  # the temporary file of the other agent
+    replace_file(tmp_path / "version", b"content")
+    assert (tmp_path / "version").read_bytes() == b"content"
