--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -167,13 +167,13 @@
 
             def fill(database: Database = database, store: JournalStore = store, count: int = count) -> None:
                 for start in range(0, count, 1000):
-                    lines = [
+                    appends = [
                         store.new_append(
                             CallAccepted(f"{n}", f"{n}", "f", "1", None, PAYLOAD, "d", 1, 2, "unsafe", 1)
                         )
                         for n in range(start, start + 1000)
                     ]
-                    database.submit(together(lines))
+                    database.submit(together(appends))
 
             loop.run(fill)
             database.close()
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -30,7 +30,7 @@
     with_final_status,
 )
 from walnutpost.journal import QuorumFailed
-from walnutpost.store import Change, ExecutionQuery, ExecutionStore, LineAppend, StoreError
+from walnutpost.store import Change, EntryAppend, ExecutionQuery, ExecutionStore, StoreError
 from walnutpost.store.database import combine_changes
 
 STORE_RETRY_INTERVAL_US = 200_000  # between attempts to write a result; clients get it from memory meanwhile
@@ -131,9 +131,9 @@
         """Store a new call, replicate and dispatch it."""
         execution = call.execution
         self.open_calls.add(call)
-        line = self._accepted_line(call)
+        append = self._accepted_append(call)
         try:
-            self._store.add(execution, combine_changes(extra_change, line))
+            self._store.add(execution, combine_changes(extra_change, append))
         except StoreError as error:
             call.rejection = self._not_stored(error, execution.name, request_id, execution.function)
             self.open_calls.remove(call)
@@ -145,14 +145,14 @@
             call.rejection = NotStored(execution.name, STORE_RETRY_AFTER_US, is_uncertain=True)
             call.settled.set()
             raise
-        self._wait_for_quorum(call, line)
+        self._wait_for_quorum(call, append)
         self.dispatch(call, execution.expires_at - self._loop.now(), request_id)
         if call.rejection is not None:  # rejected at once: the client may retry under the same name
             return self._withdraw_rejected(call, request_id)
         call.settled.set()
         return self._accepted(call)
 
-    def _accepted_line(self, call: OpenCall) -> LineAppend | None:
+    def _accepted_append(self, call: OpenCall) -> EntryAppend | None:
         if self._replication is None or call.function is None:
             return None
         return self._replication.append_accepted(call.execution, call.function)
@@ -164,15 +164,15 @@
         except UnknownNameError:
             return None
 
-    def _wait_for_quorum(self, call: OpenCall, line: LineAppend | None) -> None:
-        """Wait for the quorum of a line that the client's answer depends on.
+    def _wait_for_quorum(self, call: OpenCall, append: EntryAppend | None) -> None:
+        """Wait for the quorum of an entry that the client's answer depends on.
 
         A call without a quorum by then runs all the same. Its client is answered that replication is pending,
         since only a retry under the same name is safe.
         """
-        if self._replication is not None and line is not None:
+        if self._replication is not None and append is not None:
             time_left_us = call.execution.expires_at - self._loop.now()
-            call.replication = self._replication.wait_for_quorum(line, call.function, time_left_us)
+            call.replication = self._replication.wait_for_quorum(append, call.function, time_left_us)
 
     def _accepted(self, call: OpenCall) -> Execution | ReplicationPending:
         if isinstance(call.replication, QuorumFailed):
@@ -206,11 +206,11 @@
 
     def _withdraw(self, call: OpenCall) -> None:
         """Raise StoreError if the call is still on this disk."""
-        line = None
+        append = None
         if self._replication is not None:
-            line = self._replication.append_withdrawn(call.execution)
-        self._store.remove(call.execution.id, line)
-        self._wait_for_quorum(call, line)
+            append = self._replication.append_withdrawn(call.execution)
+        self._store.remove(call.execution.id, append)
+        self._wait_for_quorum(call, append)
 
     def _withdraw_until_stored(self, call: OpenCall) -> None:
         while True:
@@ -276,24 +276,24 @@
         if call is None or (call.execution.intended and self._replication is None):
             return
         execution = call.execution
-        line = None
+        append = None
         if self._replication is not None:
-            line = self._replication.append_intended(execution, attempt.attempt, attempt.worker)
+            append = self._replication.append_intended(execution, attempt.attempt, attempt.worker)
         try:
-            self._store.record_intent(execution.id, line)
+            self._store.record_intent(execution.id, append)
         except StoreError as error:
             self._log_store_error("record_intent", error, request=execution.name)
             raise LookupError("no intent on disk") from error
         call.execution = replace(execution, intended=True)
-        if not self._has_quorum_until_deadline(call, line):
+        if not self._has_quorum_until_deadline(call, append):
             raise LookupError("its intent is in too few copies")
 
-    def _has_quorum_until_deadline(self, call: OpenCall, line: LineAppend | None) -> bool:
-        """Wait for a line's quorum, about until the call's deadline."""
-        if self._replication is None or line is None:
+    def _has_quorum_until_deadline(self, call: OpenCall, append: EntryAppend | None) -> bool:
+        """Wait for an entry's quorum, about until the call's deadline."""
+        if self._replication is None or append is None:
             return True
         time_left_us = call.execution.expires_at - self._loop.now()
-        result = self._replication.wait_for_quorum(line, call.function, time_left_us, until_deadline=True)
+        result = self._replication.wait_for_quorum(append, call.function, time_left_us, until_deadline=True)
         return not isinstance(result, QuorumFailed)
 
     # Results
@@ -304,21 +304,21 @@
         self._loop.spawn(self._record_result, call, name="record result")
 
     def _record_result(self, call: OpenCall) -> None:
-        line = self._replication.append_ended(call.execution) if self._replication is not None else None
-        self._store_result(call, line)
+        append = self._replication.append_ended(call.execution) if self._replication is not None else None
+        self._store_result(call, append)
         # If the site is lost after the answer, another site could run the call to a different result. So the
         # client waits for the quorum, but not much longer than until its deadline.
-        if not self._has_quorum_until_deadline(call, line):
+        if not self._has_quorum_until_deadline(call, append):
             self._log.warning("journal_result_under_replicated", request=call.execution.name)
         self.open_calls.remove(call)
         self.on_end(call.execution)
 
-    def _store_result(self, call: OpenCall, line: LineAppend | None) -> None:
+    def _store_result(self, call: OpenCall, append: EntryAppend | None) -> None:
         """Write the result, with retries without end, and return once it is durable."""
         while True:
             result_change = self.result_change(call.execution) if self.result_change is not None else None
             try:
-                self._store.update(call.execution, combine_changes(result_change, line))
+                self._store.update(call.execution, combine_changes(result_change, append))
             except StoreError as error:
                 self._log_store_error("record_result", error, request=call.execution.name)
                 self._loop.sleep(STORE_RETRY_INTERVAL_US)
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -1,8 +1,8 @@
-"""Replication of deferred calls to other sites: which lines a call needs, and how many replicas it waits for.
+"""Replication of deferred calls to other sites: a call's entries, and how many replicas it waits for.
 
-Times in lines are stored time (store/stored_time.py), so that one purge time is valid for lines from before
-and after a step of the wall clock, here and at the replicas, which do not see the step. No synchronous call
-passes through this module.
+Times in entries are stored time (store/stored_time.py), so that one purge time is valid for entries from
+before and after a step of the wall clock, here and at the replicas, which do not see the step. No synchronous
+call passes through this module.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     plan_batch_write,
 )
 from walnutpost.replication import ReplicaServer, ReplicationSender, query_call, recover_batches
-from walnutpost.store import ExecutionStore, JournalStore, LineAppend
+from walnutpost.store import EntryAppend, ExecutionStore, JournalStore
 
 CHECK_INTERVAL_US = 500_000  # of the check whether a replica is unreachable for too long
 AVOID_FACTOR = 10  # times `replace_after_ms`: how long a replica that was replaced is avoided
@@ -46,7 +46,7 @@
 
 
 class JournalReplication:
-    """The journal of one front end: replicates its own lines, and serves as a replica of others' journals."""
+    """The journal of one front end: replicates its own entries, and is a replica of others' journals."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
             name: address for name, address in self._addresses.items() if name != section.name
         }
         self._timeout_us = ms_to_us(section.answer_timeout_ms)
-        self._recover_lost_lines()
+        self._recover_lost_entries()
         replicas = self._choose_replicas()
         policy = _replication_policy(section)
         self.sender = ReplicationSender(
@@ -87,10 +87,10 @@
 
     # Recovery
 
-    def _recover_lost_lines(self) -> None:
-        """Restore the lines and calls that replicas have and this disk lacks, before any line is numbered.
+    def _recover_lost_entries(self) -> None:
+        """Restore the entries and calls that replicas have and this disk lacks, before any entry is numbered.
 
-        The disk may be older than its replicas: restored from a backup, or it lost durable lines.
+        The disk may be older than its replicas: restored from a backup, or it lost durable entries.
         """
         own = self.store.own_origin
         last = self.store.offsets[own]
@@ -114,10 +114,10 @@
             write = plan_batch_write(self.store.offsets, batch)
             if write is not None:
                 self.store.write_batch(write)
-            merged.add(IntervalSet(), batch.lines)
+            merged.add(IntervalSet(), batch.entries)
         recovered_ids = set(merged.calls)
-        covered, lines = self.store.read_journal(self.store.own_origin)
-        merged.add(covered, lines)  # what the disk already had of these calls
+        covered, entries = self.store.read_journal(self.store.own_origin)
+        merged.add(covered, entries)  # what the disk already had of these calls
         return {call_id: merged.calls[call_id] for call_id in recovered_ids}
 
     # Choice of replicas
@@ -177,32 +177,32 @@
 
     def wait_for_quorum(
         self,
-        append: LineAppend,
+        append: EntryAppend,
         function: Function | None,
         time_left_us: int,
         until_deadline: bool = False,
     ) -> QuorumReached | QuorumFailed:
-        """Wait until a committed line has the quorum that the call's class requires.
+        """Wait until a committed entry has the quorum that the call's class requires.
 
         No longer than `copy_wait_ms`, or, with `until_deadline`, than `time_left_us` if that is more. If the
         class accepts fewer replicas, any number is a quorum.
         """
-        self.lines_persisted(append)
+        self.entries_persisted(append)
         required = self._requirement_of(function)
         accepts_fewer = _accepts_fewer(required)
         max_wait_us = ms_to_us(self._section.quorum_timeout_ms)
         timeout_us = min(max(time_left_us, 0), max_wait_us)
         if until_deadline:
             timeout_us = max(time_left_us, max_wait_us)
-        result = self.sender.wait_for_quorum(append.line.seq, required.replicas, accepts_fewer, timeout_us)
+        result = self.sender.wait_for_quorum(append.entry.seq, required.replicas, accepts_fewer, timeout_us)
         if accepts_fewer:
             return QuorumReached(result.token, result.replicas)
         return result
 
-    def lines_persisted(self, append: LineAppend) -> None:
-        """Start the replication of a committed line."""
+    def entries_persisted(self, append: EntryAppend) -> None:
+        """Start the replication of a committed entry."""
         self.store.mark_durable(append)
-        self.sender.lines_persisted(append.line.seq, append.line.size_bytes)
+        self.sender.entries_persisted(append.entry.seq, append.entry.size_bytes)
 
     # Queries
 
@@ -213,21 +213,21 @@
         """
         merged = MergedJournal()
         unreachable: list[str] = []
-        merged.add(IntervalSet(), self.store.read_call_lines(call_id))
+        merged.add(IntervalSet(), self.store.read_call_entries(call_id))
         call = merged.calls.get(call_id, CallState())
         if call.stage is not CallStage.ENDED:  # its origin, or another replica, may know more
-            lines, unreachable = query_call(self._loop, self._other_addresses, call_id, self._timeout_us)
-            merged.add(IntervalSet(), lines)
+            entries, unreachable = query_call(self._loop, self._other_addresses, call_id, self._timeout_us)
+            merged.add(IntervalSet(), entries)
             call = merged.calls.get(call_id, CallState())
         execution = None if call.stage is CallStage.WITHDRAWN else _execution_of(call)
         if execution is None and unreachable and call.stage is CallStage.UNKNOWN:
             raise SitesUnreachableError(unreachable)
         return execution
 
-    # Lines, to be committed together with the change that they record
+    # Entries, to be committed together with the change that they record
 
-    def append_accepted(self, execution: Execution, function: Function) -> LineAppend:
-        """Return the line of a call that is being accepted."""
+    def append_accepted(self, execution: Execution, function: Function) -> EntryAppend:
+        """Return the entry of a call that is being accepted."""
         required = self._requirement_of(function)
         execution = self._executions.with_stored_times(execution)
         return self.store.new_append(
@@ -246,16 +246,16 @@
             )
         )
 
-    def append_intended(self, execution: Execution, attempt: int, worker: str) -> LineAppend:
-        """Return the line of an attempt that is about to be sent."""
+    def append_intended(self, execution: Execution, attempt: int, worker: str) -> EntryAppend:
+        """Return the entry of an attempt that is about to be sent."""
         return self.store.new_append(AttemptIntended(execution.id, attempt, worker))
 
-    def append_withdrawn(self, execution: Execution) -> LineAppend:
-        """Return the line of a call that is rejected after it was stored."""
+    def append_withdrawn(self, execution: Execution) -> EntryAppend:
+        """Return the entry of a call that is rejected after it was stored."""
         return self.store.new_append(CallWithdrawn(execution.id))
 
-    def append_ended(self, execution: Execution) -> LineAppend:
-        """Return the line of a call's final status."""
+    def append_ended(self, execution: Execution) -> EntryAppend:
+        """Return the entry of a call's final status."""
         execution = self._executions.with_stored_times(execution)
         record = CallEnded(
             execution.id,
@@ -267,8 +267,8 @@
         )
         return self.store.new_append(record)
 
-    def append_purged(self, before_us: int) -> LineAppend:
-        """Return the line of a purge of all calls that ended before a time."""
+    def append_purged(self, before_us: int) -> EntryAppend:
+        """Return the entry of a purge of all calls that ended before a time."""
         return self.store.new_append(ResultsPurged(self._executions.clock.to_stored(before_us)))
 
 
@@ -290,7 +290,7 @@
 
 
 def _execution_of(call: CallState) -> Execution | None:
-    """Return the call in its origin's stored time; None if the line of its acceptance is not known."""
+    """Return the call in its origin's stored time; None if the entry of its acceptance is not known."""
     accepted = call.accepted
     if accepted is None:
         return None
--- a/packages/daemon/src/walnutpost/daemon/result_purge.py
+++ b/packages/daemon/src/walnutpost/daemon/result_purge.py
@@ -41,6 +41,6 @@
         if self._replication is None:
             self._store.purge(before_us)
             return
-        line = self._replication.append_purged(before_us)
-        self._store.purge(before_us, line)
-        self._replication.lines_persisted(line)
+        append = self._replication.append_purged(before_us)
+        self._store.purge(before_us, append)
+        self._replication.entries_persisted(append)
--- a/packages/journal/src/walnutpost/journal/__init__.py
+++ b/packages/journal/src/walnutpost/journal/__init__.py
@@ -1,6 +1,6 @@
 """Journals of deferred calls: records numbered by their origin, replicated to other sites, merged. No I/O.
 
-`records` defines the lines, `batches` how a replica accepts them, `replication` how the origin counts
+`records` defines the entries, `batches` how a replica accepts them, `replication` how the origin counts
 acknowledgements, `placement` which front ends are replicas, `merge` what several replicas say together.
 """
 
@@ -23,14 +23,14 @@
     CallEnded,
     CallRecord,
     CallWithdrawn,
-    CorruptLineError,
-    Line,
+    CorruptEntryError,
+    JournalEntry,
     ResultsPurged,
     call_id_of,
-    encode_line,
+    encode_entry,
 )
 from walnutpost.journal.replication import (
-    LinesPersisted,
+    EntriesPersisted,
     QuorumFailed,
     QuorumReached,
     ReplicaAcknowledged,
@@ -56,14 +56,14 @@
     "CallStage",
     "CallState",
     "CallWithdrawn",
-    "CorruptLineError",
+    "CorruptEntryError",
+    "EntriesPersisted",
     "IntervalSet",
     "InvalidBatchError",
     "JournalBatch",
+    "JournalEntry",
     "JournalError",
     "JournalOffset",
-    "Line",
-    "LinesPersisted",
     "MergedJournal",
     "QuorumFailed",
     "QuorumReached",
@@ -82,7 +82,7 @@
     "Tick",
     "call_id_of",
     "choose_replicas",
-    "encode_line",
+    "encode_entry",
     "make_batch",
     "plan_batch_write",
 ]
--- a/packages/journal/src/walnutpost/journal/merge.py
+++ b/packages/journal/src/walnutpost/journal/merge.py
@@ -1,8 +1,8 @@
-"""Merging replicas of one journal: the result depends on the set of lines, not on their order or repetition.
+"""Merging replicas of one journal: the result depends on the set of entries, not on order or repetition.
 
-The state of a call is the join of what its lines say, in the sense of a join semilattice: `CallState.join` is
-commutative, associative and idempotent, and a call's stage never goes back. An intact line replaces a corrupt
-one of the same number. Of two outcomes the one written first wins, since a client may have got it.
+The state of a call is the join of what its entries say, in the sense of a join semilattice: `CallState.join`
+is commutative, associative and idempotent, and a call's stage never goes back. An intact entry replaces a
+corrupt one of the same number. Of two outcomes the one written first wins, since a client may have got it.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
     CallEnded,
     CallRecord,
     CallWithdrawn,
-    CorruptLineError,
-    Line,
+    CorruptEntryError,
+    JournalEntry,
     ResultsPurged,
 )
 
 
 class CallStage(Enum):
-    """The latest stage of a call that its known lines prove; in order."""
+    """The latest stage of a call that its known entries prove; in order."""
 
-    UNKNOWN = 0  # there are lines of it, but not the first
+    UNKNOWN = 0  # there are entries of it, but not the first
     ACCEPTED = 1
     INTENDED = 2
     WITHDRAWN = 3
@@ -36,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallState:
-    """What the known lines say of one call.
+    """What the known entries say of one call.
 
-    `intents` holds (attempt, worker). `ended_seq` is the number of the line `ended`: the lower one wins.
+    `intents` holds (attempt, worker). `ended_seq` is the number of the entry `ended`: the lower one wins.
     """
 
     accepted: CallAccepted | None = None
@@ -75,8 +75,8 @@
 class MergedJournal:
     """The journal of one origin, as far as the replicas added to it tell.
 
-    `covered` are the numbers that some replica accounts for; `corrupt` those of lines of which no intact copy
-    was added.
+    `covered` are the numbers that some replica accounts for; `corrupt` those of entries of which no intact
+    copy was added.
     """
 
     calls: dict[str, CallState] = field(default_factory=dict)
@@ -85,30 +85,30 @@
     _intact: set[int] = field(default_factory=set)
     purged_before_us: int = 0
 
-    def add(self, covered: IntervalSet, lines: Iterable[Line]) -> None:
-        """Add a replica: the numbers that it accounts for, and its lines among them."""
+    def add(self, covered: IntervalSet, entries: Iterable[JournalEntry]) -> None:
+        """Add a replica: the numbers that it accounts for, and its entries among them."""
         self.covered.update(covered)
-        for line in lines:
-            self._add_line(line)
+        for entry in entries:
+            self._add_entry(entry)
 
-    def _add_line(self, line: Line) -> None:
+    def _add_entry(self, entry: JournalEntry) -> None:
         try:
-            record = line.decode()
-        except CorruptLineError:
-            if line.seq not in self._intact:
-                self.corrupt.add(line.seq)
+            record = entry.decode()
+        except CorruptEntryError:
+            if entry.seq not in self._intact:
+                self.corrupt.add(entry.seq)
             return
-        self._intact.add(line.seq)
-        self.corrupt.discard(line.seq)
+        self._intact.add(entry.seq)
+        self.corrupt.discard(entry.seq)
         if isinstance(record, ResultsPurged):
             self.purged_before_us = max(self.purged_before_us, record.ended_before_us)
             return
-        state = _state_by(record, line.seq)
+        state = _state_by(record, entry.seq)
         self.calls[record.call_id] = self.calls.get(record.call_id, CallState()).join(state)
 
     @property
     def gaps(self) -> list[tuple[int, int]]:
-        """Intervals (after, upto] of which no replica has an intact line or says that it was purged.
+        """Intervals (after, upto] of which no replica has an intact entry or says that it was purged.
 
         What follows the largest known number is unknown, and not among them.
         """
--- a/packages/journal/src/walnutpost/journal/records.py
+++ b/packages/journal/src/walnutpost/journal/records.py
@@ -1,8 +1,8 @@
-"""The records of a journal, one line for each event in a call's life, numbered by the journal's origin alone.
+"""The records of a journal, one for each event in a call's life, numbered by the journal's origin alone.
 
-A line on disk or on the wire carries a checksum of its bytes, so that a flipped bit costs that line only and
-is detected. Records are msgpack arrays: tags and the order of fields are stored; names of classes and fields
-are not.
+An entry on disk or on the wire carries a checksum of its bytes, so that a flipped bit costs that entry only
+and is detected. Records are msgpack arrays: tags and the order of fields are stored; names of classes and
+fields are not.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     """A deferred call was accepted.
 
     `effect` is a value of interface.Effect. `promised_replicas` is the number of replicas that must have this
-    line, and each AttemptIntended of the call, before the client gets its answer or an attempt is sent.
+    entry, and each AttemptIntended of the call, before the client gets its answer or an attempt is sent.
     """
 
     call_id: str
@@ -43,7 +43,7 @@
 
 
 class AttemptIntended(Record, frozen=True, tag="intended"):
-    """From this line on, attempt number `attempt` may have been sent to `worker`."""
+    """From this entry on, attempt number `attempt` may have been sent to `worker`."""
 
     call_id: str
     attempt: int
@@ -77,8 +77,8 @@
 AnyRecord = CallRecord | ResultsPurged
 
 
-class CorruptLineError(JournalError):
-    """The bytes of line `seq` are not a record, or not those that were written."""
+class CorruptEntryError(JournalError):
+    """The bytes of entry `seq` are not a record, or not those that were written."""
 
     def __init__(self, seq: int, reason: str) -> None:
         """`reason` is for people."""
@@ -91,10 +91,10 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True):
+class JournalEntry(msgspec.Struct, frozen=True, array_like=True):
     """An encoded record under its number.
 
-    `checksum` covers `data` and `seq`, so that a line restored under another number is detected, too.
+    `checksum` covers `data` and `seq`, so that an entry restored under another number is detected, too.
     """
 
     seq: int
@@ -108,24 +108,24 @@
 
     def decode(self) -> AnyRecord:
         """Return the record. Raises CorruptLineError."""
-        if self.checksum != line_checksum(self.seq, self.data):
-            raise CorruptLineError(self.seq, "its checksum does not match its bytes")
+        if self.checksum != entry_checksum(self.seq, self.data):
+            raise CorruptEntryError(self.seq, "its checksum does not match its bytes")
         try:
             record: AnyRecord = _decoder.decode(self.data)
         except msgspec.MsgspecError as error:
-            raise CorruptLineError(self.seq, str(error)) from error
+            raise CorruptEntryError(self.seq, str(error)) from error
         return record
 
 
-def line_checksum(seq: int, data: bytes) -> int:
-    """Return the CRC-32 of a line's number and bytes."""
+def entry_checksum(seq: int, data: bytes) -> int:
+    """Return the CRC-32 of an entry's number and bytes."""
     return zlib.crc32(data, zlib.crc32(b"%d" % seq))
 
 
-def encode_line(seq: int, record: AnyRecord) -> Line:
-    """Encode a record as line number `seq`."""
+def encode_entry(seq: int, record: AnyRecord) -> JournalEntry:
+    """Encode a record as entry number `seq`."""
     data = _encoder.encode(record)
-    return Line(seq, data, line_checksum(seq, data))
+    return JournalEntry(seq, data, entry_checksum(seq, data))
 
 
 def call_id_of(record: AnyRecord) -> str | None:
--- a/packages/journal/src/walnutpost/journal/replication.py
+++ b/packages/journal/src/walnutpost/journal/replication.py
@@ -1,11 +1,11 @@
-"""The origin's side of replication: which replica has how much, and when a line has its quorum.
+"""The origin's side of replication: which replica has how much, and when an entry has its quorum.
 
 A state machine without I/O: `(now, input)` to effects. All times and spans are in microseconds. Invariants:
-- `_quorum_result` alone decides that a line is sufficiently replicated.
+- `_quorum_result` alone decides that an entry is sufficiently replicated.
 - A replica counts for what its present disk acknowledged last: a disk that was lost, or restored from a
   backup, takes its replicas with it.
-- Only lines that are durable at the origin are sent. A number that a replica has and the origin loses would
-  be given to another line.
+- Only entries that are durable at the origin are sent. A number that a replica has and the origin loses would
+  be given to another entry.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LinesPersisted:
-    """Lines up to `seq` are durable at the origin; `size_bytes` counts those that were not before."""
+class EntriesPersisted:
+    """Entries up to `seq` are durable at the origin; `size_bytes` counts those that were not before."""
 
     seq: int
     size_bytes: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationRequested:
-    """Answer `token` once line `seq` is durable at the origin and at `required_replicas` replicas.
+    """Answer `token` once entry `seq` is durable at the origin and at `required_replicas` replicas.
 
     With `accepts_fewer`, answer as soon as the replicas that lack it are unreachable. Answer at `deadline_us`
     at the latest.
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaAcknowledged:
-    """A replica's answer to a SendBatch: all lines up to `seq` are durable on its `disk`."""
+    """A replica's answer to a SendBatch: all entries up to `seq` are durable on its `disk`."""
 
     replica: str
     disk: str
@@ -86,7 +86,7 @@
 
 
 ReplicationInput = (
-    ReplicasAssigned | LinesPersisted | ReplicationRequested | ReplicaAcknowledged | ReplicaLost | Tick
+    ReplicasAssigned | EntriesPersisted | ReplicationRequested | ReplicaAcknowledged | ReplicaLost | Tick
 )
 
 
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendBatch:
-    """Send the replica the lines after `after`, as many as fit one message; with None, ask for its offset.
+    """Send the replica the entries after `after`, as many as fit one message; with None, ask for its offset.
 
     To be answered with ReplicaAcknowledged or ReplicaLost.
     """
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumReached:
-    """The line of request `token` is durable here and at `replicas` replicas, as many as were required."""
+    """The entry of request `token` is durable here and at `replicas` replicas, as many as were required."""
 
     token: int
     replicas: int
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumFailed:
-    """Request `token` ends with its line at too few replicas: timed out, or the others are unreachable."""
+    """Request `token` ends with its entry at too few replicas: timed out, or the others are unreachable."""
 
     token: int
     replicas: int
@@ -122,9 +122,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaAhead:
-    """A replica has lines of this journal that the origin's own disk does not have.
+    """A replica has entries of this journal that the origin's own disk does not have.
 
-    The disk is not the one that wrote them, or it lost what it had called durable: no line may be numbered
+    The disk is not the one that wrote them, or it lost what it had called durable: no entry may be numbered
     any more.
     """
 
@@ -157,7 +157,7 @@
     last: int = 0
     is_diverged: bool = False  # after a ReplicaAhead
     _start: int = field(init=False)
-    _sent_to: set[str] = field(default_factory=set)  # replicas that lines were sent to since the start
+    _sent_to: set[str] = field(default_factory=set)  # replicas that entries were sent to since the start
     _replicas: dict[str, _ReplicaProgress] = field(default_factory=dict)
     _requests: dict[int, ReplicationRequested] = field(default_factory=dict)
     _commit_sizes: deque[tuple[int, int]] = field(
@@ -176,7 +176,7 @@
         match event:
             case ReplicasAssigned(replicas):
                 self._assign(replicas)
-            case LinesPersisted(seq, size_bytes):
+            case EntriesPersisted(seq, size_bytes):
                 self._record_commit(seq, size_bytes)
             case ReplicationRequested(token):
                 self._requests[token] = event
@@ -205,7 +205,7 @@
         return max(min(times), self.now + 1) if times else None
 
     def count_replicas(self, seq: int) -> int:
-        """Return how many replicas have line `seq`."""
+        """Return how many replicas have entry `seq`."""
         return sum(progress.has(seq) for progress in self._replicas.values())
 
     def reachability(self) -> dict[str, bool]:
@@ -213,7 +213,7 @@
         return {name: self._is_reachable(progress) for name, progress in self._replicas.items()}
 
     def retry_after_us(self, required_replicas: int, accepts_fewer: bool, size_bytes: int) -> int | None:
-        """Return None if a line of that size may be accepted, else after how long to ask again.
+        """Return None if an entry of that size may be accepted, else after how long to ask again.
 
         That is when an unreachable replica is tried again, or the backlog is sent at the measured throughput.
         """
@@ -254,7 +254,7 @@
 
     def _record_commit(self, seq: int, size_bytes: int) -> None:
         self._persisted_bytes += size_bytes
-        if seq > self.last:  # lines of one commit are reported one by one, in any order
+        if seq > self.last:  # entries of one commit are reported one by one, in any order
             self.last = seq
             self._commit_sizes.append((seq, self._persisted_bytes))
 
@@ -284,7 +284,7 @@
 
     def _acknowledge(self, replica: str, disk: str, seq: int) -> None:
         progress = self._replicas[replica]
-        # Lines numbered here since the start can't be there before they were sent: those are other lines.
+        # Entries numbered here since the start can't be there before they were sent: those are other entries.
         max_seq = self.last if replica in self._sent_to else self._start
         if seq > max_seq:
             self.is_diverged = True
@@ -315,13 +315,13 @@
             self._commit_sizes.popleft()
 
     def _bytes_up_to(self, seq: int) -> int:
-        """Bytes of lines up to `seq` since the start of this process; earlier lines count nothing."""
+        """Bytes of entries up to `seq` since the start of this process; earlier entries count nothing."""
         return next((size for last, size in reversed(self._commit_sizes) if last <= seq), 0)
 
     def _quorum_result(self, request: ReplicationRequested) -> QuorumReached | QuorumFailed | None:
         """Return the answer to a request, None while it waits.
 
-        The line must be durable here first: replicas alone are somebody else's disks.
+        The entry must be durable here first: replicas alone are somebody else's disks.
         """
         if self.last < request.seq:
             return None
--- a/packages/journal/tests/journal_records.py
+++ b/packages/journal/tests/journal_records.py
@@ -2,7 +2,14 @@
 
 from __future__ import annotations
 
-from walnutpost.journal import AnyRecord, AttemptIntended, CallAccepted, CallEnded, CallWithdrawn, encode_line
+from walnutpost.journal import (
+    AnyRecord,
+    AttemptIntended,
+    CallAccepted,
+    CallEnded,
+    CallWithdrawn,
+    encode_entry,
+)
 
 
 def accepted(call_id: str, expires_at_us: int = 100) -> CallAccepted:
@@ -25,4 +32,4 @@
     CallWithdrawn("b"),
     AttemptIntended("c", 0, "w1"),
 ]
-LINES = [encode_line(seq, record) for seq, record in enumerate(RECORDS, start=1)]
+ENTRIES = [encode_entry(seq, record) for seq, record in enumerate(RECORDS, start=1)]
--- a/packages/journal/tests/test_batches.py
+++ b/packages/journal/tests/test_batches.py
@@ -1,25 +1,25 @@
-"""What a replica writes of a batch: new lines only, none after a gap, none of a batch that was altered."""
+"""What a replica writes of a batch: new entries only, none after a gap, none of a batch that was altered."""
 
 from __future__ import annotations
 
 import pytest
 
-from journal_records import LINES
+from journal_records import ENTRIES
 from walnutpost.journal import BatchWrite, InvalidBatchError, JournalBatch, make_batch, plan_batch_write
 
 
 def test_batch_when_valid_is_written_from_the_offset_on_and_never_after_a_gap() -> None:
-    sent = make_batch("o", 2, 6, [LINES[2], LINES[4]])
-    assert plan_batch_write({"o": 2}, sent) == BatchWrite("o", 6, (LINES[2], LINES[4]))
-    assert plan_batch_write({"o": 4}, sent) == BatchWrite("o", 6, (LINES[4],))
+    sent = make_batch("o", 2, 6, [ENTRIES[2], ENTRIES[4]])
+    assert plan_batch_write({"o": 2}, sent) == BatchWrite("o", 6, (ENTRIES[2], ENTRIES[4]))
+    assert plan_batch_write({"o": 4}, sent) == BatchWrite("o", 6, (ENTRIES[4],))
     assert plan_batch_write({"o": 1}, sent) is None
     assert plan_batch_write({}, sent) is None
     assert plan_batch_write({"o": 6}, sent) is None  # sent again
-    altered = JournalBatch("o", 2, 6, (LINES[2], LINES[3]), sent.checksum)
+    altered = JournalBatch("o", 2, 6, (ENTRIES[2], ENTRIES[3]), sent.checksum)
     for invalid in (
-        make_batch("o", 2, 6, [LINES[4], LINES[2]]),
-        make_batch("o", 2, 4, [LINES[4]]),
-        make_batch("o", 5, 6, [LINES[4]]),
+        make_batch("o", 2, 6, [ENTRIES[4], ENTRIES[2]]),
+        make_batch("o", 2, 4, [ENTRIES[4]]),
+        make_batch("o", 5, 6, [ENTRIES[4]]),
         altered,
     ):
         with pytest.raises(InvalidBatchError):
--- a/packages/journal/tests/test_journal_golden.py
+++ b/packages/journal/tests/test_journal_golden.py
@@ -1,4 +1,4 @@
-"""Journal records and lines as bytes: what is on disks and on the wire between sites stays readable."""
+"""Journal records and entries as bytes: what is on disks and on the wire between sites stays readable."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     CallAccepted,
     CallEnded,
     CallWithdrawn,
-    Line,
+    JournalEntry,
     ReplicaHost,
     ResultsPurged,
     choose_replicas,
-    encode_line,
+    encode_entry,
 )
 from walnutpost.journal.batches import batch_checksum
 from walnutpost.journal.records import AnyRecord, Record
@@ -58,22 +58,22 @@
 HOSTS = [ReplicaHost(f"front-{n}", f"region-{n % 3}", f"zone-{n % 4}") for n in range(8)]
 
 
-def lines() -> list[Line]:
-    return [encode_line(seq, record) for seq, record in enumerate(RECORDS.values(), start=41)]
+def entries() -> list[JournalEntry]:
+    return [encode_entry(seq, record) for seq, record in enumerate(RECORDS.values(), start=41)]
 
 
 def golden_files() -> dict[Path, bytes]:
     files = {
-        GOLDEN / f"{name}.record.msgpack": found.data for name, found in zip(RECORDS, lines(), strict=True)
+        GOLDEN / f"{name}.record.msgpack": found.data for name, found in zip(RECORDS, entries(), strict=True)
     }
-    files[GOLDEN / "lines.msgpack"] = msgspec.msgpack.encode(lines())
-    files[GOLDEN / "sum-of-lines.json"] = json_lines(batch_checksum(lines()))
+    files[GOLDEN / "lines.msgpack"] = msgspec.msgpack.encode(entries())
+    files[GOLDEN / "sum-of-lines.json"] = json_lines(batch_checksum(entries()))
     # The replicas of each origin, preferred first: another choice would move all replicas at an upgrade.
     files[GOLDEN / "holders.json"] = json_lines({p.name: list(choose_replicas(p, HOSTS)) for p in HOSTS})
     return files
 
 
-def test_records_lines_checksums_and_placement_when_written_equal_the_golden_files() -> None:
+def test_records_entries_checksums_and_placement_when_written_equal_the_golden_files() -> None:
     assert_as_golden(golden_files())
 
 
@@ -83,9 +83,9 @@
     assert msgspec.msgpack.decode(data, type=AnyRecord) == RECORDS[name]
 
 
-def test_lines_when_read_from_a_golden_file_have_valid_checksums() -> None:
-    found = msgspec.msgpack.decode((GOLDEN / "lines.msgpack").read_bytes(), type=list[Line])
-    assert found == lines()
+def test_entries_when_read_from_a_golden_file_have_valid_checksums() -> None:
+    found = msgspec.msgpack.decode((GOLDEN / "lines.msgpack").read_bytes(), type=list[JournalEntry])
+    assert found == entries()
     assert [each.decode() for each in found] == list(RECORDS.values())
 
 
@@ -94,7 +94,7 @@
     assert types == set(get_args(AnyRecord)) == set(Record.__subclasses__())
     for kind in types:
         assert_every_field_tells(next(r for r in RECORDS.values() if type(r) is kind))
-    assert_every_field_tells(lines()[0])
+    assert_every_field_tells(entries()[0])
 
 
 def test_golden_files_when_they_exist_are_replaced_only_on_request(tmp_path: Path) -> None:
--- a/packages/journal/tests/test_merge.py
+++ b/packages/journal/tests/test_merge.py
@@ -8,30 +8,30 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from journal_records import LINES, accepted, ended
+from journal_records import ENTRIES, accepted, ended
 from walnutpost.journal import (
     AnyRecord,
     CallStage,
     CallWithdrawn,
     IntervalSet,
-    Line,
+    JournalEntry,
     MergedJournal,
     ResultsPurged,
-    encode_line,
+    encode_entry,
 )
 
-Replica = tuple[int, int, set[int]]  # it accounts for (after, upto]; lines in the set have a bit flipped
+Replica = tuple[int, int, set[int]]  # it accounts for (after, upto]; entries in the set have a bit flipped
 
 
 def add_replica(merged: MergedJournal, replica: Replica) -> None:
     after, upto, flipped = replica
-    lines = [
-        Line(line.seq, line.data[:-1] + bytes([line.data[-1] ^ 1]), line.checksum)
-        if line.seq in flipped
-        else line
-        for line in LINES[after:upto]
+    entries = [
+        JournalEntry(entry.seq, entry.data[:-1] + bytes([entry.data[-1] ^ 1]), entry.checksum)
+        if entry.seq in flipped
+        else entry
+        for entry in ENTRIES[after:upto]
     ]
-    merged.add(IntervalSet([(after, upto)]), lines)
+    merged.add(IntervalSet([(after, upto)]), entries)
 
 
 @given(
@@ -61,11 +61,11 @@
         assert outcome.status == "SUCCEEDED"  # the outcome written first wins: a client may have got it
 
 
-def test_merge_when_lines_come_in_any_order_has_the_latest_stage_and_all_intents() -> None:
-    for order in permutations(LINES[:4]):
+def test_merge_when_entries_come_in_any_order_has_the_latest_stage_and_all_intents() -> None:
+    for order in permutations(ENTRIES[:4]):
         merged = MergedJournal()
-        for line in order:
-            merged.add(IntervalSet([(line.seq - 1, line.seq)]), [line])
+        for entry in order:
+            merged.add(IntervalSet([(entry.seq - 1, entry.seq)]), [entry])
         assert merged.calls["a"].stage is CallStage.ENDED
         assert merged.calls["a"].intents == {(0, "w1"), (1, "w2")}
 
@@ -80,8 +80,8 @@
         accepted("b"),
     ]
     records += [CallWithdrawn("b"), ResultsPurged(35)]
-    merged.add(IntervalSet([(0, 7)]), [encode_line(seq, r) for seq, r in enumerate(records, start=1)])
+    merged.add(IntervalSet([(0, 7)]), [encode_entry(seq, r) for seq, r in enumerate(records, start=1)])
     assert sorted(merged.live_calls()) == ["answered", "open"]
-    merged.add(IntervalSet([(7, 8)]), [encode_line(8, ResultsPurged(41))])
-    merged.add(IntervalSet([(8, 9)]), [encode_line(9, ResultsPurged(20))])  # an older purge, late
+    merged.add(IntervalSet([(7, 8)]), [encode_entry(8, ResultsPurged(41))])
+    merged.add(IntervalSet([(8, 9)]), [encode_entry(9, ResultsPurged(20))])  # an older purge, late
     assert sorted(merged.live_calls()) == ["open"]
--- a/packages/journal/tests/test_replication_state.py
+++ b/packages/journal/tests/test_replication_state.py
@@ -8,7 +8,7 @@
 import pytest
 
 from walnutpost.journal import (
-    LinesPersisted,
+    EntriesPersisted,
     QuorumFailed,
     QuorumReached,
     ReplicaAcknowledged,
@@ -88,7 +88,7 @@
         self.feed(Tick())
         roll = self.random.random()
         if roll < 0.3:
-            self.feed(LinesPersisted(self.state.last + self.random.randrange(1, 4), 100))
+            self.feed(EntriesPersisted(self.state.last + self.random.randrange(1, 4), 100))
         elif roll < 0.6:
             self.request(accepts_fewer=roll < 0.4)
         elif roll < 0.63:
@@ -126,7 +126,7 @@
         for _ in range(steps):
             world.step()
         world.now += 10_000 * MS
-        world.feed(LinesPersisted(world.state.last + 3, 100))
+        world.feed(EntriesPersisted(world.state.last + 3, 100))
         world.feed(Tick())
         assert not world.pending, "a request was never answered"
         answered += world.answered
@@ -146,7 +146,7 @@
 def state_of_two_replicas(*, acknowledged_by: int, seq: int) -> ReplicationState:
     state = ReplicationState(POLICY, 0)
     state.handle(0, ReplicasAssigned(("x", "y")))
-    state.handle(0, LinesPersisted(seq, 100))
+    state.handle(0, EntriesPersisted(seq, 100))
     for replica in "xy"[:acknowledged_by]:
         state.handle(1, ReplicaAcknowledged(replica, f"{replica}-0", 0))
         state.handle(1, ReplicaAcknowledged(replica, f"{replica}-0", seq))
@@ -163,7 +163,7 @@
 ) -> None:
     state = state_class(POLICY, 0)
     state.handle(0, ReplicasAssigned(("x",)))
-    state.handle(0, LinesPersisted(5, 100))
+    state.handle(0, EntriesPersisted(5, 100))
     state.handle(1, ReplicaAcknowledged("x", "x-0", 0))
     state.handle(1, ReplicaAcknowledged("x", "x-0", 5))
     assert state.count_replicas(5) == 1
@@ -177,7 +177,7 @@
 def test_request_when_fewer_are_accepted_fails_only_once_lagging_replicas_are_unreachable() -> None:
     state = state_of_two_replicas(acknowledged_by=1, seq=1)
     state.handle(TIMEOUT_US - 2, ReplicaAcknowledged("x", "x-0", 1))
-    state.handle(TIMEOUT_US - 1, LinesPersisted(2, 100))
+    state.handle(TIMEOUT_US - 1, EntriesPersisted(2, 100))
     # y is unreachable, x is not
     assert not answers(state.handle(TIMEOUT_US + 1, ReplicationRequested(1, 2, 2, True, 10**9)))
     assert QuorumFailed(1, 1) in state.handle(TIMEOUT_US + 2, ReplicaAcknowledged("x", "x-0", 2))
@@ -193,7 +193,7 @@
 def test_retry_after_when_replicas_are_unreachable_or_the_backlog_is_full_is_at_least_the_interval() -> None:
     state = state_of_two_replicas(acknowledged_by=2, seq=1)
     assert state.retry_after_us(2, False, 500) is None
-    state.handle(3, LinesPersisted(2, 9_800))  # not replicated yet
+    state.handle(3, EntriesPersisted(2, 9_800))  # not replicated yet
     assert state.retry_after_us(1, False, 100) is None
     retry_after = state.retry_after_us(1, False, 10_000)
     assert retry_after is not None
@@ -217,11 +217,11 @@
 def test_replica_when_it_has_numbers_that_were_never_sent_to_it_is_ahead() -> None:
     state = ReplicationState(POLICY, 0, last=7)
     state.handle(0, ReplicasAssigned(("x",)))
-    state.handle(1, LinesPersisted(9, 100))  # numbered since the start, and not sent anywhere
+    state.handle(1, EntriesPersisted(9, 100))  # numbered since the start, and not sent anywhere
     assert ReplicaAhead("x", 9) in state.handle(2, ReplicaAcknowledged("x", "x-0", 9))
     state = ReplicationState(POLICY, 0, last=7)
     state.handle(0, ReplicasAssigned(("x",)))
-    state.handle(1, LinesPersisted(9, 100))
+    state.handle(1, EntriesPersisted(9, 100))
     assert SendBatch("x", 7) in state.handle(2, ReplicaAcknowledged("x", "x-0", 7))
     assert not state.handle(3, ReplicaAcknowledged("x", "x-0", 9))
     assert not state.is_diverged
--- a/packages/replication/src/walnutpost/replication/queries.py
+++ b/packages/replication/src/walnutpost/replication/queries.py
@@ -1,4 +1,4 @@
-"""Questions to the other front ends: which lines they have of a call, or of the own journal."""
+"""Questions to the other front ends: which entries they have of a call, or of the own journal."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
 from walnutpost.http import Connection, HttpMessageError, Limits
-from walnutpost.journal import JournalBatch, Line
+from walnutpost.journal import JournalBatch, JournalEntry
 from walnutpost.replication import wire
 
 Addresses = Mapping[str, Callable[[], tuple[str, int]]]
@@ -15,15 +15,15 @@
 
 def query_call(
     loop: Loop, addresses: Addresses, call_id: str, timeout_us: int
-) -> tuple[list[Line], list[str]]:
-    """Return all lines about a call, and the names of front ends that did not answer within the timeout."""
-    lines: list[Line] = []
+) -> tuple[list[JournalEntry], list[str]]:
+    """Return all entries about a call, and the names of front ends that did not answer within the timeout."""
+    entries: list[JournalEntry] = []
 
     def query(address: tuple[str, int]) -> None:
-        lines.extend(_get(loop, address, wire.CALLS_PATH + call_id, wire.CallLines, timeout_us).lines)
+        entries.extend(_get(loop, address, wire.CALLS_PATH + call_id, wire.CallEntries, timeout_us).entries)
 
     unreachable = _query_all(loop, addresses, query)
-    return lines, unreachable
+    return entries, unreachable
 
 
 def recover_batches(
@@ -38,7 +38,7 @@
     def query(address: tuple[str, int]) -> None:
         upto = after
         while True:
-            target = f"{wire.LINES_PATH}{quote(origin, safe='')}/{upto}"
+            target = f"{wire.ENTRIES_PATH}{quote(origin, safe='')}/{upto}"
             batch = _get(loop, address, target, JournalBatch, timeout_us)
             if batch.upto <= upto:
                 return
--- a/packages/replication/src/walnutpost/replication/replica_server.py
+++ b/packages/replication/src/walnutpost/replication/replica_server.py
@@ -35,24 +35,24 @@
         request = exchange.request
         target = request.target.decode("ascii", "replace")
         if request.method == "GET" and target.startswith(wire.CALLS_PATH):
-            return self._get_call_lines(target.removeprefix(wire.CALLS_PATH))
-        if request.method == "GET" and target.startswith(wire.LINES_PATH):
-            origin, _, after = target.removeprefix(wire.LINES_PATH).partition("/")
-            return self._get_lines(unquote(origin), after)
+            return self._get_call_entries(target.removeprefix(wire.CALLS_PATH))
+        if request.method == "GET" and target.startswith(wire.ENTRIES_PATH):
+            origin, _, after = target.removeprefix(wire.ENTRIES_PATH).partition("/")
+            return self._get_entries(unquote(origin), after)
         if request.method != "POST" or request.target != wire.BATCHES_PATH.encode():
             return Response(404, body=b"found another target; wanted POST " + wire.BATCHES_PATH.encode())
         return self._post_batch(request.body)
 
-    def _get_call_lines(self, call_id: str) -> Response:
+    def _get_call_entries(self, call_id: str) -> Response:
         try:
-            lines = self._store.read_call_lines(call_id)
+            entries = self._store.read_call_entries(call_id)
         except StoreError as error:
             self._log.error("journal_read_failed", call=call_id, error=str(error))
             return Response(STORE_FAILED_STATUS, body=str(error).encode())
-        return Response(200, body=wire.encode(wire.CallLines(tuple(lines))))
+        return Response(200, body=wire.encode(wire.CallEntries(tuple(entries))))
 
-    def _get_lines(self, origin: str, after: str) -> Response:
-        """Answer with the lines of a journal after a number: its origin's disk may have lost them."""
+    def _get_entries(self, origin: str, after: str) -> Response:
+        """Answer with the entries of a journal after a number: its origin's disk may have lost them."""
         if not after.isdigit():
             return Response(400, body=b"after: wanted a number")
         upto = self._store.offsets.get(origin, 0)
--- a/packages/replication/src/walnutpost/replication/sender.py
+++ b/packages/replication/src/walnutpost/replication/sender.py
@@ -1,4 +1,4 @@
-"""The origin's side: sends batches to replicas, and lets tasks wait until a line has its quorum."""
+"""The origin's side: sends batches to replicas, and lets tasks wait until an entry has its quorum."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from walnutpost.eventloop.timers import Timer
 from walnutpost.http import Connection, HttpMessageError, Limits
 from walnutpost.journal import (
+    EntriesPersisted,
     JournalBatch,
     JournalOffset,
-    LinesPersisted,
     QuorumFailed,
     QuorumReached,
     ReplicaAcknowledged,
@@ -62,14 +62,14 @@
         """Replicate to these from now on."""
         self._feed(ReplicasAssigned(tuple(replicas)))
 
-    def lines_persisted(self, seq: int, size_bytes: int) -> None:
-        """Lines up to `seq` are durable in the store; `size_bytes` counts those that were not before."""
-        self._feed(LinesPersisted(seq, size_bytes))
+    def entries_persisted(self, seq: int, size_bytes: int) -> None:
+        """Entries up to `seq` are durable in the store; `size_bytes` counts those that were not before."""
+        self._feed(EntriesPersisted(seq, size_bytes))
 
     def wait_for_quorum(
         self, seq: int, required_replicas: int, accepts_fewer: bool, timeout_us: int
     ) -> QuorumReached | QuorumFailed:
-        """Wait until line `seq` is at so many replicas, or can't be in time."""
+        """Wait until entry `seq` is at so many replicas, or can't be in time."""
         self._last_token += 1
         token = self._last_token
         task, wait = self._loop.begin_wait()
@@ -127,7 +127,7 @@
         self._feed(ReplicaAcknowledged(replica, offset.disk, offset.upto))
 
     def _read_batch(self, after: int | None) -> JournalBatch:
-        """Return the lines after a number; with None, a batch that only asks for the replica's offset."""
+        """Return the entries after a number; with None, a batch that only asks for the replica's offset."""
         origin = self._store.own_origin
         if after is None:
             return JournalBatch(origin, 0, 0)
--- a/packages/replication/src/walnutpost/replication/wire.py
+++ b/packages/replication/src/walnutpost/replication/wire.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from walnutpost.journal import JournalBatch, JournalOffset, Line
+from walnutpost.journal import JournalBatch, JournalEntry, JournalOffset
 
 BATCHES_PATH = "/journal/1/copies"  # POST JournalBatch, answered by JournalOffset
 CALLS_PATH = "/journal/1/calls/"  # GET with a call's id after it, answered by CallLines
-LINES_PATH = "/journal/1/lines/"  # GET with ORIGIN/AFTER after it, answered by JournalBatch
-MAX_BATCH_BYTES = 1 << 20  # of lines in one message; a single larger line is sent alone
+ENTRIES_PATH = "/journal/1/lines/"  # GET with ORIGIN/AFTER after it, answered by JournalBatch
+MAX_BATCH_BYTES = 1 << 20  # of entries in one message; a single larger entry is sent alone
 MAX_BODY_BYTES = 16 << 20
 
 
@@ -23,16 +23,16 @@
     """A body or an answer is not a message of this protocol."""
 
 
-class CallLines(msgspec.Struct, frozen=True):
-    """All lines about one call in the journals that a front end stores."""
+class CallEntries(msgspec.Struct, frozen=True):
+    """All entries about one call in the journals that a front end stores."""
 
-    lines: tuple[Line, ...] = msgspec.field(name="lines")
+    entries: tuple[JournalEntry, ...] = msgspec.field(name="lines")
 
 
-MessageT = TypeVar("MessageT", JournalBatch, JournalOffset, CallLines)
+MessageT = TypeVar("MessageT", JournalBatch, JournalOffset, CallEntries)
 
 
-def encode(message: JournalBatch | JournalOffset | CallLines) -> bytes:
+def encode(message: JournalBatch | JournalOffset | CallEntries) -> bytes:
     """Return the message as msgpack."""
     return msgspec.msgpack.encode(message)
 
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -168,7 +168,7 @@
         def read(store: JournalStore = store) -> list[Any]:
             return [store.read_journal(origin) for origin in store.offsets if origin.startswith("a1#")]
 
-        for covered, lines in loop.run(read):
-            found.add(covered, lines)
+        for covered, entries in loop.run(read):
+            found.add(covered, entries)
         database.close()
     return found
--- a/packages/replication/tests/test_replication_golden.py
+++ b/packages/replication/tests/test_replication_golden.py
@@ -13,33 +13,33 @@
     JournalBatch,
     JournalOffset,
     ResultsPurged,
-    encode_line,
+    encode_entry,
     make_batch,
 )
 from walnutpost.replication import wire
-from walnutpost.replication.wire import CallLines, decode, encode
+from walnutpost.replication.wire import CallEntries, decode, encode
 
 GOLDEN = Path(__file__).parent / "golden"
-LINES = (
-    encode_line(42, AttemptIntended("call-1", 2, "worker-3")),
-    encode_line(44, ResultsPurged(1_800_000_000_000_001)),
+ENTRIES = (
+    encode_entry(42, AttemptIntended("call-1", 2, "worker-3")),
+    encode_entry(44, ResultsPurged(1_800_000_000_000_001)),
 )
 
 # The one place that says which object a golden message is.
-FULL: dict[str, JournalBatch | JournalOffset | CallLines] = {
+FULL: dict[str, JournalBatch | JournalOffset | CallEntries] = {
     "batch": JournalBatch(
-        origin="front-0#0a1b2c3d4e5f", after=41, upto=45, lines=LINES, checksum=1_234_567_890
+        origin="front-0#0a1b2c3d4e5f", after=41, upto=45, entries=ENTRIES, checksum=1_234_567_890
     ),
     "have": JournalOffset(disk="0a1b2c3d4e5f", upto=45),
-    "said": CallLines(lines=LINES),
+    "said": CallEntries(entries=ENTRIES),
 }
-MESSAGES: dict[str, JournalBatch | JournalOffset | CallLines] = {
+MESSAGES: dict[str, JournalBatch | JournalOffset | CallEntries] = {
     **FULL,
     "batch-defaults": with_defaults(FULL["batch"]),
-    "batch-summed": make_batch("front-0#0a1b2c3d4e5f", 41, 45, LINES),
-    "said-nothing": CallLines(lines=()),
+    "batch-summed": make_batch("front-0#0a1b2c3d4e5f", 41, 45, ENTRIES),
+    "said-nothing": CallEntries(entries=()),
 }
-TARGETS = {"copies": wire.BATCHES_PATH, "calls": wire.CALLS_PATH, "lines": wire.LINES_PATH}
+TARGETS = {"copies": wire.BATCHES_PATH, "calls": wire.CALLS_PATH, "lines": wire.ENTRIES_PATH}
 
 
 def golden_files() -> dict[Path, bytes]:
--- a/packages/store/src/walnutpost/store/__init__.py
+++ b/packages/store/src/walnutpost/store/__init__.py
@@ -7,18 +7,18 @@
 from walnutpost.store.database import Change, Database, StoreError
 from walnutpost.store.executions import ExecutionQuery, ExecutionStore
 from walnutpost.store.firings import FiringRow, FiringStore, read_history
-from walnutpost.store.journal import JournalStore, LineAppend
+from walnutpost.store.journal import EntryAppend, JournalStore
 from walnutpost.store.usage import UsageStore, read_ledger
 
 __all__ = [
     "Change",
     "Database",
+    "EntryAppend",
     "ExecutionQuery",
     "ExecutionStore",
     "FiringRow",
     "FiringStore",
     "JournalStore",
-    "LineAppend",
     "StoreError",
     "UsageStore",
     "read_history",
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -212,11 +212,11 @@
         )
 
     def with_epoch_times(self, execution: Execution) -> Execution:
-        """Convert an execution in stored time, as in rows and in lines of the own journal, to epochs."""
+        """Convert an execution in stored time, as in rows and in entries of the own journal, to epochs."""
         return _with_times(execution, self.clock.to_epoch)
 
     def with_stored_times(self, execution: Execution) -> Execution:
-        """Convert an execution with epochs to stored time, for rows and for lines of the own journal."""
+        """Convert an execution with epochs to stored time, for rows and for entries of the own journal."""
         return _with_times(execution, self.clock.to_stored)
 
 
--- a/packages/store/src/walnutpost/store/journal.py
+++ b/packages/store/src/walnutpost/store/journal.py
@@ -1,6 +1,6 @@
 """Journals on disk: this process's own and its replicas of others', in the file of the executions.
 
-One commit makes a call's row and its journal line durable, so that neither is ever without the other.
+One commit makes a call's row and its journal entry durable, so that neither is ever without the other.
 docs/recovery.md compares this with a log of files and with lmdb.
 """
 
@@ -18,13 +18,13 @@
     CallAccepted,
     CallEnded,
     CallWithdrawn,
-    CorruptLineError,
+    CorruptEntryError,
     IntervalSet,
     JournalBatch,
-    Line,
+    JournalEntry,
     ResultsPurged,
     call_id_of,
-    encode_line,
+    encode_entry,
     make_batch,
 )
 from walnutpost.store.database import Database, StoreError
@@ -40,7 +40,7 @@
 create index if not exists lines_by_call on lines (call, origin);
 create index if not exists lines_by_time on lines (origin, kind, at);
 """
-READ_CHUNK_LINES = 512  # lines read at a time
+READ_CHUNK_ENTRIES = 512  # entries read at a time
 
 # Values of column lines.kind, on which _purge selects. They are stored and must not change with class names.
 KINDS: dict[type[AnyRecord], str] = {
@@ -50,26 +50,26 @@
     CallWithdrawn: "withdrawn",
     ResultsPurged: "purged",
 }
-CORRUPT_KIND = "bad"  # of a line whose bytes can't be read
+CORRUPT_KIND = "bad"  # of an entry whose bytes can't be read
 
 
-class LineAppend:
-    """A Change that gives `record` the next number of a journal; `line` is set once it is durable."""
+class EntryAppend:
+    """A Change that gives `record` the next number of a journal; `entry` is set once it is durable."""
 
     def __init__(self, origin: str, record: AnyRecord) -> None:
         """Append to the journal of `origin`."""
         self._origin = origin
         self._record = record
-        self.line = Line(0, b"", 0)
+        self.entry = JournalEntry(0, b"", 0)
 
     def __call__(self, db: sqlite3.Connection) -> None:
-        """Write the line as part of a commit."""
+        """Write the entry as part of a commit."""
         # Numbered within the commit: the numbers of a failed one are used again, as nobody was sent them.
         (seq,) = db.execute(
             "update journals set upto = upto + 1 where origin = ? returning upto", (self._origin,)
         ).fetchone()
-        self.line = encode_line(seq, self._record)
-        _insert(db, self._origin, self.line, self._record)
+        self.entry = encode_entry(seq, self._record)
+        _insert(db, self._origin, self.entry, self._record)
 
 
 class JournalStore:
@@ -101,15 +101,15 @@
         """The identity of this disk, made with the file."""
         return self.own_origin.rpartition("#")[2]
 
-    def new_append(self, record: AnyRecord) -> LineAppend:
+    def new_append(self, record: AnyRecord) -> EntryAppend:
         """Return a change to be committed with what the record is about; then call `mark_durable`."""
-        return LineAppend(self.own_origin, record)
+        return EntryAppend(self.own_origin, record)
 
-    def mark_durable(self, append: LineAppend) -> None:
+    def mark_durable(self, append: EntryAppend) -> None:
         """Advance the own journal's offset after the commit of `append`."""
-        self.offsets[self.own_origin] = max(self.offsets[self.own_origin], append.line.seq)
+        self.offsets[self.own_origin] = max(self.offsets[self.own_origin], append.entry.seq)
 
-    def append_durably(self, record: AnyRecord) -> LineAppend:
+    def append_durably(self, record: AnyRecord) -> EntryAppend:
         """Append to the own journal; return once it is durable. Raises StoreError."""
         append = self.new_append(record)
         self._database.submit(append)
@@ -117,7 +117,7 @@
         return append
 
     def write_batch(self, write: BatchWrite) -> None:
-        """Write lines of another's journal; return once they are durable. Raises StoreError."""
+        """Write entries of another's journal; return once they are durable. Raises StoreError."""
 
         def change(db: sqlite3.Connection) -> None:
             db.execute(
@@ -125,81 +125,81 @@
                 " do update set upto = excluded.upto",
                 (write.origin, write.upto),
             )
-            for line in write.lines:
-                _insert(db, write.origin, line, _decode(line))
+            for entry in write.entries:
+                _insert(db, write.origin, entry, _decode(entry))
 
         self._database.submit(change)
         self.offsets[write.origin] = max(self.offsets.get(write.origin, 0), write.upto)
 
     def read_batch(self, origin: str, after: int, upto: int, max_bytes: int) -> JournalBatch:
-        """Return the lines in (after, upto], or as many as fit `max_bytes`; at least one.
+        """Return the entries in (after, upto], or as many as fit `max_bytes`; at least one.
 
         All up to `upto` must be durable here. Raises StoreError.
         """
         return self._loop.run_blocking(self._read_batch, origin, after, upto, max_bytes)
 
     def _read_batch(self, origin: str, after: int, upto: int, max_bytes: int) -> JournalBatch:
-        lines: list[Line] = []
+        entries: list[JournalEntry] = []
         size_bytes = 0
         last = after
         while last < upto:
             chunk = self._read(
                 "where origin = ? and seq > ? and seq <= ? order by seq limit ?",
-                (origin, last, upto, READ_CHUNK_LINES),
+                (origin, last, upto, READ_CHUNK_ENTRIES),
             )
             if not chunk:
-                last = upto  # the other lines were purged
-            for line in chunk:
-                if lines and size_bytes + line.size_bytes > max_bytes:
-                    return make_batch(origin, after, last, lines)
-                lines.append(line)
-                size_bytes += line.size_bytes
-                last = line.seq
-        return make_batch(origin, after, max(last, upto), lines)
-
-    def read_journal(self, origin: str) -> tuple[IntervalSet, list[Line]]:
-        """Return what is here of a journal: the covered numbers, and the lines. Raises StoreError."""
-        lines = self._loop.run_blocking(self._read, "where origin = ? order by seq", (origin,))
-        return IntervalSet([(0, self.offsets.get(origin, 0))]), lines
-
-    def read_call_lines(self, call_id: str) -> list[Line]:
-        """Return the lines about a call in all journals here. Raises StoreError."""
+                last = upto  # the other entries were purged
+            for entry in chunk:
+                if entries and size_bytes + entry.size_bytes > max_bytes:
+                    return make_batch(origin, after, last, entries)
+                entries.append(entry)
+                size_bytes += entry.size_bytes
+                last = entry.seq
+        return make_batch(origin, after, max(last, upto), entries)
+
+    def read_journal(self, origin: str) -> tuple[IntervalSet, list[JournalEntry]]:
+        """Return what is here of a journal: the covered numbers, and the entries. Raises StoreError."""
+        entries = self._loop.run_blocking(self._read, "where origin = ? order by seq", (origin,))
+        return IntervalSet([(0, self.offsets.get(origin, 0))]), entries
+
+    def read_call_entries(self, call_id: str) -> list[JournalEntry]:
+        """Return the entries about a call in all journals here. Raises StoreError."""
         return self._loop.run_blocking(self._read, "where call = ?", (call_id,))
 
-    def _read(self, where: str, values: Sequence[object]) -> list[Line]:
+    def _read(self, where: str, values: Sequence[object]) -> list[JournalEntry]:
         rows = self._database.select(f"select seq, data, sum from lines {where}", values)
-        return [Line(*row) for row in rows]
+        return [JournalEntry(*row) for row in rows]
 
 
-def _insert(db: sqlite3.Connection, origin: str, line: Line, record: AnyRecord | None) -> None:
-    """Insert a line with its record, None if that can't be read."""
+def _insert(db: sqlite3.Connection, origin: str, entry: JournalEntry, record: AnyRecord | None) -> None:
+    """Insert an entry with its record, None if that can't be read."""
     db.execute(
         "insert into lines values (?, ?, ?, ?, ?, ?, ?)",
         (
             origin,
-            line.seq,
+            entry.seq,
             KINDS[type(record)] if record is not None else CORRUPT_KIND,
             call_id_of(record) if record is not None else None,
             record.expires_at_us if isinstance(record, CallAccepted) else None,
-            line.data,
-            line.checksum,
+            entry.data,
+            entry.checksum,
         ),
     )
     if isinstance(record, ResultsPurged):
-        _purge(db, origin, record.ended_before_us, line.seq)
+        _purge(db, origin, record.ended_before_us, entry.seq)
 
 
-def _decode(line: Line) -> AnyRecord | None:
+def _decode(entry: JournalEntry) -> AnyRecord | None:
     try:
-        return line.decode()
-    except CorruptLineError:  # another replica may have it intact; this one stores it as received
+        return entry.decode()
+    except CorruptEntryError:  # another replica may have it intact; this one stores it as received
         return None
 
 
 def _purge(db: sqlite3.Connection, origin: str, before_us: int, seq: int) -> None:
-    """Delete the lines of calls that expired before a time, and older purge records.
+    """Delete the entries of calls that expired before a time, and older purge records.
 
-    Open calls are included: a replica that has the first line of a call but never received the last must not
+    Open calls are included: a replica that has the first entry of a call but never received the last must not
     show the call as open for ever.
     """
     db.execute(
--- a/packages/store/tests/stored_state.py
+++ b/packages/store/tests/stored_state.py
@@ -16,12 +16,12 @@
     CallAccepted,
     CallEnded,
     CallWithdrawn,
+    JournalEntry,
     ResultsPurged,
-    encode_line,
+    encode_entry,
     make_batch,
     plan_batch_write,
 )
-from walnutpost.journal import Line as JournalLine
 from walnutpost.journal.records import AnyRecord as AnyRecord
 from walnutpost.metering import (
     DAY_US,
@@ -90,7 +90,9 @@
     CallEnded("id-open", "SUCCEEDED", NOW + 5, b"result", "", ""),
     ResultsPurged(NOW - 1000),
 ]
-OWN_LINES = [encode_line(seq, record) for seq, record in enumerate(OWN_RECORDS, start=1) if seq not in (5, 6)]
+OWN_ENTRIES = [
+    encode_entry(seq, record) for seq, record in enumerate(OWN_RECORDS, start=1) if seq not in (5, 6)
+]
 OTHER_RECORDS: dict[int, AnyRecord] = {
     3: CallAccepted(
         "id-far", "name-far", "price", "4", "trade", b"far", "digest-far", 3, NOW + 62, "keyed", 1
@@ -98,8 +100,8 @@
     5: AttemptIntended("id-far", 2, "worker-2"),
     6: CallEnded("id-far", "FAILED", NOW + 7, b"error", "Unhandled", "message"),
 }
-DAMAGED = JournalLine(8, encode_line(8, CallWithdrawn("id-damaged")).data, 123)  # its checksum is another
-OTHER_LINES = [*(encode_line(seq, record) for seq, record in OTHER_RECORDS.items()), DAMAGED]
+DAMAGED = JournalEntry(8, encode_entry(8, CallWithdrawn("id-damaged")).data, 123)  # its checksum is another
+OTHER_ENTRIES = [*(encode_entry(seq, record) for seq, record in OTHER_RECORDS.items()), DAMAGED]
 OTHER_UPTO = 9
 MARKS = {"nightly": NOW, "hourly": NOW, "new": NOW + 2, "lost": NOW, "often": NOW + 9, "full": NOW + 4}
 
@@ -147,7 +149,7 @@
             )
             for record in OWN_RECORDS:
                 journal.append_durably(record)
-            batch_write = plan_batch_write(journal.offsets, make_batch(OTHER, 0, OTHER_UPTO, OTHER_LINES))
+            batch_write = plan_batch_write(journal.offsets, make_batch(OTHER, 0, OTHER_UPTO, OTHER_ENTRIES))
             assert batch_write is not None
             journal.write_batch(batch_write)
 
--- a/packages/store/tests/test_commit_retries.py
+++ b/packages/store/tests/test_commit_retries.py
@@ -70,15 +70,15 @@
     run(path, work, failing(times, fault, statement))
 
 
-def test_journal_line_when_its_commit_is_retried_has_one_number(tmp_path: Path) -> None:
+def test_journal_entry_when_its_commit_is_retried_has_one_number(tmp_path: Path) -> None:
     def work(loop: Loop, database: Database) -> list[int]:
         store = JournalStore(loop, database, "front-0")
         ScriptedConnection(database, tmp_path / "calls.db", failing(3, Fault.ROLLED_BACK))
-        lines = [
-            store.append_durably(CallEnded(f"c{n}", "SUCCEEDED", 1, b"", "", "")).line.seq for n in range(3)
+        entries = [
+            store.append_durably(CallEnded(f"c{n}", "SUCCEEDED", 1, b"", "", "")).entry.seq for n in range(3)
         ]
-        assert [line.seq for line in store.read_journal(store.own_origin)[1]] == lines
-        return lines
+        assert [entry.seq for entry in store.read_journal(store.own_origin)[1]] == entries
+        return entries
 
     assert run(tmp_path / "calls.db", work) == [1, 2, 3]
 
--- a/packages/store/tests/test_journal_store.py
+++ b/packages/store/tests/test_journal_store.py
@@ -19,7 +19,7 @@
     CallWithdrawn,
     MergedJournal,
     ResultsPurged,
-    encode_line,
+    encode_entry,
     make_batch,
     plan_batch_write,
 )
@@ -48,7 +48,7 @@
 
 
 def own_numbers(_: Database, store: JournalStore) -> list[int]:
-    return [line.seq for line in store.read_journal(store.own_origin)[1]]
+    return [entry.seq for entry in store.read_journal(store.own_origin)[1]]
 
 
 def fill(records: list[AnyRecord]) -> Callable[[Database, JournalStore], str]:
@@ -65,14 +65,18 @@
     own = with_journal(path, fill([accepted("a"), AttemptIntended("a", 0, "w")]))
     assert with_journal(path, fill([accepted("b")])) == own
     assert own.startswith("front-0#")
-    assert with_journal(path, lambda _, store: [line.seq for line in store.read_journal(own)[1]]) == [1, 2, 3]
+    assert with_journal(path, lambda _, store: [entry.seq for entry in store.read_journal(own)[1]]) == [
+        1,
+        2,
+        3,
+    ]
     with pytest.raises(StoreError, match=r"front-0.*wanted front-1"):
         with_journal(path, fill([]), name="front-1")
 
 
-def test_line_when_its_commit_fails_is_not_written_and_its_number_is_reused(tmp_path: Path) -> None:
+def test_entry_when_its_commit_fails_is_not_written_and_its_number_is_reused(tmp_path: Path) -> None:
     def work(database: Database, store: JournalStore) -> list[int]:
-        def submit_with_line(change: Callable[[sqlite3.Connection], object], record: AnyRecord) -> None:
+        def submit_with_entry(change: Callable[[sqlite3.Connection], object], record: AnyRecord) -> None:
             append = store.new_append(record)
 
             def change_and_append(db: sqlite3.Connection) -> None:
@@ -81,22 +85,22 @@
 
             database.submit(change_and_append)
 
-        submit_with_line(lambda db: db.execute("insert into other values (1)"), accepted("a"))
-        with pytest.raises(StoreError):  # its row exists already: neither row nor line is written
-            submit_with_line(lambda db: db.execute("insert into other values (1)"), accepted("b"))
+        submit_with_entry(lambda db: db.execute("insert into other values (1)"), accepted("a"))
+        with pytest.raises(StoreError):  # its row exists already: neither row nor entry is written
+            submit_with_entry(lambda db: db.execute("insert into other values (1)"), accepted("b"))
 
         def fail_as_full(db: sqlite3.Connection) -> None:
             raise sqlite3.OperationalError("database or disk is full")
 
         with pytest.raises(StoreError):
-            submit_with_line(fail_as_full, accepted("c"))
-        submit_with_line(lambda db: db.execute("insert into other values (2)"), accepted("d"))
+            submit_with_entry(fail_as_full, accepted("c"))
+        submit_with_entry(lambda db: db.execute("insert into other values (2)"), accepted("d"))
         return own_numbers(database, store)
 
     assert with_journal(tmp_path / "calls.db", work) == [1, 2]
 
 
-def test_replica_when_batches_are_repeated_has_each_line_once(
+def test_replica_when_batches_are_repeated_has_each_entry_once(
     tmp_path: Path,
 ) -> None:
     origin, replica = tmp_path / "origin.db", tmp_path / "holder.db"
@@ -119,9 +123,9 @@
         offsets.append(pull(500))
     assert len(offsets) > 3
     assert offsets == sorted(set(offsets))
-    covered, lines = with_journal(replica, lambda _, store: store.read_journal(own), name="front-1")
+    covered, entries = with_journal(replica, lambda _, store: store.read_journal(own), name="front-1")
     assert covered.contiguous_end == 20
-    assert [line.decode() for line in lines] == records
+    assert [entry.decode() for entry in entries] == records
 
 
 def test_purge_when_replicated_keeps_numbers_covered_and_leaves_no_ended_call_open(tmp_path: Path) -> None:
@@ -139,39 +143,39 @@
         ResultsPurged(31),
     ]
     own = with_journal(path, fill(records))
-    covered, lines = with_journal(path, lambda _, store: store.read_journal(own))
-    assert [line.seq for line in lines] == [2, 3, 4, 5, 6, 8]
+    covered, entries = with_journal(path, lambda _, store: store.read_journal(own))
+    assert [entry.seq for entry in entries] == [2, 3, 4, 5, 6, 8]
     assert covered.contiguous_end == 8
     batch = with_journal(path, lambda _, store: store.read_batch(own, 0, 8, 1 << 20))
 
     def receive(_: Database, store: JournalStore) -> list[int]:
         # It received the first four earlier: to its knowledge these calls are open.
         for received in (
-            make_batch(own, 0, 4, [encode_line(n + 1, r) for n, r in enumerate(records[:4])]),
+            make_batch(own, 0, 4, [encode_entry(n + 1, r) for n, r in enumerate(records[:4])]),
             batch,
         ):
             new = plan_batch_write(store.offsets, received)
             assert isinstance(new, BatchWrite)
             store.write_batch(new)
-        return [line.seq for line in store.read_journal(own)[1]]
+        return [entry.seq for entry in store.read_journal(own)[1]]
 
     assert with_journal(replica, receive, name="front-1") == [2, 3, 4, 5, 6, 8]
     merged = MergedJournal()
-    merged.add(covered, lines)
+    merged.add(covered, entries)
     assert list(merged.live_calls()) == ["open"]
     assert merged.gaps == []
 
 
-def test_line_when_a_bit_is_flipped_is_corrupt_alone_and_another_replica_has_it(tmp_path: Path) -> None:
+def test_entry_when_a_bit_is_flipped_is_corrupt_alone_and_another_replica_has_it(tmp_path: Path) -> None:
     path = tmp_path / "calls.db"
     own = with_journal(path, fill([accepted("a"), accepted("b"), accepted("c")]))
     intact = with_journal(path, lambda _, store: store.read_journal(own))
     with sqlite3.connect(path) as db:
         ((data,),) = db.execute("select data from lines where seq = 2")
         db.execute("update lines set data = ? where seq = 2", (data[:9] + bytes([data[9] ^ 1]) + data[10:],))
-    covered, lines = with_journal(path, lambda _, store: store.read_journal(own))
+    covered, entries = with_journal(path, lambda _, store: store.read_journal(own))
     merged = MergedJournal()
-    merged.add(covered, lines)
+    merged.add(covered, entries)
     assert sorted(merged.calls) == ["a", "c"]
     assert merged.gaps == [(1, 2)]
     batch = with_journal(path, lambda _, store: store.read_batch(own, 0, 3, 1 << 20))
@@ -179,7 +183,7 @@
     def receive(_: Database, store: JournalStore) -> int:
         new = plan_batch_write(store.offsets, batch)
         assert new is not None
-        store.write_batch(new)  # a corrupt line is stored as it is, and replication continues
+        store.write_batch(new)  # a corrupt entry is stored as it is, and replication continues
         return int(store.offsets[own])
 
     assert with_journal(tmp_path / "holder.db", receive, name="front-1") == 3
@@ -189,7 +193,7 @@
 
 
 @pytest.mark.parametrize("records", [1, 4])
-def test_journal_when_killed_at_any_write_has_all_durable_lines_without_a_gap(
+def test_journal_when_killed_at_any_write_has_all_durable_entries_without_a_gap(
     tmp_path: Path, records: int
 ) -> None:
     """The process is killed, and the WAL is truncated at any byte."""
@@ -212,7 +216,7 @@
         try:
             numbers = with_journal(
                 torn / "calls.db",
-                lambda _, store: [line.seq for line in store.read_journal(store.own_origin)[1]],
+                lambda _, store: [entry.seq for entry in store.read_journal(store.own_origin)[1]],
             )
         except StoreError:
             assert size < 4096
--- a/packages/store/tests/test_store_golden.py
+++ b/packages/store/tests/test_store_golden.py
@@ -24,10 +24,10 @@
     NOW,
     OPEN,
     OTHER,
-    OTHER_LINES,
+    OTHER_ENTRIES,
     OTHER_UPTO,
     OWN,
-    OWN_LINES,
+    OWN_ENTRIES,
     OWN_RECORDS,
     RUN,
     SAVED,
@@ -130,14 +130,17 @@
         assert journal.offsets == {OWN: len(OWN_RECORDS), OTHER: OTHER_UPTO}
 
         def read() -> None:
-            for origin, lines, upto in ((OWN, OWN_LINES, len(OWN_RECORDS)), (OTHER, OTHER_LINES, OTHER_UPTO)):
+            for origin, entries, upto in (
+                (OWN, OWN_ENTRIES, len(OWN_RECORDS)),
+                (OTHER, OTHER_ENTRIES, OTHER_UPTO),
+            ):
                 spans, found = journal.read_journal(origin)
-                assert found == lines
+                assert found == entries
                 assert list(spans) == list(IntervalSet([(0, upto)]))
-                assert journal.read_batch(origin, 0, upto, 1 << 20) == make_batch(origin, 0, upto, lines)
-            assert sorted(journal.read_call_lines("id-far"), key=lambda each: each.seq) == OTHER_LINES[:3]
-            assert [each.seq for each in journal.read_call_lines("id-open")] == [1, 2, 7]
-            assert journal.append_durably(OWN_RECORDS[3]).line.seq == len(OWN_RECORDS) + 1  # numbers go on
+                assert journal.read_batch(origin, 0, upto, 1 << 20) == make_batch(origin, 0, upto, entries)
+            assert sorted(journal.read_call_entries("id-far"), key=lambda each: each.seq) == OTHER_ENTRIES[:3]
+            assert [each.seq for each in journal.read_call_entries("id-open")] == [1, 2, 7]
+            assert journal.append_durably(OWN_RECORDS[3]).entry.seq == len(OWN_RECORDS) + 1  # numbers go on
 
         loop.run(read)
 
@@ -154,7 +157,7 @@
     assert set(BOOKED) == {NOW - HOUR_US}
 
 
-def test_corrupt_line_when_stored_keeps_its_number_as_in_the_golden_file(tmp_path: Path) -> None:
+def test_corrupt_entry_when_stored_keeps_its_number_as_in_the_golden_file(tmp_path: Path) -> None:
     db = sqlite3.connect(restore_dump(CALLS_DUMP, tmp_path / "calls.db"))
     kinds = db.execute("select origin, kind, count(*) from lines group by origin, kind").fetchall()
     db.close()
