--- a/packages/journal/src/walnutpost/journal/__init__.py
+++ b/packages/journal/src/walnutpost/journal/__init__.py
@@ -1,7 +1,8 @@
 """Journals of deferred calls: records numbered by their origin, replicated to other sites, merged. No I/O.
 
 `records` defines the entries, `batches` how a replica accepts them, `replication` how the origin counts
-acknowledgements, `placement` which front ends are replicas, `merge` what several replicas say together.
+acknowledgements, `placement` which front ends are replicas, `merge` how the journals of several replicas are
+merged.
 """
 
 from walnutpost.journal.batches import (
@@ -29,20 +30,21 @@
     call_id_of,
     encode_entry,
 )
-from walnutpost.journal.replication import (
-    EntriesPersisted,
+from walnutpost.journal.replication import ReplicationPolicy, ReplicationState
+from walnutpost.journal.replication_effects import (
     QuorumFailed,
     QuorumReached,
-    ReplicaAcknowledged,
     ReplicaAhead,
+    ReplicationEffect,
+    SendBatch,
+)
+from walnutpost.journal.replication_inputs import (
+    EntriesPersisted,
+    ReplicaAcknowledged,
     ReplicaLost,
     ReplicasAssigned,
-    ReplicationEffect,
     ReplicationInput,
-    ReplicationPolicy,
     ReplicationRequested,
-    ReplicationState,
-    SendBatch,
     Tick,
 )
 
--- a/packages/journal/src/walnutpost/journal/batches.py
+++ b/packages/journal/src/walnutpost/journal/batches.py
@@ -19,8 +19,8 @@
     """Entries of a journal as sent to a replica; accounts for all numbers in (after, upto] of `origin`.
 
     Numbers without an entry are of calls whose results are no longer stored. An empty interval only asks for
-    the replica's offset. `checksum` is of what was sent; an entry's own checksum may be wrong where the
-    origin's disk has corrupted it: it is stored so, and known to be corrupt.
+    the replica's offset. `checksum` is over the entries as sent. An entry that the origin's disk corrupted
+    has a wrong checksum itself: replicas store it as it is, and a reader detects it.
     """
 
     origin: str
@@ -47,7 +47,7 @@
 class JournalOffset(msgspec.Struct, frozen=True):
     """A replica's answer: all entries up to `upto` are durable on `disk`.
 
-    `disk` identifies the disk: another one has none of what the former one had.
+    `disk` identifies the disk: a new disk has none of the entries of the former one.
     """
 
     disk: str
@@ -64,10 +64,9 @@
 
 
 class InvalidBatchError(JournalError):
-    """A batch is not what its origin sent; nothing of it is written."""
+    """A batch is not what its origin sent; nothing of it is written. `reason` is for people."""
 
     def __init__(self, reason: str) -> None:
-        """`reason` is for people."""
         super().__init__(reason)
         self.reason = reason
 
--- a/packages/journal/src/walnutpost/journal/intervals.py
+++ b/packages/journal/src/walnutpost/journal/intervals.py
@@ -7,10 +7,14 @@
 
 
 class IntervalSet:
-    """A set of numbers from 1 up. Invariant: its intervals are sorted and neither overlap nor touch."""
+    """A set of numbers from 1 up, first those in `intervals`, given as (after, upto). Not hashable.
+
+    Invariant: its intervals are sorted and neither overlap nor touch.
+    """
+
+    __hash__ = None  # type: ignore[assignment]  # it changes; the type that mypy expects is a method
 
     def __init__(self, intervals: Iterable[tuple[int, int]] = ()) -> None:
-        """Add each of `intervals`, as (after, upto)."""
         self._ends: list[int] = []
         self._starts: list[int] = []
         for after, upto in intervals:
--- a/packages/journal/src/walnutpost/journal/merge.py
+++ b/packages/journal/src/walnutpost/journal/merge.py
@@ -38,7 +38,8 @@
 class CallState:
     """What the known entries say of one call.
 
-    `intents` holds (attempt, worker). `ended_seq` is the number of the entry `ended`: the lower one wins.
+    `intents` holds pairs (attempt, worker). `ended_seq` is the number of the entry `ended`: the lower
+    one wins.
     """
 
     accepted: CallAccepted | None = None
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class MergedJournal:
-    """The journal of one origin, as far as the replicas added to it tell.
+    """The journal of one origin, as far as the added replicas have it.
 
     `covered` are the numbers that some replica accounts for; `corrupt` those of entries of which no intact
     copy was added.
--- a/packages/journal/src/walnutpost/journal/placement.py
+++ b/packages/journal/src/walnutpost/journal/placement.py
@@ -1,7 +1,7 @@
 """Which front ends replicate whose journal: rendezvous hashing over front ends in other sites.
 
 Rendezvous (highest random weight) hashing, Thaler and Ravishankar 1998: each pair of origin and replica has a
-weight that everybody computes alike, and the highest weights win. A front end that goes moves only the
+weight that each front end computes alike, and the highest weights win. Removing a front end moves only the
 replicas that it had. The weights decide where stored replicas are, so they never change.
 """
 
--- a/packages/journal/src/walnutpost/journal/records.py
+++ b/packages/journal/src/walnutpost/journal/records.py
@@ -8,7 +8,6 @@
 from __future__ import annotations
 
 import zlib
-from typing import Any
 
 import msgspec
 
@@ -78,10 +77,9 @@
 
 
 class CorruptEntryError(JournalError):
-    """The bytes of entry `seq` are not a record, or not those that were written."""
+    """The bytes of entry `seq` are not a record, or not those that were written. `reason` is for people."""
 
     def __init__(self, seq: int, reason: str) -> None:
-        """`reason` is for people."""
         super().__init__(f"line {seq}: {reason}")
         self.seq = seq
         self.reason = reason
@@ -130,5 +128,4 @@
 
 def call_id_of(record: AnyRecord) -> str | None:
     """Return the call that a record is about, None for a record about no single call."""
-    call_id: Any = getattr(record, "call_id", None)
-    return call_id if isinstance(call_id, str) else None
+    return None if isinstance(record, ResultsPurged) else record.call_id
--- a/packages/journal/src/walnutpost/journal/replication.py
+++ b/packages/journal/src/walnutpost/journal/replication.py
@@ -2,20 +2,35 @@
 
 A state machine without I/O: `(now, input)` to effects. All times and spans are in microseconds. Invariants:
 - `_quorum_result` alone decides that an entry is sufficiently replicated.
-- A replica counts for what its present disk acknowledged last: a disk that was lost, or restored from a
-  backup, takes its replicas with it.
+- A replica counts for what its present disk acknowledged last: what it acknowledged with a disk that was
+  lost, or restored from a backup, counts no more.
 - Only entries that are durable at the origin are sent. A number that a replica has and the origin loses would
   be given to another entry.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
+
+from walnutpost.journal.persisted_bytes import PersistedBytes
+from walnutpost.journal.replication_effects import (
+    QuorumFailed,
+    QuorumReached,
+    ReplicaAhead,
+    ReplicationEffect,
+    SendBatch,
+)
+from walnutpost.journal.replication_inputs import (
+    EntriesPersisted,
+    ReplicaAcknowledged,
+    ReplicaLost,
+    ReplicasAssigned,
+    ReplicationInput,
+    ReplicationRequested,
+)
 
 RATE_GAIN = 0.3  # weight of one acknowledgement in a replica's smoothed throughput
-MAX_REMEMBERED_COMMITS = 4096  # commits whose sizes are remembered; a replica further behind counts all bytes
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,112 +46,10 @@
     max_backlog_bytes: int
 
 
-# Inputs
-
-
-@dataclass(frozen=True, slots=True)
-class ReplicasAssigned:
-    """From now on these are the replicas, the preferred one first."""
-
-    replicas: tuple[str, ...]
-
-
-@dataclass(frozen=True, slots=True)
-class EntriesPersisted:
-    """Entries up to `seq` are durable at the origin; `size_bytes` counts those that were not before."""
-
-    seq: int
-    size_bytes: int
-
-
-@dataclass(frozen=True, slots=True)
-class ReplicationRequested:
-    """Answer `token` once entry `seq` is durable at the origin and at `required_replicas` replicas.
-
-    With `accepts_fewer`, answer as soon as the replicas that lack it are unreachable. Answer at `deadline_us`
-    at the latest.
-    """
-
-    token: int
-    seq: int
-    required_replicas: int
-    accepts_fewer: bool
-    deadline_us: int
-
-
-@dataclass(frozen=True, slots=True)
-class ReplicaAcknowledged:
-    """A replica's answer to a SendBatch: all entries up to `seq` are durable on its `disk`."""
-
-    replica: str
-    disk: str
-    seq: int
-
-
-@dataclass(frozen=True, slots=True)
-class ReplicaLost:
-    """A SendBatch failed or got no answer."""
-
-    replica: str
-
-
-@dataclass(frozen=True, slots=True)
-class Tick:
-    """Time has passed; wanted at `ReplicationState.next_tick_us` at the latest."""
-
-
-ReplicationInput = (
-    ReplicasAssigned | EntriesPersisted | ReplicationRequested | ReplicaAcknowledged | ReplicaLost | Tick
-)
-
-
-# Effects
-
-
-@dataclass(frozen=True, slots=True)
-class SendBatch:
-    """Send the replica the entries after `after`, as many as fit one message; with None, ask for its offset.
-
-    To be answered with ReplicaAcknowledged or ReplicaLost.
-    """
-
-    replica: str
-    after: int | None
-
-
-@dataclass(frozen=True, slots=True)
-class QuorumReached:
-    """The entry of request `token` is durable here and at `replicas` replicas, as many as were required."""
-
-    token: int
-    replicas: int
-
-
-@dataclass(frozen=True, slots=True)
-class QuorumFailed:
-    """Request `token` ends with its entry at too few replicas: timed out, or the others are unreachable."""
-
-    token: int
-    replicas: int
-
-
-@dataclass(frozen=True, slots=True)
-class ReplicaAhead:
-    """A replica has entries of this journal that the origin's own disk does not have.
-
-    The disk is not the one that wrote them, or it lost what it had called durable: no entry may be numbered
-    any more.
-    """
-
-    replica: str
-    seq: int
-
-
-ReplicationEffect = SendBatch | QuorumReached | QuorumFailed | ReplicaAhead
-
-
 @dataclass(slots=True)
 class _ReplicaProgress:
+    """What one replica acknowledged, and the state of sending to it."""
+
     last_heard_us: int  # the last acknowledgement, or the assignment
     disk: str | None = None  # None until the first acknowledgement
     seq: int = 0
@@ -148,27 +61,24 @@
         return self.disk is not None and self.seq >= seq
 
 
-@dataclass(slots=True)
 class ReplicationState:
-    """Replication of one origin's journal. `last` is the largest number that is durable at the origin."""
-
-    policy: ReplicationPolicy
-    now: int
-    last: int = 0
-    is_diverged: bool = False  # after a ReplicaAhead
-    _start: int = field(init=False)
-    _sent_to: set[str] = field(default_factory=set)  # replicas that entries were sent to since the start
-    _replicas: dict[str, _ReplicaProgress] = field(default_factory=dict)
-    _requests: dict[int, ReplicationRequested] = field(default_factory=dict)
-    _commit_sizes: deque[tuple[int, int]] = field(
-        default_factory=lambda: deque(maxlen=MAX_REMEMBERED_COMMITS)
-    )
-    _persisted_bytes: int = 0
-    _effects: list[ReplicationEffect] = field(default_factory=list)
-
-    def __post_init__(self) -> None:
-        """Remember the last number of the disk as it was found."""
-        self._start = self.last
+    """Replication of one origin's journal.
+
+    Starts at `now` without replicas. `last` is the largest number that is durable at the origin, first that
+    of the disk as it was found. `is_diverged` is set with a ReplicaAhead, for good.
+    """
+
+    def __init__(self, policy: ReplicationPolicy, now: int, last: int = 0) -> None:
+        self.policy = policy
+        self.now = now
+        self.last = last
+        self.is_diverged = False
+        self._start = last
+        self._sent_to: set[str] = set()  # replicas that entries were sent to since the start
+        self._replicas: dict[str, _ReplicaProgress] = {}
+        self._requests: dict[int, ReplicationRequested] = {}
+        self._persisted_bytes = PersistedBytes()
+        self._effects: list[ReplicationEffect] = []
 
     def handle(self, now: int, event: ReplicationInput) -> list[ReplicationEffect]:
         """Apply one input at time `now` and return the effects, in order."""
@@ -227,7 +137,7 @@
         if not needed:
             return None
         slowest = needed[-1]
-        backlog_bytes = self._persisted_bytes - self._bytes_up_to(slowest.seq) + size_bytes
+        backlog_bytes = self._persisted_bytes.total - self._persisted_bytes.up_to(slowest.seq) + size_bytes
         excess_bytes = backlog_bytes - self.policy.max_backlog_bytes
         if excess_bytes <= 0 or slowest.seq >= self.last:
             return None
@@ -253,10 +163,10 @@
         self._replicas = {name: former.get(name, _ReplicaProgress(self.now)) for name in replicas}
 
     def _record_commit(self, seq: int, size_bytes: int) -> None:
-        self._persisted_bytes += size_bytes
+        self._persisted_bytes.add(size_bytes)
         if seq > self.last:  # entries of one commit are reported one by one, in any order
             self.last = seq
-            self._commit_sizes.append((seq, self._persisted_bytes))
+            self._persisted_bytes.end_commit(seq)
 
     def _send_if_needed(self, replica: str) -> None:
         progress = self._replicas[replica]
@@ -296,32 +206,22 @@
         progress.last_heard_us = self.now
         progress.sent_at_us = None
         progress.retry_at_us = self.now
-        self._forget_sizes()
+        self._persisted_bytes.forget_before(min(each.seq for each in self._replicas.values()))
 
     def _measure_rate(self, progress: _ReplicaProgress, disk: str, seq: int) -> None:
         if progress.disk != disk or seq <= progress.seq or progress.sent_at_us is None:
             return
-        acknowledged_bytes = self._bytes_up_to(seq) - self._bytes_up_to(progress.seq)
+        acknowledged_bytes = self._persisted_bytes.up_to(seq) - self._persisted_bytes.up_to(progress.seq)
         rate = acknowledged_bytes / max(1, self.now - progress.sent_at_us)
         if not progress.bytes_per_us:
             progress.bytes_per_us = rate
             return
         progress.bytes_per_us += RATE_GAIN * (rate - progress.bytes_per_us)
 
-    def _forget_sizes(self) -> None:
-        """Forget the sizes of commits that all replicas have."""
-        everywhere = min(progress.seq for progress in self._replicas.values())
-        while self._commit_sizes and self._commit_sizes[0][0] < everywhere:
-            self._commit_sizes.popleft()
-
-    def _bytes_up_to(self, seq: int) -> int:
-        """Bytes of entries up to `seq` since the start of this process; earlier entries count nothing."""
-        return next((size for last, size in reversed(self._commit_sizes) if last <= seq), 0)
-
     def _quorum_result(self, request: ReplicationRequested) -> QuorumReached | QuorumFailed | None:
         """Return the answer to a request, None while it waits.
 
-        The entry must be durable here first: replicas alone are somebody else's disks.
+        The entry must be durable here first: a number that only replicas have may be given to another entry.
         """
         if self.last < request.seq:
             return None
--- a/packages/journal/tests/test_placement.py
+++ b/packages/journal/tests/test_placement.py
@@ -20,6 +20,9 @@
         assert removed.name not in without
         moves += sum(a != b for a, b in zip(names, without, strict=True) if a != removed.name)
     assert not moves
+
+
+def test_replicas_when_there_is_one_region_are_in_its_other_zones() -> None:
     one_region = [host for host in HOSTS if host.region == "r0"]
     names = choose_replicas(one_region[0], one_region)  # two other zones of the only region
     assert len({name[:3] for name in names} | {one_region[0].name[:3]}) == 3
