--- a/packages/fleet/tests/test_agent_state.py
+++ b/packages/fleet/tests/test_agent_state.py
@@ -1,4 +1,4 @@
-"""The state machine of an agent, without any process."""
+"""The state machine of an agent, without a process."""
 
 from __future__ import annotations
 
@@ -73,39 +73,42 @@
 
 def test_controller_when_a_process_crashes_restarts_it_with_exponential_backoff() -> None:
     rig = AgentRig()
-    pauses = []
+    delays_us = []
     for _ in range(8):
         rig.handle(ProcessExited())
-        due = rig.controller.deadline_us
-        assert due is not None
-        pauses.append(due - rig.now)
-        rig.pass_time(due - rig.now)
-    assert pauses == [min(500_000 * 2**n, 30 * SECOND) for n in range(8)]
+        deadline_us = rig.controller.deadline_us
+        assert deadline_us is not None
+        delays_us.append(deadline_us - rig.now)
+        rig.pass_time(deadline_us - rig.now)
+    assert delays_us == [min(500_000 * 2**n, 30 * SECOND) for n in range(8)]
     rig.pass_time(31 * SECOND)
     rig.handle(ProcessExited())
     assert rig.controller.deadline_us == rig.now + 500_000
     assert {type(c) for c in rig.sent} == {RegisterMember}
 
 
-@pytest.mark.parametrize(("late", "begins"), [(4 * SECOND, True), (6 * SECOND, False)])
-def test_controller_when_a_permit_comes_too_late_abandons_it(late: int, begins: bool) -> None:
+@pytest.mark.parametrize(("delay_us", "begins"), [(4 * SECOND, True), (6 * SECOND, False)])
+def test_controller_when_a_permit_comes_too_late_abandons_it(delay_us: int, begins: bool) -> None:
     rig = AgentRig()
     release(rig)
     rig.observe(answer=False)
     permit = rig.apply(RequestPermit("m", "agent-m", "to v2", "r"))
-    rig.now += late
+    rig.now += delay_us
     rig.handle(PermitAnswered(permit))
     assert (rig.started == ["v1", "v2"]) is begins
     assert [type(c) for c in rig.sent[1:]] == ([BeginPermit, CompletePermit] if begins else [AbandonPermit])
     assert not rig.fleet.state.permits
 
 
-def test_controller_when_halted_requests_nothing_and_when_denied_requests_again_later() -> None:
+def test_controller_when_halted_requests_nothing() -> None:
     rig = AgentRig()
     release(rig)
     rig.apply(HaltPlan("stop"))
     rig.observe()
     assert rig.started == ["v1"]
+
+
+def test_controller_when_denied_requests_again_later() -> None:
     rig = AgentRig()
     rig.apply(RegisterMember("n", FRONT_END, "b", "n.1"))
     other = rig.apply(RequestPermit("n", "agent-n", "by hand"))
@@ -154,8 +157,8 @@
     rig.acknowledge()
     assert rig.current_phase() is Phase.DRAINED
     assert rig.controller.durable.drain_permit
-    held, rig.controller = rig.controller.durable.drain_permit, rig.agent()
-    rig.controller.durable.drain_permit = held
+    drain_permit, rig.controller = rig.controller.durable.drain_permit, rig.agent()
+    rig.controller.durable.drain_permit = drain_permit
     rig.do(rig.controller.start(rig.now))
     rig.observe()
     assert rig.current_phase() is Phase.DRAINED
@@ -168,12 +171,15 @@
     assert not rig.controller.durable.drain_permit
 
 
-def test_draining_worker_when_it_crashes_counts_as_stopped() -> None:
+def test_draining_worker_when_it_crashes_is_drained() -> None:
     rig = WorkerAgentRig()
     rig.apply(StartPlan("d", ("m",), keeps_members_out=True))
     rig.observe()
     rig.handle(ProcessExited())
     assert rig.current_phase() is Phase.DRAINED
+
+
+def test_worker_to_be_restarted_when_it_crashes_is_started_again() -> None:
     rig = WorkerAgentRig()
     rig.apply(StartPlan("c", ("m",)))
     rig.observe()
@@ -211,9 +217,12 @@
     rig.handle(OperatorOrder("jo", "no quorum", 7.0, "v2"))
     assert rig.started == ["v1", "v2"]
     assert rig.controller.durable.current == "v2"
-    assert [a.reason for a in rig.fleet.state.manual_changes] == ["no quorum"]
+    assert [change.reason for change in rig.fleet.state.manual_changes] == ["no quorum"]
     assert not rig.fleet.state.permits
     assert rig.fleet.state.members["m"].version == "v2"
+
+
+def test_controller_when_an_ordered_version_does_not_become_ready_reverts_it() -> None:
     rig = WorkerAgentRig()
     rig.bad = ("v2",)
     rig.handle(OperatorOrder("jo", "no quorum", 7.0, "v2"))
--- a/packages/fleet/tests/test_analysis.py
+++ b/packages/fleet/tests/test_analysis.py
@@ -43,12 +43,12 @@
     assert analyze([new], [old], AnalysisPolicy()).verdict is verdict
 
 
-class AnalysisRig:
-    """Front ends that tell their calls; six a zone."""
+class ReleaseUnderAnalysis:
+    """A release of twelve front ends in two zones, which report their calls to a leader."""
 
     def __init__(self) -> None:
         self.fleet_rig = rig_with(12, 0)
-        self.watch = FleetMonitor(0, LEASE, AnalysisPolicy(min_calls=100, max_regression=0.02))
+        self.monitor = FleetMonitor(0, LEASE, AnalysisPolicy(min_calls=100, max_regression=0.02))
         self.calls = {n: CallCounts() for n in self.state.members}
         self.fleet_rig.do(StartPlan("r", tuple(self.state.members), "v2", (0.5, 1.0), "v1"))
 
@@ -56,20 +56,26 @@
     def state(self) -> FleetState:
         return self.fleet_rig.fleet.state
 
-    def serve(self, bad: Set[str] = frozenset()) -> list[RecordStepVerdict]:
-        """A thousand calls each; `bad` members fail a fifth. What the leader proposes then."""
+    def serve(self, failing: Set[str] = frozenset()) -> list[RecordStepVerdict]:
+        """Serve a thousand calls at each member, and return the leader's verdicts.
+
+        Of the calls at `failing` members a fifth fails.
+        """
         for _ in range(2):
             for name, member in self.state.members.items():
-                self.watch.report(1, MemberReport(name, member.incarnation, 0, self.calls[name]), self.state)
-            proposed = [c for c in self.watch.propose(1, self.state) if isinstance(c, RecordStepVerdict)]
+                self.monitor.report(
+                    1, MemberReport(name, member.incarnation, 0, self.calls[name]), self.state
+                )
+            proposed = [c for c in self.monitor.propose(1, self.state) if isinstance(c, RecordStepVerdict)]
             if proposed:
                 return proposed
             for name in self.calls:
-                failed = 200 if name in bad else 0
+                failed = 200 if name in failing else 0
                 self.calls[name] += CallCounts(1000 - failed, 0, failed, 1000 - failed)
         return proposed
 
     def replace(self) -> list[str]:
+        """Install the version on the members of the current step, and return their names."""
         plan = self.state.plans["r"]
         names = [m for m in plan.members[: plan.eligible_count()] if m not in plan.completed]
         for name in names:
@@ -79,43 +85,43 @@
 
 
 def test_step_analysis_when_no_member_runs_the_old_version_uses_the_baseline_of_earlier_steps() -> None:
-    rig = AnalysisRig()
+    release = ReleaseUnderAnalysis()
     for _ in range(3):
-        assert not rig.serve(), "its members are not back"
-        rig.replace()
-        (verdict,) = rig.serve()
+        assert not release.serve(), "its members are not back"
+        release.replace()
+        (verdict,) = release.serve()
         assert verdict.passed, verdict.reason
-        rig.fleet_rig.do(verdict)
-        rig.watch = FleetMonitor(
+        release.fleet_rig.do(verdict)
+        release.monitor = FleetMonitor(
             1, LEASE, AnalysisPolicy(min_calls=100)
-        )  # another leader each time: it knows what is agreed
-    assert rig.state.plans["r"].end_reason == "done"
-    assert rig.state.plans["r"].baseline[0] > 1000
+        )  # another leader each time: it knows the committed state
+    assert release.state.plans["r"].end_reason == "done"
+    assert release.state.plans["r"].baseline[0] > 1000
 
 
 def test_step_analysis_when_one_zone_regresses_fails_and_names_the_zone() -> None:
-    rig = AnalysisRig()
-    first = rig.replace()
-    (verdict,) = rig.serve()
-    rig.fleet_rig.do(verdict)
-    second = rig.replace()
-    in_b = {n for n in [*first, *second] if rig.state.members[n].zone == "b"}
-    (verdict,) = rig.serve(in_b)
+    release = ReleaseUnderAnalysis()
+    first = release.replace()
+    (verdict,) = release.serve()
+    release.fleet_rig.do(verdict)
+    second = release.replace()
+    in_zone_b = {n for n in [*first, *second] if release.state.members[n].zone == "b"}
+    (verdict,) = release.serve(in_zone_b)
     assert not verdict.passed
     assert verdict.reason.endswith("in b")
     assert "failed" in verdict.reason
-    rig.fleet_rig.do(verdict)
-    assert rig.state.plans["r"].end_reason.startswith("gone back")
+    release.fleet_rig.do(verdict)
+    assert release.state.plans["r"].end_reason.startswith("gone back")
 
 
 def test_step_analysis_when_members_report_no_counts_is_inconclusive() -> None:
-    rig = AnalysisRig()
-    (name,) = rig.replace()
-    member = rig.state.members[name]
-    rig.watch.report(1, MemberReport(name, member.incarnation), rig.state)
-    rig.calls.pop(name)
-    silent = rig.state.members.pop(name)
-    rig.serve()
-    rig.state.members[name] = silent
-    assert not [c for c in rig.watch.propose(1, rig.state) if isinstance(c, RecordStepVerdict)]
-    assert "0 and" in rig.watch.pending_verdicts["r"]
+    release = ReleaseUnderAnalysis()
+    (name,) = release.replace()
+    member = release.state.members[name]
+    release.monitor.report(1, MemberReport(name, member.incarnation), release.state)
+    release.calls.pop(name)
+    without_report = release.state.members.pop(name)
+    release.serve()
+    release.state.members[name] = without_report
+    assert not [c for c in release.monitor.propose(1, release.state) if isinstance(c, RecordStepVerdict)]
+    assert "0 and" in release.monitor.pending_verdicts["r"]
--- a/packages/fleet/tests/test_command_text.py
+++ b/packages/fleet/tests/test_command_text.py
@@ -1,4 +1,4 @@
-"""The words of the history, which programs read: they stay whatever names the code has."""
+"""The text of commands in the history, which programs read: it does not follow names in the code."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from walnutpost.configstore.messages import Mutation
 from walnutpost.fleet import ApplyChangeSet, ForgetMember, StartPlan, command_name, describe_command
 
-# By the golden name of a command: the name and the text that were published before the code was renamed.
+# By the golden name of a command: its published name and text.
 PUBLISHED: dict[str, tuple[str, str]] = {
     "enter.all-fields": (
         "enter",
--- a/packages/fleet/tests/test_draining.py
+++ b/packages/fleet/tests/test_draining.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass, field
 from random import Random
 
 import pytest
@@ -25,6 +26,7 @@
     FleetMonitor,
     MarkUnresponsive,
     MemberReport,
+    Permit,
     RegisterMember,
     endpoint_snapshot,
 )
@@ -34,30 +36,23 @@
 def test_confirmation_when_a_responsive_front_end_has_not_acknowledged_is_rejected() -> None:
     rig = rig_with()
     permit = begin_drain(rig)
-    at = rig.fleet.state.permits[permit].granted_index
-    both = (Acknowledgement("f0", "f0.1", at), Acknowledgement("f1", "f1.1", at + 1))
-    for acted, why in (
-        (both, "f2 has not said"),
-        ((*both, Acknowledgement("f2", "f2.1", at - 1)), "f2 has not said"),
-        (
-            (*both, Acknowledgement("f2", "f2.0", at)),
-            "f2 has not said",
-        ),  # the process before the one that is there
-    ):
-        assert why in rig.do(ConfirmPermit(permit, acted)).error
+    index = rig.fleet.state.permits[permit].granted_index
+    both = (Acknowledgement("f0", "f0.1", index), Acknowledgement("f1", "f1.1", index + 1))
+    of_an_earlier_list = Acknowledgement("f2", "f2.1", index - 1)
+    of_an_earlier_process = Acknowledgement("f2", "f2.0", index)
+    for acknowledgements in (both, (*both, of_an_earlier_list), (*both, of_an_earlier_process)):
+        assert "f2 has not said" in rig.do(ConfirmPermit(permit, acknowledgements)).error
     rig.do(MarkUnresponsive("f2", "f2.1"))
-    rig.do(
-        RegisterMember("f3", FRONT_END, "a", "f3.1", "v1", follows_endpoints=True)
-    )  # came up since the leader looked
+    rig.do(RegisterMember("f3", FRONT_END, "a", "f3.1", "v1", follows_endpoints=True))  # after the proposal
     assert "f3 has not said" in rig.do(ConfirmPermit(permit, both)).error
-    rig.do(RegisterMember("f4", FRONT_END, "a", "f4.1", "v1"))  # follows no list, and can say nothing
-    assert rig.do(ConfirmPermit(permit, (*both, Acknowledgement("f3", "f3.1", at)))).ok
+    rig.do(RegisterMember("f4", FRONT_END, "a", "f4.1", "v1"))  # follows no list: it acknowledges nothing
+    assert rig.do(ConfirmPermit(permit, (*both, Acknowledgement("f3", "f3.1", index)))).ok
     assert rig.fleet.state.permits[permit].confirmed_index
     assert len(rig.fleet.state.permits[permit].acknowledgements) == 3
 
 
-class Trusting(Fleet):
-    """Takes the leader's word for who has acted."""
+class UncheckedConfirmation(Fleet):
+    """Confirms a permit without a check of the acknowledgements."""
 
     def _execute(self, command: Command) -> CommandResult:
         if not isinstance(command, ConfirmPermit):
@@ -66,103 +61,156 @@
         return self.accepted()
 
 
-class Hasty(EndpointFollower):
-    """Says that it acts on a list before it does."""
+class EarlyAcknowledgement(EndpointFollower):
+    """Acknowledges a list before it is applied."""
 
-    def receive(self, now: int, sight: EndpointSnapshot | None, known: bool) -> bool:
-        new = super().receive(now, sight, known)
+    def receive(self, now_us: int, snapshot: EndpointSnapshot | None, known: bool) -> bool:
+        must_rebuild = super().receive(now_us, snapshot, known)
         self.mark_applied()
-        return new
+        return must_rebuild
 
 
-class Forgetful(EndpointFollower):
-    """Takes up an older list that comes late."""
+class OlderListAccepted(EndpointFollower):
+    """Accepts a delayed list that is older than the one in force."""
 
-    def receive(self, now: int, sight: EndpointSnapshot | None, known: bool) -> bool:
+    def receive(self, now_us: int, snapshot: EndpointSnapshot | None, known: bool) -> bool:
         self.applied_index = 0
-        return super().receive(now, sight, known)
+        return super().receive(now_us, snapshot, known)
 
 
-class Process:
-    """A front end: what it was told lies in a queue until it is carried out, as a busy process would."""
+@dataclass
+class FrontEnd:
+    """A front end's process. A list waits in `pending` until it is applied, as in a busy process.
 
-    def __init__(self, kind: type[EndpointFollower], name: str, life: int) -> None:
-        self.follower = kind(name, f"{name}.{life}", True)
-        self.avoids: set[str] = set()
-        self.todo: list[set[str]] = []
-        self.paused = False
+    `avoided`: the workers that it sends no new calls; `pending`: those of lists that are not applied yet.
+    """
 
+    follower: EndpointFollower
+    avoided: set[str] = field(default_factory=set)
+    pending: list[set[str]] = field(default_factory=list)
+    is_paused: bool = False
 
-def play(seed: int, fleet: type[Fleet] = Fleet, kind: type[EndpointFollower] = EndpointFollower) -> int:
-    """Each worker that ends is one that no front end which is heard of still calls. How many ended."""
-    rng, now, ended = Random(seed), 0, 0
-    rig = rig_with(4, 2, fleet)
-    processes = {f"f{n}": Process(kind, f"f{n}", 1) for n in range(4)}
-    watch = FleetMonitor(now, LEASE, AnalysisPolicy())
-    late: list[tuple[Process, EndpointSnapshot]] = []
-    for step in range(600):
-        now += rng.randrange(40)
-        state = rig.fleet.state
-        name = rng.choice(list(processes))
-        process = processes[name]
-        dice = rng.random()
-        if dice < 0.5 and not process.paused:
-            follower = process.follower
-            known = watch.report(now, MemberReport(name, follower.incarnation, follower.applied_index), state)
-            sight = endpoint_snapshot(state, now, EndpointAges())
-            late.append((process, sight))
-            if rng.random() < 0.8:
-                process, sight = late.pop(rng.randrange(len(late)))
-            if process.follower.receive(now, sight, known):
-                assert process.follower.snapshot is not None
-                process.todo.append({w.name for w in process.follower.snapshot.workers if w.is_draining})
-                if rng.random() < 0.7:
-                    process.avoids = process.todo.pop()
-                    process.follower.mark_applied()
+
+@dataclass
+class Delivery:
+    """A list of workers on its way to a front end."""
+
+    front_end: FrontEnd
+    snapshot: EndpointSnapshot
+
+
+class DrainSimulation:
+    """Four front ends and two workers under random reports, restarts, pauses, late lists and new leaders.
+
+    Each worker that may stop is one that no responsive front end calls any more.
+    """
+
+    def __init__(self, seed: int, fleet: type[Fleet], follower: type[EndpointFollower]) -> None:
+        self.random = Random(seed)
+        self.now_us = 0
+        self.stopped_count = 0
+        self.follower = follower
+        self.rig = rig_with(4, 2, fleet)
+        self.front_ends = {f"f{n}": FrontEnd(follower(f"f{n}", f"f{n}.1", True)) for n in range(4)}
+        self.monitor = FleetMonitor(0, LEASE, AnalysisPolicy())
+        self.deliveries: list[Delivery] = []
+
+    def step(self, number: int) -> None:
+        """Do one random thing, and check the workers that may stop; the number is that of new processes."""
+        self.now_us += self.random.randrange(40)
+        name = self.random.choice(list(self.front_ends))
+        front_end = self.front_ends[name]
+        dice = self.random.random()
+        if dice < 0.5 and not front_end.is_paused:
+            self._report(name, front_end)
         elif dice < 0.55:
-            process.paused = not process.paused
+            front_end.is_paused = not front_end.is_paused
         elif dice < 0.58:
-            processes[name] = Process(kind, name, step + 2)
-            rig.do(RegisterMember(name, FRONT_END, "a", f"{name}.{step + 2}", "v1", follows_endpoints=True))
+            self._restart(name, f"{name}.{number}")
         elif dice < 0.63:
-            watch = FleetMonitor(now, LEASE, AnalysisPolicy())  # another leader
-        elif dice < 0.73 and not state.permits:
-            begin_drain(rig, rng.choice(["w0", "w1"]))
+            self.monitor = FleetMonitor(self.now_us, LEASE, AnalysisPolicy())  # of another leader
+        elif dice < 0.73 and not self.rig.fleet.state.permits:
+            begin_drain(self.rig, self.random.choice(["w0", "w1"]))
         else:
-            for command in watch.propose(now, state):
-                if rng.random() < 0.8:
-                    rig.do(command)
-        for permit in [p for p in state.permits.values() if p.confirmed_index]:
-            for other in processes.values():
-                member = state.members[other.follower.member]
-                heard = not member.unresponsive and member.incarnation == other.follower.incarnation
-                acted = any(a.incarnation == other.follower.incarnation for a in permit.acknowledgements)
-                assert not (heard and acted) or permit.member in other.avoids, "still called"
-                assert acted or not heard or other.follower.incarnation.endswith(f".{step + 2}"), "not asked"
-            ended += 1
-            release_permit(rig.fleet, permit)
-    return ended
+            self._propose()
+        for permit in [p for p in self.rig.fleet.state.permits.values() if p.confirmed_index]:
+            self._check_stop(permit, number)
+            self.stopped_count += 1
+            release_permit(self.rig.fleet, permit)
+
+    def _report(self, name: str, front_end: FrontEnd) -> None:
+        """Report, and receive the answer or that to an earlier report."""
+        state, follower = self.rig.fleet.state, front_end.follower
+        report = MemberReport(name, follower.incarnation, follower.applied_index)
+        is_known = self.monitor.report(self.now_us, report, state)
+        delivery = Delivery(front_end, endpoint_snapshot(state, self.now_us, EndpointAges()))
+        self.deliveries.append(delivery)
+        if self.random.random() < 0.8:
+            delivery = self.deliveries.pop(self.random.randrange(len(self.deliveries)))
+        self._receive(delivery, is_known)
+
+    def _receive(self, delivery: Delivery, is_known: bool) -> None:
+        front_end = delivery.front_end
+        if not front_end.follower.receive(self.now_us, delivery.snapshot, is_known):
+            return
+        snapshot = front_end.follower.snapshot
+        assert snapshot is not None
+        front_end.pending.append({worker.name for worker in snapshot.workers if worker.is_draining})
+        if self.random.random() < 0.7:
+            front_end.avoided = front_end.pending.pop()
+            front_end.follower.mark_applied()
+
+    def _restart(self, name: str, incarnation: str) -> None:
+        self.front_ends[name] = FrontEnd(self.follower(name, incarnation, True))
+        self.rig.do(RegisterMember(name, FRONT_END, "a", incarnation, "v1", follows_endpoints=True))
+
+    def _propose(self) -> None:
+        """Apply most of the leader's proposals; the others are lost."""
+        for command in self.monitor.propose(self.now_us, self.rig.fleet.state):
+            if self.random.random() < 0.8:
+                self.rig.do(command)
+
+    def _check_stop(self, permit: Permit, number: int) -> None:
+        for front_end in self.front_ends.values():
+            incarnation = front_end.follower.incarnation
+            member = self.rig.fleet.state.members[front_end.follower.member]
+            is_responsive = not member.unresponsive and member.incarnation == incarnation
+            has_acknowledged = any(each.incarnation == incarnation for each in permit.acknowledgements)
+            is_avoided = permit.member in front_end.avoided
+            assert not (is_responsive and has_acknowledged) or is_avoided, "still called"
+            has_just_started = incarnation.endswith(f".{number}")
+            assert has_acknowledged or not is_responsive or has_just_started, "not asked"
+
+
+def simulate(
+    seed: int, fleet: type[Fleet] = Fleet, follower: type[EndpointFollower] = EndpointFollower
+) -> int:
+    """Simulate 600 steps, and return how many workers were allowed to stop."""
+    simulation = DrainSimulation(seed, fleet, follower)
+    for step in range(600):
+        simulation.step(step + 2)
+    return simulation.stopped_count
 
 
 def test_drain_under_any_order_of_reports_and_restarts_stops_no_worker_that_is_still_called() -> None:
-    assert sum(play(seed) for seed in range(30)) > 60
+    assert sum(simulate(seed) for seed in range(30)) > 60
 
 
 @pytest.mark.parametrize(
-    ("fleet", "kind", "why"),
+    ("fleet", "follower", "violation"),
     [
-        (Trusting, EndpointFollower, "not asked"),
-        (Fleet, Hasty, "still called"),
-        (Fleet, Forgetful, "still called"),
+        (UncheckedConfirmation, EndpointFollower, "not asked"),
+        (Fleet, EarlyAcknowledgement, "still called"),
+        (Fleet, OlderListAccepted, "still called"),
     ],
 )
 def test_drain_under_a_wrong_rule_violates_an_invariant(
-    fleet: type[Fleet], kind: type[EndpointFollower], why: str
+    fleet: type[Fleet], follower: type[EndpointFollower], violation: str
 ) -> None:
-    found = []
+    violations = []
     for seed in range(30):
         try:
-            play(seed, fleet, kind)
+            simulate(seed, fleet, follower)
         except AssertionError as error:
-            found.append(str(error))
-    assert any(why in text for text in found)
+            violations.append(str(error))
+    assert any(violation in text for text in violations)
--- a/packages/fleet/tests/test_endpoints.py
+++ b/packages/fleet/tests/test_endpoints.py
@@ -26,28 +26,28 @@
     ]
     follower = EndpointFollower("f0", "f0.1", True)
     assert follower.merge(own) == own
-    rig.do(RegisterMember("w2", WORKER, "b", "w2.1", "v1"))  # says no address: nobody could call it
+    rig.do(RegisterMember("w2", WORKER, "b", "w2.1", "v1"))  # without an address it cannot be called
     follower.receive(700, endpoint_snapshot(rig.fleet.state, 0, EndpointAges()), True)
     by_name = {w.name: w for w in follower.merge(own[1:])}
     assert set(by_name) == {"w0", "w1", "own"}
     assert by_name["w0"] == ListedEndpoint("w0", "127.0.0.1:1", "a", 700, True)
-    assert by_name["w1"] == ListedEndpoint("w1", "127.0.0.1:2", "a", 800, True), "it leaves by the own list"
+    assert by_name["w1"] == ListedEndpoint("w1", "127.0.0.1:2", "a", 800, True), "it drains by the own list"
 
 
 def test_worker_age_when_clocks_of_machines_differ_is_the_same_for_a_process() -> None:
-    """A clock that is a day ahead would make a worker cold for a day, one that is behind would hide a
-    start."""
+    """With times of a clock that is a day ahead, a worker would be warming up for a day; with those of a clock
+    that is behind, its start would be overlooked."""
     rig, ages, follower = rig_with(), EndpointAges(), EndpointFollower("f0", "f0.1", True)
 
-    def began(now: int, at: int) -> int:
-        ages.observe(at, rig.fleet.state)
-        follower.receive(now, endpoint_snapshot(rig.fleet.state, at, ages), True)
+    def started_at(front_end_us: int, replica_us: int) -> int:
+        ages.observe(replica_us, rig.fleet.state)
+        follower.receive(front_end_us, endpoint_snapshot(rig.fleet.state, replica_us, ages), True)
         return next(w.started_at_us for w in follower.merge([]) if w.name == "w0")
 
     ages.observe(100, rig.fleet.state)
-    assert began(now=10**9, at=5100) == 10**9 - 5000
+    assert started_at(front_end_us=10**9, replica_us=5100) == 10**9 - 5000
     begin_drain(rig)
-    ages = EndpointAges()  # another rig, which has just come up
-    assert began(now=10**9 + 7000, at=0) == 10**9 - 5000
+    ages = EndpointAges()  # of another replica, which has just started
+    assert started_at(front_end_us=10**9 + 7000, replica_us=0) == 10**9 - 5000
     rig.do(RegisterMember("w0", WORKER, "a", "w0.2", "v1", address="127.0.0.1:1"))
-    assert began(now=10**9 + 9000, at=40) == 10**9 + 9000
+    assert started_at(front_end_us=10**9 + 9000, replica_us=40) == 10**9 + 9000
--- a/packages/fleet/tests/test_fleet_golden.py
+++ b/packages/fleet/tests/test_fleet_golden.py
@@ -1,5 +1,5 @@
-"""Replicas of other versions and older disks: the bytes of commands, answers and states stay, and the same
-history gives the same state."""
+"""Replicas of other versions and older disks: the bytes of commands, results and states do not change, and
+the same log gives the same state."""
 
 from __future__ import annotations
 
@@ -72,48 +72,48 @@
 
 
 def values() -> list[object]:
-    """With the states within fleets, which are no structs themselves."""
-    found = GOLDEN.values()
-    return found + [each.state for each in found if isinstance(each, Fleet)]
+    """Return the golden values, with the states of fleets, which are no structs themselves."""
+    golden = GOLDEN.values()
+    return golden + [each.state for each in golden if isinstance(each, Fleet)]
 
 
 @pytest.mark.parametrize("name", GOLDEN.forms)
-def test_a_golden_form_is_written_with_the_same_bytes(name: str) -> None:
+def test_golden_form_is_written_with_the_same_bytes(name: str) -> None:
     GOLDEN.check_written(name)
 
 
 @pytest.mark.parametrize("name", GOLDEN.forms)
-def test_a_golden_form_is_read_as_the_same_value(name: str) -> None:
+def test_golden_form_is_read_as_the_same_value(name: str) -> None:
     GOLDEN.check_read(name)
 
 
-def test_the_golden_file_holds_these_forms_and_no_others() -> None:
+def test_golden_file_has_exactly_these_forms() -> None:
     GOLDEN.check_names()
 
 
-def test_every_command_and_every_stored_type_has_a_golden_form() -> None:
+def test_each_command_and_each_stored_type_has_a_golden_form() -> None:
     check_covered(get_args(Command), COMMANDS.values())
     wanted = {kind for module in MODULES for kind in structs_of(module)} - FRAMES
     check_covered(wanted, values())
 
 
-def test_the_golden_history_has_all_types_of_commands_but_those_that_end_what_it_shows() -> None:
+def test_golden_history_has_all_types_of_commands_except_those_that_would_end_its_permits_and_halts() -> None:
     missing = set(get_args(Command)) - {type(command) for command in HISTORY_COMMANDS}
     assert missing == {commands.AbandonPermit, commands.RevokePermit, commands.ResumePlan}
 
 
-def test_no_field_can_change_places_or_its_default_unseen() -> None:
+def test_golden_values_show_a_change_of_order_or_default_of_any_field() -> None:
     check_fields_distinguishable(values())
 
 
-def test_a_golden_history_gives_the_golden_answers_and_state() -> None:
+def test_golden_history_gives_the_golden_results_and_state() -> None:
     entries = msgspec.msgpack.decode(GOLDEN["history.entries"], type=tuple[LogEntry, ...])
     fleet = Fleet()
     assert msgspec.msgpack.encode(applied(fleet, entries)) == GOLDEN["history.answers"]
     assert fleet.snapshot() == GOLDEN["state-snapshot.after-the-history"]
 
 
-def test_a_golden_state_goes_on_to_the_same_state_from_any_entry_of_the_history() -> None:
+def test_golden_history_gives_the_same_state_from_a_snapshot_at_any_entry() -> None:
     entries = msgspec.msgpack.decode(GOLDEN["history.entries"], type=tuple[LogEntry, ...])
     for cut in range(len(entries)):
         fleet = Fleet()
--- a/packages/fleet/tests/test_leases.py
+++ b/packages/fleet/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases of members, as a leader watches them."""
+"""Leases of members at the leader."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 )
 
 
-def test_leases_when_a_leader_is_new_mark_nobody_unresponsive_before_a_full_lease() -> None:
+def test_leases_when_a_leader_is_new_mark_no_member_unresponsive_before_a_full_lease() -> None:
     members = FleetRig(2).fleet.state.members
     leases = MemberLeases(1000, 100)
     assert leases.check(1099, members) == []
     leases.report(1099, "m0", "m0.1")
     assert leases.check(1100, members) == [MarkUnresponsive("m1", "m1.1")]
     members["m1"].unresponsive = True
-    leases.report(1150, "m1", "another")  # two under one name: the agreed one is still silent
+    leases.report(1150, "m1", "another")  # another process under its name: the registered one is still silent
     assert leases.check(1160, members) == []
     leases.report(1170, "m1", "m1.1")
     assert leases.check(1180, members) == [MarkResponsive("m1", "m1.1")]
@@ -32,8 +32,8 @@
 
 def test_leases_when_only_its_agent_reports_mark_a_front_end_unresponsive() -> None:
     rig = rig_with(1, 0)
-    watch = FleetMonitor(0, LEASE, AnalysisPolicy())
+    monitor = FleetMonitor(0, LEASE, AnalysisPolicy())
     for now in range(0, 3 * LEASE, 100):
-        watch.report(now, MemberReport("f0", "f0.1"), rig.fleet.state)
-    assert watch.propose(3 * LEASE, rig.fleet.state) == [MarkUnresponsive("f0", "f0.1")]
-    assert not watch.report(3 * LEASE, MemberReport("f0", "f0.9", 4), rig.fleet.state), "another process"
+        monitor.report(now, MemberReport("f0", "f0.1"), rig.fleet.state)
+    assert monitor.propose(3 * LEASE, rig.fleet.state) == [MarkUnresponsive("f0", "f0.1")]
+    assert not monitor.report(3 * LEASE, MemberReport("f0", "f0.9", 4), rig.fleet.state), "another process"
--- a/packages/fleet/tests/test_permits.py
+++ b/packages/fleet/tests/test_permits.py
@@ -1,7 +1,8 @@
-"""Permits and disruption budgets: the limits under any order of messages, and who may end a permit."""
+"""Permits and disruption budgets: limits under any order of messages, and which commands end a permit."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from random import Random
 
 import pytest
@@ -32,131 +33,182 @@
 )
 from walnutpost.fleet.permits import release_permit
 
-WITHIN, HALF = 1000, 500
+BEGIN_TIMEOUT_US = 1000
 
 
-class PermitsLapse(Fleet):
-    def apply(self, index: int, id: str, data: bytes) -> CommandResult:
+class ExpiringPermits(Fleet):
+    """Ends permits after some entries, as leases end."""
+
+    def apply(self, index: int, request_id: str, data: bytes) -> CommandResult:
         for permit in [p for p in self.state.permits.values() if index - p.granted_index > 12]:
             release_permit(self, permit)
-        return super().apply(index, id, data)
+        return super().apply(index, request_id, data)
+
 
+class NoRememberedResults(Fleet):
+    """Applies a repeated command again."""
 
-class AppliesTwice(Fleet):
-    def apply(self, index: int, id: str, data: bytes) -> CommandResult:
+    def apply(self, index: int, request_id: str, data: bytes) -> CommandResult:
         self.state.results.clear()
-        return super().apply(index, id, data)
+        return super().apply(index, request_id, data)
+
+
+class TimeLimitFromTheAnswer(PermitHolder):
+    """Counts the time limit from the answer instead of the request."""
+
+    def granted(self, now_us: int, permit: str) -> None:
+        self._deadline_us = now_us + BEGIN_TIMEOUT_US
+        super().granted(now_us, permit)
+
+
+@dataclass(frozen=True)
+class Message:
+    """A command on its way from the agent of a member."""
 
+    member: str
+    request_id: str
+    command: Command
 
-class CountsFromTheAnswer(PermitHolder):
-    def granted(self, now: int, permit: str) -> None:
-        self._deadline_us = now + WITHIN
-        super().granted(now, permit)
 
+@dataclass(frozen=True)
+class Answer:
+    """The result of a command on its way back."""
 
-class World:
-    """Members with agents; the history takes commands in any order, again, and answers late. What is out is
-    counted at the members themselves."""
+    member: str
+    request_id: str
+    result: CommandResult
+
+
+@dataclass(frozen=True)
+class PendingRequest:
+    """The last request for a permit of a member's agent."""
+
+    request_id: str
+    holder: PermitHolder
+
+
+class PermitSimulation:
+    """Eight members with agents. Commands and answers arrive in any order, late, and commands repeatedly.
+
+    `unavailable`: the members that are really stopped, with the permit used.
+    """
 
     def __init__(self, seed: int, fleet: type[Fleet], holder: type[PermitHolder]) -> None:
-        self.random, self.now, self.holder = Random(seed), 0, holder
+        self.random, self.now_us, self.holder = Random(seed), 0, holder
         self.rig = FleetRig(
             8,
             DisruptionBudget(FRONT_END, max_unavailable=3),
             DisruptionBudget(FRONT_END, "*", max_unavailable=2),
             fleet=fleet,
         )
-        self.holders: dict[str, tuple[str, PermitHolder]] = {}
-        self.really_out: dict[str, str] = {}  # member -> permit
-        self.wire: list[tuple[str, str, Command]] = []  # agent, id, command
-        self.answers: list[tuple[str, str, CommandResult]] = []
-        self.halted_at: int | None = None
-        self.ids = 0
-        self.first: dict[str, CommandResult] = {}
-
-    def send(self, member: str, command: Command) -> None:
-        self.ids += 1
-        self.wire.append((member, f"{member}-{self.ids}", command))
+        self.pending: dict[str, PendingRequest] = {}
+        self.unavailable: dict[str, str] = {}
+        self.messages: list[Message] = []
+        self.answers: list[Answer] = []
+        self.halted_at_us: int | None = None
+        self.request_count = 0
+        self.first_results: dict[str, CommandResult] = {}
+
+    def send(self, member: str, command: Command) -> str:
+        """Queue a command, and return its request id."""
+        self.request_count += 1
+        request_id = f"{member}-{self.request_count}"
+        self.messages.append(Message(member, request_id, command))
+        return request_id
 
     def step(self) -> None:
-        random, member = self.random, f"m{self.random.randrange(8)}"
-        self.now += random.randrange(60)
-        dice = random.random()
-        holder = self.holders.get(member)
-        if dice < 0.35 and self.wire:
-            place = random.randrange(len(self.wire))
-            agent, id, command = self.wire[place]
-            if random.random() < 0.8:  # else it comes again
-                self.wire.pop(place)
-            answer = self.rig.do(command, id)
-            assert self.first.setdefault(id, answer) == answer, "answered twice"
-            self.answers.append((agent, id, answer))
+        """Do one random thing, and check the budgets against the members that are really stopped."""
+        member = f"m{self.random.randrange(8)}"
+        self.now_us += self.random.randrange(60)
+        dice = self.random.random()
+        if dice < 0.35 and self.messages:
+            self._deliver_command()
         elif dice < 0.6 and self.answers:
-            agent, id, answer = self.answers.pop(random.randrange(len(self.answers)))
-            known = self.holders.get(agent)
-            if known is not None and known[0] == id and answer.permit:
-                known[1].granted(self.now, answer.permit)
+            self._deliver_answer()
         elif dice < 0.9:
-            self._act(member, holder[1] if holder else None)
-        elif dice < 0.93 and self.halted_at is None:
-            self.halted_at = self.now
+            self._act(member)
+        elif dice < 0.93 and self.halted_at_us is None:
+            self.halted_at_us = self.now_us
             self.rig.do(HaltPlan("try"))
-        elif self.halted_at is not None and dice < 0.95:
-            self.halted_at = None
+        elif self.halted_at_us is not None and dice < 0.95:
+            self.halted_at_us = None
             self.rig.do(ResumePlan())
-        here = [m for m in self.really_out if int(m[1:]) % 2 == 0]
-        assert len(self.really_out) <= 3 and max(len(here), len(self.really_out) - len(here)) <= 2, "too many"
-
-    def _act(self, member: str, holder: PermitHolder | None) -> None:
-        if member in self.really_out:
+        in_zone_a = sum(int(name[1:]) % 2 == 0 for name in self.unavailable)
+        in_zone_b = len(self.unavailable) - in_zone_a
+        assert len(self.unavailable) <= 3, "too many"
+        assert max(in_zone_a, in_zone_b) <= 2, "too many"
+
+    def _deliver_command(self) -> None:
+        place = self.random.randrange(len(self.messages))
+        message = self.messages[place]
+        if self.random.random() < 0.8:  # otherwise it is delivered again
+            self.messages.pop(place)
+        result = self.rig.do(message.command, message.request_id)
+        assert self.first_results.setdefault(message.request_id, result) == result, "answered twice"
+        self.answers.append(Answer(message.member, message.request_id, result))
+
+    def _deliver_answer(self) -> None:
+        answer = self.answers.pop(self.random.randrange(len(self.answers)))
+        pending = self.pending.get(answer.member)
+        if pending is not None and pending.request_id == answer.request_id and answer.result.permit:
+            pending.holder.granted(self.now_us, answer.result.permit)
+
+    def _act(self, member: str) -> None:
+        """Let an agent request a permit, begin under one, or bring its member back."""
+        agent = f"agent-{member}"
+        holder = self.pending[member].holder if member in self.pending else None
+        if member in self.unavailable:
             if self.random.random() < 0.3:
-                permit = self.really_out.pop(member)
-                self.holders.pop(member, None)
-                self.send(member, CompletePermit(permit, f"agent-{member}", f"{member}.{self.now}", "v1"))
+                permit = self.unavailable.pop(member)
+                self.pending.pop(member, None)
+                self.send(member, CompletePermit(permit, agent, f"{member}.{self.now_us}", "v1"))
         elif holder is None or holder.phase is PermitPhase.ABANDONED:
             if holder is not None and holder.must_return:
-                self.send(member, AbandonPermit(holder.permit, f"agent-{member}"))
-            self.send(member, RequestPermit(member, f"agent-{member}", "test"))
-            self.holders[member] = self.wire[-1][1], self.holder(self.now, WITHIN)
-        elif holder.begin(self.now):
-            late = self.halted_at is not None and self.now - self.halted_at >= WITHIN
-            assert not late, "it began after the halt had taken effect"
-            self.really_out[member] = holder.permit
-            self.send(member, BeginPermit(holder.permit, f"agent-{member}"))
-
-
-def play(seed: int, fleet: type[Fleet] = Fleet, holder: type[PermitHolder] = PermitHolder) -> int:
-    world, most = World(seed, fleet, holder), 0
+                self.send(member, AbandonPermit(holder.permit, agent))
+            request_id = self.send(member, RequestPermit(member, agent, "test"))
+            self.pending[member] = PendingRequest(request_id, self.holder(self.now_us, BEGIN_TIMEOUT_US))
+        elif holder.begin(self.now_us):
+            halted_at_us = self.halted_at_us
+            is_late = halted_at_us is not None and self.now_us - halted_at_us >= BEGIN_TIMEOUT_US
+            assert not is_late, "it began after the halt had taken effect"
+            self.unavailable[member] = holder.permit
+            self.send(member, BeginPermit(holder.permit, agent))
+
+
+def simulate(seed: int, fleet: type[Fleet] = Fleet, holder: type[PermitHolder] = PermitHolder) -> int:
+    """Simulate 1,500 steps, and return the most members that were unavailable at the same time."""
+    simulation = PermitSimulation(seed, fleet, holder)
+    max_unavailable = 0
     for _ in range(1500):
-        world.step()
-        most = max(most, len(world.really_out))
-    again = Fleet.restore(world.rig.fleet.snapshot())
-    assert again.snapshot() == world.rig.fleet.snapshot()
-    return most
+        simulation.step()
+        max_unavailable = max(max_unavailable, len(simulation.unavailable))
+    restored = Fleet.restore(simulation.rig.fleet.snapshot())
+    assert restored.snapshot() == simulation.rig.fleet.snapshot()
+    return max_unavailable
 
 
 def test_permits_under_any_order_of_messages_never_exceed_a_budget_or_begin_after_a_halt() -> None:
-    assert max(play(seed) for seed in range(20)) == 3
+    assert max(simulate(seed) for seed in range(20)) == 3
 
 
 @pytest.mark.parametrize(
-    ("fleet", "holder", "why"),
+    ("fleet", "holder", "violation"),
     [
-        (PermitsLapse, PermitHolder, "too many"),
-        (AppliesTwice, PermitHolder, "answered twice"),
-        (Fleet, CountsFromTheAnswer, "began after"),
+        (ExpiringPermits, PermitHolder, "too many"),
+        (NoRememberedResults, PermitHolder, "answered twice"),
+        (Fleet, TimeLimitFromTheAnswer, "began after"),
     ],
 )
 def test_permits_under_a_wrong_rule_violate_an_invariant(
-    fleet: type[Fleet], holder: type[PermitHolder], why: str
+    fleet: type[Fleet], holder: type[PermitHolder], violation: str
 ) -> None:
-    found = []
+    violations = []
     for seed in range(20):
         try:
-            play(seed, fleet, holder)
+            simulate(seed, fleet, holder)
         except AssertionError as error:
-            found.append(str(error))
-    assert any(why in text for text in found)
+            violations.append(str(error))
+    assert any(violation in text for text in violations)
 
 
 def test_request_when_permits_and_unresponsive_members_use_up_a_budget_is_rejected() -> None:
@@ -169,7 +221,7 @@
     assert rig.ask("m0").ok
     rig.do(MarkUnresponsive("m2", "m2.1"))
     assert "2 of 2 front_ends in a are out: m0, m2" in rig.ask("m4").error
-    assert rig.ask("m2").ok, "what is out already may be brought back"
+    assert rig.ask("m2").ok, "an unresponsive member may be replaced"
     assert rig.ask("m1").ok
     assert rig.ask("m3").ok
     assert "4 of 4 front_ends are out" in rig.ask("m5").error or "in b" in rig.ask("m5").error
@@ -177,7 +229,7 @@
     assert "0 of 0 workers" in rig.ask("w").error
 
 
-def test_permit_when_others_claim_the_member_is_back_stays_until_its_holder_or_an_operator_ends_it() -> None:
+def test_permit_when_others_report_the_member_back_stays_until_its_holder_or_an_operator_ends_it() -> None:
     rig = FleetRig(2, DisruptionBudget(FRONT_END, max_unavailable=1))
     permit = rig.ask("m0").permit
     assert "agent-m0" in rig.ask("m0", holder="another agent").error
@@ -190,7 +242,7 @@
         rig.do(command)
         assert not rig.ask("m1").ok
     rig.do(BeginPermit(permit, "agent-m0"))
-    assert not rig.do(AbandonPermit(permit, "agent-m0")).ok, "what has begun is out"
+    assert not rig.do(AbandonPermit(permit, "agent-m0")).ok, "a member whose holder has begun is unavailable"
     assert rig.do(RevokePermit(permit, "operator")).ok
     assert rig.ask("m1").ok
     rig.do(ForgetMember("m1"))
--- a/packages/fleet/tests/test_plans.py
+++ b/packages/fleet/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""Plans: releases by steps, rollbacks, halts and what is retained of them."""
+"""Plans: releases by steps, rollbacks, halts, and how many plans and versions are retained."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from walnutpost.fleet.retention import MAX_PLANS, MAX_VERSIONS
 
 
-def test_release_when_a_step_has_no_verdict_yet_takes_no_member_of_the_next() -> None:
+def test_release_when_a_step_has_no_verdict_yet_takes_out_no_member_of_the_next() -> None:
     rig = FleetRig(8, DisruptionBudget(FRONT_END, max_unavailable=4))
     names = tuple(f"m{n}" for n in range(8))
     assert rig.do(StartPlan("r", names, "v2", (0.5, 1.0))).ok
@@ -48,17 +48,17 @@
     rig.replace("m0", "r")
     rig.do(RecordStepVerdict("r", 0, True))
     rig.replace("m1", "r")
-    going = rig.ask("m2", "r")
+    permit = rig.ask("m2", "r").permit
     assert rig.do(RecordStepVerdict("r", 1, False, "a fifth fails")).ok
     state = rig.fleet.state
     assert state.plans["r"].end_reason == "gone back: a fifth fails"
     assert not rig.ask("m3", "r").ok
-    back = state.plans["r.back"]
-    assert back.version == "v1"
-    assert sorted(back.members) == ["m0", "m1", "m2"]
-    assert not rig.ask("m0", "r.back").ok, "m2 is still out"
-    assert back.eligible_count() == 3, "the way back waits for no judgement"
-    rig.do(CompletePermit(going.permit, "agent-m2", "m2.9", "v2"))
+    rollback = state.plans["r.back"]
+    assert rollback.version == "v1"
+    assert sorted(rollback.members) == ["m0", "m1", "m2"]
+    assert not rig.ask("m0", "r.back").ok, "m2 is still unavailable"
+    assert rollback.eligible_count() == 3, "a rollback needs no verdict"
+    rig.do(CompletePermit(permit, "agent-m2", "m2.9", "v2"))
     rig.replace("m0", "r.back", "v1")
     assert (
         "another" in rig.do(StartPlan("s", ("m0",), "v2")).error
@@ -69,7 +69,7 @@
 def test_release_when_its_version_does_not_become_ready_is_rolled_back() -> None:
     rig = FleetRig(4)
     rig.do(StartPlan("r", ("m0", "m1"), "v2", (1.0,), "v1"))
-    rig.replace("m0", "r", version="v1")  # its agent was restarted: nothing was tried
+    rig.replace("m0", "r", version="v1")  # its agent was restarted: the version was not tried
     assert not rig.fleet.state.plans["r"].completed
     assert not rig.fleet.state.plans["r"].halt_reason
     permit = rig.ask("m0", "r").permit
@@ -94,13 +94,13 @@
             (DisruptionBudget(FRONT_END, max_unavailable=2), DisruptionBudget(WORKER, max_unavailable=1))
         )
     )
-    rig.do(MarkUnresponsive("w", "w.1"))  # no matter of a plan that takes out front ends
-    rig.do(MarkUnresponsive("m0", "m0.1"))  # as agreed: it is being replaced, and takes its time
+    rig.do(MarkUnresponsive("w", "w.1"))  # a worker does not affect a plan that takes out front ends
+    rig.do(MarkUnresponsive("m0", "m0.1"))  # it has a permit: it is being replaced
     assert not rig.fleet.state.plans["d"].halt_reason
 
 
 @pytest.mark.parametrize(
-    ("start", "why"),
+    ("command", "error"),
     [
         (StartPlan("r", ("m0",), "v9"), "v9 is not kept"),
         (StartPlan("r", ("m0", "x"), "v2"), "no member x"),
@@ -110,9 +110,9 @@
         (StartPlan("r", ("m0",), "v2", (1.0,), "v8"), "v8 to go back to"),
     ],
 )
-def test_plan_when_it_can_not_be_carried_out_is_rejected(start: StartPlan, why: str) -> None:
+def test_plan_when_invalid_is_rejected(command: StartPlan, error: str) -> None:
     rig = FleetRig()
-    assert why in rig.do(start).error
+    assert error in rig.do(command).error
     assert not rig.fleet.state.plans
 
 
--- a/packages/fleet/tests/test_replicated_state.py
+++ b/packages/fleet/tests/test_replicated_state.py
@@ -1,7 +1,8 @@
-"""Replicas agree on the state, the config store within it, and what they make of other versions' bytes."""
+"""Replicas have the same state, with the config store within it, and the same results for all bytes."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import get_args
 
@@ -38,157 +39,170 @@
 from walnutpost.fleet.machine import HANDLERS
 
 
-def op(name: str, value: str | None = "1") -> Mutation:
+def mutation(name: str, value: str | None = "1") -> Mutation:
     return Mutation(f"function/{name}", None if value is None else value.encode())
 
 
 @dataclass
-class History:
-    """Commands as agreed, and the replicas that apply them."""
+class ReplicatedLog:
+    """Committed commands, and the replicas that apply them."""
 
     fleets: list[Fleet] = field(default_factory=lambda: [Fleet()])
-    entries: list[tuple[str, bytes]] = field(default_factory=list)
+    entries: list[tuple[str, bytes]] = field(default_factory=list)  # request id and content
 
-    def do(self, command: Command, id: str = "") -> CommandResult:
-        self.entries.append((id or f"i{len(self.entries)}", encode(command)))
-        answers = {fleet.apply(len(self.entries), *self.entries[-1]) for fleet in self.fleets}
-        assert len(answers) == 1
-        return answers.pop()
+    def do(self, command: Command, request_id: str = "") -> CommandResult:
+        self.entries.append((request_id or f"i{len(self.entries)}", encode(command)))
+        results = {fleet.apply(len(self.entries), *self.entries[-1]) for fleet in self.fleets}
+        assert len(results) == 1
+        return results.pop()
 
-    def set(self, *ops: Mutation, base: int | None = None, id: str = "") -> CommandResult:
-        revision = self.fleets[0].table.revision
-        return self.do(ApplyChangeSet(ops, revision if base is None else base, "anna"), id)
+    def set(
+        self, *mutations: Mutation, base_revision: int | None = None, request_id: str = ""
+    ) -> CommandResult:
+        revision = self.fleets[0].table.revision if base_revision is None else base_revision
+        return self.do(ApplyChangeSet(mutations, revision, "anna"), request_id)
 
     @property
     def fleet(self) -> Fleet:
         return self.fleets[0]
 
 
-names = st.sampled_from(["f1", "f2", "f3", "f4"])
-
-
-ops = st.builds(op, names, st.sampled_from(["1", "2", None]))
-
+@dataclass(frozen=True)
+class Step:
+    """A command under one of a few request ids, after which a replica may be restored from a snapshot."""
 
-pairs = st.tuples(names, st.sampled_from(["a", "b"]))
+    request_id: int
+    command: Command
+    restart: int
 
 
-changes = st.builds(
-    ApplyChangeSet, st.lists(ops, max_size=3).map(tuple), st.integers(0, 3), st.just("anna")
-)  # `base`: so many change sets too old
-
-
-rosters = st.builds(
-    UpdateFollowers, st.lists(pairs, max_size=2).map(tuple), st.lists(pairs, max_size=2).map(tuple)
+names = st.sampled_from(["f1", "f2", "f3", "f4"])
+mutations = st.builds(mutation, names, st.sampled_from(["1", "2", None]))
+followers = st.tuples(names, st.sampled_from(["a", "b"]))
+change_sets = st.builds(
+    ApplyChangeSet, st.lists(mutations, max_size=3).map(tuple), st.integers(0, 3), st.just("anna")
+)  # half of `base_revision`: how many change sets it is too old
+follower_updates = st.builds(
+    UpdateFollowers, st.lists(followers, max_size=2).map(tuple), st.lists(followers, max_size=2).map(tuple)
 )
-
-
-others = st.one_of(
+other_commands = st.one_of(
     st.builds(ForgetMember, names),
     st.builds(RegisterMember, names, st.just(FRONT_END), st.just("z"), st.sampled_from(["a", "b"])),
     st.builds(StoreVersion, names, st.just(b"content")),
 )
+commands = st.one_of(change_sets, change_sets, follower_updates, other_commands)
+steps = st.lists(st.builds(Step, st.integers(0, 15), commands, st.integers(0, 5)), max_size=40)
 
 
-commands = st.one_of(changes, changes, rosters, others)
-
-
-steps = st.lists(st.tuples(st.integers(0, 15), commands, st.integers(0, 5)), max_size=40)
+def with_base_revision(command: Command, revisions: list[int]) -> Command:
+    """Return a change set for a revision that existed; any other command as it is."""
+    if not isinstance(command, ApplyChangeSet):
+        return command
+    base_revision = revisions[max(0, len(revisions) - 1 - command.base_revision // 2)]
+    return ApplyChangeSet(command.mutations, base_revision, command.operator)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(steps)
-def test_replicas_when_restored_from_snapshots_at_any_time_agree_on_the_state(
-    steps: list[tuple[int, Command, int]],
-) -> None:
-    """One replica applies all; one is read back from its own snapshots; one is sent those of the first now
-    and then; one reads all of the history again at the end. Few ids, so many commands come again."""
-    kept = retention.MAX_REMEMBERED_RESULTS, retention.MAX_VERSIONS
-    retention.MAX_REMEMBERED_RESULTS, retention.MAX_VERSIONS = 5, 2
-    try:
-        history = History([Fleet(), Fleet(), Fleet()])
+def test_replicas_when_restored_from_snapshots_at_any_time_have_the_same_state(steps: list[Step]) -> None:
+    """The first replica applies all entries, the second is restored from its own snapshots, the third from
+    those of the first, and one more applies the complete log at the end.
+
+    With few request ids, many commands are repeated.
+    """
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(retention, "MAX_REMEMBERED_RESULTS", 5)
+        patch.setattr(retention, "MAX_VERSIONS", 2)
+        log = ReplicatedLog([Fleet(), Fleet(), Fleet()])
         revisions = [0]
-        for id, command, restart in steps:
-            if isinstance(command, ApplyChangeSet):
-                base = revisions[max(0, len(revisions) - 1 - command.base_revision // 2)]
-                command = ApplyChangeSet(command.mutations, base, command.operator)
-            history.do(command, f"id{id}")
-            if history.fleet.table.revision > revisions[-1]:
-                revisions.append(history.fleet.table.revision)
-            if restart == 0:
-                history.fleets[1] = Fleet.restore(history.fleets[1].snapshot())
-            elif restart == 1:
-                history.fleets[2] = Fleet.restore(history.fleet.snapshot())
-            assert len({fleet.snapshot() for fleet in history.fleets}) == 1
-            assert len({fleet.table.digest for fleet in history.fleets}) == 1
-        again = Fleet()
-        for index, entry in enumerate(history.entries, 1):
-            again.apply(index, *entry)
-        assert again.snapshot() == history.fleet.snapshot()
-        assert sum(history.fleet.table.compute_bucket_digests()) % 2**64 == history.fleet.table.digest
-    finally:
-        retention.MAX_REMEMBERED_RESULTS, retention.MAX_VERSIONS = kept
-
-
-def test_change_set_when_one_mutation_is_invalid_changes_nothing() -> None:
-    history = History()
-    history.do(HaltPlan("x"))
-    answer = history.set(op("a"), op("b"))
-    table = history.fleet.table
-    assert answer.ok
-    assert answer.index == table.revision == 2
+        for step in steps:
+            log.do(with_base_revision(step.command, revisions), f"id{step.request_id}")
+            if log.fleet.table.revision > revisions[-1]:
+                revisions.append(log.fleet.table.revision)
+            if step.restart == 0:
+                log.fleets[1] = Fleet.restore(log.fleets[1].snapshot())
+            elif step.restart == 1:
+                log.fleets[2] = Fleet.restore(log.fleet.snapshot())
+            assert len({fleet.snapshot() for fleet in log.fleets}) == 1
+            assert len({fleet.table.digest for fleet in log.fleets}) == 1
+        last = Fleet()
+        for index, entry in enumerate(log.entries, 1):
+            last.apply(index, *entry)
+        assert last.snapshot() == log.fleet.snapshot()
+        assert sum(log.fleet.table.compute_bucket_digests()) % 2**64 == log.fleet.table.digest
+
+
+def test_change_set_when_valid_gives_all_its_entries_the_index_of_the_log_entry() -> None:
+    log = ReplicatedLog()
+    log.do(HaltPlan("x"))
+    result = log.set(mutation("a"), mutation("b"))
+    table = log.fleet.table
+    assert result.ok
+    assert result.index == table.revision == 2
     assert {e.key: e.revision for e in table.entries.values()} == {"function/a": 2, "function/b": 2}
-    before = table.entries
-    for wrong, why in (
-        ((op("a", "2"), Mutation("not a key", b"")), "not a key"),
-        ((op("a", "2"), op("a", "3")), "2 times"),
+
+
+@pytest.mark.parametrize(
+    ("mutations", "error"),
+    [
+        ((mutation("a", "2"), Mutation("not a key", b"")), "not a key"),
+        ((mutation("a", "2"), mutation("a", "3")), "2 times"),
         ((), "0 keys"),
-        ((op("c", "x" * 20_000),), "20000 bytes"),
-    ):
-        refused = history.set(*wrong)
-        assert not refused.ok
-        assert why in refused.error
-    assert history.fleet.table.entries is before
-    assert history.fleet.table.revision == 2
+        ((mutation("c", "x" * 20_000),), "20000 bytes"),
+    ],
+    ids=["invalid key", "one key twice", "empty", "too large"],
+)
+def test_change_set_when_one_mutation_is_invalid_changes_nothing(
+    mutations: tuple[Mutation, ...], error: str
+) -> None:
+    log = ReplicatedLog()
+    log.do(HaltPlan("x"))
+    log.set(mutation("a"), mutation("b"))
+    before = log.fleet.table.entries
+    result = log.set(*mutations)
+    assert not result.ok
+    assert error in result.error
+    assert log.fleet.table.entries is before
+    assert log.fleet.table.revision == 2
 
 
 def test_change_set_when_validated_against_an_older_revision_is_rejected_and_may_be_retried() -> None:
-    history = History()
-    history.set(op("a"))
-    history.set(op("b"))
-    refused = history.set(op("a", None), base=1, id="x")
-    assert not refused.ok
-    assert refused.error == CHANGED_MEANWHILE
-    assert "x" not in history.fleet.state.results
-    answer = history.set(op("a", None), id="x")
-    assert answer.ok
-    assert list(history.fleet.table.entries) == ["function/b"]
-    history.set(op("a", "3"))
-    assert history.set(op("a", None), id="x") == answer, "asked again, it is not applied again"
-    assert history.set(op("a", None), base=1, id="x") == answer
-    assert history.fleet.table.entries["function/a"].value == b"3"
+    log = ReplicatedLog()
+    log.set(mutation("a"))
+    log.set(mutation("b"))
+    rejected = log.set(mutation("a", None), base_revision=1, request_id="x")
+    assert not rejected.ok
+    assert rejected.error == CHANGED_MEANWHILE
+    assert "x" not in log.fleet.state.results
+    result = log.set(mutation("a", None), request_id="x")
+    assert result.ok
+    assert list(log.fleet.table.entries) == ["function/b"]
+    log.set(mutation("a", "3"))
+    assert log.set(mutation("a", None), request_id="x") == result, "a repeated command is not applied again"
+    assert log.set(mutation("a", None), base_revision=1, request_id="x") == result
+    assert log.fleet.table.entries["function/a"].value == b"3"
 
 
 def test_follower_when_another_incarnation_leaves_stays() -> None:
-    history = History()
-    history.do(UpdateFollowers((("f1", "a"), ("f2", "a"))))
-    history.do(UpdateFollowers((("f1", "b"),), (("f2", "other"),)))
-    assert history.fleet.state.followers == {"f1": "b", "f2": "a"}, "another process of that name has ended"
-    history.do(UpdateFollowers((), (("f2", "a"), ("f9", "a"))))
-    assert history.fleet.state.followers == {"f1": "b"}
-    history.do(RegisterMember("f1", FRONT_END, "z", "b"))
-    assert history.do(ForgetMember("f1")).ok
-    assert not history.fleet.state.followers
-    assert not history.fleet.state.members
-    history.do(UpdateFollowers((("r", "a"),)))
-    assert history.do(ForgetMember("r")).ok
-    assert not history.do(ForgetMember("r")).ok
+    log = ReplicatedLog()
+    log.do(UpdateFollowers((("f1", "a"), ("f2", "a"))))
+    log.do(UpdateFollowers((("f1", "b"),), (("f2", "other"),)))
+    assert log.fleet.state.followers == {"f1": "b", "f2": "a"}, "another process of that name has ended"
+    log.do(UpdateFollowers((), (("f2", "a"), ("f9", "a"))))
+    assert log.fleet.state.followers == {"f1": "b"}
+    log.do(RegisterMember("f1", FRONT_END, "z", "b"))
+    assert log.do(ForgetMember("f1")).ok
+    assert not log.fleet.state.followers
+    assert not log.fleet.state.members
+    log.do(UpdateFollowers((("r", "a"),)))
+    assert log.do(ForgetMember("r")).ok
+    assert not log.do(ForgetMember("r")).ok
 
 
 def test_snapshot_when_written_by_a_version_without_config_store_is_read() -> None:
-    """Its snapshot, whose dicts were sorted by name, and its commands."""
-    answers = {"a": CommandResult(True, 9), "b": CommandResult(True, 3), "c": CommandResult(False, 7, "no")}
-    old = {
+    """In its snapshots dicts were sorted by name."""
+    results = {"a": CommandResult(True, 9), "b": CommandResult(True, 3), "c": CommandResult(False, 7, "no")}
+    snapshot = {
         "index": 9,
         "listed": 2,
         "members": {"m": {"kind": FRONT_END, "zone": "z", "incarnation": "m.1"}},
@@ -198,16 +212,16 @@
         "budgets": [],
         "halted": "for a while",
         "alone": [],
-        "answers": answers,
+        "answers": results,
     }
-    fleet = Fleet.restore(msgspec.msgpack.encode(old))
+    fleet = Fleet.restore(msgspec.msgpack.encode(snapshot))
     assert fleet.state.members["m"].incarnation == "m.1"
     assert fleet.state.halt_reason == "for a while"
     assert not fleet.table.entries
     assert fleet.table.revision == 0
     assert not fleet.state.followers
-    assert list(fleet.state.results) == ["b", "c", "a"], "the oldest is to go first"
-    assert fleet.apply(10, "x", encode(ApplyChangeSet((op("a"),), 0))).ok
+    assert list(fleet.state.results) == ["b", "c", "a"], "the oldest comes first"
+    assert fleet.apply(10, "x", encode(ApplyChangeSet((mutation("a"),), 0))).ok
     enter = bytes.fromhex("9301") + msgspec.msgpack.encode(("Enter", "m", "worker", "z", "m.1")) + b"\x00"
     assert decode(enter) == RegisterMember("m", "worker", "z", "m.1")
     heard = bytes.fromhex("9201") + msgspec.msgpack.encode(("Heard", "m", "m.1"))
@@ -215,62 +229,88 @@
 
 
 def test_snapshot_when_taken_without_the_config_store_holds_the_rest() -> None:
-    history = History()
-    history.set(op("a", "x" * 10_000))
-    history.do(UpdateFollowers((("f", "1"),)))
-    data = history.fleet.snapshot(table=False)
+    log = ReplicatedLog()
+    log.set(mutation("a", "x" * 10_000))
+    log.do(UpdateFollowers((("f", "1"),)))
+    data = log.fleet.snapshot(table=False)
     assert len(data) < 1000
-    assert Fleet.restore(data).state == history.fleet.state
+    assert Fleet.restore(data).state == log.fleet.state
     assert not Fleet.restore(data).table.entries
-    assert Fleet.restore(history.fleet.snapshot()).table.entries == history.fleet.table.entries
+    assert Fleet.restore(log.fleet.snapshot()).table.entries == log.fleet.table.entries
+
+
+@pytest.mark.parametrize(
+    "damage",
+    [
+        lambda data: data[:-1],
+        lambda data: data.replace(b"value", b"valve", 1),
+        lambda _: b"noise",
+    ],
+    ids=["cut off", "other content", "no snapshot"],
+)
+def test_snapshot_when_damaged_raises_an_error(damage: Callable[[bytes], bytes]) -> None:
+    log = ReplicatedLog()
+    log.set(mutation("a", "value"))
+    damaged = damage(log.fleet.snapshot())
+    with pytest.raises(InvalidStateError):
+        Fleet.restore(damaged)
+
+
+def test_snapshot_when_its_text_is_no_utf_8_raises_an_error() -> None:
+    log = ReplicatedLog()
+    log.do(HaltPlan("stopped"))
+    damaged = log.fleet.snapshot().replace(b"stopped", b"\xff\xfe\xfdpped")
+    with pytest.raises(InvalidStateError):
+        Fleet.restore(damaged)
 
 
-def test_snapshot_when_damaged_raises_an_error() -> None:
-    history = History()
-    history.set(op("a", "value"))
-    data = history.fleet.snapshot()
-    for wrong in (data[:-1], data.replace(b"value", b"valve", 1), b"noise"):
-        with pytest.raises(InvalidStateError):
-            Fleet.restore(wrong)
+def test_snapshot_when_empty_is_read_as_an_empty_state() -> None:
     assert Fleet.restore(b"").table.revision == 0
 
 
-def test_command_when_it_can_not_be_decoded_is_rejected() -> None:
-    """Text that is no UTF-8, and a command of a later version with more nested in it than can be read."""
-    history = History()
-    for data in (
+@pytest.mark.parametrize(
+    "data",
+    [
         encode(HaltPlan("why")).replace(b"why", b"\xff\xfe\xfd"),
         b"\x94\x01\x93\xa4Halt\xa0\xa0\x00" + b"\x91" * 100_000 + b"\x00",
-    ):
-        answer = history.fleet.apply(1, "", data)
-        assert not answer.ok
-        assert "not a command" in answer.error
-    history.do(HaltPlan("stopped"))
-    state = history.fleet.snapshot().replace(b"stopped", b"\xff\xfe\xfdpped")
-    with pytest.raises(InvalidStateError):
-        Fleet.restore(state)
+    ],
+    ids=["text that is no UTF-8", "a later version's, nested too deeply"],
+)
+def test_command_when_it_cannot_be_decoded_is_rejected(data: bytes) -> None:
+    result = Fleet().apply(1, "", data)
+    assert not result.ok
+    assert "not a command" in result.error
 
 
 def test_config_store_when_it_compacts_does_so_at_the_same_entry_on_all_replicas() -> None:
-    history = History()
-    history.fleets = [
+    log = ReplicatedLog()
+    log.fleets = [
         Fleet(table=ConfigStore(max_log_entries=4)),
         Fleet(table=ConfigStore(max_log_entries=4)),
     ]
     for n in range(10):
-        history.set(op(f"f{n}"))
-        assert len({fleet.snapshot() for fleet in history.fleets}) == 1
-    assert history.fleet.table.compacted_revision == 6
+        log.set(mutation(f"f{n}"))
+        assert len({fleet.snapshot() for fleet in log.fleets}) == 1
+    assert log.fleet.table.compacted_revision == 6
 
 
-def test_command_when_repeated_gets_its_first_result_and_when_invalid_changes_nothing() -> None:
+def test_command_when_repeated_gets_its_first_result() -> None:
     rig = FleetRig(4, DisruptionBudget(FRONT_END, max_unavailable=1))
     first = rig.do(RequestPermit("m0", "agent", "test"), "x")
     assert first.ok
     assert rig.do(RequestPermit("m0", "agent", "test"), "x") == first
+
+
+@pytest.mark.parametrize(
+    "data",
+    [b"", b"noise", encode(HaltPlan("x")).replace(b"\x01", b"\x02", 1)],
+    ids=["empty", "no command", "another format"],
+)
+def test_command_when_invalid_changes_nothing(data: bytes) -> None:
+    rig = FleetRig(4, DisruptionBudget(FRONT_END, max_unavailable=1))
+    rig.do(RequestPermit("m0", "agent", "test"), "x")
     before = rig.fleet.state.permits.copy()
-    for data in (b"", b"noise", encode(HaltPlan("x")).replace(b"\x01", b"\x02", 1)):
-        assert not rig.fleet.apply(99, "", data).ok
+    assert not rig.fleet.apply(99, "", data).ok
     assert rig.fleet.state.permits == before
     assert not rig.fleet.state.halt_reason
 
