--- a/packages/fleet/tests/test_endpoints.py
+++ b/packages/fleet/tests/test_endpoints.py
@@ -35,7 +35,7 @@
 
 
 def test_worker_age_when_clocks_of_machines_differ_is_the_same_for_a_process() -> None:
-    """With times of a clock that is a day ahead, a worker would be warming up for a day; with those of a clock
+    """By a clock that is a day ahead, a worker would be warming up for a day; by a clock
     that is behind, its start would be overlooked."""
     rig, ages, follower = rig_with(), EndpointAges(), EndpointFollower("f0", "f0.1", True)
 
