--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -17,7 +17,7 @@
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.http import Connection, HttpMessageError
-from walnutpost.watch import Watcher
+from walnutpost.watch import ServerPool, Watcher
 
 SECOND = 1_000_000
 SPREAD = 2 * SECOND  # in which the members of a process begin
@@ -52,7 +52,7 @@
             self.follower.mark_applied(table.revision)
         servers = {relay: lambda at=at: parse_address(at) for relay, at in relays.items()}
         choice = RelaySelector(name, dict.fromkeys(relays, ""), "", random)
-        self.watcher = Watcher(loop, servers, self.follower, choice, self._taken, log)
+        self.watcher = Watcher(loop, ServerPool(servers, choice), self.follower, self._taken, log)
         self._loop, self._wait = loop, random.randrange(SPREAD)
 
     def run(self) -> None:
--- a/packages/daemon/src/walnutpost/daemon/settings_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/settings_watch.py
@@ -20,7 +20,7 @@
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Logger, Loop, Task, remove_leftovers, replace_file
 from walnutpost.gateway import Function
-from walnutpost.watch import Watcher
+from walnutpost.watch import ServerPool, Watcher
 
 SECOND = 1_000_000
 MAX_DECODED_FUNCTIONS = 1024  # functions whose decoded entries are cached: some 400 KB
@@ -114,7 +114,7 @@
         regions = {name: section.relay_zones.get(name, "") for name in section.relays}
         selector = RelaySelector(section.member, regions, zone or "", Random())
         servers = {name: _address_getter(address) for name, address in section.relays.items()}
-        self.watcher = Watcher(loop, servers, self.watch_state, selector, self._on_outcome, log)
+        self.watcher = Watcher(loop, ServerPool(servers, selector), self.watch_state, self._on_outcome, log)
         self._validated_entries = functions.entries  # the next two attributes describe these
         self._function_count = 0
         self._errors_by_key: dict[str, str] = {}  # of entries that the front end can't apply
--- a/packages/faultinjection/src/walnutpost/faultinjection/config_observer.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/config_observer.py
@@ -25,7 +25,7 @@
 from walnutpost.faultinjection.config_topology import FRONT_ENDS, REPLICAS
 from walnutpost.faultinjection.network import Address
 from walnutpost.faultinjection.simulated_members import NullLog
-from walnutpost.watch import Watcher
+from walnutpost.watch import ServerPool, Watcher, WatchSettings
 
 OBSERVER = "observer"
 APPLIED_EVENT = "config_applied"
@@ -83,13 +83,11 @@
         selector = RelaySelector(OBSERVER, dict.fromkeys(REPLICAS, ""), "", Random(1))
         return Watcher(
             loop,
-            servers,
+            ServerPool(servers, selector),
             self._follower,
-            selector,
             self._on_applied,
             NullLog(),
-            WATCH_TIMEOUT_US,
-            STALE_AFTER_US,
+            WatchSettings(WATCH_TIMEOUT_US, STALE_AFTER_US),
         )
 
     def follow(self) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/simulated_members.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/simulated_members.py
@@ -22,7 +22,7 @@
 from walnutpost.configstore import ApplyOutcome, ConfigStore, WatchState
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Event, Loop
-from walnutpost.watch import Watcher
+from walnutpost.watch import ServerPool, Watcher
 
 SECOND_US = 1_000_000
 INCARNATION_BYTES = 6
@@ -97,7 +97,9 @@
         rng = Random(f"{name} {self.incarnation}")
         selector = RelaySelector(name, dict.fromkeys(relays, ""), "", rng)
         servers = {relay: partial(parse_address, address) for relay, address in relays.items()}
-        self.watcher = Watcher(loop, servers, self.follower, selector, self._on_applied, NullLog())
+        self.watcher = Watcher(
+            loop, ServerPool(servers, selector), self.follower, self._on_applied, NullLog()
+        )
 
     def _on_applied(self, outcome: ApplyOutcome) -> None:
         store = self.follower.store
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -25,7 +25,7 @@
 from walnutpost.eventloop import Event, Logger, Loop, WaitTimeoutError
 from walnutpost.http import Exchange, HttpMessageError, Limits, Response
 from walnutpost.http.server import serve_on
-from walnutpost.watch import Watcher, WatchServer
+from walnutpost.watch import ServerPool, Watcher, WatchServer, WatchSettings
 
 Address = tuple[str, int]
 SECOND_US = 1_000_000
@@ -102,14 +102,14 @@
     def _create_watcher(self, replicas: Mapping[str, Address], seed: int) -> Watcher:
         return Watcher(
             self._loop,
-            {replica: _constant(at) for replica, at in replicas.items()},
+            ServerPool(
+                {replica: _constant(at) for replica, at in replicas.items()},
+                RelaySelector(self.name, dict.fromkeys(replicas, ""), "", Random(seed)),
+            ),
             self.state,
-            RelaySelector(self.name, dict.fromkeys(replicas, ""), "", Random(seed)),
             self._store_changed,
             self._log,
-            UPSTREAM_WAIT_TIMEOUT_US,
-            UPSTREAM_RATE_BYTES_PER_S,
-            UPSTREAM_MAX_AGE_US,
+            WatchSettings(UPSTREAM_WAIT_TIMEOUT_US, UPSTREAM_RATE_BYTES_PER_S, UPSTREAM_MAX_AGE_US),
         )
 
     def _create_watch_server(self) -> WatchServer:
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -10,6 +10,7 @@
     AGE_HEADER,
     PROGRESS_PATH,
     WATCH_PATH,
+    ApplyOutcome,
     ConfigStore,
     Mutation,
     ProgressSummary,
@@ -472,10 +473,11 @@
         loop = control_plane.loop
         blocked_member = tier.members[0]
 
-        def take(outcome: object) -> None:
+        def mark_blocked(outcome: ApplyOutcome) -> None:
+            blocked_member.outcomes.append(outcome)
             blocked_member.state.mark_blocked(blocked_member.table.revision, "no class fast here")
 
-        blocked_member.watcher._on_outcome = take
+        blocked_member.on_outcome = mark_blocked  # type: ignore[method-assign]
         revision = control_plane.change(put_keys(1))
         others = tier.members[1:]
         until(loop, lambda: all(m.state.applied_revision == revision for m in others))
--- a/packages/watch/src/walnutpost/watch/pace.py
+++ b/packages/watch/src/walnutpost/watch/pace.py
@@ -1,7 +1,12 @@
-"""Limits of how fast a watcher sends requests. No I/O. Times are microseconds of the caller's clock."""
+"""Limits of how fast a watcher sends requests and writes log lines. No I/O.
+
+Times are microseconds of the caller's clock.
+"""
 
 from __future__ import annotations
 
+from collections import deque
+
 SECOND_US = 1_000_000
 
 
@@ -13,7 +18,7 @@
 
     def __init__(self, rate_bytes_per_s: int, burst_bytes: int, now: int) -> None:
         self._rate = rate_bytes_per_s
-        self._debt_bytes = -burst_bytes  # negative: what is left of the burst
+        self._debt_bytes = -burst_bytes  # negative: the rest of the burst
         self._updated_us = now
 
     def consume(self, now: int, size_bytes: int) -> None:
@@ -49,3 +54,19 @@
         wait_us = self._next_wait_us
         self._next_wait_us = min(self._max_wait_us, wait_us * 2)
         return wait_us
+
+
+class LogLimit:
+    """Allows `max_lines` in any `window_us`, so that servers that fail repeatedly do not fill the log."""
+
+    def __init__(self, max_lines: int, window_us: int) -> None:
+        self._window_us = window_us
+        self._logged_at_us: deque[int] = deque(maxlen=max_lines)
+
+    def may_log(self, now: int) -> bool:
+        """Return whether another line may be written now; it then counts as written."""
+        logged = self._logged_at_us
+        if len(logged) == logged.maxlen and now - logged[0] < self._window_us:
+            return False
+        logged.append(now)
+        return True
--- a/packages/watch/tests/test_client.py
+++ b/packages/watch/tests/test_client.py
@@ -28,7 +28,12 @@
 from walnutpost.eventloop import Listener, Loop, Stream
 from walnutpost.http import Response, encode_response
 from walnutpost.watch import WAITED_HEADER
-from walnutpost.watch.client import MAX_BODY_BYTES, RECEIVE_BURST_BYTES, RECEIVE_RATE_BYTES_PER_S
+from walnutpost.watch.connection import (
+    MAX_BODY_BYTES,
+    RECEIVE_BURST_BYTES,
+    RECEIVE_RATE_BYTES_PER_S,
+    ServerConnection,
+)
 from watch_rig import (
     SECOND,
     WAIT_TIMEOUT_US,
@@ -111,17 +116,17 @@
     play(script)
 
 
+class FailingMember(Member):
+    def on_outcome(self, outcome: ApplyOutcome) -> None:
+        raise ValueError(f"no such class: {outcome}")
+
+
 def test_an_error_in_on_outcome_does_not_end_the_watch() -> None:
     errors: list[BaseException] = []
 
     def script(loop: Loop) -> None:
         server = FakeServer(loop, filled(3))
-        member = Member(loop, {"a": address_getter(server)})
-
-        def fails(outcome: object) -> None:
-            raise ValueError("no such class")
-
-        member.watcher._on_outcome = fails
+        member = FailingMember(loop, {"a": address_getter(server)})
         until(loop, lambda: server.watch.waiting)
         server.change(put_keys(1))
         until(loop, lambda: member.has_content_of(server.table))
@@ -621,9 +626,7 @@
 
 def test_the_receive_burst_is_available_once() -> None:
     def script(loop: Loop) -> None:
-        member = Member(loop, {"a": lambda: ("127.0.0.1", 1)})
-        member.task.cancel()
-        bucket = member.watcher._bucket
+        bucket = ServerConnection(loop, {}, RECEIVE_RATE_BYTES_PER_S).bucket
         bucket.consume(loop.now(), RECEIVE_BURST_BYTES)
         assert bucket.wait_us(loop.now()) == 0
         bucket.consume(loop.now(), RECEIVE_RATE_BYTES_PER_S)
--- a/packages/watch/tests/test_watch_golden.py
+++ b/packages/watch/tests/test_watch_golden.py
@@ -5,13 +5,15 @@
 
 from __future__ import annotations
 
+from importlib import import_module
 from pathlib import Path
+from pkgutil import iter_modules
 
 import pytest
 
 from golden_forms import Golden, as_json, structs_of
-from walnutpost.relay import process
-from walnutpost.watch import client, errors, pace, serving
+from walnutpost import relay, watch
+from walnutpost.watch import connection, serving
 
 GOLDEN = Golden(
     Path(__file__).parent / "golden" / "watch.json",
@@ -21,7 +23,7 @@
             {
                 "held": serving.WAITED_HEADER,
                 "coding": serving.CONTENT_CODING,
-                "request headers": client.REQUEST_HEADERS,
+                "request headers": connection.REQUEST_HEADERS,
             }
         )
     },
@@ -33,5 +35,11 @@
     GOLDEN.check_written(name)
 
 
-def test_watches_and_relays_have_no_forms_of_their_own() -> None:
-    assert not [kind for module in (client, errors, pace, serving, process) for kind in structs_of(module)]
+def test_watches_and_relays_have_no_messages() -> None:
+    modules = [
+        import_module(f"{package.__name__}.{module.name}")
+        for package in (relay, watch)
+        for module in iter_modules(package.__path__)
+    ]
+    assert {serving, connection} <= {*modules}
+    assert not [kind for module in modules for kind in structs_of(module)]
--- a/packages/watch/tests/watch_rig.py
+++ b/packages/watch/tests/watch_rig.py
@@ -24,7 +24,7 @@
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.http import Connection, Exchange, HttpMessageError, Response, Server, encode_request
 from walnutpost.http.server import serve_on
-from walnutpost.watch import Watcher, WatchServer
+from walnutpost.watch import ServerPool, Watcher, WatchServer, WatchSettings
 
 SECOND = 1_000_000
 WAIT_TIMEOUT_US = 3 * SECOND
@@ -181,7 +181,14 @@
         self.selector = RelaySelector(name, dict.fromkeys(servers, "r"), "r", Random(seed))
         self.outcomes: list[ApplyOutcome] = []
         self.applied_revisions: list[int] = []  # in order
-        self.watcher = Watcher(loop, servers, self.state, self.selector, self.on_outcome, self.log, **more)
+        self.watcher = Watcher(
+            loop,
+            ServerPool(servers, self.selector),
+            self.state,
+            lambda outcome: self.on_outcome(outcome),
+            self.log,
+            WatchSettings(**more),
+        )
         self.task = loop.spawn(self.watcher.run, name="watch")
 
     @property
