--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -57,7 +57,7 @@
 
         def run() -> Any:
             sites = Sites(Path(folder), loop, copies or 0)
-            sites.more = QUICK
+            sites.overrides = QUICK
             if copies is None:
                 sites.journal = {}
             try:
@@ -72,7 +72,7 @@
 
 def askers(sites: Sites, loop: Loop, many: int, seconds: float, headers: dict[str, str]) -> list[int]:
     """Latencies of calls that were taken, each asker on one connection."""
-    address = sites.told("a1", "address")
+    address = sites.listening_address("a1", "address")
     assert address is not None
     until, took = loop.now() + int(seconds * SECOND), list[int]()
     request = encode_request("POST", INVOKE.format("price"), "localhost", headers, PAYLOAD)
@@ -135,7 +135,7 @@
 
         with tempfile.TemporaryDirectory() as folder:
             sites = Sites(Path(folder), loop, 1)
-            sites.more = QUICK
+            sites.overrides = QUICK
             try:
                 for name in SITES:
                     sites.start(name)
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -37,7 +37,13 @@
     choose_replicas,
     plan_batch_write,
 )
-from walnutpost.replication import ReplicaServer, ReplicationSender, query_call, recover_batches
+from walnutpost.replication import (
+    ReplicaClient,
+    ReplicaServer,
+    ReplicationSender,
+    query_call,
+    recover_batches,
+)
 from walnutpost.store import EntryAppend, ExecutionStore, JournalStore
 
 CHECK_INTERVAL_US = 500_000  # of the check whether a replica is unreachable for too long
@@ -81,9 +87,8 @@
         self._recover_lost_entries()
         replicas = self._choose_replicas()
         policy = _replication_policy(section)
-        self.sender = ReplicationSender(
-            loop, self.store, self._addresses, replicas, policy, self._timeout_us, log
-        )
+        client = ReplicaClient(loop, self._addresses, self._timeout_us)
+        self.sender = ReplicationSender(loop, self.store, client, replicas, policy, log)
 
     # Recovery
 
--- a/packages/replication/src/walnutpost/replication/queries.py
+++ b/packages/replication/src/walnutpost/replication/queries.py
@@ -1,8 +1,9 @@
-"""Questions to the other front ends: which entries they have of a call, or of the own journal."""
+"""Queries to the other front ends: which entries they have of a call, or of this front end's journal."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
+from http import HTTPStatus
 from urllib.parse import quote
 
 from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
@@ -78,6 +79,6 @@
             response = connection.request("GET", target)
         finally:
             connection.close()
-    if response.status != 200:
+    if response.status != HTTPStatus.OK:
         raise wire.InvalidMessageError(f"{response.status}: {response.body[:200]!r}")
     return wire.decode(response.body, message_type)
--- a/packages/replication/src/walnutpost/replication/replica_server.py
+++ b/packages/replication/src/walnutpost/replication/replica_server.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from urllib.parse import unquote
 
 from walnutpost.eventloop import Logger, Loop
@@ -11,14 +12,11 @@
 from walnutpost.replication import wire
 from walnutpost.store import JournalStore, StoreError
 
-STORE_FAILED_STATUS = 507
-
 
 class ReplicaServer:
-    """Serves the journals of one store. At most one batch of an origin is written at a time."""
+    """Serves the journals of one store on `address`. At most one batch of an origin is written at a time."""
 
     def __init__(self, loop: Loop, store: JournalStore, address: tuple[str, int], log: Logger) -> None:
-        """Listen on `address`."""
         self._store = store
         self._log = log
         self._origins_being_written: set[str] = set()
@@ -40,7 +38,9 @@
             origin, _, after = target.removeprefix(wire.ENTRIES_PATH).partition("/")
             return self._get_entries(unquote(origin), after)
         if request.method != "POST" or request.target != wire.BATCHES_PATH.encode():
-            return Response(404, body=b"found another target; wanted POST " + wire.BATCHES_PATH.encode())
+            return Response(
+                HTTPStatus.NOT_FOUND, body=b"found another target; wanted POST " + wire.BATCHES_PATH.encode()
+            )
         return self._post_batch(request.body)
 
     def _get_call_entries(self, call_id: str) -> Response:
@@ -48,30 +48,30 @@
             entries = self._store.read_call_entries(call_id)
         except StoreError as error:
             self._log.error("journal_read_failed", call=call_id, error=str(error))
-            return Response(STORE_FAILED_STATUS, body=str(error).encode())
-        return Response(200, body=wire.encode(wire.CallEntries(tuple(entries))))
+            return Response(HTTPStatus.INSUFFICIENT_STORAGE, body=str(error).encode())
+        return Response(HTTPStatus.OK, body=wire.encode(wire.CallEntries(tuple(entries))))
 
     def _get_entries(self, origin: str, after: str) -> Response:
         """Answer with the entries of a journal after a number: its origin's disk may have lost them."""
         if not after.isdigit():
-            return Response(400, body=b"after: wanted a number")
+            return Response(HTTPStatus.BAD_REQUEST, body=b"after: wanted a number")
         upto = self._store.offsets.get(origin, 0)
         try:
             batch = self._store.read_batch(origin, int(after), upto, wire.MAX_BATCH_BYTES)
         except StoreError as error:
             self._log.error("journal_read_failed", origin=origin, error=str(error))
-            return Response(STORE_FAILED_STATUS, body=str(error).encode())
-        return Response(200, body=wire.encode(batch))
+            return Response(HTTPStatus.INSUFFICIENT_STORAGE, body=str(error).encode())
+        return Response(HTTPStatus.OK, body=wire.encode(batch))
 
     def _post_batch(self, body: bytes) -> Response:
         try:
             batch = wire.decode(body, JournalBatch)
         except wire.InvalidMessageError as error:
-            return Response(400, body=str(error).encode())
+            return Response(HTTPStatus.BAD_REQUEST, body=str(error).encode())
         if batch.origin == self._store.own_origin:
-            return Response(409, body=b"this is the journal's own origin")
+            return Response(HTTPStatus.CONFLICT, body=b"this is the journal's own origin")
         if batch.origin in self._origins_being_written:  # the sender timed out, and sends again
-            return Response(503, body=b"the batch before is still being written")
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, body=b"the batch before is still being written")
         self._origins_being_written.add(batch.origin)
         try:
             return self._write_batch(batch)
@@ -85,9 +85,9 @@
                 self._store.write_batch(write)
         except InvalidBatchError as error:
             self._log.error("journal_batch_rejected", origin=batch.origin, error=str(error))
-            return Response(422, body=str(error).encode())
+            return Response(HTTPStatus.UNPROCESSABLE_ENTITY, body=str(error).encode())
         except StoreError as error:
             self._log.error("journal_write_failed", origin=batch.origin, error=str(error))
-            return Response(STORE_FAILED_STATUS, body=str(error).encode())
+            return Response(HTTPStatus.INSUFFICIENT_STORAGE, body=str(error).encode())
         offset = JournalOffset(self._store.disk_id, self._store.offsets.get(batch.origin, 0))
-        return Response(200, body=wire.encode(offset))
+        return Response(HTTPStatus.OK, body=wire.encode(offset))
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -18,50 +18,55 @@
 from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, HttpMessageError
-from walnutpost.journal import CallStage, MergedJournal
+from walnutpost.journal import CallStage, IntervalSet, JournalEntry, MergedJournal
 from walnutpost.store import Database, JournalStore
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
-ASKERS, PATIENCE = 8, 30 * SECOND
+CLIENTS = 8
+TIMEOUT_US = 30 * SECOND
 
 
 class Sites:
+    """Front ends of three sites as processes; each one's journal is reached through a relay."""
+
     def __init__(self, path: Path, loop: Loop, copies: int) -> None:
         self.path, self.loop = path, loop
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        self.relays = {name: LinkProxy(loop, partial(self.told, name, "journal_address")) for name in SITES}
+        self.relays = {
+            name: LinkProxy(loop, partial(self.listening_address, name, "journal_address")) for name in SITES
+        }
         holders = [
             {"name": n, "address": "{}:{}".format(*self.relays[n].address), "region": r, "zone": z}
             for n, (r, z) in SITES.items()
         ]
-        wanted = {"copies": copies}
-        self.more: dict[str, Any] = {}
+        requirement = {"copies": copies}
+        self.overrides: dict[str, Any] = {}  # laid over the configuration of each site
         self.journal: dict[str, Any] = {
             "listen": "127.0.0.1:0",
             "holders": holders,
-            "classes": {"valuation": wanted, "reservation": wanted},
+            "classes": {"valuation": requirement, "reservation": requirement},
             "lost_after_ms": 1000,
             "answer_ms": 500,
             "pause_ms": 50,
         }
 
     def start(self, name: str) -> None:
-        """The first with workers of its own, which are lost with it; the others only hold."""
+        """Start a site: the first with workers, which are lost with it; the others are replicas only."""
         journal = {"journal": self.journal | {"name": name}} if self.journal else {}
         section = journal | {"front": {"store": f"{name}.db"}}
         config = self.path / f"{name}.json"
-        config.write_text(json.dumps(merged(merged(BASE, section), self.more)))
+        config.write_text(json.dumps(merged(merged(BASE, section), self.overrides)))
         command = [sys.executable, "-m", "walnutpost.cli", "--log", "json"]
         command += ["up" if name == "a1" else "serve", str(config)]
         with (self.path / f"{name}.log").open("wb") as log:
             self.processes[name] = subprocess.Popen(command, stdout=log, stderr=log, start_new_session=True)
-        until = self.loop.now() + PATIENCE
-        while self.told(name, "address") is None:
-            assert self.loop.now() < until, (self.path / f"{name}.log").read_text()
+        deadline_us = self.loop.now() + TIMEOUT_US
+        while self.listening_address(name, "address") is None:
+            assert self.loop.now() < deadline_us, (self.path / f"{name}.log").read_text()
             self.loop.sleep(20_000)
 
-    def told(self, name: str, field: str) -> tuple[str, int] | None:
-        """What its log says of where it listens."""
+    def listening_address(self, name: str, field: str) -> tuple[str, int] | None:
+        """Return where a site listens, by its log; None before it does."""
         log = self.path / f"{name}.log"
         lines = log.read_bytes().splitlines() if log.exists() else []
         found = [json.loads(line) for line in lines if b'"event": "listening"' in line]
@@ -75,10 +80,10 @@
         for process in self.processes.values():
             process.wait(15)
 
-    def ask(self, name: str, function: str) -> int:
-        """A deferred call on a connection of its own; 0 where no answer came."""
+    def send_deferred_call(self, name: str, function: str) -> int:
+        """Send a deferred call on a new connection; return the status, 0 if there was no answer."""
         headers = {"x-amz-invocation-type": "Event", "x-amz-durable-execution-name": name}
-        address = self.told("a1", "address")
+        address = self.listening_address("a1", "address")
         assert address is not None
         try:
             with self.loop.timeout(3 * SECOND):
@@ -90,8 +95,8 @@
         except (OSError, HttpMessageError, WaitTimeoutError):
             return 0
 
-    def faults(self, random: Random) -> None:
-        """What happens to the holders before the origin is lost."""
+    def inject_faults(self, random: Random) -> None:
+        """Tear, pause and cut off replicas, before the origin is lost."""
         for name in ("b1", "c1"):
             if random.random() < 0.5:
                 torn_at = random.randrange(20_000)  # in the middle of a message
@@ -114,32 +119,32 @@
     loop, random = Loop(), Random(seed)
     answers: dict[str, int] = {}
 
-    def script() -> None:
+    def run_sites() -> None:
         sites = Sites(tmp_path, loop, copies)
         try:
             for name in SITES:
                 sites.start(name)
 
-            def asker(number: int) -> None:
+            def client(number: int) -> None:
                 count = 0
                 while sites.processes["a1"].poll() is None:
                     count += 1
                     name = f"call-{number}-{count}"
-                    answers[name] = sites.ask(name, ("price", "reserve")[count % 2])
+                    answers[name] = sites.send_deferred_call(name, ("price", "reserve")[count % 2])
 
-            tasks = [loop.spawn(asker, n) for n in range(ASKERS)]
-            until = loop.now() + PATIENCE
+            tasks = [loop.spawn(client, n) for n in range(CLIENTS)]
+            deadline_us = loop.now() + TIMEOUT_US
             while sum(a == 202 for a in answers.values()) < 40:
-                assert loop.now() < until, answers
+                assert loop.now() < deadline_us, answers
                 loop.sleep(20_000)
-            sites.faults(random)
+            sites.inject_faults(random)
             sites.processes["a1"].kill()
             for task in tasks:
                 task.join()
         finally:
             sites.stop()
 
-    loop.run(script)
+    loop.run(run_sites)
     accepted = {name for name, status in answers.items() if status == 202}
     merged_by = {name: merged_journal(tmp_path, [name]) for name in ("b1", "c1")}
     merged_by["both"] = merged_journal(tmp_path, ["b1", "c1"])
@@ -153,22 +158,23 @@
         # A result of an unsafe call is never answered before its intent is at the replicas.
         assert all(c.intents for c in unsafe if c.ended is not None and c.ended.status == "SUCCEEDED")
         assert {c.stage for c in known.values()} >= {CallStage.ENDED}
-    refused = {name for name, status in answers.items() if status == 429}
+    rejected = {name for name, status in answers.items() if status == 429}
     live = merged_by["both"].live_calls().values()
-    assert not refused & {call.accepted.name for call in live if call.accepted is not None}
+    assert not rejected & {call.accepted.name for call in live if call.accepted is not None}
 
 
 def merged_journal(path: Path, names: list[str]) -> MergedJournal:
-    found = MergedJournal()
+    """Merge the replicas of a1's journal in the files of the named sites."""
+    merged_replicas = MergedJournal()
     for name in names:
         loop = Loop()
         database = Database(loop, path / f"{name}.db", "")
         store = JournalStore(loop, database, name)
 
-        def read(store: JournalStore = store) -> list[Any]:
+        def read(store: JournalStore = store) -> list[tuple[IntervalSet, list[JournalEntry]]]:
             return [store.read_journal(origin) for origin in store.offsets if origin.startswith("a1#")]
 
         for covered, entries in loop.run(read):
-            found.add(covered, entries)
+            merged_replicas.add(covered, entries)
         database.close()
-    return found
+    return merged_replicas
