--- /dev/null
+++ b/packages/daemon/src/walnutpost/daemon/call_acceptance.py
@@ -0,0 +1,154 @@
+"""Acceptance of deferred calls: stored and replicated before the answer, withdrawn if rejected after that."""
+
+from __future__ import annotations
+
+import uuid
+from hashlib import blake2b
+
+from walnutpost.daemon.call_dispatch import CallDispatch
+from walnutpost.daemon.execution_records import STORE_RETRY_INTERVAL_US, ExecutionRecords, log_store_error
+from walnutpost.daemon.open_calls import OpenCall, OpenCalls, configured_function
+from walnutpost.eventloop import Logger, Loop
+from walnutpost.fronts.calls import DeferOutcome
+from walnutpost.gateway import Admission, Catalogue, Execution, NotStored, Rejected, admit
+from walnutpost.store import Change, StoreError
+
+STORE_RETRY_AFTER_US = 1_000_000  # Retry-After of the answer when the store can't be written
+UNKNOWN_FUNCTION_RETRY_AFTER_US = 1_000_000  # until a schedule fires again for a removed function
+DIGEST_BYTES = 16
+
+
+class CallAcceptance:
+    """Accepts new calls, and answers further requests under the name of an existing one.
+
+    Invariants: nothing is answered before it is durable here and, with a journal, at the call's quorum of
+    replicas; a name stays reserved until its call's final status, or its withdrawal, is durable.
+    """
+
+    def __init__(
+        self,
+        loop: Loop,
+        catalogue: Catalogue,
+        open_calls: OpenCalls,
+        records: ExecutionRecords,
+        dispatch: CallDispatch,
+        log: Logger,
+    ) -> None:
+        self._loop = loop
+        self._catalogue = catalogue
+        self._open_calls = open_calls
+        self._records = records
+        self._dispatch = dispatch
+        self._log = log
+
+    def defer(
+        self,
+        function: str,
+        tenant: str | None,
+        payload: bytes,
+        time_left_us: int,
+        name: str | None,
+        request_id: str,
+        extra_change: Change | None = None,
+    ) -> DeferOutcome:
+        """Accept a call, or return the execution that has its name; see fronts.calls.DeferredCalls."""
+        digest = payload_digest(payload, tenant)
+        now = self._loop.now()
+        name = name or request_id
+        configured = configured_function(self._catalogue, function)
+        try:
+            finished = self._find_stored(function, name)
+        except StoreError as error:
+            return self._not_stored(error, name, request_id, function)
+        open_call = self._open_calls.by_name(function, name)  # it may have arrived while the store was read
+        if open_call is not None:
+            return self._join(open_call, digest)
+        if finished is not None:
+            return finished if admit(finished, digest) is Admission.SAME else None
+        if configured is None:  # an HTTP front has checked it just now: only a schedule's can be missing
+            return Rejected(f"no function {function!r}", UNKNOWN_FUNCTION_RETRY_AFTER_US)
+        rejection = self._records.admission_error(configured, len(payload))
+        if rejection is not None:
+            return rejection
+        execution_id = uuid.uuid4().hex
+        expires_at = now + time_left_us
+        execution = Execution(
+            execution_id, name, function, configured.version, tenant, payload, digest, now, expires_at
+        )
+        return self._accept(OpenCall(self._loop, execution, configured), request_id, extra_change)
+
+    def _find_stored(self, function: str, name: str) -> Execution | None:
+        """Return a finished execution with the name; the store is not read for an open one."""
+        if self._open_calls.by_name(function, name) is not None:
+            return None
+        return self._records.find_by_name(function, name)
+
+    def _join(self, call: OpenCall, digest: str) -> DeferOutcome:
+        """Answer a further request under the name of an open call."""
+        if admit(call.execution, digest) is Admission.CONFLICT:
+            return None
+        call.settled.wait()
+        return call.rejection or call.acceptance
+
+    def _accept(self, call: OpenCall, request_id: str, extra_change: Change | None) -> DeferOutcome:
+        """Store a new call, replicate and dispatch it."""
+        execution = call.execution
+        self._open_calls.add(call)
+        try:
+            append = self._records.add(call, extra_change)
+        except StoreError as error:
+            call.rejection = self._not_stored(error, execution.name, request_id, execution.function)
+            self._open_calls.remove(call)
+            call.settled.set()
+            return call.rejection
+        except BaseException:
+            # This task is being cancelled. Requests that joined the call must not wait for ever; if the store
+            # has the call by now, the next start recovers it.
+            call.rejection = NotStored(execution.name, STORE_RETRY_AFTER_US, is_uncertain=True)
+            call.settled.set()
+            raise
+        self._records.wait_for_quorum(call, append)
+        self._dispatch.dispatch(call, execution.expires_at - self._loop.now(), request_id)
+        if call.rejection is not None:  # rejected at once: the client may retry under the same name
+            return self._withdraw_rejected(call, call.rejection, request_id)
+        call.settled.set()
+        return call.acceptance
+
+    def _withdraw_rejected(
+        self, call: OpenCall, rejection: Rejected | NotStored, request_id: str
+    ) -> DeferOutcome:
+        """Remove a call that was rejected after it was stored, before its client gets the rejection."""
+        try:
+            self._records.withdraw(call)
+        except StoreError as error:
+            # The name stays reserved until the removal is durable; a restart before that would run the call.
+            log_store_error(self._log, "withdraw", error, request=request_id)
+            call.rejection = NotStored(call.execution.name, STORE_RETRY_AFTER_US, is_uncertain=True)
+            call.settled.set()
+            self._loop.spawn(self._withdraw_until_stored, call, name="withdraw")
+            return call.rejection
+        self._open_calls.remove(call)
+        call.settled.set()
+        # Without a quorum for the withdrawal the client must not be told to retry: a replica's site would run
+        # the call after this one is lost.
+        return rejection if call.has_quorum else call.acceptance
+
+    def _withdraw_until_stored(self, call: OpenCall) -> None:
+        while True:
+            self._loop.sleep(STORE_RETRY_INTERVAL_US)
+            try:
+                self._records.withdraw(call)
+            except StoreError as error:
+                log_store_error(self._log, "withdraw", error, request=call.execution.name)
+                continue
+            self._open_calls.remove(call)
+            return
+
+    def _not_stored(self, error: StoreError, name: str, request_id: str, function: str) -> NotStored:
+        log_store_error(self._log, "accept", error, request=request_id, function=function)
+        return NotStored(name, STORE_RETRY_AFTER_US, error.is_uncertain)
+
+
+def payload_digest(payload: bytes, tenant: str | None) -> str:
+    """Return the digest by which requests under one name are compared. It is stored, and must not change."""
+    return blake2b(payload + b"\0" + (tenant or "").encode(), digest_size=DIGEST_BYTES).hexdigest()
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -21,12 +21,18 @@
 )
 from walnutpost.config.base import parse_address
 from walnutpost.config.conversion import ms_to_us
+from walnutpost.daemon.call_acceptance import CallAcceptance
+from walnutpost.daemon.call_dispatch import CallDispatch
+from walnutpost.daemon.call_intents import CallIntents
+from walnutpost.daemon.call_results import CallResults
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.deferred_recovery import DeferredRecovery
 from walnutpost.daemon.endpoint_lists import EndpointLists
+from walnutpost.daemon.execution_records import ExecutionRecords
 from walnutpost.daemon.fleet import CallCountingDispatcher, FleetMembership
 from walnutpost.daemon.keys import CertificateReloader
 from walnutpost.daemon.metering import UsageMetering
+from walnutpost.daemon.open_calls import OpenCalls
 from walnutpost.daemon.replication import JournalReplication
 from walnutpost.daemon.result_purge import ResultPurger
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
@@ -167,13 +173,18 @@
             self.replication = JournalReplication(
                 self._loop, config, config.journal, self._store, classes, self._log
             )
-        self.deferred = DeferredCalls(
-            self._loop,
-            self.dispatcher,
-            self._store,
-            self.catalogue,
-            self._log,
-            self.replication,
+        self._firings = FiringStore(self._store)
+        open_calls = OpenCalls()
+        records = ExecutionRecords(self._loop, self._store, self.replication, self._log)
+        intents = CallIntents(open_calls, records, self._log)
+        self.dispatcher.hooks.record_intent = intents.record_intent
+        self.dispatcher.hooks.execution_name = intents.execution_name
+        self._results = CallResults(self._loop, open_calls, records, self._firings.record_ended)
+        dispatch = CallDispatch(self.dispatcher, open_calls, self._results)
+        acceptance = CallAcceptance(self._loop, self.catalogue, open_calls, records, dispatch, self._log)
+        self.deferred = DeferredCalls(open_calls, self._store, records, acceptance, dispatch, self._results)
+        self._recovery = DeferredRecovery(
+            self._loop, self.catalogue, open_calls, records, dispatch, self._results
         )
 
     def _spawn_background_tasks(self) -> None:
@@ -246,29 +257,25 @@
 
     def _build_schedules(self) -> None:
         front = self._config.front
-        firings = FiringStore(self._store)
         progress = ScheduleProgressFile(self._base / f"{front.store}.seen")
-        newest_mark = max(firings.load_marks().values(), default=0)
+        newest_mark = max(self._firings.load_marks().values(), default=0)
         self.cron = CronFront(
             self._loop,
             self._wall_clock,
             build_own_schedules(self._config),
             self.deferred,
-            firings,
+            self._firings,
             progress.uncertain_until(newest_mark),
             FiringLimits(front.max_concurrent_firings, front.firings_per_s),
             self._log,
             progress.write,
         )
-        self.deferred.result_change = firings.record_ended
-        self.deferred.on_end = self.cron.handle_ended
+        self._results.add_listener(self.cron.handle_ended)
 
     def _recover_deferred_calls(self) -> None:
-        recovery = DeferredRecovery(
-            self._loop, self.dispatcher, self._store, self.deferred, self._are_functions_known
-        )
-        self.recovered_calls = recovery.recover()
-        self._spawn(recovery.await_functions, name="await functions")
+        self.recovered_calls = self._recovery.recover(self._are_functions_known())
+        await_functions = partial(self._recovery.await_functions, self._are_functions_known)
+        self._spawn(await_functions, name="await functions")
 
     def _listen(self, traffic_observer: FrontEndObserver | None) -> None:
         front = self._config.front
@@ -341,7 +348,7 @@
         self._log.info(
             "stopped",
             open_connections=len(self.server.streams),
-            open_deferred_calls=self.deferred.running,
+            open_deferred_calls=self.deferred.open_calls.running,
         )
 
     def _stop_metering(self) -> None:
@@ -355,7 +362,7 @@
 
     def _is_busy(self) -> bool:
         has_open_calls = any(self.server.streams.values()) or self.dispatcher.open_calls > 0
-        return has_open_calls or self.deferred.pending_writes > 0
+        return has_open_calls or self.deferred.open_calls.pending_writes > 0
 
     def close(self) -> None:
         """Close the files, after the loop has ended."""
--- a/packages/daemon/src/walnutpost/daemon/open_calls.py
+++ b/packages/daemon/src/walnutpost/daemon/open_calls.py
@@ -5,17 +5,28 @@
 from collections.abc import Iterator
 
 from walnutpost.eventloop import Event, Loop
-from walnutpost.gateway import Execution, Function, NotStored, Rejected, Status
+from walnutpost.gateway import (
+    Catalogue,
+    Execution,
+    Function,
+    NotStored,
+    Rejected,
+    ReplicationPending,
+    Status,
+    UnknownNameError,
+)
 from walnutpost.journal import QuorumFailed, QuorumReached
 
 
 class OpenCall:
-    """An execution without a durable final status."""
+    """An execution without a durable final status.
+
+    `function` is None if it was removed before this process started.
+    """
 
     __slots__ = ("accepted_as", "caller_id", "execution", "function", "rejection", "replication", "settled")
 
     def __init__(self, loop: Loop, execution: Execution, function: Function | None) -> None:
-        """Open a call; `function` is None if it was removed before this process started."""
         self.execution = execution
         self.function = function
         self.accepted_as = execution  # what clients see while its final status could be lost with the site
@@ -29,14 +40,25 @@
         """Whether the call has the replicas that its class requires; always without a journal."""
         return not isinstance(self.replication, QuorumFailed)
 
+    @property
+    def acceptance(self) -> Execution | ReplicationPending:
+        """The answer to a client whose call was accepted."""
+        if isinstance(self.replication, QuorumFailed):
+            return ReplicationPending(self.execution, self.replication.replicas)
+        return self.accepted_as
+
 
 class OpenCalls:
-    """Index of the open calls. An id, or a name within a function, belongs to one call at most."""
+    """Index of the open calls. An id, or a name within a function, belongs to one call at most.
+
+    A recovered call was found at the start, and is neither dispatched nor finished yet.
+    """
 
     def __init__(self) -> None:
         self._by_name: dict[tuple[str, str], OpenCall] = {}
         self._by_id: dict[str, OpenCall] = {}
         self._by_caller: dict[int, OpenCall] = {}
+        self._recovered_by_id: dict[str, OpenCall] = {}
 
     def __len__(self) -> int:
         """Return the number of open calls."""
@@ -56,6 +78,20 @@
         self._by_name.pop((call.execution.function, call.execution.name), None)
         self._by_id.pop(call.execution.id, None)
 
+    def add_recovered(self, call: OpenCall) -> None:
+        """Add a call that was found at the start."""
+        self.add(call)
+        self._recovered_by_id[call.execution.id] = call
+
+    def take_recovered(self, execution_id: str) -> OpenCall | None:
+        """Take a recovered call that is about to be dispatched or finished, None if it was taken before."""
+        return self._recovered_by_id.pop(execution_id, None)
+
+    @property
+    def recovered(self) -> list[OpenCall]:
+        """The recovered calls that were not taken yet, in the order in which they were added."""
+        return list(self._recovered_by_id.values())
+
     def by_id(self, execution_id: str) -> OpenCall | None:
         """Return the call with an execution id."""
         return self._by_id.get(execution_id)
@@ -81,3 +117,16 @@
     def running(self) -> int:
         """The number of calls without a final status."""
         return sum(call.execution.status is Status.RUNNING for call in self)
+
+    @property
+    def pending_writes(self) -> int:
+        """The number of calls that have a final status which is not durable yet."""
+        return len(self) - self.running
+
+
+def configured_function(catalogue: Catalogue, name: str) -> Function | None:
+    """Return a function as configured now, None if it is not configured."""
+    try:
+        return catalogue.function(name)
+    except UnknownNameError:
+        return None
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -125,7 +125,7 @@
         response = kill_with_open_call(f, function, is_sent)
         f.front_config = without_function(function)(f.front_config)
         f.front = f.start_front()
-        f.until(lambda: f.front.deferred.pending_writes == 0)
+        f.until(lambda: f.front.deferred.open_calls.pending_writes == 0)
         description = describe_execution(f, response)
         assert description["Status"] == "FAILED"
         assert reason in description["Error"]["ErrorMessage"]
@@ -147,7 +147,7 @@
         site = f.front_config.site.model_copy(update={"functions": lines})
         f.front_config = f.front_config.model_copy(update={"site": site})
         f.front = f.start_front()
-        f.until(lambda: f.front.deferred.pending_writes == 0)
+        f.until(lambda: f.front.deferred.open_calls.pending_writes == 0)
         assert "may have been running" in describe_execution(f, response)["Error"]["ErrorMessage"]
         f.loop.sleep(3 * SECOND)
         assert f.runs("reserve") == 1
@@ -168,7 +168,7 @@
         front.close()
         sites.front_config = without_function(RUN)(sites.front_config)
         sites.start("a1")
-        sites.until(lambda: sites.fronts["a1"].deferred.pending_writes == 0)
+        sites.until(lambda: sites.fronts["a1"].deferred.open_calls.pending_writes == 0)
         sites.loop.sleep(SECOND)
         call = sites.find_call(sites.merged_journal("a1", "b1", "c1"), "one")
         assert call.stage is CallStage.ENDED
--- a/packages/fronts/tests/test_cron_front.py
+++ b/packages/fronts/tests/test_cron_front.py
@@ -15,6 +15,7 @@
 from walnutpost.cli import main
 from walnutpost.config import Config, parse
 from walnutpost.config.conversion import build_own_schedules
+from walnutpost.daemon.call_dispatch import CallDispatch
 from walnutpost.daemon.open_calls import OpenCall
 from walnutpost.gateway import Rejected
 
@@ -103,12 +104,13 @@
     def script() -> None:
         rejection = Rejected("no room", SECOND)
 
-        def run(call: OpenCall, time_left_us: int, request_id: str) -> None:
+        def reject(_: CallDispatch, call: OpenCall, time_left_us: int, request_id: str) -> None:
             call.rejection = rejection
 
-        f.front.deferred.dispatch = run  # type: ignore[method-assign]
-        f.until(lambda: len(read_outcomes(tmp_path)) == 1)
-        f.loop.sleep(2 * SECOND)
+        with pytest.MonkeyPatch.context() as patch:
+            patch.setattr(CallDispatch, "dispatch", reject)
+            f.until(lambda: len(read_outcomes(tmp_path)) == 1)
+            f.loop.sleep(2 * SECOND)
 
     f.run(script)
     assert [outcome.status for outcome in read_outcomes(tmp_path)] == ["RUNNING"]
--- a/packages/fronts/tests/test_store_faults.py
+++ b/packages/fronts/tests/test_store_faults.py
@@ -165,11 +165,11 @@
         disk = FailingDisk(prefixes=("update executions set intended=?",))
         script_store(first, disk)
         arn = str(DeferredClient(first).start("reserve", b"1", "order").headers[ARN_HEADER])
-        first.until(lambda: first.front.deferred.pending_writes == 1)
+        first.until(lambda: first.front.deferred.open_calls.pending_writes == 1)
         first.loop.sleep(9 * SECOND)
-        assert first.front.deferred.pending_writes == 1
+        assert first.front.deferred.open_calls.pending_writes == 1
         disk.is_broken, ended = False, first.loop.now()
-        first.until(lambda: first.front.deferred.pending_writes == 0)
+        first.until(lambda: first.front.deferred.open_calls.pending_writes == 0)
         assert first.loop.now() - ended < 2 * SECOND
         assert first.runs("reserve") == 1
         return arn
