--- a/packages/dispatch/src/walnutpost/dispatch/effects.py
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -22,7 +22,6 @@
     SetTimer,
     TimerDue,
     Unload,
-    WatchEndpoints,
 )
 from walnutpost.interface import Outcome
 
@@ -54,7 +53,6 @@
             Probe: self._probe,
             CloseIdleConnections: self._close_idle_connections,
             SetTimer: self._set_timer,
-            WatchEndpoints: self._watch_endpoints,
             Log: self._write_log,
         }
 
@@ -92,9 +90,6 @@
     def _set_timer(self, effect: SetTimer) -> None:
         self._loop.call_later(effect.delay_us, partial(self._feed, TimerDue(effect.token)))
 
-    def _watch_endpoints(self, _: WatchEndpoints) -> None:
-        self._hooks.fetch_endpoints()
-
     def _write_log(self, effect: Log) -> None:
         # The policy logs nothing else.
         self._log.warning("worker_set_aside", text=effect.text)
--- a/packages/dispatch/src/walnutpost/dispatch/interfaces.py
+++ b/packages/dispatch/src/walnutpost/dispatch/interfaces.py
@@ -82,10 +82,8 @@
 
     `record_intent` runs before the first byte of a Send that must be persisted first, and may raise to
     prevent it. `execution_name` returns the name of the execution of a caller, empty where it has none.
-    `fetch_endpoints` is called when the gateway wants the endpoint list.
     """
 
     observer: CallObserver | None = None
     record_intent: Callable[[Send], None] = _ignore
     execution_name: Callable[[int], str] = _no_name
-    fetch_endpoints: Callable[[], None] = _ignore
--- a/packages/gateway/src/walnutpost/gateway/__init__.py
+++ b/packages/gateway/src/walnutpost/gateway/__init__.py
@@ -19,7 +19,6 @@
     Send,
     SetTimer,
     Unload,
-    WatchEndpoints,
 )
 from walnutpost.gateway.executions import (
     Admission,
@@ -80,7 +79,6 @@
     "TimerDue",
     "UnknownNameError",
     "Unload",
-    "WatchEndpoints",
     "WorkersListed",
     "admit",
     "recovery_action",
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -237,6 +237,8 @@
                 self._end(call, Rejected(f"{cause}: {call.last_result}", retry_after_us))
             case api.Fail(request):
                 self._fail(self._calls.by_number[request])
+            case api.WatchEndpoints() | api.FetchEndpoints():
+                pass  # every process that owns a gateway watches its endpoint list without being asked
             case _:
                 self._effects.append(self._names.effect_of(action))
 
--- a/packages/gateway/src/walnutpost/gateway/effects.py
+++ b/packages/gateway/src/walnutpost/gateway/effects.py
@@ -83,27 +83,10 @@
     token: int
 
 
-class WatchEndpoints(Message, frozen=True):
-    """Watch the endpoint list, stop watching it, or (None) fetch it once."""
-
-    is_on: bool | None = None
-
-
 class Log(Message, frozen=True):
     """Write a line to the log."""
 
     text: str
 
 
-Effect = (
-    Answered
-    | Send
-    | Cancel
-    | LoadOrder
-    | Unload
-    | Probe
-    | CloseIdleConnections
-    | SetTimer
-    | WatchEndpoints
-    | Log
-)
+Effect = Answered | Send | Cancel | LoadOrder | Unload | Probe | CloseIdleConnections | SetTimer | Log
--- a/packages/gateway/src/walnutpost/gateway/router_names.py
+++ b/packages/gateway/src/walnutpost/gateway/router_names.py
@@ -15,7 +15,6 @@
     Probe,
     SetTimer,
     Unload,
-    WatchEndpoints,
 )
 from walnutpost.gateway.inputs import ListedWorker, LoadOrderEnded, ProbeEnded, WorkersListed
 
@@ -87,10 +86,6 @@
                 return Cancel(request, attempt)
             case api.SetTimer(delay_us, token):
                 return SetTimer(delay_us, token)
-            case api.WatchEndpoints(is_on):
-                return WatchEndpoints(is_on)
-            case api.FetchEndpoints():
-                return WatchEndpoints()
             case api.Log(text):
                 return Log(text)
             case _:
--- a/packages/gateway/tests/golden_gateway_days.py
+++ b/packages/gateway/tests/golden_gateway_days.py
@@ -112,8 +112,6 @@
                 self.order(effect)
             case gw.SetTimer(delay, token):
                 self.feed_later(delay, gw.TimerDue(token))
-            case gw.WatchEndpoints():
-                self.at(20 * MS, lambda: self.tell_list(api.ListKind.FULL))
 
     def end(self, done: gw.AttemptEnded) -> None:
         if (done.call, done.attempt) in self.out:
--- a/packages/gateway/tests/test_gateway_decisions_golden.py
+++ b/packages/gateway/tests/test_gateway_decisions_golden.py
@@ -12,7 +12,7 @@
 from walnutpost import gateway as gw
 
 # The Router never decides on these, or not here.
-NEVER_DONE = {gw.Unload, gw.Probe, gw.CloseIdleConnections, gw.WatchEndpoints}
+NEVER_DONE = {gw.Unload, gw.Probe, gw.CloseIdleConnections}
 
 
 def first_difference(rows: list[Any]) -> str:
--- a/packages/policy/tests/neutral_form.py
+++ b/packages/policy/tests/neutral_form.py
@@ -107,7 +107,6 @@
     78: (gateway.Probe, "worker"),
     79: (gateway.CloseIdleConnections, "worker"),
     80: (gateway.SetTimer, "delay_us token"),
-    81: (gateway.WatchEndpoints, "is_on"),
     82: (gateway.Log, "text"),
 }
 
