--- a/packages/daemon/src/walnutpost/daemon/execution_records.py
+++ b/packages/daemon/src/walnutpost/daemon/execution_records.py
@@ -16,7 +16,7 @@
 
 
 class ExecutionRecords:
-    """Writes each change of an execution with its entry in the journal, and waits for the line's quorum.
+    """Writes each change of an execution with its entry in the journal, and waits for its quorum.
 
     `replication` is None without a journal: then a change is durable once it is in the store.
     """
@@ -84,7 +84,7 @@
             call.replication = self._replication.wait_for_quorum(append, call.function, time_left_us)
 
     def is_intent_recorded(self, call: OpenCall) -> bool:
-        """Whether an attempt needs no further record; with a journal each attempt has its line."""
+        """Whether an attempt needs no further record; with a journal each attempt has its entry."""
         return call.execution.intended and self._replication is None
 
     def record_intent(self, call: OpenCall, attempt: Send) -> EntryAppend | None:
@@ -99,7 +99,7 @@
         """Write the result, with retries without end; return once it is durable here and replicated.
 
         If the site is lost after the answer, another site could run the call to a different result. So this
-        waits for the quorum, but not much longer than until the call's deadline. The same line and a
+        waits for the quorum, but not much longer than until the call's deadline. The same entry and a
         `result_change` made for each attempt are committed with the result.
         """
         append = self._replication.append_ended(call.execution) if self._replication is not None else None
