--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -85,7 +85,7 @@
         known = self._fleet().state.results.get(request.id)
         if known is not None:
             return wire.CommandReply(known)
-        store = self._fleet().table
+        store = self._fleet().config_store
         base_revision = store.revision
         errors = _find_conflicts(store, request) or self._validate(store, request.mutations)
         if errors or request.is_dry_run:
@@ -102,7 +102,7 @@
         if confirmation.reason:
             return confirmation
         fleet = self._fleet()
-        if fleet.table.revision != base_revision or id in fleet.state.results:
+        if fleet.config_store.revision != base_revision or id in fleet.state.results:
             return None
         if errors:
             return _rejection(base_revision, errors)
--- a/packages/controlplane/src/walnutpost/controlplane/config_requests.py
+++ b/packages/controlplane/src/walnutpost/controlplane/config_requests.py
@@ -46,7 +46,9 @@
         if context.leadership is None:
             return self._not_leader()
         fleet = context.applied.fleet
-        status = context.leadership.progress.status(context.loop.now(), fleet.table, fleet.state.followers)
+        status = context.leadership.progress.status(
+            context.loop.now(), fleet.config_store, fleet.state.followers
+        )
         return message_response(config_messages.encode(status))
 
     def entries(self, _exchange: Exchange, query: str) -> Response:
@@ -57,7 +59,7 @@
         fields = parse_qs(query)
         kind = fields.get("kind", [""])[0]
         wanted_key = fields.get("key", [""])[0]
-        store = self._context.applied.fleet.table
+        store = self._context.applied.fleet.config_store
         keys = _matching_keys(store, kind, wanted_key)
         body = wire.encode(wire.ConfigEntries(store.revision, tuple(store.entries[key] for key in keys)))
         if len(body) > wire.MAX_BODY_BYTES:
--- a/packages/controlplane/src/walnutpost/controlplane/effects.py
+++ b/packages/controlplane/src/walnutpost/controlplane/effects.py
@@ -71,14 +71,14 @@
     def _apply(self, entries: tuple[LogEntry, ...]) -> None:
         context = self._context
         fleet = context.applied.fleet
-        former_revision = fleet.table.revision
+        former_revision = fleet.config_store.revision
         former_followers_version = fleet.followers_version
         for entry in entries:
             self._apply_entry(entry)
         context.applied.observe_endpoints()
         if fleet.followers_version != former_followers_version and context.leadership is not None:
             context.leadership.progress.set_members(context.loop.now(), fleet.state.followers)
-        if fleet.table.revision != former_revision:
+        if fleet.config_store.revision != former_revision:
             context.watches.store_changed()
         compaction = context.applied.compaction_due(context.driver.raft.log.snapshot.index)
         if compaction is not None:
@@ -94,7 +94,7 @@
         context.replies.complete(entry.id, wire.CommandReply(result))
         if entry.kind is EntryKind.COMMAND:
             if context.leadership is not None:
-                revision = context.applied.fleet.table.revision
+                revision = context.applied.fleet.config_store.revision
                 context.leadership.progress.revision_committed(context.loop.now(), revision)
             if context.driver.raft.role is Role.LEADER:
                 self._log_command(entry, result)
--- a/packages/controlplane/src/walnutpost/controlplane/leadership.py
+++ b/packages/controlplane/src/walnutpost/controlplane/leadership.py
@@ -32,7 +32,7 @@
         self._check_interval_us = min(lease_us // CHECKS_PER_LEASE, MAX_CHECK_INTERVAL_US)
         self._is_stopped = False
         now = loop.now()
-        self.progress = FleetProgress(now, applied.fleet.table.revision)
+        self.progress = FleetProgress(now, applied.fleet.config_store.revision)
         self.progress.set_members(now, applied.fleet.state.followers)
         self.monitor = FleetMonitor(now, lease_us, policy)
 
--- a/packages/controlplane/src/walnutpost/controlplane/replica.py
+++ b/packages/controlplane/src/walnutpost/controlplane/replica.py
@@ -240,7 +240,7 @@
 
     def _served_store(self) -> ConfigStore | None:
         """Return what watchers are served from; None while the disk fails: they go on at another replica."""
-        return None if self._context.disk.is_failing else self.fleet.table
+        return None if self._context.disk.is_failing else self.fleet.config_store
 
     def _age_us(self) -> int:
         """Return the time since a leader last confirmed that the applied state is the newest."""
--- a/packages/controlplane/src/walnutpost/controlplane/requests.py
+++ b/packages/controlplane/src/walnutpost/controlplane/requests.py
@@ -128,7 +128,7 @@
             leader=context.submitter.leader,
             term=raft.term,
             members=raft.members,
-            state=context.applied.fleet.snapshot(table=False),
+            state=context.applied.fleet.snapshot(config_store=False),
             is_confirmed=is_confirmed,
             pending_verdicts={} if leadership is None else dict(leadership.monitor.pending_verdicts),
             disk_failure=context.disk.reason or UNSET,
--- a/packages/controlplane/tests/control_plane_forms.py
+++ b/packages/controlplane/tests/control_plane_forms.py
@@ -121,12 +121,12 @@
 def state_answer() -> ReplicaStatus:
     fleet = fleet_forms.rich_fleet()
     pending_verdicts = {"release-1": "1 members of step 1 are not back"}
-    state = fleet.snapshot(table=False)
+    state = fleet.snapshot(config_store=False)
     return ReplicaStatus(fleet.state.index, "k1", "k1", 3, MEMBERS, state, True, pending_verdicts)
 
 
 def entries_answer() -> ConfigEntries:
-    store = fleet_forms.rich_fleet().table
+    store = fleet_forms.rich_fleet().config_store
     return ConfigEntries(store.revision, tuple(store.entries[key] for key in sorted(store.entries)))
 
 
--- a/packages/controlplane/tests/test_changes.py
+++ b/packages/controlplane/tests/test_changes.py
@@ -47,7 +47,9 @@
     def commit(self, mutations: Sequence[Mutation], id: str = "") -> CommandResult:
         self.index += 1
         return self.fleet.apply(
-            self.index, id, encode(ApplyChangeSet(tuple(mutations), self.fleet.table.revision, "other"))
+            self.index,
+            id,
+            encode(ApplyChangeSet(tuple(mutations), self.fleet.config_store.revision, "other")),
         )
 
     def propose(self, id: str, command: bytes) -> wire.CommandReply:
@@ -120,13 +122,13 @@
         assert reply.result is not None
         assert not reply.result.ok
         assert "wanted a class" in reply.errors[0]
-        assert not world.fleet.table.entries
+        assert not world.fleet.config_store.entries
         assert world.checked == [0, 1, 2]
         world.before = [[Mutation("class/b", b"1")], [Mutation("class/c", b"1")]]
         reply = world.submit("3", CLASS)
         assert reply.result is not None
         assert reply.result.ok
-        assert len(world.fleet.table.entries) == 3
+        assert len(world.fleet.config_store.entries) == 3
 
     play(script)
 
--- a/packages/controlplane/tests/test_disk_recovery.py
+++ b/packages/controlplane/tests/test_disk_recovery.py
@@ -72,7 +72,7 @@
         cluster.register("before")
         leader = cluster.leader()
         disk, replica = cluster.disks[leader], cluster.replicas[leader]
-        store = replica.fleet.table
+        store = replica.fleet.config_store
         request = config_messages.encode(
             WatchRequest("", "", 1, store.revision, 0, store.digest, 10 * SECOND)
         )
--- a/packages/fleet/src/walnutpost/fleet/context.py
+++ b/packages/fleet/src/walnutpost/fleet/context.py
@@ -14,9 +14,9 @@
     It is no part of the replicated state.
     """
 
-    def __init__(self, state: FleetState | None = None, table: ConfigStore | None = None) -> None:
+    def __init__(self, state: FleetState | None = None, config_store: ConfigStore | None = None) -> None:
         self.state = state or FleetState()
-        self.table = table or ConfigStore()
+        self.config_store = config_store or ConfigStore()
         self.followers_version = 0
 
     def accepted(self, permit: str = "") -> CommandResult:
--- a/packages/fleet/src/walnutpost/fleet/machine.py
+++ b/packages/fleet/src/walnutpost/fleet/machine.py
@@ -47,9 +47,9 @@
 
 
 class StateSnapshot(FleetState):
-    """Content of a snapshot. `table`: the config store; empty if it was left out or did not exist yet."""
+    """Content of a snapshot. `config_store` is empty if it was left out or did not exist yet."""
 
-    table: bytes = b""
+    config_store: bytes = msgspec.field(default=b"", name="table")
 
 
 _decoder = msgspec.msgpack.Decoder(StateSnapshot)
@@ -58,13 +58,13 @@
 class Fleet(FleetContext):
     """The state machine of one replica."""
 
-    def snapshot(self, table: bool = True) -> bytes:
+    def snapshot(self, config_store: bool = True) -> bytes:
         """Return the state as bytes, the same at each replica that has applied the same entries.
 
-        `table=False` leaves out the config store, which may be large.
+        `config_store=False` leaves out the config store, which may be large.
         """
-        store = self.table.snapshot() if table else b""
-        return msgspec.msgpack.encode(StateSnapshot(**structs.asdict(self.state), table=store))
+        store = self.config_store.snapshot() if config_store else b""
+        return msgspec.msgpack.encode(StateSnapshot(**structs.asdict(self.state), config_store=store))
 
     @classmethod
     def restore(cls, data: bytes) -> Fleet:
@@ -73,13 +73,13 @@
             return cls()
         try:
             fields = structs.asdict(_decoder.decode(data))
-            store = fields.pop("table")
-            table = ConfigStore.restore(store) if store else ConfigStore()
+            store = fields.pop("config_store")
+            config_store = ConfigStore.restore(store) if store else ConfigStore()
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError, InvalidSnapshotError) as error:
             raise InvalidStateError(str(error)) from error
         # A former version wrote its dicts sorted by key: the oldest result would no longer come first.
         fields["results"] = dict(sorted(fields["results"].items(), key=lambda item: item[1].index))
-        return cls(FleetState(**fields), table)
+        return cls(FleetState(**fields), config_store)
 
     def apply(self, index: int, request_id: str, data: bytes) -> CommandResult:
         """Apply a log entry, once for each `request_id`: a repeated command gets the first result again.
--- a/packages/fleet/src/walnutpost/fleet/settings.py
+++ b/packages/fleet/src/walnutpost/fleet/settings.py
@@ -38,10 +38,10 @@
 
 def apply_change_set(fleet: FleetContext, command: ApplyChangeSet) -> CommandResult:
     """Apply a complete change set, or reject it if the store has changed since it was validated."""
-    if command.base_revision != fleet.table.revision:
+    if command.base_revision != fleet.config_store.revision:
         return fleet.rejected(CHANGED_MEANWHILE)
     try:
-        fleet.table.propose(fleet.state.index, command.mutations)
+        fleet.config_store.propose(fleet.state.index, command.mutations)
     except InvalidChangeError as error:
         return fleet.rejected(str(error))
     return fleet.accepted()
--- a/packages/fleet/tests/fleet_forms.py
+++ b/packages/fleet/tests/fleet_forms.py
@@ -303,7 +303,7 @@
 
 def fleet_seen(fleet: Fleet) -> dict[str, Any]:
     """What two fleets are compared by: dicts in their order, which decides who goes first."""
-    table, state = fleet.table, fleet.state
+    table, state = fleet.config_store, fleet.state
     orders = [
         list(held) for held in (state.members, state.permits, state.plans, state.versions, state.results)
     ]
--- a/packages/fleet/tests/test_replicated_state.py
+++ b/packages/fleet/tests/test_replicated_state.py
@@ -59,7 +59,7 @@
     def set(
         self, *mutations: Mutation, base_revision: int | None = None, request_id: str = ""
     ) -> CommandResult:
-        revision = self.fleets[0].table.revision if base_revision is None else base_revision
+        revision = self.fleets[0].config_store.revision if base_revision is None else base_revision
         return self.do(ApplyChangeSet(mutations, revision, "anna"), request_id)
 
     @property
@@ -117,26 +117,26 @@
         revisions = [0]
         for step in steps:
             log.do(with_base_revision(step.command, revisions), f"id{step.request_id}")
-            if log.fleet.table.revision > revisions[-1]:
-                revisions.append(log.fleet.table.revision)
+            if log.fleet.config_store.revision > revisions[-1]:
+                revisions.append(log.fleet.config_store.revision)
             if step.restart == 0:
                 log.fleets[1] = Fleet.restore(log.fleets[1].snapshot())
             elif step.restart == 1:
                 log.fleets[2] = Fleet.restore(log.fleet.snapshot())
             assert len({fleet.snapshot() for fleet in log.fleets}) == 1
-            assert len({fleet.table.digest for fleet in log.fleets}) == 1
+            assert len({fleet.config_store.digest for fleet in log.fleets}) == 1
         last = Fleet()
         for index, entry in enumerate(log.entries, 1):
             last.apply(index, *entry)
         assert last.snapshot() == log.fleet.snapshot()
-        assert sum(log.fleet.table.compute_bucket_digests()) % 2**64 == log.fleet.table.digest
+        assert sum(log.fleet.config_store.compute_bucket_digests()) % 2**64 == log.fleet.config_store.digest
 
 
 def test_change_set_when_valid_gives_all_its_entries_the_index_of_the_log_entry() -> None:
     log = ReplicatedLog()
     log.do(HaltPlan("x"))
     result = log.set(mutation("a"), mutation("b"))
-    table = log.fleet.table
+    table = log.fleet.config_store
     assert result.ok
     assert result.index == table.revision == 2
     assert {e.key: e.revision for e in table.entries.values()} == {"function/a": 2, "function/b": 2}
@@ -158,12 +158,12 @@
     log = ReplicatedLog()
     log.do(HaltPlan("x"))
     log.set(mutation("a"), mutation("b"))
-    before = log.fleet.table.entries
+    before = log.fleet.config_store.entries
     result = log.set(*mutations)
     assert not result.ok
     assert error in result.error
-    assert log.fleet.table.entries is before
-    assert log.fleet.table.revision == 2
+    assert log.fleet.config_store.entries is before
+    assert log.fleet.config_store.revision == 2
 
 
 def test_change_set_when_validated_against_an_older_revision_is_rejected_and_may_be_retried() -> None:
@@ -176,11 +176,11 @@
     assert "x" not in log.fleet.state.results
     result = log.set(mutation("a", None), request_id="x")
     assert result.ok
-    assert list(log.fleet.table.entries) == ["function/b"]
+    assert list(log.fleet.config_store.entries) == ["function/b"]
     log.set(mutation("a", "3"))
     assert log.set(mutation("a", None), request_id="x") == result, "a repeated command is not applied again"
     assert log.set(mutation("a", None), base_revision=1, request_id="x") == result
-    assert log.fleet.table.entries["function/a"].value == b"3"
+    assert log.fleet.config_store.entries["function/a"].value == b"3"
 
 
 def test_follower_when_another_incarnation_leaves_stays() -> None:
@@ -217,8 +217,8 @@
     fleet = Fleet.restore(msgspec.msgpack.encode(snapshot))
     assert fleet.state.members["m"].incarnation == "m.1"
     assert fleet.state.halt_reason == "for a while"
-    assert not fleet.table.entries
-    assert fleet.table.revision == 0
+    assert not fleet.config_store.entries
+    assert fleet.config_store.revision == 0
     assert not fleet.state.followers
     assert list(fleet.state.results) == ["b", "c", "a"], "the oldest comes first"
     assert fleet.apply(10, "x", encode(ApplyChangeSet((mutation("a"),), 0))).ok
@@ -232,11 +232,11 @@
     log = ReplicatedLog()
     log.set(mutation("a", "x" * 10_000))
     log.do(UpdateFollowers((("f", "1"),)))
-    data = log.fleet.snapshot(table=False)
+    data = log.fleet.snapshot(config_store=False)
     assert len(data) < 1000
     assert Fleet.restore(data).state == log.fleet.state
-    assert not Fleet.restore(data).table.entries
-    assert Fleet.restore(log.fleet.snapshot()).table.entries == log.fleet.table.entries
+    assert not Fleet.restore(data).config_store.entries
+    assert Fleet.restore(log.fleet.snapshot()).config_store.entries == log.fleet.config_store.entries
 
 
 @pytest.mark.parametrize(
@@ -265,7 +265,7 @@
 
 
 def test_snapshot_when_empty_is_read_as_an_empty_state() -> None:
-    assert Fleet.restore(b"").table.revision == 0
+    assert Fleet.restore(b"").config_store.revision == 0
 
 
 @pytest.mark.parametrize(
@@ -285,13 +285,13 @@
 def test_config_store_when_it_compacts_does_so_at_the_same_entry_on_all_replicas() -> None:
     log = ReplicatedLog()
     log.fleets = [
-        Fleet(table=ConfigStore(max_log_entries=4)),
-        Fleet(table=ConfigStore(max_log_entries=4)),
+        Fleet(config_store=ConfigStore(max_log_entries=4)),
+        Fleet(config_store=ConfigStore(max_log_entries=4)),
     ]
     for n in range(10):
         log.set(mutation(f"f{n}"))
         assert len({fleet.snapshot() for fleet in log.fleets}) == 1
-    assert log.fleet.table.compacted_revision == 6
+    assert log.fleet.config_store.compacted_revision == 6
 
 
 def test_command_when_repeated_gets_its_first_result() -> None:
--- a/packages/relay/tests/test_with_keepers.py
+++ b/packages/relay/tests/test_with_keepers.py
@@ -83,7 +83,7 @@
         keepers[leader].stop()
         change(3)
         survivor = next(keeper for name, keeper in keepers.items() if name != leader)
-        assert survivor.fleet.table.digest == members[0].table.digest
+        assert survivor.fleet.config_store.digest == members[0].table.digest
         for member in members:
             member.watcher.stop()
         until(
