--- a/packages/agent/src/walnutpost/agent/fleet_observer.py
+++ b/packages/agent/src/walnutpost/agent/fleet_observer.py
@@ -6,7 +6,7 @@
 
 from walnutpost.agent.child_process import ChildProcess
 from walnutpost.agent.control_plane import ControlPlaneLink
-from walnutpost.agent.manual_orders import InputHandler
+from walnutpost.agent.input_handler import InputHandler
 from walnutpost.agent.versions import VersionStore
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import Fleet
--- a/packages/agent/src/walnutpost/agent/manual_orders.py
+++ b/packages/agent/src/walnutpost/agent/manual_orders.py
@@ -6,19 +6,12 @@
 import time
 from collections.abc import Mapping
 from pathlib import Path
-from typing import Protocol
 
 from walnutpost.agent.errors import ManualOrderError
+from walnutpost.agent.input_handler import InputHandler
 from walnutpost.agent.versions import VersionStore
 from walnutpost.eventloop import Logger
-from walnutpost.fleet.agent_inputs import Input, OperatorOrder
-
-
-class InputHandler(Protocol):
-    """Handles inputs of the agent's state machine."""
-
-    def handle(self, event: Input) -> None:
-        """Handle an input and carry out its effects."""
+from walnutpost.fleet.agent_inputs import OperatorOrder
 
 
 def manual_order_path(folder: Path, member: str) -> Path:
--- a/packages/fleet/src/walnutpost/fleet/agent_reports.py
+++ b/packages/fleet/src/walnutpost/fleet/agent_reports.py
@@ -1,4 +1,4 @@
-"""Commands by which an agent reports to the control plane what has become of its instance."""
+"""Commands by which an agent reports on its instance to the control plane."""
 
 from __future__ import annotations
 
--- a/packages/fleet/src/walnutpost/fleet/leases.py
+++ b/packages/fleet/src/walnutpost/fleet/leases.py
@@ -1,4 +1,4 @@
-"""What a leader hears of members, and the commands that it proposes for it.
+"""What is reported to a leader about members, and the commands that it proposes in response.
 
 No I/O; clocks are passed in, in microseconds. Nothing here is committed: all of it is lost with the
 leadership, and a new leader waits for a full lease before it proposes that a member is unresponsive.
--- a/packages/fleet/src/walnutpost/fleet/plan_progress.py
+++ b/packages/fleet/src/walnutpost/fleet/plan_progress.py
@@ -1,4 +1,4 @@
-"""Effects of other commands on running plans: what a plan forbids, what halts it, who is back, how it ends.
+"""Effects of other commands on running plans: permits forbidden, halts, completed members, rollbacks, ends.
 
 Reasons of halts and ends are stored in the state, and replicas of two versions must agree on them: the texts
 must not change.
@@ -90,7 +90,7 @@
 
 
 def _is_touched(state: FleetState, plan: Plan, name: str) -> bool:
-    """Whether a member runs the plan's version, or is out for it and may come up with it."""
+    """Whether a member runs the plan's version, or has a permit of the plan and may start with it."""
     is_out = any(permit.member == name and permit.plan == plan.id for permit in state.permits.values())
     member = state.members.get(name)
     return is_out or (member is not None and member.version == plan.version)
