--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -57,13 +57,13 @@
     """One process's file. Changes wait until they are durable; many that wait share one commit.
 
     Changes are committed on the loop's helper thread. Other accesses wait for a commit to end, so they belong
-    on that thread, too, except while a process starts: its first tasks may commit before it has read all.
+    on that thread, too, except while a process starts: its first tasks may commit before all is read.
     A commit that fails (EIO, a full disk, a lock) is rolled back and retried with backoff, for `retry_us`
     per change; 0 means one attempt. A change must therefore be repeatable.
+    Opens or creates the file, readable by its owner alone; raises StoreError with the path.
     """
 
     def __init__(self, loop: Loop, path: Path, schema: str, retry_us: int = 0) -> None:
-        """Open or make the file, readable by its owner alone. Raises StoreError with the path."""
         self._loop = loop
         self._retry_us = retry_us
         self._pending: list[_PendingChange] = []
@@ -228,6 +228,7 @@
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
 
+    # Any: sqlite3 has no types of columns.
     def select(self, query: str, values: Sequence[object] = ()) -> list[tuple[Any, ...]]:
         """Return rows; while the process starts, or on the loop's helper thread. Raises StoreError."""
         try:
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -1,23 +1,24 @@
 """Deferred calls on disk.
 
-Their times are stored time (stored_time.py), converted here alone: callers give and get epochs of the loop's
-clock, in microseconds.
+Their times are stored time (stored_time.py), converted here: callers give and get epochs of the loop's clock,
+in microseconds.
 """
 
 from __future__ import annotations
 
 import sqlite3
-from collections.abc import Callable, Sequence
-from dataclasses import dataclass, replace
+from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import NamedTuple
 
 from walnutpost.eventloop import Loop
 from walnutpost.gateway import Execution, Status
 from walnutpost.store.database import COMMIT_RETRY_US, Change, Database
+from walnutpost.store.execution_rows import COLUMNS, PLACEHOLDERS, convert_times, execution_of, row_of
 from walnutpost.store.time_marks import StoredClock
 
-# With rowids: in an index of its own, a row of a kilobyte would take a page of four besides.
+# With rowids: in an index that holds the rows, one of a kilobyte would take a page of four besides.
 SCHEMA = """
 create table if not exists executions (
     id text primary key, name text not null, function text not null, version text not null, tenant text,
@@ -30,12 +31,6 @@
 create index if not exists by_status on executions (status, ended_at);
 """
 STORING_TIME_DIVISOR = 2  # half of a call's time is left for its function
-# The columns in the order of the table, as _row_of returns and _execution_of expects them.
-COLUMNS = (
-    "id, name, function, version, tenant, payload, digest, accepted_at, expires_at, intended, status,"
-    " ended_at, result, error_type, error_message"
-)
-PLACEHOLDERS = ",".join("?" * len(COLUMNS.split(",")))
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,11 +50,28 @@
     limit: int
 
 
+class _Condition(NamedTuple):
+    """A condition of a query, with the values of its placeholders."""
+
+    sql: str
+    values: list[object]
+
+
+class ExecutionPage(NamedTuple):
+    """Executions of a page, and whether more follow."""
+
+    executions: list[Execution]
+    has_more: bool
+
+
 class ExecutionStore(Database):
-    """One process's executions."""
+    """One process's executions. Opens or creates the file.
+
+    A change returns once it is durable; `extra_change` is in the same commit. All methods and the constructor
+    raise StoreError.
+    """
 
     def __init__(self, loop: Loop, path: Path) -> None:
-        """Open or make the file. Raises StoreError."""
         super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
         self.clock = StoredClock(loop, self, self._newest_epoch_us())
 
@@ -68,11 +80,9 @@
         ((accepted_at, ended_at),) = self.select("select max(accepted_at), max(ended_at) from executions")
         return None if accepted_at is None else max(accepted_at, ended_at)
 
-    # Changes. Each returns once it is durable, and raises StoreError; `extra_change` is in the same commit.
-
     def add(self, execution: Execution, extra_change: Change | None = None) -> None:
         """Insert a new execution. A failed commit is retried for a part of the call's own time."""
-        values = self._row_of(execution)
+        values = row_of(self.with_stored_times(execution))
 
         def change(db: sqlite3.Connection) -> None:
             try:
@@ -89,7 +99,7 @@
 
     def replace_recovered(self, executions: Sequence[Execution], withdrawn_ids: Sequence[str]) -> None:
         """Insert or overwrite executions, and delete those that were withdrawn."""
-        rows = [self._row_of(execution) for execution in executions]
+        rows = [row_of(self.with_stored_times(execution)) for execution in executions]
 
         def change(db: sqlite3.Connection) -> None:
             db.executemany(f"insert or replace into executions values ({PLACEHOLDERS})", rows)
@@ -139,8 +149,6 @@
 
         self.submit(change)
 
-    # Reading. Each raises StoreError.
-
     def load_open(self) -> list[Execution]:
         """Return all without a final status, soonest deadline first; at start, before the loop runs."""
         return self._select("where status=? order by expires_at", (Status.RUNNING.value,))
@@ -153,15 +161,15 @@
         """Return the execution with a name within its function."""
         return next(iter(self._read("where function=? and name=?", (function, name))), None)
 
-    def list_page(self, query: ExecutionQuery) -> tuple[list[Execution], bool]:
-        """Return a page, and whether there are more after it."""
-        conditions, values = self._conditions_of(query)
+    def list_page(self, query: ExecutionQuery) -> ExecutionPage:
+        """Return a page of a function's executions."""
+        condition = self._condition_of(query)
         order = "desc" if query.newest_first else "asc"
-        where = f"where {' and '.join(conditions)} order by accepted_at {order}, id {order} limit ?"
-        rows = self._read(where, (*values, query.limit + 1))
-        return rows[: query.limit], len(rows) > query.limit
+        where = f"where {condition.sql} order by accepted_at {order}, id {order} limit ?"
+        rows = self._read(where, (*condition.values, query.limit + 1))
+        return ExecutionPage(rows[: query.limit], len(rows) > query.limit)
 
-    def _conditions_of(self, query: ExecutionQuery) -> tuple[list[str], list[object]]:
+    def _condition_of(self, query: ExecutionQuery) -> _Condition:
         conditions = ["function=?"]
         values: list[object] = [query.function]
         if query.name is not None:
@@ -180,57 +188,19 @@
             conditions.append(f"(accepted_at, id) {'<' if query.newest_first else '>'} (?, ?)")
             accepted_at_us, execution_id = query.cursor
             values += (self.clock.to_stored(accepted_at_us), execution_id)
-        return conditions, values
+        return _Condition(" and ".join(conditions), values)
 
     def _read(self, where: str, values: Sequence[object]) -> list[Execution]:
         return self._loop.run_blocking(self._select, where, values)
 
     def _select(self, where: str, values: Sequence[object]) -> list[Execution]:
         rows = self.select(f"select {COLUMNS} from executions {where}", values)
-        return [self.with_epoch_times(_execution_of(row)) for row in rows]
-
-    # Times
-
-    def _row_of(self, execution: Execution) -> tuple[object, ...]:
-        execution = self.with_stored_times(execution)
-        return (
-            execution.id,
-            execution.name,
-            execution.function,
-            execution.version,
-            execution.tenant,
-            execution.payload,
-            execution.digest,
-            execution.accepted_at,
-            execution.expires_at,
-            int(execution.intended),
-            execution.status.value,
-            execution.ended_at,
-            execution.result,
-            execution.error_type,
-            execution.error_message,
-        )
+        return [self.with_epoch_times(execution_of(row)) for row in rows]
 
     def with_epoch_times(self, execution: Execution) -> Execution:
         """Convert an execution in stored time, as in rows and in entries of the own journal, to epochs."""
-        return _with_times(execution, self.clock.to_epoch)
+        return convert_times(execution, self.clock.to_epoch)
 
     def with_stored_times(self, execution: Execution) -> Execution:
         """Convert an execution with epochs to stored time, for rows and for entries of the own journal."""
-        return _with_times(execution, self.clock.to_stored)
-
-
-def _with_times(execution: Execution, convert: Callable[[int], int]) -> Execution:
-    return replace(
-        execution,
-        accepted_at=convert(execution.accepted_at),
-        expires_at=convert(execution.expires_at),
-        ended_at=convert(execution.ended_at) if execution.ended_at else 0,  # 0: it has not ended
-    )
-
-
-def _execution_of(row: Sequence[Any]) -> Execution:
-    """Return the execution of a row with COLUMNS, in stored time."""
-    *identity, intended, status, ended_at, result, error_type, error_message = row
-    values = [*identity, bool(intended), Status(status), ended_at, result, error_type, error_message]
-    return Execution(*values)
+        return convert_times(execution, self.clock.to_stored)
--- a/packages/store/src/walnutpost/store/firings.py
+++ b/packages/store/src/walnutpost/store/firings.py
@@ -6,6 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
+from typing import NamedTuple
 
 from walnutpost.gateway import Execution
 from walnutpost.store.database import Change, Database, StoreError, combine_changes
@@ -44,15 +45,27 @@
     why: str
 
 
+class UnfinishedFirings(NamedTuple):
+    """Firings without an outcome when the last process ended.
+
+    `open_calls` are those whose call is open; `without_call` were being rejected.
+    """
+
+    open_calls: list[FiringRow]
+    without_call: list[FiringRow]
+
+
 class FiringStore:
-    """Firings, and for each schedule a mark: up to there all due times have an outcome."""
+    """Firings, and for each schedule a mark: up to there all due times have an outcome.
+
+    Methods `record_...` and `register_schedules` return a change, which the caller commits. Methods
+    `load_...` read at start, before the loop runs.
+    """
 
     def __init__(self, database: Database) -> None:
         self._database = database
         database.create_tables(SCHEMA)
 
-    # Changes, to be committed
-
     def record_fired(self, schedule: str, due: int, now: int, execution: str) -> Change:
         """Return the change that is committed together with the execution itself."""
 
@@ -115,19 +128,14 @@
         change = combine_changes(*changes)
         self._database.submit(change if change is not None else _no_change)
 
-    # Reading at start, before the loop runs
-
     def load_marks(self) -> dict[str, int]:
         """Return each schedule's mark."""
         return dict(self._database.select("select schedule, mark from marks"))
 
-    def load_unfinished(self) -> tuple[list[FiringRow], list[FiringRow]]:
-        """Return the firings without an outcome: those whose call is open, and those without a call.
-
-        The latter were being rejected when the last process died.
-        """
+    def load_unfinished(self) -> UnfinishedFirings:
+        """Return the firings without an outcome."""
         has_call = "exists (select 1 from executions e where e.name=f.execution and e.status='RUNNING')"
-        return self._load_fired(has_call), self._load_fired(f"not {has_call}")
+        return UnfinishedFirings(self._load_fired(has_call), self._load_fired(f"not {has_call}"))
 
     def _load_fired(self, condition: str) -> list[FiringRow]:
         query = f"select f.* from firings f where f.status='{FIRED}' and {condition}"
--- a/packages/store/src/walnutpost/store/journal.py
+++ b/packages/store/src/walnutpost/store/journal.py
@@ -9,6 +9,7 @@
 import secrets
 import sqlite3
 from collections.abc import Sequence
+from typing import NamedTuple
 
 from walnutpost.eventloop import Loop
 from walnutpost.journal import (
@@ -57,14 +58,13 @@
     """A Change that gives `record` the next number of a journal; `entry` is set once it is durable."""
 
     def __init__(self, origin: str, record: AnyRecord) -> None:
-        """Append to the journal of `origin`."""
         self._origin = origin
         self._record = record
         self.entry = JournalEntry(0, b"", 0)
 
     def __call__(self, db: sqlite3.Connection) -> None:
         """Write the entry as part of a commit."""
-        # Numbered within the commit: the numbers of a failed one are used again, as nobody was sent them.
+        # Numbered within the commit: the numbers of a failed one are used again: no replica was sent them.
         (seq,) = db.execute(
             "update journals set upto = upto + 1 where origin = ? returning upto", (self._origin,)
         ).fetchone()
@@ -72,15 +72,22 @@
         _insert(db, self._origin, self.entry, self._record)
 
 
+class StoredJournal(NamedTuple):
+    """The part of a journal that is stored here: the numbers accounted for, and their entries."""
+
+    covered: IntervalSet
+    entries: list[JournalEntry]
+
+
 class JournalStore:
-    """Journals in a database's file.
+    """Journals in a database's file, opened before the loop runs.
 
-    `own_origin` is the name of this process and its disk id: a new disk begins a new journal.
+    Raises StoreError if the file is not `name`'s. `own_origin` is the name of this process and its disk id: a
+    new disk begins a new journal.
     `offsets`: up to which number each journal is here without a gap.
     """
 
     def __init__(self, loop: Loop, database: Database, name: str) -> None:
-        """Open the journals before the loop runs. Raises StoreError if the file is another front end's."""
         self._loop = loop
         self._database = database
         database.create_tables(SCHEMA)
@@ -157,10 +164,10 @@
                 last = entry.seq
         return make_batch(origin, after, max(last, upto), entries)
 
-    def read_journal(self, origin: str) -> tuple[IntervalSet, list[JournalEntry]]:
-        """Return what is here of a journal: the covered numbers, and the entries. Raises StoreError."""
+    def read_journal(self, origin: str) -> StoredJournal:
+        """Return the part of a journal that is stored here. Raises StoreError."""
         entries = self._loop.run_blocking(self._read, "where origin = ? order by seq", (origin,))
-        return IntervalSet([(0, self.offsets.get(origin, 0))]), entries
+        return StoredJournal(IntervalSet([(0, self.offsets.get(origin, 0))]), entries)
 
     def read_call_entries(self, call_id: str) -> list[JournalEntry]:
         """Return the entries about a call in all journals here. Raises StoreError."""
@@ -200,7 +207,7 @@
     """Delete the entries of calls that expired before a time, and older purge records.
 
     Open calls are included: a replica that has the first entry of a call but never received the last must not
-    show the call as open for ever.
+    show the call as open without end.
     """
     db.execute(
         "delete from lines where origin = ?1 and call in"
--- a/packages/store/src/walnutpost/store/replica.py
+++ b/packages/store/src/walnutpost/store/replica.py
@@ -87,7 +87,7 @@
                 self.last_index = max(self.last_index, self.snapshot_index)
 
     def missing_from(self, state: PersistentState) -> str:
-        """Return what `state` lacks, for people; empty where it has everything."""
+        """Return what `state` lacks, for people; empty if it has everything."""
         found = DurableFloor.of_state(state)
         if found.term < self.term:
             return f"term: found {found.term}, wanted {self.term} at least"
@@ -119,11 +119,11 @@
 class ReplicaStore(Database):
     """The file of one replica.
 
-    Entries that a snapshot replaces stay readable as history, up to `max_history_entries` of them.
+    Opens or creates it; raises StoreError. Entries that a snapshot replaces stay readable as history, up to
+    `max_history_entries` of them.
     """
 
     def __init__(self, loop: Loop, path: Path, max_history_entries: int = MAX_HISTORY_ENTRIES) -> None:
-        """Open or create the file. Raises StoreError."""
         super().__init__(loop, path, SCHEMA)
         self._path = path
         self._max_history_entries = max_history_entries
@@ -133,9 +133,9 @@
         """Return once everything that can be read from the file is durable. Raises StoreError; blocks.
 
         After a failed sync the kernel treats pages as clean that never reached the disk, and a reopened file
-        shows them: a commit that was not acknowledged. No later sync writes those pages. So a write of its
-        own shows that the disk accepts writes again, and the checkpoint writes each page of the log anew into
-        the main file, and syncs that.
+        shows them: a commit that was not acknowledged. No later sync writes those pages. So a new
+        write shows that the disk accepts writes again, and the checkpoint writes each page of the log into
+        the main file once more, and syncs that.
         """
         try:
             (version,) = self._db.execute("pragma user_version").fetchone()
@@ -147,7 +147,7 @@
             raise StoreError("checkpoint: the file is locked") from sqlite3.OperationalError("locked")
 
     def load(self) -> StoredReplica | None:
-        """Read the file; None where it is new. Raises StoreError; UnreadableStateError for invalid data."""
+        """Read the file; None if it is new. Raises StoreError; UnreadableStateError for invalid data."""
         rows = self.select("select format, identity, term, voted, snapshot from replica")
         if not rows:
             return None
--- a/packages/store/src/walnutpost/store/time_marks.py
+++ b/packages/store/src/walnutpost/store/time_marks.py
@@ -17,14 +17,14 @@
 
 
 class StoredClock:
-    """Converts between epochs of the loop's clock and the stored time of one file."""
+    """Converts between epochs of the loop's clock and the stored time of one file.
 
-    def __init__(self, loop: Loop, database: Database, newest_epoch_us: int | None) -> None:
-        """Read the last mark, before the loop's helper thread uses the file.
+    Reads the last mark, so it must be created before the loop's helper thread uses the file.
+    `newest_epoch_us` is the newest time in a file that a version without marks may have written, None if it
+    has none.
+    """
 
-        `newest_epoch_us` is the newest time in a file that a version without marks may have written, None if
-        it has none.
-        """
+    def __init__(self, loop: Loop, database: Database, newest_epoch_us: int | None) -> None:
         self._loop = loop
         database.create_tables(SCHEMA)
         mark = _last_mark(database)
--- a/packages/store/src/walnutpost/store/usage.py
+++ b/packages/store/src/walnutpost/store/usage.py
@@ -1,14 +1,11 @@
-"""The usage ledger on disk, in a file of its own: a full or slow disk then costs no call."""
+"""The usage ledger on disk, in a separate file: if its disk is full or slow, no call fails."""
 
 from __future__ import annotations
 
 import sqlite3
-from collections.abc import Iterable
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
-
-import msgspec
+from typing import NamedTuple
 
 from walnutpost.eventloop import Loop
 from walnutpost.metering import (
@@ -20,11 +17,9 @@
     LedgerLine,
     LedgerState,
     UsageGap,
-    UsageSample,
-    UsageSlice,
-    WorkerIncarnation,
 )
 from walnutpost.store.database import COMMIT_RETRY_US, Database, StoreError
+from walnutpost.store.usage_rows import IncarnationRow, LineRow, SampleRow, SliceRow
 
 SCHEMA = """
 create table if not exists slices (
@@ -62,10 +57,7 @@
 ) without rowid;
 create table if not exists state (name text primary key, value integer not null) without rowid;
 """
-_encode = msgspec.json.Encoder().encode
-_decode = msgspec.json.Decoder().decode
 READ_LOCK_TIMEOUT_S = 1
-SLICE_COLUMNS = 14
 # The keys of table `state`. They are stored and must not change.
 SERIAL = "serial"
 CLOSED_TO = "closed to"
@@ -87,14 +79,20 @@
     at_risk_mb: int = 0
 
 
+class SavedLedger(NamedTuple):
+    """A ledger as it was found at start."""
+
+    state: LedgerState
+    last_run: LedgerRun
+
+
 class UsageStore(Database):
-    """The ledger of one front end."""
+    """The ledger of one front end. Opens or creates the file; raises StoreError."""
 
     def __init__(self, loop: Loop, path: Path) -> None:
-        """Open or make the file. Raises StoreError."""
         super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
 
-    def load(self) -> tuple[LedgerState, LedgerRun]:
+    def load(self) -> SavedLedger:
         """Return the ledger's state and its last run; at start, before the loop runs. Raises StoreError."""
         try:
             state = _state(self._db)
@@ -109,7 +107,7 @@
             if any(amount):
                 saved.booked.setdefault(hour, {})[Account(tenant, function, cause)] = Amount(*amount)
         run = LedgerRun(state.get(RUN_STARTED, 0), state.get(RUN_WRITTEN, 0), state.get(RUN_AT_RISK, 0))
-        return saved, run
+        return SavedLedger(saved, run)
 
     def write(self, batch: LedgerBatch, run: LedgerRun) -> None:
         """Return once all of it is durable, in one commit. Raises StoreError, and nothing is written."""
@@ -130,12 +128,12 @@
 
 def _write_observations(db: sqlite3.Connection, batch: LedgerBatch) -> None:
     db.executemany(
-        f"insert or replace into slices values ({','.join('?' * SLICE_COLUMNS)})",
-        [_slice_row(each) for each in batch.slices],
+        f"insert or replace into slices values ({','.join('?' * len(SliceRow._fields))})",
+        [SliceRow.of(each) for each in batch.slices],
     )
     db.executemany(
         "insert or replace into lives values (?, ?, ?, ?, ?, ?, ?)",
-        [_incarnation_row(each) for each in batch.incarnations],
+        [IncarnationRow.of(each) for each in batch.incarnations],
     )
     db.executemany(
         "insert or replace into gaps values (?, ?, ?, ?)",
@@ -143,42 +141,7 @@
     )
     db.executemany(
         "insert or replace into seen values (?, ?, ?, ?, ?, ?, ?, ?)",
-        [(*sample.key, *_amount_columns(sample.amount)) for sample in batch.samples],
-    )
-
-
-def _incarnation_row(each: WorkerIncarnation) -> tuple[object, ...]:
-    return (
-        each.worker,
-        each.started_us,
-        each.last_heard_us,
-        each.memory_mb,
-        each.change,
-        each.evicted_mb_us,
-        int(each.is_draining),
-    )
-
-
-def _amount_columns(amount: Amount) -> tuple[int, int, int]:
-    return amount.best, amount.lower_bound, amount.upper_bound
-
-
-def _slice_row(each: UsageSlice) -> tuple[object, ...]:
-    return (
-        each.worker,
-        each.started_us,
-        each.copy,
-        each.hour_us,
-        each.function,
-        each.memory_mb,
-        each.counted_until_us,
-        int(each.is_final),
-        each.loading_us,
-        each.unused_us,
-        _encode(each.running_us).decode(),
-        _encode(each.idle_us).decode(),
-        each.first_tenant,
-        _encode(sorted(each.contradictions)).decode(),
+        [SampleRow.of(sample) for sample in batch.samples],
     )
 
 
@@ -191,7 +154,15 @@
         db.execute(
             "insert into lines select ?, id, ?, ?, ?, ?, ? from accounts"
             " where tenant=? and function=? and cause=?",
-            (line.hour_us, line.kind, *_amount_columns(amount), line.booked_us, *key),
+            (
+                line.hour_us,
+                line.kind,
+                amount.best,
+                amount.lower_bound,
+                amount.upper_bound,
+                line.booked_us,
+                *key,
+            ),
         )
 
 
@@ -227,8 +198,8 @@
     db.execute("delete from days where day<?", (batch.delete_before_us,))
 
 
-def read_ledger(path: Path, since: int, until: int, records: bool = True) -> LedgerExtract:
-    """Return the hours from `since` to before `until` of a file that may be in use. Raises StoreError.
+def read_ledger(path: Path, since_us: int, until_us: int, records: bool = True) -> LedgerExtract:
+    """Return the hours from `since_us` to before `until_us` of a file that may be in use. Raises StoreError.
 
     Without `records`, workers' records are read only for hours that are not closed.
     """
@@ -237,10 +208,10 @@
         try:
             db.execute("begin")  # all reads see one snapshot
             state = _state(db)
-            records_since = since if records else max(since, state.get(CLOSED_TO, 0))
-            extract = LedgerExtract(_saved(db, state, records_since, until))
-            extract.hour_lines.extend(_read_lines(db, since, until))
-            extract.day_lines.extend(_read_days(db, since, until))
+            records_since_us = since_us if records else max(since_us, state.get(CLOSED_TO, 0))
+            extract = LedgerExtract(_saved(db, state, records_since_us, until_us))
+            extract.hour_lines.extend(_read_lines(db, since_us, until_us))
+            extract.day_lines.extend(_read_days(db, since_us, until_us))
         finally:
             db.close()
     except sqlite3.Error as error:
@@ -248,75 +219,38 @@
     return extract
 
 
-def _read_lines(db: sqlite3.Connection, since: int, until: int) -> list[LedgerLine]:
+def _read_lines(db: sqlite3.Connection, since_us: int, until_us: int) -> list[LedgerLine]:
     rows = db.execute(
         "select hour, tenant, function, cause, kind, best, least, most, at from lines, accounts"
         " where id=account and hour>=? and hour<? order by hour, id, at",
-        (since, until),
+        (since_us, until_us),
     )
-    return [_line(*row) for row in rows]
+    return [LineRow(*row).to_line() for row in rows]
 
 
-def _read_days(db: sqlite3.Connection, since: int, until: int) -> list[LedgerLine]:
+def _read_days(db: sqlite3.Connection, since_us: int, until_us: int) -> list[LedgerLine]:
     rows = db.execute(
         "select day, tenant, function, cause, kind, best, least, most, 0 from days, accounts"
         " where id=account and day>=? and day<? order by day, id",
-        (since, until),
+        (since_us, until_us),
     )
-    return [_line(*row) for row in rows]
-
-
-def _line(
-    hour: int, tenant: str, function: str, cause: str, kind: str, best: int, least: int, most: int, at: int
-) -> LedgerLine:
-    return LedgerLine(hour, Account(tenant, function, cause), kind, Amount(best, least, most), at)
+    return [LineRow(*row).to_line() for row in rows]
 
 
 def _state(db: sqlite3.Connection) -> dict[str, int]:
     return dict(db.execute("select name, value from state"))
 
 
-def _saved(db: sqlite3.Connection, state: dict[str, int], since: int, until: int) -> LedgerState:
+def _saved(db: sqlite3.Connection, state: dict[str, int], since_us: int, until_us: int) -> LedgerState:
     """Return the state without the booked amounts."""
     span = "where hour>=? and hour<?"
+    values = (since_us, until_us)
     return LedgerState(
-        _slices(db.execute(f"select * from slices {span}", (since, until))),
-        [_incarnation(*row) for row in db.execute("select * from lives")],
-        [UsageGap(*row) for row in db.execute(f"select * from gaps {span}", (since, until))],
-        [_sample(*row) for row in db.execute(f"select * from seen {span}", (since, until))],
+        [SliceRow(*row).to_slice() for row in db.execute(f"select * from slices {span}", values)],
+        [IncarnationRow(*row).to_incarnation() for row in db.execute("select * from lives")],
+        [UsageGap(*row) for row in db.execute(f"select * from gaps {span}", values)],
+        [SampleRow(*row).to_sample() for row in db.execute(f"select * from seen {span}", values)],
         closed_to_us=state.get(CLOSED_TO, 0),
         drop_before_us=state.get(DROPPED_BEFORE, 0),
         serial=state.get(SERIAL, 0),
     )
-
-
-def _incarnation(
-    worker: str, started: int, heard: int, memory_mb: int, change: int, forgotten: int, draining: int
-) -> WorkerIncarnation:
-    return WorkerIncarnation(worker, started, heard, memory_mb, change, forgotten, bool(draining))
-
-
-def _sample(
-    run: int, hour: int, worker: str, function: str, tenant: str, best: int, least: int, most: int
-) -> UsageSample:
-    return UsageSample(run, hour, worker, function, tenant, Amount(best, least, most))
-
-
-def _slices(rows: Iterable[tuple[Any, ...]]) -> list[UsageSlice]:
-    slices = []
-    for row in rows:
-        worker, started, copy, hour, function, memory_mb, heard, ended, loading, unused = row[:10]
-        runs, after, first, doubts = row[10:]
-        counted = UsageSlice(
-            worker, started, copy, hour, function, memory_mb, heard, bool(ended), loading, unused
-        )
-        slices.append(
-            msgspec.structs.replace(
-                counted,
-                running_us=_decode(runs),
-                idle_us=_decode(after),
-                first_tenant=first,
-                contradictions=frozenset(_decode(doubts)),
-            )
-        )
-    return slices
--- a/packages/store/tests/test_commit_retries.py
+++ b/packages/store/tests/test_commit_retries.py
@@ -62,7 +62,7 @@
 ) -> None:
     path = tmp_path / "calls.db"
 
-    def work(loop: Loop, database: Database) -> None:
+    def work(_: Loop, database: Database) -> None:
         database.submit(insert(1))
         database.submit(insert(2))
         assert read_numbers(after_a_kill(path)) == [0, 1, 2]
@@ -77,7 +77,7 @@
         entries = [
             store.append_durably(CallEnded(f"c{n}", "SUCCEEDED", 1, b"", "", "")).entry.seq for n in range(3)
         ]
-        assert [entry.seq for entry in store.read_journal(store.own_origin)[1]] == entries
+        assert [entry.seq for entry in store.read_journal(store.own_origin).entries] == entries
         return entries
 
     assert run(tmp_path / "calls.db", work) == [1, 2, 3]
@@ -108,7 +108,7 @@
     def fail_commits_and_pragmas(statement: str) -> Fault | None:
         return Fault.REACHED_DISK if statement == "commit" or statement.startswith("pragma") else None
 
-    def work(loop: Loop, database: Database) -> None:
+    def work(_: Loop, database: Database) -> None:
         with pytest.raises(StoreError) as raised:
             database.submit(insert(1))
         assert raised.value.is_uncertain
@@ -121,10 +121,10 @@
 def test_commit_after_one_that_could_not_be_undone_overwrites_it(tmp_path: Path) -> None:
     path, is_broken = tmp_path / "calls.db", True
 
-    def script(statement: str) -> Fault | None:
+    def fault_of(statement: str) -> Fault | None:
         return Fault.REACHED_DISK if is_broken and statement.startswith(("commit", "pragma")) else None
 
-    def work(loop: Loop, database: Database) -> None:
+    def work(_: Loop, database: Database) -> None:
         nonlocal is_broken
         with pytest.raises(StoreError):
             database.submit(insert(1))
@@ -132,7 +132,7 @@
         database.submit(insert(2))
         assert read_numbers(after_a_kill(path)) == [0, 2]
 
-    run(path, work, script)
+    run(path, work, fault_of)
 
 
 def test_change_without_retry_time_is_tried_once(tmp_path: Path) -> None:
@@ -186,7 +186,7 @@
 def test_changes_when_four_in_ten_commits_fail_are_all_written(tmp_path: Path, seed: int) -> None:
     random = Random(seed)
 
-    def script(statement: str) -> Fault | None:
+    def fault_of(statement: str) -> Fault | None:
         return random.choice(list(Fault)) if statement == "commit" and random.random() < 0.4 else None
 
     def work(loop: Loop, database: Database) -> None:
@@ -197,7 +197,7 @@
         for task in tasks:
             task.join()
 
-    run(tmp_path / "calls.db", work, script)
+    run(tmp_path / "calls.db", work, fault_of)
     assert read_numbers(tmp_path / "calls.db") == list(range(101))
 
 
--- a/packages/store/tests/test_journal_store.py
+++ b/packages/store/tests/test_journal_store.py
@@ -1,8 +1,7 @@
-"""Journals on disk: numbered without gaps, in one commit with what they record, whatever fails."""
+"""Journals on disk: numbered without gaps, in one commit with the change that they record."""
 
 from __future__ import annotations
 
-import os
 import sqlite3
 from collections.abc import Callable
 from pathlib import Path
@@ -48,11 +47,11 @@
 
 
 def own_numbers(_: Database, store: JournalStore) -> list[int]:
-    return [entry.seq for entry in store.read_journal(store.own_origin)[1]]
+    return [entry.seq for entry in store.read_journal(store.own_origin).entries]
 
 
 def fill(records: list[AnyRecord]) -> Callable[[Database, JournalStore], str]:
-    def work(database: Database, store: JournalStore) -> str:
+    def work(_: Database, store: JournalStore) -> str:
         for record in records:
             store.append_durably(record)
         return store.own_origin
@@ -65,7 +64,7 @@
     own = with_journal(path, fill([accepted("a"), AttemptIntended("a", 0, "w")]))
     assert with_journal(path, fill([accepted("b")])) == own
     assert own.startswith("front-0#")
-    assert with_journal(path, lambda _, store: [entry.seq for entry in store.read_journal(own)[1]]) == [
+    assert with_journal(path, lambda _, store: [entry.seq for entry in store.read_journal(own).entries]) == [
         1,
         2,
         3,
@@ -89,7 +88,7 @@
         with pytest.raises(StoreError):  # its row exists already: neither row nor entry is written
             submit_with_entry(lambda db: db.execute("insert into other values (1)"), accepted("b"))
 
-        def fail_as_full(db: sqlite3.Connection) -> None:
+        def fail_as_full(_: sqlite3.Connection) -> None:
             raise sqlite3.OperationalError("database or disk is full")
 
         with pytest.raises(StoreError):
@@ -103,7 +102,7 @@
 def test_replica_when_batches_are_repeated_has_each_entry_once(
     tmp_path: Path,
 ) -> None:
-    origin, replica = tmp_path / "origin.db", tmp_path / "holder.db"
+    origin, replica = tmp_path / "origin.db", tmp_path / "replica.db"
     records: list[AnyRecord] = [accepted(f"c{n}", size=100) for n in range(20)]
     own = with_journal(origin, fill(records))
 
@@ -129,7 +128,7 @@
 
 
 def test_purge_when_replicated_keeps_numbers_covered_and_leaves_no_ended_call_open(tmp_path: Path) -> None:
-    path, replica = tmp_path / "calls.db", tmp_path / "holder.db"
+    path, replica = tmp_path / "calls.db", tmp_path / "replica.db"
     records: list[AnyRecord] = [
         accepted("old", 20),
         accepted("open", 90),
@@ -149,7 +148,7 @@
     batch = with_journal(path, lambda _, store: store.read_batch(own, 0, 8, 1 << 20))
 
     def receive(_: Database, store: JournalStore) -> list[int]:
-        # It received the first four earlier: to its knowledge these calls are open.
+        # The replica received the first four earlier: it knows these calls as open.
         for received in (
             make_batch(own, 0, 4, [encode_entry(n + 1, r) for n, r in enumerate(records[:4])]),
             batch,
@@ -157,7 +156,7 @@
             new = plan_batch_write(store.offsets, received)
             assert isinstance(new, BatchWrite)
             store.write_batch(new)
-        return [entry.seq for entry in store.read_journal(own)[1]]
+        return [entry.seq for entry in store.read_journal(own).entries]
 
     assert with_journal(replica, receive, name="front-1") == [2, 3, 4, 5, 6, 8]
     merged = MergedJournal()
@@ -186,7 +185,7 @@
         store.write_batch(new)  # a corrupt entry is stored as it is, and replication continues
         return int(store.offsets[own])
 
-    assert with_journal(tmp_path / "holder.db", receive, name="front-1") == 3
+    assert with_journal(tmp_path / "replica.db", receive, name="front-1") == 3
     merged.add(*intact)
     assert sorted(merged.calls) == ["a", "b", "c"]
     assert merged.gaps == []
@@ -199,7 +198,7 @@
     """The process is killed, and the WAL is truncated at any byte."""
     path = tmp_path / "calls.db"
 
-    def work(database: Database, store: JournalStore) -> None:
+    def work(_: Database, store: JournalStore) -> None:
         for n in range(records):
             store.append_durably(accepted(f"c{n}"))
         for name in ("calls.db", "calls.db-wal"):
@@ -216,14 +215,14 @@
         try:
             numbers = with_journal(
                 torn / "calls.db",
-                lambda _, store: [entry.seq for entry in store.read_journal(store.own_origin)[1]],
+                lambda _, store: [entry.seq for entry in store.read_journal(store.own_origin).entries],
             )
         except StoreError:
             assert size < 4096
-            assert os.path.getsize(torn / "calls.db") == 0
+            assert (torn / "calls.db").stat().st_size == 0
             continue
         assert numbers == list(range(1, len(numbers) + 1))
         counts.append(len(numbers))
     assert counts == sorted(counts)
     assert counts[-1] == records
-    assert with_journal(path, lambda _, store: len(store.read_journal(store.own_origin)[1])) == records
+    assert with_journal(path, lambda _, store: len(store.read_journal(store.own_origin).entries)) == records
--- a/packages/store/tests/test_store_golden.py
+++ b/packages/store/tests/test_store_golden.py
@@ -140,7 +140,7 @@
                 assert journal.read_batch(origin, 0, upto, 1 << 20) == make_batch(origin, 0, upto, entries)
             assert sorted(journal.read_call_entries("id-far"), key=lambda each: each.seq) == OTHER_ENTRIES[:3]
             assert [each.seq for each in journal.read_call_entries("id-open")] == [1, 2, 7]
-            assert journal.append_durably(OWN_RECORDS[3]).entry.seq == len(OWN_RECORDS) + 1  # numbers go on
+            assert journal.append_durably(OWN_RECORDS[3]).entry.seq == len(OWN_RECORDS) + 1
 
         loop.run(read)
 
--- a/packages/store/tests/test_stored_time.py
+++ b/packages/store/tests/test_stored_time.py
@@ -104,7 +104,7 @@
             assert [e.name for e in rows] == ["open"]
             marker = (rows[0].accepted_at, rows[0].id)
             earlier = ExecutionQuery("price", None, frozenset(), None, None, True, marker, 10)
-            assert [e.name for e in store.list_page(earlier)[0]] == ["ended"]
+            assert [e.name for e in store.list_page(earlier).executions] == ["ended"]
             loop.sleep(MINUTE)
             store.purge(start - HOUR)
 
@@ -139,10 +139,10 @@
     path = tmp_path / "calls.db"
     with_store(path, EPOCH, BootTime("a", HOUR), fill)
 
-    def fail_commit(loop: Loop, store: ExecutionStore) -> list[tuple[int, ...]]:
+    def fail_commit(_: Loop, store: ExecutionStore) -> list[tuple[int, ...]]:
         before = store.select("select epoch_us from time_marks")
 
-        def fail_as_full(db: sqlite3.Connection) -> None:
+        def fail_as_full(_: sqlite3.Connection) -> None:
             raise sqlite3.OperationalError("disk is full")
 
         with pytest.raises(Exception, match="disk is full"):
