--- a/packages/journal/src/walnutpost/journal/placement.py
+++ b/packages/journal/src/walnutpost/journal/placement.py
@@ -36,7 +36,7 @@
 def choose_replicas(
     origin: ReplicaHost, hosts: Iterable[ReplicaHost], max_replicas: int = DEFAULT_MAX_REPLICAS
 ) -> tuple[str, ...]:
-    """Return the names of the origin's replicas, preferred first, each in a site of its own.
+    """Return the names of the origin's replicas, preferred first, each in another site.
 
     The first is in another zone of the origin's region, the second in another region, then others by weight.
     """
--- a/packages/journal/src/walnutpost/journal/replication.py
+++ b/packages/journal/src/walnutpost/journal/replication.py
@@ -1,4 +1,4 @@
-"""The origin's side of replication: which replica has how much, and when an entry has its quorum.
+"""The origin's side of replication: the progress of each replica, and when an entry has its quorum.
 
 A state machine without I/O: `(now, input)` to effects. All times and spans are in microseconds. Invariants:
 - `_quorum_result` alone decides that an entry is sufficiently replicated.
--- a/packages/journal/src/walnutpost/journal/replication_effects.py
+++ b/packages/journal/src/walnutpost/journal/replication_effects.py
@@ -36,8 +36,8 @@
 class ReplicaAhead:
     """A replica has entries of this journal that the origin's own disk does not have.
 
-    The disk is not the one that wrote them, or it lost what it had called durable: no entry may be numbered
-    any more.
+    The disk is not the one that wrote them, or it lost entries that it had reported as durable: no entry may
+    be numbered any more.
     """
 
     replica: str
--- a/packages/journal/tests/test_journal_golden.py
+++ b/packages/journal/tests/test_journal_golden.py
@@ -1,4 +1,4 @@
-"""Journal records and entries as bytes: what is on disks and on the wire between sites stays readable."""
+"""Journal records and entries as bytes: disks and messages of other versions stay readable."""
 
 from __future__ import annotations
 
--- a/packages/journal/tests/test_replication_simulation.py
+++ b/packages/journal/tests/test_replication_simulation.py
@@ -101,7 +101,7 @@
 class CountsUnacknowledged(ReplicationState):
     """A wrong rule: each assigned replica counts, acknowledged or not."""
 
-    def count_replicas(self, seq: int) -> int:  # noqa: ARG002 - overrides a rule that uses it
+    def count_replicas(self, _seq: int) -> int:
         return len(self._replicas)
 
 
--- a/packages/journal/tests/test_replication_state.py
+++ b/packages/journal/tests/test_replication_state.py
@@ -26,7 +26,7 @@
 
 
 class IgnoresDiskIdentity(ReplicationState):
-    """A wrong rule: what a replica once had counts for good, whatever its present disk acknowledges."""
+    """A wrong rule: what a replica once had counts for good, also if its present disk has less."""
 
     def _acknowledge(self, replica: str, disk: str, seq: int) -> None:
         super()._acknowledge(replica, disk, max(seq, self._replicas[replica].seq))
--- a/packages/replication/src/walnutpost/replication/queries.py
+++ b/packages/replication/src/walnutpost/replication/queries.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Mapping
 from http import HTTPStatus
+from typing import NamedTuple
 from urllib.parse import quote
 
 from walnutpost.eventloop import Loop, TaskGroup, WaitTimeoutError
@@ -12,25 +13,38 @@
 from walnutpost.replication import wire
 
 Addresses = Mapping[str, Callable[[], tuple[str, int]]]
+"""By the name of a front end: returns where it listens at present."""
 
 
-def query_call(
-    loop: Loop, addresses: Addresses, call_id: str, timeout_us: int
-) -> tuple[list[JournalEntry], list[str]]:
-    """Return all entries about a call, and the names of front ends that did not answer within the timeout."""
+class CallQueryResult(NamedTuple):
+    """All entries about a call that were found, and the names of front ends that did not answer."""
+
+    entries: list[JournalEntry]
+    unreachable: list[str]
+
+
+class RecoveryResult(NamedTuple):
+    """The batches of a journal that replicas have, and the names of replicas that did not answer."""
+
+    batches: list[JournalBatch]
+    unreachable: list[str]
+
+
+def query_call(loop: Loop, addresses: Addresses, call_id: str, timeout_us: int) -> CallQueryResult:
+    """Ask all front ends at once for the entries about a call; each has `timeout_us` to answer."""
     entries: list[JournalEntry] = []
 
     def query(address: tuple[str, int]) -> None:
         entries.extend(_get(loop, address, wire.CALLS_PATH + call_id, wire.CallEntries, timeout_us).entries)
 
     unreachable = _query_all(loop, addresses, query)
-    return entries, unreachable
+    return CallQueryResult(entries, unreachable)
 
 
 def recover_batches(
     loop: Loop, addresses: Addresses, origin: str, after: int, timeout_us: int
-) -> tuple[list[JournalBatch], list[str]]:
-    """Return what replicas have of a journal after number `after`, and the names of those without an answer.
+) -> RecoveryResult:
+    """Ask all replicas at once for a journal's entries after number `after`.
 
     `timeout_us` is for each message.
     """
@@ -47,7 +61,7 @@
             upto = batch.upto
 
     unreachable = _query_all(loop, addresses, query)
-    return batches, unreachable
+    return RecoveryResult(batches, unreachable)
 
 
 def _query_all(loop: Loop, addresses: Addresses, query: Callable[[tuple[str, int]], None]) -> list[str]:
