--- a/packages/cli/src/walnutpost/cli/fleet_processes.py
+++ b/packages/cli/src/walnutpost/cli/fleet_processes.py
@@ -25,7 +25,7 @@
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import AnalysisPolicy
 from walnutpost.fleet.agent_instance import ControllerSettings
-from walnutpost.relay import Relay
+from walnutpost.relay import RelaySettings, start_relay
 from walnutpost.store import StoreError
 
 AGENTS_FOLDER = "agents"
@@ -166,15 +166,14 @@
 
     def run() -> None:
         stop = stop_event(loop, log)
-        process = Relay(
-            loop,
+        settings = RelaySettings(
             name,
             _replica_addresses(checked),
             parse_address(line.listen or line.address),
-            log,
             secrets.randbits(SEED_BITS),
             line.address,
         )
+        process = start_relay(loop, settings, log)
         stop.wait()
         process.stop()
 
--- a/packages/daemon/tests/relay_rig.py
+++ b/packages/daemon/tests/relay_rig.py
@@ -17,15 +17,20 @@
     def __init__(self, loop: Loop, table: ConfigStore) -> None:
         self.table = table
         self.requests: list[WatchRequest] = []
-        self.watch = WatchServer(
-            loop, lambda: self.table, lambda: 0, self.requests.append, batch_interval_us=0
-        )
+        self.watch = WatchServer(loop, lambda: self.table, lambda: 0, self, batch_interval_us=0)
         self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, _protocol_error)
         self.address = self.server.address
 
     def _handle(self, exchange: Exchange) -> Response:
         return self.watch.handle(exchange.request.body)
 
+    def member_requested(self, request: WatchRequest) -> None:
+        """Record a watch request."""
+        self.requests.append(request)
+
+    def member_disconnected(self, last_request: WatchRequest) -> None:
+        """Ignore the end of a connection."""
+
     def change(self, mutations: Sequence[Mutation]) -> int:
         """Commit a change set; return its revision."""
         self.table.propose(self.table.revision + 1, mutations)
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -25,7 +25,7 @@
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response
 from walnutpost.http.server import serve_on
-from walnutpost.relay import Relay
+from walnutpost.relay import Relay, RelaySettings, start_relay
 from walnutpost.watch import WatchServer
 from watch_rig import (
     SECOND,
@@ -148,7 +148,11 @@
         self.starts += 1
         self.logs[name] = Log()
         listen = ("127.0.0.1", 0)
-        relay = Relay(self.loop, name, self.control_plane.addresses, listen, self.logs[name], self.starts)
+        relay = start_relay(
+            self.loop,
+            RelaySettings(name, self.control_plane.addresses, listen, self.starts),
+            self.logs[name],
+        )
         self.relays[name], self.places[name] = relay, relay.address
         return relay
 
@@ -319,13 +323,13 @@
         control_plane = FakeControlPlane(loop, large(3000))
         addresses, control_plane.leader = control_plane.addresses, "k2"
         hidden = dict.fromkeys(addresses, ("127.0.0.1", 1))
-        relay = Relay(loop, "r1", hidden, ("127.0.0.1", 0), Log(), 1)
+        relay = start_relay(loop, RelaySettings("r1", hidden, ("127.0.0.1", 0), 1), Log())
         loop.sleep(5 * SECOND)
         received = Requester(loop, relay, "fe1").ask(0)
         assert received.status == 503
         assert received.headers["retry-after"]
         relay.stop()
-        relay = Relay(loop, "r1", addresses, ("127.0.0.1", 0), Log(), 2)
+        relay = start_relay(loop, RelaySettings("r1", addresses, ("127.0.0.1", 0), 2), Log())
         statuses = set()
         requester = Requester(loop, relay, "fe1")
         while (received := requester.ask(0, wait_timeout_us=0)).status == 503:
@@ -342,7 +346,7 @@
 def test_a_relay_behind_never_sends_an_older_revision() -> None:
     def main(loop: Loop) -> None:
         control_plane = FakeControlPlane(loop, filled(5))
-        relay = Relay(loop, "r1", control_plane.addresses, ("127.0.0.1", 0), Log(), 1)
+        relay = start_relay(loop, RelaySettings("r1", control_plane.addresses, ("127.0.0.1", 0), 1), Log())
         until(loop, lambda: relay.watcher.is_complete)
         asked_us = loop.now()
         received = Requester(loop, relay, "fe1").ask(9, 77)
@@ -535,7 +539,7 @@
         until(loop, tier.is_applied_everywhere)
         loop.sleep(20 * SECOND)
         assert relay.watches.waiting == 0
-        assert not relay._server.streams
+        assert relay.open_connections == 0
         assert messages_of_r1() == messages_at_stop
 
     run_with_relays(script)
--- a/packages/relay/tests/test_with_keepers.py
+++ b/packages/relay/tests/test_with_keepers.py
@@ -15,7 +15,7 @@
     ReplicaSettings,
 )
 from walnutpost.eventloop import Loop
-from walnutpost.relay import Relay
+from walnutpost.relay import Relay, RelaySettings, start_relay
 from watch_rig import SECOND, Log, Member, put_keys, until
 
 NAMES = ("k1", "k2", "k3")
@@ -52,7 +52,7 @@
             keepers[name] = ControlPlaneReplica(loop, settings, Log(), seed)
         addresses = {name: keeper.address for name, keeper in keepers.items()}
         for seed, name in enumerate(("r1", "r2")):
-            relays[name] = Relay(loop, name, addresses, ("127.0.0.1", 0), Log(), seed)
+            relays[name] = start_relay(loop, RelaySettings(name, addresses, ("127.0.0.1", 0), seed), Log())
         relay_addresses = {name: relay.address for name, relay in relays.items()}
         relay_getters = {name: lambda name=name: relay_addresses[name] for name in relay_addresses}
         members = [Member(loop, relay_getters, f"fe{n}", n) for n in range(8)]
--- a/packages/watch/src/walnutpost/watch/__init__.py
+++ b/packages/watch/src/walnutpost/watch/__init__.py
@@ -2,10 +2,12 @@
 
 from walnutpost.watch.client import ServerPool, Watcher, WatchSettings
 from walnutpost.watch.errors import UnusableServerError, WatchError
+from walnutpost.watch.member_connections import MemberObserver
 from walnutpost.watch.serving import WAITED_HEADER, WatchServer
 
 __all__ = [
     "WAITED_HEADER",
+    "MemberObserver",
     "ServerPool",
     "UnusableServerError",
     "WatchError",
--- a/packages/watch/src/walnutpost/watch/connection.py
+++ b/packages/watch/src/walnutpost/watch/connection.py
@@ -19,7 +19,8 @@
 from walnutpost.http import Connection, Limits, Response, encode_request
 from walnutpost.watch.errors import UnusableServerError
 from walnutpost.watch.pace import TokenBucket
-from walnutpost.watch.serving import CONTENT_CODING, WAITED_HEADER
+from walnutpost.watch.pages import CONTENT_CODING
+from walnutpost.watch.serving import WAITED_HEADER
 
 Address = tuple[str, int]
 RECEIVE_RATE_BYTES_PER_S = 22_000
--- a/packages/watch/tests/test_client.py
+++ b/packages/watch/tests/test_client.py
@@ -26,7 +26,7 @@
 )
 from walnutpost.configstore.relay_selection import preference_order
 from walnutpost.eventloop import Listener, Loop, Stream
-from walnutpost.http import Response, encode_response
+from walnutpost.http import Exchange, Response, encode_response
 from walnutpost.watch import WAITED_HEADER
 from walnutpost.watch.connection import (
     MAX_BODY_BYTES,
@@ -208,18 +208,24 @@
     play(script)
 
 
+class SilentServer(FakeServer):
+    """A watch server that stops to respond once it `is_silent`."""
+
+    is_silent = False
+
+    def _handle(self, exchange: Exchange) -> Response:
+        if self.is_silent:
+            self.loop.sleep(3600 * SECOND)
+        return super()._handle(exchange)
+
+
 def test_a_server_that_falls_silent_during_a_wait_is_left_in_time() -> None:
     def script(loop: Loop) -> None:
-        one, other = FakeServer(loop, filled(3)), FakeServer(loop, filled(3))
+        one, other = SilentServer(loop, filled(3)), SilentServer(loop, filled(3))
         member = Member(loop, two_servers(one, other))
         until(loop, lambda: one.watch.waiting + other.watch.waiting)
         home, away = (one, other) if one.watch.waiting else (other, one)
-
-        def stuck(timeout_us: int, stream: object) -> bool:
-            loop.sleep(3600 * SECOND)
-            return False
-
-        home.watch._wait = stuck  # type: ignore[method-assign]
+        home.is_silent = True
         until(loop, lambda: away.requests)
         until(loop, lambda: away.watch.waiting)
         assert not member.log.count("config_stale")
--- a/packages/watch/tests/test_serving.py
+++ b/packages/watch/tests/test_serving.py
@@ -8,7 +8,8 @@
 from walnutpost.eventloop import Loop, TaskGroup, connect
 from walnutpost.http import encode_request
 from walnutpost.watch import WAITED_HEADER
-from walnutpost.watch.serving import MAX_CACHED_PAGES, MAX_WAIT_TIMEOUT_US
+from walnutpost.watch.pages import MAX_CACHED_PAGES
+from walnutpost.watch.serving import MAX_WAIT_TIMEOUT_US
 from watch_rig import (
     SECOND,
     WAIT_TIMEOUT_US,
@@ -127,10 +128,10 @@
         requester = Requester(loop, server)
         for revision in range(3 * MAX_CACHED_PAGES):
             assert requester.ask(revision).status == 200
-        assert len(server.watch._pages) == MAX_CACHED_PAGES
+        assert server.watch.cached_pages == MAX_CACHED_PAGES
         assert server.watch.counts.pages_encoded == 3 * MAX_CACHED_PAGES
         server.change(put_keys(1))
-        assert not server.watch._pages
+        assert not server.watch.cached_pages
 
     play(script)
 
@@ -252,8 +253,7 @@
 
 def test_a_closed_connection_ends_its_wait_at_once() -> None:
     def script(loop: Loop) -> None:
-        disconnected: list[WatchRequest] = []
-        server = FakeServer(loop, filled(3), on_disconnect=disconnected.append)
+        server = FakeServer(loop, filled(3))
         assert server.table is not None
         requester = Requester(loop, server, "fe1")
         task = loop.spawn(requester.ask, 3, server.table.digest, MAX_WAIT_TIMEOUT_US)
@@ -264,24 +264,23 @@
         until(loop, lambda: not server.server.streams)
         assert not server.watch.waiting
         assert loop.now() - closed_us < SECOND
-        assert [q.member for q in disconnected] == ["fe1"]
-        assert disconnected[0] is server.requests[0]
-        assert not server.watch._last_requests
+        assert [q.member for q in server.disconnected] == ["fe1"]
+        assert server.disconnected[0] is server.requests[0]
+        assert not server.watch.member_connections
 
     play(script)
 
 
-def test_on_disconnect_gets_the_last_request_of_that_connection() -> None:
+def test_disconnected_member_is_notified_with_the_last_request_of_that_connection() -> None:
     def script(loop: Loop) -> None:
-        disconnected: list[WatchRequest] = []
-        server = FakeServer(loop, filled(3), on_disconnect=disconnected.append)
+        server = FakeServer(loop, filled(3))
         first, second = Requester(loop, server, "fe1"), Requester(loop, server, "fe1")
         first.ask(0, wait_timeout_us=0)
         second.ask(0, wait_timeout_us=0)
         first.connection.close()
-        until(loop, lambda: disconnected)
-        assert len(disconnected) == 1
-        assert disconnected[0] is server.requests[0]
+        until(loop, lambda: server.disconnected)
+        assert len(server.disconnected) == 1
+        assert server.disconnected[0] is server.requests[0]
 
     play(script)
 
--- a/packages/watch/tests/test_watch_golden.py
+++ b/packages/watch/tests/test_watch_golden.py
@@ -13,7 +13,7 @@
 
 from golden_forms import Golden, as_json, structs_of
 from walnutpost import relay, watch
-from walnutpost.watch import connection, serving
+from walnutpost.watch import connection, pages, serving
 
 GOLDEN = Golden(
     Path(__file__).parent / "golden" / "watch.json",
@@ -22,7 +22,7 @@
         "names": as_json(
             {
                 "held": serving.WAITED_HEADER,
-                "coding": serving.CONTENT_CODING,
+                "coding": pages.CONTENT_CODING,
                 "request headers": connection.REQUEST_HEADERS,
             }
         )
--- a/packages/watch/tests/watch_rig.py
+++ b/packages/watch/tests/watch_rig.py
@@ -73,7 +73,8 @@
         self.loop, self.table = loop, table
         self.compresses = False
         self.requests: list[WatchRequest] = []
-        self.watch = WatchServer(loop, lambda: self.table, age_us, self.requests.append, **more)
+        self.disconnected: list[WatchRequest] = []
+        self.watch = WatchServer(loop, lambda: self.table, age_us, self, **more)
         self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, protocol_error)
         self.address = self.server.address
 
@@ -82,6 +83,12 @@
         accept_encoding = exchange.request.headers.get("accept-encoding", "") if self.compresses else ""
         return self.watch.handle(exchange.request.body, exchange.stream, accept_encoding)
 
+    def member_requested(self, request: WatchRequest) -> None:
+        self.requests.append(request)
+
+    def member_disconnected(self, last_request: WatchRequest) -> None:
+        self.disconnected.append(last_request)
+
     def change(self, mutations: list[Mutation]) -> int:
         assert self.table is not None
         self.table.propose(self.table.revision + 1, mutations)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -156,13 +156,27 @@
     assert spread([2.0])["p999"] == 2.0
 
 
+class RequestRecorder:
+    """Records the requests of the members of a watch server."""
+
+    def __init__(self) -> None:
+        self.requests: list[WatchRequest] = []
+
+    def member_requested(self, request: WatchRequest) -> None:
+        self.requests.append(request)
+
+    def member_disconnected(self, last_request: WatchRequest) -> None:
+        pass
+
+
 def test_hollow_members_act_on_each_change_by_one_encoded_page(monkeypatch: pytest.MonkeyPatch) -> None:
     """The real watch over real sockets: what is sent, held and told, and that it is the same at all."""
     monkeypatch.setattr(hollow, "SPREAD", 1)
-    loop, table, said = Loop(), ConfigStore(), list[WatchRequest]()
+    loop, table, recorder = Loop(), ConfigStore(), RequestRecorder()
+    said = recorder.requests
     values = encode_site(made.config(40).site)
     table.propose(1, [Mutation(key, value) for key, value in values.items()])
-    server = WatchServer(loop, lambda: table, lambda: 0, said.append, batch_interval_us=0)
+    server = WatchServer(loop, lambda: table, lambda: 0, recorder, batch_interval_us=0)
 
     def serve(exchange: Exchange) -> Response:
         return server.handle(exchange.request.body)
