--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from walnutpost.config import Config, WorkerConfig
-from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.daemon.composition import build_front_end
 from walnutpost.eventloop import Event, Loop, connect
 from walnutpost.http import Exchange, HttpMessageError, Response, encode_request
 from walnutpost.http.server import serve_on
@@ -140,7 +140,7 @@
     front = config.front.model_copy(update={"workers": lines})
 
     def start(loop: Loop) -> tuple[str, int]:
-        address = FrontEnd(loop, config.model_copy(update={"front": front}), Silent()).address
+        address = build_front_end(loop, config.model_copy(update={"front": front}), Silent()).address
         return address
 
     return start
--- a/benchmarks/firings.py
+++ b/benchmarks/firings.py
@@ -21,7 +21,7 @@
 
 from benchmarks.calls import FORK, LOCAL, Served, Silent, null_worker, refusal
 from walnutpost.config import Config, WorkerConfig
-from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.daemon.composition import build_front_end
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
@@ -88,7 +88,7 @@
 
     def start(loop: Loop) -> tuple[str, int]:
         began = time.time_ns() // 1000
-        end = FrontEnd(
+        end = build_front_end(
             loop,
             config.model_copy(update={"front": front}),
             Silent(),
--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -20,7 +20,7 @@
 
 from benchmarks.calls import LOCAL, PAYLOAD, Silent, null_worker, refusal
 from walnutpost.config import Config, WorkerConfig
-from walnutpost.daemon.front_end import FrontEnd
+from walnutpost.daemon.composition import build_front_end
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
 from walnutpost.http.server import serve_on
@@ -83,7 +83,7 @@
     config = Config.model_validate(told)
     workers = [WorkerConfig(name="w0", address="{}:{}".format(*address))]
     front = config.front.model_copy(update={"workers": workers})
-    return lambda loop: FrontEnd(loop, config.model_copy(update={"front": front}), Silent()).address
+    return lambda loop: build_front_end(loop, config.model_copy(update={"front": front}), Silent()).address
 
 
 def calls() -> None:
--- a/packages/cli/src/walnutpost/cli/runners.py
+++ b/packages/cli/src/walnutpost/cli/runners.py
@@ -12,6 +12,7 @@
 from walnutpost.config import Config, ConfigError, FakeWorkerConfig, WorkerConfig, load, load_with_overlay
 from walnutpost.config.base import parse_address
 from walnutpost.config.conversion import ms_to_us
+from walnutpost.daemon.composition import build_front_end
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.fakes import WorkerServer
@@ -56,7 +57,7 @@
         config = self._config
         if self._starts_fake_workers and config.fleet is not None:
             config = self._start_fake_workers()
-        front_end = FrontEnd(self._loop, config, self._log, self._open_capture(), self._files.base)
+        front_end = build_front_end(self._loop, config, self._log, self._open_capture(), self._files.base)
         self._cleanup.callback(front_end.close)
         self._loop.on_signal(signal.SIGHUP, lambda: self._reload(front_end))
         stop.wait()
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -7,7 +7,6 @@
 
 import os
 import secrets
-from collections.abc import Callable, Mapping
 from pathlib import Path
 
 import msgspec
@@ -18,53 +17,16 @@
 from walnutpost.config.membership import MembershipConfig
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError, MalformedMessageError
 from walnutpost.controlplane.wire import CommandReply, Report
+from walnutpost.daemon.call_counter import CallCounter
 from walnutpost.daemon.endpoint_lists import EndpointLists
-from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Logger, Loop, remove_leftovers, replace_file
 from walnutpost.fleet import (
     FRONT_END,
-    CallCounts,
     CommandResult,
     EndpointFollower,
     EndpointSnapshot,
     RegisterMember,
 )
-from walnutpost.gateway import CallArrived, Final, Function, Rejected, Served
-from walnutpost.interface import RequestClass
-
-
-class CallCountingDispatcher(Dispatcher):
-    """Counts how calls end, for canary analysis; the latency objectives are those of `classes`."""
-
-    call_counts = CallCounts()
-    functions: Mapping[str, Function] = {}
-    classes: tuple[RequestClass, ...] = ()
-
-    def submit(self, call: CallArrived, on_final: Callable[[Final], None]) -> None:
-        """Count a call's final answer."""
-        function = call.definition or self.functions.get(call.function)
-        objective_at_us = self._loop.now() + (
-            self.classes[function.class_index].latency_objective_us if function is not None else 0
-        )
-
-        def counted(final: Final) -> None:
-            self._count_result(final, self._loop.now() <= objective_at_us)
-            on_final(final)
-
-        super().submit(call, counted)
-
-    def abandon(self, caller_id: int) -> None:
-        """Count a caller that disconnects before its answer."""
-        if self.is_awaited(caller_id):
-            self._count_result(None, False)
-        super().abandon(caller_id)
-
-    def _count_result(self, final: Final | None, within_objective: bool) -> None:
-        is_served, is_rejected = isinstance(final, Served), isinstance(final, Rejected)
-        is_failed = not is_served and not is_rejected
-        self.call_counts += CallCounts(
-            int(is_served), int(is_rejected), int(is_failed), int(is_served and within_objective)
-        )
 
 
 class FleetMembership:
@@ -75,14 +37,14 @@
         loop: Loop,
         line: MembershipConfig,
         zone: str,
-        dispatcher: CallCountingDispatcher,
+        call_counter: CallCounter,
         lists: EndpointLists,
         log: Logger,
         cache_file: Path,
     ) -> None:
         """Use `cache_file` for the last list, for a start without the control plane."""
         self._loop = loop
-        self._dispatcher = dispatcher
+        self.call_counter = call_counter
         self._endpoint_lists = lists
         self._log = log
         self._zone = zone
@@ -124,7 +86,7 @@
             follower.member,
             follower.incarnation,
             applied_index=follower.applied_index,
-            call_counts=self._dispatcher.call_counts.as_tuple,
+            call_counts=self.call_counter.counts.as_tuple,
         )
         try:
             if follower.must_register:
--- a/packages/daemon/tests/fleet_rig.py
+++ b/packages/daemon/tests/fleet_rig.py
@@ -9,6 +9,7 @@
 from typing import Any, TypeVar
 
 from walnutpost.config import Config, WorkerConfig, parse
+from walnutpost.daemon.composition import build_front_end
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.eventloop import Clock, Loop, VirtualClock
 from walnutpost.fakes import LocalStore, WorkerServer
@@ -130,7 +131,7 @@
         front = self.front_config.front.model_copy(update={"workers": self.lines if listed else []})
         config = self.front_config.model_copy(update={"front": front})
         traffic_observer = self.traffic_observer("front", "front-0") if self.capture else None
-        return FrontEnd(
+        return build_front_end(
             self.loop,
             config,
             self.log,
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -36,8 +36,7 @@
 
 def kill_front_end(f: Fleet) -> None:
     """End the front end without waiting for open calls, as a killed process does."""
-    front = f.front_config.front.model_copy(update={"shutdown_timeout_ms": 0})
-    f.front._config = f.front._config.model_copy(update={"front": front})
+    f.front.shutdown_timeout_us = 0
     f.front.stop()
     f.front.close()
 
@@ -66,7 +65,7 @@
     f = Fleet(tmp_path)
 
     def script() -> None:
-        functions_by_name, add_execution = mutable_functions(f.front), f.front._store.add
+        functions_by_name, add_execution = mutable_functions(f.front), f.front.store.add
 
         def add_then_change(execution: Execution, extra_change: Change | None = None) -> None:
             add_execution(execution, extra_change)
@@ -75,7 +74,7 @@
             else:
                 functions_by_name["price"] = replace(functions_by_name["price"], class_index=1, version="2")
 
-        f.front._store.add = add_then_change  # type: ignore[method-assign]
+        f.front.store.add = add_then_change  # type: ignore[method-assign]
         response = f.invoke("price", x_amz_invocation_type=EVENT)
         assert response.status == 202
         assert response.headers["x-amz-executed-version"] == "1"
@@ -162,8 +161,7 @@
     def script() -> None:
         assert sites.defer("a1", RUN, "one").status == 202
         front = sites.fronts.pop("a1")
-        settings = front._config.front.model_copy(update={"shutdown_timeout_ms": 0})
-        front._config = front._config.model_copy(update={"front": settings})
+        front.shutdown_timeout_us = 0
         front.stop()
         front.close()
         sites.front_config = without_function(RUN)(sites.front_config)
--- a/packages/daemon/tests/test_journal_replication.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -13,6 +13,7 @@
 from fleet_rig import EXECUTION_ARN_HEADER, INVOKE, SECOND, Fleet, execution_path, merged
 from walnutpost.config import Config, parse
 from walnutpost.config.base import parse_address
+from walnutpost.daemon.composition import build_front_end
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, Response
@@ -64,7 +65,7 @@
         section = {"name": name, "listen": "127.0.0.1:0", "holders": holders, "classes": self.classes}
         settings = merged(settings, {"front": {"store": f"{name}.db"}, "journal": section | self.more})
         settings["front"]["workers"] = [line.model_dump(mode="json") for line in self.lines]
-        self.fronts[name] = FrontEnd(
+        self.fronts[name] = build_front_end(
             self.loop, parse(json.dumps(settings), name, Config), self.log, None, self.path
         )
 
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -123,8 +123,7 @@
 def kill_and_restart(f: Fleet) -> None:
     """Kill the front end and start another in its place."""
     f.front.server.stop_accepting()
-    for task in f.front._tasks:
-        task.cancel()
+    f.front.tasks.cancel_all()
     f.loop.sleep(1)
     f.front.close()
     f.front = f.start_front()
--- a/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
+++ b/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Calls in, final answers out: one place through which all inputs of the gateway go."""
+"""The dispatcher: all inputs of the gateway pass through it, and each call's final answer comes back."""
 
 from __future__ import annotations
 
@@ -25,18 +25,24 @@
 class Dispatcher:
     """Feeds the gateway, and gives each call its final answer. Times are microseconds.
 
-    `hooks` may be set by the process that owns it; `answers` counts since the start.
+    `hooks` are what the process that owns it adds; `answers` counts since the start.
     """
 
-    def __init__(self, loop: Loop, gateway: Gateway, transport: WorkerTransport, log: Logger) -> None:
-        """`log` is a structured logger."""
+    def __init__(
+        self,
+        loop: Loop,
+        gateway: Gateway,
+        transport: WorkerTransport,
+        log: Logger,
+        hooks: DispatchHooks | None = None,
+    ) -> None:
         self._loop = loop
         self._gateway = gateway
         self._log = log
         self._last_caller_id = 0
         self._on_final_by_caller: dict[int, Callable[[Final], None]] = {}
-        self.hooks = DispatchHooks()
-        self._effects = EffectRunner(loop, transport, self.hooks, log, self.feed, self._on_answered)
+        self._hooks = hooks or DispatchHooks()
+        self._effects = EffectRunner(loop, transport, self._hooks, log, self.feed, self._on_answered)
         self.answers = AnswerCounts()
 
     def new_caller_id(self) -> int:
@@ -49,33 +55,31 @@
         """How many calls have no final answer yet."""
         return self._gateway.open_calls
 
-    def is_awaited(self, caller_id: int) -> bool:
-        """Whether somebody waits for the final answer of this call."""
-        return caller_id in self._on_final_by_caller
-
     def feed(self, event: Input) -> None:
         """Give the gateway an input and carry out its effects.
 
         May be called from tasks and callbacks; does not wait.
         """
         now_us = self._loop.now()
-        observer = self.hooks.observer
+        observer = self._hooks.observer
         if observer is not None:
             if isinstance(event, AttemptEnded):
                 observer.on_attempt_ended(now_us, event)
             elif isinstance(event, LoadOrderEnded):
                 observer.on_load_order_ended(now_us, event)
         for effect in self._gateway.handle(now_us, event):
-            # One that can't be carried out must not keep back those behind it: they are others' answers.
+            # A failing effect must not prevent the remaining ones: they answer other callers.
             self._loop.run_guarded("effect", partial(self._effects.run, effect))
 
     def rejection_for(self, function: str, tenant: str | None) -> Rejected | None:
         """Return the answer to a new call that is not admitted, None for one that is."""
-        observer = self.hooks.observer
+        observer = self._hooks.observer
         return observer.rejection_for(function, tenant) if observer is not None else None
 
     def submit(self, call: CallArrived, on_final: Callable[[Final], None]) -> None:
         """Start a call; `on_final` gets the one final answer, perhaps before this returns."""
+        if self._hooks.counter is not None:
+            on_final = _chain(self._hooks.counter.on_submitted(call), on_final)
         self._on_final_by_caller[call.caller_id] = on_final
         try:
             self.feed(call)
@@ -87,6 +91,8 @@
         """Record that the caller has left; without effect once the final answer was given."""
         if self._on_final_by_caller.pop(caller_id, None) is not None:
             self.answers.abandoned += 1
+            if self._hooks.counter is not None:
+                self._hooks.counter.on_abandoned()
             self.feed(CallerLeft(caller_id))
 
     def call(
@@ -145,3 +151,11 @@
         on_final = self._on_final_by_caller.pop(effect.caller_id, None)
         if on_final is not None:
             on_final(effect.final)
+
+
+def _chain(first: Callable[[Final], None], second: Callable[[Final], None]) -> Callable[[Final], None]:
+    def call_both(final: Final) -> None:
+        first(final)
+        second(final)
+
+    return call_both
--- a/packages/dispatch/src/walnutpost/dispatch/effects.py
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -1,4 +1,4 @@
-"""Hands each effect of the gateway to the one that carries it out."""
+"""Carries out the effects of the gateway."""
 
 from __future__ import annotations
 
@@ -27,7 +27,10 @@
 
 
 class EffectRunner:
-    """Carries out effects; what comes of them goes back as an input, by `feed`."""
+    """Carries out effects; results go back to the gateway as inputs, by `feed`.
+
+    `on_answered` gets the effects that end a call.
+    """
 
     def __init__(
         self,
@@ -38,7 +41,6 @@
         feed: Callable[[Input], None],
         on_answered: Callable[[Answered], None],
     ) -> None:
-        """`on_answered` gets the effects that end a call."""
         self._loop = loop
         self._transport = transport
         self._log = log
@@ -63,12 +65,12 @@
     def _send(self, effect: Send) -> None:
         if self._hooks.observer is not None:
             self._hooks.observer.on_sent(self._loop.now(), effect)
-        before_send = partial(self._record_intent, effect) if effect.must_persist_intent else None
-        self._transport.send(effect, self._feed, before_send, self._hooks.execution_name(effect.caller_id))
-
-    def _record_intent(self, effect: Send) -> None:
-        """Look the hook up when it is needed: it may be set after the effect was given out."""
-        self._hooks.record_intent(effect)
+        intents = self._hooks.intents
+        if intents is None:
+            self._transport.send(effect, self._feed)
+            return
+        before_send = partial(intents.record_intent, effect) if effect.must_persist_intent else None
+        self._transport.send(effect, self._feed, before_send, intents.execution_name(effect.caller_id))
 
     def _cancel(self, effect: Cancel) -> None:
         self._transport.cancel(effect.call, effect.attempt)
--- a/packages/dispatch/src/walnutpost/dispatch/interfaces.py
+++ b/packages/dispatch/src/walnutpost/dispatch/interfaces.py
@@ -1,4 +1,4 @@
-"""What the dispatcher asks of others: workers to send to, and somebody who watches the traffic."""
+"""Interfaces that the dispatcher needs: a transport to workers, and what observes or records its calls."""
 
 from __future__ import annotations
 
@@ -8,6 +8,8 @@
 
 from walnutpost.gateway import (
     AttemptEnded,
+    CallArrived,
+    Final,
     LoadOrder,
     LoadOrderEnded,
     Probe,
@@ -19,7 +21,7 @@
 
 
 class CallObserver(Protocol):
-    """Sees what is sent and what comes back; may reject new calls and load orders. Times are microseconds."""
+    """Observes attempts and load orders; may reject new calls and load orders. Times are microseconds."""
 
     def rejection_for(self, function: str, tenant: str | None) -> Rejected | None:
         """Return the answer to a new call that is not admitted, None for one that is."""
@@ -53,13 +55,13 @@
         """Send an attempt; `before_send` runs just before, and may raise to prevent it."""
 
     def cancel(self, call: int, attempt: int) -> None:
-        """Give up an attempt."""
+        """Cancel an attempt."""
 
     def order_load(self, effect: LoadOrder, on_ended: Callable[[LoadOrderEnded], None]) -> None:
-        """Let a worker load copies of a function."""
+        """Order a worker to load copies of a function."""
 
     def unload(self, effect: Unload) -> None:
-        """Let a worker drop copies of a function."""
+        """Order a worker to unload copies of a function."""
 
     def probe(self, effect: Probe, on_ended: Callable[[ProbeEnded], None]) -> None:
         """Check a worker's health."""
@@ -68,22 +70,33 @@
         """Close a worker's unused connections."""
 
 
-def _ignore(*_: object) -> None:
-    """Do nothing."""
+class ExecutionIntents(Protocol):
+    """Names the execution that an attempt belongs to, and makes its intent durable."""
 
+    def execution_name(self, caller_id: int) -> str:
+        """Return the name of the execution that a caller waits for, empty if it waits for none."""
 
-def _no_name(caller_id: int) -> str:
-    return ""
+    def record_intent(self, attempt: Send) -> None:
+        """Make the intent of a Send durable before its first byte; may raise to prevent the sending.
 
+        Called only for a Send that requires it (`must_persist_intent`).
+        """
 
-@dataclass(slots=True)
-class DispatchHooks:
-    """What the process that owns a dispatcher adds; each default does nothing.
 
-    `record_intent` runs before the first byte of a Send that must be persisted first, and may raise to
-    prevent it. `execution_name` returns the name of the execution of a caller, empty where it has none.
-    """
+class AnswerCounter(Protocol):
+    """Counts how calls end for their callers."""
+
+    def on_submitted(self, call: CallArrived) -> Callable[[Final], None]:
+        """Record a call; return the function that records its final answer."""
+
+    def on_abandoned(self) -> None:
+        """Record that a caller left before its call's final answer."""
+
+
+@dataclass(frozen=True, slots=True)
+class DispatchHooks:
+    """What the process that owns a dispatcher adds to it; each part may be missing."""
 
     observer: CallObserver | None = None
-    record_intent: Callable[[Send], None] = _ignore
-    execution_name: Callable[[int], str] = _no_name
+    intents: ExecutionIntents | None = None
+    counter: AnswerCounter | None = None
--- a/packages/fronts/tests/test_cron_front.py
+++ b/packages/fronts/tests/test_cron_front.py
@@ -191,7 +191,7 @@
 
     def live() -> None:
         first.loop.sleep(2 * MINUTE + MINUTE // 2)
-        first.front._store._db.execute("pragma wal_checkpoint(truncate)")
+        first.front.store._db.execute("pragma wal_checkpoint(truncate)")
         copies.append((tmp_path / "calls.db").read_bytes())
         first.loop.sleep(3 * MINUTE)
 
