--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,8 +14,6 @@
 from random import Random
 from typing import TypeVar
 
-from fleet_rig import Fleet as TestFleet
-from fleet_rig import Log
 from walnutpost.config import Config, load, overlay_sections, parse
 from walnutpost.controlplane.wire import Report
 from walnutpost.eventloop import Loop, TaskGroup
@@ -38,6 +36,8 @@
     StoreVersion,
     encode,
 )
+from walnutpost.testsupport.daemon.fleet import Fleet as TestFleet
+from walnutpost.testsupport.daemon.fleet import Log
 
 T = TypeVar("T")
 SECOND = 1_000_000
--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -11,8 +11,6 @@
 from collections import deque
 from dataclasses import replace
 
-from rig import SAFE
-from rig import SETTINGS as BASE
 from walnutpost.gateway import (
     AttemptEnded,
     CallArrived,
@@ -26,6 +24,8 @@
     WorkersListed,
 )
 from walnutpost.interface import ListKind, Outcome, Warmth
+from walnutpost.testsupport.policy.harness import SAFE
+from walnutpost.testsupport.policy.harness import SETTINGS as BASE
 
 SECOND = 1_000_000
 CALLS, GAP = 10_000, 400  # microseconds between two calls
--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -14,9 +14,9 @@
 from functools import partial
 from random import Random
 
-from cron_rig import START_US, count_decisions, list_matches, make_random_cron
 from walnutpost.cron import InvalidScheduleError, Planner, Schedule, check_cron, iterate_due_times
 from walnutpost.eventloop.timers import TimerWheel
+from walnutpost.testsupport.cron.fixtures import START_US, count_decisions, list_matches, make_random_cron
 
 SECOND = 1_000_000
 MINUTE, DAY = 60 * SECOND, 86_400 * SECOND
--- a/packages/adapter/tests/test_adapter_golden.py
+++ b/packages/adapter/tests/test_adapter_golden.py
@@ -1,7 +1,6 @@
 """The adapter's wire: recorded batches give the recorded events, recorded actions the recorded bytes.
 
-Run as a program, with packages/policy/tests on PYTHONPATH, it writes the files anew: for a wire that is meant
-to change.
+Run as a program, it writes the files again, which is right only for a wire that is meant to change.
 """
 
 from __future__ import annotations
@@ -13,7 +12,9 @@
 from pathlib import Path
 from typing import Any
 
-from golden_frames import (
+from walnutpost import interface as api
+from walnutpost.adapter import decoding, encoding, frames, host, settings
+from walnutpost.testsupport.golden.frames import (
     Sender,
     differences_received,
     differences_sent,
@@ -22,9 +23,7 @@
     sent_row,
     write_rows,
 )
-from neutral_form import KINDS, to_neutral
-from walnutpost import interface as api
-from walnutpost.adapter import decoding, encoding, frames, host, settings
+from walnutpost.testsupport.golden.neutral_values import KINDS, to_neutral
 
 GOLDEN = Path(__file__).parent / "golden"
 SENT, RECEIVED, SETTINGS_READ, HOST = (
--- a/packages/agent/tests/test_agent.py
+++ b/packages/agent/tests/test_agent.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from replica_processes import NAMES, ReplicaProcesses
 from walnutpost.agent import processes_of, version_of
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import FRONT_END, DisruptionBudget, FleetState, SetBudgets
+from walnutpost.testsupport.controlplane.replica_processes import NAMES, ReplicaProcesses
 
 MEMBERS = ("f0", "f1", "f2", "f3")
 CHILD = """
--- a/packages/agent/tests/test_agent_files.py
+++ b/packages/agent/tests/test_agent_files.py
@@ -11,8 +11,6 @@
 import msgspec
 import pytest
 
-from disk_faults import scripted_files
-from fleet_rig import Log
 from walnutpost.agent import (
     Agent,
     AgentFolderError,
@@ -28,6 +26,8 @@
 from walnutpost.eventloop import Loop, replace_file
 from walnutpost.fleet import FRONT_END
 from walnutpost.fleet.agent_instance import ControllerSettings
+from walnutpost.testsupport.daemon.fleet import Log
+from walnutpost.testsupport.store.disk_faults import scripted_files
 
 SECOND = 1_000_000
 V1, V2 = b'{"version": "v1"}', b'{"version": "v2"}'
--- a/packages/agent/tests/test_agent_golden.py
+++ b/packages/agent/tests/test_agent_golden.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from agent_forms import GOLDEN
+from walnutpost.testsupport.agent.folder_samples import GOLDEN
 
 
 @pytest.mark.parametrize("name", GOLDEN.forms)
--- a/packages/cli/tests/test_cli_golden.py
+++ b/packages/cli/tests/test_cli_golden.py
@@ -12,11 +12,11 @@
 import pytest
 from click.testing import CliRunner
 
-import stored_state as stored
-from fleet_rig import BASE, merged
-from golden_files import assert_as_golden, restore_dump
 from walnutpost.cli import main
 from walnutpost.metering import UsageReport
+from walnutpost.testsupport.daemon.fleet import BASE, merged
+from walnutpost.testsupport.golden.files import assert_as_golden, restore_dump
+from walnutpost.testsupport.store import stored_samples as stored
 
 GOLDEN = Path(__file__).parent / "golden"
 METERING = {"price_per_gb_hour": "0.25", "renamed": {"trade": "wholesale"}}
--- a/packages/cli/tests/test_config_commands.py
+++ b/packages/cli/tests/test_config_commands.py
@@ -14,8 +14,6 @@
 from click.testing import CliRunner, Result
 from msgspec.structs import replace
 
-from fleet_rig import BASE, merged
-from loopback import free_address
 from walnutpost.cli import main
 from walnutpost.cli.config_changes import Change
 from walnutpost.cli.config_status import applying_members
@@ -24,6 +22,8 @@
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import MAX_MUTATIONS, Entry, MemberStatus, Mutation, PropagationStatus
 from walnutpost.controlplane import ControlPlaneClient
+from walnutpost.testsupport.daemon.fleet import BASE, merged
+from walnutpost.testsupport.eventloop.loopback import free_address
 
 SITE = BASE["site"]
 PRICE, RESERVE = SITE["functions"]["price"], SITE["functions"]["reserve"]
--- a/packages/cli/tests/test_config_files.py
+++ b/packages/cli/tests/test_config_files.py
@@ -9,10 +9,10 @@
 import pytest
 from click.testing import CliRunner
 
-from fleet_rig import BASE, merged
 from walnutpost.cli import main
 from walnutpost.config import Config, ConfigError, load, load_with_overlay, parse
 from walnutpost.config.control_plane import ControlPlaneConfig
+from walnutpost.testsupport.daemon.fleet import BASE, merged
 
 ROOT = Path(__file__).parents[3]
 
--- a/packages/cli/tests/test_config_processes.py
+++ b/packages/cli/tests/test_config_processes.py
@@ -14,10 +14,10 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from fleet_rig import BASE, merged
-from loopback import free_address
 from test_config_commands import wait_for_leader
 from walnutpost.cli import main
+from walnutpost.testsupport.daemon.fleet import BASE, merged
+from walnutpost.testsupport.eventloop.loopback import free_address
 
 FEW_DESCRIPTORS = 512
 WAIT_OPTIONS = ("--within", 60)  # seconds; a busy machine may take them, a test that passes does not
--- a/packages/cli/tests/test_fleet_json_golden.py
+++ b/packages/cli/tests/test_fleet_json_golden.py
@@ -5,8 +5,8 @@
 import click
 import pytest
 
-from fleet_json_forms import GOLDEN, shown
 from walnutpost.cli import main
+from walnutpost.testsupport.cli.fleet_json_samples import GOLDEN, shown
 
 
 @pytest.mark.parametrize("name", GOLDEN.forms)
--- a/packages/cli/tests/test_listen_addresses.py
+++ b/packages/cli/tests/test_listen_addresses.py
@@ -11,9 +11,9 @@
 import pytest
 from click.testing import CliRunner
 
-from fleet_rig import BASE, merged
 from walnutpost.cli import main
 from walnutpost.cli.listen_addresses import ListenAddress, checked_addresses
+from walnutpost.testsupport.daemon.fleet import BASE, merged
 
 
 @pytest.fixture
--- a/packages/cli/tests/test_usage_cli.py
+++ b/packages/cli/tests/test_usage_cli.py
@@ -13,10 +13,10 @@
 import pytest
 from click.testing import CliRunner
 
-from fleet_rig import BASE, merged
 from test_metering import START, metered_fleet, metering_of, traffic
 from walnutpost.cli import main
 from walnutpost.cli.ledgers import Ledgers
+from walnutpost.testsupport.daemon.fleet import BASE, merged
 
 METERING = {"price_per_gb_hour": "0.25", "renamed": {"trade": "wholesale"}}
 
--- a/packages/config/tests/test_config_golden.py
+++ b/packages/config/tests/test_config_golden.py
@@ -10,8 +10,6 @@
 import pytest
 from pydantic import BaseModel
 
-from config_keys import NO_KEY, keys, missing_keys, sections
-from golden_files import assert_as_golden, json_lines, values_of
 from walnutpost.config import (
     Config,
     ConfigError,
@@ -25,6 +23,8 @@
 from walnutpost.config.control_plane import ControlPlaneConfig
 from walnutpost.config.conversion import build_budgets, build_endpoint_list, build_metering_policy
 from walnutpost.config.entries import encode_site
+from walnutpost.testsupport.config.keys import NO_KEY, keys, missing_keys, sections
+from walnutpost.testsupport.golden.files import assert_as_golden, json_lines, values_of
 
 GOLDEN = Path(__file__).parent / "golden"
 EXAMPLES = Path(__file__).parents[3] / "examples"
--- a/packages/config/tests/test_entries.py
+++ b/packages/config/tests/test_entries.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from entries_rig import ENTRIES, PRICE, SITE, function_value
 from walnutpost.config import InvalidEntryError, build_catalogue
 from walnutpost.config.entries import (
     FUNCTION_PREFIX,
@@ -18,6 +17,7 @@
 from walnutpost.config.entry_validation import validate_changes
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import ConfigStore, Mutation, validate_mutations
+from walnutpost.testsupport.config.entries import ENTRIES, PRICE, SITE, function_value
 
 
 def test_site_encodes_as_one_entry_per_item_without_defaults() -> None:
--- a/packages/config/tests/test_entry_differences.py
+++ b/packages/config/tests/test_entry_differences.py
@@ -7,11 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from entries_rig import CLASSES, PRICE, apply_mutations
 from walnutpost.config import Site
 from walnutpost.config.entries import FUNCTION_PREFIX, diff_entries, encode_site, split_into_change_sets
 from walnutpost.config.entry_validation import validate_changes
 from walnutpost.configstore import MAX_CHANGE_SET_BYTES, MAX_MUTATIONS, Mutation, validate_mutations
+from walnutpost.testsupport.config.entries import CLASSES, PRICE, apply_mutations
 
 NAMES = st.text("ab.-", min_size=1, max_size=3)
 SITES = st.dictionaries(NAMES, st.sampled_from([1.0, 2.0, 3.0]), min_size=1, max_size=4).flatmap(
--- a/packages/config/tests/test_entry_validation.py
+++ b/packages/config/tests/test_entry_validation.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from entries_rig import CLASSES, ENTRIES, PRICE, function_value
 from walnutpost.config.entries import diff_entries, encode_value
 from walnutpost.config.entry_validation import validate_changes
 from walnutpost.config.site import MAX_CLASSES, CallClass
 from walnutpost.configstore import Mutation
+from walnutpost.testsupport.config.entries import CLASSES, ENTRIES, PRICE, function_value
 
 OTHER_CLASS = encode_value(CallClass.model_validate(CLASSES["valuation"] | {"aim_ms": 900}))
 INVALID_CHANGES: list[tuple[list[Mutation], str]] = [
--- a/packages/configstore/tests/test_configstore_golden.py
+++ b/packages/configstore/tests/test_configstore_golden.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from configstore_forms import GOLDEN
-from golden_forms import check_covered, check_fields_distinguishable, structs_of
 from walnutpost import configstore
 from walnutpost.configstore.errors import InvalidSnapshotError
 from walnutpost.configstore.store import ConfigStore
 from walnutpost.configstore.stored_snapshot import StoredSnapshot
+from walnutpost.testsupport.configstore.table_samples import GOLDEN
+from walnutpost.testsupport.golden.samples import check_covered, check_fields_distinguishable, structs_of
 
 MODULES = tuple(
     import_module(f"{configstore.__name__}.{module.name}") for module in iter_modules(configstore.__path__)
--- a/packages/configstore/tests/test_fleet_progress.py
+++ b/packages/configstore/tests/test_fleet_progress.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from progress_rig import FakeStore, Fleet, ask, tell
 from walnutpost.configstore import report_changes
 from walnutpost.configstore.fleet_progress import FleetProgress
 from walnutpost.configstore.lag_tracker import LAG_GRACE_US
@@ -21,6 +20,7 @@
 )
 from walnutpost.configstore.registration_changes import RELAY_SILENT_AFTER_US
 from walnutpost.configstore.report_handler import RELAY_GONE_AFTER_US
+from walnutpost.testsupport.configstore.progress_fixtures import FakeStore, Fleet, ask, tell
 
 
 def test_min_applied_revision_is_over_all_registered_members() -> None:
--- a/packages/configstore/tests/test_member_registry.py
+++ b/packages/configstore/tests/test_member_registry.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from progress_rig import Fleet, ask, names_of, tell
 from walnutpost.configstore import report_changes
 from walnutpost.configstore.fleet_progress import FleetProgress
 from walnutpost.configstore.lag_tracker import LAG_GRACE_US
@@ -16,6 +15,7 @@
     ProgressSummaryResponse,
     encode,
 )
+from walnutpost.testsupport.configstore.progress_fixtures import Fleet, ask, names_of, tell
 
 
 def test_joins_and_leaves_are_reported_until_confirmed() -> None:
--- a/packages/configstore/tests/test_progress_orders.py
+++ b/packages/configstore/tests/test_progress_orders.py
@@ -11,7 +11,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from progress_world import STEPS, World
 from walnutpost.configstore import (
     applied_minimum,
     fleet_progress,
@@ -26,6 +25,7 @@
     report_changes,
     report_handler,
 )
+from walnutpost.testsupport.configstore.progress_model import STEPS, World
 
 SIZES = [(500, 100), (2, 1), (1, 2)]
 steps = st.lists(st.tuples(st.integers(0, len(STEPS) - 1), st.integers(0, 999)), min_size=10, max_size=120)
--- a/packages/configstore/tests/test_store.py
+++ b/packages/configstore/tests/test_store.py
@@ -7,7 +7,6 @@
 import pytest
 from immutables import Map
 
-from store_rig import filled, flip, ops
 from walnutpost.configstore import (
     DIGEST_BUCKETS,
     MAX_CHANGE_SET_BYTES,
@@ -26,6 +25,7 @@
     entry_digest,
     validate_mutations,
 )
+from walnutpost.testsupport.configstore.stores import filled, flip, ops
 
 # Change sets
 
--- a/packages/configstore/tests/test_watch_responses.py
+++ b/packages/configstore/tests/test_watch_responses.py
@@ -5,7 +5,6 @@
 import pytest
 from msgspec.structs import replace
 
-from store_rig import filled, ops
 from walnutpost.configstore import (
     DIGEST_BUCKETS,
     MAX_RESPONSE_BYTES,
@@ -20,6 +19,7 @@
     pending_events,
     respond,
 )
+from walnutpost.testsupport.configstore.stores import filled, ops
 
 
 def request(revision: int = 0, digest: int = 0, **more: object) -> WatchRequest:
--- a/packages/configstore/tests/test_watch_state.py
+++ b/packages/configstore/tests/test_watch_state.py
@@ -7,7 +7,6 @@
 import pytest
 from msgspec.structs import replace
 
-from store_rig import filled, flip, ops
 from walnutpost.configstore import (
     DIGEST_BUCKETS,
     STALE_AFTER_US,
@@ -25,6 +24,7 @@
     respond,
 )
 from walnutpost.configstore.outcome import SyncEvent, SyncEventKind
+from walnutpost.testsupport.configstore.stores import filled, flip, ops
 
 DIVERGED, REPAIRED = SyncEventKind.DIVERGED, SyncEventKind.REPAIRED
 SNAPSHOT_REQUESTED, SNAPSHOT_LOADED = SyncEventKind.SNAPSHOT_REQUESTED, SyncEventKind.SNAPSHOT_LOADED
--- a/packages/consensus/tests/test_consensus_golden.py
+++ b/packages/consensus/tests/test_consensus_golden.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from consensus_forms import GOLDEN, MESSAGES, NEVER_WRITTEN
-from golden_forms import check_covered, check_fields_distinguishable, structs_of
 from walnutpost.consensus import messages
 from walnutpost.consensus.messages import Message
+from walnutpost.testsupport.consensus.message_samples import GOLDEN, MESSAGES, NEVER_WRITTEN
+from walnutpost.testsupport.golden.samples import check_covered, check_fields_distinguishable, structs_of
 
 
 @pytest.mark.parametrize("name", GOLDEN.forms)
--- a/packages/consensus/tests/test_election.py
+++ b/packages/consensus/tests/test_election.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from cluster_simulation import TIMING, Cluster
 from walnutpost.consensus import (
     Members,
     MessageReceived,
@@ -17,6 +16,7 @@
     VoteResponse,
     WriteCompleted,
 )
+from walnutpost.testsupport.consensus.cluster_simulation import TIMING, Cluster
 
 THREE = ("a", "b", "c")
 
--- a/packages/consensus/tests/test_freshness.py
+++ b/packages/consensus/tests/test_freshness.py
@@ -7,9 +7,9 @@
 import msgspec
 import pytest
 
-from cluster_simulation import TIMING, Cluster
 from walnutpost.consensus import MessageReceived, PersistentState, Raft, Tick
 from walnutpost.consensus.messages import AppendEntries, AppendEntriesResponse, Message
+from walnutpost.testsupport.consensus.cluster_simulation import TIMING, Cluster
 
 THREE = ("a", "b", "c")
 
--- a/packages/consensus/tests/test_golden_files.py
+++ b/packages/consensus/tests/test_golden_files.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from golden_forms import Form, Golden, GoldenFormChangedError, packed
+from walnutpost.testsupport.golden.samples import Form, Golden, GoldenFormChangedError, packed
 
 
 def test_golden_form_is_overwritten_only_on_request(tmp_path: Path) -> None:
--- a/packages/consensus/tests/test_invariants.py
+++ b/packages/consensus/tests/test_invariants.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cluster_simulation import Cluster
+from walnutpost.testsupport.consensus.cluster_simulation import Cluster
 
 
 @pytest.mark.parametrize("seed", range(40))
--- a/packages/consensus/tests/test_persistence.py
+++ b/packages/consensus/tests/test_persistence.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from cluster_simulation import Cluster
 from walnutpost.consensus import MessageReceived, Role, Tick
 from walnutpost.consensus.messages import AppendEntriesResponse
+from walnutpost.testsupport.consensus.cluster_simulation import Cluster
 
 THREE = ("a", "b", "c")
 
--- a/packages/consensus/tests/test_reads.py
+++ b/packages/consensus/tests/test_reads.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cluster_simulation import TIMING, Cluster
 from walnutpost.consensus import Role, Tick
+from walnutpost.testsupport.consensus.cluster_simulation import TIMING, Cluster
 
 THREE = ("a", "b", "c")
 
--- a/packages/consensus/tests/test_replication.py
+++ b/packages/consensus/tests/test_replication.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from cluster_simulation import TIMING, Cluster
 from walnutpost.consensus import (
     ChangeMembership,
     CommittedEntryConflictError,
@@ -20,6 +19,7 @@
 )
 from walnutpost.consensus.log import Log
 from walnutpost.consensus.messages import AppendEntries
+from walnutpost.testsupport.consensus.cluster_simulation import TIMING, Cluster
 
 THREE = ("a", "b", "c")
 SNAPSHOT = Snapshot(4, 1, Members(THREE), b"")
--- a/packages/consensus/tests/test_safety_rules.py
+++ b/packages/consensus/tests/test_safety_rules.py
@@ -8,21 +8,6 @@
 
 import pytest
 
-from broken_rules import (
-    BROKEN_RULES,
-    AllowsAnyMembershipChange,
-    CommitsOlderTermsByCount,
-    CountsCommitsOfUnknownTerms,
-    CoversWhatIsNotApplied,
-    DatesContactByTheAnswer,
-    DatesContactByTheArrival,
-    IgnoresLiveLeader,
-    OmitsTheContactAge,
-    ReleasesBeforePersisted,
-    VotesForOlderLogs,
-    VotesTwiceInATerm,
-)
-from cluster_simulation import TIMING, Cluster, Invariant, InvariantViolatedError
 from walnutpost.consensus import (
     ChangeMembership,
     CommittedEntryConflictError,
@@ -38,6 +23,26 @@
     WriteCompleted,
 )
 from walnutpost.consensus.messages import AppendEntriesResponse, TimeoutNow
+from walnutpost.testsupport.consensus.cluster_simulation import (
+    TIMING,
+    Cluster,
+    Invariant,
+    InvariantViolatedError,
+)
+from walnutpost.testsupport.consensus.faulty_safety_rules import (
+    BROKEN_RULES,
+    AllowsAnyMembershipChange,
+    CommitsOlderTermsByCount,
+    CountsCommitsOfUnknownTerms,
+    CoversWhatIsNotApplied,
+    DatesContactByTheAnswer,
+    DatesContactByTheArrival,
+    IgnoresLiveLeader,
+    OmitsTheContactAge,
+    ReleasesBeforePersisted,
+    VotesForOlderLogs,
+    VotesTwiceInATerm,
+)
 
 THREE = ("a", "b", "c")
 FIVE = ("a", "b", "c", "d", "e")
--- a/packages/consensus/tests/test_snapshots.py
+++ b/packages/consensus/tests/test_snapshots.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from cluster_simulation import Cluster
 from walnutpost.consensus import Tick
+from walnutpost.testsupport.consensus.cluster_simulation import Cluster
 
 THREE = ("a", "b", "c")
 
--- a/packages/controlplane/tests/test_config_change_sets.py
+++ b/packages/controlplane/tests/test_config_change_sets.py
@@ -4,9 +4,9 @@
 
 from pathlib import Path
 
-from config_rig import CheckedProcesses, ReplicaWatcher, entries, op
-from replica_processes import NAMES, SECOND, ReplicaProcesses, play
 from walnutpost.fleet import CommandResult
+from walnutpost.testsupport.controlplane.config_harness import CheckedProcesses, ReplicaWatcher, entries, op
+from walnutpost.testsupport.controlplane.replica_processes import NAMES, SECOND, ReplicaProcesses, play
 
 
 def test_change_set_repeated_after_its_leader_was_killed_is_applied_once(tmp_path: Path) -> None:
--- a/packages/controlplane/tests/test_config_watches.py
+++ b/packages/controlplane/tests/test_config_watches.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from config_rig import CheckedProcesses, ReplicaWatcher, entries, op
-from replica_processes import NAMES, SECOND, ReplicaProcesses, play
 from walnutpost.consensus import Members
 from walnutpost.controlplane import ControlPlaneUnavailableError
+from walnutpost.testsupport.controlplane.config_harness import CheckedProcesses, ReplicaWatcher, entries, op
+from walnutpost.testsupport.controlplane.replica_processes import NAMES, SECOND, ReplicaProcesses, play
 
 
 def test_watch_at_a_follower_continues_after_the_leader_was_killed(tmp_path: Path) -> None:
--- a/packages/controlplane/tests/test_control_plane_client.py
+++ b/packages/controlplane/tests/test_control_plane_client.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from scripted_sockets import CONNECTION_FAULTS, scripted_sockets, to
 from walnutpost.controlplane import ControlPlaneClient, wire
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.fleet import CommandResult, ResumePlan
 from walnutpost.http import Exchange, Response
 from walnutpost.http.server import serve_on
+from walnutpost.testsupport.eventloop.scripted_sockets import CONNECTION_FAULTS, scripted_sockets, to
 
 SECOND = 1_000_000
 
--- a/packages/controlplane/tests/test_control_plane_golden.py
+++ b/packages/controlplane/tests/test_control_plane_golden.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from consensus_forms import MESSAGES
-from control_plane_forms import GOLDEN, MESSAGES_BY_NAME
-from golden_forms import check_covered, check_fields_distinguishable, structs_of
 from walnutpost import controlplane
 from walnutpost.consensus import Message
 from walnutpost.controlplane import wire
+from walnutpost.testsupport.consensus.message_samples import MESSAGES
+from walnutpost.testsupport.controlplane.request_samples import GOLDEN, MESSAGES_BY_NAME
+from walnutpost.testsupport.golden.samples import check_covered, check_fields_distinguishable, structs_of
 
 MODULES = [
     import_module(f"{controlplane.__name__}.{m.name}") for m in pkgutil.iter_modules(controlplane.__path__)
--- a/packages/controlplane/tests/test_control_plane_requests.py
+++ b/packages/controlplane/tests/test_control_plane_requests.py
@@ -4,11 +4,11 @@
 
 from pathlib import Path
 
-from config_rig import REPLY_TIMEOUT_US, CheckedProcesses, op
-from replica_processes import NAMES, ReplicaProcesses, play
 from walnutpost.configstore.member_registry import MemberRegistry
 from walnutpost.configstore.messages import encode
 from walnutpost.http import Connection
+from walnutpost.testsupport.controlplane.config_harness import REPLY_TIMEOUT_US, CheckedProcesses, op
+from walnutpost.testsupport.controlplane.replica_processes import NAMES, ReplicaProcesses, play
 
 
 def test_follower_names_the_leader_for_progress_and_status_and_malformed_requests_get_400(
--- a/packages/controlplane/tests/test_disk_recovery.py
+++ b/packages/controlplane/tests/test_disk_recovery.py
@@ -8,12 +8,12 @@
 
 import pytest
 
-from disk_rig import NAMES, SECOND, Cluster, Disk, Fault, play
 from walnutpost.configstore import messages as config_messages
 from walnutpost.configstore.messages import WatchRequest
 from walnutpost.consensus import NOT_LEADER, Role
 from walnutpost.controlplane import ControlPlaneUnavailableError, wire
 from walnutpost.fleet import FRONT_END, RegisterMember, encode
+from walnutpost.testsupport.controlplane.disk_simulation import NAMES, SECOND, Cluster, Disk, Fault, play
 
 EVERY_FAULT = pytest.mark.parametrize("fault", list(Fault), ids=lambda fault: fault.name.lower())
 
--- a/packages/controlplane/tests/test_member_progress.py
+++ b/packages/controlplane/tests/test_member_progress.py
@@ -4,11 +4,11 @@
 
 from pathlib import Path
 
-from config_rig import CheckedProcesses, op
-from replica_processes import SECOND, ReplicaProcesses, play
 from walnutpost.configstore.member_registry import MemberRegistry
 from walnutpost.configstore.messages import WatchRequest
 from walnutpost.fleet import Fleet, ForgetMember
+from walnutpost.testsupport.controlplane.config_harness import CheckedProcesses, op
+from walnutpost.testsupport.controlplane.replica_processes import SECOND, ReplicaProcesses, play
 
 
 class RelayReports:
--- a/packages/controlplane/tests/test_peers.py
+++ b/packages/controlplane/tests/test_peers.py
@@ -6,7 +6,6 @@
 
 import pytest
 
-from scripted_sockets import CONNECTION_FAULTS, scripted_sockets, to
 from walnutpost.consensus import Members, Message, Snapshot
 from walnutpost.consensus.messages import InstallSnapshot, TimeoutNow
 from walnutpost.controlplane import wire
@@ -14,6 +13,7 @@
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.http import Exchange, Limits, Response
 from walnutpost.http.server import serve_on
+from walnutpost.testsupport.eventloop.scripted_sockets import CONNECTION_FAULTS, scripted_sockets, to
 
 REPLY_TIMEOUT_US = 50_000
 
--- a/packages/controlplane/tests/test_replica_faults.py
+++ b/packages/controlplane/tests/test_replica_faults.py
@@ -10,10 +10,16 @@
 
 import pytest
 
-from replica_processes import NAMES, SECOND, ReplicaProcesses, create_fleet, play
 from walnutpost.consensus import Members
 from walnutpost.controlplane import ControlPlaneUnavailableError
 from walnutpost.fleet import FRONT_END, DisruptionBudget, Fleet, RegisterMember, RequestPermit, SetBudgets
+from walnutpost.testsupport.controlplane.replica_processes import (
+    NAMES,
+    SECOND,
+    ReplicaProcesses,
+    create_fleet,
+    play,
+)
 
 
 def test_leader_that_is_killed_during_a_grant_leaves_one_permit(tmp_path: Path) -> None:
--- a/packages/cron/tests/test_planner.py
+++ b/packages/cron/tests/test_planner.py
@@ -12,17 +12,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cron_rig import (
-    DAY_US,
-    EVERY_MINUTE,
-    HOUR_US,
-    MINUTE_US,
-    SECOND_US,
-    START_US,
-    count_decisions,
-    list_matches,
-    make_random_cron,
-)
 from walnutpost.cron import (
     Decision,
     Fire,
@@ -34,6 +23,17 @@
     SkipReason,
     check_cron,
 )
+from walnutpost.testsupport.cron.fixtures import (
+    DAY_US,
+    EVERY_MINUTE,
+    HOUR_US,
+    MINUTE_US,
+    SECOND_US,
+    START_US,
+    count_decisions,
+    list_matches,
+    make_random_cron,
+)
 
 
 def summarize(decisions: Sequence[Decision]) -> list[tuple[str, int, int]]:
--- a/packages/cron/tests/test_schedule.py
+++ b/packages/cron/tests/test_schedule.py
@@ -9,7 +9,6 @@
 
 import pytest
 
-from cron_rig import EVERY_MINUTE, MINUTE_US, SECOND_US, START_US
 from walnutpost.cron import (
     InvalidScheduleError,
     check_cron,
@@ -18,6 +17,7 @@
     iterate_due_times,
     select_owner,
 )
+from walnutpost.testsupport.cron.fixtures import EVERY_MINUTE, MINUTE_US, SECOND_US, START_US
 
 
 def epoch_us(text: str, zone: str) -> int:
--- a/packages/cron/tests/test_schedules_golden.py
+++ b/packages/cron/tests/test_schedules_golden.py
@@ -5,7 +5,6 @@
 from itertools import islice
 from pathlib import Path
 
-from golden_files import assert_as_golden, json_lines
 from walnutpost.cron import (
     MissedPolicy,
     OverlapPolicy,
@@ -15,6 +14,7 @@
     iterate_due_times,
     select_owner,
 )
+from walnutpost.testsupport.golden.files import assert_as_golden, json_lines
 
 GOLDEN = Path(__file__).parent / "golden"
 START_US = 1_774_000_000_000_000  # some days before clocks in Dublin go forward
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -7,8 +7,6 @@
 
 import pytest
 
-from disk_faults import scripted_files
-from fleet_rig import SECOND, Log
 from test_functions_gone import kill_front_end
 from test_settings_watch import SettingsFleet, put_function
 from walnutpost.config.membership import MembershipConfig
@@ -19,6 +17,8 @@
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.fleet import CommandResult
 from walnutpost.fleet.endpoints import EndpointSnapshot
+from walnutpost.testsupport.daemon.fleet import SECOND, Log
+from walnutpost.testsupport.store.disk_faults import scripted_files
 
 CALLS = ["write", "fsync", "rename", "fsync folder"]
 
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -11,9 +11,6 @@
 import msgspec
 import pytest
 
-import stored_state as stored
-from fleet_rig import SECOND, Fleet
-from golden_files import assert_as_golden, assert_every_field_tells, restore_dump
 from walnutpost.config import Site
 from walnutpost.config.entries import encode_site
 from walnutpost.config.site import CallClass, FunctionConfig, TenantConfig
@@ -27,6 +24,9 @@
 from walnutpost.gateway import Execution, Status
 from walnutpost.metering import HOUR_US
 from walnutpost.store import read_history
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
+from walnutpost.testsupport.golden.files import assert_as_golden, assert_every_field_tells, restore_dump
+from walnutpost.testsupport.store import stored_samples as stored
 
 GOLDEN = Path(__file__).parent / "golden"
 UNREACHABLE = "127.0.0.1:1"  # nothing listens there: neither the control plane nor a relay answers
--- a/packages/daemon/tests/test_endpoint_lists.py
+++ b/packages/daemon/tests/test_endpoint_lists.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from fleet_rig import SECOND, Fleet
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 
 POLL_WAIT_US = SECOND  # more than the front end's poll interval
 
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -10,7 +10,6 @@
 
 import pytest
 
-from fleet_rig import SECOND, Fleet, execution_path
 from test_journal_replication import RUN, Sites
 from walnutpost.config import Config
 from walnutpost.daemon.front_end import FrontEnd
@@ -18,6 +17,7 @@
 from walnutpost.http import Response
 from walnutpost.journal import CallStage
 from walnutpost.store import Change, read_history
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet, execution_path
 
 EVENT = "Event"
 
--- a/packages/daemon/tests/test_journal_replication.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -10,7 +10,6 @@
 
 import pytest
 
-from fleet_rig import EXECUTION_ARN_HEADER, INVOKE, SECOND, Fleet, execution_path, merged
 from walnutpost.config import Config, parse
 from walnutpost.config.base import parse_address
 from walnutpost.daemon.composition import build_front_end
@@ -18,6 +17,14 @@
 from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, Response
 from walnutpost.journal import CallStage, CallState, MergedJournal
+from walnutpost.testsupport.daemon.fleet import (
+    EXECUTION_ARN_HEADER,
+    INVOKE,
+    SECOND,
+    Fleet,
+    execution_path,
+    merged,
+)
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
 RUN = "reserve"  # an unsafe function
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -9,7 +9,6 @@
 import msgspec
 import pytest
 
-from fleet_rig import SECOND, Fleet
 from walnutpost.daemon.metering import UsageMetering
 from walnutpost.eventloop import VirtualClock
 from walnutpost.faultinjection.usage import true_usage
@@ -25,6 +24,7 @@
     sum_statements,
 )
 from walnutpost.store.usage import LedgerRun
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 
 MINUTE = 60 * SECOND
 START = 300 * HOUR_US - 15 * SECOND  # an hour ends soon
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -13,8 +13,6 @@
 
 import pytest
 
-from fleet_rig import INVOKE, SECOND, Fleet, execution_path
-from relay_rig import FakeRelay
 from test_functions_gone import EVENT, describe_execution, kill_front_end
 from walnutpost.config.entries import FUNCTION_PREFIX, encode_site, encode_value
 from walnutpost.config.site import FunctionConfig
@@ -29,6 +27,8 @@
 from walnutpost.gateway import Function
 from walnutpost.http import Connection, Response
 from walnutpost.interface import RequestArrived, WorkersListed
+from walnutpost.testsupport.daemon.fake_relay import FakeRelay
+from walnutpost.testsupport.daemon.fleet import INVOKE, SECOND, Fleet, execution_path
 
 CLASSES = ["valuation", "reservation"]
 PAIR = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50}
--- a/packages/eventloop/tests/test_arrival_times.py
+++ b/packages/eventloop/tests/test_arrival_times.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from loop_rig import MS, SECOND, close_all
 from walnutpost.eventloop import BootTime, Loop, VirtualClock
 from walnutpost.eventloop.poller import READABLE
+from walnutpost.testsupport.eventloop.fixtures import MS, SECOND, close_all
 
 BUSY, WATCHED = 6, 7  # descriptors
 
--- a/packages/eventloop/tests/test_errors.py
+++ b/packages/eventloop/tests/test_errors.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-from loop_rig import SECOND, virtual_loop
 from walnutpost.eventloop import (
     Cancelled,
     ClockNotVirtualError,
@@ -20,6 +19,7 @@
     TlsTruncatedError,
     WaitTimeoutError,
 )
+from walnutpost.testsupport.eventloop.fixtures import SECOND, virtual_loop
 
 ERRORS = [
     (ClockNotVirtualError(SECOND), RuntimeError, "real time does not jump"),
--- a/packages/eventloop/tests/test_files.py
+++ b/packages/eventloop/tests/test_files.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from disk_faults import scripted_files
 from walnutpost.eventloop import remove_leftovers, replace_file
+from walnutpost.testsupport.store.disk_faults import scripted_files
 
 CALLS = ["write", "fsync", "rename", "fsync folder"]
 
--- a/packages/eventloop/tests/test_listener.py
+++ b/packages/eventloop/tests/test_listener.py
@@ -10,16 +10,6 @@
 
 import pytest
 
-from loop_rig import (
-    LOCAL,
-    PENDING_ERRORS,
-    SHORTAGE_ERRORS,
-    close_all,
-    run_with_faults,
-    start_accepting,
-    wait_until,
-)
-from scripted_sockets import FOREVER, SocketFaults, at
 from walnutpost.eventloop import AcceptErrorLog, Listener, Loop, Stream, connect
 from walnutpost.eventloop.accept_errors import (
     ACCEPT_LOG_INTERVAL_US,
@@ -28,6 +18,16 @@
     MIN_ACCEPT_BACKOFF_US,
 )
 from walnutpost.eventloop.listener import MAX_ACCEPT_NOW_PAUSES
+from walnutpost.testsupport.eventloop.fixtures import (
+    LOCAL,
+    PENDING_ERRORS,
+    SHORTAGE_ERRORS,
+    close_all,
+    run_with_faults,
+    start_accepting,
+    wait_until,
+)
+from walnutpost.testsupport.eventloop.scripted_sockets import FOREVER, SocketFaults, at
 
 NUMBERS = [pytest.param(number, id=errno.errorcode[number]) for number in (*PENDING_ERRORS, *SHORTAGE_ERRORS)]
 
--- a/packages/eventloop/tests/test_poller.py
+++ b/packages/eventloop/tests/test_poller.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from loop_rig import virtual_loop
+from walnutpost.testsupport.eventloop.fixtures import virtual_loop
 
 
 def test_event_of_a_closed_socket_is_not_delivered_to_the_next_one_with_its_number() -> None:
--- a/packages/eventloop/tests/test_signals_and_blocking.py
+++ b/packages/eventloop/tests/test_signals_and_blocking.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from loop_rig import SECOND, virtual_loop
 from walnutpost.eventloop import Event, Loop, WaitTimeoutError
+from walnutpost.testsupport.eventloop.fixtures import SECOND, virtual_loop
 
 
 def test_signal_wakes_the_loop() -> None:
--- a/packages/eventloop/tests/test_streams.py
+++ b/packages/eventloop/tests/test_streams.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from loop_rig import LOCAL, close_all, run_with_faults
-from scripted_sockets import SocketFaults, at, scripted_sockets, to
 from walnutpost.eventloop import Listener, Loop, connect
+from walnutpost.testsupport.eventloop.fixtures import LOCAL, close_all, run_with_faults
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, at, scripted_sockets, to
 
 SETUP_FAULTS = [
     pytest.param(operation, number, id=f"{operation}-{errno.errorcode[number]}")
--- a/packages/eventloop/tests/test_sync.py
+++ b/packages/eventloop/tests/test_sync.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from loop_rig import virtual_loop
 from walnutpost.eventloop import Queue, QueueFullError
+from walnutpost.testsupport.eventloop.fixtures import virtual_loop
 
 
 def test_full_queue_makes_put_wait_and_put_nowait_raise() -> None:
--- a/packages/eventloop/tests/test_tasks.py
+++ b/packages/eventloop/tests/test_tasks.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from loop_rig import SECOND, close_all, virtual_loop
 from walnutpost.eventloop import Cancelled, Loop, Stream, TaskGroup
 from walnutpost.eventloop.tasks import MAX_OPERATIONS_PER_TURN
+from walnutpost.testsupport.eventloop.fixtures import SECOND, close_all, virtual_loop
 
 
 def test_error_of_a_task_or_callback_ends_it_alone_and_is_reported() -> None:
--- a/packages/eventloop/tests/test_timeouts.py
+++ b/packages/eventloop/tests/test_timeouts.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from loop_rig import LOCAL, SECOND, virtual_loop
 from walnutpost.eventloop import Event, Listener, Loop, Queue, WaitTimeoutError, connect
+from walnutpost.testsupport.eventloop.fixtures import LOCAL, SECOND, virtual_loop
 
 
 def recv_from_a_silent_listener(loop: Loop) -> bytes:
--- a/packages/faultinjection/tests/test_audit.py
+++ b/packages/faultinjection/tests/test_audit.py
@@ -10,9 +10,9 @@
 import pytest
 from click.testing import CliRunner
 
-from fleet_rig import SECOND, Fleet
 from walnutpost.cli import main
 from walnutpost.gateway import Answered, Effect
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 
 COLD = {"cold_ms": 16000, "start_capacity": 0.17, "overload_factor": 1, "overload_for_ms": 1500}
 MANY = {f"p{i}": {"class": "valuation", "memory_mb": 100} for i in range(14)}
--- a/packages/faultinjection/tests/test_capture_faults.py
+++ b/packages/faultinjection/tests/test_capture_faults.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from disk_faults import scripted_files
 from walnutpost.faultinjection.capture import Capture, read_records
+from walnutpost.testsupport.store.disk_faults import scripted_files
 
 
 def opened(path: Path) -> Capture:
--- a/packages/faultinjection/tests/test_capture_golden.py
+++ b/packages/faultinjection/tests/test_capture_golden.py
@@ -10,11 +10,11 @@
 
 import msgspec
 
-from golden_files import assert_as_golden
 from walnutpost.config import Config, WorkerConfig, load
 from walnutpost.fakes import CopyEvent, CopyEventKind
 from walnutpost.faultinjection.capture import LENGTH_BYTES, Capture, read_records
 from walnutpost.faultinjection.facts import FACTS_FILE, Facts, facts_of, write_facts
+from walnutpost.testsupport.golden.files import assert_as_golden
 
 GOLDEN = Path(__file__).parent / "golden"
 EXAMPLE = Path(__file__).parents[3] / "examples" / "kilbride.json5"
--- a/packages/faultinjection/tests/test_network_faults.py
+++ b/packages/faultinjection/tests/test_network_faults.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from scripted_sockets import at, scripted_sockets, to
 from walnutpost.eventloop import Listener, Loop, VirtualClock, connect
 from walnutpost.faultinjection.network import LinkProxy
+from walnutpost.testsupport.eventloop.scripted_sockets import at, scripted_sockets, to
 
 
 @pytest.mark.parametrize("number", [errno.EPROTO, errno.ENETDOWN, errno.EPERM])
--- a/packages/faultinjection/tests/test_scenario_golden.py
+++ b/packages/faultinjection/tests/test_scenario_golden.py
@@ -7,11 +7,11 @@
 import pytest
 from pydantic import BaseModel
 
-from config_keys import keys
-from golden_files import assert_as_golden, json_lines
 from walnutpost.config import load, parse
 from walnutpost.faultinjection.fleet_scenario import FleetScenario
 from walnutpost.faultinjection.scenario import Scenario
+from walnutpost.testsupport.config.keys import keys
+from walnutpost.testsupport.golden.files import assert_as_golden, json_lines
 
 GOLDEN = Path(__file__).parent / "golden" / "scripts"
 EXAMPLES = Path(__file__).parents[3] / "examples"
--- a/packages/faultinjection/tests/test_scenarios.py
+++ b/packages/faultinjection/tests/test_scenarios.py
@@ -11,12 +11,12 @@
 
 import pytest
 
-from fleet_rig import BASE, Log, merged
 from walnutpost.config import Config, parse
 from walnutpost.faultinjection import text_tables
 from walnutpost.faultinjection.call_results import CallResultKind
 from walnutpost.faultinjection.scenario import Scenario
 from walnutpost.faultinjection.scenario_run import play
+from walnutpost.testsupport.daemon.fleet import BASE, Log, merged
 
 TIMEOUT_S = 30.0
 
--- a/packages/fleet/tests/test_agent_state.py
+++ b/packages/fleet/tests/test_agent_state.py
@@ -4,13 +4,6 @@
 
 import pytest
 
-from state_machine_rig import (
-    SECOND,
-    SETTINGS,
-    AgentRig,
-    WorkerAgentRig,
-    release,
-)
 from walnutpost.fleet import (
     FRONT_END,
     AbandonPermit,
@@ -32,6 +25,13 @@
     Tick,
 )
 from walnutpost.fleet.agent_process import Phase
+from walnutpost.testsupport.fleet.state_machine_harness import (
+    SECOND,
+    SETTINGS,
+    AgentRig,
+    WorkerAgentRig,
+    release,
+)
 
 
 def test_controller_when_a_release_reaches_its_member_installs_the_version_under_a_permit() -> None:
--- a/packages/fleet/tests/test_analysis.py
+++ b/packages/fleet/tests/test_analysis.py
@@ -6,10 +6,6 @@
 
 import pytest
 
-from state_machine_rig import (
-    LEASE,
-    rig_with,
-)
 from walnutpost.fleet import (
     AnalysisPolicy,
     CallCounts,
@@ -21,6 +17,10 @@
     Verdict,
     analyze,
 )
+from walnutpost.testsupport.fleet.state_machine_harness import (
+    LEASE,
+    rig_with,
+)
 
 
 @pytest.mark.parametrize(
--- a/packages/fleet/tests/test_command_text.py
+++ b/packages/fleet/tests/test_command_text.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from fleet_forms import COMMANDS
 from walnutpost.configstore.messages import Mutation
 from walnutpost.fleet import ApplyChangeSet, ForgetMember, StartPlan, command_name, describe_command
+from walnutpost.testsupport.fleet.command_samples import COMMANDS
 
 # By the golden name of a command: its published name and text.
 PUBLISHED: dict[str, tuple[str, str]] = {
--- a/packages/fleet/tests/test_draining.py
+++ b/packages/fleet/tests/test_draining.py
@@ -7,11 +7,6 @@
 
 import pytest
 
-from state_machine_rig import (
-    LEASE,
-    begin_drain,
-    rig_with,
-)
 from walnutpost.fleet import (
     FRONT_END,
     Acknowledgement,
@@ -31,6 +26,11 @@
     endpoint_snapshot,
 )
 from walnutpost.fleet.permits import release_permit
+from walnutpost.testsupport.fleet.state_machine_harness import (
+    LEASE,
+    begin_drain,
+    rig_with,
+)
 
 
 def test_confirmation_when_a_responsive_front_end_has_not_acknowledged_is_rejected() -> None:
--- a/packages/fleet/tests/test_endpoints.py
+++ b/packages/fleet/tests/test_endpoints.py
@@ -2,10 +2,6 @@
 
 from __future__ import annotations
 
-from state_machine_rig import (
-    begin_drain,
-    rig_with,
-)
 from walnutpost.fleet import (
     WORKER,
     EndpointAges,
@@ -14,6 +10,10 @@
     RegisterMember,
     endpoint_snapshot,
 )
+from walnutpost.testsupport.fleet.state_machine_harness import (
+    begin_drain,
+    rig_with,
+)
 
 
 def test_merge_given_an_own_list_adds_and_drains_workers_but_removes_none() -> None:
--- a/packages/fleet/tests/test_fleet_golden.py
+++ b/packages/fleet/tests/test_fleet_golden.py
@@ -8,8 +8,6 @@
 import msgspec
 import pytest
 
-from fleet_forms import COMMANDS, GOLDEN, HISTORY_COMMANDS, applied
-from golden_forms import check_covered, check_fields_distinguishable, structs_of
 from walnutpost.consensus import LogEntry
 from walnutpost.fleet import (
     Command,
@@ -37,6 +35,8 @@
     settings,
     state,
 )
+from walnutpost.testsupport.fleet.command_samples import COMMANDS, GOLDEN, HISTORY_COMMANDS, applied
+from walnutpost.testsupport.golden.samples import check_covered, check_fields_distinguishable, structs_of
 
 MODULES = (
     agent_effects,
--- a/packages/fleet/tests/test_leases.py
+++ b/packages/fleet/tests/test_leases.py
@@ -2,11 +2,6 @@
 
 from __future__ import annotations
 
-from state_machine_rig import (
-    LEASE,
-    FleetRig,
-    rig_with,
-)
 from walnutpost.fleet import (
     AnalysisPolicy,
     FleetMonitor,
@@ -15,6 +10,11 @@
     MemberLeases,
     MemberReport,
 )
+from walnutpost.testsupport.fleet.state_machine_harness import (
+    LEASE,
+    FleetRig,
+    rig_with,
+)
 
 
 def test_leases_when_a_leader_is_new_mark_no_member_unresponsive_before_a_full_lease() -> None:
--- a/packages/fleet/tests/test_permits.py
+++ b/packages/fleet/tests/test_permits.py
@@ -7,9 +7,6 @@
 
 import pytest
 
-from state_machine_rig import (
-    FleetRig,
-)
 from walnutpost.fleet import (
     FRONT_END,
     WORKER,
@@ -32,6 +29,9 @@
     RevokePermit,
 )
 from walnutpost.fleet.permits import release_permit
+from walnutpost.testsupport.fleet.state_machine_harness import (
+    FleetRig,
+)
 
 BEGIN_TIMEOUT_US = 1000
 
--- a/packages/fleet/tests/test_plans.py
+++ b/packages/fleet/tests/test_plans.py
@@ -4,9 +4,6 @@
 
 import pytest
 
-from state_machine_rig import (
-    FleetRig,
-)
 from walnutpost.fleet import (
     FRONT_END,
     WORKER,
@@ -23,6 +20,9 @@
     StoreVersion,
 )
 from walnutpost.fleet.retention import MAX_PLANS, MAX_VERSIONS
+from walnutpost.testsupport.fleet.state_machine_harness import (
+    FleetRig,
+)
 
 
 def test_release_when_a_step_has_no_verdict_yet_takes_out_no_member_of_the_next() -> None:
--- a/packages/fleet/tests/test_replicated_state.py
+++ b/packages/fleet/tests/test_replicated_state.py
@@ -11,9 +11,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from state_machine_rig import (
-    FleetRig,
-)
 from walnutpost.configstore.messages import Mutation
 from walnutpost.configstore.store import ConfigStore
 from walnutpost.fleet import (
@@ -37,6 +34,9 @@
     retention,
 )
 from walnutpost.fleet.machine import HANDLERS
+from walnutpost.testsupport.fleet.state_machine_harness import (
+    FleetRig,
+)
 
 
 def mutation(name: str, value: str | None = "1") -> Mutation:
--- a/packages/fronts/tests/test_cron_front.py
+++ b/packages/fronts/tests/test_cron_front.py
@@ -10,14 +10,21 @@
 import pytest
 from click.testing import CliRunner
 
-from fleet_rig import BASE, SECOND, Fleet, merged
-from fronts_rig import EVERY_MINUTE, MINUTE, crash_at_commit, fleet_with_schedules, read_outcomes, statuses
 from walnutpost.cli import main
 from walnutpost.config import Config, parse
 from walnutpost.config.conversion import build_own_schedules
 from walnutpost.daemon.call_dispatch import CallDispatch
 from walnutpost.daemon.open_calls import OpenCall
 from walnutpost.gateway import Rejected
+from walnutpost.testsupport.daemon.fleet import BASE, SECOND, Fleet, merged
+from walnutpost.testsupport.fronts.harness import (
+    EVERY_MINUTE,
+    MINUTE,
+    crash_at_commit,
+    fleet_with_schedules,
+    read_outcomes,
+    statuses,
+)
 
 
 def test_a_schedule_fires_each_minute_and_its_outcome_is_stored(tmp_path: Path) -> None:
--- a/packages/fronts/tests/test_deferred_calls.py
+++ b/packages/fronts/tests/test_deferred_calls.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from fleet_rig import SECOND, Fleet
-from fronts_rig import ARN_HEADER, DeferredClient, crash_at_commit
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
+from walnutpost.testsupport.fronts.harness import ARN_HEADER, DeferredClient, crash_at_commit
 
 
 def test_a_name_is_one_execution_and_another_payload_is_a_conflict(tmp_path: Path) -> None:
--- a/packages/fronts/tests/test_invoke.py
+++ b/packages/fronts/tests/test_invoke.py
@@ -12,9 +12,9 @@
 import pytest
 from botocore.config import Config as BotoConfig
 
-from fleet_rig import INVOKE, SECOND, Fleet
 from walnutpost.eventloop import RealClock
 from walnutpost.http import Response
+from walnutpost.testsupport.daemon.fleet import INVOKE, SECOND, Fleet
 
 
 def test_a_call_is_served_with_the_executed_version(tmp_path: Path) -> None:
--- a/packages/fronts/tests/test_invoke_golden.py
+++ b/packages/fronts/tests/test_invoke_golden.py
@@ -10,7 +10,6 @@
 from typing import Any, cast
 from urllib.parse import quote
 
-from golden_files import assert_as_golden, json_lines
 from walnutpost.eventloop import Stream
 from walnutpost.fronts.errors import SitesUnreachableError
 from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
@@ -30,6 +29,7 @@
 from walnutpost.http import Exchange, HttpMessageError, Request, Response, encode_response
 from walnutpost.interface import RequestClass
 from walnutpost.store import ExecutionQuery, StoreError
+from walnutpost.testsupport.golden.files import assert_as_golden, json_lines
 
 GOLDEN = Path(__file__).parent / "golden"
 INVOKE = "/2015-03-31/functions/{}/invocations"
--- a/packages/fronts/tests/test_store_faults.py
+++ b/packages/fronts/tests/test_store_faults.py
@@ -9,11 +9,25 @@
 
 import pytest
 
-from disk_faults import Fault, Script, ScriptedConnection, after_a_kill, failing, scripted_files
-from fleet_rig import SECOND, Fleet
-from fronts_rig import ARN_HEADER, MINUTE, DeferredClient, fleet_with_schedules, read_outcomes, statuses
 from walnutpost.gateway import CallArrived, Final, Rejected
 from walnutpost.http import Response
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
+from walnutpost.testsupport.fronts.harness import (
+    ARN_HEADER,
+    MINUTE,
+    DeferredClient,
+    fleet_with_schedules,
+    read_outcomes,
+    statuses,
+)
+from walnutpost.testsupport.store.disk_faults import (
+    Fault,
+    Script,
+    ScriptedConnection,
+    after_a_kill,
+    failing,
+    scripted_files,
+)
 
 
 def script_store(fleet: Fleet, script: Script) -> ScriptedConnection:
--- a/packages/gateway/tests/test_executions_golden.py
+++ b/packages/gateway/tests/test_executions_golden.py
@@ -4,12 +4,12 @@
 
 from pathlib import Path
 
-from golden_files import assert_as_golden, json_lines, values_of
 from walnutpost.gateway import Execution, Failed, Failure, Rejected, Served, Status
 from walnutpost.gateway.catalogue import number_of
 from walnutpost.gateway.executions import with_final_status
 from walnutpost.gateway.messages import Final
 from walnutpost.interface import Effect
+from walnutpost.testsupport.golden.files import assert_as_golden, json_lines, values_of
 
 GOLDEN = Path(__file__).parent / "golden"
 OPEN = Execution(
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -9,7 +9,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rig import SAFE, SECOND, SETTINGS, UNSAFE
 from walnutpost.gateway import (
     Answered,
     AttemptEnded,
@@ -39,6 +38,7 @@
 from walnutpost.gateway.catalogue import NumberedNames, number_of
 from walnutpost.gateway.recent_outcomes import ENTRY_BYTES, RecentOutcomes
 from walnutpost.interface import Effect, ListKind, Outcome, RequestArrived
+from walnutpost.testsupport.policy.harness import SAFE, SECOND, SETTINGS, UNSAFE
 
 CATALOGUE = Catalogue(
     {"price": Function("price", 0, 300.0, 2.0), "reserve": Function("reserve", 1, 300.0, 1.0)}
--- a/packages/gateway/tests/test_gateway_decisions_golden.py
+++ b/packages/gateway/tests/test_gateway_decisions_golden.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from golden_gateway_days import GOLDEN, RECORDED, START_ROW, make_gateway, path_of
-from neutral_form import KINDS, from_neutral, neutral_of_each, read_lines
 from walnutpost import gateway as gw
+from walnutpost.testsupport.gateway.golden_days import GOLDEN, RECORDED, START_ROW, make_gateway, path_of
+from walnutpost.testsupport.golden.neutral_values import KINDS, from_neutral, neutral_of_each, read_lines
 
 # The Router never decides on these, or not here.
 NEVER_DONE = {gw.Unload, gw.Probe, gw.CloseIdleConnections}
--- a/packages/http/tests/test_http_client.py
+++ b/packages/http/tests/test_http_client.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from http_rig import run_with_server
 from walnutpost.eventloop import Loop, Stream
 from walnutpost.http import Connection, Server
+from walnutpost.testsupport.http.fixtures import run_with_server
 
 
 def test_interrupted_response_is_never_taken_for_a_complete_one() -> None:
--- a/packages/http/tests/test_http_messages.py
+++ b/packages/http/tests/test_http_messages.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from http_rig import LIMITS
 from walnutpost.http import encode_request
 from walnutpost.http.parsing import RequestParser
+from walnutpost.testsupport.http.fixtures import LIMITS
 
 
 def test_requests_parse_the_same_however_their_bytes_are_split() -> None:
--- a/packages/http/tests/test_http_server.py
+++ b/packages/http/tests/test_http_server.py
@@ -8,10 +8,18 @@
 
 import pytest
 
-from http_rig import LIMITS, LOCAL, SECOND, echo, error_response, response_bytes, run_with_server
 from walnutpost.eventloop import Loop, VirtualClock, connect
 from walnutpost.http import Connection, Exchange, Response, Server, encode_request
 from walnutpost.http.server import serve_on
+from walnutpost.testsupport.http.fixtures import (
+    LIMITS,
+    LOCAL,
+    SECOND,
+    echo,
+    error_response,
+    response_bytes,
+    run_with_server,
+)
 
 POST = b"POST / HTTP/1.1\r\nhost: x\r\n"
 INVALID_REQUESTS = {
--- a/packages/http/tests/test_server_faults.py
+++ b/packages/http/tests/test_server_faults.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from http_rig import ACCEPT_ERRORS, SECOND, run_with_server
-from scripted_sockets import SocketFaults, at, scripted_sockets, to
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Server
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, at, scripted_sockets, to
+from walnutpost.testsupport.http.fixtures import ACCEPT_ERRORS, SECOND, run_with_server
 
 
 class EventNames:
--- a/packages/journal/tests/test_batches.py
+++ b/packages/journal/tests/test_batches.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from journal_records import ENTRIES
 from walnutpost.journal import BatchWrite, InvalidBatchError, JournalBatch, make_batch, plan_batch_write
+from walnutpost.testsupport.journal.records import ENTRIES
 
 
 def test_batch_when_valid_is_written_from_the_offset_on_and_never_after_a_gap() -> None:
--- a/packages/journal/tests/test_journal_golden.py
+++ b/packages/journal/tests/test_journal_golden.py
@@ -9,7 +9,6 @@
 import msgspec
 import pytest
 
-from golden_files import assert_as_golden, assert_every_field_tells, json_lines, write_golden_files
 from walnutpost.journal import (
     AttemptIntended,
     CallAccepted,
@@ -23,6 +22,12 @@
 )
 from walnutpost.journal.batches import batch_checksum
 from walnutpost.journal.records import AnyRecord, Record
+from walnutpost.testsupport.golden.files import (
+    assert_as_golden,
+    assert_every_field_tells,
+    json_lines,
+    write_golden_files,
+)
 
 GOLDEN = Path(__file__).parent / "golden"
 
--- a/packages/journal/tests/test_merge.py
+++ b/packages/journal/tests/test_merge.py
@@ -8,7 +8,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from journal_records import ENTRIES, accepted, ended
 from walnutpost.journal import (
     AnyRecord,
     CallStage,
@@ -19,6 +18,7 @@
     ResultsPurged,
     encode_entry,
 )
+from walnutpost.testsupport.journal.records import ENTRIES, accepted, ended
 
 Replica = tuple[int, int, set[int]]  # it accounts for (after, upto]; entries in the set have a bit flipped
 
--- a/packages/metering/tests/test_budgets.py
+++ b/packages/metering/tests/test_budgets.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from metering_rig import MINUTE_US
 from walnutpost.metering import HOUR_US, Budget, BudgetAction, Budgets, BudgetState
+from walnutpost.testsupport.metering.fixtures import MINUTE_US
 
 BUDGET = Budget("a", 1000, HOUR_US, 0.8, 0.1, BudgetAction.REJECT_NEW_LOADS)
 READINGS: list[tuple[int, int, BudgetState]] = [  # minutes, used, the state then
--- a/packages/metering/tests/test_figures.py
+++ b/packages/metering/tests/test_figures.py
@@ -10,18 +10,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from metering_rig import (
-    FIRST_HOUR_US,
-    MINUTE_US,
-    POLICY,
-    START_US,
-    RandomWorker,
-    make_ledger,
-    make_report,
-    make_slice,
-    state_of,
-    write_batch_of,
-)
 from walnutpost.metering import (
     HOUR_US,
     LedgerExtract,
@@ -33,6 +21,18 @@
     list_charges,
     verify_bookings,
 )
+from walnutpost.testsupport.metering.fixtures import (
+    FIRST_HOUR_US,
+    MINUTE_US,
+    POLICY,
+    START_US,
+    RandomWorker,
+    make_ledger,
+    make_report,
+    make_slice,
+    state_of,
+    write_batch_of,
+)
 
 
 def test_verification_finds_a_changed_line_and_a_missing_slice() -> None:
--- a/packages/metering/tests/test_ledger_persistence.py
+++ b/packages/metering/tests/test_ledger_persistence.py
@@ -10,16 +10,6 @@
 
 import pytest
 
-from metering_rig import (
-    MINUTE_US,
-    POLICY,
-    START_US,
-    RandomWorker,
-    make_ledger,
-    make_report,
-    make_slice,
-    sum_hours,
-)
 from walnutpost.eventloop import Loop
 from walnutpost.metering import (
     DAY_US,
@@ -33,6 +23,16 @@
 )
 from walnutpost.store import UsageStore, read_ledger
 from walnutpost.store.usage import LedgerRun, write_batch
+from walnutpost.testsupport.metering.fixtures import (
+    MINUTE_US,
+    POLICY,
+    START_US,
+    RandomWorker,
+    make_ledger,
+    make_report,
+    make_slice,
+    sum_hours,
+)
 
 
 def open_store(path: Path) -> tuple[UsageStore, LedgerState]:
--- a/packages/metering/tests/test_merge_and_allocation.py
+++ b/packages/metering/tests/test_merge_and_allocation.py
@@ -8,7 +8,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from metering_rig import FIRST_HOUR_US, START_US, TENANTS
 from walnutpost.metering import (
     AllocationRule,
     UsageSlice,
@@ -16,6 +15,7 @@
     merge_slices,
     split_proportionally,
 )
+from walnutpost.testsupport.metering.fixtures import FIRST_HOUR_US, START_US, TENANTS
 
 COUNTS = st.integers(0, 50)
 SLICES = st.builds(
--- a/packages/metering/tests/test_metering_golden.py
+++ b/packages/metering/tests/test_metering_golden.py
@@ -7,7 +7,6 @@
 import msgspec
 import pytest
 
-from golden_files import assert_as_golden, assert_every_field_tells, json_lines, with_defaults
 from walnutpost.metering import (
     GROUP_FIELDS,
     HOUR_US,
@@ -21,6 +20,12 @@
     UsageSlice,
     allocate_slice,
 )
+from walnutpost.testsupport.golden.files import (
+    assert_as_golden,
+    assert_every_field_tells,
+    json_lines,
+    with_defaults,
+)
 
 GOLDEN = Path(__file__).parent / "golden"
 START = 500_000 * HOUR_US  # microseconds since the epoch
--- a/packages/metering/tests/test_recorder.py
+++ b/packages/metering/tests/test_recorder.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from metering_rig import START_US, RandomWorker, make_ledger, sum_hours
 from walnutpost.faultinjection.usage import true_usage
 from walnutpost.metering import AllocationRule, UsageRecorder, allocate_slice, exact_amount, sum_amounts
+from walnutpost.testsupport.metering.fixtures import START_US, RandomWorker, make_ledger, sum_hours
 
 
 @given(st.integers(0, 10_000))
--- a/packages/metering/tests/test_sampling.py
+++ b/packages/metering/tests/test_sampling.py
@@ -8,19 +8,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from metering_rig import (
-    FIRST_HOUR_US,
-    MINUTE_US,
-    POLICY,
-    START_US,
-    TENANTS,
-    make_ledger,
-    make_report,
-    make_slice,
-    state_of,
-    sum_hours,
-    write_batch_of,
-)
 from walnutpost.fakes import CopyEvent, CopyEventKind
 from walnutpost.faultinjection.usage import true_usage
 from walnutpost.metering import (
@@ -37,6 +24,19 @@
     sum_amounts,
 )
 from walnutpost.metering.units import SECOND_US
+from walnutpost.testsupport.metering.fixtures import (
+    FIRST_HOUR_US,
+    MINUTE_US,
+    POLICY,
+    START_US,
+    TENANTS,
+    make_ledger,
+    make_report,
+    make_slice,
+    state_of,
+    sum_hours,
+    write_batch_of,
+)
 
 KEEP_ALIVE_US = 10 * SECOND_US
 LOAD_TIME_US = SECOND_US
--- a/packages/metering/tests/test_worker_reports.py
+++ b/packages/metering/tests/test_worker_reports.py
@@ -10,18 +10,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from metering_rig import (
-    MINUTE_US,
-    POLICY,
-    START_US,
-    RandomWorker,
-    make_ledger,
-    make_report,
-    make_slice,
-    state_of,
-    sum_hours,
-    write_batch_of,
-)
 from walnutpost.faultinjection.usage import true_usage
 from walnutpost.metering import (
     DAY_US,
@@ -39,6 +27,18 @@
     sum_amounts,
     sum_statements,
 )
+from walnutpost.testsupport.metering.fixtures import (
+    MINUTE_US,
+    POLICY,
+    START_US,
+    RandomWorker,
+    make_ledger,
+    make_report,
+    make_slice,
+    state_of,
+    sum_hours,
+    write_batch_of,
+)
 
 
 @given(st.integers(0, 10_000), st.randoms(use_true_random=False))
--- a/packages/node/tests/test_accept_faults.py
+++ b/packages/node/tests/test_accept_faults.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from fault_rig import ids, play_with_faults
-from node_rig import MS, World, warm
-from scripted_sockets import SocketFaults, at
 from walnutpost.eventloop.accept_errors import MAX_ACCEPT_ERRORS_IN_ROW
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, at
+from walnutpost.testsupport.node.fault_injection import ids, play_with_faults
+from walnutpost.testsupport.node.harness import MS, World, warm
 
 
 @pytest.mark.parametrize(
--- a/packages/node/tests/test_call_deadline.py
+++ b/packages/node/tests/test_call_deadline.py
@@ -6,11 +6,19 @@
 
 import pytest
 
-from node_rig import MS, SECOND, HeldConnections, World, call_that_waits, play, warm
 from walnutpost.interface import Outcome
 from walnutpost.node import resp
 from walnutpost.node import worker_connection as connection_module
-from worker_rig import Throttle, attempt, budget_of, one_connection
+from walnutpost.testsupport.node.harness import (
+    MS,
+    SECOND,
+    HeldConnections,
+    World,
+    call_that_waits,
+    play,
+    warm,
+)
+from walnutpost.testsupport.node.worker_fixtures import Throttle, attempt, budget_of, one_connection
 
 
 def test_budget_after_a_slow_connect_is_what_is_left(
--- a/packages/node/tests/test_client_backpressure.py
+++ b/packages/node/tests/test_client_backpressure.py
@@ -5,12 +5,12 @@
 import msgpack
 import pytest
 
-from client_rig import Unfetched, only_connection, play_bounded, silence
-from node_rig import FAILED, MS, Worker, World, reply, warm
 from walnutpost.gateway import Served
 from walnutpost.node import rpc
 from walnutpost.node.client_connection import MAX_REJECTED
 from walnutpost.node.client_output import HIGH_WATER_BYTES, MAX_PENDING_BYTES
+from walnutpost.testsupport.node.client_fixtures import Unfetched, only_connection, play_bounded, silence
+from walnutpost.testsupport.node.harness import FAILED, MS, Worker, World, reply, warm
 
 
 def test_client_that_fetches_too_little_gets_errors_for_bodies_and_no_close(
--- a/packages/node/tests/test_client_departure.py
+++ b/packages/node/tests/test_client_departure.py
@@ -7,7 +7,9 @@
 import msgpack
 import pytest
 
-from client_rig import (
+from walnutpost.node import rpc
+from walnutpost.node.client_connection import MAX_REJECTED_BEFORE_PAUSE, READ_PAUSE_US
+from walnutpost.testsupport.node.client_fixtures import (
     LARGE,
     Unfetched,
     arrivals,
@@ -19,9 +21,7 @@
     silence,
     stall,
 )
-from node_rig import FAILED, LEAVE, MS, REFUSED, Client, World, after, play, warm
-from walnutpost.node import rpc
-from walnutpost.node.client_connection import MAX_REJECTED_BEFORE_PAUSE, READ_PAUSE_US
+from walnutpost.testsupport.node.harness import FAILED, LEAVE, MS, REFUSED, Client, World, after, play, warm
 
 
 def test_half_closed_client_gets_an_answer_to_each_open_request() -> None:
--- a/packages/node/tests/test_client_eviction.py
+++ b/packages/node/tests/test_client_eviction.py
@@ -4,8 +4,8 @@
 
 import msgpack
 
-from client_rig import play_bounded
-from node_rig import World, play, warm
+from walnutpost.testsupport.node.client_fixtures import play_bounded
+from walnutpost.testsupport.node.harness import World, play, warm
 
 
 def test_lingering_client_is_evicted_last() -> None:
--- a/packages/node/tests/test_client_protocol_errors.py
+++ b/packages/node/tests/test_client_protocol_errors.py
@@ -8,10 +8,16 @@
 import msgpack
 import pytest
 
-from client_rig import arrivals, only_connection, play_bounded, request, silence
-from node_rig import FAILED, MS, REFUSED, SECOND, World, play, reply, warm
 from walnutpost.node.client_connection import MESSAGE_TIMEOUT_US
 from walnutpost.node.client_context import MAX_OPEN_REQUESTS
+from walnutpost.testsupport.node.client_fixtures import (
+    arrivals,
+    only_connection,
+    play_bounded,
+    request,
+    silence,
+)
+from walnutpost.testsupport.node.harness import FAILED, MS, REFUSED, SECOND, World, play, reply, warm
 
 
 def test_unexpected_error_in_taking_a_request_fails_that_request_alone(
--- a/packages/node/tests/test_discovery.py
+++ b/packages/node/tests/test_discovery.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from fault_rig import datagrams_or_new, ids, play_with_faults
-from node_rig import MS, REFUSED, SECOND, World, listing, play, warm
-from scripted_sockets import SocketFaults, datagrams
 from walnutpost.interface import WorkerState
 from walnutpost.node.discovery import DiscoveryClient
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, datagrams
+from walnutpost.testsupport.node.fault_injection import datagrams_or_new, ids, play_with_faults
+from walnutpost.testsupport.node.harness import MS, REFUSED, SECOND, World, listing, play, warm
 
 
 def test_move_without_a_descriptor_polls_the_new_address(
--- a/packages/node/tests/test_graceful_shutdown.py
+++ b/packages/node/tests/test_graceful_shutdown.py
@@ -13,15 +13,27 @@
 import msgpack
 import pytest
 
-from client_rig import only_connection, play_bounded, request, silence
-from fault_rig import play_with_faults
-from node_rig import CONFIG, FAILED, MS, REFUSED, Worker, World, config_text, play, reply, settings, warm
-from scripted_sockets import FOREVER, SocketFaults, at
 from walnutpost.eventloop import Listener
 from walnutpost.node import log as log_module
 from walnutpost.node import node as node_module
 from walnutpost.node import run
 from walnutpost.node.node import DRAIN_PERIOD_US
+from walnutpost.testsupport.eventloop.scripted_sockets import FOREVER, SocketFaults, at
+from walnutpost.testsupport.node.client_fixtures import only_connection, play_bounded, request, silence
+from walnutpost.testsupport.node.fault_injection import play_with_faults
+from walnutpost.testsupport.node.harness import (
+    CONFIG,
+    FAILED,
+    MS,
+    REFUSED,
+    Worker,
+    World,
+    config_text,
+    play,
+    reply,
+    settings,
+    warm,
+)
 
 
 def test_shutdown_takes_no_answer_from_a_slow_client_that_still_sends() -> None:
--- a/packages/node/tests/test_load_order_properties.py
+++ b/packages/node/tests/test_load_order_properties.py
@@ -13,11 +13,18 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from node_rig import MS, SECOND, HeldConnections, Words, Worker, World, play, reply
 from walnutpost.gateway import LoadOrder
 from walnutpost.interface import Outcome
 from walnutpost.node.worker_connection import WorkerConnection
-from worker_rig import LATE_US, NEVER_ARRIVED, ORDER_TIMEOUT_US, ORDERED, PART, PLENTY
+from walnutpost.testsupport.node.harness import MS, SECOND, HeldConnections, Words, Worker, World, play, reply
+from walnutpost.testsupport.node.worker_fixtures import (
+    LATE_US,
+    NEVER_ARRIVED,
+    ORDER_TIMEOUT_US,
+    ORDERED,
+    PART,
+    PLENTY,
+)
 
 STEPS = st.one_of(
     st.tuples(st.just("order"), st.sampled_from((0, 0, 50 * MS))),
--- a/packages/node/tests/test_load_orders.py
+++ b/packages/node/tests/test_load_orders.py
@@ -10,10 +10,28 @@
 
 import pytest
 
-from node_rig import FUNCTION, MS, SECOND, HeldConnections, World, play, reply, warm
 from walnutpost.gateway import LoadOrder, LoadOrderEnded
 from walnutpost.interface import Outcome
-from worker_rig import PART, Throttle, call_without_answer, one_connection, order, outcomes, silent, spawns
+from walnutpost.testsupport.node.harness import (
+    FUNCTION,
+    MS,
+    SECOND,
+    HeldConnections,
+    World,
+    play,
+    reply,
+    warm,
+)
+from walnutpost.testsupport.node.worker_fixtures import (
+    PART,
+    Throttle,
+    call_without_answer,
+    one_connection,
+    order,
+    outcomes,
+    silent,
+    spawns,
+)
 
 
 def test_load_order_too_late_for_its_limit_does_not_leave(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/packages/node/tests/test_node.py
+++ b/packages/node/tests/test_node.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from fault_rig import play_with_faults
-from node_rig import FAILED, World, play, warm
-from scripted_sockets import SocketFaults
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults
+from walnutpost.testsupport.node.fault_injection import play_with_faults
+from walnutpost.testsupport.node.harness import FAILED, World, play, warm
 
 
 def test_call_passes_through_unchanged() -> None:
--- a/packages/node/tests/test_node_configuration.py
+++ b/packages/node/tests/test_node_configuration.py
@@ -2,9 +2,18 @@
 
 from __future__ import annotations
 
-from node_rig import PROFILE, REFUSED, Client, World, config_text, listing, play, settings
 from walnutpost.node.config import parse_config
 from walnutpost.node.node import Node
+from walnutpost.testsupport.node.harness import (
+    PROFILE,
+    REFUSED,
+    Client,
+    World,
+    config_text,
+    listing,
+    play,
+    settings,
+)
 
 
 def test_two_nodes_of_one_process_keep_their_settings_apart() -> None:
--- a/packages/node/tests/test_node_golden.py
+++ b/packages/node/tests/test_node_golden.py
@@ -1,7 +1,6 @@
 """The wires of a node: frames to and from workers and clients, and the lists of the name server.
 
-Run as a program, with packages/policy/tests on PYTHONPATH, it writes the files anew: for a wire that is meant
-to change.
+Run as a program, it writes the files again, which is right only for a wire that is meant to change.
 """
 
 from __future__ import annotations
@@ -15,7 +14,10 @@
 import msgpack
 import pytest
 
-from golden_frames import (
+from walnutpost.interface import ListKind
+from walnutpost.node import resp, rpc
+from walnutpost.node.directory import Directory, EndpointListError, TopologyNames
+from walnutpost.testsupport.golden.frames import (
     Receiver,
     Sender,
     differences_received,
@@ -24,9 +26,6 @@
     sent_row,
     write_rows,
 )
-from walnutpost.interface import ListKind
-from walnutpost.node import resp, rpc
-from walnutpost.node.directory import Directory, EndpointListError, TopologyNames
 
 GOLDEN = Path(__file__).parent / "golden"
 SENT, RECEIVED = GOLDEN / "sent.jsonl", GOLDEN / "received.jsonl"
--- a/packages/node/tests/test_node_interleavings.py
+++ b/packages/node/tests/test_node_interleavings.py
@@ -10,8 +10,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from node_rig import MS, Client, HeldConnections, Words, Worker, World, play, reply
-from node_rig import settings as with_settings
+from walnutpost.testsupport.node.harness import MS, Client, HeldConnections, Words, Worker, World, play, reply
+from walnutpost.testsupport.node.harness import settings as with_settings
 
 GRACE_US, GONE_US, BUDGET_US = 100 * MS, 100 * MS, 1_000 * MS
 NEVER_RAN = ("full", "miss")
--- a/packages/node/tests/test_node_memory.py
+++ b/packages/node/tests/test_node_memory.py
@@ -6,8 +6,6 @@
 from types import CodeType, FrameType, FunctionType, ModuleType
 from typing import Any
 
-from node_rig import World, play
-from rig import SECOND, SETTINGS
 from walnutpost.gateway import (
     Answered,
     AttemptEnded,
@@ -25,6 +23,8 @@
     WorkersListed,
 )
 from walnutpost.interface import ListKind, Outcome
+from walnutpost.testsupport.node.harness import World, play
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS
 
 SHARED = (type, ModuleType, FunctionType, CodeType, FrameType)
 
--- a/packages/node/tests/test_node_protocols.py
+++ b/packages/node/tests/test_node_protocols.py
@@ -13,11 +13,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from node_rig import CONFIG, config_text
 from walnutpost.interface import ListKind, Outcome, Warmth, WorkerState
 from walnutpost.node import resp, rpc
 from walnutpost.node.config import ConfigError, parse_config
 from walnutpost.node.directory import SERVICE, Directory, EndpointListError, TopologyNames
+from walnutpost.testsupport.node.harness import CONFIG, config_text
 
 CLASSES = {"valuation": 1_060_000}
 FIELDS = {
--- a/packages/node/tests/test_node_stats.py
+++ b/packages/node/tests/test_node_stats.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from node_rig import SECOND, Worker, World, play
 from walnutpost.node.stats import STATS_INTERVAL_US
+from walnutpost.testsupport.node.harness import SECOND, Worker, World, play
 
 FIELDS = (
     "served",
--- a/packages/node/tests/test_periodic_work.py
+++ b/packages/node/tests/test_periodic_work.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from node_rig import SECOND
 from walnutpost.eventloop import Loop, VirtualClock
+from walnutpost.testsupport.node.harness import SECOND
 
 
 def test_periodic_work_that_raises_goes_on_and_counts_the_failure() -> None:
--- a/packages/node/tests/test_ration_checker.py
+++ b/packages/node/tests/test_ration_checker.py
@@ -5,7 +5,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from ration_checker import Breach, Ration, RationLog, breaches_of, describe_breaches
+from walnutpost.testsupport.node.ration_checker import (
+    Breach,
+    Ration,
+    RationLog,
+    breaches_of,
+    describe_breaches,
+)
 
 SECOND = 1_000_000
 WINDOW = 2 * SECOND
--- a/packages/node/tests/test_ration_crossings.py
+++ b/packages/node/tests/test_ration_crossings.py
@@ -17,11 +17,22 @@
 import msgpack
 import pytest
 
-from node_rig import MS, SECOND, Client, Words, Worker, World, play, reply, settings, words_of
-from ration_checker import Ration, RationLog, describe_breaches
 from walnutpost.eventloop import Listener, Loop, Queue, Stream, Task, connect
 from walnutpost.node.node import Node
 from walnutpost.node.worker_connection import WorkerConnection
+from walnutpost.testsupport.node.harness import (
+    MS,
+    SECOND,
+    Client,
+    Words,
+    Worker,
+    World,
+    play,
+    reply,
+    settings,
+    words_of,
+)
+from walnutpost.testsupport.node.ration_checker import Ration, RationLog, describe_breaches
 
 FRONT_END = "n0"
 FREE_LOADS, LOAD_SHARE, LOAD_WINDOW = 4, 0.2, 2 * SECOND
--- a/packages/node/tests/test_request_waiting_time.py
+++ b/packages/node/tests/test_request_waiting_time.py
@@ -9,12 +9,20 @@
 
 import pytest
 
-from client_rig import FailingSocket, arrivals, calls, crowd, play_bounded, request, stall
-from node_rig import MS, REFUSED, World, warm
 from walnutpost.eventloop import tasks
 from walnutpost.eventloop.accept_errors import MAX_ACCEPT_ERRORS_IN_ROW, MIN_ACCEPT_BACKOFF_US
 from walnutpost.node import rpc
 from walnutpost.node.client_connection import MAX_REJECTED_BEFORE_PAUSE, READ_PAUSE_US
+from walnutpost.testsupport.node.client_fixtures import (
+    FailingSocket,
+    arrivals,
+    calls,
+    crowd,
+    play_bounded,
+    request,
+    stall,
+)
+from walnutpost.testsupport.node.harness import MS, REFUSED, World, warm
 
 
 def test_request_read_at_once_has_not_waited(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/packages/node/tests/test_send_guards.py
+++ b/packages/node/tests/test_send_guards.py
@@ -8,7 +8,8 @@
 import msgpack
 import pytest
 
-from node_rig import (
+from walnutpost.interface import Outcome
+from walnutpost.testsupport.node.harness import (
     LEAVE,
     MS,
     REFUSED,
@@ -22,8 +23,14 @@
     settings,
     warm,
 )
-from walnutpost.interface import Outcome
-from worker_rig import PART, Throttle, attempt, call_without_answer, one_connection, silent
+from walnutpost.testsupport.node.worker_fixtures import (
+    PART,
+    Throttle,
+    attempt,
+    call_without_answer,
+    one_connection,
+    silent,
+)
 
 
 @pytest.mark.parametrize("cancel", [True, False])
--- a/packages/node/tests/test_shutdown_deadline.py
+++ b/packages/node/tests/test_shutdown_deadline.py
@@ -17,8 +17,18 @@
 
 import pytest
 
-from node_rig import CONFIG, MS, SECOND, Client, Worker, World, config_text, play, settings
 from walnutpost.eventloop import Loop
+from walnutpost.testsupport.node.harness import (
+    CONFIG,
+    MS,
+    SECOND,
+    Client,
+    Worker,
+    World,
+    config_text,
+    play,
+    settings,
+)
 
 TAKEN_FOR = 700 * MS  # from SIGTERM: what comes until then is answered
 KILL_COUNTS_AT_MOST = 3 * SECOND  # of the longest deadline
--- a/packages/node/tests/test_worker_connection_close.py
+++ b/packages/node/tests/test_worker_connection_close.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from node_rig import MS, Worker, World, play, reply, settings, warm
 from walnutpost.interface import Outcome
-from worker_rig import (
+from walnutpost.testsupport.node.harness import MS, Worker, World, play, reply, settings, warm
+from walnutpost.testsupport.node.worker_fixtures import (
     ORDER_TIMEOUT_US,
     PLENTY,
     attempt,
--- a/packages/node/tests/test_worker_connection_failures.py
+++ b/packages/node/tests/test_worker_connection_failures.py
@@ -8,12 +8,23 @@
 import msgpack
 import pytest
 
-from fault_rig import ids, open_calls, play_with_faults, to_any
-from node_rig import FAILED, MS, SECOND, Words, Worker, World, after, play, reply, warm
-from scripted_sockets import SocketFaults
 from walnutpost.gateway import LoadOrder, LoadOrderEnded
 from walnutpost.interface import Outcome
-from worker_rig import Throttle, call_without_answer, one_connection
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults
+from walnutpost.testsupport.node.fault_injection import ids, open_calls, play_with_faults, to_any
+from walnutpost.testsupport.node.harness import (
+    FAILED,
+    MS,
+    SECOND,
+    Words,
+    Worker,
+    World,
+    after,
+    play,
+    reply,
+    warm,
+)
+from walnutpost.testsupport.node.worker_fixtures import Throttle, call_without_answer, one_connection
 
 
 def test_unexpected_error_in_writing_costs_that_connection_alone(
--- a/packages/node/tests/test_worker_responses.py
+++ b/packages/node/tests/test_worker_responses.py
@@ -8,8 +8,8 @@
 import msgpack
 import pytest
 
-from node_rig import FAILED, MS, Worker, World, after, play, reply, warm
-from worker_rig import call_without_answer, one_connection, silent
+from walnutpost.testsupport.node.harness import FAILED, MS, Worker, World, after, play, reply, warm
+from walnutpost.testsupport.node.worker_fixtures import call_without_answer, one_connection, silent
 
 
 def test_command_queued_when_a_response_is_malformed_moves_to_another_connection() -> None:
--- a/packages/policy/tests/test_defences.py
+++ b/packages/policy/tests/test_defences.py
@@ -8,10 +8,19 @@
 
 import pytest
 
-from rig import KEEP_ALIVE_US, KEYED, SECOND, SETTINGS, Rig, of, orders, worker
 from test_mechanism import first_in_order
 from walnutpost import interface as api
 from walnutpost.policy.timers import TimerKind
+from walnutpost.testsupport.policy.harness import (
+    KEEP_ALIVE_US,
+    KEYED,
+    SECOND,
+    SETTINGS,
+    Rig,
+    of,
+    orders,
+    worker,
+)
 
 Outcome = api.Outcome
 
--- a/packages/policy/tests/test_load_order_limit.py
+++ b/packages/policy/tests/test_load_order_limit.py
@@ -7,8 +7,6 @@
 
 import pytest
 
-from ration_checker import Ration, RationLog, breaches_of, describe_breaches
-from rig import SECOND, SETTINGS, Rig, orders, worker
 from walnutpost import interface as api
 from walnutpost.policy.load_balancing import ATTEMPTS_FOR_COPIES
 from walnutpost.policy.load_order_limit import (
@@ -17,6 +15,8 @@
     BUDGET_FRACTION_REFRESH,
     LoadOrderLimit,
 )
+from walnutpost.testsupport.node.ration_checker import Ration, RationLog, breaches_of, describe_breaches
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, orders, worker
 
 Outcome = api.Outcome
 WINDOW = 2 * SECOND
--- a/packages/policy/tests/test_load_order_limit_properties.py
+++ b/packages/policy/tests/test_load_order_limit_properties.py
@@ -11,11 +11,11 @@
 from hypothesis import HealthCheck, Phase, example, find, given, settings
 from hypothesis import strategies as st
 
-from ration_checker import Ration, RationLog, describe_breaches
-from rig import SECOND, SETTINGS, worker
 from walnutpost import interface as api
 from walnutpost.policy import Router
 from walnutpost.policy.load_order_limit import LoadOrderLimit
+from walnutpost.testsupport.node.ration_checker import Ration, RationLog, describe_breaches
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, worker
 
 Outcome = api.Outcome
 WINDOW = 2 * SECOND
--- a/packages/policy/tests/test_mechanism.py
+++ b/packages/policy/tests/test_mechanism.py
@@ -4,9 +4,9 @@
 
 from dataclasses import replace
 
-from rig import KEEP_ALIVE_US, SECOND, SETTINGS, Rig, of, orders, worker
 from walnutpost import interface as api
 from walnutpost.policy import hash_rank
+from walnutpost.testsupport.policy.harness import KEEP_ALIVE_US, SECOND, SETTINGS, Rig, of, orders, worker
 
 
 def first_in_order(function: int = 7, workers: int = 4) -> list[int]:
--- a/packages/policy/tests/test_policy_timers.py
+++ b/packages/policy/tests/test_policy_timers.py
@@ -4,10 +4,10 @@
 
 from random import Random
 
-from rig import SETTINGS
 from walnutpost import interface as api
 from walnutpost.policy.context import DecisionContext
 from walnutpost.policy.timers import TIMER_TOKEN, TimerKind, Timers
+from walnutpost.testsupport.policy.harness import SETTINGS
 
 NOW_US = 1_000_000
 TICK_US = SETTINGS.tick_us
--- a/packages/policy/tests/test_properties.py
+++ b/packages/policy/tests/test_properties.py
@@ -7,9 +7,9 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from rig import SECOND, SETTINGS, Rig, worker
 from walnutpost import interface as api
 from walnutpost.policy import hash_rank
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, worker
 
 RATIONED = replace(
     SETTINGS,
--- a/packages/policy/tests/test_router_golden.py
+++ b/packages/policy/tests/test_router_golden.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from golden_days import GOLDEN, RECORDED, START_ROW, path_of
-from neutral_form import KINDS, from_neutral, neutral_of_each, read_lines
 from walnutpost import interface as api
 from walnutpost.policy import Router
+from walnutpost.testsupport.golden.neutral_values import KINDS, from_neutral, neutral_of_each, read_lines
+from walnutpost.testsupport.policy.golden_days import GOLDEN, RECORDED, START_ROW, path_of
 
 NEVER_DECIDED = {api.Unload, api.Probe, api.CloseIdleConnections, api.FetchEndpoints}
 
--- a/packages/policy/tests/test_slow_start.py
+++ b/packages/policy/tests/test_slow_start.py
@@ -10,8 +10,8 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from rig import SECOND, SETTINGS, Rig, of, worker
 from walnutpost import interface as api
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, of, worker
 
 GUARDS = SETTINGS.guards
 RESTART = 110 * SECOND
--- a/packages/policy/tests/test_slow_start_fleet.py
+++ b/packages/policy/tests/test_slow_start_fleet.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from rig import SECOND, SETTINGS, Rig, of, worker
 from walnutpost import interface as api
 from walnutpost.policy import slow_start
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, of, worker
 
 WARM_WORKERS = 10
 COLD = WARM_WORKERS + 1
--- a/packages/relay/tests/test_relay.py
+++ b/packages/relay/tests/test_relay.py
@@ -26,8 +26,7 @@
 from walnutpost.http import Connection, Exchange, Response
 from walnutpost.http.server import serve_on
 from walnutpost.relay import Relay, RelaySettings, start_relay
-from walnutpost.watch import WatchServer
-from watch_rig import (
+from walnutpost.testsupport.watch.harness import (
     SECOND,
     WAIT_TIMEOUT_US,
     Log,
@@ -41,6 +40,7 @@
     put_keys,
     until,
 )
+from walnutpost.watch import WatchServer
 
 Address = tuple[str, int]
 
--- a/packages/relay/tests/test_with_keepers.py
+++ b/packages/relay/tests/test_with_keepers.py
@@ -16,7 +16,7 @@
 )
 from walnutpost.eventloop import Loop
 from walnutpost.relay import Relay, RelaySettings, start_relay
-from watch_rig import SECOND, Log, Member, put_keys, until
+from walnutpost.testsupport.watch.harness import SECOND, Log, Member, put_keys, until
 
 NAMES = ("k1", "k2", "k3")
 TIMING = Timing(election_timeout_us=1_000_000, heartbeat_interval_us=100_000)
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from fleet_rig import BASE, INVOKE, SECOND, merged
 from walnutpost.config.base import parse_address
 from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, HttpMessageError
 from walnutpost.journal import CallStage, IntervalSet, JournalEntry, MergedJournal
 from walnutpost.store import Database, JournalStore
+from walnutpost.testsupport.daemon.fleet import BASE, INVOKE, SECOND, merged
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
 CLIENTS = 8
--- a/packages/replication/tests/test_replication_golden.py
+++ b/packages/replication/tests/test_replication_golden.py
@@ -7,7 +7,6 @@
 
 import pytest
 
-from golden_files import assert_as_golden, assert_every_field_tells, json_lines, with_defaults
 from walnutpost.journal import (
     AttemptIntended,
     JournalBatch,
@@ -18,6 +17,12 @@
 )
 from walnutpost.replication import wire
 from walnutpost.replication.wire import CallEntries, decode, encode
+from walnutpost.testsupport.golden.files import (
+    assert_as_golden,
+    assert_every_field_tells,
+    json_lines,
+    with_defaults,
+)
 
 GOLDEN = Path(__file__).parent / "golden"
 ENTRIES = (
--- a/packages/store/tests/test_commit_retries.py
+++ b/packages/store/tests/test_commit_retries.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from disk_faults import Fault, Script, ScriptedConnection, after_a_kill, failing
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.journal import CallEnded
 from walnutpost.store import Change, Database, JournalStore, StoreError
 from walnutpost.store.database import COMMIT_RETRY_US
+from walnutpost.testsupport.store.disk_faults import Fault, Script, ScriptedConnection, after_a_kill, failing
 
 T = TypeVar("T")
 SCHEMA = "create table if not exists other (n integer primary key, data blob)"
--- a/packages/store/tests/test_replica_store_golden.py
+++ b/packages/store/tests/test_replica_store_golden.py
@@ -7,8 +7,13 @@
 
 import pytest
 
-import fleet_forms
-from replica_forms import (
+from walnutpost.consensus import EntryKind, LogEntry, Timing, Write
+from walnutpost.controlplane import ControlPlaneReplica, ReplicaSettings
+from walnutpost.eventloop import Loop
+from walnutpost.fleet import Fleet
+from walnutpost.store.replica import ReplicaStore
+from walnutpost.testsupport.fleet import command_samples
+from walnutpost.testsupport.store.replica_samples import (
     ALONE,
     GOLDEN,
     IDENTITY,
@@ -19,12 +24,7 @@
     same_rows,
     with_store,
 )
-from walnutpost.consensus import EntryKind, LogEntry, Timing, Write
-from walnutpost.controlplane import ControlPlaneReplica, ReplicaSettings
-from walnutpost.eventloop import Loop
-from walnutpost.fleet import Fleet
-from walnutpost.store.replica import ReplicaStore
-from watch_rig import Log
+from walnutpost.testsupport.watch.harness import Log
 
 LONG = 60_000_000  # microseconds: a lease, and the time after which a test gives up
 DISK = "disk.with-log-and-snapshot"
@@ -48,9 +48,9 @@
     _, state, past = read(GOLDEN[DISK])
     fleet = Fleet.restore(state.snapshot.data)
     assert fleet.state.index == SNAPSHOT_AT
-    fleet_forms.applied(fleet, state.entries)
-    assert fleet.snapshot() == fleet_forms.GOLDEN["state-snapshot.after-the-history"]
-    assert tuple(past) == fleet_forms.history()
+    command_samples.applied(fleet, state.entries)
+    assert fleet.snapshot() == command_samples.GOLDEN["state-snapshot.after-the-history"]
+    assert tuple(past) == command_samples.history()
 
 
 def test_a_process_over_a_golden_folder_applies_its_log_and_leads_with_the_golden_state(
@@ -73,7 +73,7 @@
     def run() -> ControlPlaneReplica:
         replica = ControlPlaneReplica(loop, settings, Log(), 1)
         with loop.timeout(LONG):
-            while replica.fleet.state.index < fleet_forms.history()[-1].index:
+            while replica.fleet.state.index < command_samples.history()[-1].index:
                 loop.sleep(timing.heartbeat_interval_us)
         replica.stop()
         return replica
@@ -82,7 +82,7 @@
     replica.close()
     assert replica.raft.replica_id == ALONE
     assert replica.raft.term > TERM
-    assert replica.fleet.snapshot() == fleet_forms.GOLDEN["state-snapshot.after-the-history"]
+    assert replica.fleet.snapshot() == command_samples.GOLDEN["state-snapshot.after-the-history"]
 
 
 def test_a_golden_disk_takes_more_entries(tmp_path: Path) -> None:
@@ -98,7 +98,7 @@
         assert again is not None
         return again.state.voted_for, again.state.entries[-2:]
 
-    last = fleet_forms.history()[-1]
+    last = command_samples.history()[-1]
     assert with_store(path, work) == (IDENTITY, (last, LogEntry(last.index + 1, 5, EntryKind.OPENING)))
 
 
--- a/packages/store/tests/test_store_golden.py
+++ b/packages/store/tests/test_store_golden.py
@@ -10,8 +10,14 @@
 
 import pytest
 
-from golden_files import assert_as_golden, dump_of, restore_dump, schema_of
-from stored_state import (
+from walnutpost.eventloop import Loop
+from walnutpost.gateway import Status
+from walnutpost.journal import IntervalSet, make_batch
+from walnutpost.metering import DAY_US, HOUR_US
+from walnutpost.store import ExecutionQuery, UsageStore, read_history, read_ledger
+from walnutpost.store.firings import FiringRow
+from walnutpost.testsupport.golden.files import assert_as_golden, dump_of, restore_dump, schema_of
+from walnutpost.testsupport.store.stored_samples import (
     BOOKED,
     CALLS,
     CALLS_DUMP,
@@ -37,12 +43,6 @@
     write_calls,
     write_usage,
 )
-from walnutpost.eventloop import Loop
-from walnutpost.gateway import Status
-from walnutpost.journal import IntervalSet, make_batch
-from walnutpost.metering import DAY_US, HOUR_US
-from walnutpost.store import ExecutionQuery, UsageStore, read_history, read_ledger
-from walnutpost.store.firings import FiringRow
 
 WRITERS = {CALLS_DUMP: write_calls, USAGE_DUMP: write_usage}
 
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/agent/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers for tests that use agents."""
--- a/packages/agent/tests/agent_forms.py
+++ b/packages/testsupport/src/walnutpost/testsupport/agent/folder_samples.py
@@ -9,7 +9,6 @@
 from typing import NamedTuple
 from unittest.mock import patch
 
-from golden_forms import Form, Golden, as_json
 from walnutpost.agent import child_process, manual_order_path, version_of
 from walnutpost.agent.manual_orders import ManualOrders
 from walnutpost.agent.state_file import AgentState, StateFile, StateSaver
@@ -19,7 +18,9 @@
 from walnutpost.eventloop import Loop
 from walnutpost.fleet.agent_inputs import Input, OperatorOrder
 from walnutpost.fleet.agent_instance import DurableState
-from watch_rig import Log
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.samples import Form, Golden, as_json
+from walnutpost.testsupport.watch.harness import Log
 
 MEMBER, NAME = "f1", "f1@0a1b2c3d"
 FIRST, SECOND = b'{"version": 1}', b'{"version": 2}'
@@ -148,7 +149,7 @@
 }
 
 GOLDEN = Golden(
-    Path(__file__).parent / "golden" / "agent-folder.json",
+    golden_folder("agent") / "agent-folder.json",
     "The folder of an agent: file names and their texts, and an operator's order left in it.",
     FORMS,
 )
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/cli/__init__.py
@@ -0,0 +1,1 @@
+"""Samples for tests of the command line."""
--- a/packages/cli/tests/fleet_json_forms.py
+++ b/packages/testsupport/src/walnutpost/testsupport/cli/fleet_json_samples.py
@@ -10,15 +10,16 @@
 
 from click.testing import CliRunner
 
-import control_plane_forms
-from golden_forms import Form, Golden, as_json
 from walnutpost.cli import config_views, main
 from walnutpost.cli.fleet_processes import AGENTS_FOLDER
 from walnutpost.config.control_plane import ControlPlaneConfig
 from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.http import Response
+from walnutpost.testsupport.controlplane import request_samples
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.samples import Form, Golden, as_json
 
-TABLE_GOLDEN = Path(__file__).parents[2] / "configstore" / "tests" / "golden" / "table.json"
+TABLE_GOLDEN = golden_folder("configstore") / "table.json"
 # By target without its query: what a process of the control plane answers, as golden bytes.
 ANSWERS = {
     "/fleet/1/state": "state-answer.after-the-history",
@@ -34,7 +35,7 @@
     if path == "/table/1/status":
         table = json.loads(TABLE_GOLDEN.read_text())["forms"]["table-status.all-fields"]
         return Response(200, body=bytes.fromhex(table["hex"]))
-    return Response(200, body=control_plane_forms.GOLDEN[ANSWERS[path]])
+    return Response(200, body=request_samples.GOLDEN[ANSWERS[path]])
 
 
 def shown(arguments: tuple[str, ...]) -> bytes:
@@ -78,7 +79,7 @@
 }
 
 GOLDEN = Golden(
-    Path(__file__).parent / "golden" / "fleet" / "commands.json",
+    golden_folder("cli") / "fleet" / "commands.json",
     "What commands print with `--format json` over the golden answers of the control plane.",
     FORMS,
 )
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/config/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers for tests of the deploy file and its entries."""
--- a/packages/configstore/tests/configstore_forms.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/table_samples.py
@@ -2,10 +2,8 @@
 
 from __future__ import annotations
 
-from pathlib import Path
 from typing import Any
 
-from golden_forms import Form, Golden, as_json, packed
 from walnutpost.configstore import digests, messages, validation
 from walnutpost.configstore.messages import (
     ChangeSet,
@@ -24,6 +22,8 @@
     encode,
 )
 from walnutpost.configstore.store import ConfigStore
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.samples import Form, Golden, as_json, packed
 
 VALUE, OTHER_VALUE = b'{"weight": 2}', b"\x00\xff"
 PUT, DELETE = Mutation(key="function/f1", value=VALUE), Mutation(key="tenant/t-1", value=None)
@@ -242,7 +242,7 @@
 }
 
 GOLDEN = Golden(
-    Path(__file__).parent / "golden" / "table.json",
+    golden_folder("configstore") / "table.json",
     "The agreed table: questions and answers of watches, reports of relays, the leader's status, the table's "
     "snapshot, digests. Names don't follow those of classes.",
     FORMS,
--- a/packages/consensus/tests/consensus_forms.py
+++ b/packages/testsupport/src/walnutpost/testsupport/consensus/message_samples.py
@@ -2,9 +2,6 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-
-from golden_forms import Form, Golden, packed
 from walnutpost.consensus import messages as wire
 from walnutpost.consensus.messages import (
     AppendEntries,
@@ -19,6 +16,8 @@
     VoteRequest,
     VoteResponse,
 )
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.samples import Form, Golden, packed
 
 # Inputs and effects pass between objects of one process.
 NEVER_WRITTEN = (
@@ -92,7 +91,7 @@
 }
 
 GOLDEN = Golden(
-    Path(__file__).parent / "golden" / "replication.json",
+    golden_folder("consensus") / "replication.json",
     "Messages between replicas of the control plane, and the log entries and snapshots of a replica's disk "
     "(msgpack). Names don't follow those of classes.",
     FORMS,
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers for tests that run replicas of the control plane."""
--- a/packages/controlplane/tests/config_rig.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/config_harness.py
@@ -3,9 +3,7 @@
 from __future__ import annotations
 
 from contextlib import suppress
-from pathlib import Path
 
-from replica_processes import SECOND, ReplicaProcesses
 from walnutpost.configstore.messages import (
     AGE_HEADER,
     WATCH_PATH,
@@ -18,6 +16,7 @@
 from walnutpost.controlplane import ControlPlaneUnavailableError
 from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.http import Connection, HttpMessageError, Limits, Response
+from walnutpost.testsupport.controlplane.replica_processes import SECOND, ReplicaProcesses
 
 REPLY_TIMEOUT_US = 60 * SECOND  # a test fails then, whatever else
 
@@ -25,7 +24,7 @@
 class CheckedProcesses(ReplicaProcesses):
     """Replicas with a check of change sets (`checked_replica`), which take a snapshot every few entries."""
 
-    program = (str(Path(__file__).parent / "checked_replica.py"),)
+    program = ("-m", "walnutpost.testsupport.controlplane.checked_replica")
     times = ReplicaProcesses.times | {"log_most": 10}
 
 
--- a/packages/controlplane/tests/disk_rig.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/disk_simulation.py
@@ -24,7 +24,7 @@
 from walnutpost.http import Connection, Response
 from walnutpost.store import StoreError
 from walnutpost.store.replica import ReplicaStore, StoredReplica
-from watch_rig import Log
+from walnutpost.testsupport.watch.harness import Log
 
 SECOND = 1_000_000
 NAMES = ("k1", "k2", "k3")
--- a/packages/controlplane/tests/control_plane_forms.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/request_samples.py
@@ -2,11 +2,6 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-
-import fleet_forms
-from consensus_forms import MEMBERS, MESSAGES
-from golden_forms import Form, Golden, as_json
 from walnutpost.configstore.messages import Entry, Mutation
 from walnutpost.consensus import EntryKind, LogEntry
 from walnutpost.controlplane import wire
@@ -28,6 +23,10 @@
 from walnutpost.fleet import CommandResult
 from walnutpost.fleet import encode as encode_command
 from walnutpost.fleet.endpoints import Endpoint, EndpointSnapshot
+from walnutpost.testsupport.consensus.message_samples import MEMBERS, MESSAGES
+from walnutpost.testsupport.fleet import command_samples
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.samples import Form, Golden, as_json
 
 ENTRY = HistoryEntry(
     index=211,
@@ -104,29 +103,29 @@
 
 def history_answer() -> History:
     """The response of a replica with the golden history: commands by their types' names, described."""
-    results = fleet_forms.rich_fleet().state.results
-    return History(1, tuple(describe_entry(entry, results) for entry in fleet_forms.history()))
+    results = command_samples.rich_fleet().state.results
+    return History(1, tuple(describe_entry(entry, results) for entry in command_samples.history()))
 
 
 def described_commands() -> dict[str, list[str]]:
     """By golden name of a command: its name and its description in the history."""
     described = {}
-    for name, command in fleet_forms.COMMANDS.items():
-        data = encode_command(command, fleet_forms.ASKED_AT)
+    for name, command in command_samples.COMMANDS.items():
+        data = encode_command(command, command_samples.ASKED_AT)
         entry = describe_entry(LogEntry(1, 1, EntryKind.COMMAND, "", data), {})
         described[name] = [entry.command, entry.description]
     return described
 
 
 def state_answer() -> ReplicaStatus:
-    fleet = fleet_forms.rich_fleet()
+    fleet = command_samples.rich_fleet()
     pending_verdicts = {"release-1": "1 members of step 1 are not back"}
     state = fleet.snapshot(config_store=False)
     return ReplicaStatus(fleet.state.index, "k1", "k1", 3, MEMBERS, state, True, pending_verdicts)
 
 
 def entries_answer() -> ConfigEntries:
-    store = fleet_forms.rich_fleet().config_store
+    store = command_samples.rich_fleet().config_store
     return ConfigEntries(store.revision, tuple(store.entries[key] for key in sorted(store.entries)))
 
 
@@ -157,7 +156,7 @@
 }
 
 GOLDEN = Golden(
-    Path(__file__).parent / "golden" / "control-plane-requests.json",
+    golden_folder("controlplane") / "control-plane-requests.json",
     "Requests to the processes of the control plane and their answers (msgpack by field names), and how a "
     "history is told in words. Names don't follow those of classes.",
     FORMS,
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/__init__.py
@@ -0,0 +1,1 @@
+"""A fleet of front ends for tests in one process."""
--- a/packages/eventloop/tests/loop_rig.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/fixtures.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from scripted_sockets import SocketFaults, scripted_sockets
 from walnutpost.eventloop import Listener, Loop, Stream, VirtualClock
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, scripted_sockets
 
 MS = 1_000
 SECOND = 1_000_000
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers for tests of the state of the fleet."""
--- a/packages/fleet/tests/fleet_forms.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fleet/command_samples.py
@@ -2,11 +2,8 @@
 
 from __future__ import annotations
 
-from pathlib import Path
 from typing import Any
 
-from consensus_forms import MEMBERS
-from golden_forms import Form, Golden, as_json, packed
 from walnutpost.configstore.messages import Mutation
 from walnutpost.configstore.store import ConfigStore
 from walnutpost.consensus import EntryKind, LogEntry, Members
@@ -42,6 +39,9 @@
 )
 from walnutpost.fleet.endpoints import Endpoint, EndpointSnapshot
 from walnutpost.fleet.state import FleetState, Member, Permit, Plan
+from walnutpost.testsupport.consensus.message_samples import MEMBERS
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.samples import Form, Golden, as_json, packed
 
 ASKED_AT = 1_700_000_000.25  # seconds by the asker's clock
 
@@ -373,7 +373,7 @@
 }
 
 GOLDEN = Golden(
-    Path(__file__).parent / "golden" / "control-plane.json",
+    golden_folder("fleet") / "control-plane.json",
     "The control plane: commands as the log holds them, answers, the list of workers that front ends are "
     "sent, snapshots of the state, and a history with the answers that it gives. Names don't follow those of "
     "classes.",
--- a/packages/fronts/tests/fronts_rig.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fronts/harness.py
@@ -9,9 +9,9 @@
 from typing import Any
 from urllib.parse import quote
 
-from fleet_rig import SECOND, Fleet
 from walnutpost.http import Response
 from walnutpost.store import read_history
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 
 MINUTE = 60 * SECOND
 ARN_HEADER = "x-amz-durable-execution-arn"
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/__init__.py
@@ -0,0 +1,1 @@
+"""Recorded days for tests of the gateway."""
--- a/packages/gateway/tests/golden_gateway_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
@@ -1,10 +1,11 @@
 """Synthetic days for a Gateway: callers, repeats and workers, and a record of what went in and out. Run as a
 program it writes the golden files anew, which is right only where decisions are meant to change:
 
-    PYTHONPATH=packages/policy/tests python packages/gateway/tests/golden_gateway_days.py
+    .venv/bin/python -m walnutpost.testsupport.gateway.golden_days
 
 A recorded row is `[start, seed, settings, functions, tenants]` where a Gateway begins, else `[microseconds
-since the row before, input, [effects]]`, all in the neutral form of `neutral_form`.
+since the row before, input, [effects]]`, all in the form of
+`walnutpost.testsupport.golden.neutral_values`.
 """
 
 from __future__ import annotations
@@ -14,13 +15,14 @@
 from random import Random
 from typing import Any
 
-from neutral_form import from_neutral, to_neutral, write_lines
-from recorded_day import RecordedDay
-from rig import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
 from walnutpost import gateway as gw
 from walnutpost import interface as api
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.neutral_values import from_neutral, to_neutral, write_lines
+from walnutpost.testsupport.policy.harness import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
+from walnutpost.testsupport.policy.recorded_day import RecordedDay
 
-GOLDEN = Path(__file__).parent / "golden" / "days"
+GOLDEN = golden_folder("gateway") / "days"
 START = 100 * SECOND
 MS = 1000
 START_ROW = "start"
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/golden/__init__.py
@@ -0,0 +1,1 @@
+"""Golden files: how they are written and compared."""
--- a/packages/journal/tests/golden_files.py
+++ b/packages/testsupport/src/walnutpost/testsupport/golden/files.py
@@ -4,7 +4,7 @@
 the bytes that today's code makes of the object that the module names for it. A rename of classes or fields
 changes that one place, and no file. New files are written by
 
-    .venv/bin/python packages/journal/tests/golden_files.py test_journal_golden
+    .venv/bin/python -m walnutpost.testsupport.golden.files test_journal_golden
 
 which refuses to replace a file. Bytes that stored data or a peer of another version hold do not change: a
 different golden file is a change of the format, and needs a reader of the former one.
@@ -23,6 +23,8 @@
 
 import msgspec
 
+from walnutpost.testsupport.folders import PACKAGES
+
 Struct = TypeVar("Struct", bound=msgspec.Struct)
 
 
@@ -111,7 +113,7 @@
 
 def main(names: list[str]) -> None:
     """Writes the missing golden files of test modules."""
-    for tests in Path(__file__).parents[2].glob("*/tests"):
+    for tests in PACKAGES.glob("*/tests"):
         sys.path.append(str(tests))
     for name in names:
         for path in write_golden_files(importlib.import_module(name).golden_files()):
--- a/packages/policy/tests/golden_frames.py
+++ b/packages/testsupport/src/walnutpost/testsupport/golden/frames.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from neutral_form import from_neutral, to_neutral
+from walnutpost.testsupport.golden.neutral_values import from_neutral, to_neutral
 
 Sender = Callable[..., bytes]
 Receiver = Callable[[bytes], Any]
--- a/packages/consensus/tests/golden_forms.py
+++ b/packages/testsupport/src/walnutpost/testsupport/golden/samples.py
@@ -1,12 +1,13 @@
 """Golden files: the bytes that this project writes to wires and disks, in files that renames don't touch.
 
-A package's `tests/*_forms.py` maps each golden name to its object in one place, as `GOLDEN`. The names are
-neutral: they are those of no class. After a rename only that mapping changes, never the file. A golden file
-that has to change means that older versions and older folders can't be read any more.
+A `*_samples` module below `walnutpost.testsupport`, or a test module, maps each golden name to its object in
+one place, as `GOLDEN`. The names are neutral: they are those of no class. After a rename only that mapping
+changes, never the file. A golden file that has to change means that older versions and older folders can't be
+read any more.
 
 To write the forms that a file doesn't have yet (from the root of the repository):
 
-    .venv/bin/python packages/consensus/tests/golden_forms.py fleet_forms
+    .venv/bin/python -m walnutpost.testsupport.golden.samples walnutpost.testsupport.fleet.command_samples
 
 It refuses to change a form that the file has, unless it is given `--overwrite`.
 """
@@ -28,6 +29,8 @@
 import msgspec
 from msgspec import structs
 
+from walnutpost.testsupport.folders import PACKAGES
+
 # Fields that name the format of what is written: any value but the default is refused by the reader.
 FORMAT_FIELDS = frozenset({"format"})
 
@@ -227,8 +230,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    packages = Path(__file__).resolve().parents[2]
-    sys.path += [str(path) for path in sorted(packages.glob("*/tests"))]
+    sys.path += [str(path) for path in sorted(PACKAGES.glob("*/tests"))]  # for a `GOLDEN` of a test module
     names = [name for name in arguments if name != "--overwrite"]
     if not names:
         print(__doc__)
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/journal/__init__.py
@@ -0,0 +1,1 @@
+"""Sample records for tests of the journal."""
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/node/__init__.py
@@ -0,0 +1,1 @@
+"""A node with fake workers and clients for tests."""
--- a/packages/node/tests/client_rig.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
@@ -9,11 +9,11 @@
 import msgpack
 import pytest
 
-from node_rig import FUNCTION, SECOND, Client, Words, World, play
 from walnutpost.eventloop import VirtualClock
 from walnutpost.gateway import CallArrived
 from walnutpost.node import rpc
 from walnutpost.node.client_connection import ClientConnection
+from walnutpost.testsupport.node.harness import FUNCTION, SECOND, Client, Words, World, play
 
 LARGE = bytes(rpc.MAX_BODY_BYTES)  # two such requests are more than one read
 
--- a/packages/node/tests/fault_rig.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/fault_injection.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from node_rig import SECOND, World, play
-from scripted_sockets import SocketFaults, datagrams, scripted_sockets, to
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, datagrams, scripted_sockets, to
+from walnutpost.testsupport.node.harness import SECOND, World, play
 
 Script = Callable[[World, SocketFaults], None]
 
--- a/packages/node/tests/worker_rig.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
@@ -10,11 +10,11 @@
 
 import pytest
 
-from node_rig import FUNCTION, MS, Words, Worker, World
 from walnutpost.gateway import AttemptEnded, LoadOrder, LoadOrderEnded, Send
 from walnutpost.interface import Outcome
 from walnutpost.node.open_requests import RequestIdentity
 from walnutpost.node.worker_connection import WorkerConnection
+from walnutpost.testsupport.node.harness import FUNCTION, MS, Words, Worker, World
 
 ORDER_TIMEOUT_US = 200 * MS
 
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers for tests of the routing policy."""
--- a/packages/policy/tests/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
@@ -2,10 +2,11 @@
 and out. Run as a program it writes the golden files anew, which is right only where decisions are meant to
 change:
 
-    python packages/policy/tests/golden_days.py
+    .venv/bin/python -m walnutpost.testsupport.policy.golden_days
 
 A recorded row is `[start, seed, settings]` where a Router begins, else `[microseconds since the row before,
-event, [actions]]`, all in the neutral form of `neutral_form`.
+event, [actions]]`, all in the form of
+`walnutpost.testsupport.golden.neutral_values`.
 """
 
 from __future__ import annotations
@@ -15,13 +16,14 @@
 from random import Random
 from typing import Any
 
-from neutral_form import to_neutral, write_lines
-from recorded_day import RecordedDay
-from rig import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
 from walnutpost import interface as api
 from walnutpost.policy import Router
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.neutral_values import to_neutral, write_lines
+from walnutpost.testsupport.policy.harness import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
+from walnutpost.testsupport.policy.recorded_day import RecordedDay
 
-GOLDEN = Path(__file__).parent / "golden"
+GOLDEN = golden_folder("policy")
 START = 100 * SECOND
 MS = 1000
 INPUTS_A_DAY = 3000
--- a/packages/policy/tests/recorded_day.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/recorded_day.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from neutral_form import neutral_of_each, to_neutral
+from walnutpost.testsupport.golden.neutral_values import neutral_of_each, to_neutral
 
 
 class RecordedDay:
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/store/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers for tests of what is stored on disks, with disk faults."""
--- a/packages/store/tests/replica_forms.py
+++ b/packages/testsupport/src/walnutpost/testsupport/store/replica_samples.py
@@ -9,13 +9,14 @@
 from tempfile import TemporaryDirectory
 from typing import Any, NamedTuple, TypeVar
 
-import fleet_forms
-from consensus_forms import MEMBERS
-from golden_forms import Form, Golden
 from walnutpost.consensus import LogEntry, Members, PersistentState, Snapshot, Write
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
 from walnutpost.store.replica import ReplicaStore
+from walnutpost.testsupport.consensus.message_samples import MEMBERS
+from walnutpost.testsupport.fleet import command_samples
+from walnutpost.testsupport.folders import golden_folder
+from walnutpost.testsupport.golden.samples import Form, Golden
 
 T = TypeVar("T")
 IDENTITY, VOTED, TERM = "k1#aa", "k2#bb", 4
@@ -30,9 +31,9 @@
 
 
 def disk(identity: str = IDENTITY, members: Members = MEMBERS) -> Disk:
-    entries = fleet_forms.history(members)
+    entries = command_samples.history(members)
     fleet = Fleet()
-    fleet_forms.applied(fleet, entries[:SNAPSHOT_AT])
+    command_samples.applied(fleet, entries[:SNAPSHOT_AT])
     snapshot = Snapshot(SNAPSHOT_AT, 2, members, fleet.snapshot())
     return Disk(identity, PersistentState(TERM, VOTED, snapshot, entries[SNAPSHOT_AT:]), list(entries))
 
@@ -129,7 +130,7 @@
 }
 
 GOLDEN = Golden(
-    Path(__file__).parent / "golden" / "replica" / "disk.json",
+    golden_folder("store") / "replica" / "disk.json",
     "The file of a replica of the control plane, as sqlite dumps it: vote, log, snapshot, and entries that "
     "the snapshot has taken the place of. Make a file of it by sqlite's executescript.",
     FORMS,
--- a/packages/store/tests/stored_state.py
+++ b/packages/testsupport/src/walnutpost/testsupport/store/stored_samples.py
@@ -39,8 +39,9 @@
 )
 from walnutpost.store import ExecutionStore, FiringStore, JournalStore, UsageStore
 from walnutpost.store.usage import LedgerRun
+from walnutpost.testsupport.folders import golden_folder
 
-GOLDEN = Path(__file__).parent / "golden"
+GOLDEN = golden_folder("store")
 CALLS_DUMP, USAGE_DUMP = GOLDEN / "calls.sql", GOLDEN / "usage.sql"
 CALLS_FILE, USAGE_FILE = "calls.db", "usage.db"
 
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/system/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers for tests of the whole system: processes of releases, failing system calls."""
--- a/tests/release_fleet.py
+++ b/packages/testsupport/src/walnutpost/testsupport/system/release_fleet.py
@@ -28,10 +28,10 @@
 
 import msgspec
 
-from loopback import free_address
+from walnutpost.testsupport.eventloop.loopback import free_address
+from walnutpost.testsupport.folders import REPOSITORY
 
-ROOT = Path(__file__).parent.parent
-ARCHIVE = Path(__file__).parent / "release_b43418d.tar.xz"
+ARCHIVE = REPOSITORY / "tests" / "release_b43418d.tar.xz"
 CONDITION_LIMIT_S = 90.0  # a failure says what was waited for; a test that passes takes far less
 COMMAND_LIMIT_S = 120.0  # above the 60 s that `config status --wait` is given
 PAUSE_S = 0.05
@@ -113,7 +113,7 @@
 
 def present_release(folder: Path) -> Release:
     """This checkout."""
-    return Release.at("present", ROOT, folder, "control-plane")
+    return Release.at("present", REPOSITORY, folder, "control-plane")
 
 
 @dataclass(frozen=True, slots=True)
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/watch/__init__.py
@@ -0,0 +1,1 @@
+"""Fake servers and members for tests of watches."""
--- a/packages/watch/tests/test_client.py
+++ b/packages/watch/tests/test_client.py
@@ -27,14 +27,7 @@
 from walnutpost.configstore.relay_selection import preference_order
 from walnutpost.eventloop import Listener, Loop, Stream
 from walnutpost.http import Exchange, Response, encode_response
-from walnutpost.watch import WAITED_HEADER
-from walnutpost.watch.connection import (
-    MAX_BODY_BYTES,
-    RECEIVE_BURST_BYTES,
-    RECEIVE_RATE_BYTES_PER_S,
-    ServerConnection,
-)
-from watch_rig import (
+from walnutpost.testsupport.watch.harness import (
     SECOND,
     WAIT_TIMEOUT_US,
     FakeServer,
@@ -48,6 +41,13 @@
     put_keys,
     until,
 )
+from walnutpost.watch import WAITED_HEADER
+from walnutpost.watch.connection import (
+    MAX_BODY_BYTES,
+    RECEIVE_BURST_BYTES,
+    RECEIVE_RATE_BYTES_PER_S,
+    ServerConnection,
+)
 
 HEADERS = {AGE_HEADER: "0", WAITED_HEADER: "0"}
 
--- a/packages/watch/tests/test_serving.py
+++ b/packages/watch/tests/test_serving.py
@@ -7,10 +7,7 @@
 from walnutpost.configstore import AGE_HEADER, WATCH_PATH, WatchRequest, encode
 from walnutpost.eventloop import Loop, TaskGroup, connect
 from walnutpost.http import encode_request
-from walnutpost.watch import WAITED_HEADER
-from walnutpost.watch.pages import MAX_CACHED_PAGES
-from walnutpost.watch.serving import MAX_WAIT_TIMEOUT_US
-from watch_rig import (
+from walnutpost.testsupport.watch.harness import (
     SECOND,
     WAIT_TIMEOUT_US,
     FakeServer,
@@ -22,6 +19,9 @@
     put_keys,
     until,
 )
+from walnutpost.watch import WAITED_HEADER
+from walnutpost.watch.pages import MAX_CACHED_PAGES
+from walnutpost.watch.serving import MAX_WAIT_TIMEOUT_US
 
 
 def age_us(received: Received) -> int:
--- a/packages/watch/tests/test_watch_golden.py
+++ b/packages/watch/tests/test_watch_golden.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from golden_forms import Golden, as_json, structs_of
 from walnutpost import relay, watch
+from walnutpost.testsupport.golden.samples import Golden, as_json, structs_of
 from walnutpost.watch import connection, pages, serving
 
 GOLDEN = Golden(
--- a/packages/watch/tests/test_watch_socket_faults.py
+++ b/packages/watch/tests/test_watch_socket_faults.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from scripted_sockets import CONNECTION_FAULTS, at, scripted_sockets, to
 from test_client import address_getter, names_preferring, two_servers
 from walnutpost.eventloop import Loop
-from watch_rig import FakeServer, Member, filled, play, put_keys, until
+from walnutpost.testsupport.eventloop.scripted_sockets import CONNECTION_FAULTS, at, scripted_sockets, to
+from walnutpost.testsupport.watch.harness import FakeServer, Member, filled, play, put_keys, until
 
 
 @pytest.mark.parametrize(("operation", "number"), CONNECTION_FAULTS)
--- a/packages/workerclient/tests/test_abandoned_attempts.py
+++ b/packages/workerclient/tests/test_abandoned_attempts.py
@@ -9,8 +9,14 @@
 from test_call_outcomes import stay_silent
 from walnutpost.eventloop import Event
 from walnutpost.interface import Outcome
+from walnutpost.testsupport.workerclient.harness import (
+    US_PER_MS,
+    US_PER_S,
+    RespondingWorkerRig,
+    WorkerRig,
+    delay_connects,
+)
 from walnutpost.workerclient import WorkerClient, WorkerClientSettings
-from worker_client_rig import US_PER_MS, US_PER_S, RespondingWorkerRig, WorkerRig, delay_connects
 
 SETTINGS = WorkerClientSettings("p")
 
--- a/packages/workerclient/tests/test_call_outcomes.py
+++ b/packages/workerclient/tests/test_call_outcomes.py
@@ -13,8 +13,7 @@
 from walnutpost.http.messages import Limits
 from walnutpost.http.parsing import RequestParser
 from walnutpost.interface import Outcome, Warmth
-from walnutpost.workerclient import WorkerClient, WorkerClientSettings, codec
-from worker_client_rig import (
+from walnutpost.testsupport.workerclient.harness import (
     CALL_SUCCEEDED,
     LOCAL_ADDRESS,
     US_PER_MS,
@@ -22,6 +21,7 @@
     RespondingWorkerRig,
     WorkerRig,
 )
+from walnutpost.workerclient import WorkerClient, WorkerClientSettings, codec
 
 
 def error_response(status: int, error_type: str) -> bytes:
--- a/packages/workerclient/tests/test_load_order_outcomes.py
+++ b/packages/workerclient/tests/test_load_order_outcomes.py
@@ -10,8 +10,13 @@
 from walnutpost.eventloop import Stream
 from walnutpost.http import Connection, HttpMessageError, Response, encode_response
 from walnutpost.interface import Outcome
+from walnutpost.testsupport.workerclient.harness import (
+    TWO_COPIES_LOADED,
+    US_PER_S,
+    RespondingWorkerRig,
+    delay_connects,
+)
 from walnutpost.workerclient import codec
-from worker_client_rig import TWO_COPIES_LOADED, US_PER_S, RespondingWorkerRig, delay_connects
 
 
 def close_after_reading(stream: Stream) -> None:
--- a/packages/workerclient/tests/test_may_begin.py
+++ b/packages/workerclient/tests/test_may_begin.py
@@ -7,7 +7,7 @@
 from walnutpost.eventloop import Listener
 from walnutpost.gateway import LoadOrder
 from walnutpost.interface import Outcome
-from worker_client_rig import (
+from walnutpost.testsupport.workerclient.harness import (
     LOCAL_ADDRESS,
     TWO_COPIES_LOADED,
     US_PER_MS,
--- a/packages/workerclient/tests/test_tls_fleet.py
+++ b/packages/workerclient/tests/test_tls_fleet.py
@@ -9,9 +9,9 @@
 import pytest
 from click.testing import CliRunner
 
-from fleet_rig import BASE, Fleet, merged
 from walnutpost.cli import main
 from walnutpost.fakes.authority import Authority, IssuedCertificate
+from walnutpost.testsupport.daemon.fleet import BASE, Fleet, merged
 
 NOW = datetime.now(UTC)
 AUTHORITY = Authority(NOW)
--- a/packages/workerclient/tests/test_usage_queries.py
+++ b/packages/workerclient/tests/test_usage_queries.py
@@ -6,13 +6,13 @@
 
 from walnutpost.http import Response
 from walnutpost.interface import Outcome
+from walnutpost.testsupport.workerclient.harness import RespondingWorkerRig
 from walnutpost.workerclient import (
     InvalidUsageReportError,
     WorkerClientError,
     WorkerUnavailableError,
     codec,
 )
-from worker_client_rig import RespondingWorkerRig
 
 
 def test_a_usage_query_to_a_worker_without_an_address_raises_with_worker_and_outcome() -> None:
--- a/packages/workerclient/tests/test_worker_protocol_golden.py
+++ b/packages/workerclient/tests/test_worker_protocol_golden.py
@@ -1,7 +1,6 @@
 """The worker protocol over HTTP: requests, responses, load reports in their three forms, usage records.
 
-Run as a program, with packages/policy/tests on PYTHONPATH, it writes the files anew: for a wire that is meant
-to change.
+Run as a program, it writes the files again, which is right only for a wire that is meant to change.
 """
 
 from __future__ import annotations
@@ -14,9 +13,16 @@
 import msgspec
 import pytest
 
-from golden_frames import Sender, differences_received, differences_sent, received_row, sent_row, write_rows
 from test_metering_golden import REPORTS
 from walnutpost.http import Response
+from walnutpost.testsupport.golden.frames import (
+    Sender,
+    differences_received,
+    differences_sent,
+    received_row,
+    sent_row,
+    write_rows,
+)
 from walnutpost.workerclient import InvalidUsageReportError, codec, orca
 
 GOLDEN = Path(__file__).parent / "golden" / "frames"
--- a/packages/workerclient/tests/test_worker_socket_faults.py
+++ b/packages/workerclient/tests/test_worker_socket_faults.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from scripted_sockets import ScriptedSocket, SocketFaults, scripted_sockets
 from walnutpost.interface import Outcome
-from worker_client_rig import TWO_COPIES_LOADED, RespondingWorkerRig
+from walnutpost.testsupport.eventloop.scripted_sockets import ScriptedSocket, SocketFaults, scripted_sockets
+from walnutpost.testsupport.workerclient.harness import TWO_COPIES_LOADED, RespondingWorkerRig
 
 
 def run(response: bytes, script: Callable[[RespondingWorkerRig, SocketFaults], None]) -> None:
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -56,6 +56,7 @@
     "packages/replication/src/**",
     "packages/store/src/**",
     "packages/store/tests/**",
+    "packages/testsupport/src/**",
     "packages/watch/src/**",
     "packages/watch/tests/**",
     "packages/workerclient/src/**",
--- a/tests/test_rolling_upgrade.py
+++ b/tests/test_rolling_upgrade.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 import pytest
-from release_fleet import (
+
+from walnutpost.testsupport.system.release_fleet import (
     CALLED,
     FRONT_ENDS,
     RELAYS,
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -13,14 +13,20 @@
 from urllib.parse import quote
 
 import pytest
-from system_faults import SystemFaults
 
-from fleet_rig import BASE, EXECUTION_ARN_HEADER, INVOKE, merged
-from replica_processes import NAMES, SECOND, ReplicaProcesses, create_fleet, play
 from walnutpost.controlplane import ControlPlaneUnavailableError
 from walnutpost.eventloop import Loop
 from walnutpost.faultinjection.cluster_process import ClusterProcess
 from walnutpost.fleet import FRONT_END, RegisterMember
+from walnutpost.testsupport.controlplane.replica_processes import (
+    NAMES,
+    SECOND,
+    ReplicaProcesses,
+    create_fleet,
+    play,
+)
+from walnutpost.testsupport.daemon.fleet import BASE, EXECUTION_ARN_HEADER, INVOKE, merged
+from walnutpost.testsupport.system.system_faults import SystemFaults
 
 PATIENCE_S = 60.0
 FAULT_US = 5 * SECOND
--- a/tests/test_workspace.py
+++ b/tests/test_workspace.py
@@ -12,6 +12,7 @@
 ROOT = Path(__file__).parent.parent
 MEMBERS = {path.parent.name: path.parent for path in sorted(ROOT.glob("packages/*/pyproject.toml"))}
 ORDER = [
+    "testsupport",  # for tests only: no other member declares it
     "cli",
     "faultinjection",
     "fakes",
