--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -96,13 +96,15 @@
             return None
         return reply
 
-    def _confirmed_verdict(self, id: str, base_revision: int, errors: list[str]) -> wire.CommandReply | None:
+    def _confirmed_verdict(
+        self, request_id: str, base_revision: int, errors: list[str]
+    ) -> wire.CommandReply | None:
         """Return the verdict of a validation if it was against the newest revision."""
         confirmation = self._confirm()
         if confirmation.reason:
             return confirmation
         fleet = self._fleet()
-        if fleet.config_store.revision != base_revision or id in fleet.state.results:
+        if fleet.config_store.revision != base_revision or request_id in fleet.state.results:
             return None
         if errors:
             return _rejection(base_revision, errors)
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -79,14 +79,14 @@
         """The names of the replicas."""
         return tuple(self._addresses)
 
-    def command(self, id: str, command: Command) -> CommandResult:
-        """Have a command committed and return its result; a repeated `id` gets the first one's result."""
-        request = wire.CommandRequest(id, encode(command, time.time()))
+    def command(self, request_id: str, command: Command) -> CommandResult:
+        """Have a command committed and return its result; a repeated id gets the first one's result."""
+        request = wire.CommandRequest(request_id, encode(command, time.time()))
         return self._result(wire.COMMANDS_PATH, wire.encode(request))
 
-    def change_members(self, id: str, members: Members) -> CommandResult:
+    def change_members(self, request_id: str, members: Members) -> CommandResult:
         """Change the set of replicas by one step."""
-        return self._result(wire.MEMBERS_PATH, wire.encode(wire.MembershipRequest(id, members)))
+        return self._result(wire.MEMBERS_PATH, wire.encode(wire.MembershipRequest(request_id, members)))
 
     def report(self, report: wire.Report) -> wire.CommandReply:
         """Report to the leader; its reply has the endpoint list where it has a newer one."""
@@ -99,7 +99,7 @@
 
     def submit_change_set(
         self,
-        id: str,
+        request_id: str,
         mutations: Sequence[Mutation],
         is_dry_run: bool = False,
         operator: str = "",
@@ -107,11 +107,11 @@
     ) -> ChangeSetOutcome:
         """Have a change set of the configuration committed, atomically.
 
-        A repeated `id` gets the first one's result. `read_revision`: reject if one of the
+        A repeated `request_id` gets the first one's result. `read_revision`: reject if one of the
         keys has changed since that revision; 0 accepts any.
         """
         request = wire.ChangeSetRequest(
-            id, tuple(mutations), is_dry_run, operator, read_revision=read_revision
+            request_id, tuple(mutations), is_dry_run, operator, read_revision=read_revision
         )
         body = self._ask("POST", wire.CHANGE_PATH, wire.encode(request)).body
         reply = wire.decode(body, wire.CommandReply)
--- a/packages/controlplane/src/walnutpost/controlplane/effects.py
+++ b/packages/controlplane/src/walnutpost/controlplane/effects.py
@@ -55,11 +55,11 @@
                 self._apply(entries)
             case Restore(snapshot):
                 self._restore(snapshot)
-            case ReadReady(id):
-                self._context.replies.complete(id, wire.CommandReply())
-            case Rejected(id, reason, leader):
+            case ReadReady(request_id):
+                self._context.replies.complete(request_id, wire.CommandReply())
+            case Rejected(request_id, reason, leader):
                 reply = wire.CommandReply(reason=reason, leader=wire.replica_name(leader))
-                self._context.replies.complete(id, reply)
+                self._context.replies.complete(request_id, reply)
             case RoleChanged():
                 self._change_role(effect)
 
--- a/packages/controlplane/src/walnutpost/controlplane/pending.py
+++ b/packages/controlplane/src/walnutpost/controlplane/pending.py
@@ -17,33 +17,33 @@
         self._waiting: dict[str, list[tuple[Task[Any], int]]] = {}
 
     def wait(
-        self, id: str, timeout_us: int, on_timeout: wire.CommandReply, start: Callable[[], None]
+        self, request_id: str, timeout_us: int, on_timeout: wire.CommandReply, start: Callable[[], None]
     ) -> wire.CommandReply:
-        """Call `start`, then wait for the reply to `id`; return `on_timeout` after `timeout_us`."""
+        """Call `start`, then wait for the reply to `request_id`; return `on_timeout` after `timeout_us`."""
         task, token = self._loop.begin_wait()
-        self._waiting.setdefault(id, []).append((task, token))
+        self._waiting.setdefault(request_id, []).append((task, token))
         timer = self._loop.call_later(timeout_us, lambda: self._loop.wake(task, token, on_timeout))
         start()
         try:
             reply: wire.CommandReply = self._loop.park()
         finally:
             timer.cancel()
-            self._forget(id, task, token)
+            self._forget(request_id, task, token)
         return reply
 
-    def _forget(self, id: str, task: Task[Any], token: int) -> None:
-        waiting = self._waiting.get(id, [])
+    def _forget(self, request_id: str, task: Task[Any], token: int) -> None:
+        waiting = self._waiting.get(request_id, [])
         if (task, token) in waiting:
             waiting.remove((task, token))
         if not waiting:
-            self._waiting.pop(id, None)
+            self._waiting.pop(request_id, None)
 
-    def complete(self, id: str, reply: wire.CommandReply) -> None:
-        """Give all that wait for `id` this reply."""
-        for task, token in self._waiting.pop(id, ()):
+    def complete(self, request_id: str, reply: wire.CommandReply) -> None:
+        """Give all that wait for `request_id` this reply."""
+        for task, token in self._waiting.pop(request_id, ()):
             self._loop.wake(task, token, reply)
 
     def complete_all(self, reply: wire.CommandReply) -> None:
         """Give all that wait, for whatever id, this reply."""
-        for id in list(self._waiting):
-            self.complete(id, reply)
+        for request_id in list(self._waiting):
+            self.complete(request_id, reply)
--- a/packages/controlplane/src/walnutpost/controlplane/submission.py
+++ b/packages/controlplane/src/walnutpost/controlplane/submission.py
@@ -37,29 +37,31 @@
         """The name of the replica that may know more; none is known while the disk fails."""
         return "" if self._disk.is_failing else wire.replica_name(self._driver.raft.leader)
 
-    def submit(self, id: str, event: Input) -> wire.CommandReply:
-        """Wait for the reply to `id`. An input without one in time may be committed all the same."""
+    def submit(self, request_id: str, event: Input) -> wire.CommandReply:
+        """Wait for the reply to `request_id`. An input without one in time may be committed all the same."""
         if not self._driver.is_in_service():
             return wire.CommandReply(reason=NOT_LEADER)
         on_timeout = wire.CommandReply(
             outcome_known=False, reason="no quorum has answered in time", leader=self.leader
         )
-        return self._replies.wait(id, self._reply_timeout_us, on_timeout, lambda: self._driver.feed(event))
+        return self._replies.wait(
+            request_id, self._reply_timeout_us, on_timeout, lambda: self._driver.feed(event)
+        )
 
-    def submit_command(self, id: str, command: bytes) -> wire.CommandReply:
+    def submit_command(self, request_id: str, command: bytes) -> wire.CommandReply:
         """Wait for the result of an encoded command."""
-        return self.submit(id, Propose(id, command))
+        return self.submit(request_id, Propose(request_id, command))
 
     def confirm(self) -> wire.CommandReply:
         """Wait until a quorum confirms that the applied state is the newest; a reason if it doesn't."""
-        id = f"read {self._driver.raft.replica_id} {self._next_number()}"
-        return self.submit(id, ReadIndex(id))
+        request_id = f"read {self._driver.raft.replica_id} {self._next_number()}"
+        return self.submit(request_id, ReadIndex(request_id))
 
     def propose(self, command: Command) -> None:
         """Propose a command of this replica's own, at the end of the loop's round; nobody waits for it."""
         raft = self._driver.raft
-        id = f"{raft.replica_id}.{raft.term}.{self._next_number()}"
-        self._loop.call_soon(lambda: self._driver.feed(Propose(id, encode(command, time.time()))))
+        request_id = f"{raft.replica_id}.{raft.term}.{self._next_number()}"
+        self._loop.call_soon(lambda: self._driver.feed(Propose(request_id, encode(command, time.time()))))
 
     def _next_number(self) -> int:
         self._submitted += 1
--- a/packages/controlplane/tests/test_changes.py
+++ b/packages/controlplane/tests/test_changes.py
@@ -44,15 +44,15 @@
         )
         self.commit_time_us = 1000
 
-    def commit(self, mutations: Sequence[Mutation], id: str = "") -> CommandResult:
+    def commit(self, mutations: Sequence[Mutation], request_id: str = "") -> CommandResult:
         self.index += 1
         return self.fleet.apply(
             self.index,
-            id,
+            request_id,
             encode(ApplyChangeSet(tuple(mutations), self.fleet.config_store.revision, "other")),
         )
 
-    def propose(self, id: str, command: bytes) -> wire.CommandReply:
+    def propose(self, request_id: str, command: bytes) -> wire.CommandReply:
         self.loop.sleep(self.commit_time_us)
         if not self.is_leader:
             return wire.CommandReply(reason=NOT_LEADER, leader="k2")
@@ -62,7 +62,7 @@
         assert isinstance(change, ApplyChangeSet)
         self.proposed.append(change)
         self.index += 1
-        return wire.CommandReply(self.fleet.apply(self.index, id, command))
+        return wire.CommandReply(self.fleet.apply(self.index, request_id, command))
 
     def confirm(self) -> wire.CommandReply:
         self.loop.sleep(self.commit_time_us)
@@ -83,8 +83,10 @@
             and mutation.value.decode() not in table.entries
         ]
 
-    def submit(self, id: str, *mutations: Mutation, is_dry_run: bool = False) -> wire.CommandReply:
-        return self.changes.submit(wire.encode(wire.ChangeSetRequest(id, mutations, is_dry_run, "anna")))
+    def submit(self, request_id: str, *mutations: Mutation, is_dry_run: bool = False) -> wire.CommandReply:
+        return self.changes.submit(
+            wire.encode(wire.ChangeSetRequest(request_id, mutations, is_dry_run, "anna"))
+        )
 
 
 def play(script: Callable[[World], None]) -> None:
--- a/packages/controlplane/tests/test_config_change_sets.py
+++ b/packages/controlplane/tests/test_config_change_sets.py
@@ -62,9 +62,9 @@
             "empty": ([], "change set: found 0 keys, wanted 1 to 1000"),
             "huge": ([op(f"function/f{n}", "x" * 16_000) for n in range(90)], "bytes, wanted 131072 at most"),
         }
-        for id, (mutations, expected) in cases.items():
+        for request_id, (mutations, expected) in cases.items():
             for is_dry_run in (True, False):
-                answer, errors = client.submit_change_set(id, mutations, is_dry_run)
+                answer, errors = client.submit_change_set(request_id, mutations, is_dry_run)
                 assert not answer.ok
                 assert expected in errors[0]
                 assert errors[0] in answer.error
--- a/packages/controlplane/tests/test_disk_recovery.py
+++ b/packages/controlplane/tests/test_disk_recovery.py
@@ -18,8 +18,10 @@
 EVERY_FAULT = pytest.mark.parametrize("fault", list(Fault), ids=lambda fault: fault.name.lower())
 
 
-def command_request(id: str) -> bytes:
-    return wire.encode(wire.CommandRequest(id, encode(RegisterMember(id, FRONT_END, "a", "1"), 0.0)))
+def command_request(request_id: str) -> bytes:
+    return wire.encode(
+        wire.CommandRequest(request_id, encode(RegisterMember(request_id, FRONT_END, "a", "1"), 0.0))
+    )
 
 
 @EVERY_FAULT
