--- a/packages/cli/src/walnutpost/cli/fleet_processes.py
+++ b/packages/cli/src/walnutpost/cli/fleet_processes.py
@@ -108,6 +108,7 @@
         analysis_policy=AnalysisPolicy(
             checked.analysis.min_calls, checked.analysis.max_regression, checked.analysis.confidence
         ),
+        check=lambda table, ops: validate_changes(EntryValues(table.entries), ops),
     )
 
 
@@ -121,14 +122,7 @@
         failures.append(error)
         stop.set()
 
-    replica = ControlPlaneReplica(
-        loop,
-        settings,
-        log,
-        secrets.randbits(SEED_BITS),
-        failed,
-        lambda table, ops: validate_changes(EntryValues(table.entries), ops),
-    )
+    replica = ControlPlaneReplica(loop, settings, log, secrets.randbits(SEED_BITS), failed)
     stop.wait()
     replica.stop()
     return replica
--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -4,6 +4,7 @@
 
 import time
 from collections.abc import Callable, Sequence
+from typing import Protocol
 
 from walnutpost.configstore.messages import Mutation
 from walnutpost.configstore.store import ConfigStore
@@ -15,36 +16,42 @@
 from walnutpost.fleet import CHANGED_MEANWHILE, ApplyChangeSet, CommandResult, Fleet, encode
 
 Check = Callable[[ConfigStore, Sequence[Mutation]], list[str]]
-"""Returns what is wrong with mutations of a store, by the meaning of the settings; empty for nothing."""
+"""Validates mutations of a store by the meaning of the settings; returns the errors found."""
 MAX_REQUEST_BYTES = 8 * MAX_CHANGE_SET_BYTES
 """A larger request is rejected without being decoded."""
 MAX_ATTEMPTS = 20
-"""Of one change set, where others are committed in between."""
+"""Of one change set, if others are committed in between."""
+
+
+class Submitter(Protocol):
+    """Has commands committed."""
+
+    def submit_command(self, request_id: str, command: bytes) -> wire.CommandReply:
+        """Wait for the result of an encoded command."""
+
+    def confirm(self) -> wire.CommandReply:
+        """Wait until a quorum confirms that the applied state is the newest; a reason if it doesn't."""
 
 
 class ChangeCoordinator:
-    """Validates change sets and has them committed, in the order of their arrival."""
+    """Validates change sets and has them committed by `submitter`, in the order of their arrival.
+
+    `fleet` returns the applied state. `check` is None for no further validation. A request waits for those
+    before it for `lock_timeout_us`.
+    """
 
     def __init__(
         self,
         loop: Loop,
         fleet: Callable[[], Fleet],
-        propose: Callable[[str, bytes], wire.CommandReply],
-        confirm: Callable[[], wire.CommandReply],
+        submitter: Submitter,
         check: Check | None,
         lock_timeout_us: int,
         log: Logger,
     ) -> None:
-        """Create a coordinator over the applied state.
-
-        `propose`: waits for the result of a command under its id.
-        `confirm`: waits until a quorum confirms that the applied state is the newest; a reason if it doesn't.
-        `check`: None for no further validation. `lock_timeout_us`: how long a request waits for those before.
-        """
         self._loop = loop
         self._fleet = fleet
-        self._propose = propose
-        self._confirm = confirm
+        self._submitter = submitter
         self._check = check
         self._lock_timeout_us = lock_timeout_us
         self._log = log
@@ -81,7 +88,7 @@
         )
 
     def _attempt(self, request: wire.ChangeSetRequest) -> wire.CommandReply | None:
-        """Return None where another change set was committed in between."""
+        """Return None if another change set was committed in between."""
         known = self._fleet().state.results.get(request.id)
         if known is not None:
             return wire.CommandReply(known)
@@ -91,7 +98,7 @@
         if errors or request.is_dry_run:
             return self._confirmed_verdict(request.id, base_revision, errors)
         command = ApplyChangeSet(request.mutations, base_revision, request.operator)
-        reply = self._propose(request.id, encode(command, time.time()))
+        reply = self._submitter.submit_command(request.id, encode(command, time.time()))
         if reply.result is not None and reply.result.error == CHANGED_MEANWHILE:
             return None
         return reply
@@ -100,7 +107,7 @@
         self, request_id: str, base_revision: int, errors: list[str]
     ) -> wire.CommandReply | None:
         """Return the verdict of a validation if it was against the newest revision."""
-        confirmation = self._confirm()
+        confirmation = self._submitter.confirm()
         if confirmation.reason:
             return confirmation
         fleet = self._fleet()
--- a/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
@@ -9,11 +9,18 @@
 
 from collections.abc import Callable
 from contextlib import suppress
+from typing import NamedTuple
 
 from walnutpost.consensus import PersistentState
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.store import StoreError
-from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, is_transient
+from walnutpost.store.replica import (
+    DurableFloor,
+    ReplicaStore,
+    StoredReplica,
+    UnreadableStateError,
+    is_transient,
+)
 
 MIN_BACKOFF_US = 20_000
 MAX_BACKOFF_US = 400_000
@@ -23,8 +30,19 @@
 MS_US = 1000
 
 
+class ReadBack(NamedTuple):
+    """A reopened store, and its state, which is proven to be durable."""
+
+    store: ReplicaStore
+    state: PersistentState
+
+
 class DiskRecovery:
-    """Takes the store out of service when it fails, and reopens it with backoff."""
+    """Takes the store out of service when it fails, and reopens it with backoff. Idle until a failure.
+
+    `reopen` opens the store's file, on the helper thread. `resume` is called with the store and its state;
+    `lost` with the reason if the state is lost.
+    """
 
     def __init__(
         self,
@@ -34,11 +52,6 @@
         lost: Callable[[str], None],
         log: Logger,
     ) -> None:
-        """Do nothing until a failure.
-
-        `reopen`: opens the store's file, on the helper thread. `resume`: takes the store and its state.
-        `lost`: called with the reason where there is none.
-        """
         self._loop = loop
         self._reopen = reopen
         self._resume = resume
@@ -98,26 +111,29 @@
             return
 
 
-def _read_back(
-    reopen: Callable[[], ReplicaStore], identity: str, floor: DurableFloor
-) -> tuple[ReplicaStore, PersistentState]:
+def _read_back(reopen: Callable[[], ReplicaStore], identity: str, floor: DurableFloor) -> ReadBack:
     """Return the reopened store and its state, once it is proven to be durable and complete."""
     store = reopen()
     try:
         store.prove_durable()
-        stored = store.load()
-        if stored is None or stored.identity != identity:
-            found = "nothing" if stored is None else f"the state of {stored.identity}"
-            raise UnreadableStateError(f"found {found}, wanted the state of {identity}")
-        missing = floor.missing_from(stored.state)
-        if missing:
-            raise UnreadableStateError(f"less than was answered for: {missing}")
+        state = _complete_state(store.load(), identity, floor)
     except BaseException:
         _close(store)
         raise
-    return store, stored.state
+    return ReadBack(store, state)
+
+
+def _complete_state(stored: StoredReplica | None, identity: str, floor: DurableFloor) -> PersistentState:
+    """Return the stored state. Raises UnreadableStateError if it isn't all that was acknowledged."""
+    if stored is None or stored.identity != identity:
+        found = "nothing" if stored is None else f"the state of {stored.identity}"
+        raise UnreadableStateError(f"found {found}, wanted the state of {identity}")
+    missing = floor.missing_from(stored.state)
+    if missing:
+        raise UnreadableStateError(f"less than was answered for: {missing}")
+    return stored.state
 
 
 def _close(store: ReplicaStore) -> None:
-    with suppress(Exception):  # what it did not write counts for nothing
+    with suppress(Exception):  # a failure to write is covered by `floor`
         store.close()
--- a/packages/controlplane/src/walnutpost/controlplane/replica.py
+++ b/packages/controlplane/src/walnutpost/controlplane/replica.py
@@ -3,51 +3,31 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from pathlib import Path
-
-from walnutpost.configstore.store import ConfigStore
-from walnutpost.consensus import (
-    Effect,
-    Members,
-    PersistentState,
-    Raft,
-    Role,
-    Tick,
-    TransferLeadership,
-    WriteCompleted,
-)
+
+from walnutpost.consensus import Effect, Raft, Role, Tick, TransferLeadership
 from walnutpost.controlplane import wire
-from walnutpost.controlplane.applied_state import AppliedState
-from walnutpost.controlplane.changes import ChangeCoordinator, Check
-from walnutpost.controlplane.consensus_driver import ConsensusDriver
-from walnutpost.controlplane.context import ReplicaContext
-from walnutpost.controlplane.disk_recovery import DiskRecovery
-from walnutpost.controlplane.durable_writer import DurableWriter
+from walnutpost.controlplane.composition import ReplicaCallbacks, build_context, connect_peers
+from walnutpost.controlplane.disk_outage import DiskOutage
 from walnutpost.controlplane.effects import EffectExecutor
 from walnutpost.controlplane.errors import ReplicaFailedError
-from walnutpost.controlplane.peers import PeerConnection
-from walnutpost.controlplane.pending import PendingReplies
-from walnutpost.controlplane.requests import DISK_FAILED, RequestHandler
+from walnutpost.controlplane.replica_file import OpenStore, ReplicaFile
+from walnutpost.controlplane.requests import RequestHandler
 from walnutpost.controlplane.responses import protocol_error_response
 from walnutpost.controlplane.settings import Address, ReplicaSettings
-from walnutpost.controlplane.submission import ConsensusSubmitter
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import Fleet
-from walnutpost.http import Limits
+from walnutpost.http import Limits, Server
 from walnutpost.http.server import serve_on
-from walnutpost.store import StoreError
-from walnutpost.store.replica import ReplicaStore, StoredReplica
+from walnutpost.store.replica import ReplicaStore
 from walnutpost.watch.serving import WatchServer
 
-UNCONFIRMED_AGE_US = 10**15
-"""The age of a state that no leader has confirmed."""
-REPLY_TIMEOUT_ELECTIONS = 3
-"""Election timeouts that a client waits for at the most."""
-DISK_ID_MASK = 0xFFFF_FFFF
-
 
 class ControlPlaneReplica:
-    """A running replica. After `stop` and the end of the loop it is to be closed."""
+    """A running replica; it starts when it is created. Call `stop`, and `close` after the end of the loop.
+
+    Raises StoreError, and OSError if it can't listen. `on_failed` is called once if the replica fails for
+    good. `open_store` opens its file.
+    """
 
     def __init__(
         self,
@@ -56,95 +36,43 @@
         log: Logger,
         seed: int,
         on_failed: Callable[[ReplicaFailedError], None] | None = None,
-        check: Check | None = None,
-        open_store: Callable[[Loop, Path, int], ReplicaStore] = ReplicaStore,
+        open_store: OpenStore = ReplicaStore,
     ) -> None:
-        """Open the file, listen and start. Raises StoreError, and OSError where it can't listen.
-
-        `on_failed`: called once if the replica can't go on. `check`: validates change sets by the meaning of
-        the settings. `open_store`: opens the file at a path for so many entries of history.
-        """
         self.name = settings.name
         self.has_ended = False
         self._loop = loop
         self._settings = settings
         self._log = log
-        self._seed = seed
         self._on_failed = on_failed
-        self._open_store = open_store
-        settings.folder.mkdir(parents=True, exist_ok=True)
-        store = self._open_file()
-        stored = self._load_or_create(store)
-        self._peers = self._create_peers()
-        self._context = self._create_context(store, stored, check)
+        file = ReplicaFile(loop, settings, open_store)
+        store = file.open()
+        stored = file.load_or_create(store, seed, log)
+        self._peers = connect_peers(loop, settings)
+        callbacks = ReplicaCallbacks(
+            execute=self._execute,
+            is_in_service=self._is_in_service,
+            write_failed=lambda error: self._outage.begin(error),
+            reopen=file.open,
+            resume=lambda reopened, state: self._outage.resume(reopened, state),
+            fail=self._fail,
+        )
+        raft = Raft(stored.identity, stored.state, settings.timing, seed)
+        self._context = build_context(loop, settings, store, raft, callbacks, log)
+        self._outage = DiskOutage(self._context, self._peers, seed)
         self._effects = EffectExecutor(self._context, self._peers, self._fail, log)
-        self._server = serve_on(
-            loop,
-            settings.listen,
+        self._server = self._listen()
+        self._context.driver.feed(Tick())
+        log.info("control_plane_listening", replica=stored.identity, address="{}:{}".format(*self.address))
+
+    def _listen(self) -> Server:
+        return serve_on(
+            self._loop,
+            self._settings.listen,
             RequestHandler(self._context).serve,
             protocol_error_response,
             Limits(max_body_bytes=wire.MAX_BODY_BYTES),
             role="control_plane",
-            log=log,
-        )
-        self._context.driver.feed(Tick())
-        log.info("control_plane_listening", replica=stored.identity, address="{}:{}".format(*self.address))
-
-    def _open_file(self) -> ReplicaStore:
-        path = self._settings.folder / f"{self.name}.db"
-        return self._open_store(self._loop, path, self._settings.max_history_entries)
-
-    def _load_or_create(self, store: ReplicaStore) -> StoredReplica:
-        store.prove_durable()  # the former process may have ended at a failed sync
-        stored = store.load()
-        is_bootstrap = self._settings.is_bootstrap
-        if stored is not None:
-            if is_bootstrap:
-                self._log.warning("bootstrap_ignored", replica=stored.identity)
-            return stored
-        if is_bootstrap:
-            return store.create(self.name, Members(tuple(self._settings.addresses)))
-        disk_id = f"{self._seed & DISK_ID_MASK:08x}"
-        return store.create(f"{self.name}{wire.REPLICA_ID_SEPARATOR}{disk_id}", Members())
-
-    def _create_peers(self) -> dict[str, PeerConnection]:
-        reply_timeout_us = self._settings.timing.election_timeout_us
-        return {
-            name: PeerConnection(self._loop, address, reply_timeout_us)
-            for name, address in self._settings.addresses.items()
-            if name != self.name
-        }
-
-    def _create_context(
-        self, store: ReplicaStore, stored: StoredReplica, check: Check | None
-    ) -> ReplicaContext:
-        loop, settings, log = self._loop, self._settings, self._log
-        reply_timeout_us = REPLY_TIMEOUT_ELECTIONS * settings.timing.election_timeout_us
-        raft = Raft(stored.identity, stored.state, settings.timing, self._seed)
-        driver = ConsensusDriver(loop, raft, self._execute, self._is_in_service)
-        applied = AppliedState(loop, settings.max_log_entries)
-        disk = DiskRecovery(loop, self._open_file, self._resume, self._fail, log)
-        replies = PendingReplies(loop)
-        submitter = ConsensusSubmitter(loop, driver, disk, replies, reply_timeout_us)
-        return ReplicaContext(
-            loop=loop,
-            settings=settings,
-            driver=driver,
-            applied=applied,
-            disk=disk,
-            writer=DurableWriter(loop, store, self._write_completed, self._write_failed),
-            replies=replies,
-            submitter=submitter,
-            watches=WatchServer(loop, self._served_store, self._age_us, batch_interval_us=0),
-            changes=ChangeCoordinator(
-                loop,
-                lambda: applied.fleet,
-                submitter.submit_command,
-                submitter.confirm,
-                check,
-                reply_timeout_us,
-                log,
-            ),
+            log=self._log,
         )
 
     @property
@@ -198,51 +126,9 @@
         self.has_ended = True
         self._context.writer.stop()
 
-    # The disk
-
-    def _write_completed(self, number: int) -> None:
-        self._context.driver.feed(WriteCompleted(number))
-
-    def _write_failed(self, error: StoreError) -> None:
-        context = self._context
-        context.disk.begin(context.writer.store, self.raft.replica_id, error)
-        self._suspend()
-
-    def _suspend(self) -> None:
-        """Go out of service: nothing leaves that depends on the failed write, and nobody waits any longer."""
-        context = self._context
-        context.driver.discard_queued()
-        context.writer.discard_queued()
-        context.end_leadership()
-        for peer in self._peers.values():
-            peer.discard_queued()
-        context.replies.complete_all(wire.CommandReply(outcome_known=False, reason=DISK_FAILED))
-        context.watches.store_changed()
-
-    def _resume(self, store: ReplicaStore, state: PersistentState) -> None:
-        """Go on as after a restart: a new consensus core on what was read back, an empty state machine."""
-        context = self._context
-        context.writer.store = store
-        self._seed += 1
-        context.driver.raft = Raft(self.raft.replica_id, state, self._settings.timing, self._seed)
-        context.applied.reset()
-        context.watches.store_changed()
-        context.driver.feed(Tick())
-
     def _fail(self, reason: str) -> None:
         self._log.error("disk_lost", reason=reason)
         self._end()
-        self._suspend()
+        self._outage.suspend()
         if self._on_failed is not None:
             self._on_failed(ReplicaFailedError(reason))
-
-    # Watches
-
-    def _served_store(self) -> ConfigStore | None:
-        """Return what watchers are served from; None while the disk fails: they go on at another replica."""
-        return None if self._context.disk.is_failing else self.fleet.config_store
-
-    def _age_us(self) -> int:
-        """Return the time since a leader last confirmed that the applied state is the newest."""
-        fresh_as_of_us = self.raft.fresh_as_of(self._context.applied.index)
-        return UNCONFIRMED_AGE_US if fresh_as_of_us is None else self._loop.now() - fresh_as_of_us
--- a/packages/controlplane/src/walnutpost/controlplane/settings.py
+++ b/packages/controlplane/src/walnutpost/controlplane/settings.py
@@ -1,4 +1,4 @@
-"""What a replica is started with."""
+"""Settings of a replica."""
 
 from __future__ import annotations
 
@@ -7,6 +7,7 @@
 from pathlib import Path
 
 from walnutpost.consensus import Timing
+from walnutpost.controlplane.changes import Check
 from walnutpost.fleet import AnalysisPolicy
 from walnutpost.store.replica import MAX_HISTORY_ENTRIES
 
@@ -22,7 +23,7 @@
     `name`: its name in the configuration. `addresses`: where each replica of the configuration is reached, by
     name, itself too. `folder`: where its file is. `lease_us`: how long a member is responsive after a report.
     `is_bootstrap`: all replicas start for the first time and are each other's members; without it a replica
-    with an empty disk waits to be added.
+    with an empty disk waits to be added. `check`: validates change sets by the meaning of the settings.
     """
 
     name: str
@@ -35,3 +36,4 @@
     max_log_entries: int = MAX_LOG_ENTRIES
     max_history_entries: int = MAX_HISTORY_ENTRIES
     analysis_policy: AnalysisPolicy = field(default_factory=AnalysisPolicy)
+    check: Check | None = None
--- a/packages/controlplane/tests/test_changes.py
+++ b/packages/controlplane/tests/test_changes.py
@@ -40,7 +40,7 @@
         self.is_leader = True
         self.checked: list[int] = []  # revisions that were checked against
         self.changes = ChangeCoordinator(
-            loop, lambda: self.fleet, self.propose, self.confirm, self.check, LOCK_TIMEOUT_US, self.log
+            loop, lambda: self.fleet, self, self.check, LOCK_TIMEOUT_US, self.log
         )
         self.commit_time_us = 1000
 
@@ -52,7 +52,7 @@
             encode(ApplyChangeSet(tuple(mutations), self.fleet.config_store.revision, "other")),
         )
 
-    def propose(self, request_id: str, command: bytes) -> wire.CommandReply:
+    def submit_command(self, request_id: str, command: bytes) -> wire.CommandReply:
         self.loop.sleep(self.commit_time_us)
         if not self.is_leader:
             return wire.CommandReply(reason=NOT_LEADER, leader="k2")
