--- a/packages/controlplane/src/walnutpost/controlplane/__init__.py
+++ b/packages/controlplane/src/walnutpost/controlplane/__init__.py
@@ -1,4 +1,4 @@
-"""Replicas of the control plane: they agree on the fleet's state and configuration, and answer clients."""
+"""Replicas of the control plane: they commit the fleet's state and configuration, and answer clients."""
 
 from walnutpost.controlplane.client import ControlPlaneClient
 from walnutpost.controlplane.errors import (
--- a/packages/controlplane/src/walnutpost/controlplane/applied_state.py
+++ b/packages/controlplane/src/walnutpost/controlplane/applied_state.py
@@ -7,14 +7,16 @@
 from walnutpost.fleet import CommandResult, EndpointAges, Fleet
 
 MAX_UNCOMPACTED_BYTES = 32 << 20
-"""Of entries after the snapshot, where their number allows more."""
+"""Of entries after the snapshot, if their number allows more."""
 
 
 class AppliedState:
-    """The fleet, and when a snapshot of it is due."""
+    """The fleet, and when a snapshot of it is due; starts empty.
+
+    `max_log_entries`: entries after the snapshot before the next one is due.
+    """
 
     def __init__(self, loop: Loop, max_log_entries: int) -> None:
-        """Create the empty state. `max_log_entries`: after the snapshot, before the next one is due."""
         self._loop = loop
         self._max_log_entries = max_log_entries
         self.fleet = Fleet()
@@ -30,7 +32,7 @@
         self._uncompacted_bytes = 0
 
     def apply(self, entry: LogEntry) -> CommandResult | None:
-        """Apply the next committed entry; return its result, None for an entry that is nobody's request."""
+        """Apply the next committed entry; return its result, None for an entry without a client."""
         self.index = entry.index
         self._uncompacted_bytes += len(entry.data)
         if entry.kind is EntryKind.COMMAND:
--- a/packages/controlplane/src/walnutpost/controlplane/changes.py
+++ b/packages/controlplane/src/walnutpost/controlplane/changes.py
@@ -129,7 +129,7 @@
 
 
 def _find_conflicts(store: ConfigStore, request: wire.ChangeSetRequest) -> list[str]:
-    """Return the keys that have changed since the client read them, with what was found and wanted."""
+    """Return an error for each key that has changed since the client read it: found and wanted."""
     conflicts = []
     for mutation in request.mutations:
         entry = store.entries.get(mutation.key)
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -1,4 +1,4 @@
-"""The client of the control plane: asks any replica, then the leader, until one knows or the time is up."""
+"""The client of the control plane: asks any replica, then the leader, until one knows or the timeout ends."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class ChangeSetOutcome(NamedTuple):
-    """What became of a change set.
+    """The outcome of a change set.
 
     `result`: its `index` is the new revision; for a dry run or a rejected one, the revision that it was
     validated against. `errors`: why it is invalid.
@@ -57,7 +57,9 @@
 class ControlPlaneClient:
     """Asks the replicas one after another.
 
-    Methods that ask raise ControlPlaneUnavailableError, or MalformedMessageError for an invalid response.
+    `addresses` are by the names of replicas; `timeout_us` is for one request over all replicas,
+    `attempt_timeout_us` at one. Methods that ask raise ControlPlaneUnavailableError, or MalformedMessageError
+    for an invalid response.
     """
 
     def __init__(
@@ -67,7 +69,6 @@
         timeout_us: int,
         attempt_timeout_us: int,
     ) -> None:
-        """Take the replicas by name. `timeout_us`: for one request over all; `attempt_timeout_us`: at one."""
         self._loop = loop
         self._addresses = dict(addresses)
         self._timeout_us = timeout_us
@@ -89,7 +90,7 @@
         return self._result(wire.MEMBERS_PATH, wire.encode(wire.MembershipRequest(request_id, members)))
 
     def report(self, report: wire.Report) -> wire.CommandReply:
-        """Report to the leader; its reply has the endpoint list where it has a newer one."""
+        """Report to the leader; its reply has the endpoint list if it has a newer one."""
         return wire.decode(self._ask("POST", wire.REPORTS_PATH, wire.encode(report)).body, wire.CommandReply)
 
     def history(self, replica: str, after: int, max_entries: int) -> wire.History:
--- a/packages/controlplane/src/walnutpost/controlplane/config_requests.py
+++ b/packages/controlplane/src/walnutpost/controlplane/config_requests.py
@@ -14,10 +14,9 @@
 
 
 class ConfigRequestHandler:
-    """Answers the requests of relays and of `walnutpost config`."""
+    """Answers the requests of relays and of `walnutpost config` to the replica behind `context`."""
 
     def __init__(self, context: ReplicaContext) -> None:
-        """Answer for the replica behind `context`."""
         self._context = context
 
     def submit_change_set(self, exchange: Exchange, _query: str) -> Response:
--- a/packages/controlplane/src/walnutpost/controlplane/consensus_driver.py
+++ b/packages/controlplane/src/walnutpost/controlplane/consensus_driver.py
@@ -13,7 +13,10 @@
 
 
 class ConsensusDriver:
-    """Feeds `raft`. Inputs that arrive while others are handled, or out of service, wait or are dropped."""
+    """Feeds `raft`. An input that arrives while another one is handled waits; out of service it is dropped.
+
+    `execute` must not wait. While `is_in_service` returns False inputs are dropped, as lost messages.
+    """
 
     def __init__(
         self,
@@ -22,7 +25,6 @@
         execute: Callable[[Effect], None],
         is_in_service: Callable[[], bool],
     ) -> None:
-        """Feed nothing yet. `execute` must not wait; `is_in_service`: False drops inputs as lost messages."""
         self._loop = loop
         self._execute = execute
         self.is_in_service = is_in_service
--- a/packages/controlplane/src/walnutpost/controlplane/disk_outage.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_outage.py
@@ -1,4 +1,4 @@
-"""How a replica leaves service when its disk fails, and resumes on what was read back."""
+"""How a replica leaves service when its disk fails, and resumes with the state that was read back."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         context.watches.store_changed()
 
     def resume(self, store: ReplicaStore, state: PersistentState) -> None:
-        """Resume as after a restart: a new consensus core on what was read back, an empty state machine."""
+        """Resume as after a restart: a new consensus core on `state`, an empty state machine."""
         context = self._context
         context.writer.store = store
         self._seed += 1
--- a/packages/controlplane/src/walnutpost/controlplane/durable_writer.py
+++ b/packages/controlplane/src/walnutpost/controlplane/durable_writer.py
@@ -11,7 +11,11 @@
 
 
 class DurableWriter:
-    """Writes to the replica's store, in order."""
+    """Writes to the replica's store, in order.
+
+    `on_completed` is called with the number of a write that is durable with all before it; `on_failed` after
+    a failed commit, when writes that waited are still queued.
+    """
 
     def __init__(
         self,
@@ -20,11 +24,6 @@
         on_completed: Callable[[int], None],
         on_failed: Callable[[StoreError], None],
     ) -> None:
-        """Write to `store`.
-
-        `on_completed`: called with the number of a write that is durable with all before it.
-        `on_failed`: called after a failed commit; what waited is still queued.
-        """
         self._loop = loop
         self._on_completed = on_completed
         self._on_failed = on_failed
@@ -45,7 +44,7 @@
         self._queue.clear()
 
     def stop(self) -> None:
-        """Begin no further commit, and report no failure any more."""
+        """Begin no further commit and report no further failure."""
         self._is_stopped = True
 
     def _run(self) -> None:
--- a/packages/controlplane/src/walnutpost/controlplane/effects.py
+++ b/packages/controlplane/src/walnutpost/controlplane/effects.py
@@ -1,4 +1,4 @@
-"""Effects of consensus: what is written, sent, applied and answered, and changes of role."""
+"""Effects of consensus: writes, messages, applied entries, replies, and changes of role."""
 
 from __future__ import annotations
 
@@ -29,7 +29,10 @@
 
 
 class EffectExecutor:
-    """Executes the effects of one replica's consensus core, in their order; never waits."""
+    """Executes the effects of one replica's consensus core on `context`, in their order; never waits.
+
+    `on_failed` is called with the reason if the replica has failed for good.
+    """
 
     def __init__(
         self,
@@ -38,7 +41,6 @@
         on_failed: Callable[[str], None],
         log: Logger,
     ) -> None:
-        """Execute on `context`. `on_failed`: called with the reason if the replica can't go on."""
         self._context = context
         self._peers = peers
         self._on_failed = on_failed
--- a/packages/controlplane/src/walnutpost/controlplane/errors.py
+++ b/packages/controlplane/src/walnutpost/controlplane/errors.py
@@ -19,7 +19,7 @@
 class ControlPlaneUnavailableError(ControlPlaneError):
     """No replica gave a definite answer in time.
 
-    A command may have been committed all the same: send it again under the same id.
+    A command may still have been committed: send it again under the same id.
     """
 
     def __init__(self, reason: str) -> None:
@@ -28,7 +28,7 @@
 
 
 class ReplicaFailedError(ControlPlaneError):
-    """A replica can't go on: its disk or a snapshot holds what can't be read."""
+    """A replica has failed for good: its disk or a snapshot can't be read."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
--- a/packages/controlplane/src/walnutpost/controlplane/leadership.py
+++ b/packages/controlplane/src/walnutpost/controlplane/leadership.py
@@ -1,4 +1,4 @@
-"""What only the leader does: members' leases, step analysis, and who follows the configuration."""
+"""Duties of the leader alone: members' leases, step analysis, and followers of the configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class LeaderDuties:
-    """One term of leadership: what it has heard of, and the commands that it proposes by itself."""
+    """One term of leadership: the reports that it got, and the commands that the leader proposes itself.
+
+    Starts without any report. `propose` must not wait; results are in the log.
+    """
 
     def __init__(
         self,
@@ -25,7 +28,6 @@
         policy: AnalysisPolicy,
         propose: Callable[[Command], None],
     ) -> None:
-        """Begin with nobody heard of. `propose` doesn't wait; results are in the log."""
         self._loop = loop
         self._applied = applied
         self._propose = propose
@@ -41,7 +43,7 @@
         self._is_stopped = True
 
     def check(self) -> None:
-        """Propose what is due, now and periodically until stopped."""
+        """Propose the commands that are due, now and periodically until stopped."""
         if self._is_stopped:
             return
         commands = self.monitor.propose(self._loop.now(), self._applied.fleet.state)
@@ -50,9 +52,9 @@
         self._loop.call_later(self._check_interval_us, self.check)
 
     def _follower_updates(self) -> list[Command]:
-        """Return who follows the configuration since lately, or has ended, as relays report.
+        """Return the update of followers: members that relays report as new, and those that have ended.
 
-        A later check proposes the rest, and again what is not committed yet.
+        A later check proposes the rest, and repeats members that are not committed yet.
         """
         followers = self._applied.fleet.state.followers
         unregistered = self.progress.unregistered_members(self._loop.now())
--- a/packages/controlplane/src/walnutpost/controlplane/peers.py
+++ b/packages/controlplane/src/walnutpost/controlplane/peers.py
@@ -16,17 +16,17 @@
 MIN_THROUGHPUT_BYTES_PER_US = 1
 """A large snapshot gets as much more time to arrive."""
 RECONNECT_DELAY_US = 20_000
-"""After a failure; consensus repeats what was lost."""
+"""After a failure; consensus repeats lost messages."""
 
 
 class PeerConnection:
     """The connection to one other replica, opened when there is something to send.
 
+    Its task starts with it. `reply_timeout_us` is for the reply to an empty batch.
     `sent_count`, `lost_count`: messages that were acknowledged, and that were given up.
     """
 
     def __init__(self, loop: Loop, address: Callable[[], tuple[str, int]], reply_timeout_us: int) -> None:
-        """Start the sending task. `reply_timeout_us`: for the reply to an empty batch."""
         self._loop = loop
         self._address = address
         self._reply_timeout_us = reply_timeout_us
@@ -43,7 +43,7 @@
         self._has_queued.set()
 
     def discard_queued(self) -> None:
-        """Drop what has not been sent yet."""
+        """Drop the messages that were not sent yet."""
         self._queue.clear()
 
     def close(self) -> None:
--- a/packages/controlplane/src/walnutpost/controlplane/pending.py
+++ b/packages/controlplane/src/walnutpost/controlplane/pending.py
@@ -1,4 +1,4 @@
-"""Requests that wait for consensus: who waits for the reply to which id."""
+"""Requests that wait for consensus: the tasks that wait for the reply to each id."""
 
 from __future__ import annotations
 
@@ -44,6 +44,6 @@
             self._loop.wake(task, token, reply)
 
     def complete_all(self, reply: wire.CommandReply) -> None:
-        """Give all that wait, for whatever id, this reply."""
+        """Give all that wait, for any id, this reply."""
         for request_id in list(self._waiting):
             self.complete(request_id, reply)
--- a/packages/controlplane/src/walnutpost/controlplane/requests.py
+++ b/packages/controlplane/src/walnutpost/controlplane/requests.py
@@ -25,10 +25,9 @@
 
 
 class RequestHandler:
-    """Answers the HTTP requests of one replica, each in the task of its connection."""
+    """Answers the HTTP requests to the replica behind `context`, each in the task of its connection."""
 
     def __init__(self, context: ReplicaContext) -> None:
-        """Answer for the replica behind `context`."""
         self._context = context
         config = ConfigRequestHandler(context)
         self._handlers: dict[tuple[str, str], Handler] = {
@@ -93,7 +92,7 @@
         return wire.CommandReply(result, endpoints=endpoints)
 
     def _history(self, _exchange: Exchange, query: str) -> Response:
-        """Return committed entries after the index `after`, `most` at the most, oldest first."""
+        """Return committed entries after the index `after`, at most `most`, oldest first."""
         context = self._context
         if context.disk.is_failing:
             return Response(503, body=DISK_FAILED.encode())
--- a/packages/controlplane/src/walnutpost/controlplane/submission.py
+++ b/packages/controlplane/src/walnutpost/controlplane/submission.py
@@ -14,7 +14,10 @@
 
 
 class ConsensusSubmitter:
-    """Submits inputs to consensus and waits for their replies."""
+    """Submits inputs to consensus through `driver` and waits for their replies.
+
+    The effects of consensus complete `replies`. A reply is waited for at most `reply_timeout_us`.
+    """
 
     def __init__(
         self,
@@ -24,13 +27,12 @@
         replies: PendingReplies,
         reply_timeout_us: int,
     ) -> None:
-        """Submit to `driver`; `replies` are completed by its effects."""
         self._loop = loop
         self._driver = driver
         self._disk = disk
         self._replies = replies
         self._reply_timeout_us = reply_timeout_us
-        self._submitted = 0  # reads and commands of this replica's own, for their ids
+        self._submitted = 0  # reads and commands of this replica itself, for their ids
 
     @property
     def leader(self) -> str:
@@ -38,7 +40,7 @@
         return "" if self._disk.is_failing else wire.replica_name(self._driver.raft.leader)
 
     def submit(self, request_id: str, event: Input) -> wire.CommandReply:
-        """Wait for the reply to `request_id`. An input without one in time may be committed all the same."""
+        """Wait for the reply to `request_id`. An input without one in time may still be committed."""
         if not self._driver.is_in_service():
             return wire.CommandReply(reason=NOT_LEADER)
         on_timeout = wire.CommandReply(
@@ -58,7 +60,7 @@
         return self.submit(request_id, ReadIndex(request_id))
 
     def propose(self, command: Command) -> None:
-        """Propose a command of this replica's own, at the end of the loop's round; nobody waits for it."""
+        """Propose a command of this replica itself, at the end of the loop's round; no task waits for it."""
         raft = self._driver.raft
         request_id = f"{raft.replica_id}.{raft.term}.{self._next_number()}"
         self._loop.call_soon(lambda: self._driver.feed(Propose(request_id, encode(command, time.time()))))
--- a/packages/controlplane/src/walnutpost/controlplane/wire.py
+++ b/packages/controlplane/src/walnutpost/controlplane/wire.py
@@ -100,9 +100,9 @@
 class CommandReply(Record, frozen=True):
     """The reply to a command, a report or a change set.
 
-    `result`: None where there is none, for the `reason`. `outcome_known`: False where the command may have
+    `result`: None if there is none, for the `reason`. `outcome_known`: False if the command may have
     been committed or not. `leader`: the replica that may know more, or empty. `endpoints`: the endpoint list
-    where the member's is older. `errors`: why a change set is invalid.
+    if the member's is older. `errors`: why a change set is invalid.
     """
 
     wire_name: ClassVar[str] = "Told"
