--- a/packages/configstore/src/walnutpost/configstore/errors.py
+++ b/packages/configstore/src/walnutpost/configstore/errors.py
@@ -16,30 +16,34 @@
 class InvalidChangeError(ConfigStoreError):
     """A change set was rejected and the store is unchanged.
 
-    `errors` has one text for each fault; each names the place, what was found and what was wanted.
+    `errors`: one text for each fault with its place, the value found and the one wanted; the message joins
+    them.
     """
 
     def __init__(self, errors: Sequence[str]) -> None:
-        """Join the texts in `errors` into the message."""
         super().__init__("; ".join(errors))
         self.errors = tuple(errors)
 
 
 class OutOfOrderError(ConfigStoreError):
-    """A change set is not newer than the store's revision; the store is unchanged."""
+    """A change set is not newer than the store's revision; the store is unchanged.
+
+    `found`: the revision of the change set; `current`: that of the store.
+    """
 
     def __init__(self, found: int, current: int) -> None:
-        """`found` is the revision of the change set, `current` that of the store."""
         super().__init__(f"found revision {found}, wanted one after {current}")
         self.found = found
         self.current = current
 
 
 class DigestMismatchError(ConfigStoreError):
-    """The store would differ from the committed one after a change set; the store is unchanged."""
+    """The store would differ from the committed one after a change set; the store is unchanged.
+
+    `found`: the digest computed here; `wanted`: the one that was committed with the change set.
+    """
 
     def __init__(self, revision: int, found: int, wanted: int) -> None:
-        """`found` is the digest computed here, `wanted` the one that was committed with the change set."""
         super().__init__(f"digest {found:016x} at revision {revision}, committed was {wanted:016x}")
         self.revision = revision
         self.found = found
@@ -51,10 +55,12 @@
 
 
 class InvalidRevisionError(ConfigStoreError, ValueError):
-    """A member claims to have applied a revision that its store has not reached."""
+    """A member claims to have applied a revision that its store has not reached.
+
+    `found`: the claimed revision; `current`: that of the store.
+    """
 
     def __init__(self, found: int, current: int) -> None:
-        """`found` is the claimed revision, `current` that of the store."""
         super().__init__(f"applied revision {found}, the store is at {current}")
         self.found = found
         self.current = current
--- a/packages/configstore/src/walnutpost/configstore/messages.py
+++ b/packages/configstore/src/walnutpost/configstore/messages.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from walnutpost.configstore.errors import InvalidMessageError as InvalidMessageError
+from walnutpost.configstore.errors import InvalidMessageError
 
 FORMAT = 1
 """Version of the messages; a message of another format is rejected."""
--- a/packages/configstore/src/walnutpost/configstore/relay_selection.py
+++ b/packages/configstore/src/walnutpost/configstore/relay_selection.py
@@ -1,6 +1,6 @@
 """Which relay a member watches, and when it tries again after a failure. No I/O, clock or random source.
 
-Relays are ordered for each member by rendezvous hashing (highest random weight), those of its own region
+Relays are ordered for each member by rendezvous hashing (highest random weight), those in its region
 first. Failures are retried with exponential backoff and full jitter, so that members that lose a relay at
 once arrive at the others spread out.
 
@@ -10,6 +10,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
+from dataclasses import dataclass
 from random import Random
 
 import xxhash
@@ -39,11 +40,21 @@
     return sorted(relays, key=lambda name: (relays[name] != own_region, -score[name], name))
 
 
+@dataclass(frozen=True, slots=True)
+class Retry:
+    """The relay to ask after a failure, and the delay before it."""
+
+    relay: str
+    delay_us: int
+
+
 class RelaySelector:
-    """One member's selection; `relay` is the relay to ask."""
+    """One member's selection among `relays` (name to region); it begins with the preferred one.
+
+    Raises NoRelaysError if there are no relays. `relay`: the relay to ask.
+    """
 
     def __init__(self, member: str, relays: Mapping[str, str], own_region: str, random: Random) -> None:
-        """Select the preferred relay of `relays` (name to region); raise NoRelaysError if there is none."""
         if not relays:
             raise NoRelaysError
         self._order = preference_order(member, relays, own_region)
@@ -73,16 +84,16 @@
         elif self._return_at_us is None:
             self._return_at_us = now + RETURN_AFTER_US + self._random_delay_us(RETURN_AFTER_US)
 
-    def record_failure(self, now: int, relay: str) -> tuple[str, int]:
-        """Return the relay to ask next and the delay before it; each is tried before one is tried again."""
+    def record_failure(self, now: int, relay: str) -> Retry:
+        """Record that `relay` has failed; each relay is tried before one is tried again."""
         self._failures[relay] += 1
         if relay == self.preferred_relay:
             self._return_at_us = None
         self.relay = min(self._order, key=lambda name: self._failures[name])
-        return self.relay, self._retry_delay_us(now)
+        return Retry(self.relay, self._retry_delay_us(now))
 
     def return_to_preferred(self, now: int) -> str | None:
-        """Return the preferred relay where it is time to return to it, else None.
+        """Return the preferred relay if it is time to return to it, else None.
 
         The caller then reports the result by `record_success` or `record_failure`.
         """
--- a/packages/configstore/src/walnutpost/configstore/store.py
+++ b/packages/configstore/src/walnutpost/configstore/store.py
@@ -179,14 +179,13 @@
         self._log.compact()
 
     def _entries_after(self, change: ChangeSet) -> Map[str, Entry]:
-        with self.entries.mutate() as mutable:
-            for mutation in change.mutations:
-                if mutation.value is None:
-                    mutable.pop(mutation.key, None)
-                    continue
-                # The same key object as before, or the map would keep both in memory.
-                previous = self.entries.get(mutation.key)
-                key = mutation.key if previous is None else previous.key
-                mutable[key] = Entry(key, mutation.value, change.revision)
-            entries = mutable.finish()
-        return entries
+        mutable = self.entries.mutate()
+        for mutation in change.mutations:
+            if mutation.value is None:
+                mutable.pop(mutation.key, None)
+                continue
+            # The same key object as before, or the map would keep both in memory.
+            previous = self.entries.get(mutation.key)
+            key = mutation.key if previous is None else previous.key
+            mutable[key] = Entry(key, mutation.value, change.revision)
+        return mutable.finish()
--- a/packages/configstore/src/walnutpost/configstore/validation.py
+++ b/packages/configstore/src/walnutpost/configstore/validation.py
@@ -30,7 +30,7 @@
 
 
 def validate_mutations(mutations: Sequence[Mutation]) -> list[str]:
-    """Return the faults of a change set's shape, each with what was found and wanted."""
+    """Return the faults of a change set's shape, each with the value found and the one wanted."""
     faults = []
     if not 1 <= len(mutations) <= MAX_MUTATIONS:
         faults.append(f"change set: found {len(mutations)} keys, wanted 1 to {MAX_MUTATIONS}")
@@ -41,12 +41,12 @@
             faults.append(
                 f"key {key[:MAX_SHOWN_KEY_CHARS]!r}: found {times} times in one change set, wanted once"
             )
-    for mutation in mutations:
-        if mutation.value is not None and len(mutation.value) > MAX_VALUE_BYTES:
-            faults.append(
-                f"key {mutation.key[:MAX_SHOWN_KEY_CHARS]!r}: found a value of {len(mutation.value)} bytes, "
-                f"wanted {MAX_VALUE_BYTES} at most"
-            )
+    faults += [
+        f"key {mutation.key[:MAX_SHOWN_KEY_CHARS]!r}: found a value of {len(mutation.value)} bytes, "
+        f"wanted {MAX_VALUE_BYTES} at most"
+        for mutation in mutations
+        if mutation.value is not None and len(mutation.value) > MAX_VALUE_BYTES
+    ]
     size = encoded_size(ChangeSet(DIGEST_MASK, tuple(mutations), DIGEST_MASK))
     if size > MAX_CHANGE_SET_BYTES:
         faults.append(f"change set: found {size} bytes encoded, wanted {MAX_CHANGE_SET_BYTES} at most")
--- a/packages/configstore/src/walnutpost/configstore/watch.py
+++ b/packages/configstore/src/walnutpost/configstore/watch.py
@@ -1,6 +1,6 @@
 """The serving side of a watch: the response to a request as a function of the store. No I/O.
 
-There is no queue for a watcher: its position is in each of its requests.
+A watcher has no queue here: its position is in each of its requests.
 """
 
 from __future__ import annotations
@@ -39,6 +39,11 @@
     """
     if request.revision > store.revision:
         return None
+    return _requested_events(store, request) or _newer_events(store, request)
+
+
+def _requested_events(store: ConfigStore, request: WatchRequest) -> PendingEvents | None:
+    """Return the part of the store that a load in progress asks for, None if there is no such load."""
     if request.wanted_buckets:
         buckets = {bucket for bucket in request.wanted_buckets if 0 <= bucket < DIGEST_BUCKETS}
         return PendingEvents(store.store_id, store.revision, wanted_buckets=tuple(sorted(buckets)))
@@ -46,6 +51,11 @@
         return PendingEvents(store.store_id, store.revision)
     if request.after_key is not None:
         return PendingEvents(store.store_id, store.revision, after_key=request.after_key)
+    return None
+
+
+def _newer_events(store: ConfigStore, request: WatchRequest) -> PendingEvents | None:
+    """Return what is newer than the request's revision, or the digests if the contents differ."""
     if request.revision < store.compacted_revision:
         return PendingEvents(store.store_id, store.revision, after_key="")
     if request.revision < store.revision:
--- a/packages/configstore/tests/test_relay_selection.py
+++ b/packages/configstore/tests/test_relay_selection.py
@@ -64,7 +64,8 @@
         choice = RelaySelector(member, RELAYS, "a", Random(member))
         lost = choice.start(0)
         choice.record_success(1 * SECOND_US)
-        there, wait = choice.record_failure(2 * SECOND_US, lost)
+        retry = choice.record_failure(2 * SECOND_US, lost)
+        there, wait = retry.relay, retry.delay_us
         assert there == choice.relay == preference_order(member, RELAYS, "a")[1] != lost
         assert 0 <= wait < MAX_FIRST_RETRY_DELAY_US
         waits.append(wait)
@@ -77,7 +78,8 @@
     now, relay, tried = 0, choice.start(0), []
     for _ in range(10):
         tried.append(relay)
-        relay, wait = choice.record_failure(now, relay)
+        retry = choice.record_failure(now, relay)
+        relay, wait = retry.relay, retry.delay_us
         now += wait
     assert tried == preference_order("m", RELAYS, "a") * 2
 
@@ -90,7 +92,8 @@
             relay = choice.start(100 * SECOND_US)
             for heard in (100 * SECOND_US, 200 * SECOND_US):
                 for _ in range(4):
-                    relay, wait = choice.record_failure(heard + gone_by, relay)
+                    retry = choice.record_failure(heard + gone_by, relay)
+                    relay, wait = retry.relay, retry.delay_us
                 assert (
                     MIN_RETRY_DELAY_US
                     <= wait
@@ -105,9 +108,10 @@
     choice = RelaySelector("m", RELAYS, "a", Random(1))
     relay = choice.start(0)
     for _ in range(5):
-        relay, _ = choice.record_failure(SECOND_US, relay)
+        relay = choice.record_failure(SECOND_US, relay).relay
     choice.record_success(SECOND_US)
-    relay, wait = choice.record_failure(2 * SECOND_US, relay)
+    retry = choice.record_failure(2 * SECOND_US, relay)
+    relay, wait = retry.relay, retry.delay_us
     assert wait < MAX_FIRST_RETRY_DELAY_US
     assert relay == preference_order("m", RELAYS, "a")[1]
 
@@ -124,7 +128,8 @@
         choice = choices[member] = RelaySelector(member, RELAYS, "a", Random(member))
         relay = choice.start(0)
         choice.record_success(SECOND_US)
-        there, wait = choice.record_failure(SECOND_US, relay)
+        retry = choice.record_failure(SECOND_US, relay)
+        there, wait = retry.relay, retry.delay_us
         heappush(due, (SECOND_US + wait, member, there))
     while due:
         now, member, relay = heappop(due)
@@ -135,7 +140,8 @@
             at[relay] += 1
             choices[member].record_success(now)
             continue
-        there, wait = choices[member].record_failure(now, relay)
+        retry = choices[member].record_failure(now, relay)
+        there, wait = retry.relay, retry.delay_us
         assert wait <= MAX_RETRY_DELAY_US
         heappush(due, (now + wait, member, there))
     slots = Counter((now - back) // (SECOND_US // 10) for now in came.values())
@@ -170,13 +176,14 @@
 def test_a_preferred_relay_that_still_fails_is_tried_again_later() -> None:
     choice = RelaySelector("m", RELAYS, "a", Random(3))
     home = choice.start(0)
-    elsewhere, _ = choice.record_failure(0, home)
+    elsewhere = choice.record_failure(0, home).relay
     now, tries = 0, []
     while now < 600 * SECOND_US:
         choice.record_success(now)
         if choice.return_to_preferred(now) is not None:
             tries.append(now)
-            back, wait = choice.record_failure(now, home)
+            retry = choice.record_failure(now, home)
+            back, wait = retry.relay, retry.delay_us
             assert back == elsewhere
             assert wait < MAX_FIRST_RETRY_DELAY_US
         now += SECOND_US
@@ -188,11 +195,11 @@
 def test_a_preferred_relay_that_has_just_failed_is_not_returned_to_at_once() -> None:
     choice = RelaySelector("m", RELAYS, "a", Random(3))
     home = choice.start(0)
-    there, _ = choice.record_failure(0, home)
+    there = choice.record_failure(0, home).relay
     choice.record_success(0)
-    back, _ = choice.record_failure(59 * SECOND_US, there)
+    back = choice.record_failure(59 * SECOND_US, there).relay
     assert back == home
-    elsewhere, _ = choice.record_failure(59 * SECOND_US, home)
+    elsewhere = choice.record_failure(59 * SECOND_US, home).relay
     choice.record_success(59 * SECOND_US)
     assert elsewhere not in (home, there)
     assert choice.return_to_preferred(118 * SECOND_US) is None
--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -8,6 +8,7 @@
 from typing import NamedTuple, TypeVar
 from urllib.parse import quote
 
+from walnutpost.configstore import InvalidMessageError
 from walnutpost.configstore import messages as config_messages
 from walnutpost.configstore.messages import (
     Entry,
@@ -137,7 +138,7 @@
     def _ask_config(self, method: str, target: str, body: bytes, kind: type[T]) -> T:
         try:
             return config_messages.decode(self._ask(method, target, body).body, kind)
-        except config_messages.InvalidMessageError as error:
+        except InvalidMessageError as error:
             raise ControlPlaneUnavailableError(str(error)) from error
 
     def state(self) -> ConfirmedState:
--- a/packages/controlplane/src/walnutpost/controlplane/requests.py
+++ b/packages/controlplane/src/walnutpost/controlplane/requests.py
@@ -7,6 +7,7 @@
 
 from msgspec import UNSET
 
+from walnutpost.configstore import InvalidMessageError
 from walnutpost.configstore import messages as config_messages
 from walnutpost.consensus import NOT_LEADER, ChangeMembership, MessageReceived
 from walnutpost.controlplane import wire
@@ -53,7 +54,7 @@
             return Response(404, body=b"no such thing here")
         try:
             return handler(exchange, query)
-        except (MalformedMessageError, config_messages.InvalidMessageError) as error:
+        except (MalformedMessageError, InvalidMessageError) as error:
             return Response(400, body=str(error).encode())
 
     def _receive_messages(self, exchange: Exchange, _query: str) -> Response:
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -168,10 +168,10 @@
         if is_first_failure and self._may_log():  # once, however many servers fail after it
             detail = f"{type(error).__name__} {error}"
             self._log.warning("watch_disconnected", server=self.server, error=detail)
-        server, delay_us = self._selector.record_failure(self._loop.now(), self.server)
+        retry = self._selector.record_failure(self._loop.now(), self.server)
         self._connection.close()
-        self._loop.sleep(delay_us)
-        self._change_server(server)
+        self._loop.sleep(retry.delay_us)
+        self._change_server(retry.relay)
 
     def _return_to_preferred(self) -> None:
         server = self._selector.return_to_preferred(self._loop.now())
--- a/packages/watch/src/walnutpost/watch/connection.py
+++ b/packages/watch/src/walnutpost/watch/connection.py
@@ -1,10 +1,11 @@
-"""The connection of a watcher to one server: requests, responses, and the pace of what it receives."""
+"""The connection of a watcher to one server: requests, responses, and the rate of received bytes."""
 
 from __future__ import annotations
 
 import zlib
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from http import HTTPStatus
 
 from walnutpost.configstore import (
     AGE_HEADER,
@@ -134,9 +135,9 @@
         with self._loop.timeout(BODY_TIMEOUT_US):
             response = connection.exchange(b"")
         self.bucket.consume(self._loop.now(), max(0, MIN_RESPONSE_COST_BYTES - len(response.body)))
-        if response.status not in (200, 204):
+        if response.status not in (HTTPStatus.OK, HTTPStatus.NO_CONTENT):
             raise UnusableServerError(f"{response.status} {response.body[:200]!r}")
-        page = decode(_decoded_body(response), WatchResponse) if response.status == 200 else None
+        page = decode(_decoded_body(response), WatchResponse) if response.status == HTTPStatus.OK else None
         waited_us, age_us = _header_number(response, WAITED_HEADER), _header_number(response, AGE_HEADER)
         if waited_us is None or age_us is None:
             return ServerAnswer(page, None)
