--- a/packages/watch/tests/test_watch_socket_faults.py
+++ b/packages/watch/tests/test_watch_socket_faults.py
@@ -3,18 +3,23 @@
 from __future__ import annotations
 
 import errno
-from typing import Any
 
 import pytest
 
-from test_client import address_getter, names_preferring, two_servers
 from walnutpost.eventloop import Loop
-from walnutpost.testsupport.eventloop.scripted_sockets import CONNECTION_FAULTS, at, scripted_sockets, to
+from walnutpost.testsupport.eventloop.scripted_sockets import (
+    CONNECTION_FAULTS,
+    Operation,
+    at,
+    scripted_sockets,
+    to,
+)
 from walnutpost.testsupport.watch.harness import FakeServer, Member, filled, play, put_keys, until
+from walnutpost.testsupport.watch.servers import address_getter, names_preferring, two_servers
 
 
 @pytest.mark.parametrize(("operation", "number"), CONNECTION_FAULTS)
-def test_a_watcher_continues_after_any_socket_error(operation: Any, number: int) -> None:
+def test_a_watcher_continues_after_any_socket_error(operation: Operation, number: int) -> None:
     def script(loop: Loop) -> None:
         first, second = (
             FakeServer(loop, filled(3), batch_interval_us=0),
