--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/relay/__init__.py
@@ -0,0 +1,1 @@
+"""Relays between a fake control plane and members."""
