--- a/benchmarks/scale/axes.py
+++ b/benchmarks/scale/axes.py
@@ -135,7 +135,7 @@
         def take_up() -> None:
             follower.applied_index = 0
             follower.receive(9 * SECOND, told.endpoints, True)
-            lists.set_agreed(follower)
+            lists.set_dynamic(follower)
 
         with Grown() as all_of_it:
             take_up()
--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -27,6 +27,7 @@
 from walnutpost.daemon.call_dispatch import CallDispatch
 from walnutpost.daemon.call_intents import CallIntents
 from walnutpost.daemon.call_results import CallResults
+from walnutpost.daemon.config_watch import ConfigWatch, DynamicFunctions
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.deferred_recovery import DeferredRecovery
 from walnutpost.daemon.endpoint_lists import EndpointLists
@@ -39,7 +40,6 @@
 from walnutpost.daemon.replication import JournalReplication
 from walnutpost.daemon.result_purge import ResultPurger
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
-from walnutpost.daemon.settings_watch import AgreedFunctions, SettingsWatch
 from walnutpost.dispatch import Dispatcher, DispatchHooks
 from walnutpost.eventloop import Logger, Loop, TrafficObserver
 from walnutpost.fronts.cron import CronFront, FiringLimits
@@ -132,13 +132,13 @@
     _load_endpoint_list(environment, endpoint_lists, tasks)
     fleet = _join_fleet(environment, call_counter, endpoint_lists)
     incarnation = fleet.follower.incarnation if fleet is not None else _new_incarnation()
-    settings_watch = _watch_settings(environment, dynamic_functions, incarnation)
+    config_watch = _watch_config(environment, dynamic_functions, incarnation)
 
     cron = _build_cron(environment, deferred, firings)
     results.add_listener(cron.handle_ended)
     recovered_calls = _recover_calls(
         DeferredRecovery(loop, catalogue, open_calls, records, dispatch, results),
-        lambda: settings_watch is None or settings_watch.is_up_to_date,
+        lambda: config_watch is None or config_watch.is_up_to_date,
         tasks,
     )
     server = _listen(
@@ -175,19 +175,19 @@
         replication=replication,
         metering=metering,
         fleet=fleet,
-        settings_watch=settings_watch,
+        config_watch=config_watch,
         recovered_calls=recovered_calls,
     )
 
 
-def _build_dynamic_functions(config: Config) -> AgreedFunctions | None:
+def _build_dynamic_functions(config: Config) -> DynamicFunctions | None:
     """Return the functions as the configuration store has them, None if there are no relays."""
     if config.agreement is None or not config.agreement.relays:
         return None
-    return AgreedFunctions(build_catalogue(config.site).functions, list(config.site.classes))
+    return DynamicFunctions(build_catalogue(config.site).functions, list(config.site.classes))
 
 
-def _build_catalogue(config: Config, dynamic_functions: AgreedFunctions | None) -> Catalogue:
+def _build_catalogue(config: Config, dynamic_functions: DynamicFunctions | None) -> Catalogue:
     """Build the catalogue: of the configured functions, or of the dynamic ones as they change."""
     catalogue = build_catalogue(config.site)
     if dynamic_functions is None:
@@ -323,14 +323,14 @@
     return os.environ.get(INCARNATION_VARIABLE) or secrets.token_hex(6)
 
 
-def _watch_settings(
-    environment: _Environment, functions: AgreedFunctions | None, incarnation: str
-) -> SettingsWatch | None:
+def _watch_config(
+    environment: _Environment, functions: DynamicFunctions | None, incarnation: str
+) -> ConfigWatch | None:
     """Watch the dynamic settings if there are relays, and wait for their first answer."""
     config = environment.config
     if config.agreement is None or functions is None:
         return None
-    watch = SettingsWatch(
+    watch = ConfigWatch(
         environment.loop,
         config.agreement,
         config.front.zone,
--- a/packages/daemon/src/walnutpost/daemon/settings_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/config_watch.py
@@ -31,7 +31,7 @@
 MAX_REASON_CHARS = 300  # of the reason in each watch request while a revision is blocked
 
 
-class AgreedFunctions(Mapping[str, Function]):
+class DynamicFunctions(Mapping[str, Function]):
     """The functions of the agreed table at one revision, decoded at their first lookup.
 
     While the table has no function these are the configured functions.
@@ -87,7 +87,7 @@
         return self._function_count or len(self._configured)
 
 
-class SettingsWatch:
+class ConfigWatch:
     """Validates each revision of the table, and applies those that the front end can act on.
 
     Classes, tenants and all else come from the configuration file. A function with an unknown class blocks
@@ -101,7 +101,7 @@
         section: MembershipConfig,
         zone: str | None,
         incarnation: str,
-        functions: AgreedFunctions,
+        functions: DynamicFunctions,
         log: Logger,
         cache_file: Path,
     ) -> None:
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -42,7 +42,7 @@
         self._configured_version = -1
         self._published_version = -1
         self._configured: tuple[ListKind, list[WorkerConfig]] | None = None
-        self._agreed: EndpointFollower | None = None
+        self._dynamic: EndpointFollower | None = None
         self._last_error = ""
         self._read_mark: tuple[int, int, int] | None = None
 
@@ -52,17 +52,17 @@
         self._configured = kind, lines
         self._publish()
 
-    def set_agreed(self, follower: EndpointFollower) -> None:
+    def set_dynamic(self, follower: EndpointFollower) -> None:
         """Publish the fleet's list. On return no new work is routed by an older one."""
-        self._agreed = follower
+        self._dynamic = follower
         self._publish()
 
     def _publish(self) -> None:
-        if self._configured is None and self._agreed is None:
+        if self._configured is None and self._dynamic is None:
             return
         kind, lines = self._configured or (ListKind.CACHED, [])
-        if self._agreed is not None:
-            lines = _merge_agreed(lines, self._agreed, self._site)
+        if self._dynamic is not None:
+            lines = _merge_dynamic(lines, self._dynamic, self._site)
         endpoints = build_endpoint_list(self._site, lines)
         version = max(self._configured_version, self._published_version + 1)
         self._published_version = version
@@ -106,7 +106,7 @@
             self.read_file(path)
 
 
-def _merge_agreed(lines: list[WorkerConfig], follower: EndpointFollower, site: Site) -> list[WorkerConfig]:
+def _merge_dynamic(lines: list[WorkerConfig], follower: EndpointFollower, site: Site) -> list[WorkerConfig]:
     configured = {line.name: line for line in lines}
     configured_endpoints = [
         ListedEndpoint(
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -109,7 +109,7 @@
         known = reply.result is not None and reply.result.ok
         if not follower.receive(self._loop.now(), reply.endpoints, known) or follower.snapshot is None:
             return False
-        self._endpoint_lists.set_agreed(follower)
+        self._endpoint_lists.set_dynamic(follower)
         follower.mark_applied()
         leaving = [w.name for w in follower.snapshot.workers if w.is_draining]
         self._log.info("endpoints_applied", revision=follower.applied_index, draining=leaving)
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -6,12 +6,12 @@
 
 from walnutpost.config import Config, build_own_schedules
 from walnutpost.daemon.background_tasks import BackgroundTasks
+from walnutpost.daemon.config_watch import ConfigWatch
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.endpoint_lists import EndpointLists
 from walnutpost.daemon.fleet import FleetMembership
 from walnutpost.daemon.metering import UsageMetering
 from walnutpost.daemon.replication import JournalReplication
-from walnutpost.daemon.settings_watch import SettingsWatch
 from walnutpost.dispatch import Dispatcher
 from walnutpost.eventloop import Logger, Loop, WaitTimeoutError
 from walnutpost.fronts.cron import CronFront
@@ -47,7 +47,7 @@
     replication: JournalReplication | None
     metering: UsageMetering | None
     fleet: FleetMembership | None
-    settings_watch: SettingsWatch | None
+    config_watch: ConfigWatch | None
     recovered_calls: int
 
     @property
@@ -70,8 +70,8 @@
         while self._is_busy() and self.loop.now() < deadline_us:
             self.loop.sleep(STOP_POLL_INTERVAL_US)
         self.tasks.cancel_all()
-        if self.settings_watch is not None:
-            self.settings_watch.stop()
+        if self.config_watch is not None:
+            self.config_watch.stop()
         if self.replication is not None:
             self.replication.close()
         self._stop_metering()
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         self.agreed_count = 0
 
-    def set_agreed(self, follower: Any) -> None:
+    def set_dynamic(self, follower: Any) -> None:
         self.agreed_count += 1
 
 
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -15,9 +15,9 @@
 from walnutpost.config.entries import encode_site
 from walnutpost.config.site import CallClass, FunctionConfig, TenantConfig
 from walnutpost.configstore import ConfigStore, Mutation
+from walnutpost.daemon.config_watch import _write_snapshot as write_table
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
-from walnutpost.daemon.settings_watch import _write_snapshot as write_table
 from walnutpost.eventloop.clock import VirtualClock
 from walnutpost.fleet import EndpointSnapshot
 from walnutpost.fleet.endpoints import Endpoint
@@ -191,12 +191,12 @@
 
 
 def assert_settings_recovered(front: FrontEnd) -> None:
-    assert front.settings_watch is not None
-    table = front.settings_watch.watch_state.store
+    assert front.config_watch is not None
+    table = front.config_watch.watch_state.store
     assert {key: entry.value for key, entry in table.entries.items()} == encode_site(SITE)
     assert {entry.revision for entry in table.entries.values()} == {7}
     assert (table.revision, table.digest) == (12, agreed_table().digest)
-    assert front.settings_watch.watch_state.applied_revision == 12
+    assert front.config_watch.watch_state.applied_revision == 12
     assert front.catalogue.functions["price"].version == "7"
 
 
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -17,12 +17,12 @@
 from walnutpost.config.entries import FUNCTION_PREFIX, encode_site, encode_value
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import ConfigStore, Entry, Mutation
-from walnutpost.daemon.settings_watch import (
+from walnutpost.daemon.config_watch import (
     MAX_DECODED_FUNCTIONS,
     VALIDATION_BATCH,
     WRITE_INTERVAL_US,
-    AgreedFunctions,
-    SettingsWatch,
+    ConfigWatch,
+    DynamicFunctions,
 )
 from walnutpost.gateway import Function
 from walnutpost.http import Connection, Response
@@ -99,9 +99,9 @@
         self.front_config = self.front_config.model_copy(update={"site": site})
 
     @property
-    def settings(self) -> SettingsWatch:
-        assert self.front.settings_watch is not None
-        return self.front.settings_watch
+    def settings(self) -> ConfigWatch:
+        assert self.front.config_watch is not None
+        return self.front.config_watch
 
     def change(self, *mutations: Mutation) -> int:
         """Commit a change set; return its revision once the front end has applied it."""
@@ -554,7 +554,7 @@
 
 
 def test_functions_are_decoded_at_lookup_and_few_are_cached() -> None:
-    functions = AgreedFunctions({}, CLASSES)
+    functions = DynamicFunctions({}, CLASSES)
     entries_by_key = {
         FUNCTION_PREFIX + f"f{n}": Entry(FUNCTION_PREFIX + f"f{n}", function_entry(n), 1)
         for n in range(3 * MAX_DECODED_FUNCTIONS)
@@ -620,7 +620,7 @@
 ) -> None:
     """Functions are added, changed, called and deleted; not the size of the process is measured."""
     # The limit is reached before the first measurement.
-    monkeypatch.setattr("walnutpost.daemon.settings_watch.MAX_DECODED_FUNCTIONS", 16)
+    monkeypatch.setattr("walnutpost.daemon.config_watch.MAX_DECODED_FUNCTIONS", 16)
     f = SettingsFleet(tmp_path)
 
     def script() -> None:
