--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -9,6 +9,7 @@
 from dataclasses import dataclass, replace
 from functools import partial
 from pathlib import Path
+from random import Random
 from typing import Protocol
 
 from walnutpost.agent import INCARNATION_VARIABLE
@@ -21,15 +22,19 @@
 )
 from walnutpost.config.base import parse_address
 from walnutpost.config.conversion import ms_to_us
+from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.daemon.background_tasks import BackgroundTasks
 from walnutpost.daemon.call_acceptance import CallAcceptance
 from walnutpost.daemon.call_counter import CallCounter
 from walnutpost.daemon.call_dispatch import CallDispatch
 from walnutpost.daemon.call_intents import CallIntents
 from walnutpost.daemon.call_results import CallResults
-from walnutpost.daemon.config_watch import ConfigWatch, DynamicFunctions
+from walnutpost.daemon.config_application import ConfigApplier
+from walnutpost.daemon.config_cache import ConfigCache
+from walnutpost.daemon.config_watch import ConfigWatch
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.deferred_recovery import DeferredRecovery
+from walnutpost.daemon.dynamic_functions import DynamicFunctions
 from walnutpost.daemon.endpoint_lists import EndpointLists
 from walnutpost.daemon.execution_records import ExecutionRecords
 from walnutpost.daemon.fleet import FleetMembership
@@ -49,6 +54,7 @@
 from walnutpost.http.server import serve_on
 from walnutpost.interface import ListKind, RequestClass
 from walnutpost.store import ExecutionStore, FiringStore
+from walnutpost.watch import ServerPool, Watcher
 from walnutpost.workerclient import WorkerClient, WorkerClientSettings
 
 BYTES_PER_MB = 1 << 20
@@ -330,15 +336,15 @@
     config = environment.config
     if config.agreement is None or functions is None:
         return None
-    watch = ConfigWatch(
-        environment.loop,
-        config.agreement,
-        config.front.zone,
-        incarnation,
-        functions,
-        environment.log,
-        environment.store_file(".table"),
-    )
+    loop, log, section = environment.loop, environment.log, config.agreement
+    cache = ConfigCache(loop, environment.store_file(".table"), log)
+    watch_state = cache.load(section.member, incarnation)
+    applier = ConfigApplier(loop, watch_state, functions, cache, log)
+    zones = {name: section.relay_zones.get(name, "") for name in section.relays}
+    selector = RelaySelector(section.member, zones, config.front.zone or "", Random())
+    servers = {name: partial(parse_address, address) for name, address in section.relays.items()}
+    watcher = Watcher(loop, ServerPool(servers, selector), watch_state, applier.handle_outcome, log)
+    watch = ConfigWatch(loop, watch_state, watcher, applier, cache)
     watch.catch_up()
     return watch
 
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -15,7 +15,7 @@
 from walnutpost.config.entries import encode_site
 from walnutpost.config.site import CallClass, FunctionConfig, TenantConfig
 from walnutpost.configstore import ConfigStore, Mutation
-from walnutpost.daemon.config_watch import _write_snapshot as write_table
+from walnutpost.daemon.config_cache import write_snapshot as write_table
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.eventloop.clock import VirtualClock
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -17,13 +17,10 @@
 from walnutpost.config.entries import FUNCTION_PREFIX, encode_site, encode_value
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import ConfigStore, Entry, Mutation
-from walnutpost.daemon.config_watch import (
-    MAX_DECODED_FUNCTIONS,
-    VALIDATION_BATCH,
-    WRITE_INTERVAL_US,
-    ConfigWatch,
-    DynamicFunctions,
-)
+from walnutpost.daemon.config_cache import WRITE_INTERVAL_US
+from walnutpost.daemon.config_validation import VALIDATION_BATCH
+from walnutpost.daemon.config_watch import ConfigWatch
+from walnutpost.daemon.dynamic_functions import MAX_DECODED_FUNCTIONS, DynamicFunctions
 from walnutpost.gateway import Function
 from walnutpost.http import Connection, Response
 from walnutpost.interface import RequestArrived, WorkersListed
@@ -413,10 +410,10 @@
             for n in range(3000)
         }
         counts_meanwhile: list[int] = []
-        validated_count, validate = [0], f.settings._validation_error
+        validated_count, validate = [0], f.settings.applier.validator.validation_error
 
         def run_meanwhile() -> None:
-            while f.settings._validation is not None:
+            while f.settings.applier.is_validating:
                 counts_meanwhile.append(validated_count[0])
                 f.loop.yield_now()
 
@@ -428,7 +425,7 @@
                 f.relay.change([put_function("left", 9), delete_function("f17"), put_function("new", 3)])
             return validate(entry)
 
-        f.settings._validation_error = validate_and_count  # type: ignore[method-assign]
+        f.settings.applier.validator.validation_error = validate_and_count  # type: ignore[method-assign]
         f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
         f.relay.watch.store_changed()
         f.until(lambda: f.settings.watch_state.applied_revision == 51)
@@ -454,7 +451,7 @@
         many[FUNCTION_PREFIX + "ghost"] = Entry(
             FUNCTION_PREFIX + "ghost", function_entry(1, **{"class": "nowhere"}), 2
         )
-        validated_count, validate = [0], f.settings._validation_error
+        validated_count, validate = [0], f.settings.applier.validator.validation_error
 
         def validate_and_count(entry: Entry) -> str:
             validated_count[0] += 1
@@ -463,11 +460,11 @@
                 f.until(lambda: f.settings.watch_state.store.revision == 51)
             return validate(entry)
 
-        f.settings._validation_error = validate_and_count  # type: ignore[method-assign]
+        f.settings.applier.validator.validation_error = validate_and_count  # type: ignore[method-assign]
         f.relay.table = ConfigStore.from_entries({**f.relay.table.entries, **many}, 50)
         f.relay.watch.store_changed()
         observed = set()
-        while f.relay.requests[-1].revision < 51 or f.settings._validation is not None:
+        while f.relay.requests[-1].revision < 51 or f.settings.applier.is_validating:
             observed.add(
                 (f.settings.watch_state.applied_revision, f.front.catalogue.functions["left"].version)
             )
@@ -514,8 +511,9 @@
         f.change(put_function("right", 3))  # its digest check is due a few seconds after the previous one
         table, key = f.settings.watch_state.store, FUNCTION_PREFIX + "left"
         table.entries = table.entries.set(key, Entry(key, function_entry(7), table.entries[key].revision))
-        f.settings._written_revision, f.settings._applied_table = 0, table
-        f.settings._write()
+        f.settings.cache.mark_outdated()
+        f.settings.cache.schedule_write(table)
+        f.settings.cache.write()
         f.until(lambda: f.count_logged("config_repaired", "1 keys") == 1)
         assert f.invoked_version("left") == "2"
         assert f.settings.watch_state.applied_revision == 4
@@ -561,10 +559,10 @@
     }
     entries = ConfigStore.from_entries(entries_by_key, 1).entries
     functions.replace_all(entries, len(entries_by_key))
-    assert not functions._decoded
+    assert functions.decoded_count == 0
     for n in range(3 * MAX_DECODED_FUNCTIONS):
         assert functions[f"f{n}"].version == str(n)
-    assert len(functions._decoded) == MAX_DECODED_FUNCTIONS
+    assert functions.decoded_count == MAX_DECODED_FUNCTIONS
     again = functions[f"f{3 * MAX_DECODED_FUNCTIONS - 1}"]
     assert again is functions[f"f{3 * MAX_DECODED_FUNCTIONS - 1}"]
     assert isinstance(again, Function)
@@ -620,7 +618,7 @@
 ) -> None:
     """Functions are added, changed, called and deleted; not the size of the process is measured."""
     # The limit is reached before the first measurement.
-    monkeypatch.setattr("walnutpost.daemon.config_watch.MAX_DECODED_FUNCTIONS", 16)
+    monkeypatch.setattr("walnutpost.daemon.dynamic_functions.MAX_DECODED_FUNCTIONS", 16)
     f = SettingsFleet(tmp_path)
 
     def script() -> None:
