--- a/packages/cli/tests/test_usage_cli.py
+++ b/packages/cli/tests/test_usage_cli.py
@@ -31,7 +31,7 @@
         f.loop.sleep(100_000_000)
         for name in f.workers:
             (tmp_path / f"{name}.json").write_bytes(f.ask_worker(name, "/v2/usage").body)
-        metering_of(f).write()
+        metering_of(f).writer.write()
 
     f.run(script)
     ledgers = Ledgers.__init__
--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -21,7 +21,7 @@
     build_router_settings,
 )
 from walnutpost.config.base import parse_address
-from walnutpost.config.conversion import ms_to_us
+from walnutpost.config.conversion import build_budgets, build_metering_policy, ms_to_us
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.daemon.background_tasks import BackgroundTasks
 from walnutpost.daemon.call_acceptance import CallAcceptance
@@ -40,11 +40,14 @@
 from walnutpost.daemon.fleet import FleetMembership
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.keys import CertificateReloader
-from walnutpost.daemon.metering import UsageMetering
+from walnutpost.daemon.ledger_writer import LedgerWriter
+from walnutpost.daemon.metering import BudgetMonitor, UsageMetering, record_crash_gap
 from walnutpost.daemon.open_calls import OpenCalls
 from walnutpost.daemon.replication import JournalReplication
 from walnutpost.daemon.result_purge import ResultPurger
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
+from walnutpost.daemon.usage_collector import UsageCollector
+from walnutpost.daemon.usage_observer import FunctionSizes, UsageObserver
 from walnutpost.dispatch import Dispatcher, DispatchHooks
 from walnutpost.eventloop import Logger, Loop, TrafficObserver
 from walnutpost.fronts.cron import CronFront, FiringLimits
@@ -53,7 +56,8 @@
 from walnutpost.http import Limits, Server
 from walnutpost.http.server import serve_on
 from walnutpost.interface import ListKind, RequestClass
-from walnutpost.store import ExecutionStore, FiringStore
+from walnutpost.metering import Budgets, Ledger, UsageSampler
+from walnutpost.store import ExecutionStore, FiringStore, UsageStore
 from walnutpost.watch import ServerPool, Watcher
 from walnutpost.workerclient import WorkerClient, WorkerClientSettings
 
@@ -88,6 +92,14 @@
         return self.base / f"{self.config.front.store}{suffix}"
 
 
+@dataclass(frozen=True, slots=True)
+class _Metering:
+    """The metering, and what it observes of the dispatcher's calls."""
+
+    metering: UsageMetering
+    observer: UsageObserver
+
+
 def build_front_end(
     loop: Loop,
     config: Config,
@@ -117,9 +129,10 @@
     replication = _build_replication(environment, store, classes)
     open_calls = OpenCalls()
     records = ExecutionRecords(loop, store, replication, log)
-    metering = _build_metering(environment, catalogue, worker_client)
+    metered = _build_metering(environment, catalogue, worker_client)
+    metering, observer = (metered.metering, metered.observer) if metered is not None else (None, None)
     call_counter = _build_call_counter(environment, catalogue, classes)
-    hooks = DispatchHooks(metering, CallIntents(open_calls, records, log), call_counter)
+    hooks = DispatchHooks(observer, CallIntents(open_calls, records, log), call_counter)
     dispatcher = Dispatcher(loop, _build_gateway(config, catalogue), worker_client, log, hooks)
     results = CallResults(loop, open_calls, records, firings.record_ended)
     dispatch = CallDispatch(dispatcher, open_calls, results)
@@ -251,19 +264,30 @@
 
 def _build_metering(
     environment: _Environment, catalogue: Catalogue, worker_client: WorkerClient
-) -> UsageMetering | None:
-    config = environment.config
-    if config.metering is None:
+) -> _Metering | None:
+    """Open the ledger; None without a `metering` section."""
+    section = environment.config.metering
+    if section is None:
         return None
-    return UsageMetering(
-        environment.loop,
-        config,
-        config.metering,
-        catalogue.functions,
-        worker_client,
-        environment.log,
-        environment.base,
+    loop, site, log = environment.loop, environment.config.site, environment.log
+    now = loop.now()
+    store = UsageStore(loop, environment.base / section.file)
+    saved, last_run = store.load()
+    ledger = Ledger(build_metering_policy(section), saved, now)
+    keep_alive_us, write_interval_us = ms_to_us(site.keep_alive_ms), ms_to_us(section.write_interval_ms)
+    sampler = UsageSampler(now, FunctionSizes(catalogue.functions), keep_alive_us)
+    max_deadline_us = max(ms_to_us(each.deadline_ms) for each in site.classes.values())
+    record_crash_gap(ledger, last_run, write_interval_us + max_deadline_us + keep_alive_us, log)
+    budgets = Budgets(build_budgets(section))
+    metering = UsageMetering(
+        loop,
+        ledger,
+        UsageCollector(loop, worker_client, ledger, sampler, log),
+        BudgetMonitor(ledger, budgets, log),
+        LedgerWriter(loop, store, ledger, sampler, write_interval_us, log),
+        ms_to_us(section.fetch_interval_ms),
     )
+    return _Metering(metering, UsageObserver(loop, sampler, budgets, site.default_tenant))
 
 
 def _build_call_counter(
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -148,7 +148,7 @@
     def script() -> None:
         traffic(f, 20)
         f.loop.sleep(2 * MINUTE)
-        store = metering_of(f)._store
+        store = metering_of(f).writer.store
         write = store.write
 
         def cancelled_meanwhile(batch: LedgerBatch, run: LedgerRun) -> None:
@@ -156,10 +156,10 @@
             write(batch, run)
 
         store.write = cancelled_meanwhile  # type: ignore[method-assign]
-        waiter = f.loop.spawn(metering_of(f).write)
+        waiter = f.loop.spawn(metering_of(f).writer.write)
         f.until(lambda: waiter.is_done)
-        assert metering_of(f).write()
-        booked = sum_statements(metering_of(f)._store.load()[0].booked.values())
+        assert metering_of(f).writer.write()
+        booked = sum_statements(metering_of(f).writer.store.load()[0].booked.values())
         stated = metering_of(f).ledger.statement(START // HOUR_US * HOUR_US, f.loop.now())
         assert booked == {a: amount for a, amount in stated.items() if amount}
         assert booked
@@ -207,20 +207,20 @@
 
     def script() -> None:
         traffic(f, 3)
-        db = metering_of(f)._store._db
+        db = metering_of(f).writer.store._db
         db.execute("pragma wal_checkpoint(truncate)")
         pages = db.execute("pragma page_count").fetchone()[0]
         db.execute(f"pragma max_page_count={pages}")
         for n in range(200):  # more names than the last pages of the file have space for
             metering_of(f).ledger.add_gap(UsageGap(0, f"source {n}" * 40, "front end down", 0))
-        assert not metering_of(f).write()
+        assert not metering_of(f).writer.write()
         traffic(f, 4)
         assert f.invoke("price").status == 200
         failures = [fields for event, fields in f.log.lines if event == "ledger_write_failed"]
         assert len(failures) == 1
         assert "full" in failures[0]["error"]
         db.execute("pragma max_page_count=1000000")
-        assert metering_of(f).write()
+        assert metering_of(f).writer.write()
         assert_metered_equals_actual(f)
         kill_and_restart(f)
         assert_metered_equals_actual(f)
