--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -23,6 +23,7 @@
 from walnutpost.config.base import parse_address
 from walnutpost.config.conversion import build_budgets, build_metering_policy, ms_to_us
 from walnutpost.configstore.relay_selection import RelaySelector
+from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.daemon.background_tasks import BackgroundTasks
 from walnutpost.daemon.call_acceptance import CallAcceptance
 from walnutpost.daemon.call_counter import CallCounter
@@ -35,9 +36,10 @@
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.deferred_recovery import DeferredRecovery
 from walnutpost.daemon.dynamic_functions import DynamicFunctions
+from walnutpost.daemon.endpoint_cache import EndpointCache
 from walnutpost.daemon.endpoint_lists import EndpointLists
 from walnutpost.daemon.execution_records import ExecutionRecords
-from walnutpost.daemon.fleet import FleetMembership
+from walnutpost.daemon.fleet import EndpointApplier, FleetMembership, FleetReporter
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.keys import CertificateReloader
 from walnutpost.daemon.ledger_writer import LedgerWriter
@@ -50,6 +52,7 @@
 from walnutpost.daemon.usage_observer import FunctionSizes, UsageObserver
 from walnutpost.dispatch import Dispatcher, DispatchHooks
 from walnutpost.eventloop import Logger, Loop, TrafficObserver
+from walnutpost.fleet import EndpointFollower
 from walnutpost.fronts.cron import CronFront, FiringLimits
 from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
 from walnutpost.gateway import Catalogue, Gateway
@@ -62,6 +65,7 @@
 from walnutpost.workerclient import WorkerClient, WorkerClientSettings
 
 BYTES_PER_MB = 1 << 20
+MIN_CONTROL_PLANE_TIMEOUT_US = 1_000_000
 
 
 def read_wall_clock() -> int:
@@ -194,6 +198,7 @@
         replication=replication,
         metering=metering,
         fleet=fleet,
+        call_counter=call_counter,
         config_watch=config_watch,
         recovered_calls=recovered_calls,
     )
@@ -335,15 +340,17 @@
     config = environment.config
     if config.agreement is None or call_counter is None:
         return None
-    fleet = FleetMembership(
-        environment.loop,
-        config.agreement,
-        config.front.zone or "all",
-        call_counter,
-        endpoint_lists,
-        environment.log,
-        environment.store_file(".agreed"),
-    )
+    loop, log, section = environment.loop, environment.log, config.agreement
+    own = os.environ.get(INCARNATION_VARIABLE)
+    follower = EndpointFollower(section.member, own or secrets.token_hex(6), own is not None)
+    report_interval_us = ms_to_us(section.report_interval_ms)
+    timeout_us = max(report_interval_us, MIN_CONTROL_PLANE_TIMEOUT_US)
+    addresses = {name: parse_address(address) for name, address in section.keepers.items()}
+    client = ControlPlaneClient(loop, addresses, timeout_us, timeout_us // 2)
+    reporter = FleetReporter(client, follower, config.front.zone or "all", call_counter, log)
+    cache = EndpointCache(loop, environment.store_file(".agreed"), log)
+    applier = EndpointApplier(loop, follower, endpoint_lists, cache, log)
+    fleet = FleetMembership(loop, reporter, applier, report_interval_us)
     fleet.catch_up()
     return fleet
 
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -6,6 +6,7 @@
 
 from walnutpost.config import Config, build_own_schedules
 from walnutpost.daemon.background_tasks import BackgroundTasks
+from walnutpost.daemon.call_counter import CallCounter
 from walnutpost.daemon.config_watch import ConfigWatch
 from walnutpost.daemon.deferred import DeferredCalls
 from walnutpost.daemon.endpoint_lists import EndpointLists
@@ -47,6 +48,7 @@
     replication: JournalReplication | None
     metering: UsageMetering | None
     fleet: FleetMembership | None
+    call_counter: CallCounter | None
     config_watch: ConfigWatch | None
     recovered_calls: int
 
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -3,19 +3,18 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Any
 
 import pytest
 
 from test_functions_gone import kill_front_end
 from test_settings_watch import SettingsFleet, put_function
-from walnutpost.config.membership import MembershipConfig
 from walnutpost.configstore import ConfigStore
 from walnutpost.controlplane.wire import CommandReply
-from walnutpost.daemon.fleet import FleetMembership
+from walnutpost.daemon.endpoint_cache import EndpointCache
+from walnutpost.daemon.fleet import EndpointApplier, FleetMembership
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.eventloop import Loop, VirtualClock
-from walnutpost.fleet import CommandResult
+from walnutpost.fleet import CommandResult, EndpointFollower
 from walnutpost.fleet.endpoints import EndpointSnapshot
 from walnutpost.testsupport.daemon.fleet import SECOND, Log
 from walnutpost.testsupport.store.disk_faults import scripted_files
@@ -63,19 +62,30 @@
 
 class FakeEndpointLists:
     def __init__(self) -> None:
-        self.agreed_count = 0
+        self.published_revisions: list[int] = []
 
-    def set_dynamic(self, follower: Any) -> None:
-        self.agreed_count += 1
+    def set_dynamic(self, follower: EndpointFollower) -> None:
+        assert follower.snapshot is not None
+        self.published_revisions.append(follower.snapshot.index)
 
 
-def make_membership(loop: Loop, path: Path, lists: FakeEndpointLists, log: Log) -> FleetMembership:
-    line = MembershipConfig.model_validate(
-        {"member": "f0", "keepers": {"k1": "127.0.0.1:1"}, "report_ms": 200}
+class FakeReporter:
+    """Gives the replies in order, and is unreachable after them."""
+
+    def __init__(self, *replies: CommandReply) -> None:
+        self._replies = list(replies)
+
+    def report(self) -> CommandReply | None:
+        return self._replies.pop(0) if self._replies else None
+
+
+def make_membership(
+    loop: Loop, path: Path, lists: FakeEndpointLists, log: Log, *replies: CommandReply
+) -> FleetMembership:
+    applier = EndpointApplier(
+        loop, EndpointFollower("f0", "i0", False), lists, EndpointCache(loop, path, log), log
     )
-    core: Any = None
-    listed: Any = lists
-    return FleetMembership(loop, line, "a", core, listed, log, path)
+    return FleetMembership(loop, FakeReporter(*replies), applier, SECOND // 5)
 
 
 @pytest.mark.parametrize("content", [b"", b"\x92\x05", b"\xff"])
@@ -84,12 +94,10 @@
     path.write_bytes(content)
 
     def script() -> None:
-        membership = make_membership(loop, path, lists, log)
-        membership._report = lambda: False  # type: ignore[method-assign]
-        membership.catch_up()
+        make_membership(loop, path, lists, log).catch_up()
 
     loop.run(script)
-    assert lists.agreed_count == 0
+    assert lists.published_revisions == []
     assert [fields["file"] for event, fields in log.lines if event == "endpoint_cache_ignored"] == [
         "calls.db.agreed"
     ]
@@ -100,22 +108,21 @@
     loop, lists, path = Loop(VirtualClock()), FakeEndpointLists(), tmp_path / "calls.db.agreed"
 
     def script() -> None:
-        first = make_membership(loop, path, lists, Log())
-        first._report = lambda: False  # type: ignore[method-assign]
+        reply = CommandReply(CommandResult(True, 1), endpoints=EndpointSnapshot(5, ()))
+        first = make_membership(loop, path, lists, Log(), reply)
         files.fails[call] = 3
-        first._apply(CommandReply(CommandResult(True, 1), endpoints=EndpointSnapshot(5, ())))
+        first.catch_up()
         task = loop.spawn(first.run)
         loop.sleep(2 * SECOND)
         task.cancel()
         second = make_membership(loop, path, lists, Log())
-        second._report = lambda: False  # type: ignore[method-assign]
         second.catch_up()
         assert second.follower.snapshot is not None
         assert second.follower.snapshot.index == 5
 
     with scripted_files() as files:
         loop.run(script)
-    assert lists.agreed_count == 2
+    assert lists.published_revisions == [5, 5]
 
 
 @pytest.mark.parametrize("call", CALLS)
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -394,7 +394,8 @@
         assert f.front.fleet.follower.incarnation == f.settings.watch_state.incarnation
         f.change(put_function("left", 2))
         assert f.invoked_version("left") == "2"
-        assert f.front.fleet.call_counter.counts.served == 1
+        assert f.front.call_counter is not None
+        assert f.front.call_counter.counts.served == 1
 
     f.play(script)
 
