--- a/packages/daemon/src/walnutpost/daemon/call_acceptance.py
+++ b/packages/daemon/src/walnutpost/daemon/call_acceptance.py
@@ -10,7 +10,7 @@
 from walnutpost.daemon.open_calls import OpenCall, OpenCalls, configured_function
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.fronts.calls import DeferOutcome
-from walnutpost.gateway import Admission, Catalogue, Execution, NotStored, Rejected, admit
+from walnutpost.gateway import Admission, CallRequest, Catalogue, Execution, NotStored, Rejected, admit
 from walnutpost.store import Change, StoreError
 
 STORE_RETRY_AFTER_US = 1_000_000  # Retry-After of the answer when the store can't be written
@@ -42,17 +42,11 @@
         self._log = log
 
     def defer(
-        self,
-        function: str,
-        tenant: str | None,
-        payload: bytes,
-        time_left_us: int,
-        name: str | None,
-        request_id: str,
-        extra_change: Change | None = None,
+        self, request: CallRequest, name: str | None, extra_change: Change | None = None
     ) -> DeferOutcome:
         """Accept a call, or return the execution that has its name; see fronts.calls.DeferredCalls."""
-        digest = payload_digest(payload, tenant)
+        function, request_id = request.function, request.request_id
+        digest = payload_digest(request.payload, request.tenant)
         now = self._loop.now()
         name = name or request_id
         configured = configured_function(self._catalogue, function)
@@ -67,13 +61,19 @@
             return finished if admit(finished, digest) is Admission.SAME else None
         if configured is None:  # an HTTP front has checked it just now: only a schedule's can be missing
             return Rejected(f"no function {function!r}", UNKNOWN_FUNCTION_RETRY_AFTER_US)
-        rejection = self._records.admission_error(configured, len(payload))
+        rejection = self._records.admission_error(configured, len(request.payload))
         if rejection is not None:
             return rejection
-        execution_id = uuid.uuid4().hex
-        expires_at = now + time_left_us
         execution = Execution(
-            execution_id, name, function, configured.version, tenant, payload, digest, now, expires_at
+            uuid.uuid4().hex,
+            name,
+            function,
+            configured.version,
+            request.tenant,
+            request.payload,
+            digest,
+            now,
+            now + request.time_left_us,
         )
         return self._accept(OpenCall(self._loop, execution, configured), request_id, extra_change)
 
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -8,7 +8,7 @@
 from walnutpost.daemon.execution_records import ExecutionRecords
 from walnutpost.daemon.open_calls import OpenCalls
 from walnutpost.fronts.calls import DeferOutcome
-from walnutpost.gateway import Execution, Failed, Failure
+from walnutpost.gateway import CallRequest, Execution, Failed, Failure
 from walnutpost.store import Change, ExecutionQuery, ExecutionStore
 
 
@@ -32,17 +32,10 @@
         self._results = results
 
     def defer(
-        self,
-        function: str,
-        tenant: str | None,
-        payload: bytes,
-        time_left_us: int,
-        name: str | None,
-        request_id: str,
-        extra_change: Change | None = None,
+        self, request: CallRequest, name: str | None, extra_change: Change | None = None
     ) -> DeferOutcome:
         """Accept a call, or return the execution that has its name."""
-        return self._acceptance.defer(function, tenant, payload, time_left_us, name, request_id, extra_change)
+        return self._acceptance.defer(request, name, extra_change)
 
     def status(self, function: str, execution_id: str) -> Execution | None:
         """Return an execution as a client may see it, None if no site knows it.
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -21,7 +21,7 @@
 from walnutpost.eventloop.clock import VirtualClock
 from walnutpost.fleet import EndpointSnapshot
 from walnutpost.fleet.endpoints import Endpoint
-from walnutpost.gateway import Execution, Status
+from walnutpost.gateway import CallRequest, Execution, Status
 from walnutpost.metering import HOUR_US
 from walnutpost.store import read_history
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
@@ -231,7 +231,9 @@
 
     def script() -> list[str]:
         found = [
-            f.front.deferred.defer("price", tenant, b'{"copy": 7}', SECOND, f"name-{tenant}", "request")
+            f.front.deferred.defer(
+                CallRequest("price", tenant, b'{"copy": 7}', SECOND, "request"), f"name-{tenant}"
+            )
             for tenant in ("tills", None)
         ]
         return [execution.digest for execution in found if isinstance(execution, Execution)]
--- a/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
+++ b/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
@@ -14,6 +14,7 @@
     AttemptEnded,
     CallArrived,
     CallerLeft,
+    CallRequest,
     Final,
     Gateway,
     Input,
@@ -97,13 +98,9 @@
 
     def call(
         self,
-        function: str,
-        tenant: str | None,
-        payload: bytes,
-        time_left_us: int,
+        request: CallRequest,
         idempotency_key: str,
         is_repeat: bool,
-        request_id: str,
         watch_hangup: Callable[[Callable[[], None]], Callable[[], None]],
         /,
     ) -> Final | None:
@@ -113,16 +110,16 @@
         """
         call = CallArrived(
             self.new_caller_id(),
-            function,
-            payload,
-            time_left_us,
-            tenant,
+            request.function,
+            request.payload,
+            request.time_left_us,
+            request.tenant,
             idempotency_key,
             is_repeat,
-            rejection=self.rejection_for(function, tenant),
+            rejection=self.rejection_for(request.function, request.tenant),
         )
         final = self._submit_and_wait(call, watch_hangup)
-        self.log_answer(final, request_id, call.function, call.tenant)
+        self.log_answer(final, request.request_id, call.function, call.tenant)
         return final
 
     def log_answer(self, final: Final | None, request_id: str, function: str, tenant: str | None) -> None:
--- a/packages/fronts/src/walnutpost/fronts/calls.py
+++ b/packages/fronts/src/walnutpost/fronts/calls.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from walnutpost.gateway import Execution, Final, NotStored, Rejected, ReplicationPending
+from walnutpost.gateway import CallRequest, Execution, Final, NotStored, Rejected, ReplicationPending
 from walnutpost.store import Change, ExecutionQuery
 
 Callback = Callable[[], None]
@@ -23,13 +23,9 @@
 
     def call(
         self,
-        function: str,
-        tenant: str | None,
-        payload: bytes,
-        time_left_us: int,
+        request: CallRequest,
         idempotency_key: str,
         is_repeat: bool,
-        request_id: str,
         watch_hangup: WatchHangup,
         /,
     ) -> Final | None:
@@ -40,19 +36,12 @@
     """Deferred calls (durable executions) of clients and of schedules."""
 
     def defer(
-        self,
-        function: str,
-        tenant: str | None,
-        payload: bytes,
-        time_left_us: int,
-        name: str | None,
-        request_id: str,
-        also: Change | None = None,
-        /,
+        self, request: CallRequest, name: str | None, extra_change: Change | None = None, /
     ) -> DeferOutcome:
         """Return the execution that stands for the call, once it is durable.
 
-        `also` is committed together with the call if that is new.
+        Without a `name` the execution has the request's id as its name. `extra_change` is committed together
+        with the call if that is new.
         """
 
     def replica_count(self, execution_id: str) -> int | None:
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -14,7 +14,7 @@
 from walnutpost.fronts.calls import DeferOutcome, DeferredCalls
 from walnutpost.fronts.cron.pacer import FiringLimits, Pacer
 from walnutpost.fronts.cron.recorder import MAX_SKIPS_PER_COMMIT, FiringRecorder, RejectionReason
-from walnutpost.gateway import Execution, ReplicationPending, Status
+from walnutpost.gateway import CallRequest, Execution, ReplicationPending, Status
 from walnutpost.store import FiringStore
 
 # The time of day may be set and the machine may sleep, so a longer wait cannot be relied on.
@@ -188,9 +188,8 @@
         name = format_execution_name(schedule.name, firing.due_us)
         self._firings[name] = firing  # the execution may end before its acceptance is known here
         change = self._recorder.fired_change(schedule.name, firing.due_us, name)
-        outcome = self._calls.defer(
-            schedule.function, schedule.tenant, schedule.payload, time_left_us, name, name, change
-        )
+        request = CallRequest(schedule.function, schedule.tenant, schedule.payload, time_left_us, name)
+        outcome = self._calls.defer(request, name, change)
         if not isinstance(outcome, Execution | ReplicationPending):
             self._firings.pop(name, None)
         return outcome
--- a/packages/fronts/src/walnutpost/fronts/invoke/front.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/front.py
@@ -36,6 +36,7 @@
     build_stop_response,
 )
 from walnutpost.gateway import (
+    CallRequest,
     Catalogue,
     Execution,
     Function,
@@ -135,16 +136,14 @@
         def watch_hangup(on_hangup: Callback) -> Callback:
             return _watch_hangup(exchange, on_hangup)
 
-        final = self._calls.call(
+        call_request = CallRequest(
             request.function,
             request.tenant,
             request.payload,
             min(request.client_deadline_us or max_deadline_us, max_deadline_us),
-            request.idempotency_key,
-            request.is_retry,
             request_id,
-            watch_hangup,
         )
+        final = self._calls.call(call_request, request.idempotency_key, request.is_retry, watch_hangup)
         if final is None:
             return None
         return build_invoke_response(final, function.version, request_id)
@@ -152,14 +151,14 @@
     def _invoke_deferred(self, request: Invoke, function: Function, request_id: str) -> Response:
         deadline_us = request.client_deadline_us or self._classes[function.class_index].deadline_us
         name = _execution_name(request)
-        outcome = self._deferred.defer(
+        call_request = CallRequest(
             request.function,
             request.tenant,
             request.payload,
             min(deadline_us, self._max_deferred_deadline_us),
-            name,
             request_id,
         )
+        outcome = self._deferred.defer(call_request, name)
         match outcome:
             case None:
                 raise already_started(name)
--- a/packages/fronts/tests/test_invoke_golden.py
+++ b/packages/fronts/tests/test_invoke_golden.py
@@ -11,9 +11,11 @@
 from urllib.parse import quote
 
 from walnutpost.eventloop import Stream
+from walnutpost.fronts.calls import WatchHangup
 from walnutpost.fronts.errors import SitesUnreachableError
 from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
 from walnutpost.gateway import (
+    CallRequest,
     Catalogue,
     Execution,
     Failed,
@@ -28,7 +30,7 @@
 )
 from walnutpost.http import Exchange, HttpMessageError, Request, Response, encode_response
 from walnutpost.interface import RequestClass
-from walnutpost.store import ExecutionQuery, StoreError
+from walnutpost.store import Change, ExecutionQuery, StoreError
 from walnutpost.testsupport.golden.files import assert_as_golden, json_lines
 
 GOLDEN = Path(__file__).parent / "golden"
@@ -66,16 +68,21 @@
     replicas: int | None = None
     received: list[Any] = field(default_factory=list)
 
-    def call(self, *arguments: Any) -> Final | None:
-        """A synchronous call; the last argument watches the client."""
-        *values, watch = arguments
-        self.received.append(["call", *map(as_json, values)])
-        assert callable(watch)
+    def call(
+        self, request: CallRequest, idempotency_key: str, is_repeat: bool, watch_hangup: WatchHangup, /
+    ) -> Final | None:
+        """A synchronous call; the recorded order of its values is that of the golden file."""
+        values = (request.function, request.tenant, request.payload, request.time_left_us)
+        more_values = (idempotency_key, is_repeat, request.request_id)
+        self.received.append(["call", *map(as_json, (*values, *more_values))])
+        assert callable(watch_hangup)
         return cast("Final | None", self._answer())
 
-    def defer(self, *arguments: Any) -> Any:
-        """A deferred call."""
-        self.received.append(["defer", *map(as_json, arguments)])
+    def defer(self, request: CallRequest, name: str | None, extra_change: Change | None = None, /) -> Any:
+        """A deferred call; the recorded order of its values is that of the golden file."""
+        assert extra_change is None
+        values = (request.function, request.tenant, request.payload, request.time_left_us)
+        self.received.append(["defer", *map(as_json, (*values, name, request.request_id))])
         return self._answer()
 
     def replica_count(self, execution_id: str) -> int | None:
--- a/packages/gateway/src/walnutpost/gateway/__init__.py
+++ b/packages/gateway/src/walnutpost/gateway/__init__.py
@@ -6,6 +6,7 @@
 The same inputs at the same times give the same effects; the embedder carries them out.
 """
 
+from walnutpost.gateway.call_request import CallRequest
 from walnutpost.gateway.catalogue import Catalogue, Function, UnknownNameError
 from walnutpost.gateway.core import Gateway
 from walnutpost.gateway.effects import (
@@ -49,6 +50,7 @@
     "Answered",
     "AttemptEnded",
     "CallArrived",
+    "CallRequest",
     "CallStopped",
     "CallerLeft",
     "Cancel",
