--- a/packages/controlplane/src/walnutpost/controlplane/client.py
+++ b/packages/controlplane/src/walnutpost/controlplane/client.py
@@ -5,6 +5,7 @@
 import time
 from collections.abc import Mapping, Sequence
 from contextlib import suppress
+from http import HTTPStatus
 from typing import NamedTuple, TypeVar
 from urllib.parse import quote
 
@@ -194,14 +195,14 @@
                 reason = f"{replica}: {type(error).__name__} {error}"
                 self._loop.sleep(RETRY_DELAY_US)
                 continue
-            if response.status == 200:
+            if response.status == HTTPStatus.OK:
                 self._leader = replica
                 return response
             reply = _decode_rejection(replica, response)
             reason = f"{replica}: {reply.reason}"
             if reply.outcome_known and reply.reason not in RETRYABLE_REASONS:
                 result = CommandResult(False, 0, reply.reason)
-                return Response(200, body=wire.encode(wire.CommandReply(result)))
+                return Response(HTTPStatus.OK, body=wire.encode(wire.CommandReply(result)))
             if reply.leader in self._addresses and reply.leader != replica:
                 self._leader = reply.leader
             else:
--- a/packages/controlplane/src/walnutpost/controlplane/config_requests.py
+++ b/packages/controlplane/src/walnutpost/controlplane/config_requests.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from urllib.parse import parse_qs
 
 from walnutpost.configstore import messages as config_messages
@@ -65,7 +66,7 @@
             error = (
                 f"entries: found {len(body)} bytes, wanted {wire.MAX_BODY_BYTES} at most: ask for one kind"
             )
-            return Response(413, body=error.encode())
+            return Response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, body=error.encode())
         return message_response(body)
 
     def _not_leader(self) -> Response:
--- a/packages/controlplane/src/walnutpost/controlplane/fifo_lock.py
+++ b/packages/controlplane/src/walnutpost/controlplane/fifo_lock.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import Any
 
 from walnutpost.eventloop import Loop, Task
 
@@ -14,7 +13,7 @@
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
         self._is_locked = False
-        self._waiting: deque[tuple[Task[Any], int]] = deque()
+        self._waiting: deque[tuple[Task[object], int]] = deque()
 
     def acquire(self) -> None:
         """Wait for the lock."""
--- a/packages/controlplane/src/walnutpost/controlplane/pending.py
+++ b/packages/controlplane/src/walnutpost/controlplane/pending.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
 
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Loop, Task
@@ -14,7 +13,7 @@
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
-        self._waiting: dict[str, list[tuple[Task[Any], int]]] = {}
+        self._waiting: dict[str, list[tuple[Task[object], int]]] = {}
 
     def wait(
         self, request_id: str, timeout_us: int, on_timeout: wire.CommandReply, start: Callable[[], None]
@@ -31,7 +30,7 @@
             self._forget(request_id, task, token)
         return reply
 
-    def _forget(self, request_id: str, task: Task[Any], token: int) -> None:
+    def _forget(self, request_id: str, task: Task[object], token: int) -> None:
         waiting = self._waiting.get(request_id, [])
         if (task, token) in waiting:
             waiting.remove((task, token))
--- a/packages/controlplane/src/walnutpost/controlplane/requests.py
+++ b/packages/controlplane/src/walnutpost/controlplane/requests.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from urllib.parse import parse_qs
 
 from msgspec import UNSET
@@ -51,17 +52,17 @@
         path, _, query = request.target.decode("ascii", "replace").partition("?")
         handler = self._handlers.get((request.method, path))
         if handler is None:
-            return Response(404, body=b"no such thing here")
+            return Response(HTTPStatus.NOT_FOUND, body=b"no such thing here")
         try:
             return handler(exchange, query)
         except (MalformedMessageError, InvalidMessageError) as error:
-            return Response(400, body=str(error).encode())
+            return Response(HTTPStatus.BAD_REQUEST, body=str(error).encode())
 
     def _receive_messages(self, exchange: Exchange, _query: str) -> Response:
         batch = wire.decode(exchange.request.body, wire.PeerMessages)
         for message in batch.messages:
             self._context.driver.feed(MessageReceived(batch.to, message))
-        return Response(204)
+        return Response(HTTPStatus.NO_CONTENT)
 
     def _submit_command(self, exchange: Exchange, _query: str) -> Response:
         request = wire.decode(exchange.request.body, wire.CommandRequest)
@@ -96,13 +97,13 @@
         """Return committed entries after the index `after`, at most `most`, oldest first."""
         context = self._context
         if context.disk.is_failing:
-            return Response(503, body=DISK_FAILED.encode())
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, body=DISK_FAILED.encode())
         fields = parse_qs(query)
         try:
             after = int(fields.get("after", ["0"])[0])
             max_entries = int(fields.get("most", [DEFAULT_HISTORY_RESPONSE_ENTRIES])[0])
         except ValueError:
-            return Response(400, body=b"after and most: whole numbers are wanted")
+            return Response(HTTPStatus.BAD_REQUEST, body=b"after and most: whole numbers are wanted")
         applied = context.applied
         max_entries = min(max_entries, MAX_HISTORY_RESPONSE_ENTRIES)
         page = context.writer.store.read_history(after, max_entries, applied.index)
--- a/packages/controlplane/src/walnutpost/controlplane/responses.py
+++ b/packages/controlplane/src/walnutpost/controlplane/responses.py
@@ -2,24 +2,26 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 from walnutpost.controlplane import wire
 from walnutpost.http import HttpMessageError, Response
 
-OK = 200
-MISDIRECTED = 421
+NOT_DONE = HTTPStatus.MISDIRECTED_REQUEST
 """Another replica is to be asked; nothing was done."""
-OUTCOME_UNKNOWN = 504
+OUTCOME_UNKNOWN = HTTPStatus.GATEWAY_TIMEOUT
+"""The command may have been committed or not."""
 
 
 def message_response(body: bytes) -> Response:
     """Return a response with an encoded message."""
-    return Response(OK, {"Content-Type": wire.CONTENT_TYPE}, body)
+    return Response(HTTPStatus.OK, {"Content-Type": wire.CONTENT_TYPE}, body)
 
 
 def reply_response(reply: wire.CommandReply) -> Response:
     """Return the response to a command, a report or a change set, or why there is no other response."""
-    without_result = MISDIRECTED if reply.outcome_known else OUTCOME_UNKNOWN
-    status = OK if reply.result is not None else without_result
+    without_result = NOT_DONE if reply.outcome_known else OUTCOME_UNKNOWN
+    status = HTTPStatus.OK if reply.result is not None else without_result
     return Response(status, {"Content-Type": wire.CONTENT_TYPE}, wire.encode(reply))
 
 
--- a/packages/controlplane/tests/test_changes.py
+++ b/packages/controlplane/tests/test_changes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
-from typing import Any
 
 import pytest
 
@@ -22,14 +21,14 @@
     def __init__(self) -> None:
         self.lines: list[str] = []
 
-    def error(self, event: str, **fields: Any) -> None:
+    def error(self, event: str, **fields: object) -> None:
         self.lines.append(f"{event} {fields}")
 
     info = warning = error
 
 
-class World:
-    """A log that commits after a while, and has other leaders' change sets as well."""
+class SimulatedReplica:
+    """Commits after a while; other leaders' change sets are committed in between, as a test says."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop, self.fleet, self.log = loop, Fleet(), Log()
@@ -89,9 +88,9 @@
         )
 
 
-def play(script: Callable[[World], None]) -> None:
+def play(script: Callable[[SimulatedReplica], None]) -> None:
     loop = Loop(VirtualClock())
-    loop.run(lambda: script(World(loop)))
+    loop.run(lambda: script(SimulatedReplica(loop)))
 
 
 CLASS = Mutation("class/a", b"1")
@@ -99,17 +98,19 @@
 
 
 def test_change_set_is_validated_against_the_revision_that_it_changes() -> None:
-    def script(world: World) -> None:
-        reply = world.submit("1", REFERENCE)
+    def script(replica: SimulatedReplica) -> None:
+        reply = replica.submit("1", REFERENCE)
         assert reply.result == CommandResult(
             False, 0, "function/f: found b'class/a', wanted a class that exists"
         )
         assert reply.errors == (reply.result.error,)
-        assert not world.proposed
-        assert world.submit("1", CLASS).result == CommandResult(True, 1), "a rejection is not remembered"
-        assert world.submit("2", REFERENCE).result == CommandResult(True, 2)
-        assert world.proposed[-1] == ApplyChangeSet((REFERENCE,), 1, "anna")
-        assert world.submit("2", CLASS).result == CommandResult(True, 2), "the same id is the same change set"
+        assert not replica.proposed
+        assert replica.submit("1", CLASS).result == CommandResult(True, 1), "a rejection is not remembered"
+        assert replica.submit("2", REFERENCE).result == CommandResult(True, 2)
+        assert replica.proposed[-1] == ApplyChangeSet((REFERENCE,), 1, "anna")
+        assert replica.submit("2", CLASS).result == CommandResult(True, 2), (
+            "the same id is the same change set"
+        )
 
     play(script)
 
@@ -117,60 +118,62 @@
 def test_change_set_with_another_committed_before_it_is_validated_again() -> None:
     """The class that it refers to is deleted between its check and its commit."""
 
-    def script(world: World) -> None:
-        world.submit("1", CLASS)
-        world.before = [[Mutation("class/a", None)]]
-        reply = world.submit("2", REFERENCE)
+    def script(replica: SimulatedReplica) -> None:
+        replica.submit("1", CLASS)
+        replica.before = [[Mutation("class/a", None)]]
+        reply = replica.submit("2", REFERENCE)
         assert reply.result is not None
         assert not reply.result.ok
         assert "wanted a class" in reply.errors[0]
-        assert not world.fleet.config_store.entries
-        assert world.checked == [0, 1, 2]
-        world.before = [[Mutation("class/b", b"1")], [Mutation("class/c", b"1")]]
-        reply = world.submit("3", CLASS)
+        assert not replica.fleet.config_store.entries
+        assert replica.checked == [0, 1, 2]
+        replica.before = [[Mutation("class/b", b"1")], [Mutation("class/c", b"1")]]
+        reply = replica.submit("3", CLASS)
         assert reply.result is not None
         assert reply.result.ok
-        assert len(world.fleet.config_store.entries) == 3
+        assert len(replica.fleet.config_store.entries) == 3
 
     play(script)
 
 
 def test_rejection_is_returned_only_for_a_state_that_is_confirmed_to_be_the_newest() -> None:
-    def script(world: World) -> None:
-        world.while_confirming = [[CLASS]]
-        reply = world.submit("1", REFERENCE)  # invalid by the state here, but another leader had gone on
+    def script(replica: SimulatedReplica) -> None:
+        replica.while_confirming = [[CLASS]]
+        reply = replica.submit(
+            "1", REFERENCE
+        )  # invalid by the state here, but another leader has committed more
         assert reply.result is not None
         assert reply.result.ok
         assert not reply.errors
-        world.is_leader = False
+        replica.is_leader = False
         for is_dry_run in (True, False):
-            reply = world.submit("2", Mutation("function/g", b"class/x"), is_dry_run=is_dry_run)
+            reply = replica.submit("2", Mutation("function/g", b"class/x"), is_dry_run=is_dry_run)
             assert reply == wire.CommandReply(reason=NOT_LEADER, leader="k2")
 
     play(script)
 
 
 def test_dry_run_is_validated_and_not_committed() -> None:
-    def script(world: World) -> None:
-        world.submit("1", CLASS)
-        assert world.submit("2", REFERENCE, is_dry_run=True).result == CommandResult(True, 1)
-        assert len(world.proposed) == 1
-        assert "2" not in world.fleet.state.results
-        assert world.submit("2", REFERENCE, is_dry_run=False).result == CommandResult(True, 2)
-        assert world.submit("2", REFERENCE, is_dry_run=True).result == CommandResult(True, 2)
+    def script(replica: SimulatedReplica) -> None:
+        replica.submit("1", CLASS)
+        assert replica.submit("2", REFERENCE, is_dry_run=True).result == CommandResult(True, 1)
+        assert len(replica.proposed) == 1
+        assert "2" not in replica.fleet.state.results
+        assert replica.submit("2", REFERENCE, is_dry_run=False).result == CommandResult(True, 2)
+        assert replica.submit("2", REFERENCE, is_dry_run=True).result == CommandResult(True, 2)
 
     play(script)
 
 
 def test_change_set_of_keys_that_changed_since_they_were_read_is_rejected_and_names_them() -> None:
-    def script(world: World) -> None:
+    def script(replica: SimulatedReplica) -> None:
         for n in (1, 2, 3):
-            world.submit(f"{n}", Mutation(f"class/{n}", b"1"))
+            replica.submit(f"{n}", Mutation(f"class/{n}", b"1"))
         mutations = (Mutation("class/1", b"2"), Mutation("class/3", b"2"), Mutation("class/4", b"2"))
-        reply = world.changes.submit(wire.encode(wire.ChangeSetRequest("x", mutations, read_revision=2)))
+        reply = replica.changes.submit(wire.encode(wire.ChangeSetRequest("x", mutations, read_revision=2)))
         assert reply.errors == ("class/3: found revision 3, wanted none after 2: it has changed meanwhile",)
-        assert len(world.proposed) == 3
-        assert world.changes.submit(
+        assert len(replica.proposed) == 3
+        assert replica.changes.submit(
             wire.encode(wire.ChangeSetRequest("x", mutations, read_revision=3))
         ).result == CommandResult(True, 4)
 
@@ -178,27 +181,27 @@
 
 
 def test_concurrent_change_sets_are_applied_in_their_order_each_validated_after_the_one_before() -> None:
-    def script(world: World) -> None:
+    def script(replica: SimulatedReplica) -> None:
         tasks = [
-            world.loop.spawn(lambda n=n: world.submit(f"{n}", Mutation(f"class/{n}", b"1")))
+            replica.loop.spawn(lambda n=n: replica.submit(f"{n}", Mutation(f"class/{n}", b"1")))
             for n in range(20)
         ]
         assert [task.join().result for task in tasks] == [CommandResult(True, n + 1) for n in range(20)]
-        assert world.checked == list(range(20))
-        assert len(world.proposed) == 20
+        assert replica.checked == list(range(20))
+        assert len(replica.proposed) == 20
 
     play(script)
 
 
 def test_change_set_that_waits_too_long_gives_up_and_those_after_it_are_applied() -> None:
-    def script(world: World) -> None:
+    def script(replica: SimulatedReplica) -> None:
         def submit(name: str) -> Task[wire.CommandReply]:
-            return world.loop.spawn(lambda: world.submit(name, Mutation(f"class/{name}", b"1")))
+            return replica.loop.spawn(lambda: replica.submit(name, Mutation(f"class/{name}", b"1")))
 
-        world.commit_time_us = LOCK_TIMEOUT_US + 1000
+        replica.commit_time_us = LOCK_TIMEOUT_US + 1000
         first, second = submit("first"), submit("second")
         cancelled = submit("cancelled")
-        world.loop.sleep(LOCK_TIMEOUT_US // 2)
+        replica.loop.sleep(LOCK_TIMEOUT_US // 2)
         cancelled.cancel()
         late = submit("late")
         assert first.join().result == CommandResult(True, 1)
@@ -207,29 +210,29 @@
         assert not reply.outcome_known
         assert reply.reason == "other change sets are under way"
         assert late.join().result == CommandResult(True, 2)
-        assert world.submit("again", CLASS).result == CommandResult(True, 3), "the lock is free"
-        assert [c.mutations[0].key for c in world.proposed] == ["class/first", "class/late", "class/a"]
+        assert replica.submit("again", CLASS).result == CommandResult(True, 3), "the lock is free"
+        assert [c.mutations[0].key for c in replica.proposed] == ["class/first", "class/late", "class/a"]
 
     play(script)
 
 
 def test_check_that_raises_rejects_its_change_set_and_the_next_one_is_applied() -> None:
-    def script(world: World) -> None:
-        reply = world.submit("1", Mutation("function/f", b"fail"))
+    def script(replica: SimulatedReplica) -> None:
+        reply = replica.submit("1", Mutation("function/f", b"fail"))
         assert reply.result is not None
         assert not reply.result.ok
         assert "a fault of the check" in reply.errors[0]
-        assert len(world.log.lines) == 1
-        assert not world.proposed
-        assert world.submit("1", CLASS).result == CommandResult(True, 1)
+        assert len(replica.log.lines) == 1
+        assert not replica.proposed
+        assert replica.submit("1", CLASS).result == CommandResult(True, 1)
 
     play(script)
 
 
 def test_change_set_that_is_always_overtaken_gives_up_with_an_unknown_outcome() -> None:
-    def script(world: World) -> None:
-        world.before = [[Mutation(f"class/{n}", b"1")] for n in range(1000)]
-        reply = world.submit("1", CLASS)
+    def script(replica: SimulatedReplica) -> None:
+        replica.before = [[Mutation(f"class/{n}", b"1")] for n in range(1000)]
+        reply = replica.submit("1", CLASS)
         assert reply.result is None
         assert not reply.outcome_known
         assert "came in between" in reply.reason
@@ -238,12 +241,12 @@
 
 
 def test_body_that_is_no_change_set_is_rejected() -> None:
-    def script(world: World) -> None:
-        reply = world.changes.submit(b"x" * (MAX_REQUEST_BYTES + 1))
+    def script(replica: SimulatedReplica) -> None:
+        reply = replica.changes.submit(b"x" * (MAX_REQUEST_BYTES + 1))
         assert reply.errors == (f"change set: found {MAX_REQUEST_BYTES + 1} bytes, wanted 131072 at most",)
         for body in (b"noise", wire.encode(wire.ChangeSetRequest("", (CLASS,)))):
             with pytest.raises(MalformedMessageError):
-                world.changes.submit(body)
-        assert not world.proposed
+                replica.changes.submit(body)
+        assert not replica.proposed
 
     play(script)
--- a/packages/controlplane/tests/test_config_watches.py
+++ b/packages/controlplane/tests/test_config_watches.py
@@ -41,9 +41,8 @@
         answer, _ = cluster.client(first, second).submit_change_set("waiting", [op("function/f", "x")])
         later = ReplicaWatcher(cluster, first)
         later.reach(answer.index)
-        assert later.ask(wait_timeout_us=2 * SECOND) is None and task.is_done, (
-            "the request waited, and the change woke it"
-        )
+        assert later.ask(wait_timeout_us=2 * SECOND) is None
+        assert task.is_done, "the request waited, and the change woke it"
         page = task.join()
         assert page is not None
         assert page.revision == answer.index
@@ -56,6 +55,27 @@
     play(tmp_path, script, CheckedProcesses)
 
 
+def restart_without_disk(cluster: ReplicaProcesses, name: str, folder: Path) -> None:
+    """Restart a replica with an empty disk, behind a slow link."""
+    cluster.kill(name)
+    for file in folder.glob(f"{name}.db*"):
+        file.unlink()
+    for (_, dialled), link in cluster.network.links.items():
+        if dialled == name:
+            link.forward.rate = 2_000_000
+    cluster.start(name)
+    cluster.wait_until(lambda: cluster.address_of(name))
+
+
+def restart_all(cluster: ReplicaProcesses) -> None:
+    """Kill all replicas at once, and start them with their disks."""
+    for name in NAMES:
+        cluster.kill(name)
+    for name in NAMES:
+        cluster.start(name)
+    cluster.wait_until(lambda: all(cluster.address_of(name) for name in NAMES))
+
+
 def test_replica_with_a_lost_disk_gets_the_configuration_over_a_slow_link_and_serves_watches(
     tmp_path: Path,
 ) -> None:
@@ -66,20 +86,12 @@
             assert client.submit_change_set(f"c{n}", ops)[0].ok
         leader = cluster.leader()
         lost = next(name for name in NAMES if name != leader)
-        cluster.kill(lost)
-        for file in (tmp_path / "keepers").glob(f"{lost}.db*"):
-            file.unlink()
-        for (_, dialled), link in cluster.network.links.items():
-            if dialled == lost:
-                link.forward.rate = 2_000_000
-        cluster.start(lost)
-        cluster.wait_until(lambda: cluster.address_of(lost))
+        restart_without_disk(cluster, lost, tmp_path / "keepers")
         replica = cluster.replica_id(lost)
         watcher = ReplicaWatcher(cluster, lost)
         watcher.ask()
-        assert watcher.age_us >= 10**15 and not watcher.state.store.entries, (
-            "no leader confirms an empty state"
-        )
+        assert watcher.age_us >= 10**15, "no leader confirms an empty state"
+        assert not watcher.state.store.entries
         rest = tuple(name for name in NAMES if name != lost)
         client = cluster.client()
         cluster.wait_until(lambda: client.change_members("m0", Members(NAMES, (replica,))).ok)
@@ -101,12 +113,7 @@
         assert len(client.local_status(leader).state) < 100_000, (
             "the state of the fleet is without the configuration"
         )
-        # All of them end at once, and start again with what their disks have.
-        for name in NAMES:
-            cluster.kill(name)
-        for name in NAMES:
-            cluster.start(name)
-        cluster.wait_until(lambda: all(cluster.address_of(name) for name in NAMES))
+        restart_all(cluster)
         cluster.leader()
         assert cluster.client().status().digest in digests
 
@@ -129,7 +136,8 @@
         cut_at_us = cluster.loop.now()
         task = cluster.loop.spawn(lambda: _try_change(cluster, cut))
         answer, _ = cluster.client(*rest, timeout_us=30 * SECOND).submit_change_set("2", [op("limit/a", "2")])
-        assert answer.ok and task.join() is None, "without a quorum nothing is committed"
+        assert answer.ok
+        assert task.join() is None, "without a quorum nothing is committed"
         ages = []
         for _ in range(3):
             cluster.loop.sleep(300_000)
--- a/packages/controlplane/tests/test_control_plane_client.py
+++ b/packages/controlplane/tests/test_control_plane_client.py
@@ -1,9 +1,7 @@
-"""The client of the control plane: which replica it asks, and what it makes of the answers."""
+"""The client of the control plane: the replica that it asks next after a failure."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from walnutpost.controlplane import ControlPlaneClient, wire
@@ -11,16 +9,23 @@
 from walnutpost.fleet import CommandResult, ResumePlan
 from walnutpost.http import Exchange, Response
 from walnutpost.http.server import serve_on
-from walnutpost.testsupport.eventloop.scripted_sockets import CONNECTION_FAULTS, scripted_sockets, to
+from walnutpost.testsupport.eventloop.scripted_sockets import (
+    CONNECTION_FAULTS,
+    Operation,
+    scripted_sockets,
+    to,
+)
 
 SECOND = 1_000_000
 
 
 @pytest.mark.parametrize(("operation", "number"), CONNECTION_FAULTS)
-def test_request_whose_connection_fails_is_sent_to_the_next_replica(operation: Any, number: int) -> None:
+def test_request_whose_connection_fails_is_sent_to_the_next_replica(
+    operation: Operation, number: int
+) -> None:
     loop = Loop(VirtualClock())
 
-    def handler(exchange: Exchange) -> Response:
+    def handler(_: Exchange) -> Response:
         return Response(200, body=wire.encode(wire.CommandReply(CommandResult(True, 7))))
 
     def body() -> None:
--- a/packages/controlplane/tests/test_control_plane_requests.py
+++ b/packages/controlplane/tests/test_control_plane_requests.py
@@ -37,7 +37,8 @@
             ("GET", "/table/1/entries", b""),
         ):
             status, body_of_reply = ask(follower, method, target, body)
-            assert status == 421 and leader.encode() in body_of_reply, target
+            assert status == 421, target
+            assert leader.encode() in body_of_reply, target
             assert ask(leader, method, target, body)[0] == 200
         for target in ("/table/1/sums", "/table/1/watch", "/table/1/change", "/fleet/1/commands"):
             for name in (leader, follower):
--- a/packages/controlplane/tests/test_peers.py
+++ b/packages/controlplane/tests/test_peers.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
 from walnutpost.consensus import Members, Message, Snapshot
@@ -13,7 +11,12 @@
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.http import Exchange, Limits, Response
 from walnutpost.http.server import serve_on
-from walnutpost.testsupport.eventloop.scripted_sockets import CONNECTION_FAULTS, scripted_sockets, to
+from walnutpost.testsupport.eventloop.scripted_sockets import (
+    CONNECTION_FAULTS,
+    Operation,
+    scripted_sockets,
+    to,
+)
 
 REPLY_TIMEOUT_US = 50_000
 
@@ -52,7 +55,7 @@
 
 @pytest.mark.parametrize(("operation", "number"), CONNECTION_FAULTS)
 def test_message_whose_connection_fails_counts_as_lost_and_the_next_one_arrives(
-    operation: Any, number: int
+    operation: Operation, number: int
 ) -> None:
     loop = Loop(VirtualClock())
     arrived: list[Message] = []
