--- a/packages/consensus/src/walnutpost/consensus/membership.py
+++ b/packages/consensus/src/walnutpost/consensus/membership.py
@@ -22,15 +22,15 @@
         self._replication = replication
         self._commitment = commitment
 
-    def change(self, id: str, members: Members) -> None:
+    def change(self, request_id: str, members: Members) -> None:
         """Append a change, which is in force from then on; it may make what is there committed."""
         state, leadership = self._state, self._state.leadership
         if leadership is None:
-            state.effects.append(Rejected(id, NOT_LEADER, state.leader))
+            state.effects.append(Rejected(request_id, NOT_LEADER, state.leader))
             return
         error = self._rules.membership_change_error(state, leadership, members)
         if error:
-            state.effects.append(Rejected(id, error, state.replica_id))
+            state.effects.append(Rejected(request_id, error, state.replica_id))
             return
-        self._replication.append(leadership, EntryKind.MEMBERS, id, members=members)
+        self._replication.append(leadership, EntryKind.MEMBERS, request_id, members=members)
         self._commitment.advance()
--- a/packages/consensus/src/walnutpost/consensus/raft.py
+++ b/packages/consensus/src/walnutpost/consensus/raft.py
@@ -159,12 +159,12 @@
             case MessageReceived(to, message):
                 if to == self.replica_id:  # else for a former process at this address, with another disk
                     self._on_message(message)
-            case Propose(id, data):
-                self._replication.propose(id, data)
-            case ReadIndex(id):
-                self._reads.request(id)
-            case ChangeMembership(id, members):
-                self._membership.change(id, members)
+            case Propose(request_id, data):
+                self._replication.propose(request_id, data)
+            case ReadIndex(request_id):
+                self._reads.request(request_id)
+            case ChangeMembership(request_id, members):
+                self._membership.change(request_id, members)
             case TransferLeadership(to):
                 self._transfers.start(to)
             case Compact(index, data):
--- a/packages/consensus/src/walnutpost/consensus/reads.py
+++ b/packages/consensus/src/walnutpost/consensus/reads.py
@@ -18,16 +18,16 @@
         self._gate = gate
         self._replication = replication
 
-    def request(self, id: str) -> None:
+    def request(self, request_id: str) -> None:
         """Start a round for a read: a quorum must answer after the request that it follows this leader."""
         state, leadership = self._state, self._state.leadership
         if leadership is None:
-            state.effects.append(Rejected(id, NOT_LEADER, state.leader))
+            state.effects.append(Rejected(request_id, NOT_LEADER, state.leader))
         elif not state.has_committed_in_term:
-            state.effects.append(Rejected(id, LEADER_NOT_READY, state.replica_id))
+            state.effects.append(Rejected(request_id, LEADER_NOT_READY, state.replica_id))
         else:
             self._replication.start_round(leadership)
-            leadership.pending_reads.append(PendingRead(id, state.commit_index, leadership.round))
+            leadership.pending_reads.append(PendingRead(request_id, state.commit_index, leadership.round))
             self._replication.send_heartbeats(leadership)
             self.answer_confirmed()
 
--- a/packages/consensus/src/walnutpost/consensus/replication.py
+++ b/packages/consensus/src/walnutpost/consensus/replication.py
@@ -29,27 +29,27 @@
         self._gate = gate
         self._freshness = freshness
 
-    def propose(self, id: str, data: bytes) -> None:
+    def propose(self, request_id: str, data: bytes) -> None:
         """Append a command, or reject it: also during a transfer, when the next leader is unknown."""
         state = self._state
         if state.leadership is None:
-            state.effects.append(Rejected(id, NOT_LEADER, state.leader))
+            state.effects.append(Rejected(request_id, NOT_LEADER, state.leader))
         elif state.leadership.transfer is not None:
-            state.effects.append(Rejected(id, NOT_LEADER, ""))
+            state.effects.append(Rejected(request_id, NOT_LEADER, ""))
         else:
-            self.append(state.leadership, EntryKind.COMMAND, id, data)
+            self.append(state.leadership, EntryKind.COMMAND, request_id, data)
 
     def append(
         self,
         leadership: LeaderState,
         kind: EntryKind,
-        id: str = "",
+        request_id: str = "",
         data: bytes = b"",
         members: Members = NO_MEMBERS,
     ) -> None:
         """Append an entry of the own term. It is sent once it is durable here, see `send_new_entries`."""
         state = self._state
-        entry = LogEntry(state.log.last_index + 1, state.term, kind, id, data, members)
+        entry = LogEntry(state.log.last_index + 1, state.term, kind, request_id, data, members)
         state.log.append((entry,))
         self._gate.write(entry.index - 1, (entry,))
         self._update_peers(leadership)
--- a/packages/consensus/src/walnutpost/consensus/safety.py
+++ b/packages/consensus/src/walnutpost/consensus/safety.py
@@ -68,7 +68,7 @@
         """Whether a leader's commit index is a bound: it knows all that former leaders have committed."""
         return state.has_committed_in_term
 
-    def quorum_contact_us(self, state: RaftState, answered: Round) -> int:
+    def quorum_contact_us(self, _state: RaftState, answered: Round) -> int:
         """Return when a leader was in contact with the quorum that answered a round: at its start.
 
         The answers may have waited in a socket while this process was paused.
--- a/packages/consensus/tests/test_leadership_transfer.py
+++ b/packages/consensus/tests/test_leadership_transfer.py
@@ -12,10 +12,10 @@
     cluster = Cluster(THREE)
     cluster.elect("a")
     cluster.feed("a", TransferLeadership("b"))
-    id = cluster.propose("a")
+    request_id = cluster.propose("a")
     cluster.settle()
     assert cluster.leader == "b"
-    assert [rejected.id for rejected in cluster.rejected] == [id]
+    assert [rejected.id for rejected in cluster.rejected] == [request_id]
 
 
 def test_transfer_whose_target_is_removed_while_it_lags_ends_and_the_leader_goes_on() -> None:
@@ -25,8 +25,8 @@
     cluster.feed("a", TransferLeadership("b"))
     cluster.feed("a", ChangeMembership("m", Members(("a", "c"))))
     cluster.settle("a", "c")
-    id = cluster.propose("a")
+    request_id = cluster.propose("a")
     cluster.settle("a", "c")
     assert cluster.leader == "a"
     assert not cluster.rejected
-    assert cluster.replicas["a"].state[-1] == id
+    assert cluster.replicas["a"].state[-1] == request_id
--- a/packages/consensus/tests/test_persistence.py
+++ b/packages/consensus/tests/test_persistence.py
@@ -13,7 +13,7 @@
     cluster = Cluster(THREE)
     cluster.elect("a")
     cluster.in_flight.clear()
-    id = cluster.propose("a")
+    request_id = cluster.propose("a")
     assert not cluster.in_flight, "the others receive it once the leader has it on disk"
     cluster.complete_writes("a")
     sent = cluster.in_flight[:]
@@ -24,7 +24,7 @@
     cluster.settle()
     cluster.tick_at_deadline("a")
     cluster.settle()
-    assert all(replica.state[-1] == id for replica in cluster.replicas.values())
+    assert all(replica.state[-1] == request_id for replica in cluster.replicas.values())
 
 
 def test_only_voter_leads_once_its_own_vote_is_durable() -> None:
--- a/packages/consensus/tests/test_safety_rules.py
+++ b/packages/consensus/tests/test_safety_rules.py
@@ -241,8 +241,8 @@
     """Let a, isolated, make itself the only member in two steps, while b and c go on without it."""
     cluster = Cluster(THREE, rules=rules)
     cluster.elect("a")
-    for id, voters in (("m1", ("a", "b")), ("m2", ("a",))):
-        cluster.feed("a", ChangeMembership(id, Members(voters)))
+    for request_id, voters in (("m1", ("a", "b")), ("m2", ("a",))):
+        cluster.feed("a", ChangeMembership(request_id, Members(voters)))
     cluster.settle("a")
     cluster.elect("b", "b", "c")
     cluster.propose("b")
