--- a/packages/consensus/src/walnutpost/consensus/__init__.py
+++ b/packages/consensus/src/walnutpost/consensus/__init__.py
@@ -1,39 +1,41 @@
 """Raft without I/O and clock: one log for a few processes that may crash, pause and be partitioned.
 
-Source: see `messages.py`.
+Source: see `log_entries.py`.
 """
 
-from walnutpost.consensus.errors import CommittedEntryConflictError, ConsensusError, LogGapError
-from walnutpost.consensus.messages import (
+from walnutpost.consensus.effects import (
     LEADER_NOT_READY,
     LEADERSHIP_LOST,
     NOT_LEADER,
     Apply,
-    ChangeMembership,
-    Compact,
     Effect,
-    EntryKind,
-    Input,
-    LogEntry,
-    Members,
-    Message,
-    MessageReceived,
-    Propose,
-    ReadIndex,
     ReadReady,
     Rejected,
     Restore,
     Role,
     RoleChanged,
     Send,
-    Snapshot,
+    Write,
+)
+from walnutpost.consensus.errors import CommittedEntryConflictError, ConsensusError, LogGapError
+from walnutpost.consensus.inputs import (
+    ChangeMembership,
+    Compact,
+    Input,
+    MessageReceived,
+    Propose,
+    ReadIndex,
     Tick,
     TransferLeadership,
-    VoteRequest,
-    VoteResponse,
-    Write,
     WriteCompleted,
 )
+from walnutpost.consensus.log_entries import (
+    EntryKind,
+    LogEntry,
+    Members,
+    Snapshot,
+)
+from walnutpost.consensus.messages import Message, VoteRequest, VoteResponse
 from walnutpost.consensus.raft import Raft
 from walnutpost.consensus.safety import RAFT_RULES, SafetyRules
 from walnutpost.consensus.state import PersistentState, Timing
--- a/packages/consensus/src/walnutpost/consensus/commitment.py
+++ b/packages/consensus/src/walnutpost/consensus/commitment.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from walnutpost.consensus.messages import Apply, Restore
+from walnutpost.consensus.effects import Apply, Restore
 from walnutpost.consensus.persistence import PersistenceGate
 from walnutpost.consensus.reads import Reads
 from walnutpost.consensus.replication import Replication
--- a/packages/consensus/src/walnutpost/consensus/election.py
+++ b/packages/consensus/src/walnutpost/consensus/election.py
@@ -2,14 +2,9 @@
 
 from __future__ import annotations
 
-from walnutpost.consensus.messages import (
-    EntryKind,
-    Role,
-    RoleChanged,
-    TimeoutNow,
-    VoteRequest,
-    VoteResponse,
-)
+from walnutpost.consensus.effects import Role, RoleChanged
+from walnutpost.consensus.log_entries import EntryKind
+from walnutpost.consensus.messages import TimeoutNow, VoteRequest, VoteResponse
 from walnutpost.consensus.persistence import PersistenceGate
 from walnutpost.consensus.replication import Replication
 from walnutpost.consensus.roles import Roles
--- a/packages/consensus/src/walnutpost/consensus/following.py
+++ b/packages/consensus/src/walnutpost/consensus/following.py
@@ -2,15 +2,11 @@
 
 from __future__ import annotations
 
+from walnutpost.consensus.effects import Role
 from walnutpost.consensus.errors import CommittedEntryConflictError
 from walnutpost.consensus.freshness import Freshness
-from walnutpost.consensus.messages import (
-    AppendEntries,
-    AppendEntriesResponse,
-    InstallSnapshot,
-    LogEntry,
-    Role,
-)
+from walnutpost.consensus.log_entries import LogEntry
+from walnutpost.consensus.messages import AppendEntries, AppendEntriesResponse, InstallSnapshot
 from walnutpost.consensus.persistence import PersistenceGate
 from walnutpost.consensus.roles import Roles
 from walnutpost.consensus.state import RaftState
--- a/packages/consensus/src/walnutpost/consensus/log.py
+++ b/packages/consensus/src/walnutpost/consensus/log.py
@@ -5,7 +5,12 @@
 from collections.abc import Iterable, Sequence
 
 from walnutpost.consensus.errors import LogGapError
-from walnutpost.consensus.messages import EntryKind, LogEntry, Members, Snapshot
+from walnutpost.consensus.log_entries import (
+    EntryKind,
+    LogEntry,
+    Members,
+    Snapshot,
+)
 
 
 class Log:
--- a/packages/consensus/src/walnutpost/consensus/membership.py
+++ b/packages/consensus/src/walnutpost/consensus/membership.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from walnutpost.consensus.commitment import Commitment
-from walnutpost.consensus.messages import NOT_LEADER, EntryKind, Members, Rejected
+from walnutpost.consensus.effects import NOT_LEADER, Rejected
+from walnutpost.consensus.log_entries import EntryKind, Members
 from walnutpost.consensus.replication import Replication
 from walnutpost.consensus.safety import SafetyRules
 from walnutpost.consensus.state import RaftState
--- a/packages/consensus/src/walnutpost/consensus/persistence.py
+++ b/packages/consensus/src/walnutpost/consensus/persistence.py
@@ -4,7 +4,9 @@
 
 from collections import deque
 
-from walnutpost.consensus.messages import Effect, LogEntry, Message, Send, Snapshot, VoteResponse, Write
+from walnutpost.consensus.effects import Effect, Send, Write
+from walnutpost.consensus.log_entries import LogEntry, Snapshot
+from walnutpost.consensus.messages import Message, VoteResponse
 from walnutpost.consensus.safety import SafetyRules
 from walnutpost.consensus.state import DeferredEffect, RaftState, UnpersistedWrite
 
--- a/packages/consensus/src/walnutpost/consensus/raft.py
+++ b/packages/consensus/src/walnutpost/consensus/raft.py
@@ -14,32 +14,33 @@
 
 from walnutpost.consensus.append_responses import AppendResponses
 from walnutpost.consensus.commitment import Commitment
+from walnutpost.consensus.effects import Effect, Role
 from walnutpost.consensus.election import Election
 from walnutpost.consensus.following import Following
 from walnutpost.consensus.freshness import Freshness
+from walnutpost.consensus.inputs import (
+    ChangeMembership,
+    Compact,
+    Input,
+    MessageReceived,
+    Propose,
+    ReadIndex,
+    Tick,
+    TransferLeadership,
+    WriteCompleted,
+)
 from walnutpost.consensus.leadership_transfer import LeadershipTransfers
 from walnutpost.consensus.log import Log
+from walnutpost.consensus.log_entries import Members
 from walnutpost.consensus.membership import Membership
 from walnutpost.consensus.messages import (
     AppendEntries,
     AppendEntriesResponse,
-    ChangeMembership,
-    Compact,
-    Effect,
-    Input,
     InstallSnapshot,
-    Members,
     Message,
-    MessageReceived,
-    Propose,
-    ReadIndex,
-    Role,
-    Tick,
     TimeoutNow,
-    TransferLeadership,
     VoteRequest,
     VoteResponse,
-    WriteCompleted,
 )
 from walnutpost.consensus.persistence import PersistenceGate
 from walnutpost.consensus.reads import Reads
--- a/packages/consensus/src/walnutpost/consensus/reads.py
+++ b/packages/consensus/src/walnutpost/consensus/reads.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-from walnutpost.consensus.messages import LEADER_NOT_READY, NOT_LEADER, ReadReady, Rejected
+from walnutpost.consensus.effects import (
+    LEADER_NOT_READY,
+    NOT_LEADER,
+    ReadReady,
+    Rejected,
+)
 from walnutpost.consensus.persistence import PersistenceGate
 from walnutpost.consensus.replication import Replication
 from walnutpost.consensus.state import PendingRead, RaftState
--- a/packages/consensus/src/walnutpost/consensus/replication.py
+++ b/packages/consensus/src/walnutpost/consensus/replication.py
@@ -2,16 +2,10 @@
 
 from __future__ import annotations
 
+from walnutpost.consensus.effects import NOT_LEADER, Rejected
 from walnutpost.consensus.freshness import Freshness
-from walnutpost.consensus.messages import (
-    NOT_LEADER,
-    AppendEntries,
-    EntryKind,
-    InstallSnapshot,
-    LogEntry,
-    Members,
-    Rejected,
-)
+from walnutpost.consensus.log_entries import EntryKind, LogEntry, Members
+from walnutpost.consensus.messages import AppendEntries, InstallSnapshot
 from walnutpost.consensus.persistence import PersistenceGate
 from walnutpost.consensus.state import LeaderState, PeerProgress, RaftState, Round
 
--- a/packages/consensus/src/walnutpost/consensus/roles.py
+++ b/packages/consensus/src/walnutpost/consensus/roles.py
@@ -2,7 +2,12 @@
 
 from __future__ import annotations
 
-from walnutpost.consensus.messages import LEADERSHIP_LOST, Rejected, Role, RoleChanged
+from walnutpost.consensus.effects import (
+    LEADERSHIP_LOST,
+    Rejected,
+    Role,
+    RoleChanged,
+)
 from walnutpost.consensus.persistence import PersistenceGate
 from walnutpost.consensus.state import RaftState
 
--- a/packages/consensus/src/walnutpost/consensus/safety.py
+++ b/packages/consensus/src/walnutpost/consensus/safety.py
@@ -6,7 +6,9 @@
 
 from __future__ import annotations
 
-from walnutpost.consensus.messages import LEADER_NOT_READY, AppendEntries, Members, VoteRequest
+from walnutpost.consensus.effects import LEADER_NOT_READY
+from walnutpost.consensus.log_entries import Members
+from walnutpost.consensus.messages import AppendEntries, VoteRequest
 from walnutpost.consensus.state import FreshnessBound, LeaderState, RaftState, Round
 
 CONTACT_UNKNOWN_US = -1
--- a/packages/consensus/src/walnutpost/consensus/snapshots.py
+++ b/packages/consensus/src/walnutpost/consensus/snapshots.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from walnutpost.consensus.following import Following
-from walnutpost.consensus.messages import InstallSnapshot, Snapshot
+from walnutpost.consensus.log_entries import Snapshot
+from walnutpost.consensus.messages import InstallSnapshot
 from walnutpost.consensus.persistence import PersistenceGate
 from walnutpost.consensus.state import RaftState
 
--- a/packages/consensus/src/walnutpost/consensus/state.py
+++ b/packages/consensus/src/walnutpost/consensus/state.py
@@ -6,8 +6,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from walnutpost.consensus.effects import Effect, Role
 from walnutpost.consensus.log import Log
-from walnutpost.consensus.messages import Effect, LogEntry, Members, Role, Snapshot, VoteResponse
+from walnutpost.consensus.log_entries import LogEntry, Members, Snapshot
+from walnutpost.consensus.messages import VoteResponse
 
 CLOCK_OFFSET_BITS = 48
 EMPTY_SNAPSHOT = Snapshot(0, 0, Members(), b"")
--- a/packages/consensus/tests/test_consensus_golden.py
+++ b/packages/consensus/tests/test_consensus_golden.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from walnutpost.consensus import messages
+from walnutpost.consensus import effects, inputs, log_entries, messages
 from walnutpost.consensus.messages import Message
 from walnutpost.testsupport.consensus.message_samples import GOLDEN, MESSAGES, NEVER_WRITTEN
 from walnutpost.testsupport.golden.samples import check_covered, check_fields_distinguishable, structs_of
@@ -28,7 +28,8 @@
 
 def test_every_message_and_every_stored_type_has_a_golden_form() -> None:
     check_covered(get_args(Message), MESSAGES.values())
-    check_covered(structs_of(messages), GOLDEN.values(), NEVER_WRITTEN)
+    types = set().union(*(structs_of(module) for module in (log_entries, messages, inputs, effects)))
+    check_covered(types, GOLDEN.values(), NEVER_WRITTEN)
 
 
 def test_no_field_can_change_its_place_or_default_unnoticed() -> None:
--- a/packages/testsupport/src/walnutpost/testsupport/consensus/message_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/consensus/message_samples.py
@@ -2,16 +2,13 @@
 
 from __future__ import annotations
 
-from walnutpost.consensus import messages as wire
+from walnutpost import consensus
+from walnutpost.consensus.log_entries import EntryKind, LogEntry, Members, Snapshot
 from walnutpost.consensus.messages import (
     AppendEntries,
     AppendEntriesResponse,
-    EntryKind,
     InstallSnapshot,
-    LogEntry,
-    Members,
     Message,
-    Snapshot,
     TimeoutNow,
     VoteRequest,
     VoteResponse,
@@ -21,21 +18,21 @@
 
 # Inputs and effects pass between objects of one process.
 NEVER_WRITTEN = (
-    wire.Tick,
-    wire.MessageReceived,
-    wire.WriteCompleted,
-    wire.Propose,
-    wire.ReadIndex,
-    wire.ChangeMembership,
-    wire.TransferLeadership,
-    wire.Compact,
-    wire.Write,
-    wire.Send,
-    wire.Apply,
-    wire.Restore,
-    wire.ReadReady,
-    wire.Rejected,
-    wire.RoleChanged,
+    consensus.Tick,
+    consensus.MessageReceived,
+    consensus.WriteCompleted,
+    consensus.Propose,
+    consensus.ReadIndex,
+    consensus.ChangeMembership,
+    consensus.TransferLeadership,
+    consensus.Compact,
+    consensus.Write,
+    consensus.Send,
+    consensus.Apply,
+    consensus.Restore,
+    consensus.ReadReady,
+    consensus.Rejected,
+    consensus.RoleChanged,
 )
 
 MEMBERS = Members(voters=("k1#aa", "k2#bb"), learners=("k3#cc",))
