--- a/packages/consensus/src/walnutpost/consensus/append_responses.py
+++ b/packages/consensus/src/walnutpost/consensus/append_responses.py
@@ -33,7 +33,7 @@
         self._transfers = transfers
 
     def on_response(self, message: AppendEntriesResponse) -> None:
-        """Note a peer's progress, send it what it still lacks, and go on with what waited for the answer."""
+        """Record a peer's progress, send it what it lacks, and resume what waited for the response."""
         state = self._state
         if message.term > state.term:
             self._roles.become_follower(message.term, "")
--- a/packages/consensus/src/walnutpost/consensus/commitment.py
+++ b/packages/consensus/src/walnutpost/consensus/commitment.py
@@ -1,4 +1,4 @@
-"""What is committed, and what of it goes to the state machine."""
+"""Committing entries, and giving them to the state machine."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
         self._reads = reads
 
     def advance(self) -> None:
-        """Commit what a quorum has durably, where this replica leads; it counts itself only up to there.
+        """Commit the entries durable at a quorum, if this replica leads; it counts itself only up to there.
 
         A leader that is no longer a voter steps down once that change is committed.
         """
@@ -51,7 +51,7 @@
             self._roles.step_down()
 
     def apply(self) -> None:
-        """Give the state machine what is committed and durable here, at first the snapshot."""
+        """Give the state machine the entries that are committed and durable here, at first the snapshot."""
         state = self._state
         if state.last_applied < state.log.snapshot.index:
             snapshot = state.log.snapshot
--- a/packages/consensus/src/walnutpost/consensus/election.py
+++ b/packages/consensus/src/walnutpost/consensus/election.py
@@ -53,7 +53,7 @@
             self.start_election(leadership_transfer=True)
 
     def on_vote_request(self, request: VoteRequest) -> None:
-        """Grant or refuse a vote; no answer where this replica hears a leader."""
+        """Grant or refuse a vote; no answer if this replica hears a leader."""
         state = self._state
         if not request.leadership_transfer and self._rules.has_live_leader(state):
             return
--- a/packages/consensus/src/walnutpost/consensus/errors.py
+++ b/packages/consensus/src/walnutpost/consensus/errors.py
@@ -15,7 +15,7 @@
 
 
 class CommittedEntryConflictError(ConsensusError, RuntimeError):
-    """A leader's entry differs from one that is committed here: some disk has lost what it had accepted."""
+    """A leader's entry differs from one committed here: a disk has lost entries that it had accepted."""
 
     def __init__(self, replica_id: str, index: int, commit_index: int) -> None:
         self.replica_id = replica_id
--- a/packages/consensus/src/walnutpost/consensus/following.py
+++ b/packages/consensus/src/walnutpost/consensus/following.py
@@ -26,7 +26,7 @@
     def on_append_entries(self, message: AppendEntries) -> None:
         """Take entries that continue the own log, and the commit index.
 
-        Raises CommittedEntryConflictError where they would replace a committed entry.
+        Raises CommittedEntryConflictError if they would replace a committed entry.
         """
         if not self.accept_leader(message):
             return
@@ -79,7 +79,7 @@
         return log.last_index_before_term_run(prev_index)
 
     def _append_missing(self, entries: tuple[LogEntry, ...]) -> None:
-        """Append the entries from the first on that this log doesn't have, in place of what is there."""
+        """Append the entries from the first that this log doesn't have, in place of its entries there."""
         state, log = self._state, self._state.log
         missing = self._missing(entries)
         if not missing:
--- a/packages/consensus/src/walnutpost/consensus/freshness.py
+++ b/packages/consensus/src/walnutpost/consensus/freshness.py
@@ -1,7 +1,7 @@
-"""Staleness bounds: since when the applied state is known to have been the newest.
+"""Staleness bounds: the time at which the applied state was certainly the newest.
 
 A bound is an entry and a time at which a leader in contact with a quorum had committed nothing after it. A
-bound stays true, whoever leads later. `SafetyRules` decides what counts as a bound.
+bound stays true under any later leader. `SafetyRules` decides what counts as a bound.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
             self._add_bound(FreshnessBound(state.commit_index, leadership.quorum_contact_us))
 
     def quorum_contact_age_us(self) -> int:
-        """Return the age of this leader's last contact with a quorum, negative where it is unknown."""
+        """Return the age of this leader's last contact with a quorum, negative if it is unknown."""
         leadership = self._state.leadership
         if leadership is None:
             return CONTACT_UNKNOWN_US
--- a/packages/consensus/src/walnutpost/consensus/leadership_transfer.py
+++ b/packages/consensus/src/walnutpost/consensus/leadership_transfer.py
@@ -17,7 +17,7 @@
         self._gate = gate
 
     def start(self, target: str) -> None:
-        """Begin a transfer to a voter, where this replica leads. It has one election timeout for it."""
+        """Begin a transfer to a voter, if this replica leads. It has one election timeout for it."""
         state, leadership = self._state, self._state.leadership
         if leadership is not None and target in state.log.members.voters and target in leadership.peers:
             deadline_us = state.now_us + state.timing.election_timeout_us
--- a/packages/consensus/src/walnutpost/consensus/log.py
+++ b/packages/consensus/src/walnutpost/consensus/log.py
@@ -14,13 +14,13 @@
 
 
 class Log:
-    """Entries `snapshot.index` + 1 to `last_index`; nothing here is durable by itself.
+    """Entries `snapshot.index` + 1 to `last_index`; being in this log does not make an entry durable.
 
-    `members`: the membership at the end of the log, which entry `members_index` (or the snapshot) set.
+    `members`: the membership at the end of the log, which entry `members_index` (or the snapshot) set. Raises
+    LogGapError if the entries don't follow the snapshot.
     """
 
     def __init__(self, snapshot: Snapshot, entries: Sequence[LogEntry] = ()) -> None:
-        """Hold a snapshot and the entries after it. Raises LogGapError where they don't follow it."""
         self.snapshot = snapshot
         self._entries = list(entries)
         for wanted_index, entry in enumerate(self._entries, snapshot.index + 1):
@@ -39,7 +39,7 @@
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of entry `index`, None where this log doesn't have it."""
+        """Return the term of entry `index`, None if this log doesn't have it."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -69,7 +69,7 @@
     def last_index_before_term_run(self, index: int) -> int:
         """Return the index before the run of entries of one term that ends at `index`.
 
-        The leader tries there next where that term is not its own.
+        The leader tries there next if that term is not its own.
         """
         term = self.term_at(index)
         while index > self.snapshot.index and self.term_at(index) == term:
--- a/packages/consensus/src/walnutpost/consensus/membership.py
+++ b/packages/consensus/src/walnutpost/consensus/membership.py
@@ -24,7 +24,7 @@
         self._commitment = commitment
 
     def change(self, request_id: str, members: Members) -> None:
-        """Append a change, which is in force from then on; it may make what is there committed."""
+        """Append a change, which is in force from then on; it may commit entries of the log."""
         state, leadership = self._state, self._state.leadership
         if leadership is None:
             state.effects.append(Rejected(request_id, NOT_LEADER, state.leader))
--- a/packages/consensus/src/walnutpost/consensus/persistence.py
+++ b/packages/consensus/src/walnutpost/consensus/persistence.py
@@ -50,7 +50,7 @@
             self._state.effects.append(effect)
 
     def defer(self, effect: Effect | VoteResponse) -> bool:
-        """Hold an effect, or the own vote, back until all writes are durable; False where they are."""
+        """Hold an effect, or the own vote, back until all writes are durable; False if they are."""
         state = self._state
         if self._rules.has_persisted(state):
             return False
--- a/packages/consensus/src/walnutpost/consensus/raft.py
+++ b/packages/consensus/src/walnutpost/consensus/raft.py
@@ -3,7 +3,7 @@
 Invariants:
 - `persistence.py`: nothing is sent, answered or counted before the writes it depends on are durable.
 - `safety.py`: all decisions on which safety rests.
-- `freshness.py`: what is known of the age of the applied state; each bound stays true, whoever leads.
+- `freshness.py`: bounds of the age of the applied state; each stays true under any later leader.
 - A replica's id includes its disk: one that lost it comes back under another id, which counts for nothing
   until a membership change adds it.
 
@@ -56,7 +56,8 @@
     """A Raft replica.
 
     Restore and Apply for the persistent state come with the first inputs, since the state machine starts
-    empty. `state` is for tests and diagnosis: only `handle` may change it.
+    empty. It starts as a follower. `seed` is for election timeouts, which must differ between replicas.
+    `state` is for tests and diagnosis: only `handle` may change it.
     """
 
     def __init__(
@@ -67,7 +68,6 @@
         seed: int,
         rules: SafetyRules = RAFT_RULES,
     ) -> None:
-        """Start as a follower. `seed`: for election timeouts, which must differ between replicas."""
         self.state = state = RaftState.load(replica_id, persistent, timing, seed)
         self._gate = gate = PersistenceGate(state, rules)
         self._freshness = freshness = Freshness(state, rules)
@@ -100,7 +100,7 @@
 
     @property
     def leader(self) -> str:
-        """The leader of the current term, empty where it is unknown."""
+        """The leader of the current term, empty if it is unknown."""
         return self.state.leader
 
     @property
@@ -132,15 +132,15 @@
         """Return the time at which a state with entry `applied_index` applied was certainly the newest.
 
         By this replica's clock: a leader in contact with a quorum had committed nothing after that entry by
-        then. None where nothing is known of it since this process began. `applied_index` never falls from
+        then. None if nothing is known of it since this process began. `applied_index` never falls from
         call to call.
         """
         return self._freshness.fresh_as_of(applied_index)
 
     def handle(self, now_us: int, event: Input) -> list[Effect]:
-        """Take an input at `now_us`, which never falls, and return the effects, to be done in order.
+        """Handle an input at `now_us`, which never falls, and return the effects, to be executed in order.
 
-        Raises CommittedEntryConflictError where a leader contradicts what is committed here.
+        Raises CommittedEntryConflictError if a leader contradicts entries that are committed here.
         """
         state = self.state
         state.now_us = now_us
@@ -189,7 +189,7 @@
                 self._election.on_timeout_now(message)
 
     def _on_write_completed(self, number: int) -> None:
-        """Let out what waited for the write, count the own vote and go on with replication."""
+        """Release the effects that waited for the write, count the own vote and continue replication."""
         for effect in self._gate.complete_writes(number):
             if isinstance(effect, VoteResponse):
                 self._election.count_vote(effect)
--- a/packages/consensus/src/walnutpost/consensus/replication.py
+++ b/packages/consensus/src/walnutpost/consensus/replication.py
@@ -1,4 +1,4 @@
-"""The leader's side of replication: what it appends, and what it sends to whom."""
+"""The leader's side of replication: appending entries, and sending them to each peer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Replication:
-    """Appends entries to a leader's log and sends peers what they lack."""
+    """Appends entries to a leader's log and sends peers the entries that they lack."""
 
     __slots__ = ("_freshness", "_gate", "_state")
 
@@ -49,7 +49,7 @@
         self._update_peers(leadership)
 
     def send_heartbeats(self, leadership: LeaderState) -> None:
-        """Start a round: send to all peers what they lack, at least a heartbeat."""
+        """Start a round: send each peer the entries that it lacks, at least a heartbeat."""
         leadership.next_heartbeat_us = self._state.now_us + self._state.timing.heartbeat_interval_us
         self.start_round(leadership)
         for name in leadership.peers:
@@ -93,7 +93,7 @@
         peer.next_index += len(entries)
 
     def _update_peers(self, leadership: LeaderState) -> None:
-        """Follow the membership. A transfer ends where its target was removed: this leader goes on."""
+        """Follow the membership. A transfer ends if its target was removed: this leader stays."""
         state, members = self._state, self._state.log.members.all
         for name in members:
             if name != state.replica_id and name not in leadership.peers:
--- a/packages/consensus/src/walnutpost/consensus/roles.py
+++ b/packages/consensus/src/walnutpost/consensus/roles.py
@@ -27,7 +27,7 @@
         state.election_deadline_us = state.now_us + timeout_us + state.random.randrange(timeout_us)
 
     def become_follower(self, term: int, leader: str) -> None:
-        """Follow `leader`, empty where it is unknown, and adopt a newer `term`.
+        """Follow `leader`, empty if it is unknown, and adopt a newer `term`.
 
         The pending reads of a leader are rejected.
         """
--- a/packages/consensus/src/walnutpost/consensus/safety.py
+++ b/packages/consensus/src/walnutpost/consensus/safety.py
@@ -12,7 +12,7 @@
 from walnutpost.consensus.state import FreshnessBound, LeaderState, RaftState, Round
 
 CONTACT_UNKNOWN_US = -1
-"""In place of an age, where a leader has had no contact with a quorum that counts."""
+"""In place of an age, if a leader has had no contact with a quorum that counts."""
 
 
 class SafetyRules:
@@ -34,7 +34,7 @@
     def has_live_leader(self, state: RaftState) -> bool:
         """Whether to ignore vote requests: a removed or isolated replica must not depose a live leader."""
         if state.leadership is not None:
-            return True  # it steps down by itself where no quorum answers
+            return True  # it steps down if no quorum answers
         if state.leader_heard_us is None:
             return False
         return state.now_us - state.leader_heard_us < state.timing.election_timeout_us
@@ -48,7 +48,7 @@
         return state.log.term_at(index) == state.term
 
     def membership_change_error(self, state: RaftState, leadership: LeaderState, members: Members) -> str:
-        """Return why the membership may not change to `members`, empty where it may.
+        """Return why the membership may not change to `members`, empty if it may.
 
         One voter at a time, so that any two quorums overlap, and only once the former change and an entry of
         this term are committed (thesis 4.1, and Ongaro's correction of 2015).
@@ -87,7 +87,7 @@
         """Return when the sender was certainly in contact with a quorum, by this replica's clock.
 
         It wrote the message after it had this replica's echoed response, so its contact is at least as new as
-        that response less the age, however long the message took. None where the age is unknown, or the
+        that response less the age, however long the message took. None if the age is unknown, or the
         echoed time is not of this process.
         """
         if message.quorum_contact_age_us < 0 or state.started_at_us is None:
--- a/packages/consensus/src/walnutpost/consensus/snapshots.py
+++ b/packages/consensus/src/walnutpost/consensus/snapshots.py
@@ -20,7 +20,7 @@
         self._following = following
 
     def on_install_snapshot(self, message: InstallSnapshot) -> None:
-        """Take a leader's snapshot where it is newer than what is committed here."""
+        """Accept a leader's snapshot if it is newer than the entries committed here."""
         if not self._following.accept_leader(message):
             return
         state, snapshot = self._state, message.snapshot
@@ -31,7 +31,7 @@
         self._following.respond(message, True, snapshot.index)
 
     def compact(self, index: int, data: bytes) -> None:
-        """Replace the log up to `index`, which must be applied, by `data`; ignored where it is not newer."""
+        """Replace the log up to `index`, which must be applied, by `data`; ignored if it is not newer."""
         state, log = self._state, self._state.log
         term = log.term_at(index)
         if term is None or not log.snapshot.index < index <= state.last_applied:
--- a/packages/consensus/src/walnutpost/consensus/state.py
+++ b/packages/consensus/src/walnutpost/consensus/state.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistentState:
-    """What was durable when the process ended.
+    """The state that was durable when the process ended.
 
     `PersistentState()` knows no members: such a replica waits until a membership change adds it.
     """
--- a/packages/consensus/src/walnutpost/consensus/timers.py
+++ b/packages/consensus/src/walnutpost/consensus/timers.py
@@ -10,7 +10,7 @@
 
 
 class Timers:
-    """Does what is due."""
+    """Starts elections, heartbeats and steps down when they are due."""
 
     __slots__ = ("_election", "_replication", "_roles", "_state", "_transfers")
 
@@ -51,7 +51,7 @@
             return
         self._transfers.end_overdue()
         if self._has_lost_quorum(leadership):
-            self._roles.step_down()  # another may lead, and reads here would wait for ever
+            self._roles.step_down()  # another may lead, and reads here would wait without end
         elif state.now_us >= leadership.next_heartbeat_us:
             self._replication.send_heartbeats(leadership)
 
