--- a/packages/consensus/tests/test_freshness.py
+++ b/packages/consensus/tests/test_freshness.py
@@ -2,8 +2,6 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 import pytest
 
@@ -73,7 +71,7 @@
         if send.to == "c" and isinstance(send.message, AppendEntries)
     ]
     cluster.in_flight.clear()
-    cluster.now_us += 100 * TIMING.heartbeat_interval_us  # c is paused, while the others go on
+    cluster.now_us += 100 * TIMING.heartbeat_interval_us  # c is paused, while the others continue
     for message in late:
         cluster.feed("c", MessageReceived("c", message))
     assert late
@@ -104,14 +102,14 @@
 
 
 @pytest.mark.parametrize(
-    ("kind", "tag", "former_fields"),
+    ("former_fields", "message"),
     [
-        (AppendEntries, "Append", (1, "a", 0, 0, (), 0, 1)),
-        (AppendEntriesResponse, "Appended", (1, "a", True, 0, 1)),
+        (("Append", 1, "a", 0, 0, (), 0, 1), AppendEntries(1, "a", 0, 0, (), 0, 1)),
+        (("Appended", 1, "a", True, 0, 1), AppendEntriesResponse(1, "a", True, 0, 1)),
     ],
 )
 def test_message_of_a_version_without_ages_is_read_with_defaults(
-    kind: type[Message], tag: str, former_fields: tuple[Any, ...]
+    former_fields: tuple[object, ...], message: Message
 ) -> None:
-    data = msgspec.msgpack.encode((tag, *former_fields))
-    assert msgspec.msgpack.decode(data, type=kind) == kind(*former_fields)
+    data = msgspec.msgpack.encode(former_fields)
+    assert msgspec.msgpack.decode(data, type=type(message)) == message
--- a/packages/consensus/tests/test_leadership_transfer.py
+++ b/packages/consensus/tests/test_leadership_transfer.py
@@ -18,7 +18,7 @@
     assert [rejected.id for rejected in cluster.rejected] == [request_id]
 
 
-def test_transfer_whose_target_is_removed_while_it_lags_ends_and_the_leader_goes_on() -> None:
+def test_transfer_whose_target_is_removed_while_it_lags_ends_and_the_leader_stays() -> None:
     cluster = Cluster(THREE)
     cluster.elect("a")
     cluster.propose("a")  # "b" doesn't have it yet: the transfer waits for that
--- a/packages/consensus/tests/test_vote_rules.py
+++ b/packages/consensus/tests/test_vote_rules.py
@@ -64,7 +64,7 @@
 
 
 def _violations(rules: SafetyRules) -> Iterator[Invariant]:
-    """Explore all orders of events after a tie, breadth first, each state once; yield each violated invariant."""
+    """Explore all orders of events after a tie, breadth first, each state once; yield violated invariants."""
     explored: set[str] = set()
     states = [_tie(rules)]
     for _ in range(MAX_EXPLORED_STEPS):
