--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 CODE := packages tests benchmarks
 empty :=
 space := $(empty) $(empty)
-export MYPYPATH := $(subst $(space),:,$(wildcard packages/*/src packages/*/tests tests))
+export MYPYPATH := $(subst $(space),:,$(wildcard packages/*/src))
 
 setup: .venv/.installed
 
--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -18,12 +18,12 @@
 from pathlib import Path
 from typing import Any
 
-from test_lost_site import SITES, Sites
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, encode_request
 from walnutpost.journal import CallAccepted, MergedJournal, ResultsPurged
 from walnutpost.store import Change, Database, JournalStore
 from walnutpost.testsupport.daemon.fleet import INVOKE, SECOND
+from walnutpost.testsupport.replication.sites import SITES, Sites
 
 PAYLOAD = b'{"isbn": "' + b"0" * 1000 + b'"}'
 QUICK = {
--- a/packages/cli/tests/test_config_commands.py
+++ b/packages/cli/tests/test_config_commands.py
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 import time
-from collections.abc import Callable, Iterator, Mapping
+from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
@@ -22,6 +22,7 @@
 from walnutpost.config.site import FunctionConfig
 from walnutpost.configstore import MAX_MUTATIONS, Entry, MemberStatus, Mutation, PropagationStatus
 from walnutpost.controlplane import ControlPlaneClient
+from walnutpost.testsupport.cli.control_plane import wait_for_leader
 from walnutpost.testsupport.daemon.fleet import BASE, merged
 from walnutpost.testsupport.eventloop.loopback import free_address
 
@@ -29,14 +30,6 @@
 PRICE, RESERVE = SITE["functions"]["price"], SITE["functions"]["reserve"]
 
 
-def wait_for_leader(
-    ask: Callable[..., Result], processes: Mapping[str, subprocess.Popen[bytes]], logs: Callable[[], str]
-) -> None:
-    """Wait until a leader answers: on a busy machine a start takes longer than a command waits."""
-    while ask("status").exit_code == 3:
-        assert all(process.poll() is None for process in processes.values()), logs()
-
-
 class ControlPlane:
     """One replica in a process, and commands that are given its file."""
 
--- a/packages/cli/tests/test_config_processes.py
+++ b/packages/cli/tests/test_config_processes.py
@@ -14,8 +14,8 @@
 import pytest
 from click.testing import CliRunner, Result
 
-from test_config_commands import wait_for_leader
 from walnutpost.cli import main
+from walnutpost.testsupport.cli.control_plane import wait_for_leader
 from walnutpost.testsupport.daemon.fleet import BASE, merged
 from walnutpost.testsupport.eventloop.loopback import free_address
 
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -6,8 +6,6 @@
 
 import pytest
 
-from test_functions_gone import kill_front_end
-from test_settings_watch import SettingsFleet, put_function
 from walnutpost.configstore import ConfigStore
 from walnutpost.controlplane.wire import CommandReply
 from walnutpost.daemon.endpoint_cache import EndpointCache
@@ -16,7 +14,9 @@
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.fleet import CommandResult, EndpointFollower
 from walnutpost.fleet.endpoints import EndpointSnapshot
+from walnutpost.testsupport.daemon.executions import kill_front_end
 from walnutpost.testsupport.daemon.fleet import SECOND, Log
+from walnutpost.testsupport.daemon.settings_fleet import SettingsFleet, put_function
 from walnutpost.testsupport.store.disk_faults import scripted_files
 
 CALLS = ["write", "fsync", "rename", "fsync folder"]
--- a/packages/daemon/tests/test_clock_steps.py
+++ b/packages/daemon/tests/test_clock_steps.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from test_functions_gone import EVENT, describe_execution, kill_front_end
-from test_journal_replication import Sites
 from walnutpost.config import FrontEndConfig
 from walnutpost.eventloop import BootTime, Loop, VirtualClock
 from walnutpost.http import Response
 from walnutpost.journal import CallStage
+from walnutpost.testsupport.daemon.executions import EVENT, describe_execution, kill_front_end
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet, execution_path
+from walnutpost.testsupport.daemon.sites import Sites
 
 MINUTE, HOUR = 60 * SECOND, 3600 * SECOND
 EPOCH = 1_700_000_000 * SECOND
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -2,24 +2,21 @@
 
 from __future__ import annotations
 
-import json
 from collections.abc import Callable
 from dataclasses import replace
 from pathlib import Path
-from typing import Any
 
 import pytest
 
-from test_journal_replication import RUN, Sites
 from walnutpost.config import Config
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.gateway import Execution, Function
 from walnutpost.http import Response
 from walnutpost.journal import CallStage
 from walnutpost.store import Change, read_history
-from walnutpost.testsupport.daemon.fleet import SECOND, Fleet, execution_path
-
-EVENT = "Event"
+from walnutpost.testsupport.daemon.executions import EVENT, describe_execution, kill_front_end
+from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
+from walnutpost.testsupport.daemon.sites import RUN, Sites
 
 
 def mutable_functions(front: FrontEnd) -> dict[str, Function]:
@@ -29,18 +26,6 @@
     return functions
 
 
-def describe_execution(f: Fleet, deferred: Response) -> dict[str, Any]:
-    description: dict[str, Any] = json.loads(f.ask("GET", execution_path(deferred)).body)
-    return description
-
-
-def kill_front_end(f: Fleet) -> None:
-    """End the front end without waiting for open calls, as a killed process does."""
-    f.front.shutdown_timeout_us = 0
-    f.front.stop()
-    f.front.close()
-
-
 def test_open_deferred_call_when_its_function_is_removed_still_runs(tmp_path: Path) -> None:
     f = Fleet(tmp_path, {"fleet": {"work": {"reserve": {"work_ms": 1000}}}})
 
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -10,7 +10,6 @@
 import pytest
 
 from walnutpost.daemon.metering import UsageMetering
-from walnutpost.eventloop import VirtualClock
 from walnutpost.faultinjection.usage import true_usage
 from walnutpost.gateway import LoadOrder
 from walnutpost.metering import (
@@ -25,19 +24,9 @@
 )
 from walnutpost.store.usage import LedgerRun
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
+from walnutpost.testsupport.daemon.metered_fleet import START, metered_fleet, metering_of, traffic
 
 MINUTE = 60 * SECOND
-START = 300 * HOUR_US - 15 * SECOND  # an hour ends soon
-
-
-def metered_fleet(path: Path, clock: int = START, **more: Any) -> Fleet:
-    metering = {"fetch_ms": 1000, "write_ms": 2000, "close_after_ms": 60_000, **more.pop("metering", {})}
-    return Fleet(path, {"metering": metering, **more}, clock=VirtualClock(clock))
-
-
-def metering_of(f: Fleet) -> UsageMetering:
-    assert f.front.metering is not None
-    return f.front.metering
 
 
 def metered_usage(f: Fleet, metering: UsageMetering | None = None) -> dict[Account, Amount]:
@@ -69,14 +58,6 @@
     assert len(metered) == len(actual)
 
 
-def traffic(f: Fleet, seconds: int) -> None:
-    for n in range(seconds * 4):
-        tenant = ("tills", "trade", "trade")[n % 3]
-        for function in ("price", "reserve", "price")[: 1 + n % 3]:
-            f.loop.spawn(lambda a=function, t=tenant: f.invoke(a, x_amz_tenant_id=t))
-        f.loop.sleep(SECOND // 4)
-
-
 def test_metered_usage_equals_what_the_workers_recorded(tmp_path: Path) -> None:
     f = metered_fleet(tmp_path)
 
--- a/packages/node/tests/test_ration_processes.py
+++ b/packages/node/tests/test_ration_processes.py
@@ -16,10 +16,10 @@
 from contextlib import suppress
 from pathlib import Path
 
-from test_ration_crossings import Witness
 from walnutpost.eventloop import Loop
 from walnutpost.testsupport.node.harness import MS, SECOND, Client, config_text, settings
 from walnutpost.testsupport.node.ration_checker import Ration, RationLog, describe_breaches
+from walnutpost.testsupport.node.witness import Witness
 
 FREE_LOADS, LOAD_SHARE, LOAD_WINDOW = 4, 0.2, 2 * SECOND
 RATION = Ration.on_sockets(FREE_LOADS, LOAD_SHARE, LOAD_WINDOW)
--- a/packages/policy/tests/test_defences.py
+++ b/packages/policy/tests/test_defences.py
@@ -8,7 +8,6 @@
 
 import pytest
 
-from test_mechanism import first_in_order
 from walnutpost import interface as api
 from walnutpost.policy.timers import TimerKind
 from walnutpost.testsupport.policy.harness import (
@@ -21,6 +20,7 @@
     orders,
     worker,
 )
+from walnutpost.testsupport.policy.order import first_in_order
 
 Outcome = api.Outcome
 
--- a/packages/policy/tests/test_guards.py
+++ b/packages/policy/tests/test_guards.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from test_mechanism import first_in_order
 from walnutpost import interface as api
 from walnutpost.testsupport.policy.harness import KEYED, SECOND, SETTINGS, Rig, of, orders, worker
+from walnutpost.testsupport.policy.order import first_in_order
 
 Outcome = api.Outcome
 MISS_LOADS = replace(SETTINGS, loads_on_miss=True)
--- a/packages/policy/tests/test_mechanism.py
+++ b/packages/policy/tests/test_mechanism.py
@@ -7,10 +7,7 @@
 from walnutpost import interface as api
 from walnutpost.policy import hash_rank
 from walnutpost.testsupport.policy.harness import KEEP_ALIVE_US, SECOND, SETTINGS, Rig, of, orders, worker
-
-
-def first_in_order(function: int = 7, workers: int = 4) -> list[int]:
-    return sorted(range(1, workers + 1), key=lambda w: -hash_rank(function, w, 1.0))
+from walnutpost.testsupport.policy.order import first_in_order
 
 
 def test_request_with_nothing_warm_is_queued_and_orders_a_load_at_the_first_of_the_hash_order() -> None:
--- /dev/null
+++ b/packages/testsupport/src/walnutpost/testsupport/replication/__init__.py
@@ -0,0 +1,1 @@
+"""Helpers for tests of replicated journals."""
--- a/packages/workerclient/tests/test_abandoned_attempts.py
+++ b/packages/workerclient/tests/test_abandoned_attempts.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from test_call_outcomes import stay_silent
 from walnutpost.eventloop import Event
 from walnutpost.interface import Outcome
+from walnutpost.testsupport.workerclient.exchanges import stay_silent
 from walnutpost.testsupport.workerclient.harness import (
     US_PER_MS,
     US_PER_S,
--- a/packages/workerclient/tests/test_call_outcomes.py
+++ b/packages/workerclient/tests/test_call_outcomes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from contextlib import suppress
 
 import pytest
 
@@ -13,6 +12,7 @@
 from walnutpost.http.messages import Limits
 from walnutpost.http.parsing import RequestParser
 from walnutpost.interface import Outcome, Warmth
+from walnutpost.testsupport.workerclient.exchanges import stay_silent
 from walnutpost.testsupport.workerclient.harness import (
     CALL_SUCCEEDED,
     LOCAL_ADDRESS,
@@ -46,12 +46,6 @@
     stream.reset()
 
 
-def stay_silent(stream: Stream) -> None:
-    stream.recv()
-    with suppress(ConnectionResetError):  # a connection given up with something unanswered ends by a reset
-        stream.recv()
-
-
 EXCHANGES: dict[str, tuple[Callable[[Stream], None], Outcome]] = {
     "a success": (respond(CALL_SUCCEEDED), Outcome.OK),
     "a reset at once": (reset_at_once, Outcome.RESET),
--- a/packages/workerclient/tests/test_worker_protocol_golden.py
+++ b/packages/workerclient/tests/test_worker_protocol_golden.py
@@ -13,7 +13,6 @@
 import msgspec
 import pytest
 
-from test_metering_golden import REPORTS
 from walnutpost.http import Response
 from walnutpost.testsupport.golden.frames import (
     Sender,
@@ -23,6 +22,7 @@
     sent_row,
     write_rows,
 )
+from walnutpost.testsupport.metering.report_samples import REPORTS
 from walnutpost.workerclient import InvalidUsageReportError, codec, orca
 
 GOLDEN = Path(__file__).parent / "golden" / "frames"
