--- a/packages/testsupport/src/walnutpost/testsupport/config/keys.py
+++ b/packages/testsupport/src/walnutpost/testsupport/config/keys.py
@@ -12,7 +12,10 @@
 
 
 def models_in(annotation: Any, place: str = "") -> Iterator[tuple[str, type[BaseModel]]]:
-    """Models that a value of this type may be or hold, with where: `.*` for any name, `[]` in a list."""
+    """Yield the models that a value of this type may be or hold, each with its place.
+
+    In a place, `.*` stands for any name and `[]` for any item of a list.
+    """
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         yield place, annotation
         return
@@ -29,7 +32,7 @@
 
 
 def type_names(annotation: Any) -> list[str]:
-    """Basic types and literals that a value may be."""
+    """Return the basic types and literals that a value may be."""
     if get_origin(annotation) is Literal:
         return [repr(literal) for literal in get_args(annotation)]
     if isinstance(annotation, type) and not get_args(annotation) and not issubclass(annotation, BaseModel):
@@ -38,12 +41,15 @@
 
 
 def key_of(name: str, field: FieldInfo) -> str:
+    """Return the key that a field is read from."""
     return field.alias or name
 
 
 def keys(model: type[BaseModel], place: str = "") -> dict[str, dict[str, Any]]:
-    """Each key with its default, types and limits. Members of a union of several models differ by their
-    `what`."""
+    """Return each key with its default, types and limits.
+
+    Members of a union of several models differ by their `what`.
+    """
     found: dict[str, dict[str, Any]] = {}
     for name, field in model.model_fields.items():
         at = f"{place}.{key_of(name, field)}" if place else key_of(name, field)
@@ -64,7 +70,7 @@
 
 
 def sections(model: type[BaseModel], content: Any) -> Iterator[tuple[type[BaseModel], dict[str, Any]]]:
-    """The parts of a document that are sections of their own, with the model that reads each."""
+    """Yield the parts of a document that are sections of their own, with the model that reads each."""
     yield model, content
     for name, field in model.model_fields.items():
         value = content.get(key_of(name, field))
@@ -81,7 +87,7 @@
 
 
 def missing_keys(model: type[BaseModel], content: Any) -> set[str]:
-    """Keys of the model's sections that a document does not have."""
+    """Return keys of the model's sections that a document does not have."""
     have: set[tuple[type[BaseModel], str]] = set()
     wanted: set[tuple[type[BaseModel], str]] = set()
     for found, part in sections(model, content):
--- a/packages/testsupport/src/walnutpost/testsupport/eventloop/fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/fixtures.py
@@ -31,14 +31,14 @@
 
 
 def virtual_loop(errors: list[tuple[str, BaseException]] | None = None) -> Loop:
-    """A loop that appends the errors it reports, with their names, to `errors`."""
+    """Return a loop that appends the errors it reports, with their names, to `errors`."""
     if errors is None:
         return Loop(VirtualClock())
     return Loop(VirtualClock(), lambda name, error: errors.append((name, error)))
 
 
 def run_with_faults(script: Callable[[Loop, SocketFaults], Any]) -> None:
-    """Runs `script` on scripted sockets, within ten seconds; no error may be reported."""
+    """Run `script` on scripted sockets, within ten seconds; no error may be reported."""
     errors: list[tuple[str, BaseException]] = []
     loop = virtual_loop(errors)
 
@@ -52,12 +52,13 @@
 
 
 def wait_until(loop: Loop, condition: Callable[[], Any]) -> None:
+    """Sleep until the condition holds, 10 ms at a time, without a limit."""
     while not condition():
         loop.sleep(10 * MS)
 
 
 def start_accepting(loop: Loop, listener: Listener) -> list[Stream]:
-    """The streams that a task accepts from now on, until the listener is closed."""
+    """Return the streams that a task accepts from now on, until the listener is closed."""
     streams: list[Stream] = []
 
     def accept() -> None:
@@ -73,5 +74,6 @@
 
 
 def close_all(*ends: Any) -> None:
+    """Close each stream or listener."""
     for end in ends:
         end.close()
--- a/packages/testsupport/src/walnutpost/testsupport/eventloop/scripted_sockets.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/scripted_sockets.py
@@ -75,9 +75,11 @@
         when: Callable[[ScriptedSocket], bool] = lambda sock: True,
         drops: bool = False,
     ) -> None:
-        """The next `times` calls of `operation` on sockets that `when` picks fail with errno `number`, once
-        `after` of them have passed. `drops`: a failing accept takes the connection off the queue, as an error
-        of the network that is pending on it does."""
+        """Let the next `times` calls of `operation` fail with errno `number`, on sockets that `when` picks.
+
+        The first `after` calls pass. `drops`: a failing accept takes the connection off the queue, as an
+        error of the network that is pending on it does.
+        """
         self._faults.append(_Fault(operation, number, times, after, drops, when))
 
     def shorten(
@@ -86,16 +88,16 @@
         size: int,
         when: Callable[[ScriptedSocket], bool] = lambda sock: True,
     ) -> None:
-        """Each call moves at most `size` bytes."""
+        """Let each call move `size` bytes at most."""
         self._limits.append(_Limit(operation, size, when))
 
     def heal(self) -> None:
-        """From now on nothing fails and nothing is short."""
+        """Let nothing fail and nothing be short from now on."""
         self._faults.clear()
         self._limits.clear()
 
     def error(self, operation: Operation, sock: ScriptedSocket) -> int:
-        """The errno of this call, 0 where it is to be made."""
+        """Return the errno of this call, or 0 where it is to be made."""
         self.calls[operation] += 1
         for fault in self._faults:
             if fault.operation != operation or not fault.times or not fault.when(sock):
@@ -110,11 +112,13 @@
         return 0
 
     def check(self, operation: Operation, sock: ScriptedSocket) -> None:
+        """Raise the error that is scripted for this call, if any."""
         number = self.error(operation, sock)
         if number:
             raise OSError(number, os.strerror(number))
 
     def size(self, operation: Operation, sock: ScriptedSocket, wanted: int) -> int:
+        """Return how many of the wanted bytes this call may move."""
         limits = (limit for limit in self._limits if limit.operation == operation and limit.when(sock))
         return min((limit.size for limit in limits), default=wanted)
 
@@ -132,19 +136,23 @@
         super().__init__(*args, **kwargs)
 
     def bind(self, address: Any) -> None:
+        """Bind, unless the script fails it."""
         self.script.check("bind", self)
         super().bind(address)
 
     def connect(self, address: Any) -> None:
+        """Connect, unless the script fails it; `target` is set either way."""
         self.target = address
         self.script.check("connect", self)
         super().connect(address)
 
     def connect_ex(self, address: Any) -> int:
+        """Connect, or return the scripted errno; `target` is set either way."""
         self.target = address
         return self.script.error("connect", self) or super().connect_ex(address)
 
     def accept(self) -> tuple[socket.socket, Any]:
+        """Accept, unless the script fails it; the failure may drop the connection."""
         number = self.script.error("accept", self)
         if not number:
             return super().accept()
@@ -153,32 +161,34 @@
         raise OSError(number, os.strerror(number))
 
     def send(self, data: Any, flags: int = 0) -> int:
+        """Send as many bytes as the script allows."""
         self.script.check("send", self)
         return super().send(data[: self.script.size("send", self, len(data))], flags)
 
     def recv(self, max_bytes: int, flags: int = 0) -> bytes:
+        """Receive as many bytes as the script allows."""
         self.script.check("recv", self)
         return super().recv(self.script.size("recv", self, max_bytes), flags)
 
 
 def at(address: Address) -> Callable[[ScriptedSocket], bool]:
-    """Picks the sockets of this own address: a listener and what it accepted."""
+    """Pick the sockets with this own address: a listener and what it accepted."""
     return lambda sock: sock.fileno() >= 0 and sock.getsockname()[:2] == address
 
 
 def to(address: Address) -> Callable[[ScriptedSocket], bool]:
-    """Picks the sockets that were connected to this address, or are about to be."""
+    """Pick the sockets that were connected to this address, or are about to be."""
     return lambda sock: sock.target is not None and tuple(sock.target[:2]) == address
 
 
 def datagrams(sock: ScriptedSocket) -> bool:
-    """Picks the sockets of UDP."""
+    """Pick the UDP sockets."""
     return sock.fileno() >= 0 and sock.type == socket.SOCK_DGRAM
 
 
 @contextmanager
 def scripted_sockets() -> Iterator[SocketFaults]:
-    """Within the block all new sockets of the process ask the script that this returns."""
+    """Let all new sockets of the process ask the script that this yields, within the block."""
     faults = SocketFaults()
 
     class Scripted(ScriptedSocket):
--- a/packages/testsupport/src/walnutpost/testsupport/golden/neutral_values.py
+++ b/packages/testsupport/src/walnutpost/testsupport/golden/neutral_values.py
@@ -168,7 +168,7 @@
 
 
 def from_neutral(value: Any) -> Any:
-    """The value that a neutral form stands for; sequences become tuples."""
+    """Return the value that a neutral form stands for; sequences become tuples."""
     if not isinstance(value, list):
         return value
     form, *rest = value
@@ -185,14 +185,16 @@
 
 
 def write_lines(path: Path, rows: Iterable[Any]) -> None:
-    """Writes compressed JSON lines; the same rows give the same file."""
+    """Write compressed JSON lines; the same rows give the same file."""
     text = "".join(json.dumps(row, separators=(",", ":")) + "\n" for row in rows)
     path.write_bytes(lzma.compress(text.encode(), preset=9 | lzma.PRESET_EXTREME))
 
 
 def read_lines(path: Path) -> list[Any]:
+    """Return the rows of compressed JSON lines."""
     return [json.loads(line) for line in lzma.decompress(path.read_bytes()).splitlines()]
 
 
 def neutral_of_each(values: Iterable[Any]) -> list[Any]:
+    """Return the neutral form of each value."""
     return [to_neutral(value) for value in values]
--- a/packages/testsupport/src/walnutpost/testsupport/http/fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/http/fixtures.py
@@ -32,10 +32,12 @@
 
 
 def error_response(error: HttpMessageError) -> Response:
+    """Return the response with the error's status and text."""
     return Response(error.status, body=str(error).encode())
 
 
 def echo(exchange: Exchange) -> Response:
+    """Answer with the request's body, and its target as a header."""
     return Response(200, {"x-target": exchange.request.target.decode()}, exchange.request.body)
 
 
@@ -45,7 +47,7 @@
     limits: Limits | None = LIMITS,
     log: Any = None,
 ) -> Any:
-    """Runs `script` beside a server; no error may be reported."""
+    """Run `script` beside a server; no error may be reported."""
     errors: list[BaseException] = []
     loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
 
@@ -58,7 +60,7 @@
 
 
 def response_bytes(loop: Loop, server: Server, data: bytes) -> bytes:
-    """All that comes back for `data`, until the server closes or sends nothing for a minute."""
+    """Return all that comes back for `data`, until the server closes or sends nothing for a minute."""
     stream = connect(loop, server.address)
     received = b""
     stream.send_all(data)
--- a/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
@@ -29,12 +29,13 @@
 
 
 def request(number: int, body: bytes = b"", rid: str | None = None, budget: str = "1000") -> bytes:
+    """Return a call of a client as the bytes of its wire form."""
     fields = {"rid": rid or f"{number:016x}", "budget": budget, "obj": FUNCTION}
     return msgpack.packb([0, number, "valuation", [fields, body]])  # type: ignore[no-any-return]
 
 
 def stall(world: World, time: int) -> None:
-    """The process is stopped for so long: no round of the loop passes meanwhile."""
+    """Stop the process for so long: no round of the loop passes meanwhile."""
     assert isinstance(world.loop.clock, VirtualClock)
     world.loop.clock.advance_to(world.loop.now() + time)
 
@@ -56,7 +57,7 @@
 
 
 def crowd(world: World, count: int) -> list[socket.socket]:
-    """Connections with a request each, in the listener's queue: the loop has no turn meanwhile."""
+    """Connect clients with a request each, into the listener's queue: the loop has no turn meanwhile."""
     callers = [socket.create_connection(world.node.listener.address) for _ in range(count)]
     for position, caller in enumerate(callers):
         caller.sendall(request(1, rid=f"{position + 1000:016x}"))
@@ -64,15 +65,18 @@
 
 
 def silence(world: World) -> None:
+    """Let no worker answer from now on."""
     for worker in world.workers:
         worker.answer = lambda words: None
 
 
 def calls(world: World) -> list[Words]:
+    """Return the calls that have arrived at the workers."""
     return [words for worker in world.workers for words in worker.calls()]
 
 
 def only_connection(world: World) -> ClientConnection:
+    """Return the node's connection to its one client."""
     (connection,) = world.node.clients.connections
     return connection
 
@@ -86,6 +90,7 @@
         patch.setattr(connection._stream, "on_writable", lambda callback: None)
 
     def fetch(self) -> None:
+        """Let the client fetch what is held back, and all that follows."""
         del self._connection._stream.send_now, self._connection._stream.on_writable
         self._connection._output.flush()
 
@@ -98,13 +103,16 @@
         self._errors = errors
 
     def accept(self) -> Any:
+        """Raise the next error, or accept once all were raised."""
         if self._errors:
             raise self._errors.pop()
         return self._sock.accept()
 
     def __getattr__(self, name: str) -> Any:
+        """Return the attribute of the real socket."""
         return getattr(self._sock, name)
 
 
 def interrupt_second(client: Client) -> None:
+    """Interrupt the client's second call."""
     client.raw(msgpack.packb([2, "interrupt", [2]]))
--- a/packages/testsupport/src/walnutpost/testsupport/node/fault_injection.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/fault_injection.py
@@ -15,6 +15,8 @@
 
 
 def play_with_faults(script: Script, workers: int = 2) -> None:
+    """Run `script` beside a node on scripted sockets, within 30 seconds."""
+
     def bounded(world: World) -> None:
         with world.loop.timeout(30 * SECOND):
             script(world, faults)
@@ -24,6 +26,7 @@
 
 
 def ids(numbers: list[int]) -> list[Any]:
+    """Return error numbers as parameters named by their symbols."""
     return [pytest.param(number, id=errno.errorcode[number]) for number in numbers]
 
 
@@ -33,11 +36,11 @@
 
 
 def to_any(world: World) -> Callable[[Any], bool]:
-    """Picks sockets to any of the workers."""
+    """Pick the sockets to any of the workers."""
     chosen = [to(worker._listener.address) for worker in world.workers]
     return lambda sock: any(choice(sock) for choice in chosen)
 
 
 def datagrams_or_new(sock: Any) -> bool:
-    """Picks the sockets of UDP, and those that are not made yet."""
+    """Pick the UDP sockets, and those that are not made yet."""
     return sock.fileno() < 0 or datagrams(sock)
--- a/packages/testsupport/src/walnutpost/testsupport/node/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/harness.py
@@ -56,6 +56,7 @@
 
 
 def config_text(**changes: Any) -> bytes:
+    """Return the node's configuration with keys changed, as its file's bytes."""
     return json.dumps({**CONFIG, **changes}).encode()
 
 
@@ -66,6 +67,7 @@
         self.lines: list[str] = []
 
     def info(self, event: str, **fields: object) -> None:
+        """Record an event with its fields."""
         self.lines.append(f"{event} {fields}")
 
     warning = error = info
@@ -108,16 +110,19 @@
 
     @property
     def target(self) -> dict[str, Any]:
+        """Return the worker's entry in the name server's list."""
         where = "{}:{}".format(*self._listener.address)
         return {"uid": self.name, "endpoint": where, "az": "east", "model": "std", "state": "Ready"}
 
     @staticmethod
     def good(words: Words) -> bytes | None:
+        """Answer as a worker whose copies are all loaded."""
         if words[0] == b"FN":
             return reply(words[1], b"OK", b"detail=resident", b"did " + words[3])
         return reply(words[1], b"OK", b"slots_up=1") if words[0] == b"SPAWN" else None
 
     def calls(self) -> list[Words]:
+        """Return the calls that have arrived."""
         return [words for words in self.got if words[0] == b"FN"]
 
     def _accept(self) -> None:
@@ -147,7 +152,7 @@
 
 
 def listing(query: bytes, serial: int, workers: list[Worker], weight: int = 10) -> bytes:
-    """The name server's answer to a query: all workers, as they are."""
+    """Return the name server's answer to a query: all workers, as they are."""
     message = dns.message.make_response(dns.message.from_wire(query))
     rows = [(message.authority, "svc.local.", "SOA", f"a. b. {serial} 1 1 1 1")]
     for w in workers:
@@ -162,6 +167,7 @@
 
 
 def reply(id: bytes, word: bytes, fields: bytes = b"-", body: bytes = b"") -> bytes:
+    """Return a worker's answer to message `id` as the bytes of its wire form."""
     return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in (id, word, fields, body))
 
 
@@ -175,6 +181,7 @@
         self._number = 0
 
     def send(self, function: str = "7f3a9c21e0b4d655", method: str = "valuation", **fields: str) -> int:
+        """Send a call; return its number."""
         self._number += 1
         request_fields = {
             "rid": f"{id(self) & 0xFFFFFFFF:08x}{self._number:08x}",
@@ -187,10 +194,11 @@
         return self._number
 
     def raw(self, data: bytes) -> None:
+        """Send bytes as they are."""
         self.stream.send_all(data)
 
     def next(self) -> Any:
-        """The next answer; None once the connection has ended."""
+        """Return the next answer, or None once the connection has ended."""
         while True:
             try:
                 return self._unpacker.unpack()
@@ -227,15 +235,20 @@
         self.node = Node(loop, parse_config(config_text(**self._changes)), self.log)
 
     def restart(self) -> None:
-        """A new node of the same name, address and configuration; the former one's listener is closed."""
+        """Start a new node of the same name, address and settings; the former one's listener is closed."""
         listen = "{}:{}".format(*self.node.listener.address)
         changes = {**self._changes, "listen": listen}
         self.node = Node(self.loop, parse_config(config_text(**changes)), self.log)
 
     def client(self) -> Client:
+        """Return a new client that is connected to the node."""
         return Client(self.loop, self.node.listener.address)
 
     def until(self, condition: Callable[[], Any], step: int = 5_000) -> None:
+        """Sleep until the condition holds, `step` microseconds at a time.
+
+        Raises AssertionError after 4000 steps.
+        """
         for _ in range(4000):
             if condition():
                 return
@@ -249,7 +262,7 @@
     make_worker: Callable[[Loop, str], Worker] = Worker,
     **changes: Any,
 ) -> None:
-    """Runs `script` beside a node; an error anywhere in the loop is the test's."""
+    """Run `script` beside a node; an error anywhere in the loop is the test's."""
     errors: list[BaseException] = []
     loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
 
@@ -271,7 +284,7 @@
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """The rig's settings with parts of them changed."""
+    """Return the harness's settings with parts of them changed."""
     defaults = CONFIG["settings"]
     changed = {
         key: {**defaults[key], **value} if type(value) is dict else value for key, value in changes.items()
@@ -296,20 +309,24 @@
         patch.setattr(WorkerConnection, "_on_connect_result", hold)
 
     def come_up(self) -> None:
+        """Let the held connections come up, and hold no others."""
         self.is_holding = False
         while self.waiting:
             self.waiting.pop(0)()
 
 
 def leave_by_interrupt(client: Client) -> None:
+    """Interrupt the client's first call."""
     client.raw(msgpack.packb([2, "interrupt", [1]]))
 
 
 def leave_by_close(client: Client) -> None:
+    """Close the client's connection."""
     client.stream.close()
 
 
 def leave_by_reset(client: Client) -> None:
+    """Reset the client's connection."""
     client.stream.reset()
 
 
@@ -317,7 +334,7 @@
 
 
 def call_that_waits(world: World, held: HeldConnections, **fields: str) -> Client:
-    """A client whose second call is on its way to a warm worker, on a connection that is coming up."""
+    """Return a client whose second call is on its way to a warm worker, on a connection that is coming up."""
     client = world.client()
     worker = warm(world, client)
     world.node.workers.close_idle_connections(worker.name)
--- a/packages/testsupport/src/walnutpost/testsupport/node/ration_checker.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/ration_checker.py
@@ -15,8 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ration:
-    """Within any `window_us`, `free_loads` plus `load_share` for each request taken may arrive. With slack it
-    is the whole times `factor`, plus `extra` orders."""
+    """Within any `window_us`, `free_loads` plus `load_share` for each request taken may arrive.
+
+    With slack it is the whole times `factor`, plus `extra` orders.
+    """
 
     free_loads: float
     load_share: float
@@ -26,9 +28,11 @@
 
     @classmethod
     def on_sockets(cls, free_loads: float, load_share: float, window_us: int) -> Ration:
+        """Return the ration for nodes on real sockets, with its slack."""
         return cls(free_loads, load_share, window_us, SOCKET_FACTOR, SOCKET_ORDERS)
 
     def allowance(self, requests: int) -> float:
+        """Return how many load orders so many requests allow."""
         return self.factor * (self.free_loads + self.load_share * requests) + self.extra
 
 
@@ -45,8 +49,10 @@
 def breaches_of(
     ration: Ration, front_end: str, orders: Iterable[int], requests: Iterable[int]
 ) -> list[Breach]:
-    """Each order that breaks the ration of one front end. `orders` are the times at which its orders to load
-    had arrived whole, `requests` those at which its clients had written a request's last byte.
+    """Return each order that breaks the ration of one front end.
+
+    `orders` are the times at which its orders to load had arrived whole, `requests` those at which its
+    clients had written a request's last byte.
 
     An order that is exactly one window old still counts, and a request that old gives no ground any more: of
     the readings of "within the last window" the strictest. Orders of one moment arrive one after the other.
@@ -70,19 +76,22 @@
     requests: dict[str, list[int]] = field(default_factory=dict)
 
     def order_arrived(self, front_end: str, at_us: int) -> None:
+        """Log a load order that a worker has read."""
         self.orders.setdefault(front_end, []).append(at_us)
 
     def request_written(self, front_end: str, at_us: int) -> None:
+        """Log a request that a client has written."""
         self.requests.setdefault(front_end, []).append(at_us)
 
     def breaches(self, ration: Ration) -> list[Breach]:
+        """Return the breaches of the ration by what was logged."""
         return all_breaches(ration, self.orders, self.requests)
 
 
 def all_breaches(
     ration: Ration, orders: Mapping[str, Iterable[int]], requests: Mapping[str, Iterable[int]]
 ) -> list[Breach]:
-    """The breaches of all front ends, each judged by its own orders and requests."""
+    """Return the breaches of all front ends, each judged by its own orders and requests."""
     return [
         breach
         for front_end, arrived in sorted(orders.items())
@@ -91,7 +100,7 @@
 
 
 def describe_breaches(breaches: list[Breach]) -> str:
-    """The breaches for a failing test's output, times in seconds after the first."""
+    """Return the breaches for a failing test's output, times in seconds after the first."""
     if not breaches:
         return "no breach"
     first = min(breach.at_us for breach in breaches)
--- a/packages/testsupport/src/walnutpost/testsupport/node/witness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/witness.py
@@ -29,25 +29,30 @@
         self.is_shut = False
 
     def shut(self) -> None:
+        """Hold back all tasks that come from now on."""
         self.is_shut = True
 
     def open(self) -> None:
+        """Let the waiting tasks pass in order, and all that follow."""
         self.is_shut = False
         waits, self._waits = self._waits, []
         for task, token in waits:
             self._loop.wake(task, token)
 
     def wait(self) -> None:
+        """Wait while the valve is shut."""
         while self.is_shut:
             self._waits.append(self._loop.begin_wait())
             self._loop.park()
 
 
 class Relay:
-    """A link to one worker. Connections to it always come up; bytes in either direction wait while its valve
-    is shut. What was taken before the sender closed is delivered all the same, in order, before the end; of a
-    sender that reset its connection only where `keeps_after_reset`. `delay` gives the time that each piece
-    takes, and of each that finds the valve shut the first `leaks` bytes pass."""
+    """A link to one worker, whose bytes in either direction wait while the valve of that direction is shut.
+
+    Connections to it always come up. What was taken before the sender closed is delivered all the same, in
+    order, before the end; of a sender that reset its connection only where `keeps_after_reset`. `delay` gives
+    the time that each piece takes, and of each that finds the valve shut the first `leaks` bytes pass.
+    """
 
     def __init__(self, loop: Loop, upstream: tuple[str, int], keeps_after_reset: bool = True) -> None:
         self._loop = loop
@@ -62,10 +67,12 @@
         loop.spawn(self._accept, name="relay")
 
     def cut(self) -> None:
+        """Hold back all bytes in both directions."""
         self.to_worker.shut()
         self.to_node.shut()
 
     def heal(self) -> None:
+        """Let the bytes that were held back pass, and all that follow."""
         self.to_worker.open()
         self.to_node.open()
 
@@ -86,7 +93,7 @@
         far.close()
 
     def _pass_on(self, source: Stream, sink: Stream, valve: Valve) -> None:
-        """Reads on while the valve is shut, so that the sender's end is seen whenever it comes."""
+        """Read on while the valve is shut, so that the sender's end is seen whenever it comes."""
         held: Queue[bytes | None] = Queue(self._loop, CHUNKS_MOST)
         reading = self._loop.spawn(self._take, source, held, name="link's reader")
         while True:
@@ -119,8 +126,10 @@
 
 
 class Witness(Worker):
-    """A worker behind a relay. It logs each order to load as it has read it whole; `reads` shut, it is a
-    process that has stopped: connections come up and bytes wait in its kernel."""
+    """A worker behind a relay, which logs each order to load once it has read it whole.
+
+    With `reads` shut it is a process that has stopped: connections come up and bytes wait in its kernel.
+    """
 
     def __init__(self, loop: Loop, name: str, log: RationLog, front_end: str = FRONT_END) -> None:
         super().__init__(loop, name)
@@ -135,11 +144,14 @@
 
     @property
     def target(self) -> dict[str, Any]:
+        """Return the worker's entry in the name server's list, with the relay's address."""
         return {**super().target, "endpoint": "{}:{}".format(*self.relay.address)}
 
     def model(self, words: Words) -> bytes | None:
-        """Copies stand as soon as they are ordered, and for ever; a request that was served before is one
-        that somebody copied, and ends as an error."""
+        """Answer as a worker whose copies are ready as soon as they are ordered, and stay.
+
+        A request that was served before has been repeated by somebody, and ends as an error.
+        """
         fields = dict(part.partition("=")[::2] for part in words[2].decode().split(",")) if words[2:] else {}
         if words[0] == b"SPAWN":
             if int(fields["slots_up"]):
--- a/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
@@ -50,17 +50,18 @@
         return (self._send(data[:count]) if count else b"") + data[count:]
 
     def open(self) -> None:
+        """Make room for all that is to be sent."""
         self.room = PLENTY
         self._connection._flush()
 
 
 def spawns(worker: Worker) -> list[Words]:
-    """The tests' own orders that have arrived."""
+    """Return the tests' own orders that have arrived."""
     return [words for words in worker.got if words[0] == b"SPAWN" and ORDERED.encode() in words[2]]
 
 
 def one_connection(world: World, worker: Worker, **limits: Any) -> WorkerConnection:
-    """The connection to a warm worker, with no room for a second one."""
+    """Return the connection to a warm worker, with no room for a second one."""
     ended = {"max_connections": 1, "order_timeout_us": ORDER_TIMEOUT_US, **limits}
     world.node.pool.limits = replace(world.node.pool.limits, **ended)
     (connection,) = world.node.pool._connections[worker.name]
@@ -75,15 +76,17 @@
 
 
 def outcomes(ended: list[LoadOrderEnded]) -> list[Outcome]:
+    """Return the outcomes of load orders that have ended."""
     return [done.outcome for done in ended]
 
 
 def silent(words: Words) -> bytes | None:
+    """Answer nothing."""
     return None
 
 
 def call_without_answer(world: World, worker: Worker, client: Any) -> Words:
-    """A call that has arrived at the worker and isn't answered."""
+    """Return a call that has arrived at the worker and isn't answered."""
     worker.answer, before = silent, len(worker.calls())
     client.send(method="reservation")
     world.until(lambda: len(worker.calls()) > before)
@@ -92,7 +95,7 @@
 
 @contextmanager
 def slow_reader(world: World) -> Iterator[tuple[str, socket.socket]]:
-    """A worker that takes one connection and reads nothing, so that the kernel keeps what it is sent."""
+    """Return a worker that takes one connection and reads nothing: the kernel keeps what it is sent."""
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
@@ -112,6 +115,7 @@
 
 
 def budget_of(call: Words) -> int:
+    """Return the time budget of a call that has arrived."""
     fields = dict(pair.split(b"=") for pair in call[2].split(b","))
     return int(fields[b"budget"])
 
@@ -124,7 +128,7 @@
     call: int = 1_000_000,
     then: Callable[[], None] = lambda: None,
 ) -> list[AttemptEnded]:
-    """An attempt straight from the gateway, for a client that waits; `then` runs when it has ended."""
+    """Begin an attempt straight from the gateway, for a client that waits; `then` runs when it has ended."""
     ended: list[AttemptEnded] = []
 
     def done(attempt_done: AttemptEnded) -> None:
--- a/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
@@ -1,12 +1,11 @@
-"""Synthetic days for a Router: a small fleet and its clients in a closed loop, and a record of what went in
-and out. Run as a program it writes the golden files anew, which is right only where decisions are meant to
-change:
+"""Synthetic days for a Router: a small fleet, its clients in a closed loop, and a record of both sides.
+
+Run as a program it writes the golden files again, which is right only where decisions are meant to change:
 
     .venv/bin/python -m walnutpost.testsupport.policy.golden_days
 
 A recorded row is `[start, seed, settings]` where a Router begins, else `[microseconds since the row before,
-event, [actions]]`, all in the form of
-`walnutpost.testsupport.golden.neutral_values`.
+event, [actions]]`, all in the form of `walnutpost.testsupport.golden.neutral_values`.
 """
 
 from __future__ import annotations
@@ -103,6 +102,8 @@
 
 @dataclass(slots=True, eq=False)
 class SyntheticWorker:
+    """A worker of the day, with what it has loaded and how it fails at present."""
+
     info: api.Worker
     copies: set[int] = field(default_factory=set)
     busy: int = 0
@@ -114,6 +115,8 @@
 
 @dataclass(slots=True, eq=False)
 class SyntheticRequest:
+    """A request of the day, with the workers of its attempts."""
+
     event: api.RequestArrived
     class_: api.RequestClass
     attempts: list[int | None] = field(default_factory=list)  # the worker of each that is still out
@@ -143,25 +146,28 @@
     # Time and the record
 
     def begin(self, site: api.Settings, seed: int) -> None:
-        """A new life of the front end: nothing of the former one comes back to it."""
+        """Begin a new life of the front end: nothing of the former one comes back to it."""
         self.site, self.router = site, Router(site, seed)
         self.life = len(self.rows)
         self.requests.clear()
         self.rows.append([START_ROW, seed, to_neutral(site)])
 
     def feed(self, event: api.Event) -> None:
+        """Feed an event to the router, record it and carry out its actions."""
         actions = self.router.handle(self.now, event)
         self.record(event, actions)
         for action in actions:
             self.carry_out(action)
 
     def feed_later(self, delay: int, event: api.Event, life: int | None = None) -> None:
+        """Feed an event after `delay`, unless the front end has begun another life by then."""
         life = self.life if life is None else life
         self.at(delay, lambda: self.feed(event) if self.life == life else None)
 
     # The front end's actions
 
     def carry_out(self, action: api.Action) -> None:
+        """Do what the router has decided."""
         match action:
             case api.Send():
                 self.attempt(action)
@@ -186,10 +192,12 @@
                 self.at(20 * MS, lambda: self.tell_list(kind))
 
     def close(self, request: int) -> None:
+        """Note that a request has ended."""
         if request in self.requests:
             self.requests[request].closed = True
 
     def attempt(self, send: api.Send) -> None:
+        """Carry out an attempt: choose how it ends, and when."""
         request, worker = self.requests[send.request], self.workers[send.worker]
         number, life = len(request.attempts), self.life
         request.attempts.append(send.worker)
@@ -215,6 +223,7 @@
     def fate_of_attempt(
         self, request: SyntheticRequest, worker: SyntheticWorker, send: api.Send
     ) -> tuple[Outcome, int, api.Warmth]:
+        """Return an attempt's outcome, its latency and how warm the worker was."""
         draw, function = self.random.random(), request.event.function
         untold = api.Warmth.UNREPORTED
         if worker.silent_until > self.now:
@@ -253,6 +262,7 @@
         latency: int,
         warmth: api.Warmth = api.Warmth.UNREPORTED,
     ) -> None:
+        """Feed the end of an attempt, unless it was cancelled."""
         request = self.requests[rid]
         wid = request.attempts[number]
         if wid is None:
@@ -268,6 +278,7 @@
         self.feed(api.AttemptEnded(rid, number, wid, outcome, latency, request.closed, told, crowd, report))
 
     def order(self, hold: api.LoadOrder) -> None:
+        """Carry out a load order or a poll: choose how it ends, and when."""
         worker, draw = self.workers[hold.worker], self.random.random()
         took, copies, outcome = 2 * MS, int(hold.function in worker.copies), Outcome.OK
         if worker.silent_until > self.now:
@@ -296,13 +307,14 @@
     # Clients
 
     def arrivals(self) -> None:
-        """A pace that rises and falls, with bursts that are more than the fleet can serve."""
+        """Feed requests at a pace that rises and falls, with bursts above what the fleet can serve."""
         phase = (self.now - START) // SECOND % 12
         pace = 25.0 if self.calm else {3: 120.0, 7: 400.0, 8: 400.0}.get(phase, 30.0)
         self.ask()
         self.at(int(self.random.expovariate(pace / SECOND)) + 1, self.arrivals)
 
     def ask(self, repeat: bool = False) -> None:
+        """Feed a request of a random class and function."""
         draw = self.random
         self.next_request += 1
         index = draw.choices(range(len(CLASSES)), [8, 3, 3, 2, 1, 1])[0]
@@ -333,9 +345,11 @@
             )
 
     def repeat_one(self) -> None:
+        """Feed a request that a client repeats."""
         self.ask(repeat=True)
 
     def leave(self, request: int) -> None:
+        """Feed the departure of the client that waits for a request."""
         if not self.requests[request].closed:
             self.requests[request].closed = True
             self.feed(api.RequestCancelled(request))
@@ -343,6 +357,7 @@
     # The fleet
 
     def add_worker(self, started: int) -> None:
+        """Add a worker that started at this time."""
         self.next_worker += 1
         wid = self.next_worker * 101
         weight = 1.0 + self.next_worker % 3 * 0.5
@@ -350,6 +365,7 @@
         self.workers[wid] = SyntheticWorker(info)
 
     def tell_list(self, kind: api.ListKind, *changed: api.Worker) -> None:
+        """Feed a list of workers, whole or of the changed ones."""
         self.version += 1
         listed = changed
         if kind in (api.ListKind.CACHED, api.ListKind.FULL):
@@ -357,6 +373,7 @@
         self.feed(api.WorkersListed(kind, self.version, listed))
 
     def change(self, worker: SyntheticWorker, **changes: Any) -> None:
+        """Change what the lists say of a worker, and feed a list."""
         worker.info = replace(worker.info, **changes)
         if self.random.random() < 0.7:
             self.tell_list(api.ListKind.DELTA, worker.info)
@@ -364,6 +381,7 @@
             self.tell_list(api.ListKind.FULL)
 
     def restart(self, worker: SyntheticWorker) -> None:
+        """Restart a worker: its copies are gone, and its failures."""
         worker.copies, worker.refuses, worker.silent_until = set(), False, 0
         self.change(worker, state=READY, started_at=self.now)
 
@@ -412,7 +430,7 @@
 
 
 def record(site: str, seed: int) -> list[Any]:
-    """The rows of a day: a life under the site's settings, one under changed settings, and its shutdown."""
+    """Return a day's rows: a life under the site's settings, one under changed settings, and its shutdown."""
     day = Day(SITES[site], seed, calm=site == "calm")
     day.run(INPUTS_A_DAY * 2 // 3)
     changed = replace(
@@ -433,6 +451,7 @@
 
 
 def path_of(site: str, seed: int) -> Path:
+    """Return the golden file of a site's day."""
     return GOLDEN / f"router-{site}-{seed}.jsonl.xz"
 
 
--- a/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
@@ -40,6 +40,7 @@
 
 
 def worker(wid: int, state: api.WorkerState = api.WorkerState.READY, started: int = 0, zone: int = 0) -> Any:
+    """Return a worker as a list of workers names it."""
     return api.Worker(wid, zone, 0, zone, state, 1.0, started)
 
 
@@ -57,16 +58,19 @@
         self.list_workers(api.ListKind.CACHED, *(worker(i) for i in range(1, workers + 1)))
 
     def feed(self, event: api.Event) -> list[api.Action]:
+        """Feed an event; return its actions."""
         self.actions = self.router.handle(self.now, event)
         self.all += self.actions
         return self.actions
 
     def list_workers(self, kind: api.ListKind, *workers: api.Worker) -> list[api.Action]:
+        """Feed a list of workers; return its actions."""
         return self.feed(api.WorkersListed(kind, 1, workers))
 
     def ask(
         self, function: int = 7, class_index: int = 0, time_left_us: int = 3 * SECOND, concurrency: float = 2
     ) -> int:
+        """Feed a request; return its number."""
         self._next += 1
         self.feed(
             api.RequestArrived(
@@ -98,6 +102,7 @@
         latency: int = 100_000,
         warmth: api.Warmth = api.Warmth.WARM,
     ) -> list[api.Action]:
+        """Feed an attempt's end, of a call that succeeded unless `outcome` is another; return its actions."""
         ok = outcome is api.Outcome.OK
         return self.feed(api.AttemptEnded(request, attempt, worker, outcome, latency, ok, warmth, 0, ()))
 
@@ -131,6 +136,7 @@
 
 
 def of(kind: Any, actions: list[api.Action]) -> list[Any]:
+    """Return the actions of one kind."""
     return [a for a in actions if isinstance(a, kind)]
 
 
--- a/packages/testsupport/src/walnutpost/testsupport/policy/recorded_day.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/recorded_day.py
@@ -21,7 +21,7 @@
         self._scheduled = 0
 
     def at(self, delay: int, act: Callable[[], None]) -> None:
-        """Does it after `delay`; what is due at the same time is done in the order of scheduling."""
+        """Do it after `delay`; what is due at the same time is done in the order of scheduling."""
         self._scheduled += 1
         heappush(self._due, (self.now + delay, self._scheduled, act))
 
@@ -33,7 +33,7 @@
             act()
 
     def record(self, given: Any, came: Iterable[Any]) -> None:
-        """Adds the row of one input and of all that came of it."""
+        """Add the row of one input and of all that came of it."""
         self.inputs += 1
         self.rows.append([self.now - self._last_row_at, to_neutral(given), neutral_of_each(came)])
         self._last_row_at = self.now
--- a/packages/testsupport/src/walnutpost/testsupport/workerclient/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/workerclient/harness.py
@@ -64,18 +64,21 @@
         begin_within_us: int = 0,
         before: Callable[[], None] | None = None,
     ) -> Send:
+        """Begin an attempt; return what was sent."""
         self.call_count += 1
         send = Send(self.call_count, 0, WORKER, "f", None, b"1", timeout_us, 1, False, begin_within_us)
         self.client.send(send, self.ended.append, before)
         return send
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
+        """Sleep until the condition holds, for 15 seconds at most."""
         deadline_us = self.loop.now() + 15 * US_PER_S
         while not condition():
             assert self.loop.now() < deadline_us, "the condition never held"
             self.loop.sleep(US_PER_MS)
 
     def wait_for_attempt_end(self) -> AttemptEnded:
+        """Return the end of the only attempt in flight."""
         self.wait_for(lambda: bool(self.ended))
         ended = self.ended.pop()
         assert isinstance(ended, AttemptEnded)
@@ -88,6 +91,7 @@
         begin_within_us: int = 0,
         before: Callable[[], None] | None = None,
     ) -> AttemptEnded:
+        """Begin an attempt and return its end."""
         self.start_call(timeout_us, begin_within_us, before)
         return self.wait_for_attempt_end()
 
@@ -114,6 +118,7 @@
         self.resets = 0
 
     def run_script(self, script: Callable[[], None]) -> None:
+        """Run `script` beside a worker that answers every request in the same way."""
         self.run(self._serve, script)
 
     def _serve(self, stream: Stream) -> None:
