--- a/packages/daemon/src/walnutpost/daemon/call_acceptance.py
+++ b/packages/daemon/src/walnutpost/daemon/call_acceptance.py
@@ -102,7 +102,7 @@
             call.settled.set()
             return call.rejection
         except BaseException:
-            # This task is being cancelled. Requests that joined the call must not wait for ever; if the store
+            # This task is being cancelled. Requests that joined the call must not wait forever; if the store
             # has the call by now, the next start recovers it.
             call.rejection = NotStored(execution.name, STORE_RETRY_AFTER_US, is_uncertain=True)
             call.settled.set()
@@ -129,8 +129,8 @@
             return call.rejection
         self._open_calls.remove(call)
         call.settled.set()
-        # Without a quorum for the withdrawal the client must not be told to retry: a replica's site would run
-        # the call after this one is lost.
+        # Without a quorum for the withdrawal the answer must not ask the client to retry: a replica's site
+        # would run the call after this one is lost.
         return rejection if call.has_quorum else call.acceptance
 
     def _withdraw_until_stored(self, call: OpenCall) -> None:
--- a/packages/daemon/src/walnutpost/daemon/config_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/config_watch.py
@@ -17,7 +17,7 @@
 
 
 class ConfigWatch:
-    """Starts and stops the watcher of the configuration store, and tells how current the store is.
+    """Starts and stops the watcher of the configuration store; its properties say how current that is.
 
     `watcher` updates `watch_state`, and gives each outcome to `applier`; `cache` has the last applied store.
     """
--- a/packages/daemon/src/walnutpost/daemon/deferred_recovery.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred_recovery.py
@@ -61,8 +61,8 @@
     def _recover_call(self, call: OpenCall, are_functions_known: bool) -> None:
         execution = call.execution
         call.function = configured_function(self._catalogue, execution.function)
-        # An intent is stored only if the call was not safe when it was sent, whatever its function's class is
-        # now; so the function is not asked whether a call that may have run can run again.
+        # An intent is stored only if the call was not safe when it was sent. The function's class may differ
+        # now, so the present function does not decide whether a call that may have run can run again.
         action = recovery_action(execution, Effect.UNSAFE, self._loop.now())
         if call.function is None and not isinstance(action, Failed):
             if not are_functions_known:
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -1,4 +1,4 @@
-"""The list of workers: configured, from a file that may be replaced at any time, or agreed on by the fleet.
+"""The list of workers: configured, from a file that may be replaced at any time, or committed by the fleet.
 
 Each source replaces its previous list; `_publish` combines them and is the only place that gives a list to
 the connections and the gateway.
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 
 from walnutpost.config import ConfigError, Site, WorkerConfig, WorkerList, build_endpoint_list, load
@@ -20,8 +21,14 @@
 SECOND = 1_000_000
 
 
+@dataclass(frozen=True, slots=True)
+class _ConfiguredList:
+    kind: ListKind
+    lines: list[WorkerConfig]
+
+
 class EndpointLists:
-    """Publishes lists with ascending versions."""
+    """Publishes lists with ascending versions; `on_published` gets each one, for captures."""
 
     def __init__(
         self,
@@ -32,7 +39,6 @@
         log: Logger,
         on_published: Callable[[int, list[WorkerConfig]], None] | None = None,
     ) -> None:
-        """`on_published` gets each list as it is published, for captures."""
         self._loop = loop
         self._dispatcher = dispatcher
         self._worker_client = worker_client
@@ -41,7 +47,7 @@
         self._on_published = on_published
         self._configured_version = -1
         self._published_version = -1
-        self._configured: tuple[ListKind, list[WorkerConfig]] | None = None
+        self._configured: _ConfiguredList | None = None
         self._dynamic: EndpointFollower | None = None
         self._last_error = ""
         self._read_mark: tuple[int, int, int] | None = None
@@ -49,7 +55,7 @@
     def set_configured(self, kind: ListKind, version: int, lines: list[WorkerConfig]) -> None:
         """Publish a list from the configuration or its file."""
         self._configured_version = version
-        self._configured = kind, lines
+        self._configured = _ConfiguredList(kind, lines)
         self._publish()
 
     def set_dynamic(self, follower: EndpointFollower) -> None:
@@ -60,7 +66,8 @@
     def _publish(self) -> None:
         if self._configured is None and self._dynamic is None:
             return
-        kind, lines = self._configured or (ListKind.CACHED, [])
+        configured = self._configured or _ConfiguredList(ListKind.CACHED, [])
+        lines = configured.lines
         if self._dynamic is not None:
             lines = _merge_dynamic(lines, self._dynamic, self._site)
         endpoints = build_endpoint_list(self._site, lines)
@@ -70,7 +77,7 @@
         self._worker_client.update_workers(endpoints.addresses, endpoints.draining, names)
         if self._on_published is not None:
             self._on_published(version, lines)
-        self._dispatcher.feed(WorkersListed(kind, version, endpoints.workers))
+        self._dispatcher.feed(WorkersListed(configured.kind, version, endpoints.workers))
 
     def read_file(self, path: Path, kind: ListKind = ListKind.FULL) -> bool:
         """Publish the file's list if it is new; an invalid one leaves the last one in use."""
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -4,6 +4,7 @@
 
 import ssl
 from collections.abc import Callable
+from dataclasses import dataclass
 from pathlib import Path
 
 from walnutpost.certificates import DAY_US, FileState, InvalidCertificateError, ReloadTracker
@@ -15,13 +16,25 @@
 POLL_INTERVAL_US = 1_000_000
 
 
+@dataclass(frozen=True, slots=True)
+class _Certificates:
+    """A context with the certificates, and the validity of the front end's own one, zeros without one."""
+
+    context: ssl.SSLContext
+    valid_from_us: int
+    valid_until_us: int
+
+
 class CertificateReloader:
-    """Reads the files of one `tls` section. Invalid files leave the certificates in use."""
+    """Reads the files of one `tls` section. Invalid files leave the certificates in use.
+
+    The constructor raises InvalidCertificateError for unusable files: a front end doesn't start with these.
+    `context` is the one that was read at the start.
+    """
 
     def __init__(
         self, loop: Loop, section: TlsConfig, base: Path, wall_clock: Callable[[], int], log: Logger
     ) -> None:
-        """Raise InvalidCertificateError for unusable files: a front end doesn't start with these."""
         self._loop = loop
         self._section = section
         self._base = base
@@ -29,8 +42,9 @@
         self._log = log
         self._names = (section.roots, section.chain, section.key)
         files = self._read_file_states()
-        self.context, valid_from_us, valid_until_us = self._read()
-        self._tracker = ReloadTracker(files, valid_from_us, valid_until_us)
+        certificates = self._read()
+        self.context = certificates.context
+        self._tracker = ReloadTracker(files, certificates.valid_from_us, certificates.valid_until_us)
 
     def follow(self, worker_client: WorkerClient) -> None:
         """Reload changed files; until cancelled.
@@ -51,16 +65,15 @@
 
     def _reload(self, worker_client: WorkerClient) -> None:
         try:
-            context, valid_from_us, valid_until_us = self._read()
+            certificates = self._read()
         except InvalidCertificateError as error:
             self._log.error("certificate_rejected", error=str(error))
             return
-        self._tracker.record_reload(valid_from_us, valid_until_us)
-        worker_client.replace_context(context)
+        self._tracker.record_reload(certificates.valid_from_us, certificates.valid_until_us)
+        worker_client.replace_context(certificates.context)
         self._log.info("certificate_reloaded", roots=self._section.roots, chain=self._section.chain)
 
-    def _read(self) -> tuple[ssl.SSLContext, int, int]:
-        """Return a context with the certificates, and from when until when the own one is valid, or zeros."""
+    def _read(self) -> _Certificates:
         section = self._section
         files = None
         if section.chain is not None and section.key is not None:
@@ -68,11 +81,11 @@
         roots = self._base / section.roots
         tls = tls_contexts.make_client_context(roots, files, section.minimum_version, self._wall_clock())
         if tls.own is None:
-            return tls.context, 0, 0
-        return tls.context, tls.own.valid_from_us, tls.own.valid_until_us
+            return _Certificates(tls.context, 0, 0)
+        return _Certificates(tls.context, tls.own.valid_from_us, tls.own.valid_until_us)
 
     def _read_file_states(self) -> list[FileState]:
-        """Return what tells one state of the files from another."""
+        """Return the states of the files, which differ once a file is replaced."""
         states = []
         for name in self._names:
             if name is None:
--- a/packages/daemon/src/walnutpost/daemon/result_purge.py
+++ b/packages/daemon/src/walnutpost/daemon/result_purge.py
@@ -10,7 +10,7 @@
 
 
 class ResultPurger:
-    """Deletes executions that ended longer ago than `keep_results_us`."""
+    """Deletes executions that ended longer ago than `keep_results_us`, here and at the replicas, if any."""
 
     def __init__(
         self,
@@ -20,7 +20,6 @@
         log: Logger,
         replication: JournalReplication | None,
     ) -> None:
-        """Purge `store`, and with `replication` the journal."""
         self._loop = loop
         self._store = store
         self._keep_results_us = keep_results_us
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -130,7 +130,7 @@
     progress = ScheduleProgressFile(tmp_path / "seen")
     with scripted_files() as files:
         files.fails[call] = 1
-        with pytest.raises(OSError):
+        with pytest.raises(OSError, match=r"No space|Input/output"):
             progress.write(7, 70)
         progress.write(7, 80)
     assert ScheduleProgressFile(tmp_path / "seen").uncertain_until(6) == 80
--- a/packages/daemon/tests/test_clock_steps.py
+++ b/packages/daemon/tests/test_clock_steps.py
@@ -12,6 +12,7 @@
 from walnutpost.config import FrontEndConfig
 from walnutpost.eventloop import BootTime, Loop, VirtualClock
 from walnutpost.http import Response
+from walnutpost.interface import ListKind
 from walnutpost.journal import CallStage
 from walnutpost.testsupport.daemon.executions import EVENT, describe_execution, kill_front_end
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet, execution_path
@@ -39,7 +40,7 @@
     def script() -> tuple[list[Response], Response]:
         ended = [f.invoke("price", b"%d" % n, x_amz_invocation_type=EVENT) for n in range(ENDED_CALLS)]
         f.until(lambda: all(describe_execution(f, response)["Status"] == "SUCCEEDED" for response in ended))
-        f.front.endpoint_lists.set_configured(f.front.endpoint_lists._configured[0], 1, [])  # type: ignore[index]
+        f.front.endpoint_lists.set_configured(ListKind.CACHED, 1, [])
         context = base64.b64encode(
             b'{"custom": {"deadline-ms": %d}}' % (OPEN_CALL_DEADLINE_US // 1000)
         ).decode()
@@ -76,7 +77,7 @@
         assert [describe_execution(g, response)["Status"] for response in ended] == [
             "SUCCEEDED"
         ] * ENDED_CALLS
-        g.front.endpoint_lists.set_configured(g.front.endpoint_lists._configured[0], 1, g.lines)  # type: ignore[index]
+        g.front.endpoint_lists.set_configured(ListKind.CACHED, 1, g.lines)
         g.until(lambda: describe_execution(g, open_call)["Status"] == "SUCCEEDED")
         g.loop.sleep(12 * MINUTE)  # all are purged in the end
         assert {status_code(g, response) for response in [*ended, open_call]} == {404}
--- a/packages/daemon/tests/test_endpoint_lists.py
+++ b/packages/daemon/tests/test_endpoint_lists.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import json
-import os
 from pathlib import Path
 from typing import Any
 
@@ -19,7 +18,7 @@
     def write(version: int, lines: list[dict[str, Any]], text: str | None = None) -> None:
         new_file = path.with_suffix(".new")
         new_file.write_text(text if text is not None else json.dumps({"version": version, "workers": lines}))
-        os.replace(new_file, path)
+        new_file.replace(path)
         fleet.loop.sleep(POLL_WAIT_US)
 
     def script() -> None:
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -12,6 +12,7 @@
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.gateway import Execution, Function
 from walnutpost.http import Response
+from walnutpost.interface import ListKind
 from walnutpost.journal import CallStage
 from walnutpost.store import Change, read_history
 from walnutpost.testsupport.daemon.executions import EVENT, describe_execution, kill_front_end
@@ -73,7 +74,7 @@
 def kill_with_open_call(f: Fleet, function: str, is_sent: bool) -> Response:
     """Defer a call and kill the front end before or after the call's first byte is sent."""
     if not is_sent:
-        f.front.endpoint_lists.set_configured(f.front.endpoint_lists._configured[0], 1, [])  # type: ignore[index]
+        f.front.endpoint_lists.set_configured(ListKind.CACHED, 1, [])
     response = f.invoke(function, x_amz_invocation_type=EVENT)
     assert response.status == 202
     if is_sent:
--- a/packages/daemon/tests/test_settings_watch.py
+++ b/packages/daemon/tests/test_settings_watch.py
@@ -560,6 +560,7 @@
         finally:
             tracemalloc.stop()
         assert f.settings.watch_state.applied_revision > 10_000
-        assert after[0] - before[0] < 100_000 and after[1] - before[1] < 500, (before, after)
+        assert after[0] - before[0] < 100_000, (before, after)
+        assert after[1] - before[1] < 500, (before, after)
 
     f.play(script)
--- a/packages/dispatch/src/walnutpost/dispatch/effects.py
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import assert_never
 
 from walnutpost.dispatch.interfaces import DispatchHooks, WorkerTransport
 from walnutpost.eventloop import Logger, Loop
@@ -46,21 +46,31 @@
         self._log = log
         self._feed = feed
         self._hooks = hooks
-        self._handlers: dict[type[Any], Callable[[Any], None]] = {
-            Answered: on_answered,
-            Send: self._send,
-            Cancel: self._cancel,
-            LoadOrder: self._order_load,
-            Unload: transport.unload,
-            Probe: self._probe,
-            CloseIdleConnections: self._close_idle_connections,
-            SetTimer: self._set_timer,
-            Log: self._write_log,
-        }
+        self._on_answered = on_answered
 
     def run(self, effect: Effect) -> None:
         """Carry out one effect."""
-        self._handlers[type(effect)](effect)
+        match effect:
+            case Answered():
+                self._on_answered(effect)
+            case Send():
+                self._send(effect)
+            case Cancel(call, attempt):
+                self._transport.cancel(call, attempt)
+            case LoadOrder():
+                self._order_load(effect)
+            case Unload():
+                self._transport.unload(effect)
+            case Probe():
+                self._transport.probe(effect, self._feed)
+            case CloseIdleConnections(worker):
+                self._transport.close_idle_connections(worker)
+            case SetTimer(delay_us, token):
+                self._loop.call_later(delay_us, partial(self._feed, TimerDue(token)))
+            case Log(text):
+                self._log.warning("worker_set_aside", text=text)  # the policy logs nothing else
+            case _:
+                assert_never(effect)
 
     def _send(self, effect: Send) -> None:
         if self._hooks.observer is not None:
@@ -72,9 +82,6 @@
         before_send = partial(intents.record_intent, effect) if effect.must_persist_intent else None
         self._transport.send(effect, self._feed, before_send, intents.execution_name(effect.caller_id))
 
-    def _cancel(self, effect: Cancel) -> None:
-        self._transport.cancel(effect.call, effect.attempt)
-
     def _order_load(self, effect: LoadOrder) -> None:
         if self._hooks.observer is None or self._hooks.observer.may_order_load(self._loop.now(), effect):
             self._transport.order_load(effect, self._feed)
@@ -82,16 +89,3 @@
         # Answered as by a worker that has no capacity left.
         full = LoadOrderEnded(effect.worker, effect.function, Outcome.FULL, 0, 0, effect.copies)
         self._loop.call_later(0, partial(self._feed, full))
-
-    def _probe(self, effect: Probe) -> None:
-        self._transport.probe(effect, self._feed)
-
-    def _close_idle_connections(self, effect: CloseIdleConnections) -> None:
-        self._transport.close_idle_connections(effect.worker)
-
-    def _set_timer(self, effect: SetTimer) -> None:
-        self._loop.call_later(effect.delay_us, partial(self._feed, TimerDue(effect.token)))
-
-    def _write_log(self, effect: Log) -> None:
-        # The policy logs nothing else.
-        self._log.warning("worker_set_aside", text=effect.text)
