--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -24,7 +24,6 @@
     "packages/cli/tests/**",
     "packages/config/src/**",
     "packages/config/tests/**",
-    "packages/controlplane/tests/**",
     "packages/daemon/tests/**",
     "packages/eventloop/src/**",
     "packages/eventloop/tests/**",
