--- a/packages/cli/tests/test_usage_cli.py
+++ b/packages/cli/tests/test_usage_cli.py
@@ -16,7 +16,7 @@
 from walnutpost.cli import main
 from walnutpost.cli.ledgers import Ledgers
 from walnutpost.testsupport.daemon.fleet import BASE, merged
-from walnutpost.testsupport.daemon.metered_fleet import START, metered_fleet, metering_of, traffic
+from walnutpost.testsupport.daemon.metering_fleet import START, metered_fleet, metering_of, traffic
 
 METERING = {"price_per_gb_hour": "0.25", "renamed": {"trade": "wholesale"}}
 
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -14,9 +14,9 @@
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.fleet import CommandResult, EndpointFollower
 from walnutpost.fleet.endpoints import EndpointSnapshot
-from walnutpost.testsupport.daemon.executions import kill_front_end
+from walnutpost.testsupport.daemon.config_fleet import ConfigFleet, put_function
 from walnutpost.testsupport.daemon.fleet import SECOND, Log
-from walnutpost.testsupport.daemon.settings_fleet import SettingsFleet, put_function
+from walnutpost.testsupport.daemon.front_end_calls import kill_front_end
 from walnutpost.testsupport.store.disk_faults import scripted_files
 
 CALLS = ["write", "fsync", "rename", "fsync folder"]
@@ -26,7 +26,7 @@
 def test_table_cache_when_writes_fail_is_written_within_two_seconds_of_the_fault_s_end(
     tmp_path: Path, call: str
 ) -> None:
-    f, path = SettingsFleet(tmp_path), tmp_path / "calls.db.table"
+    f, path = ConfigFleet(tmp_path), tmp_path / "calls.db.table"
 
     def script() -> None:
         f.until(path.exists)
@@ -45,7 +45,7 @@
 
 
 def test_table_cache_after_a_kill_while_writing_is_the_former_without_leftovers(tmp_path: Path) -> None:
-    f, path = SettingsFleet(tmp_path), tmp_path / "calls.db.table"
+    f, path = ConfigFleet(tmp_path), tmp_path / "calls.db.table"
 
     def script() -> None:
         f.change(put_function("left", 2))
--- a/packages/daemon/tests/test_clock_steps.py
+++ b/packages/daemon/tests/test_clock_steps.py
@@ -14,9 +14,9 @@
 from walnutpost.http import Response
 from walnutpost.interface import ListKind
 from walnutpost.journal import CallStage
-from walnutpost.testsupport.daemon.executions import EVENT, describe_execution, kill_front_end
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet, execution_path
-from walnutpost.testsupport.daemon.sites import Sites
+from walnutpost.testsupport.daemon.front_end_calls import EVENT, describe_execution, kill_front_end
+from walnutpost.testsupport.daemon.replicated_sites import Sites
 
 MINUTE, HOUR = 60 * SECOND, 3600 * SECOND
 EPOCH = 1_700_000_000 * SECOND
@@ -106,7 +106,7 @@
     def __init__(self, path: Path, elapsed_us: int = 0, step: int = 0) -> None:
         super().__init__(path, copies=2)
         clock = VirtualClock(EPOCH + elapsed_us + step, BootTime("a", HOUR + elapsed_us))
-        self.loop = Loop(clock, lambda name, error: self.errors.append(error))
+        self.loop = Loop(clock, lambda _, error: self.errors.append(error))
         front = FrontEndConfig.model_validate(
             self.front_config.front.model_dump(exclude_unset=True) | SETTINGS["front"]
         )
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -15,9 +15,9 @@
 from walnutpost.interface import ListKind
 from walnutpost.journal import CallStage
 from walnutpost.store import Change, read_history
-from walnutpost.testsupport.daemon.executions import EVENT, describe_execution, kill_front_end
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
-from walnutpost.testsupport.daemon.sites import RUN, Sites
+from walnutpost.testsupport.daemon.front_end_calls import EVENT, describe_execution, kill_front_end
+from walnutpost.testsupport.daemon.replicated_sites import RUN, Sites
 
 
 def mutable_functions(front: FrontEnd) -> dict[str, Function]:
--- a/packages/daemon/tests/test_journal_replication.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -9,11 +9,8 @@
 
 from walnutpost.http import Response
 from walnutpost.journal import CallStage
-from walnutpost.testsupport.daemon.fleet import (
-    EXECUTION_ARN_HEADER,
-    SECOND,
-)
-from walnutpost.testsupport.daemon.sites import RUN, SITES, Sites
+from walnutpost.testsupport.daemon.fleet import EXECUTION_ARN_HEADER, SECOND
+from walnutpost.testsupport.daemon.replicated_sites import RUN, SITES, Sites
 
 
 @pytest.mark.parametrize(("copies", "min_replicas"), [(1, 1), (2, 2)])
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from fractions import Fraction
 from pathlib import Path
 from typing import Any
@@ -11,7 +12,7 @@
 
 from walnutpost.daemon.metering import UsageMetering
 from walnutpost.faultinjection.usage import true_usage
-from walnutpost.gateway import LoadOrder
+from walnutpost.gateway import LoadOrder, LoadOrderEnded
 from walnutpost.metering import (
     HOUR_US,
     UNATTRIBUTED,
@@ -24,9 +25,7 @@
 )
 from walnutpost.store.usage import LedgerRun
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
-from walnutpost.testsupport.daemon.metered_fleet import START, metered_fleet, metering_of, traffic
-
-MINUTE = 60 * SECOND
+from walnutpost.testsupport.daemon.metering_fleet import MINUTE, START, metered_fleet, metering_of, traffic
 
 
 def metered_usage(f: Fleet, metering: UsageMetering | None = None) -> dict[Account, Amount]:
@@ -210,7 +209,7 @@
 
 
 INVALID_REPORTS: dict[str, tuple[Any, str]] = {
-    "no report": (lambda r: {"worker": 1}, "Expected"),
+    "no report": (lambda _: {"worker": 1}, "Expected"),
     "another's": (lambda r: msgspec.structs.replace(r, worker="worker-9"), "found a report of 'worker-9'"),
     "a start ahead": (
         lambda r: msgspec.structs.replace(r, started_us=r.reported_us + HOUR_US),
@@ -290,7 +289,7 @@
             metering_of(f).collect()
             orders, send = [], f.front.worker_client.order_load
 
-            def order(effect: LoadOrder, done: Any) -> None:
+            def order(effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
                 orders.append(effect.copies)
                 send(effect, done)
 
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/settings_fleet.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/config_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose front end follows the configuration store."""
+"""A fleet whose front end watches a fake relay."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 from walnutpost.testsupport.daemon.fake_relay import FakeRelay
 from walnutpost.testsupport.daemon.fleet import Fleet
 
+CLASSES = ["valuation", "reservation"]
 PAIR = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50}
 QUICK = {"work_ms": 20, "spread": 0, "load_ms": 50}
 SITE = {
@@ -22,16 +23,20 @@
 }
 
 
-def function_entry(version: int = 1, **more: Any) -> bytes:
+def function_entry(version: int = 1, **more: str | int) -> bytes:
     settings = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50, "version": str(version)}
     return encode_value(FunctionConfig.model_validate(settings | more))
 
 
-def put_function(name: str, version: int = 1, **more: Any) -> Mutation:
+def put_function(name: str, version: int = 1, **more: str | int) -> Mutation:
     return Mutation(FUNCTION_PREFIX + name, function_entry(version, **more))
 
 
-class SettingsFleet(Fleet):
+def delete_function(name: str) -> Mutation:
+    return Mutation(FUNCTION_PREFIX + name, None)
+
+
+class ConfigFleet(Fleet):
     """A fleet whose front end watches a relay; the relay's table begins with the front end's own settings."""
 
     def __init__(self, path: Path, more: dict[str, Any] | None = None, agreed: bool = True) -> None:
@@ -78,14 +83,14 @@
         self.front_config = self.front_config.model_copy(update={"site": site})
 
     @property
-    def settings(self) -> ConfigWatch:
+    def watch(self) -> ConfigWatch:
         assert self.front.config_watch is not None
         return self.front.config_watch
 
     def change(self, *mutations: Mutation) -> int:
         """Commit a change set; return its revision once the front end has applied it."""
         revision = self.relay.change(list(mutations))
-        self.until(lambda: self.settings.watch_state.applied_revision == revision)
+        self.until(lambda: self.watch.watch_state.applied_revision == revision)
         return revision
 
     def invoked_version(self, function: str) -> str:
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/executions.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/front_end_calls.py
@@ -1,4 +1,4 @@
-"""Deferred calls of a front end, and its end without a shutdown."""
+"""Deferred calls of a fleet's front end, and its end as by a kill."""
 
 from __future__ import annotations
 
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/sites.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/replicated_sites.py
@@ -1,11 +1,10 @@
-"""Several front ends that replicate their journals to one another."""
+"""Three front ends at three sites that replicate their journals, with proxies that inject faults."""
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from walnutpost.config import Config, parse
 from walnutpost.config.base import parse_address
@@ -14,13 +13,7 @@
 from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, Response
 from walnutpost.journal import CallState, MergedJournal
-from walnutpost.testsupport.daemon.fleet import (
-    INVOKE,
-    SECOND,
-    Fleet,
-    execution_path,
-    merged,
-)
+from walnutpost.testsupport.daemon.fleet import INVOKE, SECOND, Fleet, execution_path, merged
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
 RUN = "reserve"  # an unsafe function
@@ -29,7 +22,7 @@
 class Sites(Fleet):
     """Three front ends at three sites, with the same workers; a relay is in front of each one's journal."""
 
-    def __init__(self, path: Path, copies: int = 1, without: str = "refuse", **journal: Any) -> None:
+    def __init__(self, path: Path, copies: int = 1, without: str = "refuse", **journal: int) -> None:
         super().__init__(path)
         self.fronts: dict[str, FrontEnd] = {}
         self.relays: dict[str, LinkProxy] = {}
@@ -80,7 +73,7 @@
         for file in self.path.glob(f"{name}.db*"):
             file.unlink()
 
-    def defer(self, at: str, function: str, name: str = "", wait_ms: int = 0) -> Response:
+    def defer(self, at: str, function: str, name: str = "") -> Response:
         headers = {"x-amz-invocation-type": "Event", "content-type": "application/json"}
         if name:
             headers["x-amz-durable-execution-name"] = name
