--- a/packages/agent/src/walnutpost/agent/__init__.py
+++ b/packages/agent/src/walnutpost/agent/__init__.py
@@ -1,7 +1,7 @@
 """The agent: looks after one front end or worker, and changes its version as the control plane permits."""
 
 from walnutpost.agent.agent import Agent, AgentSettings, build_agent
-from walnutpost.agent.child_process import INCARNATION_VARIABLE, processes_of
+from walnutpost.agent.child_process import INCARNATION_VARIABLE, process_ids_of
 from walnutpost.agent.errors import AgentError, AgentFolderError, ManualOrderError
 from walnutpost.agent.manual_orders import manual_order_path
 from walnutpost.agent.versions import version_of
@@ -15,6 +15,6 @@
     "ManualOrderError",
     "build_agent",
     "manual_order_path",
-    "processes_of",
+    "process_ids_of",
     "version_of",
 ]
--- a/packages/agent/src/walnutpost/agent/child_process.py
+++ b/packages/agent/src/walnutpost/agent/child_process.py
@@ -28,7 +28,7 @@
 ADDRESS_PATTERN = re.compile(rb"address\W+(\d+\.\d+\.\d+\.\d+:\d+)")  # in the process's output
 
 
-def processes_of(agent: str) -> list[int]:
+def process_ids_of(agent: str) -> list[int]:
     """Return the ids of this machine's processes that the agent has started, also before its restart."""
     mark = f"{AGENT_VARIABLE}={agent}".encode()
     found = []
@@ -45,7 +45,7 @@
     They are found by their environment, because a process id might not have been written any more.
     """
     remaining_us = KILL_TIMEOUT_US
-    while orphans := processes_of(agent):
+    while orphans := process_ids_of(agent):
         for pid in orphans:
             with suppress(ProcessLookupError):
                 os.kill(pid, signal.SIGTERM if remaining_us > 0 else signal.SIGKILL)
--- a/packages/agent/src/walnutpost/agent/control_plane.py
+++ b/packages/agent/src/walnutpost/agent/control_plane.py
@@ -71,7 +71,7 @@
                     reason=result.error,
                 )
 
-    def begin_request(self) -> str:
+    def new_request_id(self) -> str:
         """Return an id for a request for a permit."""
         return self._new_id()
 
--- a/packages/agent/src/walnutpost/agent/instance_runner.py
+++ b/packages/agent/src/walnutpost/agent/instance_runner.py
@@ -76,7 +76,7 @@
 
     def _request_permit(self, command: RequestPermit) -> None:
         """Repeat the request until it is answered."""
-        request_id = self._link.begin_request()
+        request_id = self._link.new_request_id()
         while not self.has_stopped:
             result = self._link.request(request_id, command)
             if result is not None:
--- a/packages/agent/tests/test_agent.py
+++ b/packages/agent/tests/test_agent.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from walnutpost.agent import processes_of, version_of
+from walnutpost.agent import process_ids_of, version_of
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import FRONT_END, DisruptionBudget, FleetState, SetBudgets
 from walnutpost.testsupport.controlplane.replica_processes import NAMES, ReplicaProcesses
@@ -184,14 +184,14 @@
         agents.running[name].kill()
         agents.running[name].wait()
         agent = json.loads((agents.folder / "agents" / f"{name}.json").read_text())["agent"]
-        orphans = processes_of(agent)
+        orphans = process_ids_of(agent)
         agents.replicas.loop.sleep(2_000_000)
         assert [p.member for p in agents.state().permits.values()] == [name]
         agents.start(name)
         agents.wait_until(lambda: agents.state().plans["r"].completed == [name])
         assert agents.max_unavailable <= 1
         assert not agents.state().permits
-        (process,) = processes_of(agent)
+        (process,) = process_ids_of(agent)
         assert process not in orphans, "the processes that the killed agent left behind have ended"
 
     run_scenario(tmp_path, scenario)
--- a/packages/configstore/src/walnutpost/configstore/fleet_progress.py
+++ b/packages/configstore/src/walnutpost/configstore/fleet_progress.py
@@ -154,7 +154,7 @@
         member = members[name] = RegisteredMember(incarnation)
         self._homes.assign(name)
         if member.home is not None:
-            self._proved.raise_individual(member.home, name)
+            self._proved.raise_member_bound(member.home, name)
         self._registrations.update_mismatch(name)
 
     def _unregister(self, name: str) -> None:
--- a/packages/configstore/src/walnutpost/configstore/outcome.py
+++ b/packages/configstore/src/walnutpost/configstore/outcome.py
@@ -35,14 +35,14 @@
     """The result of handling a response or of a verification.
 
     `changes`: change sets that are now in the store, in order.
-    `is_replaced`: the store was replaced by a snapshot; any key may have changed.
+    `is_store_replaced`: the store was replaced by a snapshot; any key may have changed.
     `repaired_keys`: keys whose entries were wrong in this process.
     `events`: in order, for the log.
     `is_inconsistent`: the server's data contradicts itself; another server should be asked.
     """
 
     changes: tuple[ChangeSet, ...] = ()
-    is_replaced: bool = False
+    is_store_replaced: bool = False
     repaired_keys: tuple[str, ...] = ()
     events: tuple[SyncEvent, ...] = ()
     is_inconsistent: bool = False
--- a/packages/configstore/src/walnutpost/configstore/proved_revisions.py
+++ b/packages/configstore/src/walnutpost/configstore/proved_revisions.py
@@ -28,7 +28,9 @@
         """Return the registered members of which `revision` is not proved."""
         return [name for name in self._fleet.members if self.proved_revision(name) < revision]
 
-    def raise_common(self, relay: RelayState, reported: int, lagging: tuple[MemberProgress, ...]) -> None:
+    def raise_common_bound(
+        self, relay: RelayState, reported: int, lagging: tuple[MemberProgress, ...]
+    ) -> None:
         """Apply a report's minimum, which covers all members that the report does not list.
 
         If it is below the common revision, members that have proved that one keep it; the members that
@@ -43,12 +45,12 @@
         relay.common_revision = max(relay.common_revision, reported)
         before = len(relay.individual)
         for name in list(relay.individual):
-            self.raise_individual(relay, name)
+            self.raise_member_bound(relay, name)
         if len(relay.individual) < before:
             # Copied, because a set that was large is iterated at that size.
             relay.individual = set(relay.individual)
 
-    def raise_individual(self, relay: RelayState, name: str) -> None:
+    def raise_member_bound(self, relay: RelayState, name: str) -> None:
         """Apply the relay's last report to a member that is tracked individually."""
         member = self._fleet.members[name]
         listed = relay.lagging.get(name)
--- a/packages/configstore/src/walnutpost/configstore/report_handler.py
+++ b/packages/configstore/src/walnutpost/configstore/report_handler.py
@@ -73,7 +73,7 @@
         relay.revision = summary.revision
         relay.reported_at_us = now
         common = min(summary.min_applied_revision, self._fleet.revision)
-        self._proved.raise_common(relay, common, summary.lagging)
+        self._proved.raise_common_bound(relay, common, summary.lagging)
         for name, incarnation in summary.ended_processes:
             self._registrations.record_ended(name, incarnation)
         self._minimum.progress_changed(now)
--- a/packages/configstore/src/walnutpost/configstore/snapshot_load.py
+++ b/packages/configstore/src/walnutpost/configstore/snapshot_load.py
@@ -15,10 +15,10 @@
 from walnutpost.configstore.store import ConfigStore
 
 
-class SnapshotLoad:
+class StoreLoad:
     """Entries that are collected beside the store until they are complete and can replace it.
 
-    A snapshot starts without entries (`of_snapshot`), a repair with those of the store (`of_buckets`).
+    A snapshot starts without entries (`start_snapshot`), a repair with those of the store (`start_repair`).
 
     `is_snapshot`: all entries are loaded; otherwise the buckets in `repaired_buckets`.
     `after_key`: the last key received of a snapshot, None once all pages have arrived.
@@ -44,12 +44,12 @@
         self.committed_digests = {store.revision: store.digest}
 
     @classmethod
-    def of_snapshot(cls, store: ConfigStore) -> SnapshotLoad:
+    def start_snapshot(cls, store: ConfigStore) -> StoreLoad:
         """Start to load all entries."""
         return cls(store, is_snapshot=True)
 
     @classmethod
-    def of_buckets(cls, store: ConfigStore, buckets: Set[int]) -> SnapshotLoad:
+    def start_repair(cls, store: ConfigStore, buckets: Set[int]) -> StoreLoad:
         """Start to load these digest buckets; without any, the digests of all buckets are requested first."""
         load = cls(store, is_snapshot=False)
         load.wanted_buckets = set(buckets)
@@ -58,14 +58,14 @@
         return load
 
     @property
-    def is_replaying(self) -> bool:
+    def has_all_pages(self) -> bool:
         """Whether all pages have arrived and only change sets are still missing."""
         return self.after_key is None and not self.wants_bucket_digests and not self.wanted_buckets
 
     @property
     def is_complete(self) -> bool:
         """Whether the entries are one consistent state, at `replayed_revision`."""
-        return self.is_replaying and self.replayed_revision >= self.target_revision
+        return self.has_all_pages and self.replayed_revision >= self.target_revision
 
     def amend(self, request: WatchRequest) -> WatchRequest:
         """Return the request with what this load needs next."""
@@ -88,7 +88,7 @@
         """Whether this is the next page of the snapshot."""
         return self.after_key == page.after_key and (bool(page.entries) or page.is_last_page)
 
-    def is_passed_by(self, page: WatchResponse) -> bool:
+    def is_base_compacted(self, page: WatchResponse) -> bool:
         """Whether the server has compacted change sets that are needed to replay over the earlier pages."""
         return bool(self.base_revision) and page.compacted_revision > self.base_revision
 
@@ -99,7 +99,7 @@
 
     def expects_changes(self, page: WatchResponse) -> bool:
         """Whether the page continues the replay without a gap."""
-        return self.is_replaying and page.since_revision <= self.replayed_revision
+        return self.has_all_pages and page.since_revision <= self.replayed_revision
 
     def add_snapshot_page(self, page: WatchResponse, store: ConfigStore) -> None:
         """Add a page; entries that are equal in `store` are shared with it, to save memory."""
--- a/packages/configstore/src/walnutpost/configstore/store_sync.py
+++ b/packages/configstore/src/walnutpost/configstore/store_sync.py
@@ -14,12 +14,12 @@
 from walnutpost.configstore.errors import DigestMismatchError, OutOfOrderError
 from walnutpost.configstore.messages import ChangeSet, WatchResponse
 from walnutpost.configstore.outcome import ApplyOutcome, SyncEvent, SyncEventKind
-from walnutpost.configstore.snapshot_load import SnapshotLoad
+from walnutpost.configstore.snapshot_load import StoreLoad
 from walnutpost.configstore.store import ConfigStore
 
 MAX_REPAIR_BUCKETS = 64
 """If more buckets differ, the full snapshot is loaded, which is not much larger."""
-MAX_FAILED_REPAIRS = 2
+MAX_FAILED_LOADS = 2
 """Consecutive failed loads after which the full snapshot is loaded."""
 
 
@@ -34,10 +34,10 @@
 
     def __init__(self, max_log_entries: int, max_log_bytes: int) -> None:
         self.store = ConfigStore(max_log_entries, max_log_bytes)
-        self.load: SnapshotLoad | None = None
+        self.load: StoreLoad | None = None
         self._max_log_entries = max_log_entries
         self._max_log_bytes = max_log_bytes
-        self._failed_repairs = 0
+        self._failed_loads = 0
         self._digest_checks = DigestChecks()
 
     @property
@@ -122,7 +122,7 @@
             return self._handle_first_page(page)
         if not load.expects_page(page):
             return ApplyOutcome()
-        if load.is_passed_by(page):
+        if load.is_base_compacted(page):
             self._start_snapshot_load()
             detail = (
                 f"compacted revision {page.compacted_revision} has passed the pages loaded, starting over"
@@ -145,7 +145,7 @@
         return self._add_snapshot_page(self._start_snapshot_load(), page, (event,))
 
     def _add_snapshot_page(
-        self, load: SnapshotLoad, page: WatchResponse, events: tuple[SyncEvent, ...] = ()
+        self, load: StoreLoad, page: WatchResponse, events: tuple[SyncEvent, ...] = ()
     ) -> ApplyOutcome:
         load.add_snapshot_page(page, self.store)
         if not page.is_last_page:
@@ -157,20 +157,20 @@
     def _start_repair(self, buckets: set[int]) -> str:
         """Load these buckets, or request the bucket digests if there are none; return a description."""
         place = f"{len(buckets)} of {DIGEST_BUCKETS} buckets differ at revision {self.store.revision}"
-        if len(buckets) > MAX_REPAIR_BUCKETS or self._failed_repairs >= MAX_FAILED_REPAIRS:
+        if len(buckets) > MAX_REPAIR_BUCKETS or self._failed_loads >= MAX_FAILED_LOADS:
             self._start_snapshot_load()
             return f"{place}, loading a snapshot"
-        self.load = SnapshotLoad.of_buckets(self.store, buckets)
+        self.load = StoreLoad.start_repair(self.store, buckets)
         if not buckets:
             return "requesting the bucket digests"
         return f"{place}, loading them"
 
-    def _start_snapshot_load(self) -> SnapshotLoad:
-        load = self.load = SnapshotLoad.of_snapshot(self.store)
+    def _start_snapshot_load(self) -> StoreLoad:
+        load = self.load = StoreLoad.start_snapshot(self.store)
         self._digest_checks.cancel()
         return load
 
-    def _finish_load(self, load: SnapshotLoad, events: tuple[SyncEvent, ...] = ()) -> ApplyOutcome:
+    def _finish_load(self, load: StoreLoad, events: tuple[SyncEvent, ...] = ()) -> ApplyOutcome:
         """Replace the store by a complete load, if its digest is the committed one.
 
         This method alone replaces the store.
@@ -182,20 +182,20 @@
         self._digest_checks.cancel()
         if not load.has_committed_digest(loaded):
             return self._reject_load(load, events)
-        self._failed_repairs = 0
+        self._failed_loads = 0
         previous, self.store = self.store, loaded
         if load.is_snapshot:
             detail = f"{len(loaded.entries)} keys at revision {loaded.revision}"
             loaded_event = SyncEvent(SyncEventKind.SNAPSHOT_LOADED, detail)
-            return ApplyOutcome(is_replaced=True, events=(*events, loaded_event))
+            return ApplyOutcome(is_store_replaced=True, events=(*events, loaded_event))
         repaired = load.repaired_keys(previous, loaded)
         detail = f"{len(repaired)} keys in {len(load.repaired_buckets)} buckets at revision {loaded.revision}"
         repaired_event = SyncEvent(SyncEventKind.REPAIRED, detail)
         return ApplyOutcome(tuple(load.changes), repaired_keys=repaired, events=(*events, repaired_event))
 
-    def _reject_load(self, load: SnapshotLoad, events: tuple[SyncEvent, ...]) -> ApplyOutcome:
-        self._failed_repairs += 1
-        if load.is_snapshot or self._failed_repairs >= MAX_FAILED_REPAIRS:
+    def _reject_load(self, load: StoreLoad, events: tuple[SyncEvent, ...]) -> ApplyOutcome:
+        self._failed_loads += 1
+        if load.is_snapshot or self._failed_loads >= MAX_FAILED_LOADS:
             self._start_snapshot_load()
         loaded = "the snapshot" if load.is_snapshot else f"{len(load.repaired_buckets)} buckets"
         event = _diverged(f"{loaded} loaded, not as committed at revision {load.replayed_revision}")
--- a/packages/configstore/tests/test_progress_orders.py
+++ b/packages/configstore/tests/test_progress_orders.py
@@ -125,12 +125,12 @@
         (
             "        self._proved.begin_individually(home, name)\n",
             "        self._proved.begin_individually(home, name)\n"
-            "        self._proved.raise_individual(home, name)\n",
+            "        self._proved.raise_member_bound(home, name)\n",
         )
     ],
     "agreed is proved": [
         (
-            "            self._proved.raise_individual(member.home, name)\n",
+            "            self._proved.raise_member_bound(member.home, name)\n",
             "            member.proved_revision = self._fleet.revision\n",
         )
     ],
--- a/packages/configstore/tests/test_snapshot_loads.py
+++ b/packages/configstore/tests/test_snapshot_loads.py
@@ -30,8 +30,8 @@
     store, watcher = filled(200, max_log_entries=3), WatchState("fe1", "fe1.1")
     outcome = follow(watcher, store, max_bytes=500, between=lambda *_: None)
     assert len(outcome) > 10
-    assert not any(t.is_replaced or t.changes for t in outcome[:-1])
-    assert outcome[-1].is_replaced
+    assert not any(t.is_store_replaced or t.changes for t in outcome[:-1])
+    assert outcome[-1].is_store_replaced
     assert has_content_of(watcher, store)
     assert not watcher.is_loading
     assert outcome[0].events == (SyncEvent(SNAPSHOT_REQUESTED, "revision 0 is below compacted revision 394"),)
@@ -50,7 +50,7 @@
         assert (request.applied_revision, request.revision) == (400, 400)
         assert watcher.store is before or not watcher.is_loading
 
-    assert combined(follow(watcher, store, max_bytes=500, between=between)).is_replaced
+    assert combined(follow(watcher, store, max_bytes=500, between=between)).is_store_replaced
     assert has_content_of(watcher, store)
     assert watcher.applied_revision == 400
 
@@ -80,7 +80,7 @@
         return ahead[turn % len(ahead)] if ahead else replica
 
     outcome = combined(follow(watcher, relays[0], max_bytes=300, between=between))
-    assert outcome.is_replaced
+    assert outcome.is_store_replaced
     assert not outcome.is_inconsistent
     assert has_content_of(watcher, replica)
     assert turn >= 30
@@ -133,7 +133,7 @@
     outcome = combined(follow(watcher, store, max_bytes=500, between=between))
     passed = [d for d in details(outcome, SNAPSHOT_REQUESTED) if "has passed the pages loaded" in d]
     assert len(passed) == 2
-    assert outcome.is_replaced
+    assert outcome.is_store_replaced
     assert has_content_of(watcher, store)
 
 
@@ -149,7 +149,7 @@
 
     outcome = combined(follow(watcher, store, max_bytes=500, between=between))
     assert len(details(outcome, SNAPSHOT_REQUESTED)) == 2
-    assert outcome.is_replaced
+    assert outcome.is_store_replaced
     assert has_content_of(watcher, store)
 
 
@@ -162,7 +162,7 @@
         if page.after_key:
             replica.propose(replica.revision + 1, ops("f00003", f"h{replica.revision}"))
 
-    assert combined(follow(relay, replica, max_bytes=500, between=between)).is_replaced
+    assert combined(follow(relay, replica, max_bytes=500, between=between)).is_store_replaced
     assert has_content_of(relay, replica)
     assert relay.store.snapshot() == replica.snapshot()
     for held in range(replica.compacted_revision, replica.revision):
@@ -177,7 +177,7 @@
         return other if page.is_last_page else None
 
     outcome = follow(relay, replica, between=between)
-    assert [t.is_replaced for t in outcome] == [False, False, True]
+    assert [t.is_store_replaced for t in outcome] == [False, False, True]
     assert has_content_of(relay, replica)
     assert relay.store.compacted_revision == other.compacted_revision == 180
 
--- a/packages/configstore/tests/test_store_orders.py
+++ b/packages/configstore/tests/test_store_orders.py
@@ -29,7 +29,7 @@
     respond,
 )
 from walnutpost.configstore.outcome import SyncEventKind
-from walnutpost.configstore.snapshot_load import SnapshotLoad
+from walnutpost.configstore.snapshot_load import StoreLoad
 from walnutpost.configstore.store_sync import StoreSync
 
 KEYS = [f"{kind}/{name}" for kind in ("class", "function") for name in "abcdef"]
@@ -486,11 +486,11 @@
 
 
 def in_force_before_it_is_complete(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(SnapshotLoad, "is_complete", property(lambda load: load.is_replaying))
+    patch.setattr(StoreLoad, "is_complete", property(lambda load: load.has_all_pages))
 
 
 def not_compared(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(SnapshotLoad, "has_committed_digest", lambda _load, _store: True)
+    patch.setattr(StoreLoad, "has_committed_digest", lambda _load, _store: True)
 
 
 def neither_complete_nor_compared(patch: pytest.MonkeyPatch) -> None:
@@ -511,7 +511,7 @@
     def highest(self: StoreSync, page: WatchResponse) -> ApplyOutcome:
         taken = handle_page(self, page)
         load = self.load
-        if load is not None and page.is_last_page and load.is_replaying:
+        if load is not None and page.is_last_page and load.has_all_pages:
             load.replayed_revision = load.target_revision
         return taken
 
@@ -520,14 +520,14 @@
 
 def begins_from_what_is_held(patch: pytest.MonkeyPatch) -> None:
     """Then what was deleted meanwhile comes back."""
-    begin = SnapshotLoad.of_snapshot
+    begin = StoreLoad.start_snapshot
 
-    def from_held(store: ConfigStore) -> SnapshotLoad:
+    def from_held(store: ConfigStore) -> StoreLoad:
         load = begin(store)
         load.entries.update(store.entries)
         return load
 
-    patch.setattr(SnapshotLoad, "of_snapshot", from_held)
+    patch.setattr(StoreLoad, "start_snapshot", from_held)
 
 
 def an_older_relay_answers(patch: pytest.MonkeyPatch) -> None:
@@ -545,7 +545,7 @@
             self.load = None
             entries = {entry.key: entry for entry in page.entries}
             self.store = Watched.from_entries(entries, page.revision, max_log_entries=0)
-            return ApplyOutcome(is_replaced=True)
+            return ApplyOutcome(is_store_replaced=True)
         return handle_page(self, page)
 
     patch.setattr(World, "owed", staticmethod(whole))
--- a/packages/configstore/tests/test_store_repairs.py
+++ b/packages/configstore/tests/test_store_repairs.py
@@ -45,7 +45,7 @@
     assert events == (SyncEvent(DIVERGED, f"{ranges} of 256 buckets differ at revision 9000, loading them"),)
     outcome = combined(follow(watcher, store))
     assert outcome.repaired_keys == ("function/f00050", "function/f00060")
-    assert not outcome.is_replaced
+    assert not outcome.is_store_replaced
     assert outcome.events == (SyncEvent(REPAIRED, f"2 keys in {ranges} buckets at revision 9000"),)
     assert has_content_of(watcher, store)
 
@@ -95,7 +95,7 @@
     change = store.propose(9001, ops("f00050", "f00051"))
     outcome = combined(follow(watcher, store))
     assert "1 of 256 buckets differ at revision 9000, loading them" in details(outcome, DIVERGED)[0]
-    assert not outcome.is_replaced
+    assert not outcome.is_store_replaced
     assert change in outcome.changes
     assert has_content_of(watcher, store)
 
@@ -134,7 +134,7 @@
         flip(watcher.store, f"function/f{n:05}")
     store.propose(9000, ops("f00002"))
     outcome = combined(follow(watcher, store))
-    assert outcome.is_replaced
+    assert outcome.is_store_replaced
     assert (
         f"{DIGEST_BUCKETS} of 256 buckets differ at revision 6000, loading a snapshot"
         in details(outcome, DIVERGED)[0]
@@ -197,7 +197,7 @@
         assert page is not None
         outcome.append(watcher.handle_response(0, page, 0))
     assert watcher.next_request(0).after_key == ""
-    assert combined(follow(watcher, store)).is_replaced
+    assert combined(follow(watcher, store)).is_store_replaced
     assert has_content_of(watcher, store)
 
 
--- a/packages/consensus/src/walnutpost/consensus/append_responses.py
+++ b/packages/consensus/src/walnutpost/consensus/append_responses.py
@@ -44,7 +44,7 @@
         peer = leadership.peers[message.sender]
         peer.last_heard_us = state.now_us
         peer.answered_round = max(peer.answered_round, message.round)
-        peer.last_sent_at_us = message.sent_at_us
+        peer.response_sent_at_us = message.sent_at_us
         if message.success:
             self._on_match(peer, message)
         else:
--- a/packages/consensus/src/walnutpost/consensus/election.py
+++ b/packages/consensus/src/walnutpost/consensus/election.py
@@ -68,7 +68,7 @@
         term = request.term if granted else state.term
         self._gate.send(request.sender, VoteResponse(term, state.replica_id, granted, request.pre_vote))
 
-    def count_vote(self, vote: VoteResponse) -> None:
+    def on_vote_response(self, vote: VoteResponse) -> None:
         """Count a vote for what this replica stands for now; a refusal may carry a newer term."""
         state = self._state
         if not vote.granted:
@@ -125,7 +125,7 @@
                 self._gate.send(name, request)
         own_vote = VoteResponse(request.term, state.replica_id, True, request.pre_vote)
         if not self._gate.defer(own_vote):
-            self.count_vote(own_vote)
+            self.on_vote_response(own_vote)
 
     def _become_leader(self) -> None:
         """Lead, and append an entry whose commit brings along what older terms have left."""
--- a/packages/consensus/src/walnutpost/consensus/following.py
+++ b/packages/consensus/src/walnutpost/consensus/following.py
@@ -30,7 +30,7 @@
         """
         if not self.accept_leader(message):
             return
-        self._freshness.take_from_leader(message)
+        self._freshness.add_bound_from_leader(message)
         state, log = self._state, self._state.log
         entries, prev_index = message.entries, message.prev_index
         if prev_index < log.snapshot.index:  # the snapshot covers the first of them
--- a/packages/consensus/src/walnutpost/consensus/freshness.py
+++ b/packages/consensus/src/walnutpost/consensus/freshness.py
@@ -34,7 +34,7 @@
         del bounds[: covered - 1]
         return bounds[0].at_us
 
-    def confirm_quorum_contact(self) -> None:
+    def add_bound_from_quorum(self) -> None:
         """Add a bound from the rounds of this leader that a quorum has answered."""
         state, leadership = self._state, self._state.leadership
         if leadership is None:
@@ -53,9 +53,9 @@
             return CONTACT_UNKNOWN_US
         return self._rules.quorum_contact_age_us(self._state, leadership)
 
-    def take_from_leader(self, message: AppendEntries) -> None:
+    def add_bound_from_leader(self, message: AppendEntries) -> None:
         """Add a bound from a leader's message."""
-        contact_us = self._rules.leader_contact_us(self._state, message)
+        contact_us = self._rules.leader_quorum_contact_us(self._state, message)
         if contact_us is not None:
             self._add_bound(FreshnessBound(message.commit_index, contact_us))
 
--- a/packages/consensus/src/walnutpost/consensus/leadership_transfer.py
+++ b/packages/consensus/src/walnutpost/consensus/leadership_transfer.py
@@ -34,7 +34,7 @@
             transfer.is_timeout_now_sent = True
             self._gate.send(transfer.target, TimeoutNow(state.term, state.replica_id))
 
-    def end_overdue(self) -> None:
+    def cancel_overdue(self) -> None:
         """Give up a transfer whose time is over."""
         leadership = self._state.leadership
         if leadership is None or leadership.transfer is None:
--- a/packages/consensus/src/walnutpost/consensus/persistence.py
+++ b/packages/consensus/src/walnutpost/consensus/persistence.py
@@ -25,15 +25,17 @@
     ) -> None:
         """Give out a write of term, vote and the given change of the log; see `Write`."""
         state = self._state
-        state.last_write += 1
+        state.last_write_number += 1
         state.durable_index = min(state.durable_index, last_retained_index)
         state.unpersisted_writes = deque(
             UnpersistedWrite(write.number, min(write.last_index, last_retained_index))
             for write in state.unpersisted_writes
         )
-        state.unpersisted_writes.append(UnpersistedWrite(state.last_write, state.log.last_index))
+        state.unpersisted_writes.append(UnpersistedWrite(state.last_write_number, state.log.last_index))
         state.effects.append(
-            Write(state.last_write, state.term, state.voted_for, last_retained_index, entries, snapshot)
+            Write(
+                state.last_write_number, state.term, state.voted_for, last_retained_index, entries, snapshot
+            )
         )
 
     def write_vote(self) -> None:
@@ -52,18 +54,20 @@
     def defer(self, effect: Effect | VoteResponse) -> bool:
         """Hold an effect, or the own vote, back until all writes are durable; False if they are."""
         state = self._state
-        if self._rules.has_persisted(state):
+        if self._rules.are_writes_durable(state):
             return False
-        state.deferred_effects.append(DeferredEffect(state.last_write, effect))
+        state.deferred_effects.append(DeferredEffect(state.last_write_number, effect))
         return True
 
     def complete_writes(self, number: int) -> list[Effect | VoteResponse]:
         """Note that the writes up to `number` are durable; return what may leave now, in order."""
         state = self._state
-        state.completed_write = max(state.completed_write, number)
+        state.completed_write_number = max(state.completed_write_number, number)
         while state.unpersisted_writes and state.unpersisted_writes[0].number <= number:
             state.durable_index = state.unpersisted_writes.popleft().last_index
         ready: list[Effect | VoteResponse] = []
-        while state.deferred_effects and state.deferred_effects[0].write_number <= state.completed_write:
+        while (
+            state.deferred_effects and state.deferred_effects[0].write_number <= state.completed_write_number
+        ):
             ready.append(state.deferred_effects.popleft().effect)
         return ready
--- a/packages/consensus/src/walnutpost/consensus/raft.py
+++ b/packages/consensus/src/walnutpost/consensus/raft.py
@@ -149,7 +149,7 @@
         self._on_input(event)
         self._timers.check()
         self._commitment.apply()
-        self._freshness.confirm_quorum_contact()
+        self._freshness.add_bound_from_quorum()
         effects, state.effects = state.effects, []
         return effects
 
@@ -178,7 +178,7 @@
             case VoteRequest():
                 self._election.on_vote_request(message)
             case VoteResponse():
-                self._election.count_vote(message)
+                self._election.on_vote_response(message)
             case AppendEntries():
                 self._following.on_append_entries(message)
             case InstallSnapshot():
@@ -192,7 +192,7 @@
         """Release the effects that waited for the write, count the own vote and continue replication."""
         for effect in self._gate.complete_writes(number):
             if isinstance(effect, VoteResponse):
-                self._election.count_vote(effect)
+                self._election.on_vote_response(effect)
             else:
                 self.state.effects.append(effect)
         self._commitment.advance()
--- a/packages/consensus/src/walnutpost/consensus/replication.py
+++ b/packages/consensus/src/walnutpost/consensus/replication.py
@@ -87,7 +87,7 @@
             commit_index=state.commit_index,
             round=leadership.round,
             quorum_contact_age_us=self._freshness.quorum_contact_age_us(),
-            echoed_sent_at_us=peer.last_sent_at_us,
+            echoed_sent_at_us=peer.response_sent_at_us,
         )
         self._gate.send(name, message)
         peer.next_index += len(entries)
--- a/packages/consensus/src/walnutpost/consensus/safety.py
+++ b/packages/consensus/src/walnutpost/consensus/safety.py
@@ -18,9 +18,9 @@
 class SafetyRules:
     """Raft's rules, and those for staleness bounds (`Raft.fresh_as_of`)."""
 
-    def has_persisted(self, state: RaftState) -> bool:
+    def are_writes_durable(self, state: RaftState) -> bool:
         """Whether all writes are durable, so that what depends on them may be sent, answered and counted."""
-        return state.completed_write >= state.last_write
+        return state.completed_write_number >= state.last_write_number
 
     def may_vote(self, state: RaftState, request: VoteRequest) -> bool:
         """Whether to grant a vote: one in a term, and only to a log that has all that can be committed."""
@@ -83,7 +83,7 @@
             return CONTACT_UNKNOWN_US
         return state.now_us - leadership.quorum_contact_us
 
-    def leader_contact_us(self, state: RaftState, message: AppendEntries) -> int | None:
+    def leader_quorum_contact_us(self, state: RaftState, message: AppendEntries) -> int | None:
         """Return when the sender was certainly in contact with a quorum, by this replica's clock.
 
         It wrote the message after it had this replica's echoed response, so its contact is at least as new as
--- a/packages/consensus/src/walnutpost/consensus/state.py
+++ b/packages/consensus/src/walnutpost/consensus/state.py
@@ -76,7 +76,7 @@
 class PeerProgress:
     """What a leader knows of another replica.
 
-    `match_round`: the last round that was answered with a match; `last_sent_at_us`: `sent_at_us` of the
+    `match_round`: the last round that was answered with a match; `response_sent_at_us`: `sent_at_us` of the
     peer's newest response, by the peer's own clock.
     """
 
@@ -85,7 +85,7 @@
     match_round: int = 0
     answered_round: int = 0
     last_heard_us: int = 0
-    last_sent_at_us: int = 0
+    response_sent_at_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,8 +151,8 @@
     election_deadline_us: int | None = None
     leader_heard_us: int | None = None
     effects: list[Effect] = field(default_factory=list)
-    last_write: int = 0
-    completed_write: int = 0
+    last_write_number: int = 0
+    completed_write_number: int = 0
     unpersisted_writes: deque[UnpersistedWrite] = field(default_factory=deque)
     deferred_effects: deque[DeferredEffect] = field(default_factory=deque)
     freshness_bounds: list[FreshnessBound] = field(default_factory=list)
--- a/packages/consensus/src/walnutpost/consensus/timers.py
+++ b/packages/consensus/src/walnutpost/consensus/timers.py
@@ -49,7 +49,7 @@
                 self._roles.reset_election_timer()
                 self._election.start_pre_vote()
             return
-        self._transfers.end_overdue()
+        self._transfers.cancel_overdue()
         if self._has_lost_quorum(leadership):
             self._roles.step_down()  # another may lead, and reads here would wait without end
         elif state.now_us >= leadership.next_heartbeat_us:
--- a/packages/controlplane/src/walnutpost/controlplane/applied_state.py
+++ b/packages/controlplane/src/walnutpost/controlplane/applied_state.py
@@ -51,7 +51,7 @@
         """Record when endpoints have changed, after entries were applied."""
         self.endpoint_ages.observe(self._loop.now(), self.fleet.state)
 
-    def compaction_due(self, snapshot_index: int) -> Compact | None:
+    def take_due_compaction(self, snapshot_index: int) -> Compact | None:
         """Return a snapshot for the log if enough has been applied since the last one."""
         log_entries = self.index - snapshot_index
         if log_entries <= self._max_log_entries and self._uncompacted_bytes <= MAX_UNCOMPACTED_BYTES:
--- a/packages/controlplane/src/walnutpost/controlplane/composition.py
+++ b/packages/controlplane/src/walnutpost/controlplane/composition.py
@@ -19,7 +19,7 @@
 from walnutpost.controlplane.watch_source import WatchSource
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.store import StoreError
-from walnutpost.store.replica import ReplicaStore
+from walnutpost.store.replica import ConsensusStore
 from walnutpost.watch.serving import WatchServer
 
 REPLY_TIMEOUT_ELECTIONS = 3
@@ -38,8 +38,8 @@
     execute: Callable[[Effect], None]
     is_in_service: Callable[[], bool]
     write_failed: Callable[[StoreError], None]
-    reopen: Callable[[], ReplicaStore]
-    resume: Callable[[ReplicaStore, PersistentState], None]
+    reopen: Callable[[], ConsensusStore]
+    resume: Callable[[ConsensusStore, PersistentState], None]
     fail: Callable[[str], None]
 
 
@@ -56,7 +56,7 @@
 def build_context(
     loop: Loop,
     settings: ReplicaSettings,
-    store: ReplicaStore,
+    store: ConsensusStore,
     raft: Raft,
     callbacks: ReplicaCallbacks,
     log: Logger,
--- a/packages/controlplane/src/walnutpost/controlplane/disk_outage.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_outage.py
@@ -10,10 +10,10 @@
 from walnutpost.controlplane.peers import PeerConnection
 from walnutpost.controlplane.requests import DISK_FAILED
 from walnutpost.store import StoreError
-from walnutpost.store.replica import ReplicaStore
+from walnutpost.store.replica import ConsensusStore
 
 
-class DiskOutage:
+class ServiceSuspension:
     """Suspends the parts of a replica, and resumes them with a new consensus core.
 
     `seed` is that of the present consensus core.
@@ -41,7 +41,7 @@
         context.replies.complete_all(wire.CommandReply(outcome_known=False, reason=DISK_FAILED))
         context.watches.store_changed()
 
-    def resume(self, store: ReplicaStore, state: PersistentState) -> None:
+    def resume(self, store: ConsensusStore, state: PersistentState) -> None:
         """Resume as after a restart: a new consensus core on `state`, an empty state machine."""
         context = self._context
         context.writer.store = store
--- a/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
+++ b/packages/controlplane/src/walnutpost/controlplane/disk_recovery.py
@@ -1,8 +1,8 @@
 """Recovery after a failed write or sync: reopen, prove, read back, continue as a follower.
 
 Nothing that a failed write contained counts as durable, and nothing that is read back counts before a later
-sync has proven it (`ReplicaStore.prove_durable`). Meanwhile the replica is out of service. A state that holds
-less than the replica has acknowledged, or can't be read, is a lost disk.
+sync has made it durable (`ConsensusStore.make_durable`). Meanwhile the replica is out of service. A state
+that holds less than the replica has acknowledged, or can't be read, is a lost disk.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.store import StoreError
 from walnutpost.store.replica import (
+    ConsensusStore,
     DurableFloor,
-    ReplicaStore,
-    StoredReplica,
+    StoredConsensusState,
     UnreadableStateError,
     is_transient,
 )
@@ -30,10 +30,10 @@
 MS_US = 1000
 
 
-class ReadBack(NamedTuple):
+class RecoveredStore(NamedTuple):
     """A reopened store, and its state, which is proven to be durable."""
 
-    store: ReplicaStore
+    store: ConsensusStore
     state: PersistentState
 
 
@@ -47,8 +47,8 @@
     def __init__(
         self,
         loop: Loop,
-        reopen: Callable[[], ReplicaStore],
-        resume: Callable[[ReplicaStore, PersistentState], None],
+        reopen: Callable[[], ConsensusStore],
+        resume: Callable[[ConsensusStore, PersistentState], None],
         lost: Callable[[str], None],
         log: Logger,
     ) -> None:
@@ -67,7 +67,7 @@
         """Whether the replica is out of service, since its disk failed and nothing was read back yet."""
         return bool(self.reason)
 
-    def begin(self, store: ReplicaStore, identity: str, error: StoreError) -> None:
+    def begin(self, store: ConsensusStore, identity: str, error: StoreError) -> None:
         """Start the recovery of `store`, which failed with `error`; it gets closed."""
         if not is_transient(error):
             self._lost(str(error))
@@ -83,7 +83,7 @@
         """Give up: the replica ends."""
         self._is_stopped = True
 
-    def _recover(self, store: ReplicaStore, identity: str, failed_at_us: int) -> None:
+    def _recover(self, store: ConsensusStore, identity: str, failed_at_us: int) -> None:
         floor = store.floor
         attempts = 0
         self._loop.run_blocking(_close, store)
@@ -111,29 +111,31 @@
             return
 
 
-def _read_back(reopen: Callable[[], ReplicaStore], identity: str, floor: DurableFloor) -> ReadBack:
+def _read_back(reopen: Callable[[], ConsensusStore], identity: str, floor: DurableFloor) -> RecoveredStore:
     """Return the reopened store and its state, once it is proven to be durable and complete."""
     store = reopen()
     try:
-        store.prove_durable()
+        store.make_durable()
         state = _complete_state(store.load(), identity, floor)
     except BaseException:
         _close(store)
         raise
-    return ReadBack(store, state)
+    return RecoveredStore(store, state)
 
 
-def _complete_state(stored: StoredReplica | None, identity: str, floor: DurableFloor) -> PersistentState:
+def _complete_state(
+    stored: StoredConsensusState | None, identity: str, floor: DurableFloor
+) -> PersistentState:
     """Return the stored state. Raises UnreadableStateError if it isn't all that was acknowledged."""
     if stored is None or stored.identity != identity:
         found = "nothing" if stored is None else f"the state of {stored.identity}"
         raise UnreadableStateError(f"found {found}, wanted the state of {identity}")
-    missing = floor.missing_from(stored.state)
+    missing = floor.describe_missing(stored.state)
     if missing:
         raise UnreadableStateError(f"less than was answered for: {missing}")
     return stored.state
 
 
-def _close(store: ReplicaStore) -> None:
+def _close(store: ConsensusStore) -> None:
     with suppress(Exception):  # a failure to write is covered by `floor`
         store.close()
--- a/packages/controlplane/src/walnutpost/controlplane/durable_writer.py
+++ b/packages/controlplane/src/walnutpost/controlplane/durable_writer.py
@@ -7,7 +7,7 @@
 from walnutpost.consensus import Write
 from walnutpost.eventloop import Loop
 from walnutpost.store import StoreError
-from walnutpost.store.replica import ReplicaStore
+from walnutpost.store.replica import ConsensusStore
 
 
 class DurableWriter:
@@ -20,7 +20,7 @@
     def __init__(
         self,
         loop: Loop,
-        store: ReplicaStore,
+        store: ConsensusStore,
         on_completed: Callable[[int], None],
         on_failed: Callable[[StoreError], None],
     ) -> None:
--- a/packages/controlplane/src/walnutpost/controlplane/effects.py
+++ b/packages/controlplane/src/walnutpost/controlplane/effects.py
@@ -82,7 +82,7 @@
             context.leadership.progress.set_members(context.loop.now(), fleet.state.followers)
         if fleet.config_store.revision != former_revision:
             context.watches.store_changed()
-        compaction = context.applied.compaction_due(context.driver.raft.log.snapshot.index)
+        compaction = context.applied.take_due_compaction(context.driver.raft.log.snapshot.index)
         if compaction is not None:
             context.driver.enqueue(compaction)
 
--- a/packages/controlplane/src/walnutpost/controlplane/replica.py
+++ b/packages/controlplane/src/walnutpost/controlplane/replica.py
@@ -7,7 +7,7 @@
 from walnutpost.consensus import Effect, Raft, Role, Tick, TransferLeadership
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.composition import ReplicaCallbacks, build_context, connect_peers
-from walnutpost.controlplane.disk_outage import DiskOutage
+from walnutpost.controlplane.disk_outage import ServiceSuspension
 from walnutpost.controlplane.effects import EffectExecutor
 from walnutpost.controlplane.errors import ReplicaFailedError
 from walnutpost.controlplane.replica_file import OpenStore, ReplicaFile
@@ -18,7 +18,7 @@
 from walnutpost.fleet import Fleet
 from walnutpost.http import Limits, Server
 from walnutpost.http.server import serve_on
-from walnutpost.store.replica import ReplicaStore
+from walnutpost.store.replica import ConsensusStore
 from walnutpost.watch.serving import WatchServer
 
 
@@ -36,7 +36,7 @@
         log: Logger,
         seed: int,
         on_failed: Callable[[ReplicaFailedError], None] | None = None,
-        open_store: OpenStore = ReplicaStore,
+        open_store: OpenStore = ConsensusStore,
     ) -> None:
         self.name = settings.name
         self.has_ended = False
@@ -58,7 +58,7 @@
         )
         raft = Raft(stored.identity, stored.state, settings.timing, seed)
         self._context = build_context(loop, settings, store, raft, callbacks, log)
-        self._outage = DiskOutage(self._context, self._peers, seed)
+        self._outage = ServiceSuspension(self._context, self._peers, seed)
         self._effects = EffectExecutor(self._context, self._peers, self._fail, log)
         self._server = self._listen()
         self._context.driver.feed(Tick())
--- a/packages/controlplane/src/walnutpost/controlplane/replica_file.py
+++ b/packages/controlplane/src/walnutpost/controlplane/replica_file.py
@@ -9,9 +9,9 @@
 from walnutpost.controlplane import wire
 from walnutpost.controlplane.settings import ReplicaSettings
 from walnutpost.eventloop import Logger, Loop
-from walnutpost.store.replica import ReplicaStore, StoredReplica
+from walnutpost.store.replica import ConsensusStore, StoredConsensusState
 
-OpenStore = Callable[[Loop, Path, int], ReplicaStore]
+OpenStore = Callable[[Loop, Path, int], ConsensusStore]
 """Opens the file at a path, for so many entries of history. Raises StoreError."""
 DISK_ID_MASK = 0xFFFF_FFFF
 
@@ -25,17 +25,17 @@
         self._open_store = open_store
         settings.folder.mkdir(parents=True, exist_ok=True)
 
-    def open(self) -> ReplicaStore:
+    def open(self) -> ConsensusStore:
         """Open or create the file. Raises StoreError."""
         path = self._settings.folder / f"{self._settings.name}.db"
         return self._open_store(self._loop, path, self._settings.max_history_entries)
 
-    def load_or_create(self, store: ReplicaStore, seed: int, log: Logger) -> StoredReplica:
+    def load_or_create(self, store: ConsensusStore, seed: int, log: Logger) -> StoredConsensusState:
         """Return the state in the file; a new file gets its first one. Raises StoreError.
 
         `seed` is the source of the id of a new disk.
         """
-        store.prove_durable()  # the former process may have ended at a failed sync
+        store.make_durable()  # the former process may have ended at a failed sync
         stored = store.load()
         settings = self._settings
         if stored is not None:
--- a/packages/controlplane/src/walnutpost/controlplane/responses.py
+++ b/packages/controlplane/src/walnutpost/controlplane/responses.py
@@ -7,7 +7,7 @@
 from walnutpost.controlplane import wire
 from walnutpost.http import HttpMessageError, Response
 
-NOT_DONE = HTTPStatus.MISDIRECTED_REQUEST
+ANOTHER_REPLICA = HTTPStatus.MISDIRECTED_REQUEST
 """Another replica is to be asked; nothing was done."""
 OUTCOME_UNKNOWN = HTTPStatus.GATEWAY_TIMEOUT
 """The command may have been committed or not."""
@@ -20,7 +20,7 @@
 
 def reply_response(reply: wire.CommandReply) -> Response:
     """Return the response to a command, a report or a change set, or why there is no other response."""
-    without_result = NOT_DONE if reply.outcome_known else OUTCOME_UNKNOWN
+    without_result = ANOTHER_REPLICA if reply.outcome_known else OUTCOME_UNKNOWN
     status = HTTPStatus.OK if reply.result is not None else without_result
     return Response(status, {"Content-Type": wire.CONTENT_TYPE}, wire.encode(reply))
 
--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -160,7 +160,7 @@
     catalogue = build_catalogue(config.site)
     if dynamic_functions is None:
         return catalogue
-    return replace(catalogue, functions=dynamic_functions, is_changing=True)
+    return replace(catalogue, functions=dynamic_functions, is_dynamic=True)
 
 
 def _build_gateway(config: Config, catalogue: Catalogue) -> Gateway:
--- a/packages/daemon/src/walnutpost/daemon/config_application.py
+++ b/packages/daemon/src/walnutpost/daemon/config_application.py
@@ -44,7 +44,7 @@
 
         Does not wait: a replaced store is validated in a separate task.
         """
-        if outcome.is_replaced:
+        if outcome.is_store_replaced:
             self.validator.mark_replaced()
         self.validator.mark_changed(
             mutation.key for change in outcome.changes for mutation in change.mutations
--- a/packages/daemon/src/walnutpost/daemon/config_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/config_watch.py
@@ -50,7 +50,7 @@
     def catch_up(self) -> None:
         """Apply the cached store, and what a relay answers within FIRST_ANSWER_TIMEOUT_US."""
         if self.watch_state.store.revision:
-            self.applier.handle_outcome(ApplyOutcome(is_replaced=True))
+            self.applier.handle_outcome(ApplyOutcome(is_store_replaced=True))
             self.applier.join_validation()
         self._watch_task = self._loop.spawn(self.watcher.run, name="settings")
         deadline_us = self._loop.now() + FIRST_ANSWER_TIMEOUT_US
--- a/packages/daemon/src/walnutpost/daemon/deferred_recovery.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred_recovery.py
@@ -9,7 +9,7 @@
 from walnutpost.daemon.execution_records import ExecutionRecords
 from walnutpost.daemon.open_calls import OpenCall, OpenCalls, configured_function
 from walnutpost.eventloop import Loop
-from walnutpost.gateway import Catalogue, Failed, Failure, Rejected, recovery_action
+from walnutpost.gateway import Catalogue, Failed, Failure, Rejected, recovery_time_left_us
 from walnutpost.interface import Effect
 
 FUNCTIONS_POLL_INTERVAL_US = 50_000  # between two checks whether a function that a call waits for is there
@@ -63,7 +63,7 @@
         call.function = configured_function(self._catalogue, execution.function)
         # An intent is stored only if the call was not safe when it was sent. The function's class may differ
         # now, so the present function does not decide whether a call that may have run can run again.
-        action = recovery_action(execution, Effect.UNSAFE, self._loop.now())
+        action = recovery_time_left_us(execution, Effect.UNSAFE, self._loop.now())
         if call.function is None and not isinstance(action, Failed):
             if not are_functions_known:
                 return
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -107,7 +107,7 @@
         calls = self._write_recovered(batches)
         withdrawn = [call_id for call_id, call in calls.items() if call.stage is CallStage.WITHDRAWN]
         recovered = [_execution_of(call) for call_id, call in calls.items() if call_id not in withdrawn]
-        self._executions.replace_recovered(
+        self._executions.upsert_recovered(
             [self._executions.with_epoch_times(each) for each in recovered if each is not None], withdrawn
         )
         self._log.error("journal_recovered", after_sequence=last, calls=len(calls))
--- a/packages/daemon/tests/test_clock_steps.py
+++ b/packages/daemon/tests/test_clock_steps.py
@@ -129,7 +129,7 @@
 
     def stages_at_replicas(self) -> list[CallStage]:
         """Return the stages of a1's calls as its replicas know them."""
-        return [call.stage for call in self.merged_journal("a1", "b1", "c1").live_calls().values()]
+        return [call.stage for call in self.merged_journal("a1", "b1", "c1").retained_calls().values()]
 
 
 @pytest.mark.parametrize("step", [-HOUR, 0, HOUR])
--- a/packages/daemon/tests/test_dynamic_functions.py
+++ b/packages/daemon/tests/test_dynamic_functions.py
@@ -37,7 +37,7 @@
             return handle(now, event)
 
         router.handle = record  # type: ignore[method-assign]
-        key = f.front.dispatcher._gateway._names.functions.number("reserve")
+        key = f.front.dispatcher._gateway._translator.functions.number("reserve")
         state = router.functions.by_key[key]
         copy_counts = {w: copies.count for w, copies in state.copies.items()}
         first = f.loop.spawn(f.invoke, "price")
@@ -57,7 +57,9 @@
         assert f.front.dispatcher._gateway._router is router
         assert router.functions.by_key[key] is state
         assert {w: copies.count for w, copies in state.copies.items()} == copy_counts
-        assert f.warm("reserve") in {f.front.dispatcher._gateway._names.workers.name(w) for w in copy_counts}
+        assert f.warm("reserve") in {
+            f.front.dispatcher._gateway._translator.workers.name(w) for w in copy_counts
+        }
 
     f.play(script)
 
--- a/packages/daemon/tests/test_journal_replication.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -31,9 +31,9 @@
             assert {sites.status(site, response) for response in responses.values()} == {"SUCCEEDED"}
         for replicas in (["b1", "c1"],) if min_replicas == 1 else (["b1"], ["c1"]):
             journal = sites.merged_journal("a1", *replicas)
-            assert {c.stage for c in journal.live_calls().values()} == {CallStage.ENDED}
+            assert {c.stage for c in journal.retained_calls().values()} == {CallStage.ENDED}
             assert not journal.gaps
-            assert len(journal.live_calls()) == 12
+            assert len(journal.retained_calls()) == 12
 
     sites.play(script)
 
@@ -175,7 +175,7 @@
         two = sites.defer("a1", RUN, "two")
         sites.loop.sleep(3 * SECOND)
         assert sites.runs(RUN) == 2
-        assert len(sites.merged_journal("a1", "b1").live_calls()) == 2
+        assert len(sites.merged_journal("a1", "b1").retained_calls()) == 2
         if not is_reachable:
             sites.relays["b1"].cut()
             sites.relays["c1"].cut()
@@ -191,7 +191,7 @@
             for replica in ("b1", "c1"):
                 journal = sites.merged_journal("a1", replica)
                 assert not journal.gaps
-                assert len(journal.live_calls()) == 3
+                assert len(journal.retained_calls()) == 3
             assert sites.runs(RUN) == 3
         else:
             sites.relays["b1"].heal()
--- a/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
+++ b/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
@@ -10,7 +10,7 @@
 from walnutpost.dispatch.interfaces import DispatchHooks, WorkerTransport
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.gateway import (
-    Answered,
+    AnswerCaller,
     AttemptEnded,
     CallArrived,
     CallerLeft,
@@ -143,7 +143,7 @@
             self.abandon(call.caller_id)
         return final
 
-    def _on_answered(self, effect: Answered) -> None:
+    def _on_answered(self, effect: AnswerCaller) -> None:
         self.answers.count(effect.final)
         on_final = self._on_final_by_caller.pop(effect.caller_id, None)
         if on_final is not None:
--- a/packages/dispatch/src/walnutpost/dispatch/effects.py
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -9,7 +9,7 @@
 from walnutpost.dispatch.interfaces import DispatchHooks, WorkerTransport
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.gateway import (
-    Answered,
+    AnswerCaller,
     Cancel,
     CloseIdleConnections,
     Effect,
@@ -39,7 +39,7 @@
         hooks: DispatchHooks,
         log: Logger,
         feed: Callable[[Input], None],
-        on_answered: Callable[[Answered], None],
+        on_answered: Callable[[AnswerCaller], None],
     ) -> None:
         self._loop = loop
         self._transport = transport
@@ -51,7 +51,7 @@
     def run(self, effect: Effect) -> None:
         """Carry out one effect."""
         match effect:
-            case Answered():
+            case AnswerCaller():
                 self._on_answered(effect)
             case Send():
                 self._send(effect)
@@ -86,6 +86,6 @@
         if self._hooks.observer is None or self._hooks.observer.may_order_load(self._loop.now(), effect):
             self._transport.order_load(effect, self._feed)
             return
-        # Answered as by a worker that has no capacity left.
+        # AnswerCaller as by a worker that has no capacity left.
         full = LoadOrderEnded(effect.worker, effect.function, Outcome.FULL, 0, 0, effect.copies)
         self._loop.call_later(0, partial(self._feed, full))
--- a/packages/faultinjection/src/walnutpost/faultinjection/config_observer.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/config_observer.py
@@ -25,7 +25,7 @@
 from walnutpost.faultinjection.config_topology import FRONT_ENDS, REPLICAS
 from walnutpost.faultinjection.network import Address
 from walnutpost.faultinjection.simulated_members import NullLog
-from walnutpost.watch import ServerPool, Watcher, WatchSettings
+from walnutpost.watch import ServerPool, Watcher, WatcherSettings
 
 OBSERVER = "observer"
 APPLIED_EVENT = "config_applied"
@@ -87,7 +87,7 @@
             self._follower,
             self._on_applied,
             NullLog(),
-            WatchSettings(WATCH_TIMEOUT_US, STALE_AFTER_US),
+            WatcherSettings(WATCH_TIMEOUT_US, STALE_AFTER_US),
         )
 
     def follow(self) -> None:
--- a/packages/faultinjection/src/walnutpost/faultinjection/fleet_cluster.py
+++ b/packages/faultinjection/src/walnutpost/faultinjection/fleet_cluster.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.agent.child_process import processes_of
+from walnutpost.agent.child_process import process_ids_of
 from walnutpost.config import Config
 from walnutpost.controlplane import ControlPlaneClient, ControlPlaneUnavailableError
 from walnutpost.controlplane.wire import ReplicaStatus
@@ -299,7 +299,7 @@
         """Return the process in the care of a member's agent; None where there is none."""
         with suppress(OSError, ValueError, IndexError):
             agent = json.loads((self.folder / "agents" / f"{member}.json").read_text())
-            return processes_of(agent["agent"])[0]
+            return process_ids_of(agent["agent"])[0]
         return None
 
     def lose_disk(self, name: str) -> None:
--- a/packages/faultinjection/tests/test_audit.py
+++ b/packages/faultinjection/tests/test_audit.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from walnutpost.cli import main
-from walnutpost.gateway import Answered, Effect
+from walnutpost.gateway import AnswerCaller, Effect
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 
 COLD = {"cold_ms": 16000, "start_capacity": 0.17, "overload_factor": 1, "overload_for_ms": 1500}
@@ -80,7 +80,7 @@
     carry = fleet.front.dispatcher._effects.run
 
     def dropping(effect: Effect) -> None:
-        if not isinstance(effect, Answered):
+        if not isinstance(effect, AnswerCaller):
             carry(effect)
 
     fleet.front.dispatcher._effects.run = dropping  # type: ignore[method-assign]
--- a/packages/fleet/src/walnutpost/fleet/agent_process.py
+++ b/packages/fleet/src/walnutpost/fleet/agent_process.py
@@ -77,7 +77,7 @@
         self.ready = ready
         self._running_since_us = now_us
 
-    def stay_out(self) -> None:
+    def mark_drained(self) -> None:
         """Leave the process stopped, until `start`."""
         self.phase = Phase.DRAINED
         self.deadline_us = None
--- a/packages/fleet/src/walnutpost/fleet/agent_state.py
+++ b/packages/fleet/src/walnutpost/fleet/agent_state.py
@@ -26,7 +26,7 @@
 from walnutpost.fleet.agent_reports import InstanceReports
 from walnutpost.fleet.agent_transitions import Transitions
 from walnutpost.fleet.commands import WORKER
-from walnutpost.fleet.state import FleetState, Permit, grant_index
+from walnutpost.fleet.state import FleetState, Permit, grant_index_of
 
 
 class InstanceController:
@@ -64,7 +64,7 @@
     def start(self, now_us: int) -> list[Effect]:
         """Start the process, unless a drain kept it out when the agent ended."""
         if self.durable.drain_permit:
-            self._process.stay_out()
+            self._process.mark_drained()
         else:
             self._process.schedule_start(now_us)
         return self.handle(now_us, Tick())
@@ -122,7 +122,7 @@
     def _on_exited(self) -> None:
         transition = self._transitions.begun
         if transition is not None and transition.keeps_out:
-            self._process.stay_out()
+            self._process.mark_drained()
             self.durable.drain_permit = transition.holder.permit
             self._transitions.discard()
         elif self.phase in (Phase.STOPPING, Phase.DRAINING):
@@ -164,7 +164,7 @@
         """Stop or bring back the process, depending on the permit under which it is being drained."""
         permit_id = self.durable.drain_permit or self._transitions.permit
         permit = state.permits.get(permit_id)
-        if permit is None and state.index < grant_index(permit_id):
+        if permit is None and state.index < grant_index_of(permit_id):
             return
         if self.phase is Phase.DRAINING:
             self._check_draining(permit)
@@ -186,7 +186,7 @@
         self._start_process()
 
     def _on_permit_answered(self, permit: str) -> None:
-        if not self._transitions.take_answer(self._now_us, permit, self.phase is Phase.RUNNING):
+        if not self._transitions.begin_if_granted(self._now_us, permit, self.phase is Phase.RUNNING):
             return
         if self.instance.kind == WORKER:  # it stops once no responsive front end sends it new work
             self._process.drain()
--- a/packages/fleet/src/walnutpost/fleet/agent_transitions.py
+++ b/packages/fleet/src/walnutpost/fleet/agent_transitions.py
@@ -92,7 +92,7 @@
         request = RequestPermit(self._instance.member, self._instance.agent, reason, plan.id)
         self._effects.emit(SendPermitRequest(request))
 
-    def take_answer(self, now_us: int, permit: str, is_running: bool) -> bool:
+    def begin_if_granted(self, now_us: int, permit: str, is_running: bool) -> bool:
         """Take the result of the last request, and return whether the transition begins now.
 
         It does not if the permit was denied (`permit` is empty), if it came too late, or if the process is
--- a/packages/fleet/src/walnutpost/fleet/members.py
+++ b/packages/fleet/src/walnutpost/fleet/members.py
@@ -37,7 +37,7 @@
     member.unresponsive = True
     for usage in permits.usages_for(fleet, member):
         if len(usage.unplanned) >= usage.limit:
-            plan_progress.halt_for_usage(fleet, member.kind, usage)
+            plan_progress.halt_plans_over_budget(fleet, member.kind, usage)
     return fleet.accepted()
 
 
@@ -62,7 +62,7 @@
     if member is None:
         return fleet.accepted() if was_follower else fleet.rejected(f"no member {name}")
     fleet.mark_endpoints_changed(member.kind)
-    plan_progress.remove_member(fleet, name)
+    plan_progress.remove_member_from_plans(fleet, name)
     return fleet.accepted()
 
 
--- a/packages/fleet/src/walnutpost/fleet/permit_holder.py
+++ b/packages/fleet/src/walnutpost/fleet/permit_holder.py
@@ -46,6 +46,6 @@
         return self.phase is PermitPhase.BEGUN
 
     @property
-    def must_return(self) -> bool:
+    def must_abandon(self) -> bool:
         """Whether there is a permit that will never be used."""
         return self.phase is PermitPhase.ABANDONED and bool(self.permit)
--- a/packages/fleet/src/walnutpost/fleet/permits.py
+++ b/packages/fleet/src/walnutpost/fleet/permits.py
@@ -46,7 +46,9 @@
     if held is not None:
         return fleet.rejected(f"{command.member} is out by {held.holder} under {held.id}")
     reason = (
-        state.halt_reason or plan_progress.blocking_reason(fleet, command) or _exhausted_budget(fleet, member)
+        state.halt_reason
+        or plan_progress.plan_blocking_reason(fleet, command)
+        or _exhausted_budget(fleet, member)
     )
     if reason:
         return fleet.rejected(reason)
@@ -125,7 +127,7 @@
     member.unresponsive = False
     member.address = command.address or member.address
     release_permit(fleet, permit)
-    plan_progress.on_member_back(fleet, permit, command)
+    plan_progress.record_completion(fleet, permit, command)
     return fleet.accepted()
 
 
--- a/packages/fleet/src/walnutpost/fleet/plan_progress.py
+++ b/packages/fleet/src/walnutpost/fleet/plan_progress.py
@@ -12,7 +12,7 @@
 from walnutpost.fleet.state import FleetState, Permit, Plan
 
 
-def blocking_reason(fleet: FleetContext, command: RequestPermit) -> str:
+def plan_blocking_reason(fleet: FleetContext, command: RequestPermit) -> str:
     """Return why the plan that a permit is requested for forbids it; empty if it doesn't."""
     if not command.plan:
         return ""
@@ -28,14 +28,14 @@
     return ""
 
 
-def halt_for_usage(fleet: FleetContext, kind: str, usage: BudgetUsage) -> None:
+def halt_plans_over_budget(fleet: FleetContext, kind: str, usage: BudgetUsage) -> None:
     """Halt the running plans that would still take out members that count in a used-up budget."""
     for plan in running_plans(fleet.state):
         if not plan.halt_reason and _has_pending_member(fleet.state, plan, kind, usage.zone):
             plan.halt_reason = f"the budget is used up without it: {usage.description}"
 
 
-def on_member_back(fleet: FleetContext, permit: Permit, command: CompletePermit) -> None:
+def record_completion(fleet: FleetContext, permit: Permit, command: CompletePermit) -> None:
     """Count a member as completed in the plans that wait for it, or fail the plan in which it failed."""
     name = permit.member
     for plan in running_plans(fleet.state):
@@ -49,7 +49,7 @@
             fail_plan(fleet, plan, f"{name}: {command.failure}")
 
 
-def remove_member(fleet: FleetContext, name: str) -> None:
+def remove_member_from_plans(fleet: FleetContext, name: str) -> None:
     """Remove a member from all running plans."""
     for plan in running_plans(fleet.state):
         if name in plan.members:
--- a/packages/fleet/src/walnutpost/fleet/state.py
+++ b/packages/fleet/src/walnutpost/fleet/state.py
@@ -54,7 +54,7 @@
     return f"p{index}"
 
 
-def grant_index(permit: str) -> int:
+def grant_index_of(permit: str) -> int:
     """Return the log entry that granted a permit, by its id: an older state can't contain it."""
     return int(permit[1:])
 
--- a/packages/fleet/tests/test_permits.py
+++ b/packages/fleet/tests/test_permits.py
@@ -163,7 +163,7 @@
                 self.pending.pop(member, None)
                 self.send(member, CompletePermit(permit, agent, f"{member}.{self.now_us}", "v1"))
         elif holder is None or holder.phase is PermitPhase.ABANDONED:
-            if holder is not None and holder.must_return:
+            if holder is not None and holder.must_abandon:
                 self.send(member, AbandonPermit(holder.permit, agent))
             request_id = self.send(member, RequestPermit(member, agent, "test"))
             self.pending[member] = PendingRequest(request_id, self.holder(self.now_us, BEGIN_TIMEOUT_US))
--- a/packages/gateway/src/walnutpost/gateway/__init__.py
+++ b/packages/gateway/src/walnutpost/gateway/__init__.py
@@ -10,7 +10,7 @@
 from walnutpost.gateway.catalogue import Catalogue, Function, UnknownNameError
 from walnutpost.gateway.core import Gateway
 from walnutpost.gateway.effects import (
-    Answered,
+    AnswerCaller,
     Cancel,
     CloseIdleConnections,
     Effect,
@@ -28,7 +28,7 @@
     ReplicationPending,
     Status,
     admit,
-    recovery_action,
+    recovery_time_left_us,
     with_final_status,
 )
 from walnutpost.gateway.inputs import (
@@ -47,7 +47,7 @@
 
 __all__ = [
     "Admission",
-    "Answered",
+    "AnswerCaller",
     "AttemptEnded",
     "CallArrived",
     "CallRequest",
@@ -83,6 +83,6 @@
     "Unload",
     "WorkersListed",
     "admit",
-    "recovery_action",
+    "recovery_time_left_us",
     "with_final_status",
 ]
--- a/packages/gateway/src/walnutpost/gateway/calls.py
+++ b/packages/gateway/src/walnutpost/gateway/calls.py
@@ -55,7 +55,7 @@
         """Whether an attempt is in flight."""
         return None in self.outcomes
 
-    def must_know_outcome(self) -> bool:
+    def must_remember_outcome(self) -> bool:
         """Whether a repeat of the call must get this outcome, as a second run would take effect again."""
         is_keyed = self.identity is not None and self.request_class.effect is not api.Effect.SAFE
         return is_keyed and self.may_have_run()
--- a/packages/gateway/src/walnutpost/gateway/catalogue.py
+++ b/packages/gateway/src/walnutpost/gateway/catalogue.py
@@ -37,14 +37,14 @@
 class Catalogue:
     """The functions and tenants that can be named.
 
-    If `is_changing`, `functions` may differ at each reading; a call keeps the one that it arrived under.
+    If `is_dynamic`, `functions` may differ at each reading; a call keeps the one that it arrived under.
     """
 
     functions: Mapping[str, Function]
     tenants: tuple[str, ...] = ()
     default_tenant: str | None = None
     allows_no_tenant: bool = False  # if there are tenants, a call without one belongs to none of them
-    is_changing: bool = False  # then no function's name is remembered for good
+    is_dynamic: bool = False  # then no function's name is remembered for good
 
     def function(self, name: str) -> Function:
         """Return the function; raise UnknownNameError if there is none of the name."""
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -8,7 +8,7 @@
 from walnutpost import interface as api
 from walnutpost.gateway.calls import Call, CallTable, identity_of
 from walnutpost.gateway.catalogue import Catalogue, Function
-from walnutpost.gateway.effects import Answered, Effect, Send
+from walnutpost.gateway.effects import AnswerCaller, Effect, Send
 from walnutpost.gateway.inputs import (
     AttemptEnded,
     CallArrived,
@@ -21,7 +21,7 @@
 )
 from walnutpost.gateway.messages import Failed, Failure, Final, Rejected, Served
 from walnutpost.gateway.recent_outcomes import RecentOutcomes
-from walnutpost.gateway.router_names import RouterNames
+from walnutpost.gateway.router_translator import RouterTranslator
 from walnutpost.interface import Outcome
 from walnutpost.policy import Router
 
@@ -48,7 +48,7 @@
         self._settings = settings
         self._catalogue = catalogue
         self._router = Router(settings, seed)
-        self._names = RouterNames(() if catalogue.is_changing else catalogue.functions)
+        self._translator = RouterTranslator(() if catalogue.is_dynamic else catalogue.functions)
         self._calls = CallTable()
         self._recent = RecentOutcomes(outcome_ttl_us, max_outcome_bytes)
         self._now_us = 0
@@ -62,7 +62,7 @@
     @property
     def known_function_count(self) -> int:
         """How many functions are remembered by name, for checks that memory does not grow."""
-        return self._names.function_count
+        return self._translator.function_count
 
     def handle(self, now: int, event: Input) -> list[Effect]:
         """Decide on one input at `now` (microseconds; never runs back).
@@ -72,8 +72,8 @@
         self._now_us = now
         self._effects = []
         self._dispatch(event)
-        if self._names.needs_cleanup:
-            self._names.retain(*self._router.referenced_ids())  # an open call has its own names
+        if self._translator.needs_cleanup:
+            self._translator.retain(*self._router.referenced_ids())  # an open call has its own names
         effects, self._effects = self._effects, []
         return effects
 
@@ -88,11 +88,11 @@
             case CallStopped():
                 self._on_call_stopped(event)
             case LoadOrderEnded():
-                self._route(self._names.load_order_event(event))
+                self._route(self._translator.load_order_event(event))
             case ProbeEnded():
-                self._route(self._names.probe_event(event))
+                self._route(self._translator.probe_event(event))
             case WorkersListed():
-                self._route(self._names.endpoints_event(event))
+                self._route(self._translator.endpoints_event(event))
             case api.TimerDue() | api.ShuttingDown():
                 self._route(event)
             case _:
@@ -106,7 +106,7 @@
         if identity is not None and self._answer_repeat(event.caller_id, identity, request_class):
             return
         if event.rejection is not None:
-            self._effects.append(Answered(event.caller_id, event.rejection))
+            self._effects.append(AnswerCaller(event.caller_id, event.rejection))
             return
         call = self._open_call(event, function, request_class, identity)
         self._route(
@@ -114,7 +114,7 @@
                 request=call.number,
                 class_index=function.class_index,
                 tenant=tenant_index,
-                function=self._names.functions.number(function.name),
+                function=self._translator.functions.number(function.name),
                 time_left_us=event.time_left_us,
                 cost_hint_us=function.cost_hint_us,
                 memory_mb=function.memory_mb,
@@ -137,7 +137,7 @@
             outcome = Rejected("too many recent outcomes to remember", retry_after_us)
         if outcome is None:
             return False
-        self._effects.append(Answered(caller_id, outcome))
+        self._effects.append(AnswerCaller(caller_id, outcome))
         return True
 
     def _open_call(
@@ -166,7 +166,7 @@
         if call is None or call.is_answered:
             return
         call.caller_ids.remove(event.caller_id)
-        if call.caller_ids or call.outlives_callers or call.must_know_outcome():
+        if call.caller_ids or call.outlives_callers or call.must_remember_outcome():
             return
         self._end(call, None)
         self._route(api.RequestCancelled(call.number))
@@ -196,7 +196,7 @@
             api.AttemptEnded(
                 request=call.number,
                 attempt=event.attempt,
-                worker=self._names.workers.number(worker),
+                worker=self._translator.workers.number(worker),
                 outcome=outcome,
                 latency_us=event.latency_us,
                 is_finished=call.is_answered,
@@ -217,7 +217,7 @@
         for caller_id in call.caller_ids:
             self._calls.by_caller.pop(caller_id, None)
             if final is not None:
-                self._effects.append(Answered(caller_id, final))
+                self._effects.append(AnswerCaller(caller_id, final))
         call.caller_ids.clear()
         call.payload = b""
         self._calls.forget_if_ended(call)
@@ -240,11 +240,11 @@
             case api.WatchEndpoints() | api.FetchEndpoints():
                 pass  # every process that owns a gateway watches its endpoint list without being asked
             case _:
-                self._effects.append(self._names.effect_of(action))
+                self._effects.append(self._translator.effect_of(action))
 
     def _send(self, action: api.Send) -> Send:
         call = self._calls.by_number[action.request]
-        worker = self._names.workers.name(action.worker)
+        worker = self._translator.workers.name(action.worker)
         is_unsafe = call.request_class.effect is not api.Effect.SAFE
         return Send(
             call=action.request,
--- a/packages/gateway/src/walnutpost/gateway/effects.py
+++ b/packages/gateway/src/walnutpost/gateway/effects.py
@@ -9,7 +9,7 @@
 from walnutpost.gateway.messages import Final, Message
 
 
-class Answered(Message, frozen=True):
+class AnswerCaller(Message, frozen=True):
     """The one final answer for a caller."""
 
     caller_id: int
@@ -89,4 +89,4 @@
     text: str
 
 
-Effect = Answered | Send | Cancel | LoadOrder | Unload | Probe | CloseIdleConnections | SetTimer | Log
+Effect = AnswerCaller | Send | Cancel | LoadOrder | Unload | Probe | CloseIdleConnections | SetTimer | Log
--- a/packages/gateway/src/walnutpost/gateway/executions.py
+++ b/packages/gateway/src/walnutpost/gateway/executions.py
@@ -82,7 +82,7 @@
     return Admission.SAME if known.digest == digest else Admission.CONFLICT
 
 
-def recovery_action(execution: Execution, effect: Effect, now: int) -> int | Failed:
+def recovery_time_left_us(execution: Execution, effect: Effect, now: int) -> int | Failed:
     """Return the time left in microseconds to run an open execution after a restart, or why it fails.
 
     An unsafe or keyed one whose sending was intended may have run, and what proves the opposite was lost with
--- a/packages/gateway/src/walnutpost/gateway/inputs.py
+++ b/packages/gateway/src/walnutpost/gateway/inputs.py
@@ -14,11 +14,11 @@
 class CallArrived(Message, frozen=True):
     """A caller sends a call.
 
-    `caller_id` is the embedding program's own number for this, not used before; exactly one Answered comes
-    for it, unless CallerLeft does. If `idempotency_key` isn't empty, another call with the same key, tenant,
-    function and payload is the same call. `definition` is the function's, if each call brings its own;
-    else the catalogue has it. `waited_us` is the longest time for which the request may have been there
-    before it was read; `time_left_us` counts from now.
+    `caller_id` is the embedding program's own number for this, not used before; exactly one AnswerCaller
+    comes for it, unless CallerLeft does. If `idempotency_key` isn't empty, another call with the same
+    key, tenant, function and payload is the same call. `definition` is the function's, if each call
+    brings its own; else the catalogue has it. `waited_us` is the longest time for which the request may
+    have been there before it was read; `time_left_us` counts from now.
     """
 
     caller_id: int
--- a/packages/gateway/src/walnutpost/gateway/router_names.py
+++ b/packages/gateway/src/walnutpost/gateway/router_translator.py
@@ -19,7 +19,7 @@
 from walnutpost.gateway.inputs import ListedWorker, LoadOrderEnded, ProbeEnded, WorkersListed
 
 
-class RouterNames:
+class RouterTranslator:
     """The numbers of functions and workers; events by number, effects by name.
 
     `functions` are names that are never forgotten.
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from walnutpost.gateway import (
-    Answered,
+    AnswerCaller,
     AttemptEnded,
     CallArrived,
     CallerLeft,
@@ -32,7 +32,7 @@
     TimerDue,
     UnknownNameError,
     WorkersListed,
-    recovery_action,
+    recovery_time_left_us,
     with_final_status,
 )
 from walnutpost.gateway.catalogue import NumberedNames, number_of
@@ -75,7 +75,7 @@
         return [e for e in self.effects if isinstance(e, Send)]
 
     def answers(self, caller_id: int) -> list[Any]:
-        return [e.final for e in self.effects if isinstance(e, Answered) and e.caller_id == caller_id]
+        return [e.final for e in self.effects if isinstance(e, AnswerCaller) and e.caller_id == caller_id]
 
     def done(self, outcome: Outcome = Outcome.OK, place: int = -1, **more: Any) -> None:
         start = self.starts()[place]
@@ -233,7 +233,7 @@
     a function that is gone is unknown to new calls, and lets open ones end."""
     functions = {"price": Function("price", 0, 300.0, 2.0, version="1")}
     rig = Rig()
-    rig.gateway = Gateway(SITE, Catalogue(functions, is_changing=True), 1)
+    rig.gateway = Gateway(SITE, Catalogue(functions, is_dynamic=True), 1)
     asked: list[tuple[int, float, float, int]] = []
     handle = rig.gateway._router.handle
 
@@ -267,7 +267,7 @@
     for changing in (True, False):
         functions.clear()
         functions.update({f"old{n}": Function(f"old{n}", 0, 300.0, 1.0) for n in range(1000)})
-        rig.gateway = Gateway(SITE, Catalogue(functions, is_changing=changing), 1)
+        rig.gateway = Gateway(SITE, Catalogue(functions, is_dynamic=changing), 1)
         for n in range(9000):
             functions.pop(f"old{n}", None)
             functions[f"new{n}"] = Function(f"new{n}", 0, 300.0, 1.0)
@@ -367,7 +367,7 @@
 def test_a_restart_resumes_an_open_call_only_if_that_is_safe_and_in_time(
     intended: bool, effect: Effect, now: int, runs: bool
 ) -> None:
-    what = recovery_action(replace(OPEN, intended=intended), effect, now)
+    what = recovery_time_left_us(replace(OPEN, intended=intended), effect, now)
     assert what == 10 * SECOND - now if runs else isinstance(what, Failed)
 
 
--- a/packages/journal/src/walnutpost/journal/__init__.py
+++ b/packages/journal/src/walnutpost/journal/__init__.py
@@ -39,9 +39,9 @@
     SendBatch,
 )
 from walnutpost.journal.replication_inputs import (
+    BatchSendFailed,
     EntriesPersisted,
     ReplicaAcknowledged,
-    ReplicaLost,
     ReplicasAssigned,
     ReplicationInput,
     ReplicationRequested,
@@ -51,6 +51,7 @@
 __all__ = [
     "AnyRecord",
     "AttemptIntended",
+    "BatchSendFailed",
     "BatchWrite",
     "CallAccepted",
     "CallEnded",
@@ -72,7 +73,6 @@
     "ReplicaAcknowledged",
     "ReplicaAhead",
     "ReplicaHost",
-    "ReplicaLost",
     "ReplicasAssigned",
     "ReplicationEffect",
     "ReplicationInput",
--- a/packages/journal/src/walnutpost/journal/merge.py
+++ b/packages/journal/src/walnutpost/journal/merge.py
@@ -118,7 +118,7 @@
             missing.add(seq - 1, seq)
         return list(missing)
 
-    def live_calls(self) -> dict[str, CallState]:
+    def retained_calls(self) -> dict[str, CallState]:
         """Return the calls that were neither withdrawn nor ended before the latest purge."""
         return {
             call_id: call
--- a/packages/journal/src/walnutpost/journal/replication.py
+++ b/packages/journal/src/walnutpost/journal/replication.py
@@ -22,9 +22,9 @@
     SendBatch,
 )
 from walnutpost.journal.replication_inputs import (
+    BatchSendFailed,
     EntriesPersisted,
     ReplicaAcknowledged,
-    ReplicaLost,
     ReplicasAssigned,
     ReplicationInput,
     ReplicationRequested,
@@ -92,7 +92,7 @@
                 self._requests[token] = event
             case ReplicaAcknowledged(replica, disk, seq) if replica in self._replicas:
                 self._acknowledge(replica, disk, seq)
-            case ReplicaLost(replica) if replica in self._replicas:
+            case BatchSendFailed(replica) if replica in self._replicas:
                 progress = self._replicas[replica]
                 progress.sent_at_us = None
                 progress.retry_at_us = self.now + self.policy.retry_interval_us
--- a/packages/journal/src/walnutpost/journal/replication_effects.py
+++ b/packages/journal/src/walnutpost/journal/replication_effects.py
@@ -9,7 +9,7 @@
 class SendBatch:
     """Send the replica the entries after `after`, as many as fit one message; with None, ask for its offset.
 
-    To be answered with ReplicaAcknowledged or ReplicaLost.
+    To be answered with ReplicaAcknowledged or BatchSendFailed.
     """
 
     replica: str
--- a/packages/journal/src/walnutpost/journal/replication_inputs.py
+++ b/packages/journal/src/walnutpost/journal/replication_inputs.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ReplicaLost:
+class BatchSendFailed:
     """A SendBatch failed or got no answer."""
 
     replica: str
@@ -57,5 +57,5 @@
 
 
 ReplicationInput = (
-    ReplicasAssigned | EntriesPersisted | ReplicationRequested | ReplicaAcknowledged | ReplicaLost | Tick
+    ReplicasAssigned | EntriesPersisted | ReplicationRequested | ReplicaAcknowledged | BatchSendFailed | Tick
 )
--- a/packages/journal/tests/test_merge.py
+++ b/packages/journal/tests/test_merge.py
@@ -81,7 +81,7 @@
     ]
     records += [CallWithdrawn("b"), ResultsPurged(35)]
     merged.add(IntervalSet([(0, 7)]), [encode_entry(seq, r) for seq, r in enumerate(records, start=1)])
-    assert sorted(merged.live_calls()) == ["answered", "open"]
+    assert sorted(merged.retained_calls()) == ["answered", "open"]
     merged.add(IntervalSet([(7, 8)]), [encode_entry(8, ResultsPurged(41))])
     merged.add(IntervalSet([(8, 9)]), [encode_entry(9, ResultsPurged(20))])  # an older purge, late
-    assert sorted(merged.live_calls()) == ["open"]
+    assert sorted(merged.retained_calls()) == ["open"]
--- a/packages/journal/tests/test_replication_simulation.py
+++ b/packages/journal/tests/test_replication_simulation.py
@@ -7,11 +7,11 @@
 import pytest
 
 from walnutpost.journal import (
+    BatchSendFailed,
     EntriesPersisted,
     QuorumFailed,
     QuorumReached,
     ReplicaAcknowledged,
-    ReplicaLost,
     ReplicasAssigned,
     ReplicationInput,
     ReplicationPolicy,
@@ -63,12 +63,12 @@
         roll = self.random.random()
         arrival = self.now + self.random.randrange(1, 300) * MS
         if roll < 0.15:
-            return self.in_transit.append((arrival, ReplicaLost(replica)))
+            return self.in_transit.append((arrival, BatchSendFailed(replica)))
         if after is not None and after <= self.disks[replica]:
             upto = min(self.state.last, after + self.random.randrange(1, 6))
             self.disks[replica] = max(self.disks[replica], upto)
         if roll < 0.25:  # the batch was written, and the answer was lost
-            return self.in_transit.append((arrival, ReplicaLost(replica)))
+            return self.in_transit.append((arrival, BatchSendFailed(replica)))
         answer = ReplicaAcknowledged(replica, self.disk_ids[replica], self.disks[replica])
         return self.in_transit.append((arrival, answer))
 
--- a/packages/journal/tests/test_replication_state.py
+++ b/packages/journal/tests/test_replication_state.py
@@ -5,12 +5,12 @@
 import pytest
 
 from walnutpost.journal import (
+    BatchSendFailed,
     EntriesPersisted,
     QuorumFailed,
     QuorumReached,
     ReplicaAcknowledged,
     ReplicaAhead,
-    ReplicaLost,
     ReplicasAssigned,
     ReplicationEffect,
     ReplicationPolicy,
@@ -120,5 +120,5 @@
     state = ReplicationState(POLICY, 0, last=7)
     assert state.handle(0, ReplicasAssigned(("x",))) == [SendBatch("x", None)]
     assert state.handle(1, ReplicaAcknowledged("x", "x-0", 4)) == [SendBatch("x", 4)]
-    assert state.handle(2, ReplicaLost("x")) == []
+    assert state.handle(2, BatchSendFailed("x")) == []
     assert state.handle(2 + POLICY.retry_interval_us, Tick()) == [SendBatch("x", 4)]
--- a/packages/node/tests/test_node_memory.py
+++ b/packages/node/tests/test_node_memory.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from walnutpost.gateway import (
-    Answered,
+    AnswerCaller,
     AttemptEnded,
     CallArrived,
     Catalogue,
@@ -64,7 +64,7 @@
                     todo += self.gateway.handle(self.now, done)
                 case SetTimer(delay, token):
                     self.due.append((self.now + delay, token))
-                case Answered():
+                case AnswerCaller():
                     self.served += 1
 
     def pass_time(self, span: int) -> None:
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -25,11 +25,11 @@
 from walnutpost.http.server import serve_on
 from walnutpost.relay.progress_reports import ProgressReports
 from walnutpost.relay.stats import RelayStats
-from walnutpost.watch import ServerPool, Watcher, WatchServer, WatchSettings
+from walnutpost.watch import ServerPool, Watcher, WatcherSettings, WatchServer
 
 Address = tuple[str, int]
 SECOND_US = 1_000_000
-UPSTREAM_SETTINGS = WatchSettings(
+UPSTREAM_SETTINGS = WatcherSettings(
     wait_timeout_us=SECOND_US,
     rate_bytes_per_s=4_000_000,  # a full snapshot within seconds of a start
     # Short, so that a relay fails over from a lost or isolated replica before members notice.
--- a/packages/relay/tests/test_relay_failover.py
+++ b/packages/relay/tests/test_relay_failover.py
@@ -16,7 +16,7 @@
     def script(control_plane: FakeControlPlane, tier: RelayTier) -> None:
         loop = control_plane.loop
         before = [(m.watcher.server, m.watcher.counts.server_changes) for m in tier.members]
-        snapshots_before = sum(t.is_replaced for m in tier.members for t in m.outcomes)
+        snapshots_before = sum(t.is_store_replaced for m in tier.members for t in m.outcomes)
         tier.kill("r1")
         killed_us = loop.now()
         for n in range(10):
@@ -25,7 +25,7 @@
         until(loop, tier.is_applied_everywhere)
         assert loop.now() - killed_us < 9 * SECOND
         assert {m.watcher.server for m in tier.members} == {"r2"}
-        assert sum(t.is_replaced for m in tier.members for t in m.outcomes) == snapshots_before
+        assert sum(t.is_store_replaced for m in tier.members for t in m.outcomes) == snapshots_before
         for member, (server, failovers) in zip(tier.members, before, strict=True):
             assert member.watcher.counts.server_changes - failovers == (server == "r1")
         assert not any(m.log.count("config_stale") for m in tier.members)
@@ -46,7 +46,7 @@
         loop = control_plane.loop
         for name in tier.names:
             tier.kill(name)
-        snapshots_before = sum(t.is_replaced for m in tier.members for t in m.outcomes)
+        snapshots_before = sum(t.is_store_replaced for m in tier.members for t in m.outcomes)
         for n in range(20):
             control_plane.change(put_keys(n))
         loop.sleep(20 * SECOND)
@@ -57,7 +57,7 @@
         began_us = loop.now()
         until(loop, tier.is_applied_everywhere)
         assert loop.now() - began_us < 9 * SECOND
-        assert sum(t.is_replaced for m in tier.members for t in m.outcomes) == snapshots_before
+        assert sum(t.is_store_replaced for m in tier.members for t in m.outcomes) == snapshots_before
         loop.sleep(SECOND)
         assert all(m.log.count("config_fresh") == 1 for m in tier.members)
 
--- a/packages/replication/src/walnutpost/replication/sender.py
+++ b/packages/replication/src/walnutpost/replication/sender.py
@@ -8,13 +8,13 @@
 from walnutpost.eventloop.timers import Timer
 from walnutpost.http import HttpMessageError
 from walnutpost.journal import (
+    BatchSendFailed,
     EntriesPersisted,
     JournalBatch,
     QuorumFailed,
     QuorumReached,
     ReplicaAcknowledged,
     ReplicaAhead,
-    ReplicaLost,
     ReplicasAssigned,
     ReplicationInput,
     ReplicationPolicy,
@@ -130,4 +130,4 @@
         if self._client.has_address(replica):
             description = f"{type(error).__name__} {error}"
             self._log.warning("journal_replica_unreachable", replica=replica, error=description)
-            self._handle(ReplicaLost(replica))
+            self._handle(BatchSendFailed(replica))
--- a/packages/replication/tests/test_lost_site.py
+++ b/packages/replication/tests/test_lost_site.py
@@ -58,7 +58,9 @@
     merged_by = {name: merged_journal(tmp_path, [name]) for name in ("b1", "c1")}
     merged_by["both"] = merged_journal(tmp_path, ["b1", "c1"])
     for where in ("both",) if copies == 1 else ("b1", "c1", "both"):
-        known = {c.accepted.name: c for c in merged_by[where].live_calls().values() if c.accepted is not None}
+        known = {
+            c.accepted.name: c for c in merged_by[where].retained_calls().values() if c.accepted is not None
+        }
         assert accepted <= known.keys()
         assert not merged_by[where].gaps
         unsafe = [
@@ -68,7 +70,7 @@
         assert all(c.intents for c in unsafe if c.ended is not None and c.ended.status == "SUCCEEDED")
         assert {c.stage for c in known.values()} >= {CallStage.ENDED}
     rejected = {name for name, status in answers.items() if status == 429}
-    live = merged_by["both"].live_calls().values()
+    live = merged_by["both"].retained_calls().values()
     assert not rejected & {call.accepted.name for call in live if call.accepted is not None}
 
 
--- a/packages/store/src/walnutpost/store/database.py
+++ b/packages/store/src/walnutpost/store/database.py
@@ -13,7 +13,7 @@
 from walnutpost.eventloop import Event, Loop
 
 LOCK_TIMEOUT_S = 0.5  # how long another process's lock is waited for before a commit fails
-MAX_BATCH = 1_000  # changes in one commit
+MAX_CHANGES_PER_COMMIT = 1_000  # changes in one commit
 # A large batch writes many pages, any of which may fail; a small one pays for a sync with few changes. With
 # these two factors about one batch in four succeeds on a disk on which single writes fail.
 SHRINK_ON_FAILURE = 2
@@ -103,7 +103,7 @@
         After a failure the next batch is smaller: fewer pages are written, and one change that can't be
         written fails fewer others.
         """
-        batch_size = MAX_BATCH
+        batch_size = MAX_CHANGES_PER_COMMIT
         failures = 0
         try:
             while self._pending:
@@ -121,7 +121,7 @@
                         self._pending.append(self._pending.pop(0))
                     self._loop.sleep(_backoff_us(failures))
                 else:
-                    batch_size = min(batch_size * GROW_ON_SUCCESS, MAX_BATCH)
+                    batch_size = min(batch_size * GROW_ON_SUCCESS, MAX_CHANGES_PER_COMMIT)
                     failures = 0
                     self._finish(batch)
         finally:
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -16,7 +16,7 @@
 from walnutpost.gateway import Execution, Status
 from walnutpost.store.database import COMMIT_RETRY_US, Change, Database
 from walnutpost.store.execution_rows import COLUMNS, PLACEHOLDERS, convert_times, execution_of, row_of
-from walnutpost.store.time_marks import StoredClock
+from walnutpost.store.time_marks import StoredTimeConverter
 
 # With rowids: in an index that holds the rows, one of a kilobyte would take a page of four besides.
 SCHEMA = """
@@ -73,7 +73,7 @@
 
     def __init__(self, loop: Loop, path: Path) -> None:
         super().__init__(loop, path, SCHEMA, COMMIT_RETRY_US)
-        self.clock = StoredClock(loop, self, self._newest_epoch_us())
+        self.clock = StoredTimeConverter(loop, self, self._newest_epoch_us())
 
     def _newest_epoch_us(self) -> int | None:
         """Return the newest time in the file: a process that wrote no time marks was running then."""
@@ -97,7 +97,7 @@
         time_left_us = execution.expires_at - self._loop.now()
         self.submit(change, time_left_us // STORING_TIME_DIVISOR)
 
-    def replace_recovered(self, executions: Sequence[Execution], withdrawn_ids: Sequence[str]) -> None:
+    def upsert_recovered(self, executions: Sequence[Execution], withdrawn_ids: Sequence[str]) -> None:
         """Insert or overwrite executions, and delete those that were withdrawn."""
         rows = [row_of(self.with_stored_times(execution)) for execution in executions]
 
--- a/packages/store/src/walnutpost/store/replica.py
+++ b/packages/store/src/walnutpost/store/replica.py
@@ -86,7 +86,7 @@
                 self.snapshot_index = write.snapshot.index
                 self.last_index = max(self.last_index, self.snapshot_index)
 
-    def missing_from(self, state: PersistentState) -> str:
+    def describe_missing(self, state: PersistentState) -> str:
         """Return what `state` lacks, for people; empty if it has everything."""
         found = DurableFloor.of_state(state)
         if found.term < self.term:
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoredReplica:
+class StoredConsensusState:
     """A file's content. `identity`: the replica's id, created with the file: a new file, a new id."""
 
     identity: str
@@ -116,7 +116,7 @@
     entries: list[LogEntry]
 
 
-class ReplicaStore(Database):
+class ConsensusStore(Database):
     """The file of one replica.
 
     Opens or creates it; raises StoreError. Entries that a snapshot replaces stay readable as history, up to
@@ -129,7 +129,7 @@
         self._max_history_entries = max_history_entries
         self.floor = DurableFloor()
 
-    def prove_durable(self) -> None:
+    def make_durable(self) -> None:
         """Return once everything that can be read from the file is durable. Raises StoreError; blocks.
 
         After a failed sync the kernel treats pages as clean that never reached the disk, and a reopened file
@@ -146,7 +146,7 @@
         if is_busy:
             raise StoreError("checkpoint: the file is locked") from sqlite3.OperationalError("locked")
 
-    def load(self) -> StoredReplica | None:
+    def load(self) -> StoredConsensusState | None:
         """Read the file; None if it is new. Raises StoreError; UnreadableStateError for invalid data."""
         rows = self.select("select format, identity, term, voted, snapshot from replica")
         if not rows:
@@ -165,9 +165,9 @@
             raise UnreadableStateError(f"entries that don't follow snapshot {snapshot.index} one by one")
         state = PersistentState(term, voted_for, snapshot, entries)
         self.floor = DurableFloor.of_state(state)
-        return StoredReplica(identity, state)
+        return StoredConsensusState(identity, state)
 
-    def create(self, identity: str, members: Members) -> StoredReplica:
+    def create(self, identity: str, members: Members) -> StoredConsensusState:
         """Write the initial state to a new file, before the loop runs. Raises StoreError."""
         state = PersistentState(snapshot=Snapshot(0, 0, members, b""))
         values = (1, FORMAT, identity, 0, "", msgspec.msgpack.encode(state.snapshot))
@@ -175,7 +175,7 @@
             self._db.execute("insert into replica values (?, ?, ?, ?, ?, ?)", values)
         except sqlite3.Error as error:
             raise StoreError(str(error)) from error
-        return StoredReplica(identity, state)
+        return StoredConsensusState(identity, state)
 
     def write(self, writes: Sequence[Write]) -> None:
         """Return once all of them are durable, in their order, as one commit. Raises StoreError."""
--- a/packages/store/src/walnutpost/store/time_marks.py
+++ b/packages/store/src/walnutpost/store/time_marks.py
@@ -16,7 +16,7 @@
 """
 
 
-class StoredClock:
+class StoredTimeConverter:
     """Converts between epochs of the loop's clock and the stored time of one file.
 
     Reads the last mark, so it must be created before the loop's helper thread uses the file.
--- a/packages/store/tests/test_journal_store.py
+++ b/packages/store/tests/test_journal_store.py
@@ -161,7 +161,7 @@
     assert with_journal(replica, receive, name="front-1") == [2, 3, 4, 5, 6, 8]
     merged = MergedJournal()
     merged.add(covered, entries)
-    assert list(merged.live_calls()) == ["open"]
+    assert list(merged.retained_calls()) == ["open"]
     assert merged.gaps == []
 
 
--- a/packages/store/tests/test_replica_store.py
+++ b/packages/store/tests/test_replica_store.py
@@ -11,7 +11,7 @@
 from walnutpost.consensus import EntryKind, LogEntry, Members, PersistentState, Snapshot, Write
 from walnutpost.eventloop import Loop
 from walnutpost.store import StoreError
-from walnutpost.store.replica import DurableFloor, ReplicaStore, UnreadableStateError, is_transient
+from walnutpost.store.replica import ConsensusStore, DurableFloor, UnreadableStateError, is_transient
 
 
 def entries(first: int, last: int, term: int = 1) -> tuple[LogEntry, ...]:
@@ -28,12 +28,12 @@
 def test_file_once_proven_has_all_that_is_read_in_its_main_part_alone(tmp_path: Path) -> None:
     """Otherwise what a failed sync left in the page cache, in the log's file, would count."""
     loop, path, alone = Loop(), tmp_path / "k1.db", tmp_path / "alone.db"
-    store = ReplicaStore(loop, path)
+    store = ConsensusStore(loop, path)
     store.create("k1", Members(("k1",)))
     loop.run(lambda: store.write([Write(1, 3, "k2", 0, entries(1, 4), None)]))
-    store.prove_durable()
+    store.make_durable()
     shutil.copyfile(path, alone)
-    copy = ReplicaStore(loop, alone)
+    copy = ConsensusStore(loop, alone)
     stored = store.load()
     assert stored is not None
     assert stored == copy.load()
@@ -65,8 +65,8 @@
     floor = DurableFloor(2, "k1", 3, 9)
     floor.writes_started([Write(1, 4, "k2", 6, entries(7, 8, 4), None)])
     assert floor == DurableFloor(2, "k1", 3, 6)
-    assert not floor.missing_from(state(2, "k1", 3, 9))
-    assert not floor.missing_from(state(4, "k2", 3, 8))
+    assert not floor.describe_missing(state(2, "k1", 3, 9))
+    assert not floor.describe_missing(state(4, "k2", 3, 8))
 
 
 @pytest.mark.parametrize(
@@ -83,9 +83,9 @@
     found: PersistentState, missing: str
 ) -> None:
     floor = DurableFloor(2, "k1", 3, 9)
-    assert not floor.missing_from(state(2, "k1", 3, 9))
-    assert not floor.missing_from(state(3, "", 9, 9))
-    assert floor.missing_from(found).startswith(missing)
+    assert not floor.describe_missing(state(2, "k1", 3, 9))
+    assert not floor.describe_missing(state(3, "", 9, 9))
+    assert floor.describe_missing(found).startswith(missing)
 
 
 def _raised(cause: Exception | None, kind: type[StoreError] = StoreError) -> StoreError:
--- a/packages/store/tests/test_replica_store_golden.py
+++ b/packages/store/tests/test_replica_store_golden.py
@@ -11,7 +11,7 @@
 from walnutpost.controlplane import ControlPlaneReplica, ReplicaSettings
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
-from walnutpost.store.replica import ReplicaStore
+from walnutpost.store.replica import ConsensusStore
 from walnutpost.testsupport.fleet import command_samples
 from walnutpost.testsupport.store.replica_samples import (
     ALONE,
@@ -89,7 +89,7 @@
     path = tmp_path / "replica"
     make_file(path, GOLDEN[DISK].decode())
 
-    def work(store: ReplicaStore) -> tuple[str, tuple[LogEntry, ...]]:
+    def work(store: ConsensusStore) -> tuple[str, tuple[LogEntry, ...]]:
         loaded = store.load()
         assert loaded is not None
         last = loaded.state.entries[-1].index
--- a/packages/testsupport/src/walnutpost/testsupport/configstore/following.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/following.py
@@ -52,7 +52,7 @@
     """Return the outcomes of several responses as one."""
     return ApplyOutcome(
         tuple(c for t in outcome for c in t.changes),
-        any(t.is_replaced for t in outcome),
+        any(t.is_store_replaced for t in outcome),
         tuple(key for t in outcome for key in t.repaired_keys),
         tuple(event for t in outcome for event in t.events),
         any(t.is_inconsistent for t in outcome),
--- a/packages/testsupport/src/walnutpost/testsupport/consensus/faulty_safety_rules.py
+++ b/packages/testsupport/src/walnutpost/testsupport/consensus/faulty_safety_rules.py
@@ -8,7 +8,7 @@
 
 
 class ReleasesBeforePersisted(SafetyRules):
-    def has_persisted(self, state: RaftState) -> bool:
+    def are_writes_durable(self, state: RaftState) -> bool:
         return True
 
 
@@ -55,7 +55,7 @@
 
 
 class DatesContactByTheArrival(SafetyRules):
-    def leader_contact_us(self, state: RaftState, message: AppendEntries) -> int | None:
+    def leader_quorum_contact_us(self, state: RaftState, message: AppendEntries) -> int | None:
         return state.now_us if message.quorum_contact_age_us >= 0 else None
 
 
--- a/packages/testsupport/src/walnutpost/testsupport/controlplane/disk_simulation.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/disk_simulation.py
@@ -23,7 +23,7 @@
 from walnutpost.fleet import FRONT_END, Fleet, RegisterMember
 from walnutpost.http import Connection, Response
 from walnutpost.store import StoreError
-from walnutpost.store.replica import ReplicaStore, StoredReplica
+from walnutpost.store.replica import ConsensusStore, StoredConsensusState
 from walnutpost.testsupport.watch.harness import Log
 
 SECOND = 1_000_000
@@ -101,7 +101,7 @@
     return Path(f"{path}-wal")
 
 
-class FaultyStore(ReplicaStore):
+class FaultyStore(ConsensusStore):
     def __init__(self, disk: Disk, loop: Loop, path: Path, max_history_entries: int) -> None:
         self._disk = disk
         disk.reopenings += 1
@@ -122,11 +122,11 @@
         self._disk.save(self._path, former_wal_bytes, fault)
         raise io_error("commit")
 
-    def prove_durable(self) -> None:
+    def make_durable(self) -> None:
         self._disk.check("sync")
-        super().prove_durable()
+        super().make_durable()
 
-    def load(self) -> StoredReplica | None:
+    def load(self) -> StoredConsensusState | None:
         stored = super().load()
         if stored is not None and self._disk.reopenings > 1:
             self._disk.read_back.append((stored.state, _main_file_alone(self._loop, self._path)))
@@ -137,7 +137,7 @@
     """What is left where all of the log is lost, which no sync has proven."""
     copy = path.with_suffix(".copy")
     shutil.copyfile(path, copy)
-    store = ReplicaStore(loop, copy)
+    store = ConsensusStore(loop, copy)
     try:
         stored = store.load()
         return None if stored is None else stored.state
@@ -178,7 +178,7 @@
         self.addresses = {name: replica.address for name, replica in self.replicas.items()}
 
     def _start(self, name: str, seed: int) -> ObservedReplica:
-        def open_store(loop: Loop, path: Path, max_history_entries: int) -> ReplicaStore:
+        def open_store(loop: Loop, path: Path, max_history_entries: int) -> ConsensusStore:
             return FaultyStore(self.disks[name], loop, path, max_history_entries)
 
         return ObservedReplica(
--- a/packages/testsupport/src/walnutpost/testsupport/golden/neutral_values.py
+++ b/packages/testsupport/src/walnutpost/testsupport/golden/neutral_values.py
@@ -95,7 +95,7 @@
     70: (gateway.Served, "payload worker version"),
     71: (gateway.Rejected, "reason retry_after_us"),
     72: (gateway.Failed, "failure message payload"),
-    73: (gateway.Answered, "caller_id final"),
+    73: (gateway.AnswerCaller, "caller_id final"),
     74: (
         gateway.Send,
         "call attempt worker function tenant payload timeout_us caller_id must_persist_intent"
--- a/packages/testsupport/src/walnutpost/testsupport/store/replica_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/store/replica_samples.py
@@ -12,7 +12,7 @@
 from walnutpost.consensus import LogEntry, Members, PersistentState, Snapshot, Write
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import Fleet
-from walnutpost.store.replica import ReplicaStore
+from walnutpost.store.replica import ConsensusStore
 from walnutpost.testsupport.consensus.message_samples import MEMBERS
 from walnutpost.testsupport.fleet import command_samples
 from walnutpost.testsupport.folders import golden_folder
@@ -42,9 +42,9 @@
     return Disk(IDENTITY, PersistentState(0, "", Snapshot(0, 0, MEMBERS, b""), ()), [])
 
 
-def with_store(path: Path, work: Callable[[ReplicaStore], T]) -> T:
+def with_store(path: Path, work: Callable[[ConsensusStore], T]) -> T:
     loop = Loop()
-    store = ReplicaStore(loop, path)
+    store = ConsensusStore(loop, path)
     try:
         return loop.run(lambda: work(store))
     finally:
@@ -68,7 +68,7 @@
     with TemporaryDirectory() as folder:
         path = Path(folder) / "replica"
 
-        def work(store: ReplicaStore) -> None:
+        def work(store: ConsensusStore) -> None:
             store.create(identity, MEMBERS)
             if past:
                 store.write([Write(1, 1, identity, 0, tuple(past))])
@@ -83,7 +83,7 @@
         path = Path(folder) / "replica"
         make_file(path, sql.decode())
 
-        def work(store: ReplicaStore) -> Disk:
+        def work(store: ConsensusStore) -> Disk:
             loaded = store.load()
             assert loaded is not None
             state = loaded.state
--- a/packages/testsupport/src/walnutpost/testsupport/store/stored_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/store/stored_samples.py
@@ -132,7 +132,7 @@
             for ended in ENDED.values():
                 executions.add(replace(OPEN, id=ended.id, name=ended.name, accepted_at=ended.accepted_at))
                 executions.update(ended)
-            executions.replace_recovered(
+            executions.upsert_recovered(
                 [replace(OPEN, id="id-old", name="n", status=Status.FAILED, ended_at=NOW)], []
             )
             executions.purge(NOW + 1)
--- a/packages/testsupport/src/walnutpost/testsupport/watch/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/watch/harness.py
@@ -24,7 +24,7 @@
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.http import Connection, Exchange, HttpMessageError, Response, Server, encode_request
 from walnutpost.http.server import serve_on
-from walnutpost.watch import ServerPool, Watcher, WatchServer, WatchSettings
+from walnutpost.watch import ServerPool, Watcher, WatcherSettings, WatchServer
 
 SECOND = 1_000_000
 WAIT_TIMEOUT_US = 3 * SECOND
@@ -194,7 +194,7 @@
             self.state,
             lambda outcome: self.on_outcome(outcome),
             self.log,
-            WatchSettings(**more),
+            WatcherSettings(**more),
         )
         self.task = loop.spawn(self.watcher.run, name="watch")
 
--- a/packages/watch/src/walnutpost/watch/__init__.py
+++ b/packages/watch/src/walnutpost/watch/__init__.py
@@ -1,6 +1,6 @@
 """Watches of the configuration store over HTTP: `serving` is the server, `client` the watching side."""
 
-from walnutpost.watch.client import ServerPool, Watcher, WatchSettings
+from walnutpost.watch.client import ServerPool, Watcher, WatcherSettings
 from walnutpost.watch.errors import UnusableServerError, WatchError
 from walnutpost.watch.member_connections import MemberObserver
 from walnutpost.watch.serving import WAITED_HEADER, WatchServer
@@ -12,6 +12,6 @@
     "UnusableServerError",
     "WatchError",
     "WatchServer",
-    "WatchSettings",
     "Watcher",
+    "WatcherSettings",
 ]
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WatchSettings:
+class WatcherSettings:
     """Times and rates of a watcher.
 
     `wait_timeout_us`: how long a server may delay its response.
@@ -75,9 +75,9 @@
         state: WatchState,
         on_outcome: Callable[[ApplyOutcome], None],
         log: Logger,
-        settings: WatchSettings | None = None,
+        settings: WatcherSettings | None = None,
     ) -> None:
-        settings = settings or WatchSettings()
+        settings = settings or WatcherSettings()
         self._loop = loop
         self._state = state
         self._selector = pool.selector
@@ -237,7 +237,7 @@
             if self._may_log():
                 write = self._log.info if event.is_expected else self._log.warning
                 write(event.kind.value, server=self.server, detail=event.detail)
-        if outcome.changes or outcome.is_replaced or outcome.repaired_keys:
+        if outcome.changes or outcome.is_store_replaced or outcome.repaired_keys:
             # An error in it is reported, and doesn't end the watch.
             self._loop.run_guarded("watch outcome", partial(self._on_outcome, outcome))
 
