--- /dev/null
+++ b/packages/daemon/src/walnutpost/daemon/call_quorums.py
@@ -0,0 +1,67 @@
+"""Quorums of deferred calls: whether an entry can have one now, and the wait until it does."""
+
+from __future__ import annotations
+
+from walnutpost.daemon.quorum_requirements import QuorumRequirements
+from walnutpost.gateway import Function, Rejected
+from walnutpost.journal import QuorumFailed, QuorumReached
+from walnutpost.replication import ReplicationSender
+from walnutpost.store import EntryAppend, JournalStore
+
+
+class CallQuorums:
+    """Starts the replication of committed entries, and waits for the quorum that a call's class requires.
+
+    `quorum_timeout_us` limits a wait that is not until the call's deadline.
+    """
+
+    def __init__(
+        self,
+        store: JournalStore,
+        sender: ReplicationSender,
+        requirements: QuorumRequirements,
+        quorum_timeout_us: int,
+    ) -> None:
+        self._store = store
+        self._sender = sender
+        self._requirements = requirements
+        self._quorum_timeout_us = quorum_timeout_us
+
+    def admission_error(self, function: Function, size_bytes: int) -> Rejected | None:
+        """Return the rejection of a call that can't be replicated now as its class requires, else None."""
+        required = self._requirements.of_function(function)
+        retry_after_us = self._sender.state.retry_after_us(
+            required.replicas, required.accepts_fewer, size_bytes
+        )
+        if retry_after_us is None:
+            return None
+        return Rejected(f"{required.replicas} copies at other sites can't be made now", retry_after_us)
+
+    def wait_for_quorum(
+        self,
+        append: EntryAppend,
+        function: Function | None,
+        time_left_us: int,
+        until_deadline: bool = False,
+    ) -> QuorumReached | QuorumFailed:
+        """Wait until a committed entry has the quorum that the call's class requires.
+
+        No longer than `quorum_timeout_us`, or, with `until_deadline`, than `time_left_us` if that is more. If
+        the class accepts fewer replicas, any number is a quorum.
+        """
+        self.entries_persisted(append)
+        required = self._requirements.of_function(function)
+        timeout_us = min(max(time_left_us, 0), self._quorum_timeout_us)
+        if until_deadline:
+            timeout_us = max(time_left_us, self._quorum_timeout_us)
+        result = self._sender.wait_for_quorum(
+            append.entry.seq, required.replicas, required.accepts_fewer, timeout_us
+        )
+        if required.accepts_fewer:
+            return QuorumReached(result.token, result.replicas)
+        return result
+
+    def entries_persisted(self, append: EntryAppend) -> None:
+        """Start the replication of a committed entry."""
+        self._store.mark_durable(append)
+        self._sender.entries_persisted(append.entry.seq, append.entry.size_bytes)
--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -38,7 +38,7 @@
 from walnutpost.daemon.keys import CertificateReloader
 from walnutpost.daemon.metering_parts import build_metering
 from walnutpost.daemon.open_calls import OpenCalls
-from walnutpost.daemon.replication import JournalReplication
+from walnutpost.daemon.replication_parts import build_replication
 from walnutpost.daemon.result_purge import ResultPurger
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.dispatch import Dispatcher, DispatchHooks
@@ -48,7 +48,7 @@
 from walnutpost.gateway import Catalogue, Gateway
 from walnutpost.http import Limits, Server
 from walnutpost.http.server import serve_on
-from walnutpost.interface import ListKind, RequestClass
+from walnutpost.interface import ListKind
 from walnutpost.store import ExecutionStore, FiringStore
 from walnutpost.workerclient import WorkerClient, WorkerClientSettings
 
@@ -81,9 +81,10 @@
     worker_client = _build_worker_client(environment, certificates)
     store = ExecutionStore(loop, environment.store_file(""))
     firings = FiringStore(store)
-    replication = _build_replication(environment, store, classes)
+    replication = build_replication(environment, store, classes)
+    call_replication = replication.calls if replication is not None else None
     open_calls = OpenCalls()
-    records = ExecutionRecords(loop, store, replication, log)
+    records = ExecutionRecords(loop, store, call_replication, log)
     metered = build_metering(environment, catalogue, worker_client)
     metering, observer = (metered.metering, metered.observer) if metered is not None else (None, None)
     call_counter = build_call_counter(environment, catalogue, classes)
@@ -95,10 +96,10 @@
     deferred = DeferredCalls(open_calls, store, records, acceptance, dispatch, results)
     endpoint_lists = _build_endpoint_lists(environment, dispatcher, worker_client)
 
-    purger = ResultPurger(loop, store, ms_to_us(config.front.result_ttl_ms), log, replication)
+    purger = ResultPurger(loop, store, ms_to_us(config.front.result_ttl_ms), log, call_replication)
     tasks.spawn(purger.run, name="purge")
     if replication is not None:
-        tasks.spawn(replication.run, name="journal")
+        tasks.spawn(replication.replacement.run, name="journal")
     if certificates is not None:
         tasks.spawn(partial(certificates.follow, worker_client), name="certificates")
     if metering is not None:
@@ -201,16 +202,6 @@
     )
 
 
-def _build_replication(
-    environment: Environment, store: ExecutionStore, classes: tuple[RequestClass, ...]
-) -> JournalReplication | None:
-    """Return the journal's replication, after it has recovered what replicas have; None without a journal."""
-    config = environment.config
-    if config.journal is None:
-        return None
-    return JournalReplication(environment.loop, config, config.journal, store, classes, environment.log)
-
-
 def _build_endpoint_lists(
     environment: Environment, dispatcher: Dispatcher, worker_client: WorkerClient
 ) -> EndpointLists:
--- a/packages/daemon/src/walnutpost/daemon/execution_records.py
+++ b/packages/daemon/src/walnutpost/daemon/execution_records.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from walnutpost.daemon.open_calls import OpenCall
-from walnutpost.daemon.replication import JournalReplication
+from walnutpost.daemon.replication import CallReplication
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.gateway import Execution, Function, Rejected, Send
 from walnutpost.journal import QuorumFailed
@@ -22,7 +22,7 @@
     """
 
     def __init__(
-        self, loop: Loop, store: ExecutionStore, replication: JournalReplication | None, log: Logger
+        self, loop: Loop, store: ExecutionStore, replication: CallReplication | None, log: Logger
     ) -> None:
         self._loop = loop
         self._store = store
@@ -44,7 +44,7 @@
         """
         execution = self._store.find(execution_id)
         if execution is None and self._replication is not None:
-            execution = self._replication.find_call(execution_id)
+            execution = self._replication.queries.find_call(execution_id)
         return execution
 
     def visible_execution(self, call: OpenCall) -> Execution:
@@ -55,13 +55,13 @@
         """Return the rejection of a call that can't be replicated now as its class requires, else None."""
         if self._replication is None:
             return None
-        return self._replication.admission_error(function, size_bytes)
+        return self._replication.quorums.admission_error(function, size_bytes)
 
     def add(self, call: OpenCall, extra_change: Change | None) -> EntryAppend | None:
         """Store a new call; return its entry, for `wait_for_quorum`. Raises StoreError."""
         append = None
         if self._replication is not None and call.function is not None:
-            append = self._replication.append_accepted(call.execution, call.function)
+            append = self._replication.entries.append_accepted(call.execution, call.function)
         self._store.add(call.execution, combine_changes(extra_change, append))
         return append
 
@@ -69,7 +69,7 @@
         """Remove a call that was rejected after it was stored. Raises StoreError if that failed."""
         append = None
         if self._replication is not None:
-            append = self._replication.append_withdrawn(call.execution)
+            append = self._replication.entries.append_withdrawn(call.execution)
         self._store.remove(call.execution.id, append)
         self.wait_for_quorum(call, append)
 
@@ -81,7 +81,7 @@
         """
         if self._replication is not None and append is not None:
             time_left_us = call.execution.expires_at - self._loop.now()
-            call.replication = self._replication.wait_for_quorum(append, call.function, time_left_us)
+            call.replication = self._replication.quorums.wait_for_quorum(append, call.function, time_left_us)
 
     def is_intent_recorded(self, call: OpenCall) -> bool:
         """Whether an attempt needs no further record; with a journal each attempt has its entry."""
@@ -91,7 +91,9 @@
         """Store that an attempt is about to be sent; return its entry. Raises StoreError."""
         append = None
         if self._replication is not None:
-            append = self._replication.append_intended(call.execution, attempt.attempt, attempt.worker)
+            append = self._replication.entries.append_intended(
+                call.execution, attempt.attempt, attempt.worker
+            )
         self._store.record_intent(call.execution.id, append)
         return append
 
@@ -102,7 +104,9 @@
         waits for the quorum, but not much longer than until the call's deadline. The same entry and a
         `result_change` made for each attempt are committed with the result.
         """
-        append = self._replication.append_ended(call.execution) if self._replication is not None else None
+        append = (
+            self._replication.entries.append_ended(call.execution) if self._replication is not None else None
+        )
         while True:
             change = result_change(call.execution) if result_change is not None else None
             try:
@@ -119,7 +123,9 @@
         if self._replication is None or append is None:
             return True
         time_left_us = call.execution.expires_at - self._loop.now()
-        result = self._replication.wait_for_quorum(append, call.function, time_left_us, until_deadline=True)
+        result = self._replication.quorums.wait_for_quorum(
+            append, call.function, time_left_us, until_deadline=True
+        )
         return not isinstance(result, QuorumFailed)
 
 
--- a/packages/daemon/src/walnutpost/daemon/result_purge.py
+++ b/packages/daemon/src/walnutpost/daemon/result_purge.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from walnutpost.daemon.replication import JournalReplication
+from walnutpost.daemon.replication import CallReplication
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.store import ExecutionStore, StoreError
 
@@ -18,7 +18,7 @@
         store: ExecutionStore,
         keep_results_us: int,
         log: Logger,
-        replication: JournalReplication | None,
+        replication: CallReplication | None,
     ) -> None:
         self._loop = loop
         self._store = store
@@ -40,6 +40,6 @@
         if self._replication is None:
             self._store.purge(before_us)
             return
-        append = self._replication.append_purged(before_us)
+        append = self._replication.entries.append_purged(before_us)
         self._store.purge(before_us, append)
-        self._replication.entries_persisted(append)
+        self._replication.quorums.entries_persisted(append)
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -205,7 +205,7 @@
     journal = front.replication.store
     assert journal.own_origin == stored.OWN
     assert journal.offsets[stored.OTHER] == stored.OTHER_UPTO
-    assert front.replication.find_call("id-far") == Execution(
+    assert front.replication.calls.queries.find_call("id-far") == Execution(
         id="id-far",
         name="name-far",
         function="price",
@@ -222,7 +222,7 @@
         error_type="Unhandled",
         error_message="message",
     )
-    assert front.replication.find_call("id-gone") is None
+    assert front.replication.calls.queries.find_call("id-gone") is None
 
 
 def test_digest_of_a_call_equals_the_golden_one(tmp_path: Path) -> None:
