--- a/packages/testsupport/src/walnutpost/testsupport/agent/folder_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/agent/folder_samples.py
@@ -1,4 +1,4 @@
-"""The objects behind the golden folder of an agent: its own file, its versions, an operator's order."""
+"""Agent folders that the golden file of the agent holds: state file, versions and an operator's order."""
 
 from __future__ import annotations
 
@@ -41,17 +41,19 @@
         self.inputs: list[Input] = []
 
     def handle(self, event: Input) -> None:
+        """Record an input."""
         self.inputs.append(event)
 
 
 def written(value: Folder) -> bytes:
+    """Return the files that an agent writes for this state and these versions."""
     state, contents = value
     with TemporaryDirectory() as name:
         path = Path(name)
         (path / "versions").mkdir()
         versions = VersionStore(path)
         file = StateFile(path, MEMBER, versions, Log())
-        if state.drain_permit is None:  # the first start, which creates the agent's name
+        if state.drain_permit is None:  # the first start, at which the agent's name is generated
             with patch.object(secrets, "token_hex", return_value=state.agent.partition("@")[2]):
                 assert file.open(contents[0]) == state
             return _dumped(path)
@@ -63,8 +65,10 @@
 
 
 def _dumped(folder: Path) -> bytes:
-    """A folder of text files, by their names within it. The copy of an agent's state, which earlier versions
-    did not write, has the same content and is left out."""
+    """Return a folder of text files as JSON: the texts by relative path.
+
+    The copy of an agent's state, which earlier versions did not write, is compared and left out.
+    """
     files = {p.relative_to(folder).as_posix(): p.read_text() for p in folder.rglob("*") if p.is_file()}
     for name in [name for name in files if name.endswith(".json.copy")]:
         assert files.pop(name) == files[name.removesuffix(".copy")]
@@ -72,6 +76,7 @@
 
 
 def make_folder(folder: Path, dumped: bytes) -> None:
+    """Write the files of a dumped folder into `folder`."""
     for name, text in json.loads(dumped).items():
         path = folder / name
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -79,6 +84,7 @@
 
 
 def read(dumped: bytes) -> Folder:
+    """Return the state and versions that an agent reads from a dumped folder."""
     with TemporaryDirectory() as name:
         path = Path(name)
         make_folder(path, dumped)
@@ -89,7 +95,7 @@
 
 
 def order_written(order: OperatorOrder) -> bytes:
-    """As `walnutpost fleet ... --alone` leaves it beside the agent's file."""
+    """Return the files that `walnutpost fleet ... --alone` writes beside the agent's state file."""
     with TemporaryDirectory() as name:
         folder = Path(name)
         line = {"member": MEMBER, "zone": "a", "command": ["true"], "first": "v1"}
@@ -102,7 +108,7 @@
 
 
 def order_read(dumped: bytes) -> OperatorOrder:
-    """As the agent takes it; the time is that of taking it."""
+    """Return the order as the agent reads it; its time is the time of reading."""
     handler = InputList()
     with TemporaryDirectory() as name:
         path = Path(name)
--- a/packages/testsupport/src/walnutpost/testsupport/fleet/command_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fleet/command_samples.py
@@ -1,4 +1,4 @@
-"""The objects behind the golden forms of the control plane: commands, answers, state, and a history."""
+"""Commands, results, fleet states and a log history that the golden file of the control plane holds."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
 from walnutpost.testsupport.folders import golden_folder
 from walnutpost.testsupport.golden.samples import Form, Golden, as_json, packed
 
-ASKED_AT = 1_700_000_000.25  # seconds by the asker's clock
+ASKED_AT = 1_700_000_000.25  # seconds since the epoch by the sender's clock
 
-# Each type of command with each field set, and with the defaults in force
+# Each command type: once with every field set, and once with the defaults if it has any.
 
 COMMANDS: dict[str, Command] = {
     "enter.all-fields": RegisterMember(
@@ -129,7 +129,7 @@
     "table-followers.defaults": UpdateFollowers(),
 }
 
-# A history that leaves something of everything in the state
+# A history after which each collection of the state has an entry.
 
 HISTORY_COMMANDS: tuple[Command, ...] = (
     SetBudgets(
@@ -148,7 +148,7 @@
     StoreVersion("v-2", b"\x00\xffsecond"),
     ApplyChangeSet((Mutation("function/f1", b'{"weight": 1}'), Mutation("tenant/t-1", b"{}")), 0, "ann"),
     ApplyChangeSet((Mutation("function/f1", b'{"weight": 2}'), Mutation("tenant/t-1", None)), 12, "ann"),
-    ApplyChangeSet((Mutation("class/c_1", b"{}"),), 12),  # on a table that has changed meanwhile
+    ApplyChangeSet((Mutation("class/c_1", b"{}"),), 12),  # refused: the store has changed since revision 12
     UpdateFollowers((("f1", "i-f1"), ("f2", "i-f2"), ("f9", "i-f9"))),
     UpdateFollowers((("f2", "i-f2b"),), (("f9", "i-f9"),)),
     StartPlan("release-1", ("w1", "w2", "w3"), "v-2", (0.7, 1.0), "v-1"),
@@ -161,22 +161,22 @@
     BeginPermit("p23", "w2@h"),
     ConfirmPermit("p23", (Acknowledgement("f1", "i-f1", 23), Acknowledgement("f2", "i-f2", 24))),
     MarkUnresponsive("f3", "i-f3"),
-    RequestPermit("f1", "f1@h", "by hand"),  # the budget is used up
+    RequestPermit("f1", "f1@h", "by hand"),  # refused: the budget is used up
     MarkResponsive("f3", "i-f3"),
     StartPlan("drain-1", ("f1",), keeps_members_out=True),
     RequestPermit("f1", "f1@h", "drain", "drain-1"),
     BeginPermit("p30", "f1@h"),
     EndDrain("f1", "ann"),
-    RequestPermit("w3", "w3@h", "by hand"),  # its zone has one out already
+    RequestPermit("w3", "w3@h", "by hand"),  # refused: a worker of its zone is already unavailable
     HaltPlan("not today", "drain-1"),
     RecordManualChange("f2", "ann", "fire", "v-1", 1_600_000_000.5),
-    MarkUnresponsive("w3", "i-w3"),  # the budget is used up by it: the release halts
+    MarkUnresponsive("w3", "i-w3"),  # it uses up the budget, so the release halts
     HaltPlan("night"),
     ForgetMember("nobody"),
 )
 OF_FORMAT_2 = bytes.fromhex("930292a6466f72676574a27731cb0000000000000000")  # refused by this version
 OF_A_VERSION_WITHOUT_TIMES = bytes.fromhex("920192a6466f72676574a27731")  # read, no longer written
-FIRST = 3  # the index of its first command: an opening and a membership come before
+FIRST = 3  # index of the first command: an opening entry and a membership entry precede it
 
 
 def _asked(number: int) -> tuple[str, float]:
@@ -184,7 +184,10 @@
 
 
 def history(members: Members = MEMBERS) -> tuple[LogEntry, ...]:
-    """The history as the log holds it; at its end a command that is asked again, and one that is refused."""
+    """Return the log entries of the history.
+
+    The last two are a command that is sent again with its former id, and one of an unknown format.
+    """
     entries = [
         LogEntry(1, 1, EntryKind.OPENING),
         LogEntry(2, 1, EntryKind.MEMBERS, "found", b"", members),
@@ -193,25 +196,25 @@
         id, at = _asked(index)
         entries.append(LogEntry(index, 2, EntryKind.COMMAND, id, encode(command, at)))
     last = entries[-1].index
-    entries.append(
-        LogEntry(last + 1, 3, EntryKind.COMMAND, _asked(FIRST)[0], encode(HISTORY_COMMANDS[0]))
-    )  # again
+    entries.append(LogEntry(last + 1, 3, EntryKind.COMMAND, _asked(FIRST)[0], encode(HISTORY_COMMANDS[0])))
     entries.append(LogEntry(last + 2, 3, EntryKind.COMMAND, "another-format", OF_FORMAT_2))
     return tuple(entries)
 
 
 def applied(fleet: Fleet, entries: tuple[LogEntry, ...]) -> list[CommandResult]:
+    """Apply the commands among the entries to the fleet, and return their results."""
     return [fleet.apply(e.index, e.id, e.data) for e in entries if e.kind is EntryKind.COMMAND]
 
 
 def rich_fleet() -> Fleet:
+    """Return a fleet to which the whole history was applied."""
     fleet = Fleet()
     applied(fleet, history())
     return fleet
 
 
 def full_fleet() -> Fleet:
-    """Each field of the state with a value of its own."""
+    """Return a fleet with a distinct value in each field of its state."""
     table = ConfigStore()
     table.propose(61, (Mutation("function/f1", b"{}"),))
     return Fleet(
@@ -302,7 +305,7 @@
 
 
 def fleet_seen(fleet: Fleet) -> dict[str, Any]:
-    """What two fleets are compared by: dicts in their order, which decides who goes first."""
+    """Return what two fleets are compared by, including the order of each dict, which decides priorities."""
     table, state = fleet.config_store, fleet.state
     orders = [
         list(held) for held in (state.members, state.permits, state.plans, state.versions, state.results)
@@ -322,7 +325,7 @@
 
 
 def _command(command: Command, at: float = ASKED_AT) -> Form:
-    """As the log holds it, with the time by the asker's clock."""
+    """Return the form of a command as the log holds it, with the sender's time."""
     return Form(_frame(command, at), lambda frame: encode(frame.command, frame.sent_at_s), decode_frame)
 
 
--- a/packages/testsupport/src/walnutpost/testsupport/fleet/state_machine_harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fleet/state_machine_harness.py
@@ -1,4 +1,4 @@
-"""Rigs of the fleet's tests: a state machine that applies commands at once, an agent without a process."""
+"""Test harnesses of the fleet: a state machine that applies commands at once, an agent without a process."""
 
 from __future__ import annotations
 
@@ -52,13 +52,16 @@
             self.do(StoreVersion(version, version.encode()))
 
     def do(self, command: Command, id: str = "") -> CommandResult:
+        """Apply a command at the next index, by default with a new id, and return its result."""
         self.index += 1
         return self.fleet.apply(self.index, id or f"i{self.index}", encode(command))
 
     def ask(self, member: str, plan: str = "", holder: str = "") -> CommandResult:
+        """Request a permit for the member."""
         return self.do(RequestPermit(member, holder or f"agent-{member}", "test", plan))
 
     def replace(self, member: str, plan: str, version: str = "v2") -> None:
+        """Carry out a whole replacement of the member; its next process runs `version`."""
         permit = self.ask(member, plan)
         assert permit.ok, permit.error
         self.do(BeginPermit(permit.permit, f"agent-{member}"))
@@ -70,6 +73,7 @@
 
 
 def rig_with(fronts: int = 3, workers: int = 2, fleet: type[Fleet] = Fleet) -> FleetRig:
+    """Return a fleet of front ends and workers of which one of each kind may be unavailable."""
     rig = FleetRig(
         0,
         DisruptionBudget(WORKER, max_unavailable=1),
@@ -84,6 +88,7 @@
 
 
 def begin_drain(rig: FleetRig, worker: str = "w0") -> str:
+    """Obtain a permit for the worker and begin its drain; return the permit's id."""
     permit = rig.ask(worker).permit
     rig.do(BeginPermit(permit, f"agent-{worker}"))
     return permit
@@ -94,7 +99,10 @@
 
 
 class AgentRig:
-    """One agent, its process and the replicated state; `bad` versions never become ready."""
+    """One agent, its process and the replicated state.
+
+    Versions in `bad` exit at once and never become ready.
+    """
 
     kind = FRONT_END
 
@@ -114,18 +122,22 @@
         self.do(self.controller.start(self.now))
 
     def agent(self) -> InstanceController:
+        """Return a new controller of the member `m` at version `v1`, as after a start of the agent."""
         instance = ManagedInstance("agent-m", "m", self.kind, "a")
         return InstanceController(instance, DurableState("v1"), SETTINGS, 1)
 
     def current_phase(self) -> Phase:
+        """Return the controller's phase."""
         return self.controller.phase
 
     def apply(self, command: Command) -> str:
+        """Apply a command; return the permit's id, which may be empty, or `no: ` and the error."""
         self.index += 1
         answer = self.fleet.apply(self.index, "", encode(command))
         return answer.permit if answer.ok else f"no: {answer.error}"
 
     def do(self, effects: list[Effect], answer: bool = True) -> None:
+        """Carry out effects at once; `answer`: whether permit requests are answered."""
         for effect in effects:
             match effect:
                 case StartProcess(version):
@@ -147,12 +159,15 @@
                     self.handle(PermitAnswered("" if sent.startswith("no") else sent))
 
     def handle(self, event: object, answer: bool = True) -> None:
+        """Give an input to the controller and carry out its effects."""
         self.do(self.controller.handle(self.now, event), answer)  # type: ignore[arg-type]
 
     def observe(self, answer: bool = True) -> None:
+        """Show the present fleet state to the controller."""
         self.handle(FleetStateObserved(self.fleet.state), answer)
 
     def pass_time(self, span: int) -> None:
+        """Advance the clock by `span` microseconds; a tick is sent at each deadline of the controller."""
         until = self.now + span
         while self.controller.deadline_us is not None and self.controller.deadline_us <= until:
             self.now = max(self.now, self.controller.deadline_us)
@@ -161,6 +176,7 @@
 
 
 def release(rig: AgentRig, back: str = "v1") -> None:
+    """Start a plan that releases `v2` to the member `m`; `back`: the version for a rollback."""
     rig.apply(StartPlan("r", ("m",), "v2", (1.0,), back))
 
 
@@ -174,6 +190,7 @@
         self.apply(RegisterMember("f", FRONT_END, "a", "f.1", "v1", follows_endpoints=True))
 
     def acknowledge(self) -> None:
+        """Confirm all permits with the front end's acknowledgement, and show the state to the controller."""
         for permit in self.fleet.state.permits.values():
             self.apply(ConfirmPermit(permit.id, (Acknowledgement("f", "f.1", permit.granted_index),)))
         self.observe()
