--- a/packages/testsupport/src/walnutpost/testsupport/configstore/following.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/following.py
@@ -1,4 +1,4 @@
-"""A watcher that follows a store, and what its responses led to, for tests of the watching side."""
+"""A watcher that follows a store, and the outcomes of its responses, for tests of the watching side."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 class CorruptibleStore(ConfigStore):
-    """A store whose digest can be corrupted, as by a fault of the memory."""
+    """A store whose digest can be corrupted, as by a memory fault."""
 
     def flip_digest(self, bits: int) -> None:
         """Change these bits of the digest."""
--- a/packages/testsupport/src/walnutpost/testsupport/configstore/progress_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/progress_fixtures.py
@@ -1,4 +1,4 @@
-"""A leader with relays and members, and what they report, for tests of members' progress."""
+"""A leader with relays and members, and their progress reports, for tests of members' progress."""
 
 from __future__ import annotations
 
@@ -20,12 +20,13 @@
 
 
 def ask(member: str, in_force: int, session: int = 1, incarnation: str = "", **more: Any) -> WatchRequest:
+    """Return a member's watch request; `in_force`: the revision that it holds and has applied."""
     incarnation = incarnation or f"{member}.1"
     return WatchRequest(member, incarnation, session, in_force, in_force, 0, 3 * SECOND_US, **more)
 
 
 def tell(now: int, registry: MemberRegistry, leader: FleetProgress, revision: int) -> list[ProgressSummary]:
-    """Exchange reports, decoded from their bytes, until there are no changes left."""
+    """Exchange reports, decoded from their bytes, until there are no changes left; return the reports."""
     told: list[ProgressSummary] = []
     while not told or registry.has_changes:
         told.append(decode(encode(registry.next_summary(now, revision)), ProgressSummary))
@@ -35,11 +36,14 @@
 
 
 def names_of(members: tuple[MemberProgress, ...]) -> list[str]:
+    """Return the members' names."""
     return [standing.member for standing in members]
 
 
 @dataclass
 class FakeStore:
+    """A store as far as the leader's status reads it."""
+
     revision: int
     digest: int = 7
     compacted_revision: int = 3
@@ -47,7 +51,7 @@
 
 
 class Fleet:
-    """Some members at each relay, all registered and reported."""
+    """Members distributed over relays; all are registered and have reported."""
 
     def __init__(self, members: int, relays: int = 1, in_force: int = 10) -> None:
         self.now = 0
@@ -60,9 +64,11 @@
         self.tell(in_force)
 
     def ask(self, in_force: int, *but: str) -> None:
+        """Let each member except `but` send a request to its relay."""
         for name, relay in self.at.items():
             if name not in but:
                 relay.observe(self.now, ask(name, in_force))
 
     def tell(self, revision: int) -> list[ProgressSummary]:
+        """Exchange the reports of all relays; return them."""
         return [summary for relay in self.relays for summary in tell(self.now, relay, self.leader, revision)]
--- a/packages/testsupport/src/walnutpost/testsupport/configstore/progress_model.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/progress_model.py
@@ -1,5 +1,8 @@
-"""Members, relays and a leader over a network that loses, duplicates and delays, beside what members
-have really applied. The caller chooses the events; `check` compares the leader's claims."""
+"""Members, relays and a leader over a network that loses, duplicates and delays messages.
+
+The model knows what members have really applied. The caller chooses the events; `check` compares the leader's
+claims with it.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,10 @@
 
 @dataclass
 class Process:
-    """One process of a member. `held`: the revision of its store."""
+    """One process of a member.
+
+    `in_force`: the revision it has applied. `held`: the revision of its store. `asked`: its last request.
+    """
 
     name: str
     incarnation: str
@@ -30,6 +36,8 @@
 
 @dataclass
 class Relay:
+    """One process of a relay, with the revision of its store."""
+
     name: str
     incarnation: str
     registry: MemberRegistry
@@ -38,7 +46,10 @@
 
 @dataclass
 class Office:
-    """A leader's term, with the registered members as it knows them."""
+    """A leader's term, with the registered members as the leader knows them.
+
+    `before`: its claims of applied revisions at the last check.
+    """
 
     leader: FleetProgress
     agreed: dict[str, str]
@@ -46,6 +57,7 @@
     before: dict[tuple[str, str], int] = field(default_factory=dict)
 
     def agree(self, now: int, agreed: dict[str, str]) -> None:
+        """Set the registered members."""
         self.agreed = agreed
         self.leader.set_members(now, agreed)
         self.before = {key: claim for key, claim in self.before.items() if key in agreed.items()}
@@ -53,6 +65,13 @@
 
 @dataclass
 class World:
+    """The processes, the messages in transit, and the revisions that were really applied.
+
+    `former`: processes that run on although another has their name. `truth`: applied revisions by member and
+    incarnation. `deposed`: the last leader's term, which may still receive reports. The `n` of a step
+    chooses among the possible events.
+    """
+
     progress: type[FleetProgress] = FleetProgress
     registry: type[MemberRegistry] = MemberRegistry
     now: int = SECOND_US
@@ -83,25 +102,27 @@
         self.truth[name, process.incarnation] = 0
         return process
 
-    # What happens. `n` chooses among the possible.
-
     def passes(self, n: int) -> None:
+        """Advance the time by up to 4 s."""
         self.now += (n % 40 + 1) * SECOND_US // 10
 
     def waits(self, n: int) -> None:
+        """Advance the time by up to 16 s."""
         self.now += (n % 9) * 2 * SECOND_US
 
     def change(self, n: int) -> None:
+        """Commit a revision."""
         self.revision += n % 3 + 1
         self.office.revision = self.revision
         self.office.leader.revision_committed(self.now, self.revision)
 
     def relay_follows(self, n: int) -> None:
+        """Bring a relay's store up to date."""
         relay = self.relays[n % len(self.relays)]
         relay.revision = self.revision
 
     def acts(self, n: int) -> None:
-        """A member gets what its relay holds, or all get it."""
+        """Let one member or all apply what the relay holds."""
         names = NAMES if n % 4 == 0 else (NAMES[n // 4 % len(NAMES)],)
         for name in names:
             process = self.members[name]
@@ -109,6 +130,7 @@
             self.truth[name, process.incarnation] = process.in_force
 
     def _ask(self, process: Process, **more: bool) -> WatchRequest:
+        """Return a new request of the process."""
         stuck = "no such class" if hash((process.in_force, len(process.name))) % 11 == 0 else ""
         question = WatchRequest(
             process.name,
@@ -125,29 +147,32 @@
         return question
 
     def asks(self, n: int) -> None:
+        """Deliver a request of one member or of all."""
         names = NAMES if n % 4 == 0 else (NAMES[n // 4 % len(NAMES)],)
         for name in names:
             process = self.members[name]
             self.relays[process.relay].registry.observe(self.now, self._ask(process))
 
     def asks_slowly(self, n: int) -> None:
+        """Send a member's request that arrives later or never."""
         process = self.members[NAMES[n % len(NAMES)]]
         self.questions.append((process.relay, self._ask(process)))
 
     def former_asks(self, n: int) -> None:
-        """A process of which another has taken the name, and that doesn't know."""
+        """Deliver a request of a process that does not know that another has taken its name."""
         if self.former:
             process = self.former[n % len(self.former)]
             self.relays[process.relay].registry.observe(self.now, self._ask(process))
 
     def arrives(self, n: int) -> None:
-        """A question that was on its way, kept on it one time in three."""
+        """Deliver a delayed request; in one case of three it may be delivered again."""
         if self.questions:
             at = n // 3 % len(self.questions)
             relay, question = self.questions[at] if n % 3 == 0 else self.questions.pop(at)
             self.relays[relay].registry.observe(self.now, question)
 
     def moves(self, n: int) -> None:
+        """Let a member reconnect to another relay; the former one may see the connection close."""
         process = self.members[NAMES[n % len(NAMES)]]
         if n // 5 % 2 and process.asked is not None:
             self.relays[process.relay].registry.connection_closed(process.asked)
@@ -155,8 +180,10 @@
         process.session += 1
 
     def restarts(self, n: int) -> None:
-        """In the same place or another, with what it had on disk or nothing; the old one ends, says so, or
-        goes on."""
+        """Restart a member at the same relay or the next, with half its revision or none.
+
+        The former process ends silently, announces its end, or continues to run.
+        """
         name = NAMES[n % len(NAMES)]
         old = self.members[name]
         new = self.members[name] = self._process(name, old.relay + n // 5 % 2)
@@ -168,20 +195,23 @@
             self.former.append(old)
 
     def relay_restarts(self, n: int) -> None:
+        """Replace a relay by a new process without state."""
         at = n % len(self.relays)
         self.relays[at] = self._relay(self.relays[at].name)
 
     def relay_doubles(self, n: int) -> None:
+        """Start a second process with a relay's name."""
         if len(self.relays) < 5:
             self.relays.append(self._relay(RELAYS[n % len(RELAYS)]))
 
     def reports_on(self, n: int) -> None:
+        """Send a report of a relay; it arrives later or never."""
         relay = self.relays[n % len(self.relays)]
         self.reports.append(relay.registry.next_summary(self.now, relay.revision))
         del self.reports[:-30]
 
     def report_arrives(self, n: int) -> None:
-        """The newest as a rule, else any; it may come again."""
+        """Deliver the newest report or any other; it may be delivered again."""
         if self.reports:
             at = n // 6 % len(self.reports) if n % 2 else len(self.reports) - 1
             summary = self.reports[at] if n % 3 else self.reports.pop(at)
@@ -189,6 +219,7 @@
             del self.answers[:-10]
 
     def answer_arrives(self, n: int) -> None:
+        """Deliver a leader's response to the relay process that it is for."""
         if self.answers:
             at = n // 2 % len(self.answers) if n % 2 else len(self.answers) - 1
             incarnation, heard = self.answers[at]
@@ -197,14 +228,14 @@
                     relay.registry.handle_response(heard)
 
     def exchanges(self, n: int) -> None:
-        """A report and its answer, with nothing in between."""
+        """Deliver a report and its response at once."""
         relay = self.relays[n % len(self.relays)]
         relay.registry.handle_response(
             self.office.leader.handle_summary(self.now, relay.registry.next_summary(self.now, relay.revision))
         )
 
     def exchanges_with_the_deposed(self, n: int) -> None:
-        """A relay turns to a leader that hasn't heard yet that it is none any more."""
+        """Deliver a report to a leader that does not know yet that it was deposed."""
         if self.deposed is not None:
             relay = self.relays[n % len(self.relays)]
             heard = self.deposed.leader.handle_summary(
@@ -214,36 +245,41 @@
                 relay.registry.handle_response(heard)
 
     def agrees(self, n: int) -> None:
+        """Register the members that the leader has found."""
         found = dict(self.office.leader.unregistered_members(self.now))
         self.office.agree(self.now, self.office.agreed | found)
 
     def agrees_unheard(self, n: int) -> None:
-        """By an operator, or by a leader before this one."""
+        """Register a member that the leader may not have heard of, as an operator or a former leader does."""
         name = NAMES[n % len(NAMES)]
         self.office.agree(self.now, {**self.office.agreed, name: self.members[name].incarnation})
 
     def forgets(self, n: int) -> None:
+        """Remove a member or those that have ended."""
         gone = self.office.leader.ended_members() if n % 2 else [NAMES[n // 2 % len(NAMES)]]
         self.office.agree(self.now, {m: i for m, i in self.office.agreed.items() if m not in gone})
 
     def another_leader(self, n: int) -> None:
+        """Elect another leader, which knows only the registered members."""
         self.deposed = self.office
         self.office = Office(self.progress(self.now, self.revision), {}, self.revision)
         self.office.agree(self.now, dict(self.deposed.agreed))
 
     def run(self, steps: Sequence[tuple[int, int]]) -> None:
+        """Carry out the steps with a check after each, then let the model settle."""
         for kind, n in steps:
             STEPS[kind](self, n)
             self.check()
         self.settles()
 
     def check(self) -> None:
+        """Check the claims of the present leader and of the deposed one."""
         for office in (self.office, self.deposed):
             if office is not None:
                 self._check(office)
 
     def _check(self, office: Office) -> None:
-        """Nothing is claimed of a member that it hasn't come to, and nothing is taken back of a process."""
+        """Check that no claim exceeds what was applied, and that none of a process decreases."""
         proved = {key: office.leader.applied_revision(*key) for key in office.agreed.items()}
         for key, claim in proved.items():
             assert office.before.get(key, 0) <= claim <= self.truth[key], (key, claim, self.truth[key])
@@ -251,7 +287,10 @@
         office.before = proved
 
     def settles(self) -> None:
-        """No more faults: each member sends a request, reports arrive, and the claims are complete."""
+        """Stop the faults and check that the claims become complete.
+
+        Each member sends requests, and all reports arrive.
+        """
         self.questions.clear()
         self.former.clear()
         for at in range(12):
--- a/packages/testsupport/src/walnutpost/testsupport/configstore/table_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/table_samples.py
@@ -1,4 +1,4 @@
-"""The objects behind the golden forms of the configuration store: messages, snapshots, digests."""
+"""Messages, snapshots and digests that the golden file of the configuration store holds."""
 
 from __future__ import annotations
 
@@ -174,12 +174,12 @@
 
 
 def message(value: Record) -> Form:
-    """As `/table/1/...` speaks it."""
+    """Return the form of a message as the paths `/table/1/...` carry it."""
     return Form(value, encode, lambda data: decode(data, type(value)))
 
 
 def rich_table(max_log_entries: int = 3) -> ConfigStore:
-    """Entries set, changed and deleted; a log that was compacted."""
+    """Return a store with entries that were set, changed and deleted, and with a compacted log."""
     table = ConfigStore(max_log_entries=max_log_entries)
     table.propose(5, (Mutation("function/f1", b'{"weight": 1}'), Mutation("function/f2", OTHER_VALUE)))
     table.propose(7, (Mutation("tenant/t-1", b"{}"), Mutation("class/c_1", b"[1, 2]")))
@@ -190,7 +190,7 @@
 
 
 def table_seen(table: ConfigStore) -> dict[str, Any]:
-    """What two tables are compared by."""
+    """Return what two stores are compared by."""
     return {
         "revision": table.revision,
         "floor": table.compacted_revision,
@@ -209,7 +209,7 @@
 
 
 def _digests() -> dict[str, list[int]]:
-    """By key and value: the range of the key and the digest of the entry."""
+    """Return the bucket of the key and the digest of the entry, by key."""
     told = ("function/f1", VALUE, 1), ("tenant/t-1", b"", 2**40), ("class/c_1", OTHER_VALUE, 7)
     return {key: [digests.bucket_of(key), digests.entry_digest(key, value, at)] for key, value, at in told}
 
