--- a/packages/testsupport/src/walnutpost/testsupport/configstore/progress_model.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/progress_model.py
@@ -86,6 +86,7 @@
     truth: dict[tuple[str, str], int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
+        """Start the first leader's term, the relays and the members."""
         self.office = Office(self.progress(self.now, self.revision), {}, self.revision)
         self.deposed: Office | None = None
         self.relays = [self._relay(name) for name in RELAYS]
--- a/packages/testsupport/src/walnutpost/testsupport/relay/__init__.py
+++ b/packages/testsupport/src/walnutpost/testsupport/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relays between a fake control plane and members."""
+"""Relays between a simulated control plane and members."""
--- a/packages/testsupport/src/walnutpost/testsupport/relay/tier.py
+++ b/packages/testsupport/src/walnutpost/testsupport/relay/tier.py
@@ -38,7 +38,7 @@
 
 
 class FakeControlPlane:
-    """The control plane as relays see it: replicas with a store each, and a leader that gets the reports."""
+    """The control plane as relays see it: replicas each with a store, and a leader that receives reports."""
 
     def __init__(self, loop: Loop, table: ConfigStore, names: tuple[str, ...] = ("k1", "k2", "k3")) -> None:
         self.loop, self.leader = loop, names[0]
@@ -63,10 +63,12 @@
 
     @property
     def addresses(self) -> dict[str, Address]:
+        """The replicas' addresses, by name."""
         return {name: server.address for name, server in self.servers.items()}
 
     @property
     def table(self) -> ConfigStore:
+        """The leader's store."""
         return self.tables[self.leader]
 
     def _update_members(self) -> None:
@@ -96,6 +98,7 @@
         return Response(404)
 
     def change(self, mutations: list[Mutation]) -> int:
+        """Commit a change set to all replicas that are not isolated; return its revision."""
         revision = self.table.revision + 1
         for name, table in self.tables.items():
             if name not in self.isolated:
@@ -111,9 +114,11 @@
         self.progress.set_members(self.loop.now(), self.followers)
 
     def status(self) -> PropagationStatus:
+        """Return the leader's propagation status."""
         return self.progress.status(self.loop.now(), self.table, self.followers)
 
     def kill(self) -> None:
+        """Reset all connections of all replicas, and accept none."""
         for server in self.servers.values():
             server.stop_accepting()
             for stream in list(server.streams):
@@ -137,6 +142,7 @@
             self.start(name)
 
     def start(self, name: str) -> Relay:
+        """Start a relay, which gets a new address."""
         self.starts += 1
         self.logs[name] = Log()
         listen = ("127.0.0.1", 0)
@@ -156,7 +162,10 @@
         self.places[name] = ("127.0.0.1", 1)
 
     def add_members(self, count: int, table: ConfigStore | None = None) -> list[Member]:
-        """Add members; `table`: what they have applied already, as front ends that ran before."""
+        """Add members and return them.
+
+        `table`: what they have applied already, like front ends that ran before.
+        """
         places: dict[str, Callable[[], Address]] = {n: lambda n=n: self.places[n] for n in self.names}  # type: ignore[misc]
         for n in range(len(self.members), len(self.members) + count):
             member = Member(self.loop, places, f"fe{n}", n)
@@ -180,12 +189,15 @@
         )
 
     def counts(self, field: str) -> int:
+        """Return the sum of a counter over all relays."""
         return sum(getattr(r.watches.counts, field) for r in self.relays.values())
 
 
 def run_with_relays(
     script: Callable[[FakeControlPlane, RelayTier], object], count: int = 10, table: ConfigStore | None = None
 ) -> None:
+    """Run `script` with a control plane, two relays and `count` members that are up to date."""
+
     def main(loop: Loop) -> None:
         control_plane = FakeControlPlane(loop, table if table is not None else filled(3))
         tier = RelayTier(loop, control_plane)
--- a/packages/testsupport/src/walnutpost/testsupport/watch/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/watch/harness.py
@@ -1,4 +1,4 @@
-"""Configuration stores, and servers of them on a loop with virtual time; requests sent one by one."""
+"""Configuration stores, watch servers and members on a loop with virtual time, and single watch requests."""
 
 from __future__ import annotations
 
@@ -31,10 +31,12 @@
 
 
 def protocol_error(error: HttpMessageError) -> Response:
+    """Return the response to a malformed request."""
     return Response(error.status, body=str(error).encode())
 
 
 def put_keys(first: int, count: int = 1, size: int = 20, salt: int = 0) -> list[Mutation]:
+    """Return mutations that set `count` functions; values have `size` bytes and differ by `salt`."""
     return [
         Mutation(f"function/f{n:05}", f"{salt}.{n}".encode().ljust(size, b"."))
         for n in range(first, first + count)
@@ -56,16 +58,24 @@
 
 
 def copy(table: ConfigStore) -> ConfigStore:
+    """Return a store with the same content."""
     return ConfigStore.restore(table.snapshot())
 
 
 class Addressed(Protocol):
+    """A server with an address."""
+
     @property
-    def address(self) -> tuple[str, int]: ...
+    def address(self) -> tuple[str, int]:
+        """The host and port."""
+        ...
 
 
 class FakeServer:
-    """A watch server, as a relay or a control plane replica has it; `change` commits to its `table`."""
+    """A watch server as a relay or a control plane replica has it.
+
+    `change` commits to its `table`. While `table` is None, the server has no store.
+    """
 
     def __init__(
         self, loop: Loop, table: ConfigStore | None, age_us: Callable[[], int] = lambda: 0, **more: Any
@@ -84,12 +94,15 @@
         return self.watch.handle(exchange.request.body, exchange.stream, accept_encoding)
 
     def member_requested(self, request: WatchRequest) -> None:
+        """Record a watch request."""
         self.requests.append(request)
 
     def member_disconnected(self, last_request: WatchRequest) -> None:
+        """Record the last request of a connection that closed."""
         self.disconnected.append(last_request)
 
     def change(self, mutations: list[Mutation]) -> int:
+        """Commit a change set; return its revision."""
         assert self.table is not None
         self.table.propose(self.table.revision + 1, mutations)
         self.watch.store_changed()
@@ -104,7 +117,7 @@
 
 @dataclass
 class Received:
-    """A response, and when it was received."""
+    """A response and the loop's time of its receipt; `page` is None unless the status is 200."""
 
     status: int
     page: WatchResponse | None
@@ -123,11 +136,13 @@
     def ask(
         self, revision: int, digest: int = 0, wait_timeout_us: int = WAIT_TIMEOUT_US, **more: Any
     ) -> Received:
+        """Send a watch request and wait for its response."""
         return self.send(
             encode(WatchRequest(self.member, "1", self.session, revision, 0, digest, wait_timeout_us, **more))
         )
 
     def send(self, body: bytes, headers: dict[str, str] | None = None) -> Received:
+        """Send an encoded request and wait for its response."""
         response = self.connection.exchange(encode_request("POST", WATCH_PATH, "x", headers or {}, body))
         coded = "content-encoding" in response.headers
         plain = zlib.decompress(response.body) if coded else response.body
@@ -136,7 +151,10 @@
 
 
 def play(script: Callable[[Loop], Any], errors: list[BaseException] | None = None) -> Any:
-    """Run a script with virtual time: no real waits, and the same order each time."""
+    """Run a function in virtual time and return its result: no real waits, and the same order each time.
+
+    Errors of tasks are collected in `errors`, or fail the test if it is None.
+    """
     loop_errors: list[BaseException] = [] if errors is None else errors
     loop = Loop(VirtualClock(), lambda name, error: loop_errors.append(error))
     result = loop.run(script, loop)
@@ -147,6 +165,7 @@
 def until(
     loop: Loop, condition: Callable[[], object], step: int = 10_000, timeout_us: int = 60 * SECOND
 ) -> None:
+    """Wait in virtual time until the condition is true, with a check each `step` microseconds."""
     deadline_us = loop.now() + timeout_us
     while not condition():
         assert loop.now() < deadline_us, "the condition did not become true in time"
@@ -154,20 +173,23 @@
 
 
 class Log:
-    """Collects log lines in memory."""
+    """Collects log events in memory."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
     def info(self, event: str, **fields: Any) -> None:
+        """Record an event."""
         self.lines.append((event, fields))
 
     warning = error = info
 
     def count(self, event: str) -> int:
+        """Return how often an event was logged."""
         return sum(line == event for line, _ in self.lines)
 
     def fields(self, event: str) -> list[dict[str, Any]]:
+        """Return the fields of each event of this name, in order."""
         return [fields for line, fields in self.lines if line == event]
 
 
@@ -200,20 +222,23 @@
 
     @property
     def table(self) -> ConfigStore:
+        """The watcher's store."""
         return self.state.store
 
     def on_outcome(self, outcome: ApplyOutcome) -> None:
+        """Record an outcome, and mark its revision as applied."""
         self.outcomes.append(outcome)
         self.applied_revisions.append(self.table.revision)
         self.state.mark_applied(self.table.revision)
 
     def has_content_of(self, table: ConfigStore | None) -> bool:
+        """Whether the revision and digest are equal to those of `table`."""
         own = self.table
         return table is not None and (own.revision, own.digest) == (table.revision, table.digest)
 
 
 class ScriptedServer:
-    """A server whose responses a callback makes; None ends the connection."""
+    """A server whose responses a callback makes; if it returns None, the connection ends."""
 
     def __init__(self, loop: Loop, respond: Callable[[WatchRequest], Response | None]) -> None:
         self.requests: list[WatchRequest] = []
