--- a/packages/testsupport/src/walnutpost/testsupport/daemon/fake_relay.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/fake_relay.py
@@ -1,4 +1,4 @@
-"""A relay on a test's loop: a watch server whose table the test changes."""
+"""A relay on a test's loop: a watch server whose store the test changes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class FakeRelay:
-    """`requests`: all watch requests, in order."""
+    """A watch server whose store the test changes.
+
+    `requests`: all watch requests, in order.
+    """
 
     def __init__(self, loop: Loop, table: ConfigStore) -> None:
         self.table = table
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/fleet.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/fleet.py
@@ -50,18 +50,20 @@
 
 
 class Log:
-    """Collects log lines in memory."""
+    """Collects log events in memory."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, dict[str, Any]]] = []
 
     def info(self, event: str, **fields: Any) -> None:
+        """Record an event."""
         self.lines.append((event, fields))
 
     warning = error = info
 
 
 def merged(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
+    """Return a copy of `base` with the overrides, section by section."""
     result = copy.deepcopy(base)
     for key, value in overrides.items():
         result[key] = merged(result[key], value) if isinstance(value, dict) and key in result else value
@@ -97,11 +99,16 @@
         self.workers: dict[str, WorkerServer] = {}
         self.lines: list[WorkerConfig] = []
         self.version = 0
-        self.wall_clock_offset_us = 0  # the time of day minus the loop's time
+        self.wall_clock_offset_us = 0  # the wall clock minus the loop's time
         self.front: FrontEnd
         self.store: LocalStore
 
     def run(self, script: Callable[[], T], listed: bool = True) -> T:
+        """Start workers and the front end, run `script` in a task and return its result.
+
+        `listed`: whether the front end's configuration names the workers.
+        """
+
         def main() -> T:
             self.start_workers()
             self.front = self.start_front(listed)
@@ -116,6 +123,7 @@
         return result
 
     def start_workers(self) -> None:
+        """Start the configured workers, with captures of their traffic if the fleet captures."""
         assert self.config.fleet is not None
         self.store = local_store(self.loop, self.config)
         for line in self.config.fleet.workers:
@@ -125,9 +133,11 @@
             self.lines.append(WorkerConfig(name=line.name, address="{}:{}".format(*server.address)))
 
     def traffic_observer(self, kind: str, name: str) -> Capture:
+        """Return a capture of a process's traffic, in a file of the fleet's folder."""
         return Capture(self.path / f"{name}{CAPTURE_SUFFIX}", kind, name, self.loop.now)
 
     def start_front(self, listed: bool = True, path: Path | None = None) -> FrontEnd:
+        """Start a front end; `path`: its folder, by default the fleet's."""
         front = self.front_config.front.model_copy(update={"workers": self.lines if listed else []})
         config = self.front_config.model_copy(update={"front": front})
         traffic_observer = self.traffic_observer("front", "front-0") if self.capture else None
@@ -141,7 +151,7 @@
         )
 
     def publish_changed_worker(self, name: str, **changed: Any) -> None:
-        """Publish a list in which one worker's line has changed; `gone=True` removes it."""
+        """Publish a list in which one worker's entry has changed; `gone=True` removes it."""
         self.lines = [
             line.model_copy(update=changed) if line.name == name else line
             for line in self.lines
@@ -151,15 +161,16 @@
         self.front.endpoint_lists.set_configured(ListKind.FULL, self.version, self.lines)
 
     def audit(self) -> Verdict:
-        """Audit the captures against the fleet's own configuration."""
+        """Audit the captures against the fleet's configuration."""
         write_facts(self.path, facts_of(self.config))
         return audit_folder(self.path)
 
     def connect(self, front: FrontEnd | None = None) -> Connection:
+        """Open a connection to the front end."""
         return Connection.open(self.loop, (front or self.front).address)
 
     def ask(self, method: str, target: str, body: bytes = b"", **headers: str) -> Response:
-        """Send one request on a connection of its own; `_` in a header's name is sent as `-`."""
+        """Send one request on a new connection; `_` in a header's name is sent as `-`."""
         connection = self.connect()
         try:
             named_headers = {key.replace("_", "-"): value for key, value in headers.items()}
@@ -168,9 +179,11 @@
             connection.close()
 
     def invoke(self, function: str, payload: bytes = b"1", **headers: str) -> Response:
+        """Send a request that calls a function."""
         return self.ask("POST", INVOKE.format(function), payload, **headers)
 
     def ask_worker(self, name: str, target: str) -> Response:
+        """Send a GET request to a worker."""
         connection = Connection.open(self.loop, self.workers[name].address)
         try:
             return connection.request("GET", target)
@@ -182,6 +195,7 @@
         return str(json.loads(self.invoke(function).body)["worker"])
 
     def runs(self, function: str | None = None) -> int:
+        """Return how many calls of the function, or of all, the workers have run."""
         return sum(function in (None, ran) for server in self.workers.values() for _, ran, _ in server.runs)
 
     def running(self) -> WorkerServer:
--- a/packages/testsupport/src/walnutpost/testsupport/replication/sites.py
+++ b/packages/testsupport/src/walnutpost/testsupport/replication/sites.py
@@ -21,7 +21,7 @@
 
 
 class Sites:
-    """Front ends of three sites as processes; each one's journal is reached through a relay."""
+    """Front ends of three sites as processes; each one's journal is reached through a proxy."""
 
     def __init__(self, path: Path, loop: Loop, copies: int) -> None:
         self.path, self.loop = path, loop
@@ -67,6 +67,7 @@
         return parse_address(found[-1][field]) if found else None
 
     def stop(self) -> None:
+        """Terminate all processes, including paused ones, and wait for their end."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
