--- a/packages/agent/src/walnutpost/agent/agent.py
+++ b/packages/agent/src/walnutpost/agent/agent.py
@@ -78,7 +78,7 @@
         return self.runner.controller.instance.agent
 
     def start(self) -> None:
-        """Start the process, after processes that a killed agent left behind have exited."""
+        """Start the tasks, then the process once those that a killed agent left behind have exited."""
         self._tasks = [
             self._loop.spawn(self._observer.run, name="observe_fleet"),
             self._loop.spawn(self._link.run_sender, name="run_sender"),
--- a/packages/configstore/src/walnutpost/configstore/digest_check.py
+++ b/packages/configstore/src/walnutpost/configstore/digest_check.py
@@ -16,7 +16,7 @@
 from walnutpost.configstore.store import ConfigStore
 
 VERIFY_INTERVAL_US = 5_000_000
-"""Minimum time between two digest checks while changes arrive."""
+"""Minimum time between the beginnings of two digest checks while changes arrive."""
 
 
 class DigestCheck:
--- a/packages/configstore/src/walnutpost/configstore/messages.py
+++ b/packages/configstore/src/walnutpost/configstore/messages.py
@@ -169,7 +169,8 @@
 class MemberStatus(Record, frozen=True):
     """One registered member in the leader's status.
 
-    `silent_for_us`: time since a relay last reported it, None where this leader has had no report of it.
+    `silent_for_us`: time since a relay last heard it if it lags, else since it was last reported; None if
+    this leader has had no report of it.
     """
 
     member: str
--- a/packages/configstore/src/walnutpost/configstore/relay_report.py
+++ b/packages/configstore/src/walnutpost/configstore/relay_report.py
@@ -12,7 +12,8 @@
 class MemberReport:
     """What a relay has last reported of one member.
 
-    `heard_at_us`: when the relay last heard the member, None if no relay ever reported it.
+    `heard_at_us`: when the relay last heard a lagging member, else the time of its report; None if no relay
+    ever reported the member.
     """
 
     relay: str
--- a/packages/consensus/src/walnutpost/consensus/roles.py
+++ b/packages/consensus/src/walnutpost/consensus/roles.py
@@ -48,5 +48,5 @@
             state.effects.append(RoleChanged(state.role, state.term, leader))
 
     def step_down(self) -> None:
-        """Stop to lead in this term; who leads next is unknown."""
+        """Stop leading in this term; who leads next is unknown."""
         self.become_follower(self._state.term, "")
--- a/packages/consensus/src/walnutpost/consensus/timers.py
+++ b/packages/consensus/src/walnutpost/consensus/timers.py
@@ -10,7 +10,7 @@
 
 
 class Timers:
-    """Starts elections, heartbeats and steps down when they are due."""
+    """Starts elections, sends heartbeats and steps down when these are due."""
 
     __slots__ = ("_election", "_replication", "_roles", "_state", "_transfers")
 
--- a/packages/controlplane/src/walnutpost/controlplane/applied_state.py
+++ b/packages/controlplane/src/walnutpost/controlplane/applied_state.py
@@ -42,7 +42,7 @@
         return None
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replace the state. Raises InvalidStateError, and leaves the state as it was."""
+        """Replace the state. If it raises InvalidStateError, the former state stays."""
         self.fleet = Fleet.restore(snapshot.data)
         self.index = snapshot.index
         self._uncompacted_bytes = 0
@@ -52,7 +52,7 @@
         self.endpoint_ages.observe(self._loop.now(), self.fleet.state)
 
     def take_due_compaction(self, snapshot_index: int) -> Compact | None:
-        """Return a snapshot for the log if enough has been applied since the last one."""
+        """Return a snapshot for the log if enough was applied since the last one, and restart the count."""
         log_entries = self.index - snapshot_index
         if log_entries <= self._max_log_entries and self._uncompacted_bytes <= MAX_UNCOMPACTED_BYTES:
             return None
--- a/packages/controlplane/src/walnutpost/controlplane/peers.py
+++ b/packages/controlplane/src/walnutpost/controlplane/peers.py
@@ -14,7 +14,7 @@
 """To one replica; the oldest are dropped, since newer ones supersede them."""
 MAX_BATCH_MESSAGES = 128
 MIN_THROUGHPUT_BYTES_PER_US = 1
-"""A large snapshot gets as much more time to arrive."""
+"""Added to the timeout: the size of a message divided by this rate."""
 RECONNECT_DELAY_US = 20_000
 """After a failure; consensus repeats lost messages."""
 
--- a/packages/fleet/src/walnutpost/fleet/context.py
+++ b/packages/fleet/src/walnutpost/fleet/context.py
@@ -8,7 +8,7 @@
 
 
 class FleetContext:
-    """The replicated data of one replica. Only handlers of commands change it.
+    """The replicated data of one replica. Only `Fleet.apply` and handlers of commands change it.
 
     `followers_version` counts the commands applied by this process that changed who follows the config store.
     It is no part of the replicated state.
--- a/packages/fleet/src/walnutpost/fleet/state.py
+++ b/packages/fleet/src/walnutpost/fleet/state.py
@@ -32,9 +32,9 @@
 class Permit(StateRecord):
     """The right of `holder` to take a member out, granted by log entry `granted_index`.
 
-    It ends only by a command that proves the member available, never by time. `confirmed_index`: the entry
-    that confirmed it, 0 before; `acknowledgements`: those of all front ends for it. `return_requested`: an
-    operator has ended the drain.
+    It ends by a command alone (completed, abandoned, revoked, or its member forgotten), never by
+    time. `confirmed_index`: the entry that confirmed it, 0 before; `acknowledgements`: those of all front
+    ends for it. `return_requested`: an operator has ended the drain.
     """
 
     id: str
--- a/packages/gateway/src/walnutpost/gateway/catalogue.py
+++ b/packages/gateway/src/walnutpost/gateway/catalogue.py
@@ -56,7 +56,7 @@
     def tenant_index(self, name: str | None) -> int:
         """Return the tenant's place in the settings' list.
 
-        That is beyond its end for a call of no tenant, and 0 where there are none. Raises UnknownNameError.
+        It is `len(tenants)` for a call without a tenant, 0 if there are no tenants. Raises UnknownNameError.
         """
         name = name if name is not None else self.default_tenant
         if not self.tenants:
@@ -106,13 +106,16 @@
         return len(self._names) > self._cleanup_above
 
     def retain(self, wanted: Collection[int]) -> None:
-        """Forget all others but those of the start. A name that comes again gets its number again."""
+        """Forget every name except `wanted` and the permanent ones.
+
+        A name that comes again gets its number again, unless its hash collides with another.
+        """
         for number in [n for n in self._names if n not in wanted and n not in self._permanent]:
             del self._numbers[self._names.pop(number)]
         self._cleanup_above = self._cleanup_limit()
 
     def number(self, name: str) -> int:
-        """Return the name's number, a new one at its first use."""
+        """Return the name's number, which is derived from its hash at its first use."""
         known = self._numbers.get(name)
         if known is None:
             known = number_of(name, self._bits)
--- a/packages/gateway/src/walnutpost/gateway/effects.py
+++ b/packages/gateway/src/walnutpost/gateway/effects.py
@@ -19,6 +19,8 @@
 class Send(Message, frozen=True):
     """Send the call to the worker; cancel the attempt after `timeout_us`.
 
+    `caller_id` is the first caller that waits for the call, 0 if there is none.
+
     If `must_persist_intent`, the intent to send must be durable before the first byte leaves. If that byte
     has not left within `begin_within_us` (0: no limit), the attempt must not begin any more and ends as MOOT.
     """
--- a/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
+++ b/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
@@ -1,4 +1,4 @@
-"""Idempotency: which calls are the same call, and its outcome after its end. No I/O, no clock."""
+"""Idempotency: open calls and recent outcomes by the identity of a call. No I/O, no clock."""
 
 from __future__ import annotations
 
--- a/packages/interface/src/walnutpost/interface/settings.py
+++ b/packages/interface/src/walnutpost/interface/settings.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """The weight of a class of requests, and what may be done with them."""
+    """Objectives, deadline, weights and repeat semantics of a class of requests."""
 
     latency_objective_us: int  # the latency that an answer should meet
     deadline_us: int
--- a/packages/replication/src/walnutpost/replication/wire.py
+++ b/packages/replication/src/walnutpost/replication/wire.py
@@ -9,7 +9,7 @@
 from walnutpost.journal import JournalBatch, JournalEntry, JournalOffset
 
 BATCHES_PATH = "/journal/1/copies"  # POST JournalBatch, answered by JournalOffset
-CALLS_PATH = "/journal/1/calls/"  # GET with a call's id after it, answered by CallLines
+CALLS_PATH = "/journal/1/calls/"  # GET with a call's id after it, answered by CallEntries
 ENTRIES_PATH = "/journal/1/lines/"  # GET with ORIGIN/AFTER after it, answered by JournalBatch
 MAX_BATCH_BYTES = 1 << 20  # of entries in one message; a single larger entry is sent alone
 MAX_BODY_BYTES = 16 << 20
--- a/packages/store/src/walnutpost/store/executions.py
+++ b/packages/store/src/walnutpost/store/executions.py
@@ -81,7 +81,10 @@
         return None if accepted_at is None else max(accepted_at, ended_at)
 
     def add(self, execution: Execution, extra_change: Change | None = None) -> None:
-        """Insert a new execution. A failed commit is retried for a part of the call's own time."""
+        """Insert an execution and `extra_change`; nothing changes if its id is already stored.
+
+        A failed commit is retried for a part of the call's own time.
+        """
         values = row_of(self.with_stored_times(execution))
 
         def change(db: sqlite3.Connection) -> None:
--- a/packages/store/src/walnutpost/store/journal.py
+++ b/packages/store/src/walnutpost/store/journal.py
@@ -139,9 +139,9 @@
         self.offsets[write.origin] = max(self.offsets.get(write.origin, 0), write.upto)
 
     def read_batch(self, origin: str, after: int, upto: int, max_bytes: int) -> JournalBatch:
-        """Return the entries in (after, upto], or as many as fit `max_bytes`; at least one.
+        """Return a batch of the entries in (after, upto], or as many as fit `max_bytes`, at least one.
 
-        All up to `upto` must be durable here. Raises StoreError.
+        It is empty if all of them were purged. All up to `upto` must be durable here. Raises StoreError.
         """
         return self._loop.run_blocking(self._read_batch, origin, after, upto, max_bytes)
 
--- a/packages/watch/src/walnutpost/watch/client.py
+++ b/packages/watch/src/walnutpost/watch/client.py
@@ -113,7 +113,7 @@
     def age_us(self) -> int:
         """Return the time since a leader last confirmed that nothing is newer than the store here.
 
-        A relay passes it on. It is a time since the epoch if none ever did.
+        A relay passes it on. If none ever did, it is the time since the start of the event loop's clock.
         """
         return self._loop.now() - self._confirmed_at_us
 
