--- a/packages/consensus/src/walnutpost/consensus/log.py
+++ b/packages/consensus/src/walnutpost/consensus/log.py
@@ -77,7 +77,7 @@
         return index
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Replace the entries that a snapshot (own or a leader's) covers; later ones stay if they follow it."""
+        """Replace the entries that a snapshot (own or leader's) covers; later ones stay if they follow it."""
         if self.term_at(snapshot.index) == snapshot.term:
             self._entries = self._entries[snapshot.index - self.snapshot.index :]
         else:
--- a/packages/testsupport/src/walnutpost/testsupport/journal/records.py
+++ b/packages/testsupport/src/walnutpost/testsupport/journal/records.py
@@ -1,4 +1,4 @@
-"""Records that tests of several modules use."""
+"""Sample records of the journal."""
 
 from __future__ import annotations
 
@@ -13,12 +13,14 @@
 
 
 def accepted(call_id: str, expires_at_us: int = 100) -> CallAccepted:
+    """Return the record of an accepted call."""
     return CallAccepted(
         call_id, f"name-{call_id}", "f", "1", None, b"payload", "digest", 1, expires_at_us, "unsafe", 1
     )
 
 
 def ended(call_id: str, status: str = "SUCCEEDED", ended_at_us: int = 50) -> CallEnded:
+    """Return the record of a call that has ended."""
     return CallEnded(call_id, status, ended_at_us, b"result", "", "")
 
 
--- a/packages/testsupport/src/walnutpost/testsupport/store/disk_faults.py
+++ b/packages/testsupport/src/walnutpost/testsupport/store/disk_faults.py
@@ -41,9 +41,11 @@
         store._db = self  # type: ignore[assignment]
 
     def __getattr__(self, name: str) -> Any:
+        """Return an attribute of the real connection."""
         return getattr(self._real, name)
 
     def execute(self, statement: str, values: Any = ()) -> sqlite3.Cursor:
+        """Run a statement, unless the script lets it fail."""
         if statement.startswith("begin"):
             self._statements.clear()
         if not statement.startswith("rollback") and statement != "pragma user_version":
@@ -52,6 +54,7 @@
         return self._real.execute(statement, values)
 
     def executemany(self, statement: str, rows: Any) -> sqlite3.Cursor:
+        """Run a statement for each row, unless the script lets it fail."""
         rows = list(rows)
         self._fail(statement)
         self._statements += [(statement, row) for row in rows]
@@ -112,7 +115,7 @@
 
 
 def after_a_kill(path: Path) -> Path:
-    """Copy a store's files, as they would be after a kill, into a folder of their own."""
+    """Copy a store's files, as a kill would leave them, into a new folder; return the store's path there."""
     folder = path.parent / "after the kill"
     folder.mkdir()
     for suffix in ("", "-wal"):
@@ -121,7 +124,11 @@
 
 
 class ScriptedFiles(FileCalls):
-    """`fails`: how many of the next calls fail, by name: write, short write, fsync, fsync folder, rename."""
+    """System calls of which some fail.
+
+    `fails`: how many of the next calls fail, by name: write, short write, fsync, fsync folder, rename.
+    `calls`: names of the calls in order.
+    """
 
     def __init__(self) -> None:
         self.fails: dict[str, int] = {}
@@ -134,6 +141,7 @@
             raise OSError(code, os.strerror(code))
 
     def write(self, descriptor: int, data: bytes | memoryview) -> int:
+        """Write, or fail because the disk is full; a short write writes half of the data."""
         if self.fails.get("short write", 0):
             self.fails["short write"] -= 1
             return super().write(descriptor, data[: max(1, len(data) // 2)])
@@ -141,17 +149,20 @@
         return super().write(descriptor, data)
 
     def fsync(self, descriptor: int) -> None:
+        """Flush a file or folder to the disk, or fail with an I/O error."""
         folder = os.path.isdir(f"/proc/self/fd/{descriptor}")
         self._fail("fsync folder" if folder else "fsync", errno.EIO)
         super().fsync(descriptor)
 
     def rename(self, source: Path, target: Path) -> None:
+        """Rename a file, or fail with an I/O error."""
         self._fail("rename", errno.EIO)
         super().rename(source, target)
 
 
 @contextmanager
 def scripted_files() -> Iterator[ScriptedFiles]:
+    """Replace the process's file calls within the context."""
     calls = ScriptedFiles()
     previous = use_file_calls(calls)
     try:
--- a/packages/testsupport/src/walnutpost/testsupport/store/replica_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/store/replica_samples.py
@@ -1,4 +1,4 @@
-"""The objects behind the golden disk of a replica: its vote, log, snapshot, and what was before it."""
+"""Files of control plane replicas that the golden disk holds: vote, log, snapshot and compacted entries."""
 
 from __future__ import annotations
 
@@ -20,17 +20,20 @@
 
 T = TypeVar("T")
 IDENTITY, VOTED, TERM = "k1#aa", "k2#bb", 4
-ALONE = "k1"  # the name of the only replica of its history
-SNAPSHOT_AT = 25  # the index that the snapshot covers; within a release and before a drain
+ALONE = "k1"  # the only replica of a control plane
+SNAPSHOT_AT = 25  # last index of the snapshot; within a release and before a drain
 
 
 class Disk(NamedTuple):
+    """What a replica has stored; `past`: all entries of its log, including those before the snapshot."""
+
     identity: str
     state: PersistentState
     past: list[LogEntry]
 
 
 def disk(identity: str = IDENTITY, members: Members = MEMBERS) -> Disk:
+    """Return a disk with the history of the golden commands, of which the snapshot covers a part."""
     entries = command_samples.history(members)
     fleet = Fleet()
     command_samples.applied(fleet, entries[:SNAPSHOT_AT])
@@ -39,10 +42,12 @@
 
 
 def new_disk() -> Disk:
+    """Return the disk of a replica at its first start."""
     return Disk(IDENTITY, PersistentState(0, "", Snapshot(0, 0, MEMBERS, b""), ()), [])
 
 
 def with_store(path: Path, work: Callable[[ConsensusStore], T]) -> T:
+    """Open the replica's store at `path`, and return the result of `work` on it."""
     loop = Loop()
     store = ConsensusStore(loop, path)
     try:
@@ -52,18 +57,19 @@
 
 
 def sql_of(path: Path) -> str:
+    """Return a SQLite file as SQL text."""
     with closing(sqlite3.connect(path)) as db:
         return "\n".join(db.iterdump()) + "\n"
 
 
 def make_file(path: Path, sql: str) -> None:
-    """A file as the golden one; sqlite's own state, as WAL mode, is set when it is opened."""
+    """Create a file from SQL text; SQLite's file state, such as WAL mode, is set when a store opens it."""
     with closing(sqlite3.connect(path)) as db:
         db.executescript(sql)
 
 
 def written(disk: Disk) -> bytes:
-    """The disk as this version writes it: a first start, its log, and then its snapshot."""
+    """Return the disk as this version writes it: a first start, its log, and then its snapshot."""
     identity, state, past = disk
     with TemporaryDirectory() as folder:
         path = Path(folder) / "replica"
@@ -79,6 +85,7 @@
 
 
 def read(sql: bytes) -> Disk:
+    """Return the disk that a replica reads from SQL text."""
     with TemporaryDirectory() as folder:
         path = Path(folder) / "replica"
         make_file(path, sql.decode())
@@ -94,7 +101,7 @@
 
 
 def rows_of(sql: bytes, like: dict[str, list[str]] | None = None) -> dict[str, Any]:
-    """All rows by table, of all columns or of those that `like` names."""
+    """Return all rows by table, of all columns or of those that `like` names."""
     with closing(sqlite3.connect(":memory:")) as db:
         db.executescript(sql.decode())
         columns = columns_of(db) if like is None else like
@@ -105,6 +112,7 @@
 
 
 def columns_of(db: sqlite3.Connection) -> dict[str, list[str]]:
+    """Return the names of the columns, by table."""
     tables = [
         name for (name,) in db.execute("select name from sqlite_master where type = 'table' order by 1")
     ]
@@ -112,7 +120,7 @@
 
 
 def same_rows(now: bytes, golden: bytes) -> bool:
-    """Whether the golden file's tables and columns hold the same. Later versions may have more of them."""
+    """Whether the golden file's tables and columns hold the same rows; later versions may have more."""
     with closing(sqlite3.connect(":memory:")) as db:
         db.executescript(golden.decode())
         like = columns_of(db)
--- a/packages/testsupport/src/walnutpost/testsupport/store/stored_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/store/stored_samples.py
@@ -1,5 +1,7 @@
-"""The content of the golden stores: what `golden/calls.sql` and `golden/usage.sql` hold, and how today's code
-writes it anew. Other packages' tests open the same files."""
+"""The content of the golden stores `golden/calls.sql` and `golden/usage.sql`, and functions that write it.
+
+Other packages' tests open the same files.
+"""
 
 from __future__ import annotations
 
@@ -101,7 +103,7 @@
     5: AttemptIntended("id-far", 2, "worker-2"),
     6: CallEnded("id-far", "FAILED", NOW + 7, b"error", "Unhandled", "message"),
 }
-DAMAGED = JournalEntry(8, encode_entry(8, CallWithdrawn("id-damaged")).data, 123)  # its checksum is another
+DAMAGED = JournalEntry(8, encode_entry(8, CallWithdrawn("id-damaged")).data, 123)  # with a wrong checksum
 OTHER_ENTRIES = [*(encode_entry(seq, record) for seq, record in OTHER_RECORDS.items()), DAMAGED]
 OTHER_UPTO = 9
 MARKS = {"nightly": NOW, "hourly": NOW, "new": NOW + 2, "lost": NOW, "often": NOW + 9, "full": NOW + 4}
@@ -157,7 +159,7 @@
         loop.run(write)
 
 
-# The ledger of memory-time: one hour by the day, one closed and corrected, one open.
+# The ledger of memory-time: hours folded into a day, an hour closed and corrected, and an open hour.
 
 MB_S = 1_000_000
 SLICE = UsageSlice(
