--- a/packages/testsupport/src/walnutpost/testsupport/controlplane/checked_replica.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/checked_replica.py
@@ -1,4 +1,4 @@
-"""A replica as `walnutpost control-plane` starts it, with a check of its own in place of the settings'."""
+"""A replica as `walnutpost control-plane` starts it, with `check` as the validation of change sets."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def check(store: ConfigStore, mutations: Sequence[Mutation]) -> list[str]:
-    """Limits are numbers up to MAX_LIMIT, and never lowered; everything else is accepted."""
+    """Return the errors of a change set.
+
+    Limits are numbers up to MAX_LIMIT and are never lowered; everything else is accepted.
+    """
     errors = []
     for mutation in mutations:
         kind, _, name = mutation.key.partition("/")
--- a/packages/testsupport/src/walnutpost/testsupport/controlplane/config_harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/config_harness.py
@@ -1,4 +1,4 @@
-"""Replicas as processes with a configuration: changes of it, and a watcher at one replica."""
+"""Replicas as processes with a configuration store, and a watcher of one replica."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from walnutpost.http import Connection, HttpMessageError, Limits, Response
 from walnutpost.testsupport.controlplane.replica_processes import SECOND, ReplicaProcesses
 
-REPLY_TIMEOUT_US = 60 * SECOND  # a test fails then, whatever else
+REPLY_TIMEOUT_US = 60 * SECOND  # a limit for tests; normal replies arrive long before
 
 
 class CheckedProcesses(ReplicaProcesses):
@@ -29,17 +29,20 @@
 
 
 def op(key: str, value: str | None) -> Mutation:
-    """Set or, without a value, delete a key."""
+    """Return a mutation that sets a key or, without a value, deletes it."""
     return Mutation(key, None if value is None else value.encode())
 
 
 def entries(cluster: ReplicaProcesses) -> dict[str, bytes]:
-    """The configuration as a quorum confirms it."""
+    """Return the configuration's entries as a quorum confirms them."""
     return {entry.key: entry.value for entry in cluster.client().entries()[1]}
 
 
 class ReplicaWatcher:
-    """Watches one replica, request by request, as a relay does. `age_us`: by the last response."""
+    """Watches one replica, request by request, as a relay does.
+
+    `age_us`: the age bound of the last response.
+    """
 
     def __init__(self, cluster: ReplicaProcesses, name: str) -> None:
         self.loop: Loop = cluster.loop
@@ -50,7 +53,10 @@
         self.revisions: list[int] = []
 
     def ask(self, wait_timeout_us: int = 0) -> WatchResponse | None:
-        """Raises ControlPlaneUnavailableError."""
+        """Send one watch request and handle its response.
+
+        Return None if the replica has nothing newer. Raises ControlPlaneUnavailableError.
+        """
         try:
             with self.loop.timeout(REPLY_TIMEOUT_US):
                 response = self._exchange(encode(self.state.next_request(wait_timeout_us)))
@@ -75,7 +81,7 @@
             connection.close()
 
     def reach(self, revision: int) -> None:
-        """Ask until the replica has this revision."""
+        """Send requests until the replica has this revision."""
 
         def has_reached() -> bool:
             with suppress(ControlPlaneUnavailableError):
@@ -85,7 +91,7 @@
         self._cluster.wait_until(has_reached)
 
     def become_fresh(self) -> None:
-        """Ask until a leader has just confirmed what this replica has."""
+        """Send requests until a leader has just confirmed the replica's state."""
 
         def is_fresh() -> bool:
             with suppress(ControlPlaneUnavailableError):
--- a/packages/testsupport/src/walnutpost/testsupport/controlplane/disk_simulation.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/disk_simulation.py
@@ -1,4 +1,4 @@
-"""Replicas on real files whose disks fail by script, in one process, and their invariants."""
+"""Replicas in one process on real files with scripted disk faults, and the invariants of the cluster."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 SECOND = 1_000_000
 NAMES = ("k1", "k2", "k3")
 TIMING = Timing(election_timeout_us=400_000, heartbeat_interval_us=50_000)
-MAX_LOG_ENTRIES = 30  # entries: snapshots are taken within a test
+MAX_LOG_ENTRIES = 30  # so few that snapshots are taken within a test
 
 
 class Fault(Enum):
-    """What is visible of a failed commit in the file when it is opened again."""
+    """The part of a failed commit that is visible in the file when it is opened again."""
 
     REFUSED = "nothing of it"
     TORN = "a part of its pages"
@@ -41,14 +41,18 @@
 
 
 def io_error(operation: str) -> sqlite3.OperationalError:
+    """Return the error that SQLite raises for a failed fsync."""
     error = sqlite3.OperationalError(f"disk I/O error: {operation}")
     error.sqlite_errorcode = sqlite3.SQLITE_IOERR_FSYNC
     return error
 
 
 class Disk:
-    """One replica's disk, over all openings of its file. `commit_fault(number)`: how the commit of this
-    number fails; `reopen_fails`: how many further openings and checkpoints fail."""
+    """One replica's disk, over all openings of its file.
+
+    `commit_fault(number)`: how the commit of this number fails. `reopen_fails`: how many further openings
+    and checkpoints fail. `reopen_blocked`: whether all of them fail.
+    """
 
     def __init__(self, seed: int = 0) -> None:
         self.commit_fault: Callable[[int], Fault | None] = lambda _: None
@@ -63,22 +67,24 @@
         self._image: tuple[bytes, bytes] | None = None
 
     def fail_span(self, fault: Fault, commits: int, reopenings: int = 0) -> None:
-        """The next commits fail, and then as many openings."""
+        """Let the next commits fail, and then as many openings as given."""
         first = self.commits
         self.commit_fault = lambda number: fault if first < number <= first + commits else None
         self.reopen_fails = reopenings
 
     def heal(self) -> None:
+        """Stop all faults."""
         self.commit_fault, self.reopen_fails, self.reopen_blocked = lambda _: None, 0, False
 
     def check(self, operation: str) -> None:
+        """Raise StoreError if an opening or checkpoint is to fail now."""
         if self.reopen_blocked or self.reopen_fails > 0:
             self.reopen_fails -= 1
             error = io_error(operation)
             raise StoreError(str(error)) from error
 
     def save(self, path: Path, former_wal_bytes: int, fault: Fault) -> None:
-        """The image that the next opening finds. `former_wal_bytes`: before the failed commit."""
+        """Save the image that the next opening finds; `former_wal_bytes`: size before the commit."""
         self.failures += 1
         wal = _wal(path).read_bytes() if _wal(path).exists() else b""
         size = former_wal_bytes if fault is Fault.REFUSED else len(wal)
@@ -87,6 +93,7 @@
         self._image = path.read_bytes(), wal[:size]
 
     def restore(self, path: Path) -> None:
+        """Put the saved image in place of the file, if there is one."""
         if self._image is None:
             return
         (data, wal), self._image = self._image, None
@@ -102,6 +109,8 @@
 
 
 class FaultyStore(ConsensusStore):
+    """A replica's store on a disk with scripted faults."""
+
     def __init__(self, disk: Disk, loop: Loop, path: Path, max_history_entries: int) -> None:
         self._disk = disk
         disk.reopenings += 1
@@ -123,10 +132,12 @@
         raise io_error("commit")
 
     def make_durable(self) -> None:
+        """Sync the log, unless the disk fails."""
         self._disk.check("sync")
         super().make_durable()
 
     def load(self) -> StoredConsensusState | None:
+        """Load the replica's state; after a reopening, record it with what the main file alone holds."""
         stored = super().load()
         if stored is not None and self._disk.reopenings > 1:
             self._disk.read_back.append((stored.state, _main_file_alone(self._loop, self._path)))
@@ -134,7 +145,7 @@
 
 
 def _main_file_alone(loop: Loop, path: Path) -> PersistentState | None:
-    """What is left where all of the log is lost, which no sync has proven."""
+    """Return the state that is left if the whole log is lost, which no sync has proven durable."""
     copy = path.with_suffix(".copy")
     shutil.copyfile(path, copy)
     store = ConsensusStore(loop, copy)
@@ -148,7 +159,7 @@
 
 
 class ObservedReplica(ControlPlaneReplica):
-    """`votes`: as they are sent, the candidates by term."""
+    """A replica that records votes; `votes`: the candidates by term, as votes are sent."""
 
     votes: dict[int, set[str]]
 
@@ -164,7 +175,7 @@
 
 
 class Cluster:
-    """Three replicas. `check` asserts the invariants."""
+    """Three replicas; `check` asserts the invariants."""
 
     def __init__(self, loop: Loop, folder: Path, seed: int = 0) -> None:
         self.loop, self.folder = loop, folder
@@ -200,6 +211,7 @@
         )
 
     def client(self, *names: str, timeout_us: int = 30 * SECOND) -> ControlPlaneClient:
+        """Return a client of these replicas, or of all."""
         known = {name: self.addresses[name] for name in names or NAMES}
         return ControlPlaneClient(self.loop, known, timeout_us, 2 * SECOND)
 
@@ -209,7 +221,7 @@
         self.acknowledged.append(member)
 
     def register_all(self, members: Iterable[str]) -> Task[None]:
-        """Register members one after another, in a task of its own."""
+        """Register members one after another, in a new task."""
 
         def register_each() -> None:
             for member in members:
@@ -226,23 +238,30 @@
             connection.close()
 
     def wait_until(self, condition: Callable[[], object]) -> None:
+        """Wait until the condition is true, at most 60 s."""
         end = self.loop.now() + 60 * SECOND
         while not condition():
             assert self.loop.now() < end, "the condition was never met"
             self.loop.sleep(10_000)
 
     def leader(self) -> str:
+        """Return the leader's name."""
         return self.client().state()[0].replica
 
     def recoveries(self, name: str) -> int:
+        """Return how often the replica has recovered from a disk failure."""
         return len(self.logs[name].fields("disk_recovered"))
 
     def in_service(self, names: Sequence[str] = NAMES) -> bool:
+        """Whether no disk of these replicas is failing."""
         return not any(self.replicas[name]._context.disk.reason for name in names)
 
     def check(self, names: Sequence[str] = NAMES) -> None:
-        """Call it once the faults are over: everything acknowledged is on each replica, and there is one
-        leader and one vote in a term."""
+        """Check the invariants once the faults are over.
+
+        Everything acknowledged is on each replica, and each term has one leader and one vote of each
+        replica.
+        """
         self.register("last")
         newest = self.client().state()[0].index
         self.wait_until(lambda: all(self._applied_index(name) >= newest for name in names))
@@ -267,11 +286,13 @@
         return -1
 
     def end(self) -> None:
+        """Stop all replicas."""
         for replica in self.replicas.values():
             replica.stop()
 
 
 def play(folder: Path, script: Callable[[Cluster], None], seed: int = 0) -> None:
+    """Run `script` with a new cluster, and fail the test on errors of its tasks."""
     errors: list[str] = []
     loop = Loop(on_error=lambda name, error: errors.append(f"{name}: {error!r}"))
     clusters: list[Cluster] = []
--- a/packages/testsupport/src/walnutpost/testsupport/controlplane/replica_processes.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/replica_processes.py
@@ -1,4 +1,4 @@
-"""Replicas as processes: each reaches each other one through a proxied link, which can be cut or slowed."""
+"""Replicas as processes; each connection between two of them is a proxied link, to be cut or slowed."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ReplicaProcesses:
-    """Three processes of `program`; each reaches each other one through a proxied link of its own."""
+    """Three processes of `program`; each reaches each of the others through a proxied link."""
 
     program: tuple[str, ...] = ("-m", "walnutpost.cli")
     times: dict[str, int] = TIMES
@@ -36,6 +36,7 @@
         self.wait_until(lambda: all(self.address_of(name) for name in NAMES))
 
     def start(self, name: str, *options: str) -> None:
+        """Start a replica's process with these options."""
         self.starts[name] += 1
         at = {n: self.network.address(name, n) for n in NAMES if n != name} | {name: ("127.0.0.1", 1)}
         lines = [{"name": n, "address": "{}:{}".format(*at[n])} for n in NAMES]
@@ -53,6 +54,7 @@
         return self.folder / f"{name}.{self.starts[name]}.log"
 
     def log_lines(self, name: str) -> list[dict[str, str]]:
+        """Return the log events of the replica's present process."""
         out = []
         with suppress(OSError):
             for line in self._log(name).read_text().splitlines():
@@ -61,12 +63,14 @@
         return out
 
     def address_of(self, name: str) -> tuple[str, int] | None:
+        """Return the replica's address, or None while it does not run or listen."""
         if name not in self.running:
             return None
         listening = self._listening(name)
         return None if listening is None else ("127.0.0.1", int(listening["address"].rpartition(":")[2]))
 
     def replica_id(self, name: str) -> str:
+        """Return the identity of the replica, which must have logged it."""
         listening = self._listening(name)
         assert listening is not None
         return listening["replica"]
@@ -76,14 +80,17 @@
         return next((line for line in lines if line["event"] == "control_plane_listening"), None)
 
     def kill(self, name: str) -> None:
+        """Kill the replica's process."""
         process = self.running.pop(name)
         process.kill()
         process.wait()
 
     def signal(self, name: str, number: signal.Signals) -> None:
+        """Send a signal to the replica's process."""
         self.running[name].send_signal(number)
 
     def wait_until(self, condition: Callable[[], object]) -> None:
+        """Wait until the condition is true, at most about 30 s."""
         for _ in range(3000):
             if condition():
                 return
@@ -91,6 +98,7 @@
         raise AssertionError("the condition was never met")
 
     def client(self, *names: str, timeout_us: int = 20 * SECOND) -> ControlPlaneClient:
+        """Return a client of these replicas, or of all, as far as they run."""
         known = {n: w for n in names or NAMES if (w := self.address_of(n)) is not None}
         return ControlPlaneClient(self.loop, known, timeout_us, 2 * SECOND)
 
@@ -105,6 +113,7 @@
         ).stdout
 
     def leader(self, *names: str) -> str:
+        """Wait for a leader among these replicas, or all, and return its name."""
         found = ""
 
         def has_leader() -> bool:
@@ -117,6 +126,7 @@
         return found
 
     def end(self) -> None:
+        """Kill all processes."""
         for name in list(self.running):
             self.kill(name)
 
@@ -124,6 +134,7 @@
 def play(
     folder: Path, script: Callable[[ReplicaProcesses], None], kind: type[ReplicaProcesses] = ReplicaProcesses
 ) -> None:
+    """Run `script` with new processes, which are killed at its end."""
     loop = Loop()
     clusters: list[ReplicaProcesses] = []
 
@@ -139,7 +150,7 @@
 
 
 def create_fleet(cluster: ReplicaProcesses, members: int = 3) -> ControlPlaneClient:
-    """A fleet with a budget of one."""
+    """Register members under a budget of one unavailable front end, and return a client."""
     client = cluster.client()
     client.command("budget", SetBudgets((DisruptionBudget(FRONT_END, max_unavailable=1),)))
     for n in range(members):
--- a/packages/testsupport/src/walnutpost/testsupport/controlplane/request_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/controlplane/request_samples.py
@@ -1,4 +1,4 @@
-"""The objects behind the golden forms of messages of the control plane, between replicas and with clients."""
+"""Messages of the control plane that the golden file holds: between replicas, and with clients."""
 
 from __future__ import annotations
 
@@ -102,13 +102,13 @@
 
 
 def history_answer() -> History:
-    """The response of a replica with the golden history: commands by their types' names, described."""
+    """Return the response of a replica with the golden history; commands are described by type names."""
     results = command_samples.rich_fleet().state.results
     return History(1, tuple(describe_entry(entry, results) for entry in command_samples.history()))
 
 
 def described_commands() -> dict[str, list[str]]:
-    """By golden name of a command: its name and its description in the history."""
+    """Return each golden command's name and description in the history, by its golden name."""
     described = {}
     for name, command in command_samples.COMMANDS.items():
         data = encode_command(command, command_samples.ASKED_AT)
@@ -118,6 +118,7 @@
 
 
 def state_answer() -> ReplicaStatus:
+    """Return the status of a replica that has applied the golden history."""
     fleet = command_samples.rich_fleet()
     pending_verdicts = {"release-1": "1 members of step 1 are not back"}
     state = fleet.snapshot(config_store=False)
@@ -125,11 +126,13 @@
 
 
 def entries_answer() -> ConfigEntries:
+    """Return the configuration's entries after the golden history."""
     store = command_samples.rich_fleet().config_store
     return ConfigEntries(store.revision, tuple(store.entries[key] for key in sorted(store.entries)))
 
 
 def message(value: wire.AnyMessage) -> Form:
+    """Return the form of a message as replicas and clients send it."""
     return Form(value, encode, lambda data: decode(data, type(value)))
 
 
