--- a/packages/testsupport/src/walnutpost/testsupport/consensus/cluster_simulation.py
+++ b/packages/testsupport/src/walnutpost/testsupport/consensus/cluster_simulation.py
@@ -1,5 +1,6 @@
-"""Replicas on virtual time, with disks and a network that lose, duplicate and delay; invariants are checked
-after each step.
+"""Replicas on virtual time, with a simulated network and disks; invariants are checked after each step.
+
+The network loses, duplicates and delays messages; a crash loses writes that are not durable yet.
 """
 
 from __future__ import annotations
@@ -77,6 +78,7 @@
         self.start()
 
     def start(self) -> None:
+        """Start the replica from its durable state, with an empty state machine."""
         self.starts += 1
         seed = self._seed + self.starts
         self.raft: Raft | None = Raft(self.name, self.persistent, TIMING, seed, self._rules)
@@ -86,6 +88,7 @@
 
     @property
     def running(self) -> Raft:
+        """The running replica; fails the test if it has crashed."""
         assert self.raft is not None, f"{self.name} has crashed"
         return self.raft
 
@@ -101,7 +104,10 @@
 
 
 class Cluster:
-    """Replicas and the network between them. `spare`: replicas that know no members yet."""
+    """Replicas and the network between them.
+
+    `spare`: replicas that know no members yet.
+    """
 
     def __init__(
         self,
@@ -125,7 +131,7 @@
 
     @property
     def leader(self) -> str:
-        """The leader of the newest term, empty where there is none."""
+        """The leader of the newest term, empty if there is none."""
         leaders = [raft for raft in self.running() if raft.role is Role.LEADER]
         return max(leaders, key=lambda raft: raft.term).replica_id if leaders else ""
 
@@ -134,14 +140,13 @@
         return [replica.raft for replica in self.replicas.values() if replica.raft is not None]
 
     def raft(self, name: str) -> Raft:
+        """Return a replica that has not crashed."""
         return self.replicas[name].running
 
     def first_due(self, names: Sequence[str]) -> str:
         """Return which of these replicas has the earliest deadline."""
         return min(names, key=lambda name: self.raft(name).next_deadline_us)
 
-    # Single events
-
     def feed(self, name: str, event: Input) -> None:
         """Give a replica an input; one that has crashed misses it."""
         replica = self.replicas[name]
@@ -157,29 +162,35 @@
             self.feed(send.to, MessageReceived(send.to, send.message))
 
     def complete_writes(self, name: str, count: int = 1) -> None:
+        """Make a replica's first writes durable."""
         self.feed(name, WriteCompleted(self.replicas[name].complete_writes(count)))
 
     def crash(self, name: str) -> None:
+        """Stop a replica, which loses the writes that are not durable yet."""
         self.replicas[name].raft = None
 
     def restart(self, name: str) -> None:
+        """Start a replica from its durable state."""
         self.replicas[name].start()
 
     def tick_at_deadline(self, name: str) -> None:
-        """Let time pass until a replica has something to do, and let it do that."""
+        """Advance the time to a replica's deadline, and send it a tick."""
         self.now_us = max(self.now_us + 1, self.raft(name).next_deadline_us)
         self.feed(name, Tick())
 
     def new_id(self) -> str:
+        """Return a new id for an input."""
         self._ids += 1
         return f"c{self._ids}"
 
     def propose(self, name: str) -> str:
+        """Propose a command to a replica, and return the command's id."""
         id = self.new_id()
         self.feed(name, Propose(id, id.encode()))
         return id
 
     def request_read(self, name: str) -> None:
+        """Request a read index from a replica, and record what is committed now."""
         id = f"r{self.new_id()}"
         self.committed_at_request[id] = max(self.committed, default=0)
         self.feed(name, ReadIndex(id))
@@ -189,8 +200,6 @@
         replica = self.replicas[name]
         self.feed(name, Compact(replica.applied, ",".join(replica.state).encode()))
 
-    # Longer sequences
-
     def settle(self, *names: str) -> None:
         """Complete all writes and deliver all messages among these replicas (all by default); drop others."""
         among = names or tuple(self.replicas)
@@ -224,7 +233,7 @@
             self.settle(*names)
 
     def staleness(self, *names: str) -> list[int]:
-        """Return the age bound of each replica's state in heartbeat intervals; fail where it has none."""
+        """Return the age bound of each replica's state in heartbeat intervals; fail if one has none."""
         out = []
         for name in names:
             replica = self.replicas[name]
@@ -233,8 +242,6 @@
             out.append((self.now_us - fresh_as_of_us) // TIMING.heartbeat_interval_us)
         return out
 
-    # Random events
-
     def step(self, random: Random) -> None:
         """Let one random event happen at a random replica."""
         live = [name for name, replica in self.replicas.items() if replica.raft is not None]
@@ -292,8 +299,6 @@
             voters.remove(random.choice(voters))
         return Members(tuple(voters), tuple(learners))
 
-    # Effects and invariants
-
     def _execute(self, replica: Replica, effect: Effect) -> None:
         match effect:
             case Write():
--- a/packages/testsupport/src/walnutpost/testsupport/consensus/message_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/consensus/message_samples.py
@@ -1,4 +1,4 @@
-"""The objects behind the golden forms of replicas' messages and of what is stored of a replica."""
+"""Messages, log entries and snapshots of replicas that the golden file of the protocol holds."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from walnutpost.testsupport.folders import golden_folder
 from walnutpost.testsupport.golden.samples import Form, Golden, packed
 
-# Inputs and effects pass between objects of one process.
+# Inputs and effects pass between objects of one process and are neither sent nor stored.
 NEVER_WRITTEN = (
     consensus.Tick,
     consensus.MessageReceived,
--- a/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
@@ -1,10 +1,12 @@
-"""Synthetic days for a Gateway: callers, repeats and workers, and a record of what went in and out. Run as a
-program it writes the golden files anew, which is right only where decisions are meant to change:
+"""Synthetic days of a Gateway with callers, repeats and workers, and the record of its inputs and effects.
+
+Run as a program, this module writes the golden files again, which is right only if decisions are meant to
+change:
 
     .venv/bin/python -m walnutpost.testsupport.gateway.golden_days
 
-A recorded row is `[start, seed, settings, functions, tenants]` where a Gateway begins, else `[microseconds
-since the row before, input, [effects]]`, all in the form of
+A recorded row is `[start, seed, settings, functions, tenants]` at the start of a Gateway, otherwise
+`[microseconds since the previous row, input, [effects]]`, in the form of
 `walnutpost.testsupport.golden.neutral_values`.
 """
 
@@ -56,15 +58,17 @@
 
 
 def path_of(site: str, seed: int) -> Path:
+    """Return the golden file of a recorded day."""
     return GOLDEN / f"gateway-{site}-{seed}.jsonl.xz"
 
 
 def start_row(site: str, seed: int) -> list[Any]:
+    """Return the row that a recorded day starts with."""
     return [START_ROW, seed, to_neutral(SITES[site]), to_neutral(FUNCTIONS), to_neutral(TENANTS[site])]
 
 
 def make_gateway(row: list[Any]) -> gw.Gateway:
-    """The Gateway that a start row tells of."""
+    """Return the Gateway that a start row describes."""
     _, seed, settings, functions, tenants = row
     catalogue = gw.Catalogue(
         {function.name: function for function in from_neutral(functions)},
@@ -75,7 +79,7 @@
 
 
 class Day(RecordedDay):
-    """One Gateway in its world on virtual time. Every choice is the seed's."""
+    """One Gateway with simulated callers and workers on virtual time; the seed determines each choice."""
 
     def __init__(self, site: str, seed: int) -> None:
         super().__init__(START)
@@ -94,17 +98,18 @@
         self.at(SECOND, self.trouble)
 
     def feed(self, event: gw.Input) -> None:
+        """Give an input to the Gateway, record it with its effects, and carry these out."""
         effects = self.gateway.handle(self.now, event)
         self.record(event, effects)
         for effect in effects:
             self.carry_out(effect)
 
     def feed_later(self, delay: int, event: gw.Input) -> None:
+        """Give an input to the Gateway after `delay` microseconds."""
         self.at(delay, lambda: self.feed(event))
 
-    # What the front end does
-
     def carry_out(self, effect: gw.Effect) -> None:
+        """Carry out an effect as the front end does."""
         match effect:
             case gw.Send():
                 self.start(effect)
@@ -116,13 +121,15 @@
                 self.feed_later(delay, gw.TimerDue(token))
 
     def end(self, done: gw.AttemptEnded) -> None:
+        """End an attempt that is open; at random, report its end twice."""
         if (done.call, done.attempt) in self.out:
             self.out.discard((done.call, done.attempt))
             self.feed(done)
             if self.random.random() < 0.02:
-                self.feed(done)  # a second end of one attempt is passed over
+                self.feed(done)  # the Gateway ignores the second end of an attempt
 
     def start(self, start: gw.Send) -> None:
+        """Start an attempt, and schedule its end with a random outcome."""
         self.out.add((start.call, start.attempt))
         draw = self.random.random()
         done = gw.AttemptEnded(start.call, start.attempt, Outcome.OK, 2 * MS, crowd=int(draw * 4))
@@ -146,9 +153,11 @@
 
     @staticmethod
     def ended(done: gw.AttemptEnded, outcome: Outcome, latency: int) -> gw.AttemptEnded:
+        """Return the end of the same attempt with another outcome and latency."""
         return gw.AttemptEnded(done.call, done.attempt, outcome, latency, crowd=done.crowd)
 
     def order(self, order: gw.LoadOrder) -> None:
+        """Carry out a load order with a random outcome."""
         draw, place = self.random.random(), (order.worker, order.function)
         outcome, took, copies = Outcome.OK, 2 * MS, int(place in self.copies)
         if self.silent_until.get(order.worker, 0) > self.now:
@@ -168,14 +177,14 @@
 
         self.at(took, end)
 
-    # Callers
-
     def arrivals(self) -> None:
+        """Let a call arrive, and schedule the next; in one second of eight arrivals are more frequent."""
         burst = (self.now - START) // SECOND % 8 == 5
         self.call()
         self.at(int(self.random.expovariate((250 if burst else 35) / SECOND)) + 1, self.arrivals)
 
     def call(self) -> None:
+        """Let a random call arrive, whose caller may leave or stop it later."""
         draw = self.random
         self.caller_id += 1
         caller_id, function = self.caller_id, draw.choice(FUNCTIONS[:4] if draw.random() < 0.8 else FUNCTIONS)
@@ -202,9 +211,8 @@
         elif draw.random() < 0.03:
             self.feed_later(draw.randrange(300 * MS), gw.CallStopped(caller_id))
 
-    # The fleet
-
     def tell_list(self, kind: api.ListKind, *names: str) -> None:
+        """Send a list of workers; without names, of all that are not gone."""
         self.version += 1
         told = names or tuple(name for name, state in self.states.items() if state is not GONE)
         lines = tuple(
@@ -214,6 +222,7 @@
         self.feed(gw.WorkersListed(kind, self.version, lines))
 
     def trouble(self) -> None:
+        """Change a random worker's state or connection, and schedule the next change."""
         draw = self.random
         name = draw.choice(list(self.states))
         match draw.choice(("drain", "silent", "restart", "evict", "gone", "new", "ping")):
@@ -240,6 +249,7 @@
 
 
 def record(site: str, seed: int) -> list[Any]:
+    """Return the rows of a new day, with a shutdown near its end."""
     day = Day(site, seed)
     day.run(INPUTS_A_DAY * 9 // 10)
     day.feed(gw.ShuttingDown(2 * SECOND))
