--- a/packages/testsupport/src/walnutpost/testsupport/consensus/faulty_safety_rules.py
+++ b/packages/testsupport/src/walnutpost/testsupport/consensus/faulty_safety_rules.py
@@ -8,14 +8,10 @@
 
 
 class ReleasesBeforePersisted(SafetyRules):
-<<<<<<< HEAD
-    def are_writes_durable(self, state: RaftState) -> bool:
-=======
     """Sends and counts what depends on writes before these are durable."""
 
-    def has_persisted(self, state: RaftState) -> bool:
+    def are_writes_durable(self, state: RaftState) -> bool:
         """Report every state as durable."""
->>>>>>> 147045f (Doc comments of the shared test helpers for consensus and gateway)
         return True
 
 
@@ -86,14 +82,10 @@
 
 
 class DatesContactByTheArrival(SafetyRules):
-<<<<<<< HEAD
-    def leader_quorum_contact_us(self, state: RaftState, message: AppendEntries) -> int | None:
-=======
     """Dates the leader's contact by the arrival of its message."""
 
-    def leader_contact_us(self, state: RaftState, message: AppendEntries) -> int | None:
+    def leader_quorum_contact_us(self, state: RaftState, message: AppendEntries) -> int | None:
         """Return the present time if the message has a contact age."""
->>>>>>> 147045f (Doc comments of the shared test helpers for consensus and gateway)
         return state.now_us if message.quorum_contact_age_us >= 0 else None
 
 
