--- a/packages/testsupport/src/walnutpost/testsupport/configstore/progress_model.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/progress_model.py
@@ -245,7 +245,7 @@
             if n // len(self.relays) % 2:
                 relay.registry.handle_response(heard)
 
-    def agrees(self, n: int) -> None:
+    def agrees(self, _n: int) -> None:
         """Register the members that the leader has found."""
         found = dict(self.office.leader.unregistered_members(self.now))
         self.office.agree(self.now, self.office.agreed | found)
@@ -260,7 +260,7 @@
         gone = self.office.leader.ended_members() if n % 2 else [NAMES[n // 2 % len(NAMES)]]
         self.office.agree(self.now, {m: i for m, i in self.office.agreed.items() if m not in gone})
 
-    def another_leader(self, n: int) -> None:
+    def another_leader(self, _n: int) -> None:
         """Elect another leader, which knows only the registered members."""
         self.deposed = self.office
         self.office = Office(self.progress(self.now, self.revision), {}, self.revision)
--- a/packages/testsupport/src/walnutpost/testsupport/consensus/cluster_simulation.py
+++ b/packages/testsupport/src/walnutpost/testsupport/consensus/cluster_simulation.py
@@ -185,15 +185,15 @@
 
     def propose(self, name: str) -> str:
         """Propose a command to a replica, and return the command's id."""
-        id = self.new_id()
-        self.feed(name, Propose(id, id.encode()))
-        return id
+        command_id = self.new_id()
+        self.feed(name, Propose(command_id, command_id.encode()))
+        return command_id
 
     def request_read(self, name: str) -> None:
         """Request a read index from a replica, and record what is committed now."""
-        id = f"r{self.new_id()}"
-        self.committed_at_request[id] = max(self.committed, default=0)
-        self.feed(name, ReadIndex(id))
+        read_id = f"r{self.new_id()}"
+        self.committed_at_request[read_id] = max(self.committed, default=0)
+        self.feed(name, ReadIndex(read_id))
 
     def compact(self, name: str) -> None:
         """Let a replica replace what it has applied by a snapshot."""
--- a/packages/testsupport/src/walnutpost/testsupport/consensus/faulty_safety_rules.py
+++ b/packages/testsupport/src/walnutpost/testsupport/consensus/faulty_safety_rules.py
@@ -10,7 +10,7 @@
 class ReleasesBeforePersisted(SafetyRules):
     """Sends and counts what depends on writes before these are durable."""
 
-    def are_writes_durable(self, state: RaftState) -> bool:
+    def are_writes_durable(self, _state: RaftState) -> bool:
         """Report every state as durable."""
         return True
 
@@ -36,7 +36,7 @@
 class IgnoresLiveLeader(SafetyRules):
     """Does not ignore vote requests while a leader is live."""
 
-    def has_live_leader(self, state: RaftState) -> bool:
+    def has_live_leader(self, _state: RaftState) -> bool:
         """Report that there is no live leader."""
         return False
 
@@ -44,7 +44,7 @@
 class CommitsOlderTermsByCount(SafetyRules):
     """Commits entries of older terms by the number of replicas that have them."""
 
-    def may_commit(self, state: RaftState, index: int) -> bool:
+    def may_commit(self, _state: RaftState, _index: int) -> bool:
         """Allow each index."""
         return True
 
@@ -52,7 +52,7 @@
 class AllowsAnyMembershipChange(SafetyRules):
     """Accepts membership changes of any size at any time."""
 
-    def membership_change_error(self, state: RaftState, leadership: LeaderState, members: Members) -> str:
+    def membership_change_error(self, _state: RaftState, _leadership: LeaderState, _members: Members) -> str:
         """Report no error."""
         return ""
 
@@ -60,7 +60,7 @@
 class CountsCommitsOfUnknownTerms(SafetyRules):
     """Takes a leader's commit index as a bound before an entry of its term is committed."""
 
-    def knows_all_committed(self, state: RaftState) -> bool:
+    def knows_all_committed(self, _state: RaftState) -> bool:
         """Report that all committed entries are known."""
         return True
 
@@ -68,7 +68,7 @@
 class DatesContactByTheAnswer(SafetyRules):
     """Dates the contact to a quorum by the arrival of the responses, not by the sending of the requests."""
 
-    def quorum_contact_us(self, state: RaftState, answered: Round) -> int:
+    def quorum_contact_us(self, state: RaftState, _answered: Round) -> int:
         """Return the present time."""
         return state.now_us
 
@@ -92,7 +92,7 @@
 class CoversWhatIsNotApplied(SafetyRules):
     """Uses a freshness bound for states that have not applied its index."""
 
-    def is_covered(self, bound: FreshnessBound, applied_index: int) -> bool:
+    def is_covered(self, _bound: FreshnessBound, _applied_index: int) -> bool:
         """Report each bound as covered."""
         return True
 
--- a/packages/testsupport/src/walnutpost/testsupport/fleet/command_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fleet/command_samples.py
@@ -193,8 +193,8 @@
         LogEntry(2, 1, EntryKind.MEMBERS, "found", b"", members),
     ]
     for index, command in enumerate(HISTORY_COMMANDS, FIRST):
-        id, at = _asked(index)
-        entries.append(LogEntry(index, 2, EntryKind.COMMAND, id, encode(command, at)))
+        entry_id, at = _asked(index)
+        entries.append(LogEntry(index, 2, EntryKind.COMMAND, entry_id, encode(command, at)))
     last = entries[-1].index
     entries.append(LogEntry(last + 1, 3, EntryKind.COMMAND, _asked(FIRST)[0], encode(HISTORY_COMMANDS[0])))
     entries.append(LogEntry(last + 2, 3, EntryKind.COMMAND, "another-format", OF_FORMAT_2))
--- a/packages/testsupport/src/walnutpost/testsupport/fleet/state_machine_harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fleet/state_machine_harness.py
@@ -51,10 +51,10 @@
         for version in ("v1", "v2"):
             self.do(StoreVersion(version, version.encode()))
 
-    def do(self, command: Command, id: str = "") -> CommandResult:
+    def do(self, command: Command, command_id: str = "") -> CommandResult:
         """Apply a command at the next index, by default with a new id, and return its result."""
         self.index += 1
-        return self.fleet.apply(self.index, id or f"i{self.index}", encode(command))
+        return self.fleet.apply(self.index, command_id or f"i{self.index}", encode(command))
 
     def ask(self, member: str, plan: str = "", holder: str = "") -> CommandResult:
         """Request a permit for the member."""
