--- a/packages/configstore/tests/test_progress_orders.py
+++ b/packages/configstore/tests/test_progress_orders.py
@@ -25,7 +25,7 @@
     report_changes,
     report_handler,
 )
-from walnutpost.testsupport.configstore.progress_model import STEPS, World
+from walnutpost.testsupport.configstore.progress_model import STEPS, ProgressModel
 
 SIZES = [(500, 100), (2, 1), (1, 2)]
 steps = st.lists(st.tuples(st.integers(0, len(STEPS) - 1), st.integers(0, 999)), min_size=10, max_size=120)
@@ -43,11 +43,11 @@
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(steps)
     def run(chosen: list[tuple[int, int]]) -> None:
-        World().run(chosen)
+        ProgressModel().run(chosen)
 
     run()
     for seed in range(100):  # and long ones, which hypothesis seldom draws
-        World().run(drawn(seed))
+        ProgressModel().run(drawn(seed))
 
 
 def drawn(seed: int) -> list[tuple[int, int]]:
@@ -175,7 +175,7 @@
 
     def run_scenarios() -> None:
         for seed in range(300):
-            World(progress.FleetProgress, registry.MemberRegistry).run(drawn(seed))
+            ProgressModel(progress.FleetProgress, registry.MemberRegistry).run(drawn(seed))
 
     with pytest.raises((AssertionError, KeyError)):
         run_scenarios()
--- a/packages/fleet/tests/test_analysis.py
+++ b/packages/fleet/tests/test_analysis.py
@@ -19,7 +19,7 @@
 )
 from walnutpost.testsupport.fleet.state_machine_harness import (
     LEASE,
-    rig_with,
+    fleet_with,
 )
 
 
@@ -47,14 +47,14 @@
     """A release of twelve front ends in two zones, which report their calls to a leader."""
 
     def __init__(self) -> None:
-        self.fleet_rig = rig_with(12, 0)
+        self.fleet_harness = fleet_with(12, 0)
         self.monitor = FleetMonitor(0, LEASE, AnalysisPolicy(min_calls=100, max_regression=0.02))
         self.calls = {n: CallCounts() for n in self.state.members}
-        self.fleet_rig.do(StartPlan("r", tuple(self.state.members), "v2", (0.5, 1.0), "v1"))
+        self.fleet_harness.do(StartPlan("r", tuple(self.state.members), "v2", (0.5, 1.0), "v1"))
 
     @property
     def state(self) -> FleetState:
-        return self.fleet_rig.fleet.state
+        return self.fleet_harness.fleet.state
 
     def serve(self, failing: Set[str] = frozenset()) -> list[RecordStepVerdict]:
         """Serve a thousand calls at each member, and return the leader's verdicts.
@@ -79,7 +79,7 @@
         plan = self.state.plans["r"]
         names = [m for m in plan.members[: plan.eligible_count()] if m not in plan.completed]
         for name in names:
-            self.fleet_rig.replace(name, "r")
+            self.fleet_harness.replace(name, "r")
             self.calls[name] = CallCounts()
         return names
 
@@ -91,7 +91,7 @@
         release.replace()
         (verdict,) = release.serve()
         assert verdict.passed, verdict.reason
-        release.fleet_rig.do(verdict)
+        release.fleet_harness.do(verdict)
         release.monitor = FleetMonitor(
             1, LEASE, AnalysisPolicy(min_calls=100)
         )  # another leader each time: it knows the committed state
@@ -103,14 +103,14 @@
     release = ReleaseUnderAnalysis()
     first = release.replace()
     (verdict,) = release.serve()
-    release.fleet_rig.do(verdict)
+    release.fleet_harness.do(verdict)
     second = release.replace()
     in_zone_b = {n for n in [*first, *second] if release.state.members[n].zone == "b"}
     (verdict,) = release.serve(in_zone_b)
     assert not verdict.passed
     assert verdict.reason.endswith("in b")
     assert "failed" in verdict.reason
-    release.fleet_rig.do(verdict)
+    release.fleet_harness.do(verdict)
     assert release.state.plans["r"].end_reason.startswith("gone back")
 
 
--- a/packages/fleet/tests/test_draining.py
+++ b/packages/fleet/tests/test_draining.py
@@ -29,26 +29,28 @@
 from walnutpost.testsupport.fleet.state_machine_harness import (
     LEASE,
     begin_drain,
-    rig_with,
+    fleet_with,
 )
 
 
 def test_confirmation_when_a_responsive_front_end_has_not_acknowledged_is_rejected() -> None:
-    rig = rig_with()
-    permit = begin_drain(rig)
-    index = rig.fleet.state.permits[permit].granted_index
+    harness = fleet_with()
+    permit = begin_drain(harness)
+    index = harness.fleet.state.permits[permit].granted_index
     both = (Acknowledgement("f0", "f0.1", index), Acknowledgement("f1", "f1.1", index + 1))
     of_an_earlier_list = Acknowledgement("f2", "f2.1", index - 1)
     of_an_earlier_process = Acknowledgement("f2", "f2.0", index)
     for acknowledgements in (both, (*both, of_an_earlier_list), (*both, of_an_earlier_process)):
-        assert "f2 has not said" in rig.do(ConfirmPermit(permit, acknowledgements)).error
-    rig.do(MarkUnresponsive("f2", "f2.1"))
-    rig.do(RegisterMember("f3", FRONT_END, "a", "f3.1", "v1", follows_endpoints=True))  # after the proposal
-    assert "f3 has not said" in rig.do(ConfirmPermit(permit, both)).error
-    rig.do(RegisterMember("f4", FRONT_END, "a", "f4.1", "v1"))  # follows no list: it acknowledges nothing
-    assert rig.do(ConfirmPermit(permit, (*both, Acknowledgement("f3", "f3.1", index)))).ok
-    assert rig.fleet.state.permits[permit].confirmed_index
-    assert len(rig.fleet.state.permits[permit].acknowledgements) == 3
+        assert "f2 has not said" in harness.do(ConfirmPermit(permit, acknowledgements)).error
+    harness.do(MarkUnresponsive("f2", "f2.1"))
+    harness.do(
+        RegisterMember("f3", FRONT_END, "a", "f3.1", "v1", follows_endpoints=True)
+    )  # after the proposal
+    assert "f3 has not said" in harness.do(ConfirmPermit(permit, both)).error
+    harness.do(RegisterMember("f4", FRONT_END, "a", "f4.1", "v1"))  # follows no list: it acknowledges nothing
+    assert harness.do(ConfirmPermit(permit, (*both, Acknowledgement("f3", "f3.1", index)))).ok
+    assert harness.fleet.state.permits[permit].confirmed_index
+    assert len(harness.fleet.state.permits[permit].acknowledgements) == 3
 
 
 class UncheckedConfirmation(Fleet):
@@ -110,7 +112,7 @@
         self.now_us = 0
         self.stopped_count = 0
         self.follower = follower
-        self.rig = rig_with(4, 2, fleet)
+        self.harness = fleet_with(4, 2, fleet)
         self.front_ends = {f"f{n}": FrontEnd(follower(f"f{n}", f"f{n}.1", True)) for n in range(4)}
         self.monitor = FleetMonitor(0, LEASE, AnalysisPolicy())
         self.deliveries: list[Delivery] = []
@@ -129,18 +131,18 @@
             self._restart(name, f"{name}.{number}")
         elif dice < 0.63:
             self.monitor = FleetMonitor(self.now_us, LEASE, AnalysisPolicy())  # of another leader
-        elif dice < 0.73 and not self.rig.fleet.state.permits:
-            begin_drain(self.rig, self.random.choice(["w0", "w1"]))
+        elif dice < 0.73 and not self.harness.fleet.state.permits:
+            begin_drain(self.harness, self.random.choice(["w0", "w1"]))
         else:
             self._propose()
-        for permit in [p for p in self.rig.fleet.state.permits.values() if p.confirmed_index]:
+        for permit in [p for p in self.harness.fleet.state.permits.values() if p.confirmed_index]:
             self._check_stop(permit, number)
             self.stopped_count += 1
-            release_permit(self.rig.fleet, permit)
+            release_permit(self.harness.fleet, permit)
 
     def _report(self, name: str, front_end: FrontEnd) -> None:
         """Report, and receive the answer or that to an earlier report."""
-        state, follower = self.rig.fleet.state, front_end.follower
+        state, follower = self.harness.fleet.state, front_end.follower
         report = MemberReport(name, follower.incarnation, follower.applied_index)
         is_known = self.monitor.report(self.now_us, report, state)
         delivery = Delivery(front_end, endpoint_snapshot(state, self.now_us, EndpointAges()))
@@ -162,18 +164,18 @@
 
     def _restart(self, name: str, incarnation: str) -> None:
         self.front_ends[name] = FrontEnd(self.follower(name, incarnation, True))
-        self.rig.do(RegisterMember(name, FRONT_END, "a", incarnation, "v1", follows_endpoints=True))
+        self.harness.do(RegisterMember(name, FRONT_END, "a", incarnation, "v1", follows_endpoints=True))
 
     def _propose(self) -> None:
         """Apply most of the leader's proposals; the others are lost."""
-        for command in self.monitor.propose(self.now_us, self.rig.fleet.state):
+        for command in self.monitor.propose(self.now_us, self.harness.fleet.state):
             if self.random.random() < 0.8:
-                self.rig.do(command)
+                self.harness.do(command)
 
     def _check_stop(self, permit: Permit, number: int) -> None:
         for front_end in self.front_ends.values():
             incarnation = front_end.follower.incarnation
-            member = self.rig.fleet.state.members[front_end.follower.member]
+            member = self.harness.fleet.state.members[front_end.follower.member]
             is_responsive = not member.unresponsive and member.incarnation == incarnation
             has_acknowledged = any(each.incarnation == incarnation for each in permit.acknowledgements)
             is_avoided = permit.member in front_end.avoided
--- a/packages/fleet/tests/test_endpoints.py
+++ b/packages/fleet/tests/test_endpoints.py
@@ -12,13 +12,13 @@
 )
 from walnutpost.testsupport.fleet.state_machine_harness import (
     begin_drain,
-    rig_with,
+    fleet_with,
 )
 
 
 def test_merge_given_an_own_list_adds_and_drains_workers_but_removes_none() -> None:
-    rig = rig_with()
-    begin_drain(rig)
+    harness = fleet_with()
+    begin_drain(harness)
     own = [
         ListedEndpoint("w0", "127.0.0.1:9", "a", 0, False),
         ListedEndpoint("w1", "127.0.0.1:2", "a", 800, True),
@@ -26,8 +26,8 @@
     ]
     follower = EndpointFollower("f0", "f0.1", True)
     assert follower.merge(own) == own
-    rig.do(RegisterMember("w2", WORKER, "b", "w2.1", "v1"))  # without an address it cannot be called
-    follower.receive(700, endpoint_snapshot(rig.fleet.state, 0, EndpointAges()), True)
+    harness.do(RegisterMember("w2", WORKER, "b", "w2.1", "v1"))  # without an address it cannot be called
+    follower.receive(700, endpoint_snapshot(harness.fleet.state, 0, EndpointAges()), True)
     by_name = {w.name: w for w in follower.merge(own[1:])}
     assert set(by_name) == {"w0", "w1", "own"}
     assert by_name["w0"] == ListedEndpoint("w0", "127.0.0.1:1", "a", 700, True)
@@ -37,17 +37,17 @@
 def test_worker_age_when_clocks_of_machines_differ_is_the_same_for_a_process() -> None:
     """By a clock that is a day ahead, a worker would be warming up for a day; by a clock
     that is behind, its start would be overlooked."""
-    rig, ages, follower = rig_with(), EndpointAges(), EndpointFollower("f0", "f0.1", True)
+    harness, ages, follower = fleet_with(), EndpointAges(), EndpointFollower("f0", "f0.1", True)
 
     def started_at(front_end_us: int, replica_us: int) -> int:
-        ages.observe(replica_us, rig.fleet.state)
-        follower.receive(front_end_us, endpoint_snapshot(rig.fleet.state, replica_us, ages), True)
+        ages.observe(replica_us, harness.fleet.state)
+        follower.receive(front_end_us, endpoint_snapshot(harness.fleet.state, replica_us, ages), True)
         return next(w.started_at_us for w in follower.merge([]) if w.name == "w0")
 
-    ages.observe(100, rig.fleet.state)
+    ages.observe(100, harness.fleet.state)
     assert started_at(front_end_us=10**9, replica_us=5100) == 10**9 - 5000
-    begin_drain(rig)
+    begin_drain(harness)
     ages = EndpointAges()  # of another replica, which has just started
     assert started_at(front_end_us=10**9 + 7000, replica_us=0) == 10**9 - 5000
-    rig.do(RegisterMember("w0", WORKER, "a", "w0.2", "v1", address="127.0.0.1:1"))
+    harness.do(RegisterMember("w0", WORKER, "a", "w0.2", "v1", address="127.0.0.1:1"))
     assert started_at(front_end_us=10**9 + 9000, replica_us=40) == 10**9 + 9000
--- a/packages/fleet/tests/test_leases.py
+++ b/packages/fleet/tests/test_leases.py
@@ -12,13 +12,13 @@
 )
 from walnutpost.testsupport.fleet.state_machine_harness import (
     LEASE,
-    FleetRig,
-    rig_with,
+    FleetHarness,
+    fleet_with,
 )
 
 
 def test_leases_when_a_leader_is_new_mark_no_member_unresponsive_before_a_full_lease() -> None:
-    members = FleetRig(2).fleet.state.members
+    members = FleetHarness(2).fleet.state.members
     leases = MemberLeases(1000, 100)
     assert leases.check(1099, members) == []
     leases.report(1099, "m0", "m0.1")
@@ -31,9 +31,11 @@
 
 
 def test_leases_when_only_its_agent_reports_mark_a_front_end_unresponsive() -> None:
-    rig = rig_with(1, 0)
+    harness = fleet_with(1, 0)
     monitor = FleetMonitor(0, LEASE, AnalysisPolicy())
     for now in range(0, 3 * LEASE, 100):
-        monitor.report(now, MemberReport("f0", "f0.1"), rig.fleet.state)
-    assert monitor.propose(3 * LEASE, rig.fleet.state) == [MarkUnresponsive("f0", "f0.1")]
-    assert not monitor.report(3 * LEASE, MemberReport("f0", "f0.9", 4), rig.fleet.state), "another process"
+        monitor.report(now, MemberReport("f0", "f0.1"), harness.fleet.state)
+    assert monitor.propose(3 * LEASE, harness.fleet.state) == [MarkUnresponsive("f0", "f0.1")]
+    assert not monitor.report(3 * LEASE, MemberReport("f0", "f0.9", 4), harness.fleet.state), (
+        "another process"
+    )
--- a/packages/fleet/tests/test_permits.py
+++ b/packages/fleet/tests/test_permits.py
@@ -30,7 +30,7 @@
 )
 from walnutpost.fleet.permits import release_permit
 from walnutpost.testsupport.fleet.state_machine_harness import (
-    FleetRig,
+    FleetHarness,
 )
 
 BEGIN_TIMEOUT_US = 1000
@@ -95,7 +95,7 @@
 
     def __init__(self, seed: int, fleet: type[Fleet], holder: type[PermitHolder]) -> None:
         self.random, self.now_us, self.holder = Random(seed), 0, holder
-        self.rig = FleetRig(
+        self.harness = FleetHarness(
             8,
             DisruptionBudget(FRONT_END, max_unavailable=3),
             DisruptionBudget(FRONT_END, "*", max_unavailable=2),
@@ -129,10 +129,10 @@
             self._act(member)
         elif dice < 0.93 and self.halted_at_us is None:
             self.halted_at_us = self.now_us
-            self.rig.do(HaltPlan("try"))
+            self.harness.do(HaltPlan("try"))
         elif self.halted_at_us is not None and dice < 0.95:
             self.halted_at_us = None
-            self.rig.do(ResumePlan())
+            self.harness.do(ResumePlan())
         in_zone_a = sum(int(name[1:]) % 2 == 0 for name in self.unavailable)
         in_zone_b = len(self.unavailable) - in_zone_a
         assert len(self.unavailable) <= 3, "too many"
@@ -143,7 +143,7 @@
         message = self.messages[place]
         if self.random.random() < 0.8:  # otherwise it is delivered again
             self.messages.pop(place)
-        result = self.rig.do(message.command, message.request_id)
+        result = self.harness.do(message.command, message.request_id)
         assert self.first_results.setdefault(message.request_id, result) == result, "answered twice"
         self.answers.append(Answer(message.member, message.request_id, result))
 
@@ -182,8 +182,8 @@
     for _ in range(1500):
         simulation.step()
         max_unavailable = max(max_unavailable, len(simulation.unavailable))
-    restored = Fleet.restore(simulation.rig.fleet.snapshot())
-    assert restored.snapshot() == simulation.rig.fleet.snapshot()
+    restored = Fleet.restore(simulation.harness.fleet.snapshot())
+    assert restored.snapshot() == simulation.harness.fleet.snapshot()
     return max_unavailable
 
 
@@ -212,41 +212,43 @@
 
 
 def test_request_when_permits_and_unresponsive_members_use_up_a_budget_is_rejected() -> None:
-    rig = FleetRig(
+    harness = FleetHarness(
         8,
         DisruptionBudget(FRONT_END, max_unavailable_ratio=0.5),
         DisruptionBudget(FRONT_END, "*", max_unavailable=2),
         DisruptionBudget(WORKER, max_unavailable=0),
     )
-    assert rig.ask("m0").ok
-    rig.do(MarkUnresponsive("m2", "m2.1"))
-    assert "2 of 2 front_ends in a are out: m0, m2" in rig.ask("m4").error
-    assert rig.ask("m2").ok, "an unresponsive member may be replaced"
-    assert rig.ask("m1").ok
-    assert rig.ask("m3").ok
-    assert "4 of 4 front_ends are out" in rig.ask("m5").error or "in b" in rig.ask("m5").error
-    rig.do(RegisterMember("w", WORKER, "a", "w.1"))
-    assert "0 of 0 workers" in rig.ask("w").error
+    assert harness.ask("m0").ok
+    harness.do(MarkUnresponsive("m2", "m2.1"))
+    assert "2 of 2 front_ends in a are out: m0, m2" in harness.ask("m4").error
+    assert harness.ask("m2").ok, "an unresponsive member may be replaced"
+    assert harness.ask("m1").ok
+    assert harness.ask("m3").ok
+    assert "4 of 4 front_ends are out" in harness.ask("m5").error or "in b" in harness.ask("m5").error
+    harness.do(RegisterMember("w", WORKER, "a", "w.1"))
+    assert "0 of 0 workers" in harness.ask("w").error
 
 
 def test_permit_when_others_report_the_member_back_stays_until_its_holder_or_an_operator_ends_it() -> None:
-    rig = FleetRig(2, DisruptionBudget(FRONT_END, max_unavailable=1))
-    permit = rig.ask("m0").permit
-    assert "agent-m0" in rig.ask("m0", holder="another agent").error
+    harness = FleetHarness(2, DisruptionBudget(FRONT_END, max_unavailable=1))
+    permit = harness.ask("m0").permit
+    assert "agent-m0" in harness.ask("m0", holder="another agent").error
     for command in (
         CompletePermit(permit, "another agent", "m0.2"),
         AbandonPermit(permit, "another agent"),
         RegisterMember("m0", FRONT_END, "a", "m0.2"),
         MarkResponsive("m0", "m0.2"),
     ):
-        rig.do(command)
-        assert not rig.ask("m1").ok
-    rig.do(BeginPermit(permit, "agent-m0"))
-    assert not rig.do(AbandonPermit(permit, "agent-m0")).ok, "a member whose holder has begun is unavailable"
-    assert rig.do(RevokePermit(permit, "operator")).ok
-    assert rig.ask("m1").ok
-    rig.do(ForgetMember("m1"))
-    assert rig.ask("m0").ok
+        harness.do(command)
+        assert not harness.ask("m1").ok
+    harness.do(BeginPermit(permit, "agent-m0"))
+    assert not harness.do(AbandonPermit(permit, "agent-m0")).ok, (
+        "a member whose holder has begun is unavailable"
+    )
+    assert harness.do(RevokePermit(permit, "operator")).ok
+    assert harness.ask("m1").ok
+    harness.do(ForgetMember("m1"))
+    assert harness.ask("m0").ok
 
 
 def test_budget_when_its_ratio_is_below_one_member_still_allows_one() -> None:
--- a/packages/fleet/tests/test_replicated_state.py
+++ b/packages/fleet/tests/test_replicated_state.py
@@ -35,7 +35,7 @@
 )
 from walnutpost.fleet.machine import HANDLERS
 from walnutpost.testsupport.fleet.state_machine_harness import (
-    FleetRig,
+    FleetHarness,
 )
 
 
@@ -295,10 +295,10 @@
 
 
 def test_command_when_repeated_gets_its_first_result() -> None:
-    rig = FleetRig(4, DisruptionBudget(FRONT_END, max_unavailable=1))
-    first = rig.do(RequestPermit("m0", "agent", "test"), "x")
+    harness = FleetHarness(4, DisruptionBudget(FRONT_END, max_unavailable=1))
+    first = harness.do(RequestPermit("m0", "agent", "test"), "x")
     assert first.ok
-    assert rig.do(RequestPermit("m0", "agent", "test"), "x") == first
+    assert harness.do(RequestPermit("m0", "agent", "test"), "x") == first
 
 
 @pytest.mark.parametrize(
@@ -307,12 +307,12 @@
     ids=["empty", "no command", "another format"],
 )
 def test_command_when_invalid_changes_nothing(data: bytes) -> None:
-    rig = FleetRig(4, DisruptionBudget(FRONT_END, max_unavailable=1))
-    rig.do(RequestPermit("m0", "agent", "test"), "x")
-    before = rig.fleet.state.permits.copy()
-    assert not rig.fleet.apply(99, "", data).ok
-    assert rig.fleet.state.permits == before
-    assert not rig.fleet.state.halt_reason
+    harness = FleetHarness(4, DisruptionBudget(FRONT_END, max_unavailable=1))
+    harness.do(RequestPermit("m0", "agent", "test"), "x")
+    before = harness.fleet.state.permits.copy()
+    assert not harness.fleet.apply(99, "", data).ok
+    assert harness.fleet.state.permits == before
+    assert not harness.fleet.state.halt_reason
 
 
 def test_each_type_of_command_has_a_handler() -> None:
--- a/packages/testsupport/src/walnutpost/testsupport/configstore/progress_model.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/progress_model.py
@@ -64,7 +64,7 @@
 
 
 @dataclass
-class World:
+class ProgressModel:
     """The processes, the messages in transit, and the revisions that were really applied.
 
     `former`: processes that run on although another has their name. `truth`: applied revisions by member and
@@ -314,31 +314,31 @@
         assert not self.office.leader.unregistered_members(self.now) or len(on) < len(live)
 
 
-STEPS: list[Callable[[World, int], None]] = [
-    World.passes,
-    World.waits,
-    World.change,
-    World.relay_follows,
-    World.acts,
-    World.acts,
-    World.asks,
-    World.asks,
-    World.asks_slowly,
-    World.former_asks,
-    World.arrives,
-    World.moves,
-    World.restarts,
-    World.relay_restarts,
-    World.relay_doubles,
-    World.reports_on,
-    World.report_arrives,
-    World.report_arrives,
-    World.answer_arrives,
-    World.exchanges,
-    World.exchanges,
-    World.agrees,
-    World.agrees_unheard,
-    World.forgets,
-    World.another_leader,
-    World.exchanges_with_the_deposed,
+STEPS: list[Callable[[ProgressModel, int], None]] = [
+    ProgressModel.passes,
+    ProgressModel.waits,
+    ProgressModel.change,
+    ProgressModel.relay_follows,
+    ProgressModel.acts,
+    ProgressModel.acts,
+    ProgressModel.asks,
+    ProgressModel.asks,
+    ProgressModel.asks_slowly,
+    ProgressModel.former_asks,
+    ProgressModel.arrives,
+    ProgressModel.moves,
+    ProgressModel.restarts,
+    ProgressModel.relay_restarts,
+    ProgressModel.relay_doubles,
+    ProgressModel.reports_on,
+    ProgressModel.report_arrives,
+    ProgressModel.report_arrives,
+    ProgressModel.answer_arrives,
+    ProgressModel.exchanges,
+    ProgressModel.exchanges,
+    ProgressModel.agrees,
+    ProgressModel.agrees_unheard,
+    ProgressModel.forgets,
+    ProgressModel.another_leader,
+    ProgressModel.exchanges_with_the_deposed,
 ]
--- a/packages/testsupport/src/walnutpost/testsupport/fleet/state_machine_harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fleet/state_machine_harness.py
@@ -40,7 +40,7 @@
 from walnutpost.fleet.agent_state import InstanceController
 
 
-class FleetRig:
+class FleetHarness:
     """A state machine that applies commands at once."""
 
     def __init__(self, members: int = 6, *budgets: DisruptionBudget, fleet: type[Fleet] = Fleet) -> None:
@@ -72,25 +72,25 @@
 LEASE = 1000  # microseconds
 
 
-def rig_with(fronts: int = 3, workers: int = 2, fleet: type[Fleet] = Fleet) -> FleetRig:
+def fleet_with(fronts: int = 3, workers: int = 2, fleet: type[Fleet] = Fleet) -> FleetHarness:
     """Return a fleet of front ends and workers of which one of each kind may be unavailable."""
-    rig = FleetRig(
+    harness = FleetHarness(
         0,
         DisruptionBudget(WORKER, max_unavailable=1),
         DisruptionBudget(FRONT_END, max_unavailable=1),
         fleet=fleet,
     )
     for n in range(fronts):
-        rig.do(RegisterMember(f"f{n}", FRONT_END, "ab"[n % 2], f"f{n}.1", "v1", follows_endpoints=True))
+        harness.do(RegisterMember(f"f{n}", FRONT_END, "ab"[n % 2], f"f{n}.1", "v1", follows_endpoints=True))
     for n in range(workers):
-        rig.do(RegisterMember(f"w{n}", WORKER, "a", f"w{n}.1", "v1", address=f"127.0.0.1:{n + 1}"))
-    return rig
+        harness.do(RegisterMember(f"w{n}", WORKER, "a", f"w{n}.1", "v1", address=f"127.0.0.1:{n + 1}"))
+    return harness
 
 
-def begin_drain(rig: FleetRig, worker: str = "w0") -> str:
+def begin_drain(harness: FleetHarness, worker: str = "w0") -> str:
     """Obtain a permit for the worker and begin its drain; return the permit's id."""
-    permit = rig.ask(worker).permit
-    rig.do(BeginPermit(permit, f"agent-{worker}"))
+    permit = harness.ask(worker).permit
+    harness.do(BeginPermit(permit, f"agent-{worker}"))
     return permit
 
 
@@ -98,7 +98,7 @@
 SETTINGS = ControllerSettings(begin_timeout_us=5 * SECOND, ready_timeout_us=10 * SECOND)
 
 
-class AgentRig:
+class AgentHarness:
     """One agent, its process and the replicated state.
 
     Versions in `bad` exit at once and never become ready.
@@ -175,12 +175,12 @@
         self.now = until
 
 
-def release(rig: AgentRig, back: str = "v1") -> None:
+def release(harness: AgentHarness, back: str = "v1") -> None:
     """Start a plan that releases `v2` to the member `m`; `back`: the version for a rollback."""
-    rig.apply(StartPlan("r", ("m",), "v2", (1.0,), back))
+    harness.apply(StartPlan("r", ("m",), "v2", (1.0,), back))
 
 
-class WorkerAgentRig(AgentRig):
+class WorkerAgentHarness(AgentHarness):
     """An agent of a worker, beside one front end that acknowledges drains on request."""
 
     kind = WORKER
