--- a/packages/fleet/tests/test_permits.py
+++ b/packages/fleet/tests/test_permits.py
@@ -218,21 +218,24 @@
         DisruptionBudget(FRONT_END, "*", max_unavailable=2),
         DisruptionBudget(WORKER, max_unavailable=0),
     )
-    assert harness.ask("m0").ok
+    assert harness.request_permit("m0").ok
     harness.do(MarkUnresponsive("m2", "m2.1"))
-    assert "2 of 2 front_ends in a are out: m0, m2" in harness.ask("m4").error
-    assert harness.ask("m2").ok, "an unresponsive member may be replaced"
-    assert harness.ask("m1").ok
-    assert harness.ask("m3").ok
-    assert "4 of 4 front_ends are out" in harness.ask("m5").error or "in b" in harness.ask("m5").error
+    assert "2 of 2 front_ends in a are out: m0, m2" in harness.request_permit("m4").error
+    assert harness.request_permit("m2").ok, "an unresponsive member may be replaced"
+    assert harness.request_permit("m1").ok
+    assert harness.request_permit("m3").ok
+    assert (
+        "4 of 4 front_ends are out" in harness.request_permit("m5").error
+        or "in b" in harness.request_permit("m5").error
+    )
     harness.do(RegisterMember("w", WORKER, "a", "w.1"))
-    assert "0 of 0 workers" in harness.ask("w").error
+    assert "0 of 0 workers" in harness.request_permit("w").error
 
 
 def test_permit_when_others_report_the_member_back_stays_until_its_holder_or_an_operator_ends_it() -> None:
     harness = FleetHarness(2, DisruptionBudget(FRONT_END, max_unavailable=1))
-    permit = harness.ask("m0").permit
-    assert "agent-m0" in harness.ask("m0", holder="another agent").error
+    permit = harness.request_permit("m0").permit
+    assert "agent-m0" in harness.request_permit("m0", holder="another agent").error
     for command in (
         CompletePermit(permit, "another agent", "m0.2"),
         AbandonPermit(permit, "another agent"),
@@ -240,15 +243,15 @@
         MarkResponsive("m0", "m0.2"),
     ):
         harness.do(command)
-        assert not harness.ask("m1").ok
+        assert not harness.request_permit("m1").ok
     harness.do(BeginPermit(permit, "agent-m0"))
     assert not harness.do(AbandonPermit(permit, "agent-m0")).ok, (
         "a member whose holder has begun is unavailable"
     )
     assert harness.do(RevokePermit(permit, "operator")).ok
-    assert harness.ask("m1").ok
+    assert harness.request_permit("m1").ok
     harness.do(ForgetMember("m1"))
-    assert harness.ask("m0").ok
+    assert harness.request_permit("m0").ok
 
 
 def test_budget_when_its_ratio_is_below_one_member_still_allows_one() -> None:
--- a/packages/fleet/tests/test_plans.py
+++ b/packages/fleet/tests/test_plans.py
@@ -31,15 +31,15 @@
     assert harness.do(StartPlan("r", names, "v2", (0.5, 1.0))).ok
     plan = harness.fleet.state.plans["r"]
     assert plan.members[:4] == ["m0", "m1", "m2", "m3"], "each zone in turn"
-    assert "step 1" in harness.ask("m1", "r").error
+    assert "step 1" in harness.request_permit("m1", "r").error
     assert not harness.do(RecordStepVerdict("r", 0, True)).ok, "its first member is not back"
     for step, members in enumerate((("m0",), ("m1", "m2", "m3"), ("m4", "m5", "m6", "m7"))):
         for member in members:
             harness.replace(member, "r")
-        assert "done" in harness.ask(members[0], "r").error
+        assert "done" in harness.request_permit(members[0], "r").error
         assert harness.do(RecordStepVerdict("r", step, True)).ok
     assert plan.end_reason == "done"
-    assert not harness.ask("m0", "r").ok
+    assert not harness.request_permit("m0", "r").ok
 
 
 def test_release_when_a_step_fails_is_rolled_back_within_the_same_budgets() -> None:
@@ -48,15 +48,15 @@
     harness.replace("m0", "r")
     harness.do(RecordStepVerdict("r", 0, True))
     harness.replace("m1", "r")
-    permit = harness.ask("m2", "r").permit
+    permit = harness.request_permit("m2", "r").permit
     assert harness.do(RecordStepVerdict("r", 1, False, "a fifth fails")).ok
     state = harness.fleet.state
     assert state.plans["r"].end_reason == "gone back: a fifth fails"
-    assert not harness.ask("m3", "r").ok
+    assert not harness.request_permit("m3", "r").ok
     rollback = state.plans["r.back"]
     assert rollback.version == "v1"
     assert sorted(rollback.members) == ["m0", "m1", "m2"]
-    assert not harness.ask("m0", "r.back").ok, "m2 is still unavailable"
+    assert not harness.request_permit("m0", "r.back").ok, "m2 is still unavailable"
     assert rollback.eligible_count() == 3, "a rollback needs no verdict"
     harness.do(CompletePermit(permit, "agent-m2", "m2.9", "v2"))
     harness.replace("m0", "r.back", "v1")
@@ -72,7 +72,7 @@
     harness.replace("m0", "r", version="v1")  # its agent was restarted: the version was not tried
     assert not harness.fleet.state.plans["r"].completed
     assert not harness.fleet.state.plans["r"].halt_reason
-    permit = harness.ask("m0", "r").permit
+    permit = harness.request_permit("m0", "r").permit
     harness.do(CompletePermit(permit, "agent-m0", "m0.9", "v1", "v2 does not come up"))
     assert harness.fleet.state.plans["r"].end_reason == "gone back: m0: v2 does not come up"
 
@@ -85,9 +85,9 @@
     harness.do(MarkUnresponsive("m5", "m5.1"))
     assert "m4, m5" in harness.fleet.state.plans["d"].halt_reason
     harness.do(MarkResponsive("m5", "m5.1"))
-    assert not harness.ask("m0", "d").ok
+    assert not harness.request_permit("m0", "d").ok
     assert harness.do(ResumePlan("d")).ok
-    assert harness.ask("m0", "d").ok
+    assert harness.request_permit("m0", "d").ok
     harness.do(RegisterMember("w", WORKER, "a", "w.1"))
     harness.do(
         SetBudgets(
@@ -129,7 +129,7 @@
     plans = harness.fleet.state.plans
     assert plans["r"].end_reason == "replaced by b"
     assert plans["b"].members == ["m0"]
-    assert not harness.ask("m1", "r").ok
+    assert not harness.request_permit("m1", "r").ok
     harness.replace("m0", "b", "v1")
     assert plans["b"].end_reason == "done"
     assert harness.do(StartPlan("again", names, "v1")).ok
--- a/packages/testsupport/src/walnutpost/testsupport/configstore/progress_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/progress_fixtures.py
@@ -27,12 +27,12 @@
 
 def tell(now: int, registry: MemberRegistry, leader: FleetProgress, revision: int) -> list[ProgressSummary]:
     """Exchange reports, decoded from their bytes, until there are no changes left; return the reports."""
-    told: list[ProgressSummary] = []
-    while not told or registry.has_changes:
-        told.append(decode(encode(registry.next_summary(now, revision)), ProgressSummary))
-        registry.handle_response(leader.handle_summary(now, told[-1]))
-        assert len(told) < 50
-    return told
+    reports: list[ProgressSummary] = []
+    while not reports or registry.has_changes:
+        reports.append(decode(encode(registry.next_summary(now, revision)), ProgressSummary))
+        registry.handle_response(leader.handle_summary(now, reports[-1]))
+        assert len(reports) < 50
+    return reports
 
 
 def names_of(members: tuple[MemberProgress, ...]) -> list[str]:
--- a/packages/testsupport/src/walnutpost/testsupport/configstore/table_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/configstore/table_samples.py
@@ -210,8 +210,8 @@
 
 def _digests() -> dict[str, list[int]]:
     """Return the bucket of the key and the digest of the entry, by key."""
-    told = ("function/f1", VALUE, 1), ("tenant/t-1", b"", 2**40), ("class/c_1", OTHER_VALUE, 7)
-    return {key: [digests.bucket_of(key), digests.entry_digest(key, value, at)] for key, value, at in told}
+    samples = ("function/f1", VALUE, 1), ("tenant/t-1", b"", 2**40), ("class/c_1", OTHER_VALUE, 7)
+    return {key: [digests.bucket_of(key), digests.entry_digest(key, value, at)] for key, value, at in samples}
 
 
 def _range_digests() -> dict[str, int]:
--- a/packages/testsupport/src/walnutpost/testsupport/fleet/state_machine_harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fleet/state_machine_harness.py
@@ -56,13 +56,13 @@
         self.index += 1
         return self.fleet.apply(self.index, command_id or f"i{self.index}", encode(command))
 
-    def ask(self, member: str, plan: str = "", holder: str = "") -> CommandResult:
+    def request_permit(self, member: str, plan: str = "", holder: str = "") -> CommandResult:
         """Request a permit for the member."""
         return self.do(RequestPermit(member, holder or f"agent-{member}", "test", plan))
 
     def replace(self, member: str, plan: str, version: str = "v2") -> None:
         """Carry out a whole replacement of the member; its next process runs `version`."""
-        permit = self.ask(member, plan)
+        permit = self.request_permit(member, plan)
         assert permit.ok, permit.error
         self.do(BeginPermit(permit.permit, f"agent-{member}"))
         back = CompletePermit(permit.permit, f"agent-{member}", f"{member}.{self.index}", version)
@@ -89,7 +89,7 @@
 
 def begin_drain(harness: FleetHarness, worker: str = "w0") -> str:
     """Obtain a permit for the worker and begin its drain; return the permit's id."""
-    permit = harness.ask(worker).permit
+    permit = harness.request_permit(worker).permit
     harness.do(BeginPermit(permit, f"agent-{worker}"))
     return permit
 
