--- a/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
@@ -93,7 +93,7 @@
         self.silent_until: dict[str, int] = {}
         self.restarted: dict[str, int] = {}
         self.out: set[tuple[int, int]] = set()
-        self.tell_list(api.ListKind.CACHED)
+        self.send_list(api.ListKind.CACHED)
         self.at(0, self.arrivals)
         self.at(SECOND, self.trouble)
 
@@ -211,13 +211,13 @@
         elif draw.random() < 0.03:
             self.feed_later(draw.randrange(300 * MS), gw.CallStopped(caller_id))
 
-    def tell_list(self, kind: api.ListKind, *names: str) -> None:
+    def send_list(self, kind: api.ListKind, *names: str) -> None:
         """Send a list of workers; without names, of all that are not gone."""
         self.version += 1
-        told = names or tuple(name for name, state in self.states.items() if state is not GONE)
+        listed = names or tuple(name for name, state in self.states.items() if state is not GONE)
         lines = tuple(
             gw.ListedWorker(name, len(name) % 2, 0, 0, self.states[name], 1.0, self.restarted.get(name, 0))
-            for name in told
+            for name in listed
         )
         self.feed(gw.WorkersListed(kind, self.version, lines))
 
@@ -228,21 +228,21 @@
         match draw.choice(("drain", "silent", "restart", "evict", "gone", "new", "ping")):
             case "drain":
                 self.states[name] = DRAINING
-                self.tell_list(api.ListKind.DELTA, name)
+                self.send_list(api.ListKind.DELTA, name)
             case "silent":
                 self.silent_until[name] = self.now + draw.randrange(2 * SECOND)
             case "restart":
                 self.states[name], self.restarted[name] = READY, self.now
                 self.copies = {place for place in self.copies if place[0] != name}
-                self.tell_list(api.ListKind.DELTA, name)
+                self.send_list(api.ListKind.DELTA, name)
             case "evict":
                 self.copies = {place for place in self.copies if place[0] != name}
             case "gone" if sum(state is READY for state in self.states.values()) > 3:
                 self.states[name] = GONE
-                self.tell_list(api.ListKind.FULL)
+                self.send_list(api.ListKind.FULL)
             case "new" if len(self.states) < 10:
                 self.states[f"w-{len(self.states)}"] = READY
-                self.tell_list(api.ListKind.FULL)
+                self.send_list(api.ListKind.FULL)
             case "ping":
                 self.feed(gw.ProbeEnded(name, draw.choice([Outcome.OK, Outcome.TIMEOUT]), MS, ()))
         self.at(draw.randrange(SECOND // 2), self.trouble)
