--- a/packages/policy/tests/test_policy_timers.py
+++ b/packages/policy/tests/test_policy_timers.py
@@ -1,4 +1,4 @@
-"""Timers by themselves: the order of those due together, replacement by an earlier time, arming."""
+"""`Timers` in isolation: the order of due timers, replacement by an earlier time, and arming."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 NOW_US = 1_000_000
 TICK_US = SETTINGS.tick_us
-ORDER = [
+KINDS_IN_ORDER = [
     TimerKind.REQUEST_DEADLINE,
     TimerKind.WATCH_ENDPOINTS,
     TimerKind.REFRESH_COPIES,
@@ -20,24 +20,24 @@
 ]
 
 
-def timers_at(now_us: int = NOW_US) -> tuple[DecisionContext, Timers]:
+def make_timers(now_us: int = NOW_US) -> tuple[DecisionContext, Timers]:
     context = DecisionContext(SETTINGS, seed=1)
     context.begin_event(now_us)
     return context, Timers(context)
 
 
 def test_timers_due_at_the_same_time_run_by_kind_and_then_by_subject() -> None:
-    context, timers = timers_at()
-    wanted = [(kind, subject) for kind in ORDER for subject in (3, 8)]
-    for kind, subject in Random(4).sample(wanted, len(wanted)):
+    context, timers = make_timers()
+    expected = [(kind, subject) for kind in KINDS_IN_ORDER for subject in (3, 8)]
+    for kind, subject in Random(4).sample(expected, len(expected)):
         timers.schedule(NOW_US + 2 * TICK_US, kind, subject)
     context.begin_event(NOW_US + 2 * TICK_US)
-    assert list(timers.pop_due()) == wanted
-    assert sorted(TimerKind) == ORDER
+    assert list(timers.pop_due()) == expected
+    assert sorted(TimerKind) == KINDS_IN_ORDER
 
 
-def test_an_earlier_time_replaces_a_later_one_and_a_later_one_does_not() -> None:
-    context, timers = timers_at()
+def test_only_an_earlier_time_replaces_a_scheduled_one() -> None:
+    context, timers = make_timers()
     for ticks in (5, 3, 9):
         timers.schedule(NOW_US + ticks * TICK_US, TimerKind.CHECK_WORKER, 1)
     context.begin_event(NOW_US + 3 * TICK_US)
@@ -46,16 +46,16 @@
     assert not list(timers.pop_due())
 
 
-def test_a_timer_for_the_past_runs_one_tick_from_now() -> None:
-    context, timers = timers_at()
+def test_timer_for_a_past_time_is_due_in_one_tick() -> None:
+    context, timers = make_timers()
     timers.schedule(0, TimerKind.RELEASE_QUEUED, 1)
     assert not list(timers.pop_due())
     timers.arm()
     assert context.actions == [api.SetTimer(TICK_US, TIMER_TOKEN)]
 
 
-def test_only_an_earlier_timer_is_armed_while_one_is_armed() -> None:
-    context, timers = timers_at()
+def test_an_armed_timer_is_replaced_only_by_an_earlier_one() -> None:
+    context, timers = make_timers()
     timers.schedule(NOW_US + 9 * TICK_US, TimerKind.RELEASE_QUEUED, 1)
     timers.arm()
     timers.schedule(NOW_US + 12 * TICK_US, TimerKind.RELEASE_QUEUED, 2)
--- a/packages/policy/tests/test_properties.py
+++ b/packages/policy/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal orders of events; the rules are checked on the actions alone."""
+"""Random sequences of legal events; the rules are checked on the resulting actions alone."""
 
 from __future__ import annotations
 
@@ -11,145 +11,176 @@
 from walnutpost.policy import hash_rank
 from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, worker
 
-RATIONED = replace(
+LIMITED_LOAD_ORDERS = replace(
     SETTINGS,
     guards=replace(
         SETTINGS.guards, free_load_orders=2.0, load_orders_per_request=0.2, load_order_window_us=5 * SECOND
     ),
 )
-SITES = st.builds(
-    lambda loads, parallel: replace(
-        RATIONED, loads_on_miss=loads, limits=replace(RATIONED.limits, may_run_parallel_attempts=parallel)
+SETTINGS_VARIANTS = st.builds(
+    lambda loads_on_miss, may_run_in_parallel: replace(
+        LIMITED_LOAD_ORDERS,
+        loads_on_miss=loads_on_miss,
+        limits=replace(LIMITED_LOAD_ORDERS.limits, may_run_parallel_attempts=may_run_in_parallel),
     ),
     st.booleans(),
     st.booleans(),
 )
+# The kind of a step (repeated letters are drawn more often), a random pick, and a duration in microseconds.
 STEP = st.tuples(st.sampled_from("rrrreeeehhtlg"), st.integers(0, 10_000), st.integers(0, 2_000_000))
 NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT, api.Outcome.MISS}
-KINDS = [o for o in api.Outcome if o is not api.Outcome.OK] + [api.Outcome.OK] * 8
+OUTCOMES = [o for o in api.Outcome if o is not api.Outcome.OK] + [api.Outcome.OK] * 8
 
 
-class Referee:
-    """Plays the outside and notes every action against the rules."""
+class RuleChecker:
+    """Simulates the clients and workers of a router, and checks each of its actions against the rules."""
 
     def __init__(self, site: api.Settings, seed: int) -> None:
         self.site = site
-        self.rig = Rig(workers=4, settings=site, seed=seed)
-        self.open: dict[int, tuple[int, int]] = {}
-        self.attempts: dict[int, list[api.Outcome | None]] = {}
-        self.out: list[tuple[int, int, int]] = []
-        self.orders_out: list[api.LoadOrder] = []
-        self.ordered: list[int] = []
-        self.taken: list[int] = []
-        self.states = dict.fromkeys(range(1, 5), api.WorkerState.READY)
-        self.timers: list[int] = []
+        self.harness = Rig(workers=4, settings=site, seed=seed)
+        self.open_requests: dict[int, tuple[int, int]] = {}  # unanswered requests: class index and deadline
+        self.attempts: dict[int, list[api.Outcome | None]] = {}  # outcomes by request, None in flight
+        self.in_flight_attempts: list[tuple[int, int, int]] = []  # request, attempt and worker
+        self.open_orders: list[api.LoadOrder] = []
+        self.order_times_us: list[int] = []
+        self.request_times_us: list[int] = []
+        self.worker_states = dict.fromkeys(range(1, 5), api.WorkerState.READY)
+        self.timer_times_us: list[int] = []
 
     def check(self, actions: list[api.Action]) -> None:
-        now = self.rig.now
+        """Check actions against the rules and record what they start."""
+        now_us = self.harness.now
         for action in actions:
             match action:
-                case api.Send(rid, wid, timeout):
-                    cls, expires = self.open[rid]
-                    assert self.states[wid] is api.WorkerState.READY
-                    assert now < expires
-                    assert 0 < timeout <= expires - now
-                    earlier = self.attempts[rid]
-                    assert len(earlier) < self.site.limits.max_attempts
-                    if self.site.classes[cls].effect is api.Effect.UNSAFE:
-                        assert all(o in NEVER_RAN for o in earlier)
+                case api.Send(request_id, worker_id, timeout_us):
+                    class_index, deadline_us = self.open_requests[request_id]
+                    assert self.worker_states[worker_id] is api.WorkerState.READY
+                    assert now_us < deadline_us
+                    assert 0 < timeout_us <= deadline_us - now_us
+                    outcomes = self.attempts[request_id]
+                    assert len(outcomes) < self.site.limits.max_attempts
+                    if self.site.classes[class_index].effect is api.Effect.UNSAFE:
+                        assert all(o in NEVER_RAN for o in outcomes)
                     if not self.site.limits.may_run_parallel_attempts:
-                        assert None not in earlier
-                    self.out.append((rid, len(earlier), wid))
-                    earlier.append(None)
-                case api.Reject(rid, _) | api.Fail(rid):
-                    cls, _ = self.open.pop(rid)  # a second answer finds nothing
-                    if isinstance(action, api.Reject) and self.site.classes[cls].effect is api.Effect.UNSAFE:
-                        assert all(o in NEVER_RAN for o in self.attempts[rid])
-                case api.LoadOrder(wid, _, copies):
-                    self.orders_out.append(action)
+                        assert None not in outcomes
+                    self.in_flight_attempts.append((request_id, len(outcomes), worker_id))
+                    outcomes.append(None)
+                case api.Reject(request_id, _) | api.Fail(request_id):
+                    class_index, _ = self.open_requests.pop(request_id)  # KeyError on a second answer
+                    if (
+                        isinstance(action, api.Reject)
+                        and self.site.classes[class_index].effect is api.Effect.UNSAFE
+                    ):
+                        assert all(o in NEVER_RAN for o in self.attempts[request_id])
+                case api.LoadOrder(worker_id, _, copies):
+                    self.open_orders.append(action)
                     if copies:
-                        assert self.states[wid] is api.WorkerState.READY
-                        self.ordered.append(now)
-                        g = self.site.guards
-                        used = len([t for t in self.ordered if t >= now - g.load_order_window_us])
-                        took = len([t for t in self.taken if t > now - g.load_order_window_us])
-                        assert used <= g.free_load_orders + g.load_orders_per_request * took
-                case api.Cancel(rid, number):
-                    assert number < len(self.attempts[rid])
-                case api.SetTimer(delay, _):
-                    assert delay > 0
-                    self.timers.append(now + delay)
+                        assert self.worker_states[worker_id] is api.WorkerState.READY
+                        self.order_times_us.append(now_us)
+                        guards = self.site.guards
+                        order_count = len(
+                            [t for t in self.order_times_us if t >= now_us - guards.load_order_window_us]
+                        )
+                        request_count = len(
+                            [t for t in self.request_times_us if t > now_us - guards.load_order_window_us]
+                        )
+                        assert (
+                            order_count
+                            <= guards.free_load_orders + guards.load_orders_per_request * request_count
+                        )
+                case api.Cancel(request_id, attempt):
+                    assert attempt < len(self.attempts[request_id])
+                case api.SetTimer(delay_us, _):
+                    assert delay_us > 0
+                    self.timer_times_us.append(now_us + delay_us)
 
-    def sums_hold(self) -> None:
-        """What the router keeps as it goes equals what it would find by looking at everything afresh."""
-        router = self.rig.router
+    def check_totals(self) -> None:
+        """Check the values that the router updates incrementally against a fresh computation."""
+        router = self.harness.router
         assert (
             router.endpoints.total_in_flight
-            == len(self.out)
+            == len(self.in_flight_attempts)
             == sum(w.in_flight for w in router.endpoints.workers.values())
         )
         assert router.endpoints.total_weight == sum(w.weight for w in router.endpoints.workers.values())
-        for fn in router.functions.by_key.values():
-            afresh = sorted(
+        for function in router.functions.by_key.values():
+            expected_order = sorted(
                 (w for w in router.endpoints.workers.values() if w.is_ready),
-                key=lambda w: -hash_rank(fn.key, w.info.id, router.endpoints.weight_of(w.info)),
+                key=lambda w: -hash_rank(function.key, w.info.id, router.endpoints.weight_of(w.info)),
             )
-            assert router.endpoints.hash_order(fn) == afresh
+            assert router.endpoints.hash_order(function) == expected_order
 
-    def advance(self, span: int) -> None:
-        end = self.rig.now + span
-        while due := [t for t in self.timers if t <= end]:
-            self.rig.now = max(self.rig.now, min(due))
-            self.timers.remove(min(due))
-            self.check(self.rig.feed(api.TimerDue(1)))
-        self.rig.now = end
-        for rid, (_, expires) in self.open.items():
-            assert expires + self.site.guards.answer_slack_us >= end, f"request {rid} was lost"
+    def advance(self, duration_us: int) -> None:
+        """Advance the clock and run due timers; each open request must be answered by its deadline."""
+        end_us = self.harness.now + duration_us
+        while due := [t for t in self.timer_times_us if t <= end_us]:
+            self.harness.now = max(self.harness.now, min(due))
+            self.timer_times_us.remove(min(due))
+            self.check(self.harness.feed(api.TimerDue(1)))
+        self.harness.now = end_us
+        for request_id, (_, deadline_us) in self.open_requests.items():
+            assert deadline_us + self.site.guards.answer_slack_us >= end_us, f"request {request_id} was lost"
 
-    def step(self, kind: str, pick: int, span: int) -> None:
-        self.advance(span if kind == "t" else span // 40)
+    def step(self, kind: str, pick: int, duration_us: int) -> None:
+        """Advance the clock and feed one event.
+
+        Kinds: r request, e end of an attempt, h end of a load order, t timers only, l endpoint list,
+        g request cancelled.
+        """
+        self.advance(duration_us if kind == "t" else duration_us // 40)
         if kind == "r":
-            rid, cls, left = len(self.attempts) + 1, pick % 2, 100_000 + (pick * 331) % 2_900_000
-            self.open[rid], self.attempts[rid] = (cls, self.rig.now + left), []
-            self.taken.append(self.rig.now)
-            event = api.RequestArrived(rid, cls, 0, pick % 5, left, None, 300.0, 1 + pick % 2, 0, False)
-            self.check(self.rig.feed(event))
-        elif kind == "e" and self.out:
-            rid, number, wid = self.out.pop(pick % len(self.out))
-            outcome = KINDS[pick % len(KINDS)]
-            self.attempts[rid][number] = outcome
-            done = outcome is api.Outcome.OK or rid not in self.open
-            if done:
-                self.open.pop(rid, None)
+            request_id, class_index, time_left_us = (
+                len(self.attempts) + 1,
+                pick % 2,
+                100_000 + (pick * 331) % 2_900_000,
+            )
+            self.open_requests[request_id], self.attempts[request_id] = (
+                (class_index, self.harness.now + time_left_us),
+                [],
+            )
+            self.request_times_us.append(self.harness.now)
+            event = api.RequestArrived(
+                request_id, class_index, 0, pick % 5, time_left_us, None, 300.0, 1 + pick % 2, 0, False
+            )
+            self.check(self.harness.feed(event))
+        elif kind == "e" and self.in_flight_attempts:
+            request_id, attempt, worker_id = self.in_flight_attempts.pop(pick % len(self.in_flight_attempts))
+            outcome = OUTCOMES[pick % len(OUTCOMES)]
+            self.attempts[request_id][attempt] = outcome
+            is_finished = outcome is api.Outcome.OK or request_id not in self.open_requests
+            if is_finished:
+                self.open_requests.pop(request_id, None)
             warmth = api.Warmth(pick % 4)
-            ended = api.AttemptEnded(rid, number, wid, outcome, 50_000, done, warmth, 0, ())
-            self.check(self.rig.feed(ended))
-        elif kind == "h" and self.orders_out:
-            order = self.orders_out.pop(pick % len(self.orders_out))
+            ended = api.AttemptEnded(
+                request_id, attempt, worker_id, outcome, 50_000, is_finished, warmth, 0, ()
+            )
+            self.check(self.harness.feed(ended))
+        elif kind == "h" and self.open_orders:
+            order = self.open_orders.pop(pick % len(self.open_orders))
             outcome = [api.Outcome.OK, api.Outcome.OK, api.Outcome.FULL, api.Outcome.RESET][pick % 4]
             ended_order = api.LoadOrderEnded(order.worker, order.function, outcome, 400_000, pick % 3)
-            self.check(self.rig.feed(ended_order))
+            self.check(self.harness.feed(ended_order))
         elif kind == "l":
-            wid, state = 1 + pick % 4, list(api.WorkerState)[pick % 3]
-            self.states[wid] = state
-            started = self.rig.now if pick % 2 else 0
-            self.check(self.rig.list_workers(api.ListKind.DELTA, worker(wid, state, started)))
-        elif kind == "g" and self.open:
-            rid = list(self.open)[pick % len(self.open)]
-            del self.open[rid]
-            self.check(self.rig.feed(api.RequestCancelled(rid)))
+            worker_id, state = 1 + pick % 4, list(api.WorkerState)[pick % 3]
+            self.worker_states[worker_id] = state
+            started_at_us = self.harness.now if pick % 2 else 0
+            self.check(self.harness.list_workers(api.ListKind.DELTA, worker(worker_id, state, started_at_us)))
+        elif kind == "g" and self.open_requests:
+            request_id = list(self.open_requests)[pick % len(self.open_requests)]
+            del self.open_requests[request_id]
+            self.check(self.harness.feed(api.RequestCancelled(request_id)))
 
 
 @settings(
     max_examples=150, deadline=None, derandomize=True, database=None, suppress_health_check=list(HealthCheck)
 )
-@given(SITES, st.integers(0, 1000), st.lists(STEP, min_size=20, max_size=150))
-def test_rules_hold_under_any_order_of_events(
+@given(SETTINGS_VARIANTS, st.integers(0, 1000), st.lists(STEP, min_size=20, max_size=150))
+def test_rules_hold_for_any_sequence_of_events(
     site: api.Settings, seed: int, steps: list[tuple[str, int, int]]
 ) -> None:
-    referee = Referee(site, seed)
+    checker = RuleChecker(site, seed)
     for step in steps:
-        referee.step(*step)
-        referee.sums_hold()
-    referee.advance(4 * SECOND)
-    assert not referee.open, "a request was never answered"
+        checker.step(*step)
+        checker.check_totals()
+    checker.advance(4 * SECOND)
+    assert not checker.open_requests, "a request was never answered"
--- a/packages/policy/tests/test_router_golden.py
+++ b/packages/policy/tests/test_router_golden.py
@@ -1,4 +1,4 @@
-"""The Router decides as when the golden days were recorded: every action, in order, to the microsecond."""
+"""Replays the golden files: the Router must give every recorded action, in order, to the microsecond."""
 
 from __future__ import annotations
 
@@ -11,40 +11,42 @@
 from walnutpost import interface as api
 from walnutpost.policy import Router
 from walnutpost.testsupport.golden.neutral_values import KINDS, from_neutral, neutral_of_each, read_lines
-from walnutpost.testsupport.policy.golden_days import GOLDEN, RECORDED, START_ROW, path_of
+from walnutpost.testsupport.policy.golden_days import GOLDEN_DIR, RECORDINGS, START_MARKER, golden_path
 
-NEVER_DECIDED = {api.Unload, api.Probe, api.CloseIdleConnections, api.FetchEndpoints}
+UNUSED_ACTIONS = {api.Unload, api.Probe, api.CloseIdleConnections, api.FetchEndpoints}
 
 
-def first_difference(rows: list[Any]) -> str:
-    """Replays the rows; the first one whose actions differ, or nothing."""
-    router, now = None, 0
+def find_first_difference(rows: list[Any]) -> str:
+    """Replay the rows; describe the first one with different actions, or return an empty string."""
+    router, now_us = None, 0
     for number, row in enumerate(rows):
-        if row[0] == START_ROW:
+        if row[0] == START_MARKER:
             router = Router(from_neutral(row[2]), row[1])
             continue
         assert router is not None
-        now += row[0]
-        actions = neutral_of_each(router.handle(now, from_neutral(row[1])))
+        now_us += row[0]
+        actions = neutral_of_each(router.handle(now_us, from_neutral(row[1])))
         if actions != row[2]:
-            return f"row {number} at {now}: {row[1]} gave {actions}, recorded {row[2]}"
+            return f"row {number} at {now_us} us: {row[1]} gave {actions}, recorded {row[2]}"
     return ""
 
 
-@pytest.mark.parametrize(("site", "seed"), RECORDED)
-def test_recorded_inputs_give_the_recorded_actions(site: str, seed: int) -> None:
-    assert first_difference(read_lines(path_of(site, seed))) == ""
+@pytest.mark.parametrize(("site", "seed"), RECORDINGS)
+def test_recorded_events_give_the_recorded_actions(site: str, seed: int) -> None:
+    assert find_first_difference(read_lines(golden_path(site, seed))) == ""
 
 
-def test_the_recordings_have_every_kind_of_event_and_each_action_that_is_ever_decided() -> None:
+def test_recordings_contain_every_event_type_and_every_action_type_in_use() -> None:
     seen: Counter[type[Any]] = Counter()
-    for site, seed in RECORDED:
-        for row in read_lines(path_of(site, seed)):
-            for value in (row[1], *row[2]) if row[0] != START_ROW else ():
+    for site, seed in RECORDINGS:
+        for row in read_lines(golden_path(site, seed)):
+            for value in (row[1], *row[2]) if row[0] != START_MARKER else ():
                 seen[KINDS[value[1]][0]] += 1
-    wanted = {*typing.get_args(api.Event), *typing.get_args(api.Action)} - NEVER_DECIDED
-    assert wanted == set(seen)
+    expected = {*typing.get_args(api.Event), *typing.get_args(api.Action)} - UNUSED_ACTIONS
+    assert expected == set(seen)
 
 
-def test_no_golden_recording_is_left_out() -> None:
-    assert {path.name for path in GOLDEN.iterdir()} == {path_of(*day).name for day in RECORDED}
+def test_every_golden_file_is_replayed() -> None:
+    assert {path.name for path in GOLDEN_DIR.iterdir()} == {
+        golden_path(*recording).name for recording in RECORDINGS
+    }
--- a/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
@@ -1,11 +1,11 @@
-"""Synthetic days for a Router: a small fleet, its clients in a closed loop, and a record of both sides.
+"""Records golden files of a Router: its events and actions in simulations of a fleet and its clients.
 
-Run as a program it writes the golden files again, which is right only where decisions are meant to change:
+Run as a program, this module overwrites the golden files. Do that only if decisions are meant to change:
 
     .venv/bin/python -m walnutpost.testsupport.policy.golden_days
 
-A recorded row is `[start, seed, settings]` where a Router begins, else `[microseconds since the row before,
-event, [actions]]`, all in the form of `walnutpost.testsupport.golden.neutral_values`.
+A row is `["start", seed, settings]` when a Router starts, and otherwise `[microseconds since the row before,
+event, [actions]]`, encoded by `walnutpost.testsupport.golden.neutral_values`.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from walnutpost.testsupport.policy.harness import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
 from walnutpost.testsupport.policy.recorded_day import RecordedDay
 
-GOLDEN = golden_folder("policy")
-START = 100 * SECOND
-MS = 1000
-INPUTS_A_DAY = 3000
-START_ROW = "start"
-TROUBLES = (
+GOLDEN_DIR = golden_folder("policy")
+START_US = 100 * SECOND
+MILLISECOND_US = 1000
+INPUTS_PER_RECORDING = 3000
+START_MARKER = "start"
+FLEET_EVENTS = (  # drawn at random; a repeated entry is drawn more often
     "drain",
     "drain",
     "silent",
@@ -45,19 +45,26 @@
 READY, DRAINING, GONE = api.WorkerState.READY, api.WorkerState.DRAINING, api.WorkerState.GONE
 Outcome = api.Outcome
 
-STREAM = replace(SAFE, is_stream=True, priority_weight=0.5, latency_objective_us=SECOND // 2)
-CELL_KEYED = replace(KEYED, group=api.Group.CELL, repeat_window_us=SECOND // 2)
-CLASSES = (SAFE, UNSAFE, KEYED, STREAM, CELL_KEYED, replace(KEYED, group=api.Group.ALL, priority_weight=0.3))
-RATION = replace(
+STREAM_CLASS = replace(SAFE, is_stream=True, priority_weight=0.5, latency_objective_us=SECOND // 2)
+CELL_KEYED_CLASS = replace(KEYED, group=api.Group.CELL, repeat_window_us=SECOND // 2)
+CLASSES = (
+    SAFE,
+    UNSAFE,
+    KEYED,
+    STREAM_CLASS,
+    CELL_KEYED_CLASS,
+    replace(KEYED, group=api.Group.ALL, priority_weight=0.3),
+)
+LOAD_LIMIT_GUARDS = replace(
     SETTINGS.guards, free_load_orders=4.0, load_orders_per_request=0.25, load_order_window_us=2 * SECOND
 )
-BASE = replace(SETTINGS, classes=CLASSES, keep_alive_us=4 * SECOND, load_order_timeout_us=3 * SECOND)
+BASE_SETTINGS = replace(SETTINGS, classes=CLASSES, keep_alive_us=4 * SECOND, load_order_timeout_us=3 * SECOND)
 
-SITES: dict[str, api.Settings] = {
-    "plain": BASE,
+SETTINGS_BY_SITE: dict[str, api.Settings] = {
+    "plain": BASE_SETTINGS,
     "rationed": replace(
-        BASE,
-        guards=RATION,
+        BASE_SETTINGS,
+        guards=LOAD_LIMIT_GUARDS,
         tenants=(api.Tenant(0.5, 0.0), api.Tenant(0.3, 0.0), api.Tenant(0.2, 0.0)),
         front_ends=4,
         index=2,
@@ -65,8 +72,8 @@
         report_fields=("busy", "queue"),
     ),
     "ideal": replace(
-        BASE,
-        guards=replace(RATION, watch_within_us=SECOND),
+        BASE_SETTINGS,
+        guards=replace(LOAD_LIMIT_GUARDS, watch_within_us=SECOND),
         is_ideal_network=True,
         loads_on_miss=True,
         front_ends=3,
@@ -75,12 +82,12 @@
         must_watch_endpoints=True,
     ),
     "restarting": replace(
-        BASE,
+        BASE_SETTINGS,
         guards=replace(
-            RATION, free_load_orders=3.0, load_orders_per_request=0.4, watch_within_us=SECOND // 2
+            LOAD_LIMIT_GUARDS, free_load_orders=3.0, load_orders_per_request=0.4, watch_within_us=SECOND // 2
         ),
         limits=api.Limits(False, True, False, False, 3, SECOND),
-        prices=replace(BASE.prices, probe=0.2),
+        prices=replace(BASE_SETTINGS.prices, probe=0.2),
         front_ends=2,
         memory_mb_by_kind=(512.0, 2048.0),
         must_watch_endpoints=True,
@@ -88,373 +95,414 @@
         report_fields=("in_flight", "busy"),
     ),
     "calm": replace(
-        BASE,
-        guards=replace(RATION, free_load_orders=3.0, load_orders_per_request=0.5),
-        tick_us=MS,
+        BASE_SETTINGS,
+        guards=replace(LOAD_LIMIT_GUARDS, free_load_orders=3.0, load_orders_per_request=0.5),
+        tick_us=MILLISECOND_US,
         front_ends=6,
         index=3,
     ),
     "unloading": replace(
-        BASE, may_order_loads=False, reports_warmth=False, front_ends=12, index=5, keep_alive_us=0
+        BASE_SETTINGS, may_order_loads=False, reports_warmth=False, front_ends=12, index=5, keep_alive_us=0
     ),
 }
 
 
 @dataclass(slots=True, eq=False)
 class SyntheticWorker:
-    """A worker of the day, with what it has loaded and how it fails at present."""
+    """A simulated worker: its copies, its load and its present faults."""
 
     info: api.Worker
-    copies: set[int] = field(default_factory=set)
-    busy: int = 0
-    slowness: float = 1.0
-    failing: float = 0.0
-    silent_until: int = 0
-    refuses: bool = False
+    copies: set[int] = field(default_factory=set)  # functions that are loaded
+    in_flight: int = 0
+    latency_factor: float = 1.0
+    error_ratio: float = 0.0
+    silent_until_us: int = 0
+    refuses_connections: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class SyntheticRequest:
-    """A request of the day, with the workers of its attempts."""
+    """A simulated request and its attempts."""
 
     event: api.RequestArrived
-    class_: api.RequestClass
-    attempts: list[int | None] = field(default_factory=list)  # the worker of each that is still out
-    closed: bool = False
+    request_class: api.RequestClass
+    attempts: list[int | None] = field(default_factory=list)  # the worker, or None once the attempt has ended
+    is_closed: bool = False
 
 
-class Day(RecordedDay):
-    """One Router in its world on virtual time. Every choice is the seed's."""
+class RouterSimulation(RecordedDay):
+    """Simulates the clients and workers of one Router on virtual time; the seed determines each choice."""
 
-    def __init__(self, site: api.Settings, seed: int, calm: bool = False) -> None:
-        """`calm`: few requests, fast answers, and now and then most workers silent at once."""
-        super().__init__(START)
+    def __init__(self, settings: api.Settings, seed: int, is_low_traffic: bool = False) -> None:
+        """With `is_low_traffic`, requests are few, answers fast, and sometimes most workers fall silent."""
+        super().__init__(START_US)
         self.random = Random(seed * 7919 + 11)
-        self.calm = calm
-        self.next_request = 0
-        self.next_worker = 0
-        self.version = 0
+        self.is_low_traffic = is_low_traffic
+        self.last_request_id = 0
+        self.last_worker_id = 0
+        self.list_version = 0
         self.workers: dict[int, SyntheticWorker] = {}
         self.requests: dict[int, SyntheticRequest] = {}
-        self.begin(site, seed)
+        self.start_incarnation(settings, seed)
         for _ in range(8):
             self.add_worker(started=0)
-        self.tell_list(api.ListKind.CACHED)
-        self.at(0, self.arrivals)
-        self.at(SECOND, self.trouble)
+        self.send_worker_list(api.ListKind.CACHED)
+        self.at(0, self.generate_arrivals)
+        self.at(SECOND, self.inject_fleet_event)
 
-    # Time and the record
+    # Events and virtual time
 
-    def begin(self, site: api.Settings, seed: int) -> None:
-        """Begin a new life of the front end: nothing of the former one comes back to it."""
-        self.site, self.router = site, Router(site, seed)
-        self.life = len(self.rows)
+    def start_incarnation(self, settings: api.Settings, seed: int) -> None:
+        """Start a new incarnation of the front end; the results of the previous one are lost."""
+        self.settings, self.router = settings, Router(settings, seed)
+        self.incarnation = len(self.rows)  # unique, as each incarnation adds rows
         self.requests.clear()
-        self.rows.append([START_ROW, seed, to_neutral(site)])
+        self.rows.append([START_MARKER, seed, to_neutral(settings)])
 
     def feed(self, event: api.Event) -> None:
-        """Feed an event to the router, record it and carry out its actions."""
+        """Pass an event to the router, record it, and carry out the actions."""
         actions = self.router.handle(self.now, event)
         self.record(event, actions)
         for action in actions:
             self.carry_out(action)
 
-    def feed_later(self, delay: int, event: api.Event, life: int | None = None) -> None:
-        """Feed an event after `delay`, unless the front end has begun another life by then."""
-        life = self.life if life is None else life
-        self.at(delay, lambda: self.feed(event) if self.life == life else None)
+    def feed_later(self, delay_us: int, event: api.Event, incarnation: int | None = None) -> None:
+        """Feed an event after a delay, unless the front end has restarted since."""
+        incarnation = self.incarnation if incarnation is None else incarnation
+        self.at(delay_us, lambda: self.feed(event) if self.incarnation == incarnation else None)
 
-    # The front end's actions
+    # Actions of the router
 
     def carry_out(self, action: api.Action) -> None:
-        """Do what the router has decided."""
+        """Carry out an action as the front end would."""
         match action:
             case api.Send():
-                self.attempt(action)
+                self.start_attempt(action)
             case api.Reject(request) | api.Fail(request):
-                self.close(request)
+                self.close_request(request)
                 if self.random.random() < 0.3:
-                    self.at(action.retry_after_us if isinstance(action, api.Reject) else MS, self.repeat_one)
-            case api.Cancel(request, number):
-                life = self.life
+                    self.at(
+                        action.retry_after_us if isinstance(action, api.Reject) else MILLISECOND_US,
+                        self.send_repeat,
+                    )
+            case api.Cancel(request, attempt):
+                incarnation = self.incarnation
                 self.at(
-                    MS,
-                    lambda: self.end_attempt(request, number, Outcome.CANCELLED, 0)
-                    if life == self.life
+                    MILLISECOND_US,
+                    lambda: self.end_attempt(request, attempt, Outcome.CANCELLED, 0)
+                    if incarnation == self.incarnation
                     else None,
                 )
-            case api.SetTimer(delay, token):
-                self.feed_later(delay, api.TimerDue(token))
+            case api.SetTimer(delay_us, token):
+                self.feed_later(delay_us, api.TimerDue(token))
             case api.LoadOrder():
-                self.order(action)
+                self.start_load_order(action)
             case api.WatchEndpoints():
                 kind = self.random.choices([api.ListKind.FULL, api.ListKind.FAILED], [4, 1])[0]
-                self.at(20 * MS, lambda: self.tell_list(kind))
+                self.at(20 * MILLISECOND_US, lambda: self.send_worker_list(kind))
 
-    def close(self, request: int) -> None:
-        """Note that a request has ended."""
+    def close_request(self, request: int) -> None:
+        """Mark a request as closed."""
         if request in self.requests:
-            self.requests[request].closed = True
+            self.requests[request].is_closed = True
 
-    def attempt(self, send: api.Send) -> None:
-        """Carry out an attempt: choose how it ends, and when."""
+    def start_attempt(self, send: api.Send) -> None:
+        """Start an attempt and schedule its end; a stream also starts its answer halfway."""
         request, worker = self.requests[send.request], self.workers[send.worker]
-        number, life = len(request.attempts), self.life
+        attempt, incarnation = len(request.attempts), self.incarnation
         request.attempts.append(send.worker)
-        worker.busy += 1
-        outcome, latency, warmth = self.fate_of_attempt(request, worker, send)
-        if request.class_.is_stream and outcome is Outcome.OK and latency > 4 * MS:
-            started = api.AnswerStarted(send.request, number, send.worker, latency // 2)
+        worker.in_flight += 1
+        outcome, latency_us, warmth = self.choose_attempt_result(request, worker, send)
+        if request.request_class.is_stream and outcome is Outcome.OK and latency_us > 4 * MILLISECOND_US:
+            started = api.AnswerStarted(send.request, attempt, send.worker, latency_us // 2)
 
             def start() -> None:
-                if life == self.life and request.attempts[number] is not None and not request.closed:
-                    request.closed = True
+                if (
+                    incarnation == self.incarnation
+                    and request.attempts[attempt] is not None
+                    and not request.is_closed
+                ):
+                    request.is_closed = True
                     self.feed(started)
 
-            self.at(latency // 2, start)
+            self.at(latency_us // 2, start)
 
         def end() -> None:
-            worker.busy -= 1
-            if life == self.life:
-                self.end_attempt(send.request, number, outcome, latency, warmth)
+            worker.in_flight -= 1
+            if incarnation == self.incarnation:
+                self.end_attempt(send.request, attempt, outcome, latency_us, warmth)
 
-        self.at(latency, end)
+        self.at(latency_us, end)
 
-    def fate_of_attempt(
+    def choose_attempt_result(
         self, request: SyntheticRequest, worker: SyntheticWorker, send: api.Send
     ) -> tuple[Outcome, int, api.Warmth]:
-        """Return an attempt's outcome, its latency and how warm the worker was."""
+        """Choose the outcome and latency of an attempt, and the warmth that the worker reports."""
         draw, function = self.random.random(), request.event.function
-        untold = api.Warmth.UNREPORTED
-        if worker.silent_until > self.now:
+        unreported = api.Warmth.UNREPORTED
+        if worker.silent_until_us > self.now:
             if draw < 0.1:
-                return Outcome.RESET, 50 * MS, untold
-            return Outcome.TIMEOUT, send.timeout_us, untold
-        if worker.refuses or worker.info.state is GONE:
-            return Outcome.CONNECT_FAILED, MS, untold
+                return Outcome.RESET, 50 * MILLISECOND_US, unreported
+            return Outcome.TIMEOUT, send.timeout_us, unreported
+        if worker.refuses_connections or worker.info.state is GONE:
+            return Outcome.CONNECT_FAILED, MILLISECOND_US, unreported
         if send.begin_within_us and draw < 0.01:
-            return Outcome.MOOT, min(send.begin_within_us, send.timeout_us), untold
-        if draw < worker.failing:
-            return Outcome.ERROR, 20 * MS, untold
+            return Outcome.MOOT, min(send.begin_within_us, send.timeout_us), unreported
+        if draw < worker.error_ratio:
+            return Outcome.ERROR, 20 * MILLISECOND_US, unreported
         if draw > 0.995:
-            return Outcome.RESET, 30 * MS, untold
-        if worker.busy > 24:
-            return Outcome.FULL, 2 * MS, untold
-        base_ms = 5 if self.calm else 40
-        service = int(
-            (base_ms + self.random.expovariate(1 / base_ms)) * MS * worker.slowness * (1 + worker.busy / 6)
+            return Outcome.RESET, 30 * MILLISECOND_US, unreported
+        if worker.in_flight > 24:
+            return Outcome.FULL, 2 * MILLISECOND_US, unreported
+        base_ms = 5 if self.is_low_traffic else 40
+        service_us = int(
+            (base_ms + self.random.expovariate(1 / base_ms))
+            * MILLISECOND_US
+            * worker.latency_factor
+            * (1 + worker.in_flight / 6)
         )
         if function in worker.copies:
-            return Outcome.OK, min(service, send.timeout_us), api.Warmth.WARM
-        if not self.site.loads_on_miss and self.site.may_order_loads:
-            return Outcome.MISS, 2 * MS, untold
+            return Outcome.OK, min(service_us, send.timeout_us), api.Warmth.WARM
+        if not self.settings.loads_on_miss and self.settings.may_order_loads:
+            return Outcome.MISS, 2 * MILLISECOND_US, unreported
         if draw > 0.97:
-            return Outcome.ERROR, 100 * MS, api.Warmth.LOAD_FAILED
+            return Outcome.ERROR, 100 * MILLISECOND_US, api.Warmth.LOAD_FAILED
         worker.copies.add(function)
         warmth = api.Warmth.STARTED_LOAD if draw < 0.8 else api.Warmth.JOINED_LOAD
-        return Outcome.OK, min(service + SECOND // 3, send.timeout_us), warmth
+        return Outcome.OK, min(service_us + SECOND // 3, send.timeout_us), warmth
 
     def end_attempt(
         self,
-        rid: int,
-        number: int,
+        request_id: int,
+        attempt: int,
         outcome: Outcome,
-        latency: int,
+        latency_us: int,
         warmth: api.Warmth = api.Warmth.UNREPORTED,
     ) -> None:
-        """Feed the end of an attempt, unless it was cancelled."""
-        request = self.requests[rid]
-        wid = request.attempts[number]
-        if wid is None:
+        """Feed the end of an attempt, unless it has ended already."""
+        request = self.requests[request_id]
+        worker_id = request.attempts[attempt]
+        if worker_id is None:
             return
-        request.attempts[number] = None
+        request.attempts[attempt] = None
         if outcome is Outcome.OK or (outcome is Outcome.ERROR and self.random.random() < 0.2):
-            request.closed = True
-        worker = self.workers[wid]
-        load = worker.busy / 12
-        report = tuple(round(load + place, 3) for place in range(len(self.site.report_fields)))
-        told = warmth if self.site.reports_warmth else api.Warmth.UNREPORTED
-        crowd = worker.busy if self.site.reports_crowd else 0
-        self.feed(api.AttemptEnded(rid, number, wid, outcome, latency, request.closed, told, crowd, report))
-
-    def order(self, hold: api.LoadOrder) -> None:
-        """Carry out a load order or a poll: choose how it ends, and when."""
-        worker, draw = self.workers[hold.worker], self.random.random()
-        took, copies, outcome = 2 * MS, int(hold.function in worker.copies), Outcome.OK
-        if worker.silent_until > self.now:
-            outcome, took = (
-                (Outcome.TIMEOUT, self.site.load_order_timeout_us) if draw < 0.7 else (Outcome.RESET, 60 * MS)
+            request.is_closed = True
+        worker = self.workers[worker_id]
+        load = worker.in_flight / 12
+        report = tuple(round(load + place, 3) for place in range(len(self.settings.report_fields)))
+        reported_warmth = warmth if self.settings.reports_warmth else api.Warmth.UNREPORTED
+        crowd = worker.in_flight if self.settings.reports_crowd else 0
+        self.feed(
+            api.AttemptEnded(
+                request_id,
+                attempt,
+                worker_id,
+                outcome,
+                latency_us,
+                request.is_closed,
+                reported_warmth,
+                crowd,
+                report,
             )
-        elif worker.refuses or worker.info.state is GONE:
-            outcome, took = Outcome.CONNECT_FAILED, MS
-        elif hold.copies:
+        )
+
+    def start_load_order(self, order: api.LoadOrder) -> None:
+        """Start a load order or a probe and schedule its end."""
+        worker, draw = self.workers[order.worker], self.random.random()
+        latency_us, copies, outcome = 2 * MILLISECOND_US, int(order.function in worker.copies), Outcome.OK
+        if worker.silent_until_us > self.now:
+            outcome, latency_us = (
+                (Outcome.TIMEOUT, self.settings.load_order_timeout_us)
+                if draw < 0.7
+                else (Outcome.RESET, 60 * MILLISECOND_US)
+            )
+        elif worker.refuses_connections or worker.info.state is GONE:
+            outcome, latency_us = Outcome.CONNECT_FAILED, MILLISECOND_US
+        elif order.copies:
             outcome = self.random.choices(
                 [Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.MOOT, Outcome.MISS],
                 [24, 2, 1, 1, 1, 1],
             )[0]
-            took = int((200 + 300 * draw) * MS) if outcome is Outcome.OK else 5 * MS
-            copies = hold.copies if outcome is Outcome.OK else 0
-        life = self.life
+            latency_us = (
+                int((200 + 300 * draw) * MILLISECOND_US) if outcome is Outcome.OK else 5 * MILLISECOND_US
+            )
+            copies = order.copies if outcome is Outcome.OK else 0
+        incarnation = self.incarnation
 
         def end() -> None:
-            if outcome is Outcome.OK and hold.copies:
-                worker.copies.add(hold.function)
-            if life == self.life:
-                self.feed(api.LoadOrderEnded(hold.worker, hold.function, outcome, took, copies, hold.copies))
+            if outcome is Outcome.OK and order.copies:
+                worker.copies.add(order.function)
+            if incarnation == self.incarnation:
+                self.feed(
+                    api.LoadOrderEnded(
+                        order.worker, order.function, outcome, latency_us, copies, order.copies
+                    )
+                )
 
-        self.at(took, end)
+        self.at(latency_us, end)
 
     # Clients
 
-    def arrivals(self) -> None:
-        """Feed requests at a pace that rises and falls, with bursts above what the fleet can serve."""
-        phase = (self.now - START) // SECOND % 12
-        pace = 25.0 if self.calm else {3: 120.0, 7: 400.0, 8: 400.0}.get(phase, 30.0)
-        self.ask()
-        self.at(int(self.random.expovariate(pace / SECOND)) + 1, self.arrivals)
-
-    def ask(self, repeat: bool = False) -> None:
-        """Feed a request of a random class and function."""
-        draw = self.random
-        self.next_request += 1
-        index = draw.choices(range(len(CLASSES)), [8, 3, 3, 2, 1, 1])[0]
-        function = min(int(draw.paretovariate(0.8)), 24)
-        class_ = self.site.classes[index]
-        left = draw.choice([class_.deadline_us, class_.deadline_us // 3, class_.latency_objective_us // 2])
-        if draw.random() < 0.01:
-            left = 0
+    def generate_arrivals(self) -> None:
+        """Send a request and schedule the next; the rate varies, with bursts that overload the fleet."""
+        phase = (self.now - START_US) // SECOND % 12
+        requests_per_s = 25.0 if self.is_low_traffic else {3: 120.0, 7: 400.0, 8: 400.0}.get(phase, 30.0)
+        self.send_request()
+        self.at(int(self.random.expovariate(requests_per_s / SECOND)) + 1, self.generate_arrivals)
+
+    def send_request(self, is_repeat: bool = False) -> None:
+        """Send a request of a random class and function; some are cancelled later."""
+        random = self.random
+        self.last_request_id += 1
+        index = random.choices(range(len(CLASSES)), [8, 3, 3, 2, 1, 1])[0]
+        function = min(int(random.paretovariate(0.8)), 24)
+        request_class = self.settings.classes[index]
+        time_left_us = random.choice(
+            [
+                request_class.deadline_us,
+                request_class.deadline_us // 3,
+                request_class.latency_objective_us // 2,
+            ]
+        )
+        if random.random() < 0.01:
+            time_left_us = 0
         event = api.RequestArrived(
-            self.next_request,
+            self.last_request_id,
             index,
-            draw.randrange(4),
+            random.randrange(4),
             function,
-            left,
-            draw.choice([None, 60 * MS, 90 * MS]),
+            time_left_us,
+            random.choice([None, 60 * MILLISECOND_US, 90 * MILLISECOND_US]),
             300.0,
             float(1 + function % 3),
-            (function % 4) * 150 * MS,
-            repeat,
-            draw.choice([0, 0, 500, 4 * MS]),
+            (function % 4) * 150 * MILLISECOND_US,
+            is_repeat,
+            random.choice([0, 0, 500, 4 * MILLISECOND_US]),
         )
-        self.requests[event.request] = SyntheticRequest(event, class_)
+        self.requests[event.request] = SyntheticRequest(event, request_class)
         self.feed(event)
-        if draw.random() < 0.03:
-            life = self.life
+        if random.random() < 0.03:
+            incarnation = self.incarnation
             self.at(
-                draw.randrange(200 * MS), lambda: self.leave(event.request) if life == self.life else None
+                random.randrange(200 * MILLISECOND_US),
+                lambda: self.cancel_request(event.request) if incarnation == self.incarnation else None,
             )
 
-    def repeat_one(self) -> None:
-        """Feed a request that a client repeats."""
-        self.ask(repeat=True)
+    def send_repeat(self) -> None:
+        """Send a request that is marked as a repeat."""
+        self.send_request(is_repeat=True)
 
-    def leave(self, request: int) -> None:
-        """Feed the departure of the client that waits for a request."""
-        if not self.requests[request].closed:
-            self.requests[request].closed = True
+    def cancel_request(self, request: int) -> None:
+        """Cancel a request that is still open."""
+        if not self.requests[request].is_closed:
+            self.requests[request].is_closed = True
             self.feed(api.RequestCancelled(request))
 
     # The fleet
 
     def add_worker(self, started: int) -> None:
-        """Add a worker that started at this time."""
-        self.next_worker += 1
-        wid = self.next_worker * 101
-        weight = 1.0 + self.next_worker % 3 * 0.5
-        info = api.Worker(wid, wid % 3, wid % 2, wid % 5, READY, weight, started)
-        self.workers[wid] = SyntheticWorker(info)
-
-    def tell_list(self, kind: api.ListKind, *changed: api.Worker) -> None:
-        """Feed a list of workers, whole or of the changed ones."""
-        self.version += 1
+        """Add a ready worker with the given start time."""
+        self.last_worker_id += 1
+        worker_id = self.last_worker_id * 101
+        weight = 1.0 + self.last_worker_id % 3 * 0.5
+        info = api.Worker(worker_id, worker_id % 3, worker_id % 2, worker_id % 5, READY, weight, started)
+        self.workers[worker_id] = SyntheticWorker(info)
+
+    def send_worker_list(self, kind: api.ListKind, *changed: api.Worker) -> None:
+        """Feed an endpoint list: all workers if the kind is full or cached, else the given ones."""
+        self.list_version += 1
         listed = changed
         if kind in (api.ListKind.CACHED, api.ListKind.FULL):
             listed = tuple(w.info for w in self.workers.values() if w.info.state is not GONE)
-        self.feed(api.WorkersListed(kind, self.version, listed))
+        self.feed(api.WorkersListed(kind, self.list_version, listed))
 
-    def change(self, worker: SyntheticWorker, **changes: Any) -> None:
-        """Change what the lists say of a worker, and feed a list."""
+    def update_worker(self, worker: SyntheticWorker, **changes: Any) -> None:
+        """Change the list entry of a worker and feed the update."""
         worker.info = replace(worker.info, **changes)
         if self.random.random() < 0.7:
-            self.tell_list(api.ListKind.DELTA, worker.info)
+            self.send_worker_list(api.ListKind.DELTA, worker.info)
         else:
-            self.tell_list(api.ListKind.FULL)
-
-    def restart(self, worker: SyntheticWorker) -> None:
-        """Restart a worker: its copies are gone, and its failures."""
-        worker.copies, worker.refuses, worker.silent_until = set(), False, 0
-        self.change(worker, state=READY, started_at=self.now)
-
-    def trouble(self) -> None:
-        """Something befalls a worker, or comes that a front end may pass over."""
-        draw = self.random
-        worker = draw.choice(list(self.workers.values()))
-        match draw.choice(TROUBLES):
+            self.send_worker_list(api.ListKind.FULL)
+
+    def restart_worker(self, worker: SyntheticWorker) -> None:
+        """Restart a worker without copies, reachable again."""
+        worker.copies, worker.refuses_connections, worker.silent_until_us = set(), False, 0
+        self.update_worker(worker, state=READY, started_at=self.now)
+
+    def inject_fleet_event(self) -> None:
+        """Inject a random fault or an unusual event, and schedule the next."""
+        random = self.random
+        worker = random.choice(list(self.workers.values()))
+        match random.choice(FLEET_EVENTS):
             case "drain":
-                self.change(worker, state=DRAINING)
-                self.at(draw.randrange(2 * SECOND), lambda: self.restart(worker))
-            case "silent" if self.calm:
-                for one in draw.sample(list(self.workers.values()), len(self.workers) * 3 // 4):
-                    one.silent_until = self.now + draw.randrange(SECOND, 3 * SECOND)
+                self.update_worker(worker, state=DRAINING)
+                self.at(random.randrange(2 * SECOND), lambda: self.restart_worker(worker))
+            case "silent" if self.is_low_traffic:
+                for silent_worker in random.sample(list(self.workers.values()), len(self.workers) * 3 // 4):
+                    silent_worker.silent_until_us = self.now + random.randrange(SECOND, 3 * SECOND)
             case "silent":
-                worker.silent_until = self.now + draw.randrange(3 * SECOND)
+                worker.silent_until_us = self.now + random.randrange(3 * SECOND)
             case "slow":
-                worker.slowness = draw.choice([1.0, 2.0, 5.0])
+                worker.latency_factor = random.choice([1.0, 2.0, 5.0])
             case "fail":
-                worker.failing = draw.choice([0.0, 0.1, 0.6])
+                worker.error_ratio = random.choice([0.0, 0.1, 0.6])
             case "evict":
                 worker.copies.clear()
             case "restart":
-                worker.refuses = True
-                self.at(SECOND // 2, lambda: self.restart(worker))
+                worker.refuses_connections = True
+                self.at(SECOND // 2, lambda: self.restart_worker(worker))
             case "gone" if sum(w.info.state is READY for w in self.workers.values()) > 4:
-                self.change(worker, state=GONE)
+                self.update_worker(worker, state=GONE)
             case "new" if len(self.workers) < 14:
                 self.add_worker(started=self.now)
-                self.tell_list(api.ListKind.FULL)
+                self.send_worker_list(api.ListKind.FULL)
             case "probe":
-                outcome = draw.choice([Outcome.OK, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
-                report = tuple(0.5 for _ in self.site.report_fields)
-                self.feed(api.ProbeEnded(worker.info.id, outcome, MS, report))
+                outcome = random.choice([Outcome.OK, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
+                report = tuple(0.5 for _ in self.settings.report_fields)
+                self.feed(api.ProbeEnded(worker.info.id, outcome, MILLISECOND_US, report))
             case "peer":
-                self.feed(api.PeerMessage(draw.randrange(4), bytes(draw.randrange(256) for _ in range(6))))
+                self.feed(
+                    api.PeerMessage(random.randrange(4), bytes(random.randrange(256) for _ in range(6)))
+                )
             case "list":
-                self.tell_list(draw.choice([api.ListKind.FAILED, api.ListKind.FULL]))
-            case "stray":  # of things that the Router knows nothing of, or no more
-                self.feed(api.TimerDue(draw.randrange(3)))
-                self.feed(api.LoadOrderEnded(worker.info.id, 99, Outcome.OK, MS, 1, 0))
+                self.send_worker_list(random.choice([api.ListKind.FAILED, api.ListKind.FULL]))
+            case "stray":  # events about a timer, an order and an attempt that the router doesn't know
+                self.feed(api.TimerDue(random.randrange(3)))
+                self.feed(api.LoadOrderEnded(worker.info.id, 99, Outcome.OK, MILLISECOND_US, 1, 0))
                 self.feed(
-                    api.AttemptEnded(10**9, 0, worker.info.id, Outcome.OK, MS, True, api.Warmth.WARM, 0, ())
+                    api.AttemptEnded(
+                        10**9, 0, worker.info.id, Outcome.OK, MILLISECOND_US, True, api.Warmth.WARM, 0, ()
+                    )
                 )
-        self.at(draw.randrange(4 * SECOND if self.calm else SECOND // 2), self.trouble)
+        self.at(random.randrange(4 * SECOND if self.is_low_traffic else SECOND // 2), self.inject_fleet_event)
 
 
-def record(site: str, seed: int) -> list[Any]:
-    """Return a day's rows: a life under the site's settings, one under changed settings, and its shutdown."""
-    day = Day(SITES[site], seed, calm=site == "calm")
-    day.run(INPUTS_A_DAY * 2 // 3)
+def simulate(site: str, seed: int) -> list[Any]:
+    """Return the rows of a simulation: a run, a restart with changed settings, and a shutdown."""
+    simulation = RouterSimulation(SETTINGS_BY_SITE[site], seed, is_low_traffic=site == "calm")
+    simulation.run(INPUTS_PER_RECORDING * 2 // 3)
     changed = replace(
-        SITES[site],
-        limits=replace(SITES[site].limits, max_attempts=4),
+        SETTINGS_BY_SITE[site],
+        limits=replace(SETTINGS_BY_SITE[site].limits, max_attempts=4),
         keep_alive_us=2 * SECOND,
-        front_ends=SITES[site].front_ends + 1,
+        front_ends=SETTINGS_BY_SITE[site].front_ends + 1,
     )
-    day.begin(changed, seed + 1)
-    day.tell_list(api.ListKind.CACHED)
-    day.run(INPUTS_A_DAY // 4)
-    day.feed(api.ShuttingDown(2 * SECOND))
-    day.run(INPUTS_A_DAY // 12)
-    return day.rows
+    simulation.start_incarnation(changed, seed + 1)
+    simulation.send_worker_list(api.ListKind.CACHED)
+    simulation.run(INPUTS_PER_RECORDING // 4)
+    simulation.feed(api.ShuttingDown(2 * SECOND))
+    simulation.run(INPUTS_PER_RECORDING // 12)
+    return simulation.rows
 
 
-RECORDED = [(site, seed) for site in SITES for seed in (1, 2)]
+RECORDINGS = [(site, seed) for site in SETTINGS_BY_SITE for seed in (1, 2)]
 
 
-def path_of(site: str, seed: int) -> Path:
-    """Return the golden file of a site's day."""
-    return GOLDEN / f"router-{site}-{seed}.jsonl.xz"
+def golden_path(site: str, seed: int) -> Path:
+    """Return the path of a golden file."""
+    return GOLDEN_DIR / f"router-{site}-{seed}.jsonl.xz"
 
 
 if __name__ == "__main__":
-    for recorded_site, recorded_seed in RECORDED:
-        write_lines(path_of(recorded_site, recorded_seed), record(recorded_site, recorded_seed))
+    for recorded_site, recorded_seed in RECORDINGS:
+        write_lines(golden_path(recorded_site, recorded_seed), simulate(recorded_site, recorded_seed))
--- a/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
@@ -1,4 +1,4 @@
-"""Builders of settings and events for the tests; no behaviour of a fleet is modelled here."""
+"""A test harness for one Router: settings, builders of events, and filters for actions."""
 
 from __future__ import annotations
 
@@ -39,13 +39,18 @@
 )
 
 
-def worker(wid: int, state: api.WorkerState = api.WorkerState.READY, started: int = 0, zone: int = 0) -> Any:
-    """Return a worker as a list of workers names it."""
-    return api.Worker(wid, zone, 0, zone, state, 1.0, started)
+def worker(
+    worker_id: int, state: api.WorkerState = api.WorkerState.READY, started: int = 0, zone: int = 0
+) -> Any:
+    """Return an entry of the endpoint list."""
+    return api.Worker(worker_id, zone, 0, zone, state, 1.0, started)
 
 
 class Rig:
-    """A router with some ready workers, and the actions of its last event."""
+    """A router that knows the ready workers 1 to `workers`. Tests feed it events and read its actions.
+
+    The clock moves only when a test sets `now` or calls `pass_time`.
+    """
 
     def __init__(
         self, workers: int = 4, settings: api.Settings = SETTINGS, seed: int = 1, now: int = 100 * SECOND
@@ -58,19 +63,19 @@
         self.list_workers(api.ListKind.CACHED, *(worker(i) for i in range(1, workers + 1)))
 
     def feed(self, event: api.Event) -> list[api.Action]:
-        """Feed an event; return its actions."""
+        """Pass an event to the router; return its actions."""
         self.actions = self.router.handle(self.now, event)
         self.all += self.actions
         return self.actions
 
     def list_workers(self, kind: api.ListKind, *workers: api.Worker) -> list[api.Action]:
-        """Feed a list of workers; return its actions."""
+        """Send the router an endpoint list; return its actions."""
         return self.feed(api.WorkersListed(kind, 1, workers))
 
     def ask(
         self, function: int = 7, class_index: int = 0, time_left_us: int = 3 * SECOND, concurrency: float = 2
     ) -> int:
-        """Feed a request; return its number."""
+        """Send a request to the router; return the ID of the request."""
         self._next += 1
         self.feed(
             api.RequestArrived(
@@ -88,8 +93,8 @@
         )
         return self._next
 
-    def feed_request(self, function: int) -> list[api.Action]:
-        """Return the actions of a request for the function."""
+    def actions_for_request(self, function: int) -> list[api.Action]:
+        """Send a request for the function; return its actions."""
         self.ask(function=function)
         return self.actions
 
@@ -97,49 +102,54 @@
         self,
         request: int,
         attempt: int,
-        worker: int,
+        worker_id: int,
         outcome: api.Outcome = api.Outcome.OK,
-        latency: int = 100_000,
+        latency_us: int = 100_000,
         warmth: api.Warmth = api.Warmth.WARM,
     ) -> list[api.Action]:
-        """Feed an attempt's end, of a call that succeeded unless `outcome` is another; return its actions."""
-        ok = outcome is api.Outcome.OK
-        return self.feed(api.AttemptEnded(request, attempt, worker, outcome, latency, ok, warmth, 0, ()))
+        """End an attempt, successfully by default; return the actions. Only a success ends the request."""
+        is_finished = outcome is api.Outcome.OK
+        return self.feed(
+            api.AttemptEnded(request, attempt, worker_id, outcome, latency_us, is_finished, warmth, 0, ())
+        )
 
     def load_ended(
         self,
-        worker: int,
+        worker_id: int,
         copies: int = 1,
         function: int = 7,
         outcome: api.Outcome = api.Outcome.OK,
-        wanted: int = 0,
+        ordered_copies: int = 0,
     ) -> list[api.Action]:
-        """Feed the end of a load order; `wanted` is above 0 for an order of this router, 0 for a poll."""
-        return self.feed(api.LoadOrderEnded(worker, function, outcome, 500_000, copies, wanted))
-
-    def pass_time(self, span: int, step: int = 20_000) -> list[api.Action]:
-        """Advance the clock with timers only; return all actions meanwhile."""
-        done: list[api.Action] = []
-        end = self.now + span
-        while self.now < end:
-            self.now += step
-            done += self.feed(api.TimerDue(1))
-        return done
-
-    def warm(self, *workers: int, function: int = 7) -> None:
-        """Feed events after which the router believes that these workers have copies."""
+        """End a load order, successfully by default; return the actions.
+
+        `ordered_copies` is 0 for a probe, or if the transport does not repeat the number of the order.
+        """
+        return self.feed(api.LoadOrderEnded(worker_id, function, outcome, 500_000, copies, ordered_copies))
+
+    def pass_time(self, duration_us: int, step_us: int = 20_000) -> list[api.Action]:
+        """Advance the clock in steps and run the timers that are due; return all actions."""
+        actions: list[api.Action] = []
+        end_us = self.now + duration_us
+        while self.now < end_us:
+            self.now += step_us
+            actions += self.feed(api.TimerDue(1))
+        return actions
+
+    def warm(self, *worker_ids: int, function: int = 7) -> None:
+        """Make the router believe that these workers have warm copies, and serve one request there."""
         request = self.ask(function)
-        for wid in workers:
-            self.load_ended(wid, function=function)
-        sent = next(s for s in of(api.Send, self.all) if s.request == request)
-        self.attempt_ended(request, 0, sent.worker)
+        for worker_id in worker_ids:
+            self.load_ended(worker_id, function=function)
+        send = next(action for action in of(api.Send, self.all) if action.request == request)
+        self.attempt_ended(request, 0, send.worker)
 
 
-def of(kind: Any, actions: list[api.Action]) -> list[Any]:
-    """Return the actions of one kind."""
-    return [a for a in actions if isinstance(a, kind)]
+def of(action_type: Any, actions: list[api.Action]) -> list[Any]:
+    """Return the actions of a type, or of a tuple of types."""
+    return [action for action in actions if isinstance(action, action_type)]
 
 
 def orders(actions: list[api.Action]) -> list[api.LoadOrder]:
-    """Return the load orders for copies, without polls."""
-    return [a for a in of(api.LoadOrder, actions) if a.copies > 0]
+    """Return the load orders that ask for copies, without the probes, which ask for none."""
+    return [order for order in of(api.LoadOrder, actions) if order.copies > 0]
--- a/packages/testsupport/src/walnutpost/testsupport/policy/order.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/order.py
@@ -1,10 +1,10 @@
-"""The order in which the policy prefers workers."""
+"""The hash order of workers: the order in which the policy prefers them for a function."""
 
 from __future__ import annotations
 
 from walnutpost.policy import hash_rank
 
 
-def first_in_order(function: int = 7, workers: int = 4) -> list[int]:
-    """Return the workers 1 to `workers`, the one that the policy prefers for the function first."""
-    return sorted(range(1, workers + 1), key=lambda w: -hash_rank(function, w, 1.0))
+def workers_in_hash_order(function: int = 7, workers: int = 4) -> list[int]:
+    """Return the IDs 1 to `workers`, the most preferred worker first."""
+    return sorted(range(1, workers + 1), key=lambda worker_id: -hash_rank(function, worker_id, 1.0))
--- a/packages/testsupport/src/walnutpost/testsupport/policy/recorded_day.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/recorded_day.py
@@ -1,4 +1,4 @@
-"""What the recorded days of Router and Gateway share: virtual time, what is due on it, and the rows."""
+"""The base of the simulations that record golden files for Router and Gateway."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 
 
 class RecordedDay:
-    """A simulation on virtual time, in microseconds, whose inputs and outputs become rows."""
+    """A simulation on virtual time, in microseconds, that records each input with its outputs as a row."""
 
     def __init__(self, start: int) -> None:
         self.now = start
-        self.inputs = 0
+        self.input_count = 0
         self.rows: list[Any] = []
-        self._last_row_at = 0  # the first row tells the start
-        self._due: list[tuple[int, int, Callable[[], None]]] = []
-        self._scheduled = 0
-
-    def at(self, delay: int, act: Callable[[], None]) -> None:
-        """Do it after `delay`; what is due at the same time is done in the order of scheduling."""
-        self._scheduled += 1
-        heappush(self._due, (self.now + delay, self._scheduled, act))
-
-    def run(self, inputs: int) -> None:
-        """Goes on until so many more inputs were recorded."""
-        end = self.inputs + inputs
-        while self.inputs < end:
-            self.now, _, act = heappop(self._due)
-            act()
-
-    def record(self, given: Any, came: Iterable[Any]) -> None:
-        """Add the row of one input and of all that came of it."""
-        self.inputs += 1
-        self.rows.append([self.now - self._last_row_at, to_neutral(given), neutral_of_each(came)])
-        self._last_row_at = self.now
+        self._last_row_us = 0  # 0, so that the first row has the absolute start time
+        self._queue: list[tuple[int, int, Callable[[], None]]] = []
+        self._scheduled_count = 0
+
+    def at(self, delay_us: int, callback: Callable[[], None]) -> None:
+        """Run the callback after a delay. Callbacks due at the same time run in the order of scheduling."""
+        self._scheduled_count += 1
+        heappush(self._queue, (self.now + delay_us, self._scheduled_count, callback))
+
+    def run(self, input_count: int) -> None:
+        """Run scheduled callbacks until at least this many more inputs are recorded."""
+        end_count = self.input_count + input_count
+        while self.input_count < end_count:
+            self.now, _, callback = heappop(self._queue)
+            callback()
+
+    def record(self, received: Any, outputs: Iterable[Any]) -> None:
+        """Add a row: the time since the row before, an input and its outputs."""
+        self.input_count += 1
+        self.rows.append([self.now - self._last_row_us, to_neutral(received), neutral_of_each(outputs)])
+        self._last_row_us = self.now
