--- a/packages/policy/tests/test_defences.py
+++ b/packages/policy/tests/test_defences.py
@@ -42,7 +42,7 @@
     assert len([kind for _, kind, _ in harness.router.timers.queue if kind is TimerKind.RELEASE_QUEUED]) <= 3
 
 
-def test_silent_worker_is_probed_and_ejected_and_its_safe_request_moves() -> None:
+def test_silent_worker_is_ejected_after_a_probe_and_its_safe_request_is_retried() -> None:
     harness = Rig()
     harness.warm(1, 2)
     safe, unsafe = harness.ask(), harness.ask(class_index=1)
--- a/packages/policy/tests/test_guards.py
+++ b/packages/policy/tests/test_guards.py
@@ -246,7 +246,7 @@
     assert orders(harness.actions_for_request(11))
 
 
-def test_request_is_sent_without_a_load_order_if_the_limit_is_used_up_and_workers_load_on_miss() -> None:
+def test_request_is_sent_without_a_copy_if_no_load_order_is_left_and_workers_load_on_miss() -> None:
     no_orders = replace(LIMITED_LOAD_ORDERS, loads_on_miss=True)
     no_orders = replace(
         no_orders, guards=replace(no_orders.guards, free_load_orders=0.0, load_orders_per_request=0.0)
@@ -257,8 +257,8 @@
     assert not orders(harness.actions)
 
 
-def test_queued_request_tries_expected_copies_without_probes_if_the_load_order_limit_is_used_up() -> None:
-    """60 front ends kept probing three workers: 30,000 probes in half a minute."""
+def test_queued_request_tries_the_first_workers_in_hash_order_if_no_load_order_is_left() -> None:
+    """60 front ends used to probe three workers again and again: 30,000 probes in half a minute."""
     no_orders = replace(
         LIMITED_LOAD_ORDERS,
         guards=replace(LIMITED_LOAD_ORDERS.guards, free_load_orders=0.0, load_orders_per_request=0.0),
@@ -281,7 +281,8 @@
     assert of(api.Send, harness.load_ended(4))
 
 
-def test_request_tries_expected_copies_of_other_front_ends_before_it_orders_one() -> None:
+def test_request_tries_the_first_workers_in_hash_order_before_it_orders_a_copy() -> None:
+    """Among many front ends, another one has probably ordered a copy there."""
     harness = Rig(settings=replace(SETTINGS, front_ends=200))
     request_id = harness.ask(class_index=1)
     for attempt, worker_id in enumerate(workers_in_hash_order()[:2]):
--- a/packages/policy/tests/test_mechanism.py
+++ b/packages/policy/tests/test_mechanism.py
@@ -10,7 +10,7 @@
 from walnutpost.testsupport.policy.order import workers_in_hash_order
 
 
-def test_request_without_a_copy_is_queued_and_orders_one_at_the_first_worker_in_hash_order() -> None:
+def test_first_request_is_queued_and_orders_a_copy_at_the_first_worker_in_hash_order() -> None:
     harness = Rig()
     harness.ask()
     assert not of(api.Send, harness.actions)
@@ -39,7 +39,7 @@
     assert [preferred_worker(f, 3.0) for f in range(400)].count(1) > 1.6 * preferred_workers.count(1)
 
 
-def test_hash_order_weights_workers_by_the_memory_of_their_kind_if_lists_have_no_weights() -> None:
+def test_hash_order_uses_worker_memory_as_weight_if_none_is_configured() -> None:
     harness = Rig(workers=0, settings=replace(SETTINGS, memory_mb_by_kind=(4_000.0, 36_000.0)))
     harness.list_workers(api.ListKind.FULL, *(replace(worker(i), kind=int(i == 1)) for i in range(1, 5)))
     for function in range(300):
@@ -49,14 +49,14 @@
 
 def test_scale_up_is_sized_by_demand_and_only_one_runs_at_a_time() -> None:
     harness = Rig()
-    harness.ask()  # 1 queued + 1 spare: 2 / 2 slots = 1 copy
+    harness.ask()  # 1 queued + 1 spare = 2 slots, which is 1 copy
     assert len(orders(harness.actions)) == 1
     for _ in range(4):
         harness.ask()
         assert not orders(harness.actions), "a second scale-up began before the first one ended"
     harness.load_ended(workers_in_hash_order()[0])
-    # The five queued requests were sent to the copy, and a sixth follows. With one spare, 7 / 2 slots rounded
-    # up = 4 copies, one of which exists.
+    # The copy got the five queued requests, and a sixth follows. With 1 spare they need 7 slots, which is
+    # 4 copies of 2 slots, and 1 copy exists.
     harness.ask()
     assert len(orders(harness.actions)) == 3
 
--- a/packages/policy/tests/test_policy_timers.py
+++ b/packages/policy/tests/test_policy_timers.py
@@ -21,6 +21,7 @@
 
 
 def make_timers(now_us: int = NOW_US) -> tuple[DecisionContext, Timers]:
+    """Return timers and the context that holds their clock and their actions."""
     context = DecisionContext(SETTINGS, seed=1)
     context.begin_event(now_us)
     return context, Timers(context)
--- a/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
@@ -127,7 +127,7 @@
     event: api.RequestArrived
     request_class: api.RequestClass
     attempts: list[int | None] = field(default_factory=list)  # the worker, or None once the attempt has ended
-    is_closed: bool = False
+    is_closed: bool = False  # answered, rejected, failed or cancelled
 
 
 class RouterSimulation(RecordedDay):
@@ -202,12 +202,12 @@
                 self.at(20 * MILLISECOND_US, lambda: self.send_worker_list(kind))
 
     def close_request(self, request: int) -> None:
-        """Mark a request as closed."""
+        """Mark a request as closed if it belongs to this incarnation."""
         if request in self.requests:
             self.requests[request].is_closed = True
 
     def start_attempt(self, send: api.Send) -> None:
-        """Start an attempt and schedule its end; a stream also starts its answer halfway."""
+        """Start an attempt and schedule its end; a streamed answer starts halfway."""
         request, worker = self.requests[send.request], self.workers[send.worker]
         attempt, incarnation = len(request.attempts), self.incarnation
         request.attempts.append(send.worker)
@@ -307,7 +307,7 @@
         )
 
     def start_load_order(self, order: api.LoadOrder) -> None:
-        """Start a load order or a probe and schedule its end."""
+        """Start a load order or a probe, and schedule its end."""
         worker, draw = self.workers[order.worker], self.random.random()
         latency_us, copies, outcome = 2 * MILLISECOND_US, int(order.function in worker.copies), Outcome.OK
         if worker.silent_until_us > self.now:
@@ -425,7 +425,7 @@
             self.send_worker_list(api.ListKind.FULL)
 
     def restart_worker(self, worker: SyntheticWorker) -> None:
-        """Restart a worker without copies, reachable again."""
+        """Restart a worker: it is ready and reachable, and has no copies."""
         worker.copies, worker.refuses_connections, worker.silent_until_us = set(), False, 0
         self.update_worker(worker, state=READY, started_at=self.now)
 
--- a/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
@@ -123,7 +123,7 @@
     ) -> list[api.Action]:
         """End a load order, successfully by default; return the actions.
 
-        `ordered_copies` is 0 for a probe, or if the transport does not repeat the number of the order.
+        `ordered_copies` is 0 for a probe, or if the transport doesn't report the order.
         """
         return self.feed(api.LoadOrderEnded(worker_id, function, outcome, 500_000, copies, ordered_copies))
 
@@ -137,7 +137,7 @@
         return actions
 
     def warm(self, *worker_ids: int, function: int = 7) -> None:
-        """Make the router believe that these workers have warm copies, and serve one request there."""
+        """Make the router know of a warm copy at each of these workers; one of them serves a request."""
         request = self.ask(function)
         for worker_id in worker_ids:
             self.load_ended(worker_id, function=function)
