--- a/packages/interface/src/walnutpost/interface/__init__.py
+++ b/packages/interface/src/walnutpost/interface/__init__.py
@@ -1,6 +1,7 @@
-"""Input and output of the policy: settings, events and actions.
+"""The input and output types of the policy: settings, events and actions.
 
-Types only; every decision is in policy. Times and durations are whole microseconds.
+This package contains only types; the policy package makes every decision. Fields whose names end in `_us` are
+times or durations in whole microseconds.
 """
 
 from walnutpost.interface.actions import (
--- a/packages/interface/src/walnutpost/interface/actions.py
+++ b/packages/interface/src/walnutpost/interface/actions.py
@@ -7,29 +7,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Begin an attempt of the request at the worker; cancel it after `timeout_us`.
-
-    `begin_within_us`: how long the decision is valid (0: no limit). If the first byte has not been sent by
-    then, the attempt must not begin any more and ends as MOOT.
-    """
+    """Start an attempt of the request at the worker."""
 
     request: int
+    """The number of the request (`RequestArrived.request`)."""
     worker: int
+    """The number of the worker (`Worker.id`)."""
     timeout_us: int
+    """The attempt is cancelled after this time."""
     begin_within_us: int = 0
+    """How long the decision is valid; 0 means no limit.
+
+    If the first byte has not been sent by then, the attempt must not begin any more and ends as MOOT.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer that the request was rejected: trying again is harmless, after `retry_after_us` if not 0."""
+    """Answer the client that the request was rejected; a retry is harmless."""
 
     request: int
     retry_after_us: int
+    """How long the client should wait before it retries; 0 gives no advice."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Answer that the request failed; it may have run."""
+    """Answer the client that the request failed; it may have run."""
 
     request: int
 
@@ -40,11 +44,12 @@
 
     request: int
     attempt: int
+    """The index of the attempt among those of the request, in the order of their `Send` actions, from 0."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send a `TimerDue` with the token after the delay."""
+    """Deliver a `TimerDue` event with this token after the delay."""
 
     delay_us: int
     token: int
@@ -52,15 +57,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """Order the worker to load at least so many copies; zero copies only asks how many there are.
-
-    `begin_within_us` as in `Send`.
-    """
+    """Order the worker to load copies of the function until it has at least `copies` of them."""
 
     worker: int
     function: int
+    """The number of the function (`RequestArrived.function`)."""
     copies: int
+    """The minimum number of copies; 0 loads nothing and only queries how many there are."""
     begin_within_us: int = 0
+    """As in `Send`: how long the decision is valid; 0 means no limit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Check the worker's health."""
+    """Check the worker's health; the result is a `ProbeEnded` event."""
 
     worker: int
 
@@ -87,19 +92,20 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Watch the endpoint list, or stop watching it."""
+    """Start or stop watching the endpoint list; each update is a `WorkersListed` event."""
 
     is_on: bool
+    """True starts the watch, False stops it."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Fetch the endpoint list once."""
+    """Fetch the endpoint list once; the result is a `WorkersListed` event."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """Write a line to the log. The text is on the simulator's wire."""
+    """Write a line to the log. The simulator's protocol transmits the text."""
 
     text: str
 
--- a/packages/interface/src/walnutpost/interface/events.py
+++ b/packages/interface/src/walnutpost/interface/events.py
@@ -9,15 +9,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """An entry of the endpoint list; `started_at_us` is 0 if long ago or not known."""
+    """An entry of the endpoint list."""
 
     id: int
+    """The number of the worker in all events and actions."""
     zone: int
+    """The number of the worker's zone."""
     kind: int
+    """The number of the worker's kind: an index into `Settings.memory_mb_by_kind`."""
     cell: int
+    """The number of the worker's cell: a group of workers that share idempotency keys (`Group.CELL`)."""
     state: WorkerState
     weight: float
+    """The worker's weight in load balancing, used only if `Settings.has_weights`."""
     started_at_us: int
+    """When the worker started; 0 if that is unknown or long ago."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,113 +32,136 @@
 
     kind: ListKind
     version: int
+    """The version of the endpoint list."""
     workers: tuple[Worker, ...]
+    """All workers, or only those that changed if `kind` is DELTA; empty if it is FAILED."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A request was read.
-
-    `waited_us` is the longest time for which it may have been there before it was read; `time_left_us` counts
-    from now. `cost_hint_us` is on a standard core.
-    """
+    """A request was read from a client."""
 
     request: int
+    """The number of the request in all later events and actions."""
     class_index: int
+    """An index into `Settings.classes`."""
     tenant: int
+    """An index into `Settings.tenants`; one beyond its end means no configured tenant."""
     function: int
+    """The number of the function that the request calls."""
     time_left_us: int
+    """The time from now to the request's deadline."""
     cost_hint_us: int | None
+    """The expected execution time on a standard core; None if unknown."""
     memory_mb: float
+    """The memory of one copy of the function, in megabytes."""
     concurrency: float
+    """How many requests one copy of the function serves at a time."""
     load_time_us: int
+    """How long a worker takes to load a copy of the function; 0 if unknown."""
     is_repeat: bool
+    """Whether the client marked the request as a retry."""
     waited_us: int = 0
+    """The longest time for which the request may have waited before it was read."""
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """The first part of a streamed answer came; it is the request's answer from now on."""
+    """The first part of a streamed answer arrived; from now on this is the request's answer."""
 
     request: int
     attempt: int
+    """The index of the attempt, as in `Cancel`."""
     worker: int
     latency_us: int
+    """The time from the start of the attempt to this part."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """How an attempt ended; `is_finished` if the client has its final answer with it.
-
-    `crowd` counts the requests at the worker, if it reports them; `report` has the values of
-    `Settings.report_fields`.
-    """
+    """An attempt ended."""
 
     request: int
     attempt: int
+    """The index of the attempt, as in `Cancel`."""
     worker: int
     outcome: Outcome
     latency_us: int
+    """The time from the start of the attempt to its end."""
     is_finished: bool
+    """Whether the client now has its final answer to the request."""
     warmth: Warmth
+    """The state in which the request found its copy of the function."""
     crowd: int
+    """The number of requests at the worker; 0 if the worker does not report it."""
     report: tuple[float, ...]
+    """The load report: the values of `Settings.report_fields` in that order; empty if there is none."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The client has left or has cancelled the request."""
+    """The client disconnected or cancelled the request."""
 
     request: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOrderEnded:
-    """How a load order ended.
+    """A load order ended.
+
+    The outcome tells whether the order reached the worker:
 
-    MOOT and CONNECT_FAILED: it never reaches the worker complete. RESET and TIMEOUT: it may have, or still
-    may (a paused worker later reads the data in its kernel, also after a reset). Any other outcome: the
-    worker has answered it. `copies` is how many are there. `ordered_copies` repeats the order's copies; it is
-    0 for a query and if the transport does not say.
+    - MOOT and CONNECT_FAILED: the worker never receives the complete order.
+    - RESET and TIMEOUT: the worker may have received it or may still receive it. A paused worker later reads
+      the data that its kernel has buffered, even after a reset.
+    - Any other outcome: the worker answered the order.
     """
 
     worker: int
     function: int
     outcome: Outcome
     latency_us: int
+    """The time from the order to its end."""
     copies: int
+    """The number of copies of the function at the worker."""
     ordered_copies: int = 0
+    """`LoadOrder.copies` of this order; 0 if it was a query or if the transport does not report it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """How a probe ended."""
+    """A probe ended."""
 
     worker: int
     outcome: Outcome
     latency_us: int
+    """The time from the start of the probe to its end."""
     report: tuple[float, ...]
+    """The load report, as in `AttemptEnded`."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerDue:
-    """The timer of a `SetTimer` is due."""
+    """The timer of a `SetTimer` action expired."""
 
     token: int
+    """The token of that `SetTimer`."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShuttingDown:
-    """Every request, also a later one, must get its final answer within `within_us`."""
+    """The front end is shutting down."""
 
     within_us: int
+    """The time within which each request, including those still to come, must get its final answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A message of another front end."""
+    """A message from another front end."""
 
     peer: int
+    """The number of the front end that sent the message."""
     data: bytes
 
 
--- a/packages/interface/src/walnutpost/interface/vocabulary.py
+++ b/packages/interface/src/walnutpost/interface/vocabulary.py
@@ -1,4 +1,4 @@
-"""Enumerations of the interface. Values are on the wire or in settings; names are not."""
+"""Enumerations of the interface. Their values appear on the wire or in settings; their names do not."""
 
 from __future__ import annotations
 
@@ -6,57 +6,84 @@
 
 
 class Effect(Enum):
-    """Effect of a second run of a request of the class."""
+    """The effect of running a request of the class a second time."""
 
-    SAFE = "safe"  # nothing: it is idempotent
-    KEYED = "keyed"  # nothing, as long as workers know its idempotency key
-    UNSAFE = "unsafe"  # it takes effect again
+    SAFE = "safe"
+    """No effect: the request is idempotent."""
+    KEYED = "keyed"
+    """No effect as long as the workers remember the request's idempotency key."""
+    UNSAFE = "unsafe"
+    """The request takes effect again."""
 
 
 class Group(Enum):
-    """Which workers drop repeats of a keyed request together."""
+    """The set of workers that share idempotency keys and so drop duplicates of a keyed request."""
 
     ALL = "all"
+    """All workers."""
     ZONE = "zone"
+    """The workers of a zone (`Worker.zone`)."""
     CELL = "cell"
+    """The workers of a cell (`Worker.cell`)."""
 
 
 class Outcome(Enum):
-    """How an attempt, a probe or a load order ended."""
+    """The result of an attempt, a probe or a load order."""
 
     OK = "ok"
-    ERROR = "error"  # the worker answered with an error
-    FULL = "full"  # the worker rejected it for want of capacity; nothing ran
+    """The worker answered without an error."""
+    ERROR = "error"
+    """The worker answered with an error."""
+    FULL = "full"
+    """The worker rejected it for lack of capacity; nothing ran."""
     TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"  # nothing was sent
-    RESET = "reset"  # the connection broke; it may have run
+    """No answer came in time; it may have run."""
+    CONNECT_FAILED = "connect_failed"
+    """The connection could not be established; nothing was sent."""
+    RESET = "reset"
+    """The connection broke; it may have run."""
     CANCELLED = "cancelled"
-    MOOT = "moot"  # it did not begin within its time, so it must not begin any more
-    MISS = "miss"  # the worker has no copy of the function; nothing ran
+    """It was cancelled; it may have run."""
+    MOOT = "moot"
+    """It did not begin in time (`Send.begin_within_us`), so it must not begin any more; nothing ran."""
+    MISS = "miss"
+    """The worker has no copy of the function; nothing ran."""
 
 
 class WorkerState(Enum):
     """The state of a worker in the endpoint list."""
 
     GONE = "gone"
+    """The worker has left."""
     DRAINING = "draining"
+    """The worker finishes its requests and should get no new ones."""
     READY = "ready"
+    """The worker accepts requests."""
 
 
 class ListKind(Enum):
-    """Kind of an update of the endpoint list."""
+    """The kind of an endpoint list update."""
 
-    FAILED = "failed"  # no list came
-    CACHED = "cached"  # a complete list that may be old
-    DELTA = "delta"  # changes alone
-    FULL = "full"  # a complete list
+    FAILED = "failed"
+    """The list could not be fetched; the update has no workers."""
+    CACHED = "cached"
+    """A complete list that may be out of date."""
+    DELTA = "delta"
+    """Only the workers that changed."""
+    FULL = "full"
+    """A complete, current list."""
 
 
 class Warmth(IntEnum):
-    """State of the serving copy, as an answer reports it."""
+    """The state in which a request found the copy that served it, as the worker's answer reports it."""
 
     UNREPORTED = 0
+    """The answer does not report it."""
     WARM = 1
-    STARTED_LOAD = 2  # the request began the copy's load
-    JOINED_LOAD = 3  # the request waited for a load under way
+    """The copy was loaded."""
+    STARTED_LOAD = 2
+    """The request started the load of the copy."""
+    JOINED_LOAD = 3
+    """The request waited for a load that was already in progress."""
     LOAD_FAILED = 4
+    """The load of the copy failed."""
