--- a/packages/adapter/src/walnutpost/adapter/__init__.py
+++ b/packages/adapter/src/walnutpost/adapter/__init__.py
@@ -1,5 +1,6 @@
-"""The simulator's protocol: bytes in, events to routers, actions out. It decides nothing.
+"""The simulator's protocol: decodes its records to events for the routers and encodes their actions.
 
-`frames` are the layouts and tables of the wire, `decoding` and `encoding` use them, `host` feeds the routers,
-`settings` reads the settings object, which a node gets too.
+The adapter makes no decisions. `frames` defines the record layouts and code tables, `decoding` and `encoding`
+use them, `host` passes events to the routers, and `settings` parses the settings object, which the node
+package also uses.
 """
--- a/packages/adapter/src/walnutpost/adapter/__main__.py
+++ b/packages/adapter/src/walnutpost/adapter/__main__.py
@@ -1,4 +1,4 @@
-"""Serves the simulator's protocol on standard input and output."""
+"""Serve the simulator's protocol on standard input and output."""
 
 import sys
 
--- a/packages/adapter/src/walnutpost/adapter/decoding.py
+++ b/packages/adapter/src/walnutpost/adapter/decoding.py
@@ -1,4 +1,4 @@
-"""Bytes of the simulator's protocol to events. No I/O."""
+"""Decoding of the simulator's protocol to events, without I/O."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 def decode_header(data: bytes) -> BatchHeader:
-    """Decode a batch header. Raise ProtocolError."""
+    """Decode a batch header. Raise ProtocolError if its length field is too small."""
     header = BatchHeader(*frames.BATCH_HEADER.unpack(data))
-    if header.length < frames.LENGTH_OFFSET:
-        raise ProtocolError(f"length {header.length} is shorter than its header", header.place)
+    if header.length < frames.BATCH_HEADER_BYTES_IN_LENGTH:
+        raise ProtocolError(f"length {header.length} is shorter than the batch header", header.place)
     return header
 
 
 class Decoder:
-    """Decodes the records of batches; the numbered worker tables outlive a batch."""
+    """Decodes the records of batches. It keeps the numbered worker tables from batch to batch."""
 
     def __init__(self) -> None:
         self._worker_tables: dict[int, tuple[api.Worker, ...]] = {}
@@ -48,7 +48,7 @@
         }
 
     def decode_records(self, header: BatchHeader, body: bytes) -> Iterator[InstanceInput]:
-        """Yield the batch's events in order. Raise ProtocolError at the first record that is invalid."""
+        """Yield the events of the batch in order. Raise ProtocolError at the first invalid record."""
         offset = 0
         for index in range(header.count):
             place = f"{header.place}, record {index}"
@@ -58,7 +58,9 @@
             place = f"{place}, code {code}"
             offset += frames.RECORD_HEADER.size
             if offset + size > len(body):
-                raise ProtocolError(f"{size} bytes told, {len(body) - offset} left", place)
+                raise ProtocolError(
+                    f"{size} bytes of fields expected, {len(body) - offset} left in the batch", place
+                )
             fields = body[offset : offset + size]
             offset += size
             try:
@@ -68,23 +70,23 @@
             if decoded is not None:
                 yield decoded
         if offset != len(body):
-            raise ProtocolError(f"{len(body) - offset} bytes behind the last record", header.place)
+            raise ProtocolError(f"{len(body) - offset} bytes after the last record", header.place)
 
     def _decode_record(self, code: int, fields: bytes) -> InstanceInput | None:
-        """Decode a record, or store the worker table that it holds."""
+        """Decode a record; store a worker table and return None."""
         if code == InputCode.WORKER_TABLE:
             self._store_worker_table(fields)
             return None
         decode = self._decoders.get(code)
         if decode is None:
-            raise ProtocolError("an unknown event code")
+            raise ProtocolError("unknown record code")
         return decode(fields)
 
     def _store_worker_table(self, fields: bytes) -> None:
         table_number, count = frames.WORKER_TABLE.unpack_from(fields)
         rows = fields[frames.WORKER_TABLE.size :]
         if len(rows) != count * frames.WORKER_ENTRY.size:
-            raise ProtocolError(f"{count} entries told, {len(rows)} bytes of them")
+            raise ProtocolError(f"{count} worker table entries expected, {len(rows)} bytes of them received")
         workers = []
         for worker, zone, kind, cell, state_code, weight, started_at in frames.WORKER_ENTRY.iter_unpack(rows):
             state = _lookup(frames.WORKER_STATES, state_code, "worker state")
@@ -96,7 +98,7 @@
         kind = _lookup(frames.LIST_KINDS, kind_code, "list kind")
         if kind is api.ListKind.FAILED:
             return InstanceInput(instance, api.WorkersListed(kind, version, ()))
-        workers = _lookup(self._worker_tables, table_number, "list number")
+        workers = _lookup(self._worker_tables, table_number, "worker table number")
         return InstanceInput(instance, api.WorkersListed(kind, version, workers))
 
 
@@ -120,11 +122,11 @@
         tenant=tenant,
         function=function,
         time_left_us=time_left_us,
-        cost_hint_us=hint_us if flags & frames.HINT_VALID_FLAG else None,
+        cost_hint_us=hint_us if flags & frames.COST_HINT_VALID_FLAG else None,
         memory_mb=memory_mb,
         concurrency=concurrency,
         load_time_us=int(load_time_ms * frames.US_PER_MS),
-        is_repeat=bool(flags & frames.CLIENT_REPEAT_FLAG),
+        is_repeat=bool(flags & frames.CLIENT_RETRY_FLAG),
     )
     return InstanceInput(instance, event)
 
@@ -153,7 +155,7 @@
     instance, peer, size = frames.PEER_MESSAGE.unpack_from(fields)
     data = fields[frames.PEER_MESSAGE.size :]
     if len(data) != size:
-        raise ProtocolError(f"{size} bytes of content told, {len(data)} there")
+        raise ProtocolError(f"{size} bytes of content expected, {len(data)} received")
     return InstanceInput(instance, api.PeerMessage(peer, data))
 
 
@@ -167,7 +169,7 @@
     instance, seed, size = frames.INSTANCE_STARTED.unpack_from(fields)
     text = fields[frames.INSTANCE_STARTED.size :]
     if len(text) != size:
-        raise ProtocolError(f"{size} bytes of settings told, {len(text)} there")
+        raise ProtocolError(f"{size} bytes of settings expected, {len(text)} received")
     return InstanceInput(instance, InstanceStarted(seed, text))
 
 
@@ -183,11 +185,11 @@
 
 def _decode_report(fields: bytes, offset: int, count: int) -> tuple[float, ...]:
     if len(fields) != offset + frames.REPORT_VALUE_BYTES * count:
-        raise ProtocolError(f"{count} report values told, {len(fields) - offset} bytes of them")
+        raise ProtocolError(f"{count} report values expected, {len(fields) - offset} bytes of them received")
     return struct.unpack_from(f"<{count}f", fields, offset)
 
 
 def _lookup(table: Mapping[int, T], value: int, name: str) -> T:
     if value not in table:
-        raise ProtocolError(f"{name} {value} is not one that the protocol knows")
+        raise ProtocolError(f"{name} {value} is unknown")
     return table[value]
--- a/packages/adapter/src/walnutpost/adapter/encoding.py
+++ b/packages/adapter/src/walnutpost/adapter/encoding.py
@@ -1,4 +1,4 @@
-"""Actions to bytes of the simulator's protocol. No I/O."""
+"""Encoding of actions as records of the simulator's protocol, without I/O."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
     MAX_TEXT_BYTES,
     RECORD_HEADER,
     REPLY_HEADER,
-    REPLY_LENGTH_OFFSET,
+    REPLY_HEADER_BYTES_IN_LENGTH,
     OutputCode,
 )
 
 
 def encode_reply(number: int, records: Sequence[bytes]) -> bytes:
-    """Encode the reply to the batch of this number."""
+    """Encode the reply to the batch with this number."""
     body = b"".join(records)
-    return REPLY_HEADER.pack(REPLY_LENGTH_OFFSET + len(body), number) + body
+    return REPLY_HEADER.pack(REPLY_HEADER_BYTES_IN_LENGTH + len(body), number) + body
 
 
 def encode_fault(instance: int, text: str) -> bytes:
-    """Encode a record that an instance has failed."""
+    """Encode the record which reports that an instance failed."""
     return _encode_text(OutputCode.FAULT, instance, text)
 
 
 def encode_action(instance: int, action: api.Action) -> bytes:
-    """Encode a record of an action. Raise TypeError for one that the protocol does not have."""
+    """Encode an action as a record. Raise TypeError if the protocol has no record for it."""
     match action:
         case api.Send(request, worker, timeout_us):
             return _encode(OutputCode.SEND, "IQII", instance, request, worker, timeout_us)
--- a/packages/adapter/src/walnutpost/adapter/errors.py
+++ b/packages/adapter/src/walnutpost/adapter/errors.py
@@ -1,16 +1,16 @@
-"""Errors of the adapter. All derive from AdapterError."""
+"""Exceptions of the adapter. All derive from AdapterError."""
 
 from __future__ import annotations
 
 
 class AdapterError(Exception):
-    """Base class of all errors of this package."""
+    """Base class of all exceptions of this package."""
 
 
 class ProtocolError(AdapterError):
-    """The other side sent something that the protocol does not allow.
+    """The peer sent data that violates the protocol.
 
-    `place` is the batch, and the record in it, where known; `problem` is what was found.
+    `place` names the batch and the record in it, as far as they are known; `problem` describes the violation.
     """
 
     def __init__(self, problem: str, place: str = "") -> None:
@@ -20,7 +20,7 @@
 
 
 class SettingsError(AdapterError):
-    """An instance's settings lack or misstate something that is needed; `key` is its full name, if any."""
+    """A setting is missing or invalid; `key` is its full name, or empty if no single key is at fault."""
 
     def __init__(self, text: str, key: str = "") -> None:
         super().__init__(text)
--- a/packages/adapter/src/walnutpost/adapter/frames.py
+++ b/packages/adapter/src/walnutpost/adapter/frames.py
@@ -1,7 +1,8 @@
-"""Layouts, codes and tables of the simulator's protocol. Little-endian; times in microseconds.
+"""Record layouts, codes and code tables of the simulator's protocol.
 
-A batch is a BATCH_HEADER and records; a record is a RECORD_HEADER and its fields. A reply is its length, the
-batch's number, and records.
+Numbers are little-endian; times are in microseconds unless a name says otherwise. A batch is a BATCH_HEADER
+and its records; a record is a RECORD_HEADER and its fields. A reply is a REPLY_HEADER (its length and the
+number of the batch) and its records.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from walnutpost import interface as api
 
 BATCH_HEADER = struct.Struct("<IIQI")
-LENGTH_OFFSET = 12
-"""Bytes of the batch header that its length field counts: clock and number, but not count and length."""
+BATCH_HEADER_BYTES_IN_LENGTH = 12
+"""The bytes of the batch header that its length field includes: clock and number, not count and length."""
 REPLY_HEADER = struct.Struct("<II")
-REPLY_LENGTH_OFFSET = 4
-"""Bytes of the reply header that its length field counts: the number."""
+REPLY_HEADER_BYTES_IN_LENGTH = 4
+"""The bytes of the reply header that its length field includes: the number."""
 RECORD_HEADER = struct.Struct("<BI")
 
-# Fields of the records that come in; some are followed by report values or text.
+# Fixed fields of the input records. Table entries, report values or text follow them in some records.
 WORKER_ENTRY = struct.Struct("<IHHHBfQ")
 WORKER_TABLE = struct.Struct("<BI")
 WORKERS_LISTED = struct.Struct("<IBQB")
@@ -38,16 +39,16 @@
 REPORT_VALUE_BYTES = 4
 MAX_TEXT_BYTES = 65535
 
-HINT_VALID_FLAG = 1
-CLIENT_REPEAT_FLAG = 2
+COST_HINT_VALID_FLAG = 1
+CLIENT_RETRY_FLAG = 2
 WARMTH_MASK = 7
 CROWD_SHIFT = 3
-"""An attempt's note: the warmth in the low bits, the crowd above them."""
+"""The note of an ended attempt has its `Warmth` in the low 3 bits and `AttemptEnded.crowd` above them."""
 US_PER_MS = 1000
 
 
 class InputCode(IntEnum):
-    """Codes of the records that come in."""
+    """Codes of the input records."""
 
     ANSWER_STARTED = 1
     TIMER_DUE = 2
@@ -64,7 +65,7 @@
 
 
 class OutputCode(IntEnum):
-    """Codes of the records that go out."""
+    """Codes of the output records."""
 
     SEND = 1
     REJECT = 2
@@ -104,7 +105,11 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchHeader:
-    """The head of a batch: how many records, bytes after this field, the time, and the batch's number."""
+    """The header of a batch.
+
+    `count` is the number of records, `length` the number of bytes after the length field, `clock_us` the
+    current time and `number` the number of the batch.
+    """
 
     count: int
     length: int
@@ -113,13 +118,13 @@
 
     @property
     def place(self) -> str:
-        """The batch as errors name it."""
+        """The name of the batch in error messages."""
         return f"batch {self.number}"
 
 
 @dataclass(frozen=True, slots=True)
 class InstanceStarted:
-    """An instance begins, or begins anew, with a seed and its settings as JSON."""
+    """An instance starts or restarts, with a seed for its random generator and its settings as JSON."""
 
     seed: int
     settings_text: bytes
@@ -127,14 +132,14 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceStopped:
-    """An instance has ended."""
+    """An instance stopped."""
 
 
-Incoming = api.Event | InstanceStarted | InstanceStopped
+InputEvent = api.Event | InstanceStarted | InstanceStopped
 
 
 class InstanceInput(NamedTuple):
-    """What came in for one instance."""
+    """An input for one instance."""
 
     instance: int
-    event: Incoming
+    event: InputEvent
--- a/packages/adapter/src/walnutpost/adapter/host.py
+++ b/packages/adapter/src/walnutpost/adapter/host.py
@@ -1,4 +1,4 @@
-"""The instances of one process, each with its router; feeds each its events, and decides nothing."""
+"""The instances of one process: passes events to the router of each and makes no decisions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Host:
-    """Answers batches. An instance that failed is ignored until it is started anew."""
+    """Handles batches. It ignores the input of a failed instance until that instance is restarted."""
 
     def __init__(self) -> None:
         self._decoder = decoding.Decoder()
@@ -23,32 +23,34 @@
         self._failed: set[int] = set()
 
     def handle_batch(self, header: BatchHeader, body: bytes) -> bytes:
-        """Return the reply to a batch. Raise ProtocolError."""
+        """Return the encoded reply to a batch. Raise ProtocolError if the batch is malformed."""
         records: list[bytes] = []
-        for incoming in self._decoder.decode_records(header, body):
-            self._feed(incoming, header, records)
+        for instance_input in self._decoder.decode_records(header, body):
+            self._process_input(instance_input, header, records)
         return encoding.encode_reply(header.number, records)
 
-    def _feed(self, incoming: InstanceInput, header: BatchHeader, records: list[bytes]) -> None:
-        instance = incoming.instance
-        if isinstance(incoming.event, InstanceStarted):
+    def _process_input(
+        self, instance_input: InstanceInput, header: BatchHeader, records: list[bytes]
+    ) -> None:
+        instance = instance_input.instance
+        if isinstance(instance_input.event, InstanceStarted):
             self._failed.discard(instance)
         elif instance in self._failed:
             return
         elif instance not in self._routers:
-            kind = type(incoming.event).__name__
+            kind = type(instance_input.event).__name__
             raise ProtocolError(f"{kind} for instance {instance}, which does not exist", header.place)
         try:
-            self._handle(incoming, header.clock_us, records)
+            self._handle_event(instance_input, header.clock_us, records)
         except SettingsError as error:
-            self._fail(instance, str(error), records)
+            self._fail_instance(instance, str(error), records)
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
-            self._fail(instance, _describe(error), records)
+            self._fail_instance(instance, _describe(error), records)
 
-    def _handle(self, incoming: InstanceInput, now_us: int, records: list[bytes]) -> None:
-        instance = incoming.instance
-        match incoming.event:
+    def _handle_event(self, instance_input: InstanceInput, now_us: int, records: list[bytes]) -> None:
+        instance = instance_input.instance
+        match instance_input.event:
             case InstanceStarted(seed, text):
                 parsed = replace(settings.parse_settings(text), is_ideal_network=True)
                 self._routers[instance] = Router(parsed, seed)
@@ -58,21 +60,21 @@
                 for action in self._routers[instance].handle(now_us, event):
                     records.append(encoding.encode_action(instance, action))
 
-    def _fail(self, instance: int, text: str, records: list[bytes]) -> None:
+    def _fail_instance(self, instance: int, text: str, records: list[bytes]) -> None:
         self._routers.pop(instance, None)
         self._failed.add(instance)
         records.append(encoding.encode_fault(instance, text))
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer batches until the input ends; return the exit code."""
+    """Reply to batches until the input ends. Return the exit code: 0, or 1 after a protocol error."""
     host = Host()
     try:
-        while head := _read(source, frames.BATCH_HEADER.size):
-            if len(head) < frames.BATCH_HEADER.size:
-                raise ProtocolError(f"input ends inside a batch header, after {len(head)} bytes")
-            header = decoding.decode_header(head)
-            size = header.length - frames.LENGTH_OFFSET
+        while header_bytes := _read(source, frames.BATCH_HEADER.size):
+            if len(header_bytes) < frames.BATCH_HEADER.size:
+                raise ProtocolError(f"input ends inside a batch header, after {len(header_bytes)} bytes")
+            header = decoding.decode_header(header_bytes)
+            size = header.length - frames.BATCH_HEADER_BYTES_IN_LENGTH
             body = _read(source, size)
             if len(body) < size:
                 raise ProtocolError(f"input ends after {len(body)} of {size} bytes", header.place)
@@ -85,7 +87,7 @@
 
 
 def _read(source: BinaryIO, size: int) -> bytes:
-    """Read exactly so many bytes, or fewer where the input ends."""
+    """Read exactly `size` bytes, or fewer if the input ends."""
     parts = []
     while size > 0:
         part = source.read(size)
@@ -97,7 +99,7 @@
 
 
 def _describe(error: Exception) -> str:
-    """Name an error with the place that raised it."""
+    """Return the type and message of an error with the source line that raised it."""
     frame = traceback.extract_tb(error.__traceback__)[-1]
     place = f"{PurePath(frame.filename).name}:{frame.lineno} in {frame.name}"
     return f"{type(error).__name__}: {error} at {place}"
--- a/packages/adapter/src/walnutpost/adapter/settings.py
+++ b/packages/adapter/src/walnutpost/adapter/settings.py
@@ -1,6 +1,6 @@
-"""The settings object, as an instance of the simulator and a node get it, to `interface.Settings`.
+"""Parsing of the settings object, which simulator instances and nodes receive, to `interface.Settings`.
 
-Keys are the simulator's; unknown ones are ignored.
+The keys are those of the simulator; unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -20,28 +20,28 @@
     "x0": "memory_tied",
     "x1": "loads",
 }
-"""The policy's names of report fields, by those of the settings."""
+"""The policy's names of the report fields, by their names in the settings."""
 
 
 class SettingsSection:
-    """One level of the settings. Its errors name a key in full; all methods may raise SettingsError."""
+    """One object of the settings. Every method may raise SettingsError, which names the full key."""
 
     def __init__(self, values: Any, path: str = "") -> None:
-        """Wrap `values`, which must be an object; `path` is put before each key."""
+        """Wrap `values`, which must be an object. `path` is the prefix of its keys in error messages."""
         if not isinstance(values, dict):
             raise SettingsError(f"setting {path or 'root'} is not an object", path)
         self._values: dict[str, Any] = values
         self._path = path
 
     def require(self, key: str) -> Any:
-        """Return a value that must be there."""
+        """Return a required value."""
         if self._values.get(key) is None:
             name = self._path + key
             raise SettingsError(f"setting {name} is missing", name)
         return self._values[key]
 
     def number(self, key: str) -> float:
-        """Return a number that may be omitted: zero then, which means that it isn't set."""
+        """Return an optional number; 0 if it is omitted, which means that it is not set."""
         value = self._values.get(key) or 0
         if not isinstance(value, int | float):
             name = self._path + key
@@ -49,38 +49,38 @@
         return value
 
     def integer(self, key: str) -> int:
-        """Return a number without its fraction; zero where it is omitted."""
+        """Return an optional number, truncated to an integer; 0 if it is omitted."""
         return int(self.number(key))
 
     def require_integer(self, key: str) -> int:
-        """Return a number that must be there, without its fraction."""
+        """Return a required number, truncated to an integer."""
         self.require(key)
         return self.integer(key)
 
     def text(self, key: str) -> str:
-        """Return a text; empty where it is omitted."""
+        """Return an optional string; empty if it is omitted."""
         return str(self._values.get(key) or "")
 
     def flag(self, key: str) -> bool:
-        """Return a truth value; False where it is omitted."""
+        """Return an optional boolean; False if it is omitted."""
         return bool(self._values.get(key))
 
     def section(self, key: str) -> SettingsSection:
-        """Return the section below; an empty one where it is omitted."""
+        """Return an optional nested object; an empty section if it is omitted."""
         return SettingsSection(self._values.get(key) or {}, f"{self._path}{key}.")
 
     def sections(self, key: str) -> list[SettingsSection]:
-        """Return the sections of a list."""
+        """Return the objects of an optional list; none if it is omitted."""
         items = self._values.get(key) or []
         return [SettingsSection(item, f"{self._path}{key}[{i}].") for i, item in enumerate(items)]
 
     def items(self, key: str) -> list[Any]:
-        """Return the items of a list."""
+        """Return the items of an optional list; none if it is omitted."""
         return list(self._values.get(key) or [])
 
 
 def parse_settings(text: bytes) -> api.Settings:
-    """Parse the settings of an instance, as JSON. Raise SettingsError."""
+    """Parse the settings of an instance from JSON. Raise SettingsError if a value is missing or invalid."""
     try:
         root = SettingsSection(json.loads(text))
     except ValueError as error:
@@ -92,8 +92,8 @@
     prices = root.section("Prices")
     extra = root.section("Extra")
     return api.Settings(
-        classes=tuple(_parse_class(profile) for profile in root.sections("Profiles")),
-        tenants=tuple(_parse_tenant(realm) for realm in root.sections("Realms")),
+        classes=tuple(_parse_class(class_section) for class_section in root.sections("Profiles")),
+        tenants=tuple(_parse_tenant(tenant_section) for tenant_section in root.sections("Realms")),
         limits=_parse_limits(limits),
         guards=_parse_guards(rules, extra),
         prices=_parse_prices(prices, extra),
@@ -116,25 +116,25 @@
     )
 
 
-def _parse_class(profile: SettingsSection) -> api.RequestClass:
-    effect = profile.require("Idempotency")
+def _parse_class(class_section: SettingsSection) -> api.RequestClass:
+    effect = class_section.require("Idempotency")
     if effect not in EFFECTS:
         raise SettingsError(f"setting Profiles Idempotency {effect!r} is not known", "Idempotency")
     return api.RequestClass(
-        latency_objective_us=profile.require_integer("Aim"),
-        deadline_us=profile.require_integer("HardLimit"),
-        priority_weight=float(profile.require("Importance")),
-        late_priority_weight=profile.number("LateWorth"),
+        latency_objective_us=class_section.require_integer("Aim"),
+        deadline_us=class_section.require_integer("HardLimit"),
+        priority_weight=float(class_section.require("Importance")),
+        late_priority_weight=class_section.number("LateWorth"),
         effect=EFFECTS[effect],
-        group=GROUPS.get(profile.text("DedupScope"), api.Group.CELL),
-        repeat_window_us=profile.integer("Window"),
-        is_stream=profile.flag("Stream"),
-        objective_stretch=profile.number("AimStretch"),
+        group=GROUPS.get(class_section.text("DedupScope"), api.Group.CELL),
+        repeat_window_us=class_section.integer("Window"),
+        is_stream=class_section.flag("Stream"),
+        objective_stretch=class_section.number("AimStretch"),
     )
 
 
-def _parse_tenant(realm: SettingsSection) -> api.Tenant:
-    return api.Tenant(realm.number("Share"), realm.number("QuotaPerS"))
+def _parse_tenant(tenant_section: SettingsSection) -> api.Tenant:
+    return api.Tenant(tenant_section.number("Share"), tenant_section.number("QuotaPerS"))
 
 
 def _parse_report_fields(reporting: SettingsSection) -> tuple[str, ...]:
--- a/packages/adapter/tests/test_adapter_golden.py
+++ b/packages/adapter/tests/test_adapter_golden.py
@@ -1,6 +1,6 @@
-"""The adapter's wire: recorded batches give the recorded events, recorded actions the recorded bytes.
+"""Golden files of the adapter: recorded batches decode to the same events, actions encode to the same bytes.
 
-Run as a program, it writes the files again, which is right only for a wire that is meant to change.
+Run as a program, this file rewrites the golden files. Do so only after an intended change of the protocol.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 )
 from walnutpost.testsupport.golden.neutral_values import KINDS, to_neutral
 
-GOLDEN = Path(__file__).parent / "golden"
-SENT, RECEIVED, SETTINGS_READ, HOST = (
-    GOLDEN / f"{name}.jsonl" for name in ("sent", "received", "settings", "host")
+GOLDEN_FOLDER = Path(__file__).parent / "golden"
+SENT_FILE, RECEIVED_FILE, SETTINGS_FILE, HOST_FILE = (
+    GOLDEN_FOLDER / f"{name}.jsonl" for name in ("sent", "received", "settings", "host")
 )
-FACTS: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "Profiles": [
         {
             "Aim": 1000000,
@@ -104,24 +104,24 @@
 }
 
 
-def decoded(data: bytes) -> list[tuple[int, Any]]:
-    """Each event with its instance; the adapter's own kinds, which the Router never sees, as their values."""
-    head = frames.BATCH_HEADER.size
-    found: list[tuple[int, Any]] = []
+def decode_batch(data: bytes) -> list[tuple[int, Any]]:
+    """Return each input with its instance; starts and stops, which a Router never receives, as tuples."""
+    header_size = frames.BATCH_HEADER.size
+    inputs: list[tuple[int, Any]] = []
     for instance, event in decoding.Decoder().decode_records(
-        decoding.decode_header(data[:head]), data[head:]
+        decoding.decode_header(data[:header_size]), data[header_size:]
     ):
         match event:
             case frames.InstanceStarted(seed, text):
-                found.append((instance, ("started", seed, text)))
+                inputs.append((instance, ("started", seed, text)))
             case frames.InstanceStopped():
-                found.append((instance, ("stopped",)))
+                inputs.append((instance, ("stopped",)))
             case _:
-                found.append((instance, event))
-    return found
+                inputs.append((instance, event))
+    return inputs
 
 
-def served(data: bytes) -> tuple[int, bytes]:
+def serve_input(data: bytes) -> tuple[int, bytes]:
     sink = io.BytesIO()
     return host.serve(io.BytesIO(data), sink), sink.getvalue()
 
@@ -131,9 +131,9 @@
     "fault": encoding.encode_fault,
     "reply": encoding.encode_reply,
 }
-RECEIVERS = {"batch": decoded}
-SETTINGS_READERS = {"settings": settings.parse_settings}
-HOSTS = {"serve": served}
+RECEIVERS = {"batch": decode_batch}
+SETTINGS_RECEIVERS = {"settings": settings.parse_settings}
+HOST_RECEIVERS = {"serve": serve_input}
 
 
 def record(code: int, layout: str, *values: Any) -> bytes:
@@ -146,33 +146,56 @@
     return struct.pack("<IIQI", len(records), 12 + len(body), clock, number) + body
 
 
-def started(instance: int, facts: Any) -> bytes:
-    text = json.dumps(facts).encode()
+def instance_started(instance: int, settings_object: Any) -> bytes:
+    text = json.dumps(settings_object).encode()
     return record(11, f"IQI{len(text)}s", instance, 99, len(text), text)
 
 
-def listed(bank: int, *workers: int) -> bytes:
+def worker_table(table_number: int, *workers: int) -> bytes:
     rows = b"".join(struct.pack("<IHHHBfQ", w, w % 2, 1, 3, w % 3, 1.5, 4 * w) for w in workers)
-    return record(3, f"BI{len(rows)}s", bank, len(workers), rows)
+    return record(3, f"BI{len(rows)}s", table_number, len(workers), rows)
 
 
-def update(bank: int, kind: int, instance: int = 3) -> bytes:
-    return record(8, "IBQB", instance, kind, 41, bank)
+def workers_listed(table_number: int, kind: int, instance: int = 3) -> bytes:
+    return record(8, "IBQB", instance, kind, 41, table_number)
 
 
-def request(rid: int, flags: int, function: int = 9) -> bytes:
+def request_arrived(request_id: int, flags: int, function: int = 9) -> bytes:
     return record(
-        4, "IQBHQIIfffB", 3, rid, rid % 3, rid % 2, function, 900_000, 12_000, 384.5, 2.0, 700.5, flags
+        4,
+        "IQBHQIIfffB",
+        3,
+        request_id,
+        request_id % 3,
+        request_id % 2,
+        function,
+        900_000,
+        12_000,
+        384.5,
+        2.0,
+        700.5,
+        flags,
     )
 
 
-def ended(rid: int, worker: int, how: int, note: int, *report: float) -> bytes:
+def attempt_ended(request_id: int, worker: int, outcome_code: int, note: int, *report: float) -> bytes:
     return record(
-        5, f"IQHIHIBBB{len(report)}f", 3, rid, 0, worker, how, 9000, how == 200, note, len(report), *report
+        5,
+        f"IQHIHIBBB{len(report)}f",
+        3,
+        request_id,
+        0,
+        worker,
+        outcome_code,
+        9000,
+        outcome_code == 200,
+        note,
+        len(report),
+        *report,
     )
 
 
-def make() -> None:
+def write_golden_files() -> None:
     actions: list[api.Action] = [
         api.Send(77, 8, 2_500_000, 16_000),
         api.Reject(1 << 40, 250_000),
@@ -194,61 +217,83 @@
     rows.append(
         ["reply", to_neutral((12, [b"ab", b"cde"])), encoding.encode_reply(12, [b"ab", b"cde"]).hex()]
     )
-    write_rows(SENT, rows)
+    write_rows(SENT_FILE, rows)
     batches = [
         batch(),
         batch(record(1, "IQHII", 3, 77, 2, 8, 500), record(2, "II", 3, 4), record(9, "I", 3)),
-        batch(listed(0, 5, 6, 7), *(update(0, kind) for kind in range(4)), listed(1, 9), update(1, 2)),
-        batch(*(request(70 + flags, flags) for flags in range(4))),
-        batch(*(ended(77, 8, how, 1 + 8 * 5, 0.25, 0.5) for how in frames.OUTCOMES)),
-        batch(*(ended(77, 8, 200, note) for note in range(5))),
+        batch(
+            worker_table(0, 5, 6, 7),
+            *(workers_listed(0, kind) for kind in range(4)),
+            worker_table(1, 9),
+            workers_listed(1, 2),
+        ),
+        batch(*(request_arrived(70 + flags, flags) for flags in range(4))),
+        batch(
+            *(attempt_ended(77, 8, outcome_code, 1 + 8 * 5, 0.25, 0.5) for outcome_code in frames.OUTCOMES)
+        ),
+        batch(*(attempt_ended(77, 8, 200, note) for note in range(5))),
         batch(record(6, "IIHIB2f", 3, 8, 200, 700, 2, 0.5, 0.125), record(6, "IIHIB", 3, 8, 504, 700, 0)),
         batch(record(7, "IIH3s", 3, 2, 3, b"hi!"), record(12, "IQ", 3, 1 << 40)),
-        batch(*(record(10, "IIQHIB", 3, 8, 1 << 39, how, 640, 2) for how in frames.OUTCOMES)),
-        batch(started(3, FACTS)),
+        batch(
+            *(record(10, "IIQHIB", 3, 8, 1 << 39, outcome_code, 640, 2) for outcome_code in frames.OUTCOMES)
+        ),
+        batch(instance_started(3, SETTINGS)),
     ]
-    write_rows(RECEIVED, [received_row("batch", RECEIVERS, data) for data in batches])
+    write_rows(RECEIVED_FILE, [received_row("batch", RECEIVERS, data) for data in batches])
     texts = [
-        json.dumps(facts).encode()
-        for facts in (FACTS, {"Profiles": FACTS["Profiles"], "PolicyLimits": {"MaxAttempts": 2}})
+        json.dumps(settings_object).encode()
+        for settings_object in (
+            SETTINGS,
+            {"Profiles": SETTINGS["Profiles"], "PolicyLimits": {"MaxAttempts": 2}},
+        )
     ]
-    write_rows(SETTINGS_READ, [received_row("settings", SETTINGS_READERS, text) for text in texts])
-    life = batch(started(3, FACTS), listed(0, 2, 5, 8, 11), update(0, 1), number=1, clock=1_000_000)
+    write_rows(SETTINGS_FILE, [received_row("settings", SETTINGS_RECEIVERS, text) for text in texts])
+    host_input = batch(
+        instance_started(3, SETTINGS),
+        worker_table(0, 2, 5, 8, 11),
+        workers_listed(0, 1),
+        number=1,
+        clock=1_000_000,
+    )
     for step in range(40):
-        records = [request(step, step % 4, 9 + step % 3), record(2, "II", 3, 1)]
+        records = [request_arrived(step, step % 4, 9 + step % 3), record(2, "II", 3, 1)]
         records += [
-            ended(step, 2 + 3 * (step % 4), 200 if step % 5 else 404, step % 4, 0.25, 0.5, 1.0, 0.1, 4.0, 9.0)
+            attempt_ended(
+                step, 2 + 3 * (step % 4), 200 if step % 5 else 404, step % 4, 0.25, 0.5, 1.0, 0.1, 4.0, 9.0
+            )
         ]
         records += [record(10, "IIQHIB", 3, 2 + 3 * (step % 4), 9 + step % 3, 200, 300_000, 1)]
-        life += batch(*records, number=step + 2, clock=1_100_000 + 90_000 * step)
-    life += batch(started(4, {"Profiles": 1}), record(9, "I", 3), number=60, clock=9_000_000)
-    write_rows(HOST, [received_row("serve", HOSTS, life)])
+        host_input += batch(*records, number=step + 2, clock=1_100_000 + 90_000 * step)
+    host_input += batch(instance_started(4, {"Profiles": 1}), record(9, "I", 3), number=60, clock=9_000_000)
+    write_rows(HOST_FILE, [received_row("serve", HOST_RECEIVERS, host_input)])
 
 
 def test_actions_and_faults_are_encoded_as_recorded() -> None:
-    assert differences_sent(SENT, SENDERS) == []
+    assert differences_sent(SENT_FILE, SENDERS) == []
 
 
 def test_batches_are_decoded_as_recorded() -> None:
-    assert differences_received(RECEIVED, RECEIVERS) == []
+    assert differences_received(RECEIVED_FILE, RECEIVERS) == []
 
 
 def test_settings_are_parsed_as_recorded() -> None:
-    assert differences_received(SETTINGS_READ, SETTINGS_READERS) == []
+    assert differences_received(SETTINGS_FILE, SETTINGS_RECEIVERS) == []
 
 
-def test_a_recorded_run_of_an_instance_is_answered_with_the_same_bytes() -> None:
-    assert differences_received(HOST, HOSTS) == []
+def test_the_host_answers_a_recorded_run_with_the_recorded_bytes() -> None:
+    assert differences_received(HOST_FILE, HOST_RECEIVERS) == []
 
 
-def test_every_kind_of_action_and_event_is_recorded() -> None:
-    written = {KINDS[row[1][2][1]][0] for row in read_rows(SENT) if row[0] == "action"}
-    assert written == set(typing.get_args(api.Action))
-    read = {event[2][1] for row in read_rows(RECEIVED) for event in row[1][1:]}
-    kinds = {KINDS[number][0] for number in read if isinstance(number, int)}
-    assert kinds == set(typing.get_args(api.Event)) - {api.ShuttingDown}  # the simulator has no such event
-    assert {number for number in read if isinstance(number, str)} == {"started", "stopped"}
+def test_the_golden_files_contain_every_kind_of_action_and_event() -> None:
+    action_kinds = {KINDS[row[1][2][1]][0] for row in read_rows(SENT_FILE) if row[0] == "action"}
+    assert action_kinds == set(typing.get_args(api.Action))
+    event_tags = {event[2][1] for row in read_rows(RECEIVED_FILE) for event in row[1][1:]}
+    event_kinds = {KINDS[number][0] for number in event_tags if isinstance(number, int)}
+    assert event_kinds == set(typing.get_args(api.Event)) - {
+        api.ShuttingDown
+    }  # the simulator has no such event
+    assert {number for number in event_tags if isinstance(number, str)} == {"started", "stopped"}
 
 
 if __name__ == "__main__":
-    make()
+    write_golden_files()
