--- a/packages/adapter/src/walnutpost/adapter/decoding.py
+++ b/packages/adapter/src/walnutpost/adapter/decoding.py
@@ -24,7 +24,9 @@
     """Decode a batch header. Raise ProtocolError if its length field is too small."""
     header = BatchHeader(*frames.BATCH_HEADER.unpack(data))
     if header.length < frames.BATCH_HEADER_BYTES_IN_LENGTH:
-        raise ProtocolError(f"length {header.length} is shorter than the batch header", header.place)
+        raise ProtocolError(
+            f"length {header.length} is shorter than the rest of the batch header", header.place
+        )
     return header
 
 
@@ -133,13 +135,13 @@
 
 def _decode_attempt_ended(fields: bytes) -> InstanceInput:
     unpacked = frames.ATTEMPT_ENDED.unpack_from(fields)
-    instance, request, attempt, worker, outcome_code, latency_us, has_finished, note, count = unpacked
+    instance, request, attempt, worker, outcome_code, latency_us, is_finished, note, count = unpacked
     report = _decode_report(fields, frames.ATTEMPT_ENDED.size, count)
     outcome = _lookup(frames.OUTCOMES, outcome_code, "outcome")
     warmth = _lookup(frames.WARMTHS, note & frames.WARMTH_MASK, "note")
     crowd = note >> frames.CROWD_SHIFT
     event = api.AttemptEnded(
-        request, attempt, worker, outcome, latency_us, bool(has_finished), warmth, crowd, report
+        request, attempt, worker, outcome, latency_us, bool(is_finished), warmth, crowd, report
     )
     return InstanceInput(instance, event)
 
--- a/packages/adapter/src/walnutpost/adapter/frames.py
+++ b/packages/adapter/src/walnutpost/adapter/frames.py
@@ -1,8 +1,8 @@
 """Record layouts, codes and code tables of the simulator's protocol.
 
-Numbers are little-endian; times are in microseconds unless a name says otherwise. A batch is a BATCH_HEADER
-and its records; a record is a RECORD_HEADER and its fields. A reply is a REPLY_HEADER (its length and the
-number of the batch) and its records.
+Numbers are little-endian. Times are in microseconds, except the load time of a request, which is in
+milliseconds. A batch is a BATCH_HEADER and its records; a record is a RECORD_HEADER and its fields. A reply
+is a REPLY_HEADER (its length and the number of the batch) and its records.
 """
 
 from __future__ import annotations
@@ -38,6 +38,7 @@
 REQUEST_CANCELLED = struct.Struct("<IQ")
 REPORT_VALUE_BYTES = 4
 MAX_TEXT_BYTES = 65535
+"""The largest value of the 16-bit size field of a text; longer texts are truncated."""
 
 COST_HINT_VALID_FLAG = 1
 CLIENT_RETRY_FLAG = 2
@@ -139,7 +140,7 @@
 
 
 class InstanceInput(NamedTuple):
-    """An input for one instance."""
+    """An event and the instance that receives it."""
 
     instance: int
     event: InputEvent
--- a/packages/adapter/src/walnutpost/adapter/host.py
+++ b/packages/adapter/src/walnutpost/adapter/host.py
@@ -1,4 +1,4 @@
-"""The instances of one process: passes events to the router of each and makes no decisions."""
+"""The host of a process's routers: passes each instance's events to its router and makes no decisions."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Host:
-    """Handles batches. It ignores the input of a failed instance until that instance is restarted."""
+    """The instances of one process, each with its router. Failed ones ignore input until they restart."""
 
     def __init__(self) -> None:
         self._decoder = decoding.Decoder()
--- a/packages/interface/src/walnutpost/interface/actions.py
+++ b/packages/interface/src/walnutpost/interface/actions.py
@@ -1,4 +1,7 @@
-"""Actions: the decisions of the policy, which its caller carries out."""
+"""Actions: the decisions of the policy, which its caller carries out.
+
+Fields named `request`, `function` and `worker` are numbers from `RequestArrived` and `Worker.id`.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,9 @@
     """Start an attempt of the request at the worker."""
 
     request: int
-    """The number of the request (`RequestArrived.request`)."""
     worker: int
-    """The number of the worker (`Worker.id`)."""
     timeout_us: int
-    """The attempt is cancelled after this time."""
+    """The time after which the attempt is cancelled."""
     begin_within_us: int = 0
     """How long the decision is valid; 0 means no limit.
 
@@ -61,11 +62,10 @@
 
     worker: int
     function: int
-    """The number of the function (`RequestArrived.function`)."""
     copies: int
     """The minimum number of copies; 0 loads nothing and only queries how many there are."""
     begin_within_us: int = 0
-    """As in `Send`: how long the decision is valid; 0 means no limit."""
+    """How long the decision is valid, as in `Send`; 0 means no limit."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/packages/interface/src/walnutpost/interface/events.py
+++ b/packages/interface/src/walnutpost/interface/events.py
@@ -1,4 +1,8 @@
-"""Events: the inputs of the policy."""
+"""Events: the inputs of the policy.
+
+Fields named `request`, `function` and `worker` are numbers from `RequestArrived` and `Worker.id`; `attempt`
+is the index of an attempt, as in `Cancel`.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
     """An entry of the endpoint list."""
 
     id: int
-    """The number of the worker in all events and actions."""
+    """The number of the worker, by which events and actions refer to it."""
     zone: int
     """The number of the worker's zone."""
     kind: int
@@ -42,9 +46,9 @@
     """A request was read from a client."""
 
     request: int
-    """The number of the request in all later events and actions."""
+    """The number of the request, by which later events and actions refer to it."""
     class_index: int
-    """An index into `Settings.classes`."""
+    """An index into `Settings.classes`; one beyond its end means the last class."""
     tenant: int
     """An index into `Settings.tenants`; one beyond its end means no configured tenant."""
     function: int
@@ -71,7 +75,6 @@
 
     request: int
     attempt: int
-    """The index of the attempt, as in `Cancel`."""
     worker: int
     latency_us: int
     """The time from the start of the attempt to this part."""
@@ -83,7 +86,6 @@
 
     request: int
     attempt: int
-    """The index of the attempt, as in `Cancel`."""
     worker: int
     outcome: Outcome
     latency_us: int
--- a/packages/interface/src/walnutpost/interface/settings.py
+++ b/packages/interface/src/walnutpost/interface/settings.py
@@ -18,8 +18,9 @@
     priority_weight: float
     """The weight of an answer that meets the latency objective."""
     late_priority_weight: float
-    """The weight of an answer after the latency objective."""
+    """The weight of an answer that misses the latency objective."""
     effect: Effect
+    """The effect of running a request of this class a second time."""
     group: Group
     """The workers that drop duplicates of a KEYED request together; meaningless for other effects."""
     repeat_window_us: int
@@ -65,21 +66,21 @@
     answer_slack_us: int
     """How long after its deadline a request may still be answered."""
     drain_grace_us: int
-    """How long after a worker begins to drain requests and load orders may still begin there."""
+    """How long attempts and load orders may still begin at a worker after it starts to drain."""
     warm_up_us: int
     """How long after its start a worker is warming up."""
     start_capacity: float
     """The fraction of its capacity that a worker has at its start; it grows to 1 during the warm-up."""
     overload_factor: float
-    """The multiple of the mean load per worker that a worker tolerates within `overload_window_us`."""
+    """The load that a worker tolerates in `overload_window_us`, as a multiple of the mean load per worker."""
     overload_window_us: int
     """The window in which the load of a worker is measured."""
     watch_within_us: int
     """The time within which the endpoint list must be requested."""
     free_load_orders: float
-    """How many load orders each window allows in addition to those per request."""
+    """How many load orders a window allows regardless of the requests in it."""
     load_orders_per_request: float
-    """How many load orders each request in the window allows."""
+    """How many more load orders a window allows for each request in it."""
     load_order_window_us: int
     """The length of the sliding window in which load orders and requests are counted."""
 
@@ -135,9 +136,9 @@
     weighs_priority_by_work: bool
     """Whether priority is weighted by the work of a request."""
     over_share_weight: float
-    """The factor on the priority of the requests by which a tenant exceeds its share."""
+    """The factor on the priority of requests beyond their tenant's share."""
     report_fields: tuple[str, ...]
-    """The names of the values in a load report, in order: "busy" or "queue", for example."""
+    """The names of the values in a load report, in order; "busy" and "queue" are examples."""
     memory_mb_by_kind: tuple[float, ...]
     """The memory of a worker in megabytes, by `Worker.kind`."""
     is_ideal_network: bool = False
@@ -146,4 +147,4 @@
     On a real network, load orders may arrive much later, and clients may duplicate or forge requests.
     """
     are_restarts_unseen: bool = False
-    """Whether an earlier process of the same name may have ended just before this one started, unnoticed."""
+    """Whether a previous process of the same name may have ended just before this start without any trace."""
--- a/packages/interface/src/walnutpost/interface/vocabulary.py
+++ b/packages/interface/src/walnutpost/interface/vocabulary.py
@@ -80,7 +80,7 @@
     UNREPORTED = 0
     """The answer does not report it."""
     WARM = 1
-    """The copy was loaded."""
+    """The copy was already loaded."""
     STARTED_LOAD = 2
     """The request started the load of the copy."""
     JOINED_LOAD = 3
