--- a/packages/policy/src/walnutpost/policy/__init__.py
+++ b/packages/policy/src/walnutpost/policy/__init__.py
@@ -1,6 +1,6 @@
-"""Every decision of the ordinary path, a module for each concern, without I/O or clock.
+"""The routing policy: all decisions about calls, one module per concern, without I/O or a clock.
 
-`Router` is the facade: it takes the events and returns the actions that `walnutpost.interface` defines.
+`Router` is the facade. It takes events and returns actions; `walnutpost.interface` defines both.
 """
 
 from walnutpost.policy.endpoints import hash_rank
--- a/packages/policy/src/walnutpost/policy/attempts.py
+++ b/packages/policy/src/walnutpost/policy/attempts.py
@@ -1,4 +1,4 @@
-"""The choke point for sends: rules 1 to 4 for each attempt."""
+"""The only place that sends attempts; it enforces rules 1 to 4 for each of them."""
 
 from walnutpost import interface as api
 from walnutpost.policy.context import DecisionContext
@@ -11,7 +11,7 @@
 
 
 class Attempts:
-    """Decides whether an attempt may begin, and begins it."""
+    """Outgoing attempts; each is checked against the rules before it is sent."""
 
     __slots__ = ("_context", "_endpoints", "_health_checks", "_slow_start")
 
@@ -28,10 +28,10 @@
         self._health_checks = health_checks
 
     def may_send(self, request: Request, worker: Worker) -> bool:
-        """Whether the request may go to the worker now.
+        """Return whether the request may be sent to the worker now.
 
-        It must be unanswered and in time, a repeat must be allowed, the worker must stay, and the slow-start
-        budget must have room.
+        The request must be unanswered and within its deadline, a retry must be allowed, the worker must be
+        ready and not excluded, and the slow-start budget must have room.
         """
         if request.is_answered or not worker.is_ready or worker.info.id in request.excluded_workers:
             return False
@@ -42,7 +42,7 @@
         return self._slow_start.has_budget(worker)
 
     def may_retry(self, request: Request) -> bool:
-        """Whether another attempt is allowed at all: attempts and time are left, and a second run is safe."""
+        """Return whether another attempt is allowed: attempts and time are left, and a second run is safe."""
         settings, attempts = self._context.settings, request.attempts
         limits = settings.limits
         if len(attempts) >= limits.max_attempts:
@@ -54,7 +54,7 @@
         return request.request_class.effect is not api.Effect.UNSAFE or not request.may_have_run()
 
     def send(self, request: Request, worker: Worker) -> None:
-        """Begin an attempt if it is allowed; the worker is then believed to get a copy."""
+        """Send an attempt if it is allowed, and assume from then on that the worker holds a copy."""
         if not self.may_send(request, worker):
             return
         now_us, worker_id, function = self._context.now_us, worker.info.id, request.function
@@ -75,25 +75,29 @@
         self._health_checks.schedule_after_send(worker)
 
     def _may_repeat_key(self, request: Request, worker: Worker) -> bool:
-        """Whether a keyed repeat reaches workers that know the key, while they remember it."""
+        """Return whether the worker would recognize a repeat of the key.
+
+        Earlier attempts that may have run must be within its deduplication group and window.
+        """
         group, window_us = request.request_class.group, request.request_class.repeat_window_us
         for attempt in request.attempts:
             if attempt.outcome in NEVER_RAN:
                 continue
-            first = self._endpoints.workers[attempt.worker].info
-            if group is api.Group.ZONE and first.zone != worker.info.zone:
+            earlier = self._endpoints.workers[attempt.worker].info
+            if group is api.Group.ZONE and earlier.zone != worker.info.zone:
                 return False
-            if group is api.Group.CELL and first.cell != worker.info.cell:
+            if group is api.Group.CELL and earlier.cell != worker.info.cell:
                 return False
             if self._context.now_us - attempt.sent_us > window_us:
                 return False
         return True
 
     def _latest_begin_us(self, request: Request, worker: Worker) -> int:
-        """Return until when the decision is valid by the guards' own figures (docs/design.md).
+        """Return the latest time at which a worker may begin the attempt (docs/design.md).
 
-        That is the deadline, the end of a key's window, the drain grace, or at a worker that is warming up
-        the grace by which its sends are counted for longer.
+        That is the earliest of: one clock tick before the deadline; the end of the idempotency key's window;
+        the drain grace from now, as the worker may begin to drain at any time; and, if the worker is warming
+        up, `grace_us` from now, as slow start counts a send for that much longer than its window.
         """
         context, request_class = self._context, request.request_class
         latest_us = request.deadline_us - context.settings.tick_us
--- a/packages/policy/src/walnutpost/policy/endpoint_updates.py
+++ b/packages/policy/src/walnutpost/policy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""What a new list of workers, or a change of it, means for the known workers and their work."""
+"""Updates of the endpoint list: apply a full list or a change to the known workers and their requests."""
 
 import math
 from dataclasses import replace
@@ -15,16 +15,16 @@
 from walnutpost.policy.workers import Worker, new_worker
 
 COMPLETE_LISTS = (api.ListKind.CACHED, api.ListKind.FULL)
-WATCH_RETRY_DIVISOR = 8  # of the time within which the list must be asked for
+WATCH_RETRY_DIVISOR = 8  # a failed watch is retried after `guards.watch_within_us` divided by this
 
 
 class EndpointUpdates:
-    """Applies the lists of workers."""
+    """Handler of endpoint lists and their changes."""
 
     __slots__ = (
         "_context",
         "_endpoints",
-        "_failures",
+        "_failure_detection",
         "_functions",
         "_is_watching",
         "_orders",
@@ -42,7 +42,7 @@
         requests: OpenRequests,
         orders: LoadOrders,
         placement: Placement,
-        failures: FailureDetection,
+        failure_detection: FailureDetection,
     ) -> None:
         self._context = context
         self._timers = timers
@@ -51,11 +51,11 @@
         self._requests = requests
         self._orders = orders
         self._placement = placement
-        self._failures = failures
+        self._failure_detection = failure_detection
         self._is_watching = False
 
     def handle(self, event: api.WorkersListed) -> None:
-        """Update the workers, then release the requests that were queued."""
+        """Update the workers, then try to send the queued requests."""
         self._schedule_watch(event.kind)
         weights_before = self._endpoints.weights()
         for info in (*self._missing_from(event), *event.workers):
@@ -67,18 +67,18 @@
                 self._placement.release(function)
 
     def _schedule_watch(self, kind: api.ListKind) -> None:
-        """Ask to watch the list: at once at the start, after a pause when that has failed."""
+        """Schedule a watch of the endpoint list: at the first list, and after a delay if a watch fails."""
         if not self._context.settings.must_watch_endpoints:
             return
         if self._is_watching and kind is not api.ListKind.FAILED:
             return
-        retry_us = self._context.settings.guards.watch_within_us / WATCH_RETRY_DIVISOR
-        pause_us = retry_us if self._is_watching else 0
-        self._timers.schedule(self._context.now_us + pause_us, TimerKind.WATCH_ENDPOINTS, 0)
+        retry_delay_us = self._context.settings.guards.watch_within_us / WATCH_RETRY_DIVISOR
+        delay_us = retry_delay_us if self._is_watching else 0
+        self._timers.schedule(self._context.now_us + delay_us, TimerKind.WATCH_ENDPOINTS, 0)
         self._is_watching = True
 
     def _missing_from(self, event: api.WorkersListed) -> list[api.Worker]:
-        """Return the known workers that a complete list doesn't name any more, as gone."""
+        """Return the known workers that a complete list omits, with their state set to gone."""
         if event.kind not in COMPLETE_LISTS:
             return []
         listed = {info.id for info in event.workers}
@@ -97,24 +97,24 @@
         worker.info = info
         worker.is_ready = info.state is api.WorkerState.READY
         worker.weight = self._endpoints.weight_of(info)
-        if has_restarted:  # after `is_ready`: what is rescued must not come back to one that drains again
+        if has_restarted:  # after `is_ready`: reassigned requests must not go to a worker that drains again
             self._restart_worker(worker)
         if not worker.is_ready:
-            self._failures.forget_copies(worker, rescue=info.state is api.WorkerState.GONE)
+            self._failure_detection.forget_copies(worker, reassign=info.state is api.WorkerState.GONE)
 
     def _restart_worker(self, worker: Worker) -> None:
-        """Void the copies, attempts and samples of the worker's last life."""
-        self._failures.forget_copies(worker, rescue=True)
+        """Discard what was known from before the restart: copies, attempts and slowdown samples."""
+        self._failure_detection.forget_copies(worker, reassign=True)
         self._orders.settle_unresolved(worker, worker.info.started_at_us)
-        fresh = new_worker(worker.info, self._context.keep_alive_us)
-        worker.started_us = fresh.started_us
+        initial = new_worker(worker.info, self._context.keep_alive_us)
+        worker.started_us = initial.started_us
         worker.silent_since_us = None
         worker.probe_sent_us = None
-        worker.sample_weights = fresh.sample_weights
-        worker.sample_strains = fresh.sample_strains
+        worker.sample_weights = initial.sample_weights
+        worker.slowdown_samples = initial.slowdown_samples
 
     def _forget_gone(self) -> None:
-        """Forget the workers that left the list, once no attempt names them."""
+        """Forget the workers that left the list, once no attempt refers to them."""
         gone = {i for i, w in self._endpoints.workers.items() if w.info.state is api.WorkerState.GONE}
         if not gone:
             return
--- a/packages/policy/src/walnutpost/policy/load_balancing.py
+++ b/packages/policy/src/walnutpost/policy/load_balancing.py
@@ -1,4 +1,4 @@
-"""Load balancing: the choice of the worker for an attempt."""
+"""Load balancing: choose the worker for an attempt."""
 
 from itertools import islice
 
@@ -12,13 +12,13 @@
 from walnutpost.policy.warm_copies import WarmCopies
 from walnutpost.policy.workers import Worker
 
-EXPECTED_COPY_PLACES = 2  # first places of the hash order that a call itself looks at
-ATTEMPTS_FOR_COPIES = 2  # attempts that such looks must leave for workers with a copy
-MISS_BELIEF_LOAD_TIMES = 0.5  # usual load times that a miss is believed; others may order a load meanwhile
+MAX_EXPECTED_HOLDERS = 2  # first workers of the hash order that a call may try for a copy
+ATTEMPTS_FOR_COPIES = 2  # attempts that must remain for workers with a known copy
+MISS_VALID_LOAD_TIMES = 0.5  # how long a miss counts; another front end may order a load meanwhile
 
 
 class LoadBalancing:
-    """Chooses the least busy warm worker, or else the one where others' copies should be."""
+    """Load balancer: it chooses the least busy warm worker, or else one that should hold another's copy."""
 
     __slots__ = ("_attempts", "_context", "_copies", "_endpoints", "_orders", "_outliers")
 
@@ -39,26 +39,27 @@
         self._attempts = attempts
 
     def choose_warm_worker(self, request: Request) -> Worker | None:
-        """Return the warm worker with the least in flight for its weight and slowness, ties at random.
+        """Return the warm worker with the fewest attempts in flight for its weight and slowdown.
 
-        Workers with a free slot come first. An unsafe call, which can't be tried again, never goes to an
-        outlier, and to a suspected worker only if there is no other.
+        Ties are broken at random. Workers with a free slot come first. An unsafe call can't be retried, so it
+        never goes to an outlier, and goes to a suspected worker only if there is no other.
         """
         function, outliers, random = request.function, self._outliers, self._context.random
         is_unsafe = request.request_class.effect is api.Effect.UNSAFE
 
-        def busyness(worker: Worker) -> tuple[bool, bool, float, float]:
+        def preference(worker: Worker) -> tuple[bool, bool, float, float]:
             load = (worker.in_flight + 1) * outliers.slowness(worker) / worker.weight
-            is_second_choice = is_unsafe and outliers.is_suspected(worker)
-            return is_second_choice, self._copies.exceeds_concurrency(function, worker), load, random.random()
+            is_deprioritized = is_unsafe and outliers.is_suspected(worker)
+            return is_deprioritized, self._copies.exceeds_concurrency(function, worker), load, random.random()
 
         candidates = [w for w in self._copies.warm_workers(function) if self._may_choose(request, w)]
-        return min(candidates, key=busyness, default=None)
+        return min(candidates, key=preference, default=None)
 
     def choose_expected_holder(self, request: Request) -> Worker | None:
-        """Return a worker where others' copies should be by the hash order; the call itself finds out.
+        """Return a worker that, by the hash order, should hold a copy loaded by another front end.
 
-        Only where absence answers a miss, which proves that nothing ran, and while no load is under way.
+        The call itself finds out whether it does. This is done only if workers without a copy answer with a
+        miss, which proves that nothing ran, and only while no scale-up of the function is in flight.
         """
         function, settings = request.function, self._context.settings
         attempts_left = settings.limits.max_attempts - ATTEMPTS_FOR_COPIES - len(request.attempts)
@@ -66,18 +67,16 @@
             return None
         if function.pending_orders_us or attempts_left <= 0:
             return None
-        believed_since_us = self._context.now_us - MISS_BELIEF_LOAD_TIMES * self._orders.load_time_us(
-            function
-        )
+        valid_since_us = self._context.now_us - MISS_VALID_LOAD_TIMES * self._orders.load_time_us(function)
         in_order = (w for w in self._endpoints.hash_order(function) if w.silent_since_us is None)
-        for worker in islice(in_order, EXPECTED_COPY_PLACES):
-            missed_us = function.missed_us.get(worker.info.id, 0)
-            if missed_us <= believed_since_us and self._may_choose(request, worker):
+        for worker in islice(in_order, MAX_EXPECTED_HOLDERS):
+            last_miss_us = function.last_miss_us.get(worker.info.id, 0)
+            if last_miss_us <= valid_since_us and self._may_choose(request, worker):
                 return worker
         return None
 
     def choose_first_allowed(self, request: Request, workers: list[Worker]) -> Worker | None:
-        """Return the first of the workers that the request may go to."""
+        """Return the first of `workers` that the request may be sent to."""
         return next((w for w in workers if self._attempts.may_send(request, w)), None)
 
     def _may_choose(self, request: Request, worker: Worker) -> bool:
--- a/packages/policy/src/walnutpost/policy/load_order_results.py
+++ b/packages/policy/src/walnutpost/policy/load_order_results.py
@@ -1,4 +1,4 @@
-"""What the end of a load order or a probe says of its worker and of the copies there."""
+"""Results of load orders and probes: update the worker and its copies."""
 
 from walnutpost import interface as api
 from walnutpost.policy.context import DecisionContext
@@ -12,9 +12,9 @@
 
 
 class LoadOrderResults:
-    """Takes in ended load orders and probes."""
+    """Handler of ended load orders and probes."""
 
-    __slots__ = ("_context", "_endpoints", "_failures", "_functions", "_orders", "_placement")
+    __slots__ = ("_context", "_endpoints", "_failure_detection", "_functions", "_orders", "_placement")
 
     def __init__(
         self,
@@ -23,17 +23,17 @@
         functions: FunctionTable,
         orders: LoadOrders,
         placement: Placement,
-        failures: FailureDetection,
+        failure_detection: FailureDetection,
     ) -> None:
         self._context = context
         self._endpoints = endpoints
         self._functions = functions
         self._orders = orders
         self._placement = placement
-        self._failures = failures
+        self._failure_detection = failure_detection
 
     def handle(self, event: api.LoadOrderEnded) -> None:
-        """Settle the order, update the worker and its copies, and release what was queued for one."""
+        """Settle the order, update the worker and its copies, and try to send queued requests."""
         worker = self._endpoints.workers.get(event.worker)
         if event.ordered_copies and not self._context.settings.is_ideal_network:
             self._orders.settle_order(worker, event.outcome)
@@ -49,14 +49,14 @@
             return
         was_ordered = function.pending_orders_us.pop(event.worker, None) is not None
         if event.outcome is api.Outcome.OK and worker.is_ready:
-            self._orders.mark_warm(function, event, was_ordered)
+            self._orders.record_copies(function, event, was_ordered)
         elif was_ordered:
             self._orders.schedule_backoff(function, event.worker)
         self._placement.release(function)
 
     def _update_worker(self, worker: Worker, event: api.LoadOrderEnded) -> None:
-        """Note an answer or a failed connection; a timeout or an order never sent says nothing by itself."""
+        """Record an answer or a connection failure; a timeout or an unsent order proves nothing by itself."""
         if event.outcome in WORKER_ANSWERED:
-            self._failures.record_answer(worker, self._context.now_us - event.latency_us)
+            self._failure_detection.record_answer(worker, self._context.now_us - event.latency_us)
         elif event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.MOOT):
-            self._failures.record_connection_failure(worker, event.outcome)
+            self._failure_detection.record_connection_failure(worker, event.outcome)
--- a/packages/policy/src/walnutpost/policy/load_orders.py
+++ b/packages/policy/src/walnutpost/policy/load_orders.py
@@ -1,4 +1,4 @@
-"""Load orders to workers: the choke point for sending them, their settlement and their back-off."""
+"""Load orders to workers: the only place that sends and settles them, and their back-off."""
 
 from walnutpost import interface as api
 from walnutpost.policy.context import PROBE_TIMEOUT_OBJECTIVES, DecisionContext
@@ -7,55 +7,62 @@
 from walnutpost.policy.requests import Request
 from walnutpost.policy.workers import Worker
 
-INITIAL_LOAD_TIME_OBJECTIVES = 0.5  # the usual load time until orders show it
-LOAD_TIME_GAIN = 0.2  # weight of one load in the usual time
-OVERDUE_LOAD_TIMES = 3.0  # usual load times after which an unanswered order is overdue
-BACKOFF_LOAD_TIMES = 0.5  # usual load times of the first pause after a failed order, doubled in a row
+INITIAL_LOAD_TIME_OBJECTIVES = 0.5  # mean load time before the first load
+LOAD_TIME_SMOOTHING = 0.2  # weight of one load in the moving average
+OVERDUE_LOAD_TIMES = 3.0  # age from which an unanswered order is overdue
+BACKOFF_LOAD_TIMES = 0.5  # base of the delay after a failed load, which doubles with each in a row
 MAX_BACKOFF_DOUBLINGS = 4
 
 
 class LoadOrders:
-    """Sends load orders and copy probes, and keeps the limit's reservations in step with their ends."""
+    """Load orders and probes to workers; the reservations of the limit are settled as the orders end."""
 
-    __slots__ = ("_context", "limit", "usual_load_time_us")
+    __slots__ = ("_context", "limit", "mean_load_time_us")
 
     def __init__(self, context: DecisionContext, limit: LoadOrderLimit) -> None:
         self._context = context
         self.limit = limit
-        self.usual_load_time_us = INITIAL_LOAD_TIME_OBJECTIVES * context.objective_us
+        self.mean_load_time_us = INITIAL_LOAD_TIME_OBJECTIVES * context.objective_us
 
     def load_time_us(self, function: Function) -> float:
-        """Return how long a load of the function usually takes."""
-        return max(float(function.load_time_us), self.usual_load_time_us)
+        """Return the expected load time of the function."""
+        return max(float(function.load_time_us), self.mean_load_time_us)
 
     def order_copy(self, function: Function, worker: Worker, budget_fraction: float) -> bool:
-        """Order one copy (rules 3 and 5): not at a draining worker, and only inside the limit."""
+        """Order one copy and return whether it was allowed (rules 3 and 5).
+
+        It is not allowed at a draining worker, nor beyond `budget_fraction` of the load-order limit.
+        """
         if not self._context.settings.may_order_loads:
             return False
         if not (worker.is_ready and self.limit.reserve(self._context.now_us, budget_fraction)):
             return False
-        self._emit(function, worker, 1, self._context.settings.guards.drain_grace_us)
+        self._send_order(function, worker, 1, self._context.settings.guards.drain_grace_us)
         return True
 
-    def ask_copies(self, function: Function, worker: Worker) -> bool:
-        """Ask how many copies the worker has; the limit does not count that. False if not allowed."""
+    def query_copies(self, function: Function, worker: Worker) -> bool:
+        """Ask the worker how many copies it has; return False if that is not allowed.
+
+        The load-order limit does not count such a probe.
+        """
         if not self._context.settings.may_order_loads:
             return False
-        self._emit(function, worker, 0, 0)
+        self._send_order(function, worker, 0, 0)
         return True
 
     def is_overdue(self, function: Function, worker: Worker) -> bool:
-        """Whether the worker has long been silent since an order.
+        """Return whether an order or probe to the worker has gone unanswered for too long.
 
-        It may be cut off, and more orders to it would use up the limit for the others.
+        The worker may be unreachable, and more orders to it would use up the limit for other workers.
         """
         overdue_since_us = self._context.now_us - OVERDUE_LOAD_TIMES * self.load_time_us(function)
         return 0 < worker.first_unanswered_order_us < overdue_since_us
 
     def settle_order(self, worker: Worker | None, outcome: api.Outcome) -> None:
-        """Close the reservation of an order that ended.
+        """Settle the reservation of an order that ended.
 
-        Without an answer it may still arrive, until its worker is heard from or has left the list.
+        An order without an answer stays reserved, because it may still arrive until its worker answers a
+        later message, restarts or leaves the list.
         """
         if worker is not None and outcome in (api.Outcome.TIMEOUT, api.Outcome.RESET):
             worker.unresolved_orders_us.append(self._context.now_us)
@@ -63,46 +70,49 @@
         never_sent = outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.MOOT)
         self.limit.settle(0 if never_sent else self._context.now_us)
 
-    def settle_unresolved(self, worker: Worker, proof_us: float) -> None:
-        """Close orders that can't arrive later than the grace from now.
+    def settle_unresolved(self, worker: Worker, evidence_time_us: float) -> None:
+        """Settle the worker's unresolved orders if they can't arrive later than `grace_us` from now.
 
-        The proof is an answer to what was sent at `proof_us`, after all of them; a start of the worker then;
-        or its end (infinity).
+        `evidence_time_us` must be later than all of them. It is the time when a message was sent that the
+        worker has answered, the time of the worker's start, or infinity if the worker has left the list.
         """
         orders_us = worker.unresolved_orders_us
-        if orders_us and proof_us > orders_us[-1]:
+        if orders_us and evidence_time_us > orders_us[-1]:
             self.limit.settle(self._context.now_us + self._context.grace_us, len(orders_us))
             orders_us.clear()
 
     def count_request(self, request: Request, is_genuine: bool) -> None:
-        """Let a genuine request justify orders, once.
+        """Count a genuine request once towards the load-order limit.
 
-        Clients may copy or invent requests; those get nothing but errors of workers.
+        Clients may copy or invent requests. Workers answer those only with errors, so they do not count.
         """
         if is_genuine and request.earliest_arrival_us is not None:
             self.limit.count_request(request.earliest_arrival_us)
             request.earliest_arrival_us = None
 
-    def mark_warm(self, function: Function, event: api.LoadOrderEnded, was_ordered: bool) -> None:
-        """Note the copies that a worker's answer tells of; a quick answer took no load."""
+    def record_copies(self, function: Function, event: api.LoadOrderEnded, was_ordered: bool) -> None:
+        """Record the copies that a worker reports, and the load time unless the answer was quick."""
         if was_ordered and event.latency_us > self._context.objective_us * PROBE_TIMEOUT_OBJECTIVES:
-            self.usual_load_time_us += LOAD_TIME_GAIN * (event.latency_us - self.usual_load_time_us)
+            self.mean_load_time_us += LOAD_TIME_SMOOTHING * (event.latency_us - self.mean_load_time_us)
         function.copies[event.worker] = Copy(self._context.now_us, event.copies, True)
-        function.failures_in_a_row = 0
+        function.consecutive_load_failures = 0
 
     def schedule_backoff(self, function: Function, worker_id: int) -> None:
-        """Bar a worker after a rejected or failed load, and all workers from the second in a row on.
+        """Delay orders to the worker after a failed or rejected load.
 
-        The pause doubles, with jitter, so that a full worker or a failing store gets no storm of loads.
+        From the second failure in a row on, orders to all workers are delayed too. The delay doubles,
+        with jitter, so that a full worker or a failing store gets no burst of loads.
         """
         now_us = self._context.now_us
-        function.failures_in_a_row = min(function.failures_in_a_row + 1, MAX_BACKOFF_DOUBLINGS)
-        doublings = function.failures_in_a_row
+        function.consecutive_load_failures = min(
+            function.consecutive_load_failures + 1, MAX_BACKOFF_DOUBLINGS
+        )
+        doublings = function.consecutive_load_failures
         jitter = 0.5 + self._context.random.random()
-        pause_us = BACKOFF_LOAD_TIMES * self.load_time_us(function) * jitter
-        function.retry_after_us[worker_id] = int(now_us + pause_us * 2**doublings * 2)
-        function.next_scale_up_us = int(now_us + pause_us * (2 ** (doublings - 1) - 1))
+        delay_us = BACKOFF_LOAD_TIMES * self.load_time_us(function) * jitter
+        function.load_backoff_until_us[worker_id] = int(now_us + delay_us * 2**doublings * 2)
+        function.next_scale_up_us = int(now_us + delay_us * (2 ** (doublings - 1) - 1))
 
-    def _emit(self, function: Function, worker: Worker, copies: int, latest_us: int) -> None:
+    def _send_order(self, function: Function, worker: Worker, copies: int, latest_us: int) -> None:
         worker.first_unanswered_order_us = worker.first_unanswered_order_us or self._context.now_us
         self._context.actions.append(api.LoadOrder(worker.info.id, function.key, copies, latest_us))
--- a/packages/policy/src/walnutpost/policy/load_shedding.py
+++ b/packages/policy/src/walnutpost/policy/load_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding: how much more is asked than served, and which requests are rejected on arrival then."""
+"""Load shedding: how far demand exceeds capacity, and which arriving requests are rejected then."""
 
 import math
 from collections import Counter, deque
@@ -8,19 +8,19 @@
 from walnutpost.policy.rates import TrafficRates
 from walnutpost.policy.requests import OpenRequests, Request
 
-SHED_START_OBJECTIVES = 0.3  # expected time to answer, in latency objectives, at which rejections begin ...
-SHED_FULL_OBJECTIVES = 0.7  # ... and at which they reach their most
-MAX_SHED_RATIO = 0.9  # of the requests
-CHANCE_DEVIATIONS = 1.0  # standard deviations of the number in flight that are put down to chance
-STUCK_OBJECTIVES = 2.0  # an attempt in flight for longer is stuck: it tells nothing of the next
-NO_FREE_SLOT_FACTOR = 0.5  # on the priority of a request with no free slot, which would cost a load besides
-MAX_RECENT_PRIORITIES = 256  # requests among which a priority is ranked
+SHED_START_OBJECTIVES = 0.3  # expected latency at which shedding begins ...
+SHED_FULL_OBJECTIVES = 0.7  # ... and at which it reaches the maximum
+MAX_SHED_RATIO = 0.9  # of the arriving requests
+NOISE_DEVIATIONS = 1.0  # standard deviations of the number in flight that count as random variation
+STUCK_OBJECTIVES = 2.0  # an attempt in flight for longer is stuck and does not count
+NO_FREE_SLOT_FACTOR = 0.5  # priority factor if no slot is free, as the request would also cost a load
+MAX_RECENT_PRIORITIES = 256  # requests among which a new request is ranked
 
 
 class LoadShedding:
-    """Rejects the requests of the lowest priority while answers would come too late."""
+    """Load shedder: it rejects the requests of the lowest priority while answers would be too late."""
 
-    __slots__ = ("_context", "_endpoints", "_recent", "_requests", "_traffic")
+    __slots__ = ("_context", "_endpoints", "_recent_priorities", "_requests", "_traffic")
 
     def __init__(
         self, context: DecisionContext, endpoints: Endpoints, requests: OpenRequests, traffic: TrafficRates
@@ -29,59 +29,65 @@
         self._endpoints = endpoints
         self._requests = requests
         self._traffic = traffic
-        self._recent: deque[tuple[float, int]] = deque(maxlen=MAX_RECENT_PRIORITIES)  # (priority, tenant)
+        # Each entry is the priority of a request and its tenant.
+        self._recent_priorities: deque[tuple[float, int]] = deque(maxlen=MAX_RECENT_PRIORITIES)
 
-    def shortage(self) -> float:
-        """Return the ratio of requests to reject: 0 or less for none.
+    def shed_ratio(self) -> float:
+        """Return the ratio of arriving requests to reject; 0 or less means none.
 
-        The time to answer is estimated by Little's law: requests in flight over the rate of answers.
+        The expected latency follows from Little's law: requests in flight divided by the rate of answers.
         """
         context = self._context
-        busy = self._busy_slots()
-        if context.now_us - context.began_us < context.objective_us or busy <= CHANCE_DEVIATIONS**2:
+        in_flight = self._warm_attempts_in_flight()
+        if context.now_us - context.first_event_us < context.objective_us or in_flight <= NOISE_DEVIATIONS**2:
             return 0.0
         rate = max(self._traffic.answers.per_us(context.now_us), 1 / context.objective_us)
-        wait_objectives = (busy - CHANCE_DEVIATIONS * math.sqrt(busy)) / rate / context.objective_us
-        excess = (wait_objectives - SHED_START_OBJECTIVES) / (SHED_FULL_OBJECTIVES - SHED_START_OBJECTIVES)
-        return min(MAX_SHED_RATIO, excess)
+        wait_objectives = (in_flight - NOISE_DEVIATIONS * math.sqrt(in_flight)) / rate / context.objective_us
+        ratio = (wait_objectives - SHED_START_OBJECTIVES) / (SHED_FULL_OBJECTIVES - SHED_START_OBJECTIVES)
+        return min(MAX_SHED_RATIO, ratio)
 
     def should_shed(self, request: Request, tenant: int, has_no_free_slot: bool) -> bool:
-        """Decide on arrival; the request's priority is ranked among those of the last requests."""
+        """Return whether to reject an arriving request, by its priority's rank among recent requests."""
         priority = self._priority(request, tenant)
         if has_no_free_slot:
             priority *= NO_FREE_SLOT_FACTOR
-        self._recent.append((priority, tenant))
-        shortage = self.shortage()
-        if shortage <= 0:
+        self._recent_priorities.append((priority, tenant))
+        shed_ratio = self.shed_ratio()
+        if shed_ratio <= 0:
             return False
-        lower = sum(other < priority for other, _ in self._recent)
-        equal = sum(other == priority for other, _ in self._recent)
-        return (lower + self._context.random.random() * equal) / len(self._recent) < shortage
+        lower = sum(other < priority for other, _ in self._recent_priorities)
+        equal = sum(other == priority for other, _ in self._recent_priorities)
+        return (lower + self._context.random.random() * equal) / len(self._recent_priorities) < shed_ratio
 
-    def _busy_slots(self) -> int:
-        """Return the attempts in flight on warm copies; a few slow workers are no shortage."""
-        since_us = self._context.now_us - STUCK_OBJECTIVES * self._context.objective_us
+    def _warm_attempts_in_flight(self) -> int:
+        """Return the attempts in flight on warm copies.
+
+        Each worker counts for at most twice the median plus 1, so that a few slow workers cause no shedding.
+        """
+        sent_after_us = self._context.now_us - STUCK_OBJECTIVES * self._context.objective_us
         by_worker = Counter(
             attempt.worker
             for request in self._requests.by_id.values()
             for attempt in request.attempts
-            if attempt.was_warm and attempt.outcome is None and attempt.sent_us > since_us
+            if attempt.was_warm and attempt.outcome is None and attempt.sent_us > sent_after_us
         )
         workers, ready_count = self._endpoints.workers, self._endpoints.ready_count
         counts = sorted(n for key, n in by_worker.items() if workers[key].silent_since_us is None)
-        # The median over all ready workers, of which those without attempts count 0.
+        # The median over all ready workers; those without attempts count as 0.
         median = counts[-(ready_count + 1) // 2] if 2 * len(counts) > ready_count else 0
         return sum(min(count, 2 * median + 1) for count in counts)
 
     def _priority(self, request: Request, tenant: int) -> float:
-        """Return the class's weight; what a tenant asks beyond its share of what is served has little."""
+        """Return the class's weight, reduced for calls beyond the tenant's share of what is served."""
         priority = request.request_class.priority_weight
         settings, now_us = self._context.settings, self._context.now_us
-        if tenant >= len(settings.tenants) or not self._recent:
+        if tenant >= len(settings.tenants) or not self._recent_priorities:
             return priority
-        asked = sum(1 for _, other in self._recent if other == tenant) / len(self._recent)
-        asked *= self._traffic.arrivals.per_us(now_us)
-        served = settings.tenants[tenant].share * self._traffic.answers.per_us(now_us)
-        if self._context.random.random() * asked > served:
+        demand = sum(1 for _, other in self._recent_priorities if other == tenant) / len(
+            self._recent_priorities
+        )
+        demand *= self._traffic.arrivals.per_us(now_us)
+        fair_share = settings.tenants[tenant].share * self._traffic.answers.per_us(now_us)
+        if self._context.random.random() * demand > fair_share:
             priority *= settings.over_share_weight
         return priority
--- a/packages/policy/src/walnutpost/policy/placement.py
+++ b/packages/policy/src/walnutpost/policy/placement.py
@@ -1,4 +1,4 @@
-"""Placement: each request goes to a worker now, or is queued until a copy appears."""
+"""Placement: send each request to a worker at once, or queue it until a copy is available."""
 
 from collections.abc import Callable
 from functools import partial
@@ -16,11 +16,11 @@
 from walnutpost.policy.warm_copies import WarmCopies
 from walnutpost.policy.workers import Worker
 
-QUEUE_CHECK_LOAD_TIMES = 1 / 4  # usual load times between looks at queued requests
+QUEUE_CHECK_LOAD_TIMES = 1 / 4  # interval between attempts to send queued requests
 
 
 class Placement:
-    """The design's path: the least busy warm worker, even past its concurrency; queue if nothing is warm."""
+    """Placement of requests on the least busy warm worker, even beyond its concurrency, or in the queue."""
 
     __slots__ = (
         "_attempts",
@@ -57,7 +57,7 @@
         self._scaling = scaling
 
     def place(self, request: Request) -> None:
-        """Send the request or queue it; overflow and a spread below the target begin a scale-up."""
+        """Send or queue the request; scale up if it exceeds the concurrency or the copies are too few."""
         function = request.function
         worker = self._balancing.choose_warm_worker(request)
         if worker is None:
@@ -71,13 +71,13 @@
             self._scale_up(function)
 
     def release(self, function: Function) -> None:
-        """Send the queued requests that a copy can take now; scale up for those that stay."""
+        """Send the queued requests that a copy can take now; scale up for those that remain."""
         self._send_queued(function, self._balancing.choose_warm_worker)
         if function.queued:
             self._scale_up(function)
 
-    def rescue_requests(self, worker: Worker) -> None:
-        """Place the requests again whose only attempts are at a worker that is silent or gone."""
+    def reassign_requests(self, worker: Worker) -> None:
+        """Place the requests again whose only attempts in flight are at an unresponsive or lost worker."""
         for request in list(self._requests.by_id.values()):
             if request.is_answered or request.id in request.function.queued:
                 continue
@@ -86,7 +86,7 @@
                 self.place(request)
 
     def _place_without_copy(self, request: Request) -> None:
-        """Other front ends' copies come before the request's own scale-up."""
+        """Try a copy that another front end may have loaded; otherwise queue the request and scale up."""
         if self._context.other_front_ends_ratio:
             holder = self._balancing.choose_expected_holder(request)
             if holder is not None:
@@ -107,26 +107,29 @@
         candidates = self._scaling.scale_up(function)
         if candidates is None or not function.queued:
             return
-        if now_us not in function.pending_orders_us.values():  # the limit or the back-offs allowed no order
+        if now_us not in function.pending_orders_us.values():  # the limit or back-offs allowed no order
             self._send_queued_without_order(function, candidates)
         check_us = now_us + self._orders.load_time_us(function) * QUEUE_CHECK_LOAD_TIMES
         self._timers.schedule(check_us, TimerKind.RELEASE_QUEUED, function.key)
 
     def _send_queued_without_order(self, function: Function, candidates: list[Worker]) -> None:
-        """Let queued requests load at the first of the hash order, or look for what others have loaded.
+        """Send queued requests to the first workers of the hash order, without a load order.
 
-        Otherwise they wait for a load-order limit that a small front end hardly gets anything of.
+        The requests make these workers load the function or, if calls don't start loads, find copies that
+        other front ends have loaded. Otherwise they would wait for the load-order limit, which allows a
+        front end with little traffic hardly any orders.
         """
         settings, now_us = self._context.settings, self._context.now_us
         if settings.may_order_loads and not settings.loads_on_miss:
             self._send_queued(function, self._balancing.choose_expected_holder)
-            pause_us = self._orders.load_time_us(function) * QUEUE_CHECK_LOAD_TIMES
-            function.next_scale_up_us = int(now_us + pause_us)
+            delay_us = self._orders.load_time_us(function) * QUEUE_CHECK_LOAD_TIMES
+            function.next_scale_up_us = int(now_us + delay_us)
             return
-        free = (
+        available = (
             w
             for w in candidates
-            if function.retry_after_us.get(w.info.id, 0) <= now_us and not self._outliers.is_overloaded(w)
+            if function.load_backoff_until_us.get(w.info.id, 0) <= now_us
+            and not self._outliers.is_overloaded(w)
         )
-        places = list(islice(free, settings.limits.max_attempts)) or candidates
-        self._send_queued(function, partial(self._balancing.choose_first_allowed, workers=places))
+        targets = list(islice(available, settings.limits.max_attempts)) or candidates
+        self._send_queued(function, partial(self._balancing.choose_first_allowed, workers=targets))
--- a/packages/policy/src/walnutpost/policy/prewarming.py
+++ b/packages/policy/src/walnutpost/policy/prewarming.py
@@ -1,4 +1,4 @@
-"""Prewarming: load orders that refresh copies in use before the workers drop them."""
+"""Prewarming: send load orders that refresh copies in use before the workers drop them."""
 
 from walnutpost.policy.context import DecisionContext
 from walnutpost.policy.endpoints import Endpoints
@@ -8,15 +8,15 @@
 from walnutpost.policy.timers import TimerKind, Timers
 from walnutpost.policy.warm_copies import WarmCopies
 
-REFRESH_KEEP_ALIVES = 0.6  # age of a copy: late enough that traffic mostly refreshes, early enough in time
-REFRESH_TOLERANCE = 0.9  # of that age: a timer serves the copies that are nearly as old
-MIN_CALLS_IN_USE = 0.75  # decayed calls of a function in use; one-offs have fewer by then
-REFRESH_GRAIN_KEEP_ALIVES = 0.03  # times are rounded up to this, so that many functions share a timer
+REFRESH_KEEP_ALIVES = 0.6  # copy age: late, as calls mostly refresh it first, but in time before it expires
+REFRESH_TOLERANCE = 0.9  # of that age: a timer also refreshes copies that are nearly as old
+MIN_CALLS_IN_USE = 0.75  # decayed calls of a function in use; after a single call fewer are left by then
+REFRESH_ROUNDING_KEEP_ALIVES = 0.03  # times round up to this, so that functions share a timer
 MIN_REFRESH_INTERVAL_KEEP_ALIVES = 1 / 8
 
 
 class Prewarming:
-    """Refreshes copies in use, up to the target, that traffic has not refreshed itself; others lapse."""
+    """Refresh of the copies in use, up to the target number, that calls have not refreshed; others expire."""
 
     __slots__ = ("_context", "_copies", "_endpoints", "_functions", "_orders", "_timers")
 
@@ -37,11 +37,11 @@
         self._orders = orders
 
     def refresh_copies(self, function: Function) -> None:
-        """Order the copies that need it; forget the function when nothing is left of it."""
+        """Refresh the copies that need it; forget the function if it has no copies or work left."""
         now_us = self._context.now_us
         warm = self._copies.warm_workers(function)
         is_in_use = function.calls.decayed_count(now_us) >= MIN_CALLS_IN_USE
-        if is_in_use and not self._copies.others_refresh(function):
+        if is_in_use and not self._copies.is_refreshed_by_others(function):
             min_age_us = REFRESH_KEEP_ALIVES * self._context.keep_alive_us * REFRESH_TOLERANCE
             in_hash_order = [w for w in self._endpoints.hash_order(function) if w in warm]
             for worker in in_hash_order[: self._copies.target(function, warm)]:
@@ -53,11 +53,11 @@
             self.schedule_refresh(function)
 
     def schedule_refresh(self, function: Function) -> None:
-        """Look again when the copy that was unused for longest needs it."""
+        """Schedule the next refresh for when the least recently used copy needs it."""
         now_us, keep_alive_us = self._context.now_us, self._context.keep_alive_us
         oldest_use_us = min((c.last_used_us for c in function.copies.values()), default=now_us)
         due_us = oldest_use_us + REFRESH_KEEP_ALIVES * keep_alive_us
         earliest_us = now_us + keep_alive_us * MIN_REFRESH_INTERVAL_KEEP_ALIVES
-        grain_us = REFRESH_GRAIN_KEEP_ALIVES * keep_alive_us
-        rounded_us = (max(due_us, earliest_us) // grain_us + 1) * grain_us
+        rounding_us = REFRESH_ROUNDING_KEEP_ALIVES * keep_alive_us
+        rounded_us = (max(due_us, earliest_us) // rounding_us + 1) * rounding_us
         self._timers.schedule(rounded_us, TimerKind.REFRESH_COPIES, function.key)
--- a/packages/policy/src/walnutpost/policy/rates.py
+++ b/packages/policy/src/walnutpost/policy/rates.py
@@ -1,28 +1,26 @@
-"""Exponentially decayed event counts and the two traffic rates that several decisions share."""
+"""Exponentially decaying event counts, and the two traffic rates that several decisions share."""
 
 import math
 
-CALL_RATE_KEEP_ALIVES = (
-    2.0  # time constant of arrival counts, in keep-alives: a function's share of all calls
-)
-ANSWER_RATE_OBJECTIVES = 2.0  # time constant of the answer rate, in latency objectives
+CALL_RATE_KEEP_ALIVES = 2.0  # time constant of arrival counts, which give a function's share of all calls
+ANSWER_RATE_OBJECTIVES = 2.0  # time constant of the answer rate
 
 
 class DecayingRate:
-    """A count of events in which an event's weight falls by e in every `time_constant_us`."""
+    """An event count in which the weight of an event decays exponentially with its age."""
 
-    __slots__ = ("began_us", "count", "time_constant_us", "updated_us")
+    __slots__ = ("count", "first_event_us", "time_constant_us", "updated_us")
 
     def __init__(self, time_constant_us: float) -> None:
-        """Start empty; `time_constant_us` is the age at which an event weighs 1/e."""
+        """Start with no events; `time_constant_us` is the age at which an event has the weight 1/e."""
         self.time_constant_us = time_constant_us
         self.count = 0.0
         self.updated_us = 0
-        self.began_us = 0
+        self.first_event_us = 0
 
     def add(self, now_us: int, amount: float = 1.0) -> None:
         """Count `amount` events at `now_us`."""
-        self.began_us = self.began_us or now_us
+        self.first_event_us = self.first_event_us or now_us
         self.count = self.decayed_count(now_us) + amount
         self.updated_us = now_us
 
@@ -31,18 +29,18 @@
         return self.count * math.exp((self.updated_us - now_us) / self.time_constant_us)
 
     def per_us(self, now_us: int, age_us: int = 0) -> float:
-        """Return the events per microsecond, corrected for a short life.
+        """Return the events per microsecond, corrected for a short observation time.
 
-        A counter that began lately covers only `1 - e^(-age/time_constant)` of the weights, so the plain
-        figure would be too small by this factor (the bias correction of Adam, Kingma & Ba 2015, section 3).
-        `age_us` is the age of the observer where it is more than the time since the first event.
+        A counter of a given age covers only `1 - e^(-age/time_constant)` of the total weight, so the
+        uncorrected rate would be too small by this factor (as in the bias correction of Adam, Kingma & Ba
+        2015, section 3). `age_us` replaces the time since the first event if the observation began earlier.
         """
-        covered = 1 - math.exp(-max(age_us or now_us - self.began_us, 1) / self.time_constant_us)
+        covered = 1 - math.exp(-max(age_us or now_us - self.first_event_us, 1) / self.time_constant_us)
         return self.decayed_count(now_us) / self.time_constant_us / covered
 
 
 class TrafficRates:
-    """How many requests arrive at this front end, and how many of them are answered well."""
+    """Rates of the requests that arrive at this front end and of the successful answers."""
 
     __slots__ = ("answers", "arrivals")
 
--- a/packages/policy/src/walnutpost/policy/requests.py
+++ b/packages/policy/src/walnutpost/policy/requests.py
@@ -1,4 +1,4 @@
-"""Requests and their attempts, and the choke point for final answers (rules 1 and 2)."""
+"""Requests, their attempts, and the only place that gives final answers (rules 1 and 2)."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 NEVER_RAN = frozenset((api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT, api.Outcome.MISS))
 WORKER_ANSWERED = frozenset((api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.MISS))
-RETRY_AFTER_DIVISOR = 4  # of the class's latency objective: when a rejected client may come back
+RETRY_AFTER_DIVISOR = 4  # Retry-After is the class's latency objective divided by this
 
 
 @dataclass(slots=True, eq=False)
@@ -17,39 +17,39 @@
 
     worker: int
     sent_us: int
-    was_warm: bool  # to a copy that an answer had confirmed
+    was_warm: bool  # the copy had been confirmed by an answer
     outcome: api.Outcome | None = None
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request until its final answer and the end of its last attempt."""
+    """A request that has not had its final answer or still has attempts in flight."""
 
     id: int
     request_class: api.RequestClass
     function: Function
     deadline_us: int
-    earliest_arrival_us: int | None  # None once the load-order limit has counted it, or must not
+    earliest_arrival_us: int | None  # None once it is counted by the load-order limit or excluded from it
     cost_hint_us: int | None
     attempts: list[Attempt] = field(default_factory=list)
     excluded_workers: list[int] = field(default_factory=list)
     is_answered: bool = False
 
     def may_have_run(self) -> bool:
-        """Whether a worker may have begun to execute it."""
+        """Return whether a worker may have begun to execute the request."""
         return any(attempt.outcome not in NEVER_RAN for attempt in self.attempts)
 
     def all_attempts_ended(self) -> bool:
-        """Whether no attempt is in flight."""
+        """Return whether no attempt is in flight."""
         return all(attempt.outcome is not None for attempt in self.attempts)
 
     def workers_in_flight(self) -> set[int]:
-        """Return the workers that have an attempt of it in flight."""
+        """Return the IDs of the workers with an attempt of this request in flight."""
         return {attempt.worker for attempt in self.attempts if attempt.outcome is None}
 
 
 class OpenRequests:
-    """All requests that may still get an answer or have an attempt in flight; each is answered once."""
+    """Table of the requests without a final answer or with attempts in flight; each is answered once."""
 
     __slots__ = ("_context", "by_id")
 
@@ -58,23 +58,23 @@
         self.by_id: dict[int, Request] = {}
 
     def reject_or_fail(self, request: Request) -> None:
-        """Give the final answer: a rejection only where trying again is harmless, else a failure.
+        """Give the final answer: a rejection if the client can safely try again, otherwise a failure.
 
-        It is harmless where a second run changes nothing, where all workers drop repeats of the key together,
-        or where nothing has run.
+        It is safe if a second execution changes nothing, if all workers together drop repeats of the
+        idempotency key, or if no attempt can have run.
         """
         if request.is_answered:
             return
         effect, group = request.request_class.effect, request.request_class.group
-        repeats_are_dropped = effect is api.Effect.KEYED and group is api.Group.ALL
-        if effect is api.Effect.SAFE or repeats_are_dropped or not request.may_have_run():
+        repeats_are_deduplicated = effect is api.Effect.KEYED and group is api.Group.ALL
+        if effect is api.Effect.SAFE or repeats_are_deduplicated or not request.may_have_run():
             self._context.actions.append(api.Reject(request.id, self._retry_after_us(request)))
         else:
             self._context.actions.append(api.Fail(request.id))
         self.close(request)
 
     def close(self, request: Request) -> None:
-        """Cancel the attempts of a request that needs no answer any more; forget it once all have ended."""
+        """Mark the request as answered and cancel its attempts if allowed; forget it once all have ended."""
         is_cancellable = (
             not request.is_answered
             and not request.request_class.is_stream
@@ -90,7 +90,7 @@
             del self.by_id[request.id]
 
     def workers_referenced(self) -> set[int]:
-        """Return the workers that any attempt names; they must stay known."""
+        """Return the IDs of the workers that any attempt refers to; their state must be kept."""
         return {attempt.worker for request in self.by_id.values() for attempt in request.attempts}
 
     def _retry_after_us(self, request: Request) -> int:
--- a/packages/policy/src/walnutpost/policy/router.py
+++ b/packages/policy/src/walnutpost/policy/router.py
@@ -1,4 +1,4 @@
-"""The facade of the policy: builds the parts, gives each event to its handler, returns their actions."""
+"""Facade of the policy: build its parts, pass each event to its handler and return the actions."""
 
 from collections.abc import Callable, Collection
 from typing import Any
@@ -29,13 +29,13 @@
 
 
 class Router:
-    """One front end's decisions: events in, actions out; the same events give the same actions.
+    """Decision logic of one front end; the same events always give the same actions.
 
-    The attributes without an underscore are the parts whose state tests and rigs read.
+    Tests and test rigs read the state of the parts in the attributes without an underscore.
     """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Build the parts; `seed` starts the random generator."""
+        """Build the parts of the policy; `seed` initializes the random generator."""
         self.context = context = DecisionContext(settings, seed)
         self.timers = timers = Timers(context)
         self.traffic = traffic = TrafficRates(context.keep_alive_us, context.objective_us)
@@ -55,27 +55,30 @@
         self._placement = placement = Placement(
             context, timers, requests, outliers, copies, orders, attempts, balancing, scaling
         )
-        self._failures = failures = FailureDetection(
+        self._failure_detection = failure_detection = FailureDetection(
             context, timers, endpoints, functions, orders, health_checks, placement
         )
         self._attempt_results = AttemptResults(
-            context, endpoints, requests, traffic, outliers, orders, attempts, placement, failures
+            context, endpoints, requests, traffic, outliers, orders, attempts, placement, failure_detection
         )
         self._load_order_results = LoadOrderResults(
-            context, endpoints, functions, orders, placement, failures
+            context, endpoints, functions, orders, placement, failure_detection
         )
         self._endpoint_updates = EndpointUpdates(
-            context, timers, endpoints, functions, requests, orders, placement, failures
+            context, timers, endpoints, functions, requests, orders, placement, failure_detection
         )
         self._event_handlers = self._handlers_by_event()
         self._timer_handlers = self._handlers_by_timer()
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        """Decide on one event at `now` (microseconds; never runs back), then on the timers that are due."""
+        """Handle one event, then the timers that are due, and return the resulting actions.
+
+        `now` is the event time in microseconds; it must never decrease.
+        """
         context = self.context
         context.begin_event(now)
-        if not context.began_us:
-            context.began_us = now
+        if not context.first_event_us:
+            context.first_event_us = now
             self.load_orders.limit.begin(now)
         handler = self._event_handlers.get(type(event))
         if handler is not None:
@@ -86,17 +89,23 @@
         return context.actions
 
     def referenced_ids(self) -> tuple[Collection[int], Collection[int]]:
-        """Return the functions and workers that later actions may name; others may be forgotten outside."""
+        """Return the IDs of the functions and workers that later actions may refer to.
+
+        The caller may forget all others.
+        """
         return self.functions.by_key.keys(), self.endpoints.workers.keys()
 
     def _handlers_by_event(self) -> dict[type[Any], Callable[[Any], None]]:
-        """Events of other types (`TimerDue`, `ProbeEnded`, `PeerMessage`) only let due timers run."""
+        """Return the handler of each event type.
+
+        Events of other types (`TimerDue`, `ProbeEnded`, `PeerMessage`) only run the due timers.
+        """
         return {
             api.RequestArrived: self._on_request,
             api.AttemptEnded: self._attempt_results.handle,
             api.LoadOrderEnded: self._load_order_results.handle,
             api.WorkersListed: self._endpoint_updates.handle,
-            api.RequestCancelled: self._on_request_gone,
+            api.RequestCancelled: self._on_request_cancelled,
             api.ShuttingDown: self._on_shutting_down,
             api.AnswerStarted: self._on_answer_started,
         }
@@ -111,7 +120,7 @@
         }
 
     def _on_request(self, event: api.RequestArrived) -> None:
-        """Reject the request in shortage or when it comes too late; else place it."""
+        """Reject the request if it is shed or past its deadline; otherwise place it."""
         now_us = self.context.now_us
         function = self.functions.get_or_create(event.function)
         function.concurrency = max(1, int(event.concurrency))
@@ -120,7 +129,7 @@
         self.traffic.arrivals.add(now_us)
         function.calls.add(now_us)
         request = self._open_request(event, function)
-        # On a network a request is counted only once a worker's answer proves it genuine.
+        # On a real network a request counts only after a worker's answer proves that it is genuine.
         self.load_orders.count_request(request, is_genuine=self.context.settings.is_ideal_network)
         warm = self._copies.warm_workers(function)
         has_no_free_slot = all(self._copies.exceeds_concurrency(function, worker) for worker in warm)
@@ -145,14 +154,14 @@
         return request
 
     def _schedule_deadline(self, request: Request) -> None:
-        """Answer a clock tick early: the answer is out before the client leaves."""
+        """Schedule the final answer one clock tick early, so that it is sent before the client gives up."""
         due_us = request.deadline_us - self.context.settings.tick_us
         self.timers.schedule(due_us, TimerKind.REQUEST_DEADLINE, request.id)
 
-    def _on_request_gone(self, event: api.RequestCancelled) -> None:
+    def _on_request_cancelled(self, event: api.RequestCancelled) -> None:
         request = self.requests.by_id.get(event.request)
         if request is not None:
-            request.earliest_arrival_us = None  # clients may ask and take back by the hundreds
+            request.earliest_arrival_us = None  # clients may send and cancel requests by the hundreds
             self.requests.close(request)
 
     def _on_shutting_down(self, event: api.ShuttingDown) -> None:
@@ -187,4 +196,4 @@
     def _on_check_worker(self, worker_id: int) -> None:
         worker = self.endpoints.workers.get(worker_id)
         if worker is not None:
-            self._failures.check_worker(worker)
+            self._failure_detection.check_worker(worker)
--- a/packages/policy/src/walnutpost/policy/slow_start.py
+++ b/packages/policy/src/walnutpost/policy/slow_start.py
@@ -1,24 +1,25 @@
-"""Slow start (rule 4): what a worker may be sent while it is warming up."""
+"""Slow start (rule 4): limit the attempts that a worker gets while it is warming up."""
 
 from walnutpost.policy.context import DecisionContext
 from walnutpost.policy.endpoints import Endpoints
 from walnutpost.policy.rates import TrafficRates
 from walnutpost.policy.workers import Worker
 
-SLOW_START_SAFETY_FACTOR = 0.62  # of the derived budget: workers differ, and so do the front ends' slices
-# An irrational step (1 over the plastic number: Roberts 2018, quasirandom sequences) spreads turns evenly.
-TURN_PHASE_STEP = 0.7548776662
-TURN_WINDOWS = 2  # windows that a turn lasts
+SLOW_START_SAFETY_FACTOR = 0.62  # of the derived budget: workers and the front ends' traffic shares differ
+# An irrational step (1 over the plastic number: Roberts 2018, quasirandom sequences) spreads the rounding
+# thresholds evenly over time and over the front ends.
+ROUNDING_PHASE_STEP = 0.7548776662
+TURN_WINDOWS = 2  # windows for which a rounding threshold stays in effect
 
 
 class SlowStart:
-    """This front end's part of the load that a worker bears while it warms up.
+    """This front end's share of the load that a worker can take while it warms up.
 
-    Each front end counts its own answers alone, so the parts add up without agreement (docs/design.md, "The
-    cold budget").
+    Each front end derives its share from its own answers alone, so the shares add up without coordination
+    (docs/design.md, "The cold budget").
     """
 
-    __slots__ = ("_context", "_endpoints", "_guards", "_history_us", "_index", "_traffic")
+    __slots__ = ("_context", "_endpoints", "_guards", "_index", "_send_history_us", "_traffic")
 
     def __init__(self, context: DecisionContext, endpoints: Endpoints, traffic: TrafficRates) -> None:
         self._context = context
@@ -26,39 +27,45 @@
         self._traffic = traffic
         self._guards = context.settings.guards
         self._index = context.settings.index
-        # What was sent before may begin so much later, within the grace (`Send.begin_within_us`).
-        self._history_us = self._guards.overload_window_us + context.grace_us
+        # A send may begin on the worker up to `grace_us` later (`Send.begin_within_us`), so it counts longer.
+        self._send_history_us = self._guards.overload_window_us + context.grace_us
 
     def is_warming_up(self, worker: Worker) -> bool:
-        """Whether its start is known and recent, or it came back from a long silence."""
+        """Return whether the worker started recently or was unresponsive for long until recently."""
         guards = self._guards
         warm_since_us = self._context.now_us - guards.warm_up_us
         return 0 < worker.started_us > warm_since_us and guards.overload_window_us > 0
 
     def has_budget(self, worker: Worker) -> bool:
-        """Whether one more send fits what the worker bears within any window, by what warm ones serve.
+        """Return whether the worker may get one more send within the window; always true once it is warm.
 
-        What the budget has beyond whole sends is a turn: one more send while it lasts. Turns begin at
-        different times at each front end; rounded up instead, twenty parts of 1.1 were forty sends.
+        The fractional part of the budget is the part of the time for which one more send is allowed: it is
+        rounded by a threshold that changes with time and differs between front ends. If all rounded up,
+        twenty front ends with a budget of 1.1 each would make forty sends.
         """
         now_us, sends_us = self._context.now_us, worker.recent_sends_us
-        forget_before_us = now_us - self._history_us
+        forget_before_us = now_us - self._send_history_us
         while sends_us and sends_us[0] < forget_before_us:
             sends_us.popleft()
         if not self.is_warming_up(worker):
             return True
         phase = now_us / (TURN_WINDOWS * self._guards.overload_window_us)
-        phase += (self._index + worker.info.id) * TURN_PHASE_STEP
-        turn = phase // 1 * TURN_PHASE_STEP % 1
-        return len(sends_us) + turn < self._budget(worker)
+        phase += (self._index + worker.info.id) * ROUNDING_PHASE_STEP
+        rounding_threshold = phase // 1 * ROUNDING_PHASE_STEP % 1
+        return len(sends_us) + rounding_threshold < self._budget(worker)
 
     def _budget(self, worker: Worker) -> float:
-        """Mean answers per worker and window, times the overload factor and the part warmed up so far."""
+        """Return the sends allowed per window.
+
+        That is what a worker answers per window on average, times the overload factor, the safety factor and
+        the part of its full capacity that the worker has reached.
+        """
         now_us, guards = self._context.now_us, self._guards
-        age_of_worker_us = max(0, now_us - worker.started_us)
-        capacity = guards.start_capacity + (1 - guards.start_capacity) * age_of_worker_us / guards.warm_up_us
-        # No age counts for less than the window: what a predecessor sent within it is still at the worker.
-        age_us = max(now_us - self._context.began_us, guards.overload_window_us)
+        worker_age_us = max(0, now_us - worker.started_us)
+        capacity = guards.start_capacity + (1 - guards.start_capacity) * worker_age_us / guards.warm_up_us
+        # The age counts as at least one window: sends of this front end's previous process within the window
+        # may still be at the worker.
+        age_us = max(now_us - self._context.first_event_us, guards.overload_window_us)
         answers_per_us = self._traffic.answers.per_us(now_us, age_us) / (self._endpoints.ready_count or 1)
         return (
             SLOW_START_SAFETY_FACTOR
--- a/packages/policy/src/walnutpost/policy/timers.py
+++ b/packages/policy/src/walnutpost/policy/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the policy: one for each kind and subject, the earliest of which is asked of the caller."""
+"""Timers of the policy, one per kind and subject; the caller is asked to arm only the earliest."""
 
 from collections.abc import Iterator
 from enum import IntEnum
@@ -7,21 +7,21 @@
 from walnutpost import interface as api
 from walnutpost.policy.context import DecisionContext
 
-TIMER_TOKEN = 1  # the policy arms one timer at a time
+TIMER_TOKEN = 1  # always the same, because only one timer is armed at a time
 
 
 class TimerKind(IntEnum):
-    """What a timer is for. Of those due at the same time the smaller value runs first."""
+    """Purpose of a timer. If several are due at the same time, the smallest value runs first."""
 
-    REQUEST_DEADLINE = 1  # subject: the request
+    REQUEST_DEADLINE = 1  # subject: request ID
     WATCH_ENDPOINTS = 2  # subject: 0
-    REFRESH_COPIES = 3  # subject: the function
-    RELEASE_QUEUED = 4  # subject: the function
-    CHECK_WORKER = 5  # subject: the worker
+    REFRESH_COPIES = 3  # subject: function key
+    RELEASE_QUEUED = 4  # subject: function key
+    CHECK_WORKER = 5  # subject: worker ID
 
 
 class Timers:
-    """A heap of due times. An earlier time for the same kind and subject takes the place of a later one."""
+    """Heap of due times. For the same kind and subject, an earlier time replaces a later one."""
 
     __slots__ = ("_armed_us", "_context", "_due_us", "_min_delay_us", "queue")
 
@@ -33,14 +33,17 @@
         self.queue: list[tuple[int, TimerKind, int]] = []
 
     def schedule(self, when_us: float, kind: TimerKind, subject: int) -> None:
-        """Run at `when_us` at the latest, but not within a clock tick from now."""
+        """Schedule a timer for `when_us`, but at least one clock tick from now.
+
+        A timer of the same kind and subject that is due sooner stays as it is.
+        """
         due_us = int(max(when_us, self._context.now_us + self._min_delay_us))
         if due_us < self._due_us.get((kind, subject), due_us + 1):
             self._due_us[kind, subject] = due_us
             heappush(self.queue, (due_us, kind, subject))
 
     def pop_due(self) -> Iterator[tuple[TimerKind, int]]:
-        """Remove and yield the timers that are due; one that an earlier time has replaced is dropped."""
+        """Remove and yield the timers that are due; drop those that an earlier time has replaced."""
         now_us = self._context.now_us
         while self.queue and self.queue[0][0] <= now_us:
             due_us, kind, subject = heappop(self.queue)
@@ -49,7 +52,7 @@
                 yield kind, subject
 
     def arm(self) -> None:
-        """Ask the caller for the earliest timer, unless it has one by then."""
+        """Ask the caller to arm the earliest timer, unless one that fires by then is already armed."""
         if not self.queue:
             return
         now_us, next_us = self._context.now_us, self.queue[0][0]
--- a/packages/policy/src/walnutpost/policy/warm_copies.py
+++ b/packages/policy/src/walnutpost/policy/warm_copies.py
@@ -1,4 +1,4 @@
-"""Belief in copies: where they are warm, how many are wanted, whether they have a free slot."""
+"""Warm copies of a function: where they are assumed, how many are needed, and which have a free slot."""
 
 import math
 
@@ -9,13 +9,16 @@
 from walnutpost.policy.rates import CALL_RATE_KEEP_ALIVES, TrafficRates
 from walnutpost.policy.workers import Worker
 
-SPREAD_FACTOR = 8.0  # workers' worth of copies for a worker's worth of traffic
-SHARED_BELIEF_KEEP_ALIVES = 4.0  # belief lasts so long where others' calls refresh the copies
-SHARED_REFRESHES = 3.0  # by others' calls, a copy and keep-alive, from which that holds
+SPREAD_FACTOR = 8.0  # copies per worker's worth of traffic
+SHARED_COPY_KEEP_ALIVES = 4.0  # how long a copy is assumed warm if other front ends' calls refresh it
+MIN_SHARED_REFRESHES = 3.0  # calls of others per copy and keep-alive from which this applies
 
 
 class WarmCopies:
-    """Belief comes from sends, answers and load orders, and lapses after the keep-alive without news."""
+    """Estimate of the warm copies from sends, answers and load orders.
+
+    A copy expires if it stays unused for a keep-alive.
+    """
 
     __slots__ = ("_context", "_endpoints", "_outliers", "_traffic")
 
@@ -32,36 +35,38 @@
         self._traffic = traffic
 
     def warm_workers(self, function: Function) -> list[Worker]:
-        """Return the usable workers that hold a copy; drop lapsed beliefs, unless attempts are in flight."""
+        """Return the usable workers with a copy; first drop expired copies without attempts in flight."""
         copies, in_flight = function.copies, function.in_flight
-        lifetimes = SHARED_BELIEF_KEEP_ALIVES if self.others_refresh(function) else 1
-        since_us = self._context.now_us - self._context.keep_alive_us * lifetimes
-        lapsed = [
-            key for key, copy in copies.items() if copy.last_used_us < since_us and key not in in_flight
+        lifetimes = SHARED_COPY_KEEP_ALIVES if self.is_refreshed_by_others(function) else 1
+        used_since_us = self._context.now_us - self._context.keep_alive_us * lifetimes
+        expired = [
+            key for key, copy in copies.items() if copy.last_used_us < used_since_us and key not in in_flight
         ]
-        for key in lapsed:
+        for key in expired:
             del copies[key]
         workers = map(self._endpoints.workers.__getitem__, copies)
         return [w for w in workers if w.is_ready and w.silent_since_us is None]
 
     def exceeds_concurrency(self, function: Function, worker: Worker) -> bool:
-        """Whether the worker's copies have no free slot, or its cores none to give."""
+        """Return whether the worker's copies have no free slot or the worker is overloaded."""
         concurrency = function.concurrency * function.copies[worker.info.id].count
         return function.in_flight.get(worker.info.id, 0) >= concurrency or self._outliers.is_overloaded(
             worker
         )
 
-    def others_refresh(self, function: Function) -> bool:
-        """Whether the other front ends' calls, estimated from this one's, refresh each copy often enough."""
+    def is_refreshed_by_others(self, function: Function) -> bool:
+        """Return whether other front ends' calls, estimated from this one's, keep each copy warm."""
         calls = function.calls.decayed_count(self._context.now_us) / CALL_RATE_KEEP_ALIVES
         calls_of_others = calls * (self._context.settings.front_ends - 1)
-        return calls_of_others >= SHARED_REFRESHES * len(function.copies)
+        return calls_of_others >= MIN_SHARED_REFRESHES * len(function.copies)
 
     def spread_target(self, function: Function) -> int:
-        """Return the copies for the function's share of all calls, less what chance explains.
+        """Return the number of copies that the function's share of all calls justifies.
 
-        A thin slice of the traffic never overflows by itself, so all front ends would send to the first
-        worker of the hash order. A lone front end needs no spread.
+        The share is reduced by one standard deviation of the call count, to discount random variation.
+        One front end's small part of the traffic never exceeds the concurrency of a copy by itself, so
+        without a spread all front ends would send to the first worker of the hash order. A single front end
+        needs no spread.
         """
         calls = function.calls.decayed_count(self._context.now_us)
         arrivals = self._traffic.arrivals.decayed_count(self._context.now_us)
@@ -70,7 +75,7 @@
         return math.ceil(min(SPREAD_FACTOR * share, 1.0) * workers * self._context.other_front_ends_ratio)
 
     def target(self, function: Function, warm: list[Worker]) -> int:
-        """Return the copies wanted: for the demand and one request more, or for the spread."""
+        """Return the number of copies needed for the demand and one more request, or for the spread."""
         in_flight = sum(function.in_flight.get(w.info.id, 0) for w in warm)
         demand = in_flight + len(function.queued) + 1
         return max(1, math.ceil(demand / function.concurrency), self.spread_target(function))
