--- a/packages/gateway/src/walnutpost/gateway/__init__.py
+++ b/packages/gateway/src/walnutpost/gateway/__init__.py
@@ -1,9 +1,11 @@
-"""The library: calls in, effects out, around the Router. No I/O, no clock, no global state.
+"""A deterministic state machine that dispatches calls of functions to workers.
 
     gateway = Gateway(settings, catalogue, seed)
     effects = gateway.handle(now, input)
 
-The same inputs at the same times give the same effects; the embedder carries them out.
+The embedder feeds inputs and carries out the effects that it gets back. The library does no I/O, reads no
+clock and has no global state: the same inputs at the same times give the same effects. The Router of
+`walnutpost.policy` makes the routing decisions.
 """
 
 from walnutpost.gateway.call_request import CallRequest
--- a/packages/gateway/src/walnutpost/gateway/call_request.py
+++ b/packages/gateway/src/walnutpost/gateway/call_request.py
@@ -1,4 +1,4 @@
-"""What a client asks for with one request, synchronous or deferred."""
+"""A client's request for a synchronous or deferred call."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRequest:
-    """A client's request for a call of a function.
+    """A client's request to call a function.
 
-    `tenant` is None if the client names none. `time_left_us` counts from when the request is passed on;
-    `request_id` is the text under which the client finds the request in logs.
+    `tenant` is None if the client names none. `time_left_us` is the time until the call's deadline, counted
+    from when the front end passes the request on. `request_id` identifies the request in logs.
     """
 
     function: str
--- a/packages/gateway/src/walnutpost/gateway/catalogue.py
+++ b/packages/gateway/src/walnutpost/gateway/catalogue.py
@@ -1,4 +1,4 @@
-"""The functions and tenants that can be called, and the numbers by which the Router knows names."""
+"""The functions and tenants that calls may name, and the numbers that stand for names in the Router."""
 
 from __future__ import annotations
 
@@ -8,20 +8,22 @@
 
 FUNCTION_BITS = 40
 WORKER_BITS = 32
-NUMBER_BYTES = 8  # of the digest that a number is the first bits of
-SPARE_NAMES = 256  # beyond twice the wanted ones, so that a cleanup comes after many new names only
+DIGEST_BYTES = 8  # of a name; its number is the first bits of the digest
+MIN_NEW_NAMES_BEFORE_CLEANUP = 256  # keeps cleanups rare even when few names are in use
 
 
 class UnknownNameError(LookupError):
-    """A function or tenant that is not in the catalogue."""
+    """A call names a function or tenant that is not in the catalogue."""
 
 
 @dataclass(frozen=True, slots=True)
 class Function:
     """The configuration of a function.
 
-    `class_index` points into Settings.classes; `memory_mb` is of one copy; `concurrency` is calls at a time
-    in one copy; `load_time_us` is 0 and `cost_hint_us` (on a standard core) None where not configured.
+    `class_index` is an index into `Settings.classes`. `memory_mb` is the memory of one copy, and
+    `concurrency` the number of calls that one copy runs at a time. `load_time_us` is the time to load a copy,
+    0 if not configured. `cost_hint_us` is the run time of a call on a standard core, None if not configured.
+    `version` is reported with each answer.
     """
 
     name: str
@@ -35,28 +37,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalogue:
-    """The functions and tenants that can be named.
+    """The functions, by name, and the tenants that calls may name.
 
-    If `is_dynamic`, `functions` may differ at each reading; a call keeps the one that it arrived under.
+    `tenants` is in the order of `Settings.tenants`; it is empty if the site has no tenants. A call that names
+    no tenant belongs to `default_tenant`. If that is None, the call is rejected with UnknownNameError unless
+    `allows_no_tenant`.
+
+    If `is_dynamic`, `functions` may change between two lookups; a call keeps the definition that was valid
+    when it arrived.
     """
 
     functions: Mapping[str, Function]
     tenants: tuple[str, ...] = ()
     default_tenant: str | None = None
-    allows_no_tenant: bool = False  # if there are tenants, a call without one belongs to none of them
-    is_dynamic: bool = False  # then no function's name is remembered for good
+    allows_no_tenant: bool = False  # accept calls that belong to none of the tenants
+    is_dynamic: bool = False  # functions come and go, so the Gateway may forget their names
 
     def function(self, name: str) -> Function:
-        """Return the function; raise UnknownNameError if there is none of the name."""
+        """Return the function with this name; raise UnknownNameError if there is none."""
         try:
             return self.functions[name]
         except KeyError:
             raise UnknownNameError(f"no function {name!r}") from None
 
     def tenant_index(self, name: str | None) -> int:
-        """Return the tenant's place in the settings' list.
+        """Return the tenant's index in `Settings.tenants`.
 
-        It is `len(tenants)` for a call without a tenant, 0 if there are no tenants. Raises UnknownNameError.
+        The index is 0 if no tenants are configured, and `len(tenants)` for a call that belongs to none of
+        them. Raises UnknownNameError if the tenant is unknown, or if the call must name one and does not.
         """
         name = name if name is not None else self.default_tenant
         if not self.tenants:
@@ -72,16 +80,20 @@
 
 
 def number_of(name: str, bits: int) -> int:
-    """Return the name's number: the same at every front end and start, so that their hash orders agree."""
-    digest = blake2b(name.encode(), digest_size=NUMBER_BYTES).digest()
-    return int.from_bytes(digest, "big") >> (8 * NUMBER_BYTES - bits)
+    """Return a number of `bits` bits that is derived from the name's hash.
+
+    All front ends get the same number, also after a restart, so their rendezvous hashing agrees.
+    """
+    digest = blake2b(name.encode(), digest_size=DIGEST_BYTES).digest()
+    return int.from_bytes(digest, "big") >> (8 * DIGEST_BYTES - bits)
 
 
 class NumberedNames:
-    """Names to numbers and back.
+    """A two-way mapping between names and numbers.
 
-    `names` are never forgotten. If two names hash to one number (of 2^32 or 2^40: improbable), the later one
-    gets the next free number: front ends may then differ on those two alone.
+    The initial `names` are permanent: `retain` never removes them. If two names hash to the same number
+    (improbable with 2^32 or 2^40 numbers), the later name gets the next free number; front ends may then
+    disagree on these two names only.
     """
 
     def __init__(self, bits: int, names: Iterable[str] = ()) -> None:
@@ -91,31 +103,31 @@
         for name in sorted(names):
             self.number(name)
         self._permanent = frozenset(self._names)
-        self._cleanup_above = self._cleanup_limit()
+        self._cleanup_threshold = self._compute_cleanup_threshold()
 
     def __len__(self) -> int:
-        """Return how many names are remembered."""
+        """Return how many names have a number."""
         return len(self._names)
 
-    def _cleanup_limit(self) -> int:
-        return 2 * len(self._names) + SPARE_NAMES
+    def _compute_cleanup_threshold(self) -> int:
+        return 2 * len(self._names) + MIN_NEW_NAMES_BEFORE_CLEANUP
 
     @property
     def needs_cleanup(self) -> bool:
-        """Whether there are twice as many names as were wanted at the last `retain`."""
-        return len(self._names) > self._cleanup_above
+        """Whether names have more than doubled since the last `retain`, with many new ones among them."""
+        return len(self._names) > self._cleanup_threshold
 
     def retain(self, wanted: Collection[int]) -> None:
-        """Forget every name except `wanted` and the permanent ones.
+        """Remove every name except the permanent ones and those with the numbers `wanted`.
 
-        A name that comes again gets its number again, unless its hash collides with another.
+        A removed name that is used again gets its former number, unless its hash collides with another's.
         """
         for number in [n for n in self._names if n not in wanted and n not in self._permanent]:
             del self._numbers[self._names.pop(number)]
-        self._cleanup_above = self._cleanup_limit()
+        self._cleanup_threshold = self._compute_cleanup_threshold()
 
     def number(self, name: str) -> int:
-        """Return the name's number, which is derived from its hash at its first use."""
+        """Return the name's number; add the name at its first use."""
         known = self._numbers.get(name)
         if known is None:
             known = number_of(name, self._bits)
@@ -126,5 +138,5 @@
         return known
 
     def name(self, number: int) -> str:
-        """Return the name of a number that was given."""
+        """Return the name that has this number."""
         return self._names[number]
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -1,4 +1,4 @@
-"""The Gateway: calls, their callers and final answers; every routing decision is the Router's."""
+"""The Gateway keeps the state of calls and their callers; the Router makes every routing decision."""
 
 from __future__ import annotations
 
@@ -27,14 +27,15 @@
 
 OUTCOME_TTL_US = 60_000_000
 MAX_OUTCOME_BYTES = 64 << 20
-RETRY_AFTER_DIVISOR = 4  # of the latency objective: when a caller may come back if memory is short
+RETRY_AFTER_DIVISOR = 4  # of the latency objective: the delay before a retry if memory for outcomes is full
 
 
 class Gateway:
-    """One front end's calls: inputs in, effects out. Starts without calls or workers; not thread-safe.
+    """The state machine of one front end, which turns inputs into effects.
 
-    `settings.classes` is what the functions of `catalogue` point into. `seed` starts the Router's random
-    generator. Outcomes are remembered for `outcome_ttl_us`, in at most `max_outcome_bytes`.
+    It starts without calls or workers, and is not thread-safe. Each `class_index` in `catalogue` is an index
+    into `settings.classes`. `seed` initializes the Router's random number generator. The outcomes of calls
+    with an idempotency key are kept for `outcome_ttl_us`, in at most `max_outcome_bytes` of memory.
     """
 
     def __init__(
@@ -50,30 +51,31 @@
         self._router = Router(settings, seed)
         self._translator = RouterTranslator(() if catalogue.is_dynamic else catalogue.functions)
         self._calls = CallTable()
-        self._recent = RecentOutcomes(outcome_ttl_us, max_outcome_bytes)
+        self._recent_outcomes = RecentOutcomes(outcome_ttl_us, max_outcome_bytes)
         self._now_us = 0
         self._effects: list[Effect] = []
 
     @property
     def open_calls(self) -> int:
-        """How many calls have no final answer yet."""
+        """The number of calls without a final answer."""
         return sum(not call.is_answered for call in self._calls.by_number.values())
 
     @property
     def known_function_count(self) -> int:
-        """How many functions are remembered by name, for checks that memory does not grow."""
+        """The number of functions whose names are kept, for checks that memory use does not grow."""
         return self._translator.function_count
 
     def handle(self, now: int, event: Input) -> list[Effect]:
-        """Decide on one input at `now` (microseconds; never runs back).
+        """Process one input and return the effects to carry out, in order.
 
-        Raises UnknownNameError for a function or tenant that the catalogue lacks; nothing has changed then.
+        `now` is in microseconds and must not decrease between calls. Raises UnknownNameError if a CallArrived
+        names a function or tenant that is not in the catalogue; the state is then unchanged.
         """
         self._now_us = now
         self._effects = []
         self._dispatch(event)
         if self._translator.needs_cleanup:
-            self._translator.retain(*self._router.referenced_ids())  # an open call has its own names
+            self._translator.retain(*self._router.referenced_ids())  # an open call keeps its own names
         effects, self._effects = self._effects, []
         return effects
 
@@ -126,13 +128,17 @@
         )
 
     def _answer_repeat(self, caller_id: int, identity: Hashable, request_class: api.RequestClass) -> bool:
-        """Join the open call, give the known outcome, or reject what could not be remembered."""
-        open_call = self._recent.open_call(identity)
+        """Handle a call that has an identity; return False if it is a new call to open.
+
+        A repeat joins its open call or gets the remembered outcome. A new call is rejected if there is no
+        memory for its outcome.
+        """
+        open_call = self._recent_outcomes.open_call(identity)
         if open_call is not None:
             self._calls.join(open_call, caller_id)
             return True
-        outcome = self._recent.outcome(self._now_us, identity)
-        if outcome is None and not self._recent.has_capacity(self._now_us, request_class.effect):
+        outcome = self._recent_outcomes.outcome(self._now_us, identity)
+        if outcome is None and not self._recent_outcomes.has_capacity(self._now_us, request_class.effect):
             retry_after_us = request_class.latency_objective_us // RETRY_AFTER_DIVISOR
             outcome = Rejected("too many recent outcomes to remember", retry_after_us)
         if outcome is None:
@@ -157,11 +163,14 @@
         )
         self._calls.add(call)
         if identity is not None:
-            self._recent.opened(identity, call.number)
+            self._recent_outcomes.add_open_call(identity, call.number)
         return call
 
     def _on_caller_left(self, event: CallerLeft) -> None:
-        """Cancel a call without callers, unless a repeat must get its outcome."""
+        """Cancel the call if its last caller left, unless it must continue to its end.
+
+        It continues if it outlives its callers or if a repeat must get its outcome.
+        """
         call = self._calls.by_caller.pop(event.caller_id, None)
         if call is None or call.is_answered:
             return
@@ -184,13 +193,13 @@
         outcome, worker = event.outcome, call.workers[event.attempt]
         is_late = self._now_us > call.deadline_us
         if outcome is Outcome.OK and is_late and not call.is_answered:
-            outcome = Outcome.TIMEOUT  # an answer after its caller's time is not served
+            outcome = Outcome.TIMEOUT  # an answer after the deadline is not served
         call.outcomes[event.attempt] = outcome
         call.last_result = f"{outcome.value} at {worker}"
         if not call.is_answered and outcome is Outcome.OK:
             self._end(call, Served(event.payload, worker, call.function.version))
         elif not call.is_answered and event.is_function_error and not is_late:
-            # The function's own error is its answer: another worker would only run it again.
+            # The function's own error is its final answer: a retry would only run the function again.
             self._end(call, Failed(Failure.FUNCTION, "the function raised an error", event.payload))
         self._route(
             api.AttemptEnded(
@@ -205,29 +214,33 @@
                 report=event.report,
             )
         )
-        self._calls.forget_if_ended(call)
+        self._calls.remove_if_ended(call)
 
     def _end(self, call: Call, final: Final | None) -> None:
-        """Make an answer final: the only place that does; None if no caller gets one."""
+        """End the call and answer its callers, or give them no answer if `final` is None.
+
+        This is the only place that gives final answers, and it does nothing for a call that has ended, so a
+        caller gets at most one.
+        """
         if call.is_answered:
             return
         call.is_answered = True
         if call.identity is not None:
-            self._recent.closed(self._now_us, call.identity, call.request_class.effect, final)
+            self._recent_outcomes.record_end(self._now_us, call.identity, call.request_class.effect, final)
         for caller_id in call.caller_ids:
             self._calls.by_caller.pop(caller_id, None)
             if final is not None:
                 self._effects.append(AnswerCaller(caller_id, final))
         call.caller_ids.clear()
         call.payload = b""
-        self._calls.forget_if_ended(call)
+        self._calls.remove_if_ended(call)
 
     def _route(self, event: api.Event) -> None:
         for action in self._router.handle(self._now_us, event):
             self._carry_out(action)
 
     def _carry_out(self, action: api.Action) -> None:
-        """Turn an action on a call into its state and effects; the others are effects by name."""
+        """Apply an action to its call, or translate it into the effect with names in place of numbers."""
         match action:
             case api.Send():
                 self._effects.append(self._send(action))
@@ -238,7 +251,7 @@
             case api.Fail(request):
                 self._fail(self._calls.by_number[request])
             case api.WatchEndpoints() | api.FetchEndpoints():
-                pass  # every process that owns a gateway watches its endpoint list without being asked
+                pass  # every process with a Gateway watches its endpoint list all the time
             case _:
                 self._effects.append(self._translator.effect_of(action))
 
--- a/packages/gateway/src/walnutpost/gateway/effects.py
+++ b/packages/gateway/src/walnutpost/gateway/effects.py
@@ -1,7 +1,7 @@
-"""Effects of the Gateway, which its embedder carries out.
+"""Effects: the outputs of the Gateway, which the embedder carries out.
 
-Where a name is that of an action of `walnutpost.interface`, it is the same thing with names of workers and
-functions in place of numbers.
+An effect with the name of an action of `walnutpost.interface` has the same meaning, with the names of workers
+and functions in place of their numbers. Times are in microseconds.
 """
 
 from __future__ import annotations
@@ -10,19 +10,21 @@
 
 
 class AnswerCaller(Message, frozen=True):
-    """The one final answer for a caller."""
+    """Give the caller its only final answer."""
 
     caller_id: int
     final: Final
 
 
 class Send(Message, frozen=True):
-    """Send the call to the worker; cancel the attempt after `timeout_us`.
+    """Send the call to the worker as a new attempt, and input an AttemptEnded when it ends.
 
-    `caller_id` is the first caller that waits for the call, 0 if there is none.
+    `call` and `attempt` identify the attempt; attempts of a call are numbered from 0. `tenant` is None if the
+    call belongs to no tenant. `caller_id` is the first caller that waits for the call, 0 if none does.
 
-    If `must_persist_intent`, the intent to send must be durable before the first byte leaves. If that byte
-    has not left within `begin_within_us` (0: no limit), the attempt must not begin any more and ends as MOOT.
+    The attempt ends as TIMEOUT after `timeout_us`. If its first byte has not been sent within
+    `begin_within_us` (0: no limit), it must not be sent any more and ends as MOOT. If `must_persist_intent`,
+    the intent to send must be durable before the first byte is sent.
     """
 
     call: int
@@ -38,9 +40,9 @@
 
 
 class Cancel(Message, frozen=True):
-    """Stop waiting for the attempt.
+    """Cancel the attempt.
 
-    Its AttemptEnded is CANCELLED, unless another outcome has come before.
+    It ends as CANCELLED, unless it has already ended with another outcome.
     """
 
     call: int
@@ -48,9 +50,9 @@
 
 
 class LoadOrder(Message, frozen=True):
-    """Order the worker to load at least so many copies; zero copies only asks how many there are.
+    """Order the worker to load copies until it has at least `copies`, and input a LoadOrderEnded.
 
-    `begin_within_us` as in Send.
+    With `copies` 0 the worker only reports how many copies it has. `begin_within_us` as in Send.
     """
 
     worker: str
@@ -60,33 +62,33 @@
 
 
 class Unload(Message, frozen=True):
-    """Order the worker to unload its idle copies of the function."""
+    """Order the worker to unload its idle copies of the function. No input reports the result."""
 
     worker: str
     function: str
 
 
 class Probe(Message, frozen=True):
-    """Check the worker's health."""
+    """Check the worker's health, and input a ProbeEnded."""
 
     worker: str
 
 
 class CloseIdleConnections(Message, frozen=True):
-    """Close the connections to the worker that are not in use."""
+    """Close the connections to the worker that no attempt uses."""
 
     worker: str
 
 
 class SetTimer(Message, frozen=True):
-    """Input a TimerDue with this token after `delay_us`; it cannot be cancelled."""
+    """Input a TimerDue with `token` after `delay_us`. A timer cannot be cancelled."""
 
     delay_us: int
     token: int
 
 
 class Log(Message, frozen=True):
-    """Write a line to the log."""
+    """Write `text` to the log as one line."""
 
     text: str
 
--- a/packages/gateway/src/walnutpost/gateway/executions.py
+++ b/packages/gateway/src/walnutpost/gateway/executions.py
@@ -1,6 +1,6 @@
-"""Deferred calls: admission under a name, recovery after a restart, final status.
+"""Deferred calls: admission under a name, recovery after a restart, and the final status.
 
-No I/O, no clock. Terms of the AWS Lambda API, durable executions.
+The terms are those of durable executions in the AWS Lambda API.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Status(Enum):
-    """The status of a durable execution; the values are stored and appear in answers."""
+    """The status of an execution. The values are stored and sent to clients."""
 
     RUNNING = "RUNNING"
     SUCCEEDED = "SUCCEEDED"
@@ -24,7 +24,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """One deferred call as it is stored. Times in microseconds since the epoch."""
+    """A deferred call as it is stored. Times are in microseconds since the epoch.
+
+    `digest` identifies the request: further requests under the same name must have the same digest.
+    `ended_at` is 0 while the execution is running. `result` is the function's answer, or its own error if it
+    failed with one, None if there is neither. `error_type` and `error_message` are empty unless it failed.
+    """
 
     id: str
     name: str
@@ -35,7 +40,7 @@
     digest: str
     accepted_at: int
     expires_at: int
-    intended: bool = False  # an attempt may have left
+    intended: bool = False  # the intent to send an attempt was recorded, so the call may have run
     status: Status = Status.RUNNING
     ended_at: int = 0
     result: bytes | None = None
@@ -45,9 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicationPending:
-    """Accepted on this disk, but not yet on as many replicas as its class requires.
+    """The call is stored on the local disk, but not yet on as many replicas as its class requires.
 
-    A retry under the same name is the same call; under another name it may be a second one.
+    `replicas` is the number of replicas that have it. A retry under the same name joins this call; a retry
+    under another name may run it a second time.
     """
 
     execution: Execution
@@ -56,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotStored:
-    """The disk did not take the call: a fault of the service, not of the caller.
+    """The call could not be stored: a fault of the service, not of the caller.
 
-    `is_uncertain`: it may be on disk, and the next start may find and run it, so only a retry under the same
-    name is safe. Otherwise nothing of it is left.
+    If `is_uncertain`, the call may be on disk, and the front end may find and run it after its next restart;
+    only a retry under the same name is safe. Otherwise no trace of the call is left.
     """
 
     name: str
@@ -68,7 +74,10 @@
 
 
 class Admission(Enum):
-    """How a deferred call relates to the execution that has its name."""
+    """How a deferred call relates to the execution that has its name.
+
+    NEW: no execution has the name. SAME: the call repeats the execution. CONFLICT: it is a different call.
+    """
 
     NEW = "new"
     SAME = "same"
@@ -76,17 +85,17 @@
 
 
 def admit(known: Execution | None, digest: str) -> Admission:
-    """Return how a deferred call relates to the execution that has its name now, if there is one."""
+    """Return how a deferred call relates to `known`, the execution that has its name (None if none has)."""
     if known is None:
         return Admission.NEW
     return Admission.SAME if known.digest == digest else Admission.CONFLICT
 
 
 def recovery_time_left_us(execution: Execution, effect: Effect, now: int) -> int | Failed:
-    """Return the time left in microseconds to run an open execution after a restart, or why it fails.
+    """Return the time left to run an open execution after a restart, or the failure that ends it.
 
-    An unsafe or keyed one whose sending was intended may have run, and what proves the opposite was lost with
-    the process, so it is not sent again.
+    An unsafe or keyed call with a recorded intent is not sent again: it may have run, and the restart lost
+    the state that could prove that it has not.
     """
     if execution.intended and effect is not Effect.SAFE:
         return Failed(Failure.RESTART, "the front end restarted while the call may have been running")
@@ -96,7 +105,7 @@
 
 
 def with_final_status(execution: Execution, final: Final, now: int) -> Execution:
-    """Return the execution with the status, result and error of its final answer."""
+    """Return a copy of the execution with the status, result and error of its final answer."""
     match final:
         case Served(payload):
             return replace(execution, status=Status.SUCCEEDED, ended_at=now, result=payload)
--- a/packages/gateway/src/walnutpost/gateway/inputs.py
+++ b/packages/gateway/src/walnutpost/gateway/inputs.py
@@ -1,7 +1,8 @@
-"""Inputs of the Gateway. `TimerDue` and `ShuttingDown` are the interface's own.
+"""Inputs: the events that the embedder reports to the Gateway.
 
-Where a name is that of an event of `walnutpost.interface`, it is the same thing with names of workers and
-functions in place of numbers.
+An input with the name of an event of `walnutpost.interface` has the same meaning, with the names of workers
+and functions in place of their numbers. `TimerDue` and `ShuttingDown` are the interface's own classes. Times
+are in microseconds.
 """
 
 from __future__ import annotations
@@ -12,13 +13,17 @@
 
 
 class CallArrived(Message, frozen=True):
-    """A caller sends a call.
+    """A caller sent a call.
 
-    `caller_id` is the embedding program's own number for this, not used before; exactly one AnswerCaller
-    comes for it, unless CallerLeft does. If `idempotency_key` isn't empty, another call with the same
-    key, tenant, function and payload is the same call. `definition` is the function's, if each call
-    brings its own; else the catalogue has it. `waited_us` is the longest time for which the request may
-    have been there before it was read; `time_left_us` counts from now.
+    `caller_id` is chosen by the embedder, above 0 and not used before. The caller gets exactly one
+    AnswerCaller, unless the embedder inputs a CallerLeft for it first.
+
+    `time_left_us` is the time until the call's deadline, counted from now. `waited_us` is the longest time
+    that the request may have waited before it was read.
+
+    `tenant` is None if the caller names none. If `idempotency_key` is not empty, calls with the same key,
+    tenant, function and payload are repeats of one call. `definition` is the configuration of the function if
+    the call carries it; if None, the function is looked up in the catalogue.
     """
 
     caller_id: int
@@ -27,30 +32,32 @@
     time_left_us: int
     tenant: str | None = None
     idempotency_key: str = ""
-    is_repeat: bool = False  # marked so by the client
-    is_durable: bool = False  # if unsafe, its Send must be on disk before it is carried out
-    outlives_callers: bool = False  # continues without a caller: deferred calls
-    rejection: Rejected | None = None  # the answer, unless a call with its key is known already
+    is_repeat: bool = False  # the client marked the request as a repeat
+    is_durable: bool = False  # unless the call is safe, the intent of a Send must be durable first
+    outlives_callers: bool = False  # deferred calls: continue when no caller is left
+    rejection: Rejected | None = None  # the answer, unless the call repeats a known one
     definition: Function | None = None
     waited_us: int = 0
 
 
 class CallerLeft(Message, frozen=True):
-    """The caller no longer wants an answer."""
+    """The caller is gone and gets no answer any more."""
 
     caller_id: int
 
 
 class CallStopped(Message, frozen=True):
-    """Ends the call of this caller as failed, for all other callers too."""
+    """The owner of the call stopped it: it fails with `Failure.STOPPED` for all its callers."""
 
     caller_id: int
 
 
 class AttemptEnded(Message, frozen=True):
-    """How the attempt of a Send ended: exactly one for each Send, also after Cancel.
+    """An attempt ended. Each Send has exactly one AttemptEnded, also after a Cancel.
 
-    `payload` is the answer of an OK, or the function's own error if `is_function_error`.
+    `payload` is the function's answer if the outcome is OK, or its own error if `is_function_error`.
+    `warmth` is the state of the copy that ran the call. `crowd` is the number of requests at the worker, 0 if
+    not reported. `report` has the worker's values of `Settings.report_fields`, empty if not reported.
     """
 
     call: int
@@ -65,7 +72,10 @@
 
 
 class LoadOrderEnded(Message, frozen=True):
-    """How one LoadOrder ended; `ordered_copies` repeats its copies (`interface.LoadOrderEnded`)."""
+    """A load order ended; `copies` is the number of copies that the worker reported.
+
+    `ordered_copies` repeats `LoadOrder.copies`; `interface.LoadOrderEnded` describes the outcomes.
+    """
 
     worker: str
     function: str
@@ -76,7 +86,7 @@
 
 
 class ProbeEnded(Message, frozen=True):
-    """How one Probe ended."""
+    """A health check ended. `report` as in AttemptEnded."""
 
     worker: str
     outcome: Outcome
@@ -85,7 +95,12 @@
 
 
 class ListedWorker(Message, frozen=True):
-    """An entry of the endpoint list; `started_at_us` is 0 if long ago or not known."""
+    """A worker in the endpoint list.
+
+    `zone` and `cell` are the numbers of its zone and cell. `kind` is an index into
+    `Settings.memory_mb_by_kind`. `weight` is its share of the load relative to the other workers, used if
+    `Settings.has_weights`. `started_at_us` is the time of its start, 0 if that is long ago or unknown.
+    """
 
     name: str
     zone: int = 0
@@ -97,7 +112,11 @@
 
 
 class WorkersListed(Message, frozen=True):
-    """An update of the endpoint list."""
+    """An update of the endpoint list.
+
+    `kind` says whether `workers` is the complete list or only the entries that changed. `version` is the
+    version of the list.
+    """
 
     kind: ListKind
     version: int
--- a/packages/gateway/src/walnutpost/gateway/messages.py
+++ b/packages/gateway/src/walnutpost/gateway/messages.py
@@ -1,4 +1,4 @@
-"""The base of the Gateway's messages, and the final answers of calls. Times are in microseconds."""
+"""The base class of the Gateway's inputs and effects, and the final answers of calls."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 
 
 class Message(msgspec.Struct, frozen=True):
-    """A frozen value. A frozen dataclass takes five times as long to build, and each call builds a dozen."""
+    """An immutable value.
+
+    Each call creates a dozen of them, and a frozen dataclass takes five times as long to create.
+    """
 
 
 class Failure(Enum):
-    """Why a call failed. Only FUNCTION is the function's own answer."""
+    """Why a call failed. Only FUNCTION means that the function itself reported an error."""
 
-    FUNCTION = "function"  # the function ran and raised
-    DEADLINE = "deadline"  # no answer in the time that its caller allowed
+    FUNCTION = "function"  # the function ran and raised an error
+    DEADLINE = "deadline"  # no answer before the call's deadline
     WORKER = "worker"  # a worker or the connection to it failed, and the call may have run
-    STOPPED = "stopped"  # its owner stopped it
+    STOPPED = "stopped"  # the call's owner stopped it
     RESTART = "restart"  # the front end restarted while an unsafe call may have been running
 
 
 class Served(Message, frozen=True):
-    """The function's answer, with the worker that gave it and the function's version."""
+    """The function answered. `worker` ran the call, and `version` is the function's version."""
 
     payload: bytes
     worker: str
@@ -30,14 +33,20 @@
 
 
 class Rejected(Message, frozen=True):
-    """A retry is harmless, after `retry_after_us` if that is above zero."""
+    """The call was rejected and had no effect that a retry would repeat.
+
+    The client should wait `retry_after_us` before it retries; 0 gives no advice.
+    """
 
     reason: str
     retry_after_us: int = 0
 
 
 class Failed(Message, frozen=True):
-    """The call may have taken effect; `payload` is the function's own error, if it gave one."""
+    """The call failed, and may have taken effect.
+
+    `payload` is the function's own error, None if it reported none.
+    """
 
     failure: Failure
     message: str
--- a/packages/gateway/src/walnutpost/gateway/router_translator.py
+++ b/packages/gateway/src/walnutpost/gateway/router_translator.py
@@ -1,4 +1,4 @@
-"""Translates between the names in the Gateway's messages and the numbers in the Router's."""
+"""Translation between the Gateway's messages, which have names, and the Router's, which have numbers."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class RouterTranslator:
-    """The numbers of functions and workers; events by number, effects by name.
+    """Translates the Gateway's inputs into the Router's events, and the Router's actions into effects.
 
-    `functions` are names that are never forgotten.
+    The names in `functions` keep their numbers permanently; other names may be removed by `retain`.
     """
 
     def __init__(self, functions: Iterable[str]) -> None:
@@ -31,16 +31,16 @@
 
     @property
     def function_count(self) -> int:
-        """How many functions have a number."""
+        """The number of functions whose names are kept."""
         return len(self.functions)
 
     @property
     def needs_cleanup(self) -> bool:
-        """Whether so many names were seen that those without use are to be forgotten."""
+        """Whether so many names were added that the caller should remove unused ones with `retain`."""
         return self.functions.needs_cleanup or self.workers.needs_cleanup
 
     def retain(self, functions: Collection[int], workers: Collection[int]) -> None:
-        """Forget all numbers but these, so that memory does not grow with each name ever seen."""
+        """Remove all names but those with these numbers, so that memory use stays bounded."""
         self.functions.retain(functions)
         self.workers.retain(workers)
 
@@ -80,7 +80,7 @@
         )
 
     def effect_of(self, action: api.Action) -> Effect:
-        """Return the effect for an action that concerns no call's answer. Raises TypeError for others."""
+        """Return the effect for an action that needs no state of a call; raise TypeError for any other."""
         match action:
             case api.Cancel(request, attempt):
                 return Cancel(request, attempt)
--- a/packages/gateway/tests/test_executions_golden.py
+++ b/packages/gateway/tests/test_executions_golden.py
@@ -1,4 +1,4 @@
-"""What is stored of an execution and told of its fate: words, and how each end of a call is put."""
+"""The stored fields of executions, their status after each final answer, and the numbers of names."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     expires_at=100,
     intended=True,
 )
-ENDS: dict[str, tuple[Final, int]] = {  # and when
+FINAL_ANSWERS: dict[str, tuple[Final, int]] = {  # final answers with the time of each
     "served": (Served(b"result\x00", "worker-1", "4"), 50),
     "refused": (Rejected("no room", 5), 50),
     "refused, and its time is over": (Rejected("no room"), 100),
@@ -34,20 +34,21 @@
 
 
 def golden_files() -> dict[Path, bytes]:
-    told = {
+    recorded = {
         "open": values_of(OPEN),
         "ended": {
-            name: values_of(with_final_status(OPEN, final, now)) for name, (final, now) in ENDS.items()
+            name: values_of(with_final_status(OPEN, final, now))
+            for name, (final, now) in FINAL_ANSWERS.items()
         },
-        "statuses": [word.value for word in Status],
-        "failures": [word.value for word in Failure],
-        "effects": [word.value for word in Effect],
+        "statuses": [member.value for member in Status],
+        "failures": [member.value for member in Failure],
+        "effects": [member.value for member in Effect],
         "numbers of names": {
             name: [number_of(name, 32), number_of(name, 40)] for name in ("worker-1", "price", "ä")
         },
     }
-    return {GOLDEN / "executions.json": json_lines(told)}
+    return {GOLDEN / "executions.json": json_lines(recorded)}
 
 
-def test_final_statuses_and_numbers_are_as_recorded() -> None:
+def test_executions_and_numbers_of_names_match_the_golden_file() -> None:
     assert_as_golden(golden_files())
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The library: one final answer, repeats, late answers, callers that leave, and no shared state."""
+"""Tests of the Gateway: final answers, repeats, callers that leave, stored executions and shared state."""
 
 from __future__ import annotations
 
@@ -43,17 +43,17 @@
 CATALOGUE = Catalogue(
     {"price": Function("price", 0, 300.0, 2.0), "reserve": Function("reserve", 1, 300.0, 1.0)}
 )
-SITE = replace(SETTINGS, classes=(SAFE, UNSAFE))
+GATEWAY_SETTINGS = replace(SETTINGS, classes=(SAFE, UNSAFE))
 
 
-class Rig:
-    """A gateway, its clock, and a world that answers orders at once."""
+class GatewayHarness:
+    """A Gateway on virtual time, whose workers carry out each load order at once."""
 
-    def __init__(self, workers: int = 3, **more: Any) -> None:
+    def __init__(self, workers: int = 3, **options: Any) -> None:
         self.now = 100 * SECOND
-        self.gateway = Gateway(SITE, CATALOGUE, 1, **more)
+        self.gateway = Gateway(GATEWAY_SETTINGS, CATALOGUE, 1, **options)
         self.effects: list[Any] = []
-        self.caller_ids = 0
+        self.last_caller_id = 0
         listed = tuple(ListedWorker(f"w{i}") for i in range(workers))
         self.feed(WorkersListed(ListKind.CACHED, 1, listed))
 
@@ -65,24 +65,27 @@
                 self.feed(LoadOrderEnded(effect.worker, effect.function, Outcome.OK, 1000, effect.copies))
         return effects
 
-    def ask(self, function: str = "price", **more: Any) -> int:
-        self.caller_ids += 1
-        told: dict[str, Any] = {"payload": b"1", "time_left_us": 3 * SECOND} | more
-        self.feed(CallArrived(self.caller_ids, function, **told))
-        return self.caller_ids
+    def start_call(self, function: str = "price", **fields: Any) -> int:
+        self.last_caller_id += 1
+        all_fields: dict[str, Any] = {"payload": b"1", "time_left_us": 3 * SECOND} | fields
+        self.feed(CallArrived(self.last_caller_id, function, **all_fields))
+        return self.last_caller_id
 
-    def starts(self) -> list[Send]:
+    def sends(self) -> list[Send]:
         return [e for e in self.effects if isinstance(e, Send)]
 
     def answers(self, caller_id: int) -> list[Any]:
         return [e.final for e in self.effects if isinstance(e, AnswerCaller) and e.caller_id == caller_id]
 
-    def done(self, outcome: Outcome = Outcome.OK, place: int = -1, **more: Any) -> None:
-        start = self.starts()[place]
-        self.feed(AttemptEnded(start.call, start.attempt, outcome, 1000, **more))
+    def end_attempt(self, outcome: Outcome = Outcome.OK, index: int = -1, **fields: Any) -> None:
+        send = self.sends()[index]
+        self.feed(AttemptEnded(send.call, send.attempt, outcome, 1000, **fields))
 
-    def later(self, delay: int) -> None:
-        """Time passes; every timer that was armed comes due in order."""
+    def advance(self, delay: int) -> None:
+        """Advance the time by `delay` microseconds.
+
+        Timers become due every 20 ms in the first 4 s, and at the end.
+        """
         end = self.now + delay
         for _ in range(200):
             self.now = min(end, self.now + 20_000)
@@ -93,268 +96,276 @@
         self.feed(TimerDue(1))
 
 
-def test_a_call_is_served_once() -> None:
-    rig = Rig()
-    caller_id = rig.ask()
-    rig.done(payload=b"five")
-    rig.done(payload=b"six")
-    assert [a.payload for a in rig.answers(caller_id)] == [b"five"]
-    assert rig.gateway.open_calls == 0
+def test_second_answer_to_a_call_is_ignored() -> None:
+    harness = GatewayHarness()
+    caller_id = harness.start_call()
+    harness.end_attempt(payload=b"five")
+    harness.end_attempt(payload=b"six")
+    assert [a.payload for a in harness.answers(caller_id)] == [b"five"]
+    assert harness.gateway.open_calls == 0
 
 
-def test_a_repeat_joins_the_open_call_and_gets_its_outcome_after() -> None:
-    rig = Rig()
-    first = rig.ask("reserve", idempotency_key="id")
-    second = rig.ask("reserve", idempotency_key="id")
-    rig.done(payload=b"x")
-    third = rig.ask("reserve", idempotency_key="id")
-    assert [rig.answers(t)[0].payload for t in (first, second, third)] == [b"x"] * 3
-    assert len(rig.starts()) == 1
+def test_repeat_joins_the_open_call_or_gets_its_remembered_outcome() -> None:
+    harness = GatewayHarness()
+    first = harness.start_call("reserve", idempotency_key="id")
+    second = harness.start_call("reserve", idempotency_key="id")
+    harness.end_attempt(payload=b"x")
+    third = harness.start_call("reserve", idempotency_key="id")
+    assert [harness.answers(caller_id)[0].payload for caller_id in (first, second, third)] == [b"x"] * 3
+    assert len(harness.sends()) == 1
 
 
-OTHER: dict[str, dict[str, Any]] = {
+CHANGED_FIELDS: dict[str, dict[str, Any]] = {
     "payload": {"payload": b"2"},
     "tenant": {"tenant": "b"},
     "key": {"idempotency_key": "id2"},
 }
 
 
-@pytest.mark.parametrize("name", OTHER)
-def test_another_payload_tenant_or_id_is_another_call(name: str) -> None:
-    rig = Rig()
-    rig.ask("reserve", idempotency_key="id")
-    rig.ask("reserve", **({"idempotency_key": "id"} | OTHER[name]))
-    assert len(rig.starts()) == 2
-
-
-def test_a_rejection_is_not_remembered_since_it_invites_the_next_attempt() -> None:
-    rig = Rig(workers=0)
-    first = rig.ask("reserve", idempotency_key="id")
-    rig.later(4 * SECOND)
-    assert isinstance(rig.answers(first)[0], Rejected)
-    second = rig.ask("reserve", idempotency_key="id")
-    assert not rig.answers(second)
-    rig.feed(WorkersListed(ListKind.FULL, 2, (ListedWorker("w"),)))
-    rig.later(SECOND)
-    rig.done()
-    assert isinstance(rig.answers(second)[0], Served)
-
-
-def test_an_answer_after_the_callers_time_is_not_served() -> None:
-    """Also where it comes before the timer that would have ended the call."""
-    rig = Rig()
-    caller_id = rig.ask("reserve")
-    rig.now += 3 * SECOND + 1
-    rig.done()
-    assert [type(a) for a in rig.answers(caller_id)] == [Failed]
-
-
-def test_the_functions_own_error_is_final_and_a_workers_is_not() -> None:
-    rig = Rig()
-    own = rig.ask()
-    rig.done(Outcome.ERROR, payload=b"trace", is_function_error=True)
-    assert rig.answers(own)[0].failure is Failure.FUNCTION
-    assert rig.answers(own)[0].payload == b"trace"
+@pytest.mark.parametrize("name", CHANGED_FIELDS)
+def test_call_with_another_payload_tenant_or_key_is_not_a_repeat(name: str) -> None:
+    harness = GatewayHarness()
+    harness.start_call("reserve", idempotency_key="id")
+    harness.start_call("reserve", **({"idempotency_key": "id"} | CHANGED_FIELDS[name]))
+    assert len(harness.sends()) == 2
+
+
+def test_repeat_of_a_rejected_call_is_a_new_call() -> None:
+    harness = GatewayHarness(workers=0)
+    first = harness.start_call("reserve", idempotency_key="id")
+    harness.advance(4 * SECOND)
+    assert isinstance(harness.answers(first)[0], Rejected)
+    second = harness.start_call("reserve", idempotency_key="id")
+    assert not harness.answers(second)
+    harness.feed(WorkersListed(ListKind.FULL, 2, (ListedWorker("w"),)))
+    harness.advance(SECOND)
+    harness.end_attempt()
+    assert isinstance(harness.answers(second)[0], Served)
+
+
+def test_answer_after_the_deadline_is_not_served() -> None:
+    """The answer arrives before the timer that would end the call."""
+    harness = GatewayHarness()
+    caller_id = harness.start_call("reserve")
+    harness.now += 3 * SECOND + 1
+    harness.end_attempt()
+    assert [type(a) for a in harness.answers(caller_id)] == [Failed]
+
+
+def test_function_error_is_final_but_worker_error_is_retried_for_a_safe_call() -> None:
+    harness = GatewayHarness()
+    function_error = harness.start_call()
+    harness.end_attempt(Outcome.ERROR, payload=b"trace", is_function_error=True)
+    assert harness.answers(function_error)[0].failure is Failure.FUNCTION
+    assert harness.answers(function_error)[0].payload == b"trace"
     for worker in ("w0", "w1"):
-        rig.feed(LoadOrderEnded(worker, "price", Outcome.OK, 1000, 1))
-    other = rig.ask()
-    before = len(rig.starts())
-    rig.done(Outcome.ERROR)
-    assert not rig.answers(other)
-    assert len(rig.starts()) == before + 1
-    unsafe = rig.ask("reserve")
-    rig.done(Outcome.ERROR)
-    assert rig.answers(unsafe)[0].failure is Failure.WORKER
-
-
-LEAVES = [
-    # function, sent, goes on: an unsafe call that may have run must keep its outcome for the next asking
+        harness.feed(LoadOrderEnded(worker, "price", Outcome.OK, 1000, 1))
+    worker_error = harness.start_call()
+    sends_before = len(harness.sends())
+    harness.end_attempt(Outcome.ERROR)
+    assert not harness.answers(worker_error)
+    assert len(harness.sends()) == sends_before + 1
+    unsafe_call = harness.start_call("reserve")
+    harness.end_attempt(Outcome.ERROR)
+    assert harness.answers(unsafe_call)[0].failure is Failure.WORKER
+
+
+CALLER_LEFT_CASES = [
+    # function, sent, continues: an unsafe call that may have run continues, as a repeat must get its outcome
     ("price", True, False),
     ("reserve", True, True),
     ("reserve", False, False),
 ]
 
 
-@pytest.mark.parametrize(("function", "sent", "goes_on"), LEAVES)
-def test_a_call_whose_caller_left_goes_on_only_where_its_outcome_must_be_known(
-    function: str, sent: bool, goes_on: bool
+@pytest.mark.parametrize(("function", "sent", "continues"), CALLER_LEFT_CASES)
+def test_call_without_callers_continues_only_if_its_outcome_must_be_remembered(
+    function: str, sent: bool, continues: bool
 ) -> None:
-    rig = Rig(workers=3 if sent else 0)
-    caller_id = rig.ask(function, idempotency_key="id")
-    assert bool(rig.starts()) == sent
-    rig.feed(CallerLeft(caller_id))
-    assert (rig.gateway.open_calls == 1) == goes_on
-    assert any(isinstance(e, Cancel) for e in rig.effects) == (sent and not goes_on)
-    assert not rig.answers(caller_id)
-    if goes_on:
-        rig.done(payload=b"x")
-        assert rig.answers(rig.ask(function, idempotency_key="id"))[0].payload == b"x"
-
-
-def test_when_one_of_two_callers_leaves_the_other_gets_its_answer() -> None:
-    rig = Rig()
-    first, second = rig.ask(idempotency_key="id"), rig.ask(idempotency_key="id")
-    rig.feed(CallerLeft(first))
-    rig.done()
-    assert not rig.answers(first)
-    assert len(rig.answers(second)) == 1
-
-
-def test_a_stopped_call_ends_at_once() -> None:
-    rig = Rig()
-    caller_id = rig.ask("reserve", outlives_callers=True)
-    rig.feed(CallStopped(caller_id))
-    assert rig.answers(caller_id)[0].failure is Failure.STOPPED
-    assert any(isinstance(e, Cancel) for e in rig.effects)
-    rig.done()
-    assert len(rig.answers(caller_id)) == 1
-
-
-def test_unknown_names_change_nothing() -> None:
-    rig = Rig()
+    harness = GatewayHarness(workers=3 if sent else 0)
+    caller_id = harness.start_call(function, idempotency_key="id")
+    assert bool(harness.sends()) == sent
+    harness.feed(CallerLeft(caller_id))
+    assert (harness.gateway.open_calls == 1) == continues
+    assert any(isinstance(e, Cancel) for e in harness.effects) == (sent and not continues)
+    assert not harness.answers(caller_id)
+    if continues:
+        harness.end_attempt(payload=b"x")
+        assert harness.answers(harness.start_call(function, idempotency_key="id"))[0].payload == b"x"
+
+
+def test_if_one_of_two_callers_leaves_the_other_still_gets_the_answer() -> None:
+    harness = GatewayHarness()
+    first, second = harness.start_call(idempotency_key="id"), harness.start_call(idempotency_key="id")
+    harness.feed(CallerLeft(first))
+    harness.end_attempt()
+    assert not harness.answers(first)
+    assert len(harness.answers(second)) == 1
+
+
+def test_stopped_call_fails_at_once_and_cancels_its_attempt() -> None:
+    harness = GatewayHarness()
+    caller_id = harness.start_call("reserve", outlives_callers=True)
+    harness.feed(CallStopped(caller_id))
+    assert harness.answers(caller_id)[0].failure is Failure.STOPPED
+    assert any(isinstance(e, Cancel) for e in harness.effects)
+    harness.end_attempt()
+    assert len(harness.answers(caller_id)) == 1
+
+
+def test_call_with_an_unknown_name_raises_and_changes_nothing() -> None:
+    harness = GatewayHarness()
     cases: list[dict[str, Any]] = [{"function": "nope"}, {"function": "price", "tenant": "nope"}]
-    for more in cases:
-        gateway = Gateway(SITE, Catalogue(CATALOGUE.functions, ("a",), "a"), 1)
+    for names in cases:
+        gateway = Gateway(GATEWAY_SETTINGS, Catalogue(CATALOGUE.functions, ("a",), "a"), 1)
         with pytest.raises(UnknownNameError):
-            gateway.handle(1, CallArrived(1, payload=b"", time_left_us=1, **more))
+            gateway.handle(1, CallArrived(1, payload=b"", time_left_us=1, **names))
         assert gateway.open_calls == 0
-    assert rig.gateway.open_calls == 0
+    assert harness.gateway.open_calls == 0
 
 
-def test_intent_is_persisted_first_for_unsafe_durable_calls_only() -> None:
-    rig = Rig()
+def test_only_unsafe_durable_calls_must_persist_their_intent() -> None:
+    harness = GatewayHarness()
     for function, durable in (("price", True), ("reserve", True), ("reserve", False)):
-        rig.ask(function, is_durable=durable)
-        assert rig.starts()[-1].must_persist_intent == (function == "reserve" and durable)
+        harness.start_call(function, is_durable=durable)
+        assert harness.sends()[-1].must_persist_intent == (function == "reserve" and durable)
+
 
+def test_open_call_keeps_the_function_definition_from_its_arrival() -> None:
+    """A function changes and is then removed while calls of it are open.
 
-def test_a_call_keeps_the_function_definition_that_it_arrived_under() -> None:
-    """Its class, version and figures, whatever is configured by the time that it is sent again or answered;
-    a function that is gone is unknown to new calls, and lets open ones end."""
+    Open calls keep their class, version and load figures, even if they are retried after the removal. A new
+    call of the removed function raises UnknownNameError.
+    """
     functions = {"price": Function("price", 0, 300.0, 2.0, version="1")}
-    rig = Rig()
-    rig.gateway = Gateway(SITE, Catalogue(functions, is_dynamic=True), 1)
-    asked: list[tuple[int, float, float, int]] = []
-    handle = rig.gateway._router.handle
+    harness = GatewayHarness()
+    harness.gateway = Gateway(GATEWAY_SETTINGS, Catalogue(functions, is_dynamic=True), 1)
+    routed: list[tuple[int, float, float, int]] = []
+    handle = harness.gateway._router.handle
 
-    def seen(now: int, event: Any) -> Any:
+    def record_and_handle(now: int, event: Any) -> Any:
         if isinstance(event, RequestArrived):
-            asked.append((event.class_index, event.memory_mb, event.concurrency, event.load_time_us))
+            routed.append((event.class_index, event.memory_mb, event.concurrency, event.load_time_us))
         return handle(now, event)
 
-    rig.gateway._router.handle = seen  # type: ignore[method-assign]
-    rig.feed(WorkersListed(ListKind.CACHED, 1, (ListedWorker("w0"), ListedWorker("w1"))))
-    first = rig.ask()
+    harness.gateway._router.handle = record_and_handle  # type: ignore[method-assign]
+    harness.feed(WorkersListed(ListKind.CACHED, 1, (ListedWorker("w0"), ListedWorker("w1"))))
+    first = harness.start_call()
     functions["price"] = Function("price", 1, 500.0, 1.0, 7, version="2")
-    second = rig.ask(is_durable=True)
+    second = harness.start_call(is_durable=True)
     del functions["price"]
     with pytest.raises(UnknownNameError):
-        rig.ask()
-    assert asked == [(0, 300.0, 2.0, 0), (1, 500.0, 1.0, 7)]
-    assert [s.must_persist_intent for s in rig.starts()] == [False, True]  # only the second is unsafe
-    rig.done(Outcome.ERROR, 0)  # safe, so it is sent again: its function may be gone by then
-    rig.done(place=1)
-    assert [s.function for s in rig.starts()] == ["price"] * 3
-    rig.done()
-    assert [rig.answers(t)[0].version for t in (first, second)] == ["1", "2"]
-    assert rig.gateway.open_calls == 0
-
-
-def test_names_of_changing_functions_are_forgotten() -> None:
-    """10,000 functions that were once there leave nothing behind in the front end's own state."""
+        harness.start_call()
+    assert routed == [(0, 300.0, 2.0, 0), (1, 500.0, 1.0, 7)]
+    assert [s.must_persist_intent for s in harness.sends()] == [False, True]  # only the second call is unsafe
+    harness.end_attempt(Outcome.ERROR, 0)  # the safe call is sent again although its function was removed
+    harness.end_attempt(index=1)
+    assert [s.function for s in harness.sends()] == ["price"] * 3
+    harness.end_attempt()
+    assert [harness.answers(caller_id)[0].version for caller_id in (first, second)] == ["1", "2"]
+    assert harness.gateway.open_calls == 0
+
+
+def test_gateway_with_a_dynamic_catalogue_forgets_names_of_removed_functions() -> None:
+    """The Gateway keeps fewer than 1,000 names after 10,000 functions came and most of them went.
+
+    With a static catalogue, it keeps at least the names of the 1,000 initial functions.
+    """
     functions: dict[str, Function] = {}
-    rig = Rig(workers=0)
-    for changing in (True, False):
+    harness = GatewayHarness(workers=0)
+    for is_dynamic in (True, False):
         functions.clear()
         functions.update({f"old{n}": Function(f"old{n}", 0, 300.0, 1.0) for n in range(1000)})
-        rig.gateway = Gateway(SITE, Catalogue(functions, is_dynamic=changing), 1)
+        harness.gateway = Gateway(GATEWAY_SETTINGS, Catalogue(functions, is_dynamic=is_dynamic), 1)
         for n in range(9000):
             functions.pop(f"old{n}", None)
             functions[f"new{n}"] = Function(f"new{n}", 0, 300.0, 1.0)
-            rig.ask(f"new{n}", time_left_us=1000)
-            rig.later(20 * SECOND if n % 100 == 0 else 1000)
-        held = rig.gateway.known_function_count
-        assert held < 1000 if changing else held >= 1000
+            harness.start_call(f"new{n}", time_left_us=1000)
+            harness.advance(20 * SECOND if n % 100 == 0 else 1000)
+        count = harness.gateway.known_function_count
+        assert count < 1000 if is_dynamic else count >= 1000
 
 
-EVENTS = st.lists(
-    st.tuples(st.sampled_from(["ask", "done", "error", "leave", "pass"]), st.integers(0, 9)), max_size=40
+STEPS = st.lists(
+    st.tuples(st.sampled_from(["call", "ok", "reset", "leave", "wait"]), st.integers(0, 9)), max_size=40
 )
 
 
-def play(rig: Rig, step: tuple[str, int]) -> None:
-    what, n = step
-    if what == "ask":
-        rig.ask("reserve" if n % 2 else "price", idempotency_key=f"k{n // 4}")
-    elif what in ("done", "error") and rig.starts():
-        place = n % len(rig.starts())
-        rig.done(Outcome.OK if what == "done" else Outcome.RESET, place)
-    elif what == "leave" and rig.caller_ids:
-        rig.feed(CallerLeft(1 + n % rig.caller_ids))
+def apply_step(harness: GatewayHarness, step: tuple[str, int]) -> None:
+    kind, n = step
+    if kind == "call":
+        harness.start_call("reserve" if n % 2 else "price", idempotency_key=f"k{n // 4}")
+    elif kind in ("ok", "reset") and harness.sends():
+        index = n % len(harness.sends())
+        harness.end_attempt(Outcome.OK if kind == "ok" else Outcome.RESET, index)
+    elif kind == "leave" and harness.last_caller_id:
+        harness.feed(CallerLeft(1 + n % harness.last_caller_id))
     else:
-        rig.later(n * SECOND // 4)
+        harness.advance(n * SECOND // 4)
 
 
-@given(EVENTS, EVENTS)
-def test_two_in_one_process_share_nothing(left: list[tuple[str, int]], right: list[tuple[str, int]]) -> None:
-    alone = [Rig(), Rig()]
-    for rig, steps in zip(alone, (left, right), strict=True):
+@given(STEPS, STEPS)
+def test_two_gateways_in_one_process_share_no_state(
+    first: list[tuple[str, int]], second: list[tuple[str, int]]
+) -> None:
+    separate = [GatewayHarness(), GatewayHarness()]
+    for harness, steps in zip(separate, (first, second), strict=True):
         for step in steps:
-            play(rig, step)
-    together = [Rig(), Rig()]
-    for place in range(max(len(left), len(right))):
-        for rig, steps in zip(together, (left, right), strict=True):
-            if place < len(steps):
-                play(rig, steps[place])
-    assert [r.effects for r in alone] == [r.effects for r in together]
+            apply_step(harness, step)
+    interleaved = [GatewayHarness(), GatewayHarness()]
+    for index in range(max(len(first), len(second))):
+        for harness, steps in zip(interleaved, (first, second), strict=True):
+            if index < len(steps):
+                apply_step(harness, steps[index])
+    assert [h.effects for h in separate] == [h.effects for h in interleaved]
 
 
-@given(EVENTS)
-def test_under_any_inputs_each_caller_gets_one_answer_at_most_and_in_time(
+@given(STEPS)
+def test_each_caller_gets_at_most_one_answer_and_in_time(
     steps: list[tuple[str, int]],
 ) -> None:
-    rig = Rig()
-    left: set[int] = set()
-    for what, n in steps:
-        if what == "leave" and rig.caller_ids:
-            left.add(1 + n % rig.caller_ids)
-        play(rig, (what, n))
-    rig.later(4 * SECOND)
-    for caller_id in range(1, rig.caller_ids + 1):
-        assert len(rig.answers(caller_id)) <= 1
-        assert caller_id in left or len(rig.answers(caller_id)) == 1
-    assert rig.gateway.open_calls == 0
-
-
-def test_outcomes_of_unsafe_calls_stay_while_safe_ones_are_evicted() -> None:
+    harness = GatewayHarness()
+    left_callers: set[int] = set()
+    for kind, n in steps:
+        if kind == "leave" and harness.last_caller_id:
+            left_callers.add(1 + n % harness.last_caller_id)
+        apply_step(harness, (kind, n))
+    harness.advance(4 * SECOND)
+    for caller_id in range(1, harness.last_caller_id + 1):
+        assert len(harness.answers(caller_id)) <= 1
+        assert caller_id in left_callers or len(harness.answers(caller_id)) == 1
+    assert harness.gateway.open_calls == 0
+
+
+def test_outcomes_of_safe_calls_are_evicted_but_those_of_unsafe_calls_are_kept() -> None:
     outcomes = RecentOutcomes(ttl_us=10 * SECOND, max_bytes=4 * ENTRY_BYTES)
     served = Served(b"", "w", "1")
-    outcomes.closed(0, "unsafe", Effect.UNSAFE, served)
+    outcomes.record_end(0, "unsafe", Effect.UNSAFE, served)
     for number in range(9):
-        outcomes.closed(0, number, Effect.SAFE, served)
+        outcomes.record_end(0, number, Effect.SAFE, served)
     assert outcomes.outcome(1, "unsafe") is served
     assert outcomes.outcome(1, 0) is None
     assert outcomes.size_bytes <= 4 * ENTRY_BYTES
     for number in range(3):
         assert outcomes.has_capacity(1, Effect.UNSAFE)
-        outcomes.closed(1, f"u{number}", Effect.UNSAFE, served)
+        outcomes.record_end(1, f"u{number}", Effect.UNSAFE, served)
     assert not outcomes.has_capacity(2, Effect.UNSAFE)
     assert outcomes.has_capacity(2, Effect.SAFE)
     assert outcomes.has_capacity(11 * SECOND, Effect.UNSAFE)
     assert outcomes.outcome(11 * SECOND, "unsafe") is None
 
 
-def test_without_memory_for_its_outcome_an_unsafe_call_is_rejected_at_once() -> None:
-    rig = Rig(max_outcome_bytes=ENTRY_BYTES)
-    rig.ask("reserve", idempotency_key="a")
-    rig.done()
-    assert isinstance(rig.answers(rig.ask("reserve", idempotency_key="b"))[0], Rejected)
-    assert len(rig.starts()) == 1
+def test_unsafe_call_is_rejected_if_there_is_no_memory_for_its_outcome() -> None:
+    harness = GatewayHarness(max_outcome_bytes=ENTRY_BYTES)
+    harness.start_call("reserve", idempotency_key="a")
+    harness.end_attempt()
+    assert isinstance(harness.answers(harness.start_call("reserve", idempotency_key="b"))[0], Rejected)
+    assert len(harness.sends()) == 1
 
 
 OPEN = Execution("i", "n", "f", "1", None, b"", "d", 0, 10 * SECOND)
-RESUMES = [
-    # intended, effect, now, runs again
+RECOVERY_CASES = [
+    # intended, effect, now, resumes
     (False, Effect.UNSAFE, SECOND, True),
     (True, Effect.UNSAFE, SECOND, False),
     (True, Effect.KEYED, SECOND, False),
@@ -363,15 +374,15 @@
 ]
 
 
-@pytest.mark.parametrize(("intended", "effect", "now", "runs"), RESUMES)
-def test_a_restart_resumes_an_open_call_only_if_that_is_safe_and_in_time(
-    intended: bool, effect: Effect, now: int, runs: bool
+@pytest.mark.parametrize(("intended", "effect", "now", "resumes"), RECOVERY_CASES)
+def test_restart_resumes_an_execution_only_if_that_is_safe_and_in_time(
+    intended: bool, effect: Effect, now: int, resumes: bool
 ) -> None:
-    what = recovery_time_left_us(replace(OPEN, intended=intended), effect, now)
-    assert what == 10 * SECOND - now if runs else isinstance(what, Failed)
+    result = recovery_time_left_us(replace(OPEN, intended=intended), effect, now)
+    assert result == 10 * SECOND - now if resumes else isinstance(result, Failed)
 
 
-FATES = [
+FINAL_STATUS_CASES = [
     (Served(b"x", "w", "1"), 1, Status.SUCCEEDED),
     (Failed(Failure.FUNCTION, "m", b"t"), 1, Status.FAILED),
     (Failed(Failure.DEADLINE, "m"), 1, Status.TIMED_OUT),
@@ -382,16 +393,16 @@
 ]
 
 
-@pytest.mark.parametrize(("final", "now", "status"), FATES)
-def test_each_final_answer_gives_its_status(final: Any, now: int, status: Status) -> None:
-    fate = with_final_status(OPEN, final, now)
-    assert fate.status is status
-    assert fate.ended_at == now
-    assert bool(fate.error_type) == (status is not Status.SUCCEEDED)
+@pytest.mark.parametrize(("final", "now", "status"), FINAL_STATUS_CASES)
+def test_final_answer_determines_the_status(final: Any, now: int, status: Status) -> None:
+    execution = with_final_status(OPEN, final, now)
+    assert execution.status is status
+    assert execution.ended_at == now
+    assert bool(execution.error_type) == (status is not Status.SUCCEEDED)
 
 
-def test_numbers_are_the_same_everywhere_and_differ_between_names() -> None:
+def test_numbers_of_names_are_stable_and_unique() -> None:
     assert number_of("worker-1", 32) == number_of("worker-1", 32) < 1 << 32
-    tiny = NumberedNames(2, ["a", "b", "c"])
-    assert len({tiny.number(n) for n in "abc"}) == 3
-    assert all(tiny.name(tiny.number(n)) == n for n in "abc")
+    names = NumberedNames(2, ["a", "b", "c"])
+    assert len({names.number(n) for n in "abc"}) == 3
+    assert all(names.name(names.number(n)) == n for n in "abc")
