--- a/packages/dispatch/src/walnutpost/dispatch/__init__.py
+++ b/packages/dispatch/src/walnutpost/dispatch/__init__.py
@@ -1,7 +1,7 @@
-"""Feeds the gateway's state machine and carries out its effects on one loop. Makes no decisions.
+"""Runs a Gateway on an event loop: feeds it inputs and carries out its effects. Makes no decisions.
 
-`Dispatcher` is what front ends and nodes use; `interfaces` has the interfaces that it needs, `effects`
-carries out each effect, `answers` counts and logs final answers.
+Front ends and nodes use `Dispatcher`. `interfaces` has the interfaces that it depends on, `effects` carries
+out the effects, and `answers` counts and logs final answers.
 """
 
 from walnutpost.dispatch.answers import AnswerCounts, AnswerKind
--- a/packages/dispatch/src/walnutpost/dispatch/answers.py
+++ b/packages/dispatch/src/walnutpost/dispatch/answers.py
@@ -1,4 +1,4 @@
-"""Final answers: how they are counted and logged."""
+"""Counts and log lines of final answers."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class AnswerKind(Enum):
-    """How a call ended for its caller; the values are logged."""
+    """How a call ended for its caller. The values are logged."""
 
     SERVED = "served"
     REJECTED = "refused"
     FAILED = "failed"
-    ABANDONED = "left"  # the caller has gone before the answer
+    ABANDONED = "left"  # the caller left before the answer
 
 
 @dataclass(slots=True)
 class AnswerCounts:
-    """Calls by how they ended, since the start."""
+    """The number of calls since the start, by how they ended for their callers."""
 
     served: int = 0
     rejected: int = 0
@@ -41,9 +41,9 @@
 
 
 def log_answer(log: Logger, final: Final | None, request_id: str, function: str, tenant: str | None) -> None:
-    """Log `request_answered` unless the call was served; None is a caller that left.
+    """Log `request_answered` for a call that was not served.
 
-    Payloads are never logged.
+    `final` is None if the caller left before the answer. Payloads are never logged.
     """
     match final:
         case Served():
--- a/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
+++ b/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher: all inputs of the gateway pass through it, and each call's final answer comes back."""
+"""The dispatcher, which connects the Gateway to an event loop, to workers and to callers."""
 
 from __future__ import annotations
 
@@ -24,9 +24,10 @@
 
 
 class Dispatcher:
-    """Feeds the gateway, and gives each call its final answer. Times are microseconds.
+    """Feeds the Gateway, carries out its effects and passes each final answer to its caller.
 
-    `hooks` are what the process that owns it adds; `answers` counts since the start.
+    `hooks` are optional extensions by the process that owns the dispatcher. `answers` counts the calls since
+    the start by how they ended. Times are in microseconds.
     """
 
     def __init__(
@@ -47,19 +48,19 @@
         self.answers = AnswerCounts()
 
     def new_caller_id(self) -> int:
-        """Return the number under which a call is to be submitted."""
+        """Return an unused caller ID for a call to submit."""
         self._last_caller_id += 1
         return self._last_caller_id
 
     @property
     def open_calls(self) -> int:
-        """How many calls have no final answer yet."""
+        """The number of calls without a final answer."""
         return self._gateway.open_calls
 
     def feed(self, event: Input) -> None:
-        """Give the gateway an input and carry out its effects.
+        """Pass an input to the Gateway and carry out its effects.
 
-        May be called from tasks and callbacks; does not wait.
+        Does not block, so tasks and callbacks may call it.
         """
         now_us = self._loop.now()
         observer = self._hooks.observer
@@ -69,18 +70,18 @@
             elif isinstance(event, LoadOrderEnded):
                 observer.on_load_order_ended(now_us, event)
         for effect in self._gateway.handle(now_us, event):
-            # A failing effect must not prevent the remaining ones: they answer other callers.
+            # An effect that raises must not prevent the others, which may answer other callers.
             self._loop.run_guarded("effect", partial(self._effects.run, effect))
 
     def rejection_for(self, function: str, tenant: str | None) -> Rejected | None:
-        """Return the answer to a new call that is not admitted, None for one that is."""
+        """Return the rejection of a new call, or None if the call is admitted."""
         observer = self._hooks.observer
         return observer.rejection_for(function, tenant) if observer is not None else None
 
     def submit(self, call: CallArrived, on_final: Callable[[Final], None]) -> None:
-        """Start a call; `on_final` gets the one final answer, perhaps before this returns."""
+        """Start a call. `on_final` gets its only final answer, possibly before `submit` returns."""
         if self._hooks.counter is not None:
-            on_final = _chain(self._hooks.counter.on_submitted(call), on_final)
+            on_final = _combine_callbacks(self._hooks.counter.on_submitted(call), on_final)
         self._on_final_by_caller[call.caller_id] = on_final
         try:
             self.feed(call)
@@ -89,7 +90,7 @@
             raise
 
     def abandon(self, caller_id: int) -> None:
-        """Record that the caller has left; without effect once the final answer was given."""
+        """Record that the caller has left; do nothing if it already has its final answer."""
         if self._on_final_by_caller.pop(caller_id, None) is not None:
             self.answers.abandoned += 1
             if self._hooks.counter is not None:
@@ -104,9 +105,10 @@
         watch_hangup: Callable[[Callable[[], None]], Callable[[], None]],
         /,
     ) -> Final | None:
-        """Make a synchronous call (`fronts.calls.Calls`); return None if the caller left first.
+        """Make a synchronous call and wait for its answer; return None if the caller leaves first.
 
-        `watch_hangup` registers a callback for the caller's hang-up, and returns what ends the registration.
+        Implements `fronts.calls.Calls`. `watch_hangup` registers a callback that runs when the caller hangs
+        up, and returns a function that removes it.
         """
         call = CallArrived(
             self.new_caller_id(),
@@ -123,7 +125,7 @@
         return final
 
     def log_answer(self, final: Final | None, request_id: str, function: str, tenant: str | None) -> None:
-        """Log `request_answered` unless the call was served; None is a caller that left."""
+        """Log `request_answered` for a call that was not served; `final` is None if the caller left."""
         log_answer(self._log, final, request_id, function, tenant)
 
     def _submit_and_wait(
@@ -134,12 +136,12 @@
         def wake(final: Final | None) -> None:
             self._loop.wake(task, token, final)
 
-        end_watch = watch_hangup(partial(wake, None))
+        stop_watching = watch_hangup(partial(wake, None))
         try:
             self.submit(call, wake)
             final: Final | None = self._loop.park()
         finally:
-            end_watch()
+            stop_watching()
             self.abandon(call.caller_id)
         return final
 
@@ -150,7 +152,9 @@
             on_final(effect.final)
 
 
-def _chain(first: Callable[[Final], None], second: Callable[[Final], None]) -> Callable[[Final], None]:
+def _combine_callbacks(
+    first: Callable[[Final], None], second: Callable[[Final], None]
+) -> Callable[[Final], None]:
     def call_both(final: Final) -> None:
         first(final)
         second(final)
--- a/packages/dispatch/src/walnutpost/dispatch/effects.py
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -1,4 +1,4 @@
-"""Carries out the effects of the gateway."""
+"""Carries out the effects of the Gateway."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 class EffectRunner:
-    """Carries out effects; results go back to the gateway as inputs, by `feed`.
+    """Carries out effects and passes their results to `feed` as inputs of the Gateway.
 
-    `on_answered` gets the effects that end a call.
+    `on_answered` gets the effects that give a caller its final answer.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
             case Cancel(call, attempt):
                 self._transport.cancel(call, attempt)
             case LoadOrder():
-                self._order_load(effect)
+                self._send_load_order(effect)
             case Unload():
                 self._transport.unload(effect)
             case Probe():
@@ -68,7 +68,7 @@
             case SetTimer(delay_us, token):
                 self._loop.call_later(delay_us, partial(self._feed, TimerDue(token)))
             case Log(text):
-                self._log.warning("worker_set_aside", text=text)  # the policy logs nothing else
+                self._log.warning("worker_set_aside", text=text)  # the policy logs only this
             case _:
                 assert_never(effect)
 
@@ -82,10 +82,10 @@
         before_send = partial(intents.record_intent, effect) if effect.must_persist_intent else None
         self._transport.send(effect, self._feed, before_send, intents.execution_name(effect.caller_id))
 
-    def _order_load(self, effect: LoadOrder) -> None:
+    def _send_load_order(self, effect: LoadOrder) -> None:
         if self._hooks.observer is None or self._hooks.observer.may_order_load(self._loop.now(), effect):
             self._transport.order_load(effect, self._feed)
             return
-        # AnswerCaller as by a worker that has no capacity left.
-        full = LoadOrderEnded(effect.worker, effect.function, Outcome.FULL, 0, 0, effect.copies)
-        self._loop.call_later(0, partial(self._feed, full))
+        # Report the order as if the worker had rejected it for lack of capacity.
+        rejected = LoadOrderEnded(effect.worker, effect.function, Outcome.FULL, 0, 0, effect.copies)
+        self._loop.call_later(0, partial(self._feed, rejected))
--- a/packages/dispatch/src/walnutpost/dispatch/interfaces.py
+++ b/packages/dispatch/src/walnutpost/dispatch/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces that the dispatcher needs: a transport to workers, and what observes or records its calls."""
+"""Interfaces that the dispatcher depends on: the transport to workers, and optional hooks."""
 
 from __future__ import annotations
 
@@ -21,13 +21,16 @@
 
 
 class CallObserver(Protocol):
-    """Observes attempts and load orders; may reject new calls and load orders. Times are microseconds."""
+    """Observes attempts and load orders, and may reject new calls and load orders.
+
+    Times are in microseconds.
+    """
 
     def rejection_for(self, function: str, tenant: str | None) -> Rejected | None:
-        """Return the answer to a new call that is not admitted, None for one that is."""
+        """Return the rejection of a new call, or None if the call is admitted."""
 
     def on_sent(self, now_us: int, send: Send) -> None:
-        """Record an attempt that is being sent."""
+        """Record an attempt just before it is sent."""
 
     def on_attempt_ended(self, now_us: int, ended: AttemptEnded) -> None:
         """Record how an attempt ended."""
@@ -36,13 +39,13 @@
         """Record how a load order ended."""
 
     def may_order_load(self, now_us: int, order: LoadOrder) -> bool:
-        """Whether a load order may be sent."""
+        """Return whether a load order may be sent; if not, it ends as FULL."""
 
 
 class WorkerTransport(Protocol):
-    """Carries effects to workers, and reports how each ended.
+    """Sends attempts, load orders and probes to workers, and reports how each ended.
 
-    Implemented by `workerclient.WorkerClient` and node's `WorkerCommands`.
+    Implemented by `workerclient.WorkerClient` and by `WorkerCommands` of the node package.
     """
 
     def send(
@@ -52,7 +55,11 @@
         before_send: Callable[[], None] | None = None,
         execution: str = "",
     ) -> None:
-        """Send an attempt; `before_send` runs just before, and may raise to prevent it."""
+        """Send an attempt.
+
+        `before_send` runs just before the first byte and may raise to prevent the attempt. `execution` is the
+        name of the deferred call that the attempt belongs to, empty for a synchronous call.
+        """
 
     def cancel(self, call: int, attempt: int) -> None:
         """Cancel an attempt."""
@@ -61,25 +68,25 @@
         """Order a worker to load copies of a function."""
 
     def unload(self, effect: Unload) -> None:
-        """Order a worker to unload copies of a function."""
+        """Order a worker to unload its idle copies of a function."""
 
     def probe(self, effect: Probe, on_ended: Callable[[ProbeEnded], None]) -> None:
         """Check a worker's health."""
 
     def close_idle_connections(self, worker: str) -> None:
-        """Close a worker's unused connections."""
+        """Close the connections to a worker that no attempt uses."""
 
 
 class ExecutionIntents(Protocol):
-    """Names the execution that an attempt belongs to, and makes its intent durable."""
+    """Finds the execution that an attempt belongs to, and makes the intent to send it durable."""
 
     def execution_name(self, caller_id: int) -> str:
-        """Return the name of the execution that a caller waits for, empty if it waits for none."""
+        """Return the name of the execution that the caller waits for, empty for a synchronous call."""
 
     def record_intent(self, attempt: Send) -> None:
-        """Make the intent of a Send durable before its first byte; may raise to prevent the sending.
+        """Make the intent to send an attempt durable; may raise to prevent the attempt.
 
-        Called only for a Send that requires it (`must_persist_intent`).
+        Called before the first byte is sent, only if `must_persist_intent`.
         """
 
 
@@ -87,7 +94,7 @@
     """Counts how calls end for their callers."""
 
     def on_submitted(self, call: CallArrived) -> Callable[[Final], None]:
-        """Record a call; return the function that records its final answer."""
+        """Record a new call, and return a function that records its final answer."""
 
     def on_abandoned(self) -> None:
         """Record that a caller left before its call's final answer."""
@@ -95,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchHooks:
-    """What the process that owns a dispatcher adds to it; each part may be missing."""
+    """Optional extensions of a dispatcher by the process that owns it; None if not used."""
 
     observer: CallObserver | None = None
     intents: ExecutionIntents | None = None
