--- a/packages/testsupport/src/walnutpost/testsupport/gateway/__init__.py
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded days for tests of the gateway."""
+"""Recorded days for tests of the Gateway."""
--- a/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
@@ -1,13 +1,12 @@
-"""Synthetic days of a Gateway with callers, repeats and workers, and the record of its inputs and effects.
+"""Simulated days of a Gateway with callers, repeats and workers, recorded as inputs and effects.
 
-Run as a program, this module writes the golden files again, which is right only if decisions are meant to
-change:
+Run as a program, this module overwrites the golden files. Do so only if the decisions are meant to change:
 
     .venv/bin/python -m walnutpost.testsupport.gateway.golden_days
 
-A recorded row is `[start, seed, settings, functions, tenants]` at the start of a Gateway, otherwise
-`[microseconds since the previous row, input, [effects]]`, in the form of
-`walnutpost.testsupport.golden.neutral_values`.
+The first row of a recorded day is `["start", seed, settings, functions, tenants]`. Each further row is
+`[microseconds since the previous row, input, [effects]]`. `walnutpost.testsupport.golden.neutral_values`
+describes how values are written.
 """
 
 from __future__ import annotations
@@ -25,19 +24,21 @@
 from walnutpost.testsupport.policy.recorded_day import RecordedDay
 
 GOLDEN = golden_folder("gateway") / "days"
-START = 100 * SECOND
-MS = 1000
+START_US = 100 * SECOND
+MILLISECOND = 1000
 START_ROW = "start"
-INPUTS_A_DAY = 2500
-REMEMBER_FOR, REMEMBER_BYTES = 2 * SECOND, 30_000
+INPUTS_PER_DAY = 2500
+OUTCOME_TTL_US, MAX_OUTCOME_BYTES = 2 * SECOND, 30_000
 Outcome = api.Outcome
 READY, DRAINING, GONE = api.WorkerState.READY, api.WorkerState.DRAINING, api.WorkerState.GONE
 
 FUNCTIONS = tuple(
-    gw.Function(f"f-{place}", place % 3, 300.0, float(1 + place % 2), place * 50 * MS, version=f"v{place}")
-    for place in range(9)
+    gw.Function(
+        f"f-{index}", index % 3, 300.0, float(1 + index % 2), index * 50 * MILLISECOND, version=f"v{index}"
+    )
+    for index in range(9)
 )
-SITES: dict[str, api.Settings] = {
+SETTINGS_BY_SITE: dict[str, api.Settings] = {
     "plain": replace(SETTINGS, classes=(SAFE, UNSAFE, KEYED), keep_alive_us=4 * SECOND),
     "rationed": replace(
         SETTINGS,
@@ -53,8 +54,8 @@
         are_restarts_unseen=True,
     ),
 }
-TENANTS = {"plain": (), "rationed": ("north", "south")}
-RECORDED = [(site, seed) for site in SITES for seed in (1, 2)]
+TENANTS_BY_SITE = {"plain": (), "rationed": ("north", "south")}
+RECORDED = [(site, seed) for site in SETTINGS_BY_SITE for seed in (1, 2)]
 
 
 def path_of(site: str, seed: int) -> Path:
@@ -63,8 +64,14 @@
 
 
 def start_row(site: str, seed: int) -> list[Any]:
-    """Return the row that a recorded day starts with."""
-    return [START_ROW, seed, to_neutral(SITES[site]), to_neutral(FUNCTIONS), to_neutral(TENANTS[site])]
+    """Return the first row of a recorded day."""
+    return [
+        START_ROW,
+        seed,
+        to_neutral(SETTINGS_BY_SITE[site]),
+        to_neutral(FUNCTIONS),
+        to_neutral(TENANTS_BY_SITE[site]),
+    ]
 
 
 def make_gateway(row: list[Any]) -> gw.Gateway:
@@ -75,188 +82,197 @@
         from_neutral(tenants),
         allows_no_tenant=True,
     )
-    return gw.Gateway(from_neutral(settings), catalogue, seed, REMEMBER_FOR, REMEMBER_BYTES)
+    return gw.Gateway(from_neutral(settings), catalogue, seed, OUTCOME_TTL_US, MAX_OUTCOME_BYTES)
 
 
-class Day(RecordedDay):
-    """One Gateway with simulated callers and workers on virtual time; the seed determines each choice."""
+class GatewayDay(RecordedDay):
+    """A Gateway with simulated callers and workers on virtual time; the seed determines every choice."""
 
     def __init__(self, site: str, seed: int) -> None:
-        super().__init__(START)
+        super().__init__(START_US)
         self.random = Random(seed * 104_729 + 5)
         self.rows.append(start_row(site, seed))
         self.gateway = make_gateway(self.rows[0])
-        self.tenants = TENANTS[site]
-        self.caller_id, self.version = 0, 0
-        self.states = {f"w-{place}": READY for place in range(6)}
+        self.tenants = TENANTS_BY_SITE[site]
+        self.caller_id, self.list_version = 0, 0
+        self.states = {f"w-{index}": READY for index in range(6)}
         self.copies: set[tuple[str, str]] = set()
         self.silent_until: dict[str, int] = {}
-        self.restarted: dict[str, int] = {}
-        self.out: set[tuple[int, int]] = set()
-        self.send_list(api.ListKind.CACHED)
-        self.at(0, self.arrivals)
-        self.at(SECOND, self.trouble)
+        self.restarted_at: dict[str, int] = {}
+        self.open_attempts: set[tuple[int, int]] = set()
+        self.send_endpoint_list(api.ListKind.CACHED)
+        self.at(0, self.send_calls)
+        self.at(SECOND, self.disturb_worker)
 
     def feed(self, event: gw.Input) -> None:
-        """Give an input to the Gateway, record it with its effects, and carry these out."""
+        """Pass an input to the Gateway, record it with its effects, and carry out the effects."""
         effects = self.gateway.handle(self.now, event)
         self.record(event, effects)
         for effect in effects:
             self.carry_out(effect)
 
     def feed_later(self, delay: int, event: gw.Input) -> None:
-        """Give an input to the Gateway after `delay` microseconds."""
+        """Pass an input to the Gateway after `delay` microseconds."""
         self.at(delay, lambda: self.feed(event))
 
     def carry_out(self, effect: gw.Effect) -> None:
-        """Carry out an effect as the front end does."""
+        """Carry out an effect as a front end does."""
         match effect:
             case gw.Send():
-                self.start(effect)
+                self.run_attempt(effect)
             case gw.Cancel(call, attempt):
-                self.at(MS, lambda: self.end(gw.AttemptEnded(call, attempt, Outcome.CANCELLED, MS)))
+                self.at(
+                    MILLISECOND,
+                    lambda: self.end_attempt(gw.AttemptEnded(call, attempt, Outcome.CANCELLED, MILLISECOND)),
+                )
             case gw.LoadOrder():
-                self.order(effect)
+                self.run_load_order(effect)
             case gw.SetTimer(delay, token):
                 self.feed_later(delay, gw.TimerDue(token))
 
-    def end(self, done: gw.AttemptEnded) -> None:
-        """End an attempt that is open; at random, report its end twice."""
-        if (done.call, done.attempt) in self.out:
-            self.out.discard((done.call, done.attempt))
-            self.feed(done)
+    def end_attempt(self, ended: gw.AttemptEnded) -> None:
+        """Report the end of an attempt that is still open; in 2% of cases, report it twice."""
+        if (ended.call, ended.attempt) in self.open_attempts:
+            self.open_attempts.discard((ended.call, ended.attempt))
+            self.feed(ended)
             if self.random.random() < 0.02:
-                self.feed(done)  # the Gateway ignores the second end of an attempt
+                self.feed(ended)  # the Gateway must ignore the second end
 
-    def start(self, start: gw.Send) -> None:
+    def run_attempt(self, send: gw.Send) -> None:
         """Start an attempt, and schedule its end with a random outcome."""
-        self.out.add((start.call, start.attempt))
+        self.open_attempts.add((send.call, send.attempt))
         draw = self.random.random()
-        done = gw.AttemptEnded(start.call, start.attempt, Outcome.OK, 2 * MS, crowd=int(draw * 4))
-        place, warmth = (start.worker, start.function), api.Warmth.WARM
-        if self.silent_until.get(start.worker, 0) > self.now:
-            done = self.ended(done, Outcome.TIMEOUT if draw < 0.8 else Outcome.RESET, start.timeout_us)
-        elif self.states.get(start.worker) is GONE:
-            done = self.ended(done, Outcome.CONNECT_FAILED, MS)
+        ended = gw.AttemptEnded(send.call, send.attempt, Outcome.OK, 2 * MILLISECOND, crowd=int(draw * 4))
+        copy, warmth = (send.worker, send.function), api.Warmth.WARM
+        if self.silent_until.get(send.worker, 0) > self.now:
+            ended = self.with_outcome(
+                ended, Outcome.TIMEOUT if draw < 0.8 else Outcome.RESET, send.timeout_us
+            )
+        elif self.states.get(send.worker) is GONE:
+            ended = self.with_outcome(ended, Outcome.CONNECT_FAILED, MILLISECOND)
         elif draw < 0.06:
-            kinds = [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.MOOT, Outcome.TIMEOUT]
-            done = self.ended(done, self.random.choice(kinds), int(draw * SECOND))
-        elif place not in self.copies:
-            done = self.ended(done, Outcome.MISS, 2 * MS)
+            outcomes = [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.MOOT, Outcome.TIMEOUT]
+            ended = self.with_outcome(ended, self.random.choice(outcomes), int(draw * SECOND))
+        elif copy not in self.copies:
+            ended = self.with_outcome(ended, Outcome.MISS, 2 * MILLISECOND)
         elif draw < 0.1:
-            done = gw.AttemptEnded(start.call, start.attempt, Outcome.ERROR, 9 * MS, b"raised", True, warmth)
+            ended = gw.AttemptEnded(
+                send.call, send.attempt, Outcome.ERROR, 9 * MILLISECOND, b"raised", True, warmth
+            )
         else:
-            took = int((20 + self.random.expovariate(1 / 80)) * MS)
-            payload = b"did " + start.payload
-            done = gw.AttemptEnded(start.call, start.attempt, Outcome.OK, took, payload, False, warmth)
-        self.at(done.latency_us, lambda: self.end(done))
+            latency = int((20 + self.random.expovariate(1 / 80)) * MILLISECOND)
+            payload = b"did " + send.payload
+            ended = gw.AttemptEnded(send.call, send.attempt, Outcome.OK, latency, payload, False, warmth)
+        self.at(ended.latency_us, lambda: self.end_attempt(ended))
 
     @staticmethod
-    def ended(done: gw.AttemptEnded, outcome: Outcome, latency: int) -> gw.AttemptEnded:
-        """Return the end of the same attempt with another outcome and latency."""
-        return gw.AttemptEnded(done.call, done.attempt, outcome, latency, crowd=done.crowd)
+    def with_outcome(ended: gw.AttemptEnded, outcome: Outcome, latency: int) -> gw.AttemptEnded:
+        """Return a copy of the event with another outcome and latency."""
+        return gw.AttemptEnded(ended.call, ended.attempt, outcome, latency, crowd=ended.crowd)
 
-    def order(self, order: gw.LoadOrder) -> None:
+    def run_load_order(self, order: gw.LoadOrder) -> None:
         """Carry out a load order with a random outcome."""
-        draw, place = self.random.random(), (order.worker, order.function)
-        outcome, took, copies = Outcome.OK, 2 * MS, int(place in self.copies)
+        draw, copy = self.random.random(), (order.worker, order.function)
+        outcome, latency, copies = Outcome.OK, 2 * MILLISECOND, int(copy in self.copies)
         if self.silent_until.get(order.worker, 0) > self.now:
-            outcome, took = Outcome.TIMEOUT, 3 * SECOND
+            outcome, latency = Outcome.TIMEOUT, 3 * SECOND
         elif self.states.get(order.worker) is GONE:
             outcome = Outcome.CONNECT_FAILED
         elif order.copies and draw < 0.12:
             outcome = self.random.choice([Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.MOOT])
         elif order.copies:
-            took, copies = int((150 + 300 * draw) * MS), order.copies
-        done = gw.LoadOrderEnded(order.worker, order.function, outcome, took, copies, order.copies)
+            latency, copies = int((150 + 300 * draw) * MILLISECOND), order.copies
+        ended = gw.LoadOrderEnded(order.worker, order.function, outcome, latency, copies, order.copies)
 
         def end() -> None:
             if outcome is Outcome.OK and order.copies:
-                self.copies.add(place)
-            self.feed(done)
+                self.copies.add(copy)
+            self.feed(ended)
 
-        self.at(took, end)
+        self.at(latency, end)
 
-    def arrivals(self) -> None:
-        """Let a call arrive, and schedule the next; in one second of eight arrivals are more frequent."""
-        burst = (self.now - START) // SECOND % 8 == 5
-        self.call()
-        self.at(int(self.random.expovariate((250 if burst else 35) / SECOND)) + 1, self.arrivals)
+    def send_calls(self) -> None:
+        """Send a call and schedule the next; in one of every eight seconds calls are more frequent."""
+        burst = (self.now - START_US) // SECOND % 8 == 5
+        self.send_call()
+        self.at(int(self.random.expovariate((250 if burst else 35) / SECOND)) + 1, self.send_calls)
 
-    def call(self) -> None:
-        """Let a random call arrive, whose caller may leave or stop it later."""
-        draw = self.random
+    def send_call(self) -> None:
+        """Send a random call; at random, its caller leaves or stops it later."""
+        rng = self.random
         self.caller_id += 1
-        caller_id, function = self.caller_id, draw.choice(FUNCTIONS[:4] if draw.random() < 0.8 else FUNCTIONS)
-        key = f"key-{draw.randrange(30)}" if draw.random() < 0.3 else ""
-        carried = gw.Function("g-1", 0, 200.0, 2.0, cost_hint_us=90 * MS) if draw.random() < 0.1 else None
+        caller_id, function = self.caller_id, rng.choice(FUNCTIONS[:4] if rng.random() < 0.8 else FUNCTIONS)
+        key = f"key-{rng.randrange(30)}" if rng.random() < 0.3 else ""
+        definition = (
+            gw.Function("g-1", 0, 200.0, 2.0, cost_hint_us=90 * MILLISECOND) if rng.random() < 0.1 else None
+        )
         self.feed(
             gw.CallArrived(
                 caller_id,
-                function.name if carried is None else carried.name,
-                b"%d" % draw.randrange(3) * (1 if draw.random() < 0.9 else 200),
-                draw.choice([3 * SECOND, SECOND, 300 * MS, 0]),
-                draw.choice([*self.tenants, None]) if self.tenants else None,
+                function.name if definition is None else definition.name,
+                b"%d" % rng.randrange(3) * (1 if rng.random() < 0.9 else 200),
+                rng.choice([3 * SECOND, SECOND, 300 * MILLISECOND, 0]),
+                rng.choice([*self.tenants, None]) if self.tenants else None,
                 key,
-                draw.random() < 0.1,
-                draw.random() < 0.3,
-                draw.random() < 0.2,
-                gw.Rejected("over quota", 5) if draw.random() < 0.02 else None,
-                carried,
-                draw.choice([0, 700]),
+                rng.random() < 0.1,
+                rng.random() < 0.3,
+                rng.random() < 0.2,
+                gw.Rejected("over quota", 5) if rng.random() < 0.02 else None,
+                definition,
+                rng.choice([0, 700]),
             )
         )
-        if draw.random() < 0.06:
-            self.feed_later(draw.randrange(300 * MS), gw.CallerLeft(caller_id))
-        elif draw.random() < 0.03:
-            self.feed_later(draw.randrange(300 * MS), gw.CallStopped(caller_id))
-
-    def send_list(self, kind: api.ListKind, *names: str) -> None:
-        """Send a list of workers; without names, of all that are not gone."""
-        self.version += 1
+        if rng.random() < 0.06:
+            self.feed_later(rng.randrange(300 * MILLISECOND), gw.CallerLeft(caller_id))
+        elif rng.random() < 0.03:
+            self.feed_later(rng.randrange(300 * MILLISECOND), gw.CallStopped(caller_id))
+
+    def send_endpoint_list(self, kind: api.ListKind, *names: str) -> None:
+        """Send an endpoint list of the workers `names`, or of all that are not gone if no names are given."""
+        self.list_version += 1
         listed = names or tuple(name for name, state in self.states.items() if state is not GONE)
-        lines = tuple(
-            gw.ListedWorker(name, len(name) % 2, 0, 0, self.states[name], 1.0, self.restarted.get(name, 0))
+        workers = tuple(
+            gw.ListedWorker(name, len(name) % 2, 0, 0, self.states[name], 1.0, self.restarted_at.get(name, 0))
             for name in listed
         )
-        self.feed(gw.WorkersListed(kind, self.version, lines))
+        self.feed(gw.WorkersListed(kind, self.list_version, workers))
 
-    def trouble(self) -> None:
-        """Change a random worker's state or connection, and schedule the next change."""
-        draw = self.random
-        name = draw.choice(list(self.states))
-        match draw.choice(("drain", "silent", "restart", "evict", "gone", "new", "ping")):
+    def disturb_worker(self) -> None:
+        """Change the state, copies or connection of a random worker, and schedule the next change."""
+        rng = self.random
+        name = rng.choice(list(self.states))
+        match rng.choice(("drain", "silent", "restart", "evict", "gone", "new", "ping")):
             case "drain":
                 self.states[name] = DRAINING
-                self.send_list(api.ListKind.DELTA, name)
+                self.send_endpoint_list(api.ListKind.DELTA, name)
             case "silent":
-                self.silent_until[name] = self.now + draw.randrange(2 * SECOND)
+                self.silent_until[name] = self.now + rng.randrange(2 * SECOND)
             case "restart":
-                self.states[name], self.restarted[name] = READY, self.now
-                self.copies = {place for place in self.copies if place[0] != name}
-                self.send_list(api.ListKind.DELTA, name)
+                self.states[name], self.restarted_at[name] = READY, self.now
+                self.copies = {copy for copy in self.copies if copy[0] != name}
+                self.send_endpoint_list(api.ListKind.DELTA, name)
             case "evict":
-                self.copies = {place for place in self.copies if place[0] != name}
+                self.copies = {copy for copy in self.copies if copy[0] != name}
             case "gone" if sum(state is READY for state in self.states.values()) > 3:
                 self.states[name] = GONE
-                self.send_list(api.ListKind.FULL)
+                self.send_endpoint_list(api.ListKind.FULL)
             case "new" if len(self.states) < 10:
                 self.states[f"w-{len(self.states)}"] = READY
-                self.send_list(api.ListKind.FULL)
+                self.send_endpoint_list(api.ListKind.FULL)
             case "ping":
-                self.feed(gw.ProbeEnded(name, draw.choice([Outcome.OK, Outcome.TIMEOUT]), MS, ()))
-        self.at(draw.randrange(SECOND // 2), self.trouble)
+                self.feed(gw.ProbeEnded(name, rng.choice([Outcome.OK, Outcome.TIMEOUT]), MILLISECOND, ()))
+        self.at(rng.randrange(SECOND // 2), self.disturb_worker)
 
 
-def record(site: str, seed: int) -> list[Any]:
-    """Return the rows of a new day, with a shutdown near its end."""
-    day = Day(site, seed)
-    day.run(INPUTS_A_DAY * 9 // 10)
+def record_day(site: str, seed: int) -> list[Any]:
+    """Simulate a day with a shutdown near its end, and return its rows."""
+    day = GatewayDay(site, seed)
+    day.run(INPUTS_PER_DAY * 9 // 10)
     day.feed(gw.ShuttingDown(2 * SECOND))
-    day.run(INPUTS_A_DAY // 10)
+    day.run(INPUTS_PER_DAY // 10)
     return day.rows
 
 
 if __name__ == "__main__":
     for recorded_site, recorded_seed in RECORDED:
-        write_lines(path_of(recorded_site, recorded_seed), record(recorded_site, recorded_seed))
+        write_lines(path_of(recorded_site, recorded_seed), record_day(recorded_site, recorded_seed))
