--- a/packages/dispatch/src/walnutpost/dispatch/effects.py
+++ b/packages/dispatch/src/walnutpost/dispatch/effects.py
@@ -68,7 +68,7 @@
             case SetTimer(delay_us, token):
                 self._loop.call_later(delay_us, partial(self._feed, TimerDue(token)))
             case Log(text):
-                self._log.warning("worker_set_aside", text=text)  # the policy logs only this
+                self._log.warning("worker_set_aside", text=text)  # the policy logs nothing else
             case _:
                 assert_never(effect)
 
--- a/packages/gateway/src/walnutpost/gateway/calls.py
+++ b/packages/gateway/src/walnutpost/gateway/calls.py
@@ -61,8 +61,8 @@
 
     def must_remember_outcome(self) -> bool:
         """Whether a repeat of the call must get this outcome because a second run could take effect again."""
-        is_keyed = self.identity is not None and self.request_class.effect is not api.Effect.SAFE
-        return is_keyed and self.may_have_run()
+        is_deduplicated = self.identity is not None and self.request_class.effect is not api.Effect.SAFE
+        return is_deduplicated and self.may_have_run()
 
 
 class CallTable:
--- a/packages/gateway/src/walnutpost/gateway/catalogue.py
+++ b/packages/gateway/src/walnutpost/gateway/catalogue.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-FUNCTION_BITS = 40
-WORKER_BITS = 32
+FUNCTION_BITS = 40  # size of a function's number
+WORKER_BITS = 32  # size of a worker's number
 DIGEST_BYTES = 8  # of a name; its number is the first bits of the digest
 MIN_NEW_NAMES_BEFORE_CLEANUP = 256  # keeps cleanups rare even when few names are in use
 
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Catalogue:
-    """The functions, by name, and the tenants that calls may name.
+    """The functions and tenants that calls may name.
 
-    `tenants` is in the order of `Settings.tenants`; it is empty if the site has no tenants. A call that names
-    no tenant belongs to `default_tenant`. If that is None, the call is rejected with UnknownNameError unless
-    `allows_no_tenant`.
+    `functions` maps names to functions. `tenants` has the names in the order of `Settings.tenants`, and is
+    empty if no tenants are configured. A call that names no tenant belongs to `default_tenant`. If that is
+    None, the call raises UnknownNameError unless `allows_no_tenant`.
 
     If `is_dynamic`, `functions` may change between two lookups; a call keeps the definition that was valid
     when it arrived.
@@ -82,7 +82,7 @@
 def number_of(name: str, bits: int) -> int:
     """Return a number of `bits` bits that is derived from the name's hash.
 
-    All front ends get the same number, also after a restart, so their rendezvous hashing agrees.
+    All front ends compute the same number, also after a restart, so their rendezvous hashing agrees.
     """
     digest = blake2b(name.encode(), digest_size=DIGEST_BYTES).digest()
     return int.from_bytes(digest, "big") >> (8 * DIGEST_BYTES - bits)
@@ -138,5 +138,5 @@
         return known
 
     def name(self, number: int) -> str:
-        """Return the name that has this number."""
+        """Return the name with this number; raise KeyError if there is none."""
         return self._names[number]
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -258,7 +258,7 @@
     def _send(self, action: api.Send) -> Send:
         call = self._calls.by_number[action.request]
         worker = self._translator.workers.name(action.worker)
-        is_unsafe = call.request_class.effect is not api.Effect.SAFE
+        has_effect = call.request_class.effect is not api.Effect.SAFE
         return Send(
             call=action.request,
             attempt=call.begin_attempt(worker),
@@ -268,7 +268,7 @@
             payload=call.payload,
             timeout_us=action.timeout_us,
             caller_id=call.caller_ids[0] if call.caller_ids else 0,
-            must_persist_intent=call.is_durable and is_unsafe,
+            must_persist_intent=call.is_durable and has_effect,
             begin_within_us=action.begin_within_us,
         )
 
--- a/packages/gateway/src/walnutpost/gateway/effects.py
+++ b/packages/gateway/src/walnutpost/gateway/effects.py
@@ -17,14 +17,14 @@
 
 
 class Send(Message, frozen=True):
-    """Send the call to the worker as a new attempt, and input an AttemptEnded when it ends.
+    """Send the call to the worker as a new attempt, and input an AttemptEnded when the attempt ends.
 
     `call` and `attempt` identify the attempt; attempts of a call are numbered from 0. `tenant` is None if the
     call belongs to no tenant. `caller_id` is the first caller that waits for the call, 0 if none does.
 
-    The attempt ends as TIMEOUT after `timeout_us`. If its first byte has not been sent within
-    `begin_within_us` (0: no limit), it must not be sent any more and ends as MOOT. If `must_persist_intent`,
-    the intent to send must be durable before the first byte is sent.
+    Cancel the attempt after `timeout_us`. If its first byte has not been sent within `begin_within_us` (0: no
+    limit), the attempt must not begin any more and ends as MOOT. If `must_persist_intent`, the intent to send
+    must be durable before the first byte is sent.
     """
 
     call: int
--- a/packages/gateway/src/walnutpost/gateway/executions.py
+++ b/packages/gateway/src/walnutpost/gateway/executions.py
@@ -26,9 +26,9 @@
 class Execution:
     """A deferred call as it is stored. Times are in microseconds since the epoch.
 
-    `digest` identifies the request: further requests under the same name must have the same digest.
-    `ended_at` is 0 while the execution is running. `result` is the function's answer, or its own error if it
-    failed with one, None if there is neither. `error_type` and `error_message` are empty unless it failed.
+    `digest` identifies the request: a repeat under the same name must have the same digest. `ended_at` is 0
+    while the execution is running. `result` is the function's answer or its own error, None if there is
+    neither. `error_type` and `error_message` are empty while the execution is running and if it succeeded.
     """
 
     id: str
@@ -40,7 +40,7 @@
     digest: str
     accepted_at: int
     expires_at: int
-    intended: bool = False  # the intent to send an attempt was recorded, so the call may have run
+    intended: bool = False  # the intent to send an attempt was recorded: the call may have run
     status: Status = Status.RUNNING
     ended_at: int = 0
     result: bytes | None = None
--- a/packages/gateway/src/walnutpost/gateway/inputs.py
+++ b/packages/gateway/src/walnutpost/gateway/inputs.py
@@ -15,8 +15,8 @@
 class CallArrived(Message, frozen=True):
     """A caller sent a call.
 
-    `caller_id` is chosen by the embedder, above 0 and not used before. The caller gets exactly one
-    AnswerCaller, unless the embedder inputs a CallerLeft for it first.
+    The embedder chooses `caller_id`: a number above 0 that it has not used before. The caller gets exactly
+    one AnswerCaller, unless a CallerLeft for it comes first or `Gateway.handle` raises UnknownNameError.
 
     `time_left_us` is the time until the call's deadline, counted from now. `waited_us` is the longest time
     that the request may have waited before it was read.
@@ -47,7 +47,10 @@
 
 
 class CallStopped(Message, frozen=True):
-    """The owner of the call stopped it: it fails with `Failure.STOPPED` for all its callers."""
+    """The owner of a call stopped it. The call fails with `Failure.STOPPED` for all its callers.
+
+    `caller_id` is that of any caller that waits for the call.
+    """
 
     caller_id: int
 
@@ -55,6 +58,7 @@
 class AttemptEnded(Message, frozen=True):
     """An attempt ended. Each Send has exactly one AttemptEnded, also after a Cancel.
 
+    `latency_us` is the time from the Send to the end.
     `payload` is the function's answer if the outcome is OK, or its own error if `is_function_error`.
     `warmth` is the state of the copy that ran the call. `crowd` is the number of requests at the worker, 0 if
     not reported. `report` has the worker's values of `Settings.report_fields`, empty if not reported.
--- a/packages/gateway/src/walnutpost/gateway/messages.py
+++ b/packages/gateway/src/walnutpost/gateway/messages.py
@@ -21,7 +21,7 @@
     DEADLINE = "deadline"  # no answer before the call's deadline
     WORKER = "worker"  # a worker or the connection to it failed, and the call may have run
     STOPPED = "stopped"  # the call's owner stopped it
-    RESTART = "restart"  # the front end restarted while an unsafe call may have been running
+    RESTART = "restart"  # the front end restarted while a call that is not safe may have been running
 
 
 class Served(Message, frozen=True):
--- a/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
+++ b/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Entry:
+class _OutcomeEntry:
     final: Final
     expires_us: int
     size_bytes: int
@@ -25,7 +25,7 @@
     A client that lost an answer repeats its call; SDKs do so automatically under the same invocation ID. The
     repeat must not run a second time. A rejection is not remembered, because it invites the client to retry.
 
-    Outcomes take up to `max_bytes`. If that is exceeded, the oldest outcomes of safe calls are evicted. Other
+    Outcomes use about `max_bytes` at most. Beyond that, the oldest outcomes of safe calls are evicted. Other
     outcomes stay, because their calls may have taken effect; if they fill the memory, `has_capacity` is False
     for further calls that are not safe, and the caller must reject these.
     """
@@ -34,8 +34,8 @@
         self._ttl_us = ttl_us
         self._max_bytes = max_bytes
         self._open: dict[Hashable, int] = {}
-        self._evictable: OrderedDict[Hashable, _Entry] = OrderedDict()  # outcomes of safe calls
-        self._pinned: OrderedDict[Hashable, _Entry] = OrderedDict()  # all other outcomes
+        self._evictable: OrderedDict[Hashable, _OutcomeEntry] = OrderedDict()  # outcomes of safe calls
+        self._pinned: OrderedDict[Hashable, _OutcomeEntry] = OrderedDict()  # all other outcomes
         self.size_bytes = 0
 
     def open_call(self, identity: Hashable) -> int | None:
@@ -68,7 +68,7 @@
         if final is None or isinstance(final, Rejected):
             return
         payload = final.payload if isinstance(final, Served) else (final.payload or b"")
-        entry = _Entry(final, now_us + self._ttl_us, ENTRY_BYTES + len(payload))
+        entry = _OutcomeEntry(final, now_us + self._ttl_us, ENTRY_BYTES + len(payload))
         entries = self._evictable if effect is Effect.SAFE else self._pinned
         entries[identity] = entry
         self.size_bytes += entry.size_bytes
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -82,10 +82,7 @@
         self.feed(AttemptEnded(send.call, send.attempt, outcome, 1000, **fields))
 
     def advance(self, delay: int) -> None:
-        """Advance the time by `delay` microseconds.
-
-        Timers become due every 20 ms in the first 4 s, and at the end.
-        """
+        """Advance the time by `delay` us. Timers are due every 20 ms in the first 4 s, and at the end."""
         end = self.now + delay
         for _ in range(200):
             self.now = min(end, self.now + 20_000)
@@ -154,20 +151,20 @@
 
 def test_function_error_is_final_but_worker_error_is_retried_for_a_safe_call() -> None:
     harness = GatewayHarness()
-    function_error = harness.start_call()
+    function_error_caller = harness.start_call()
     harness.end_attempt(Outcome.ERROR, payload=b"trace", is_function_error=True)
-    assert harness.answers(function_error)[0].failure is Failure.FUNCTION
-    assert harness.answers(function_error)[0].payload == b"trace"
+    assert harness.answers(function_error_caller)[0].failure is Failure.FUNCTION
+    assert harness.answers(function_error_caller)[0].payload == b"trace"
     for worker in ("w0", "w1"):
         harness.feed(LoadOrderEnded(worker, "price", Outcome.OK, 1000, 1))
-    worker_error = harness.start_call()
+    worker_error_caller = harness.start_call()
     sends_before = len(harness.sends())
     harness.end_attempt(Outcome.ERROR)
-    assert not harness.answers(worker_error)
+    assert not harness.answers(worker_error_caller)
     assert len(harness.sends()) == sends_before + 1
-    unsafe_call = harness.start_call("reserve")
+    unsafe_caller = harness.start_call("reserve")
     harness.end_attempt(Outcome.ERROR)
-    assert harness.answers(unsafe_call)[0].failure is Failure.WORKER
+    assert harness.answers(unsafe_caller)[0].failure is Failure.WORKER
 
 
 CALLER_LEFT_CASES = [
@@ -267,10 +264,7 @@
 
 
 def test_gateway_with_a_dynamic_catalogue_forgets_names_of_removed_functions() -> None:
-    """The Gateway keeps fewer than 1,000 names after 10,000 functions came and most of them went.
-
-    With a static catalogue, it keeps at least the names of the 1,000 initial functions.
-    """
+    """It keeps under 1,000 of 10,000 names; with a static catalogue, the 1,000 initial ones at least."""
     functions: dict[str, Function] = {}
     harness = GatewayHarness(workers=0)
     for is_dynamic in (True, False):
@@ -305,9 +299,7 @@
 
 
 @given(STEPS, STEPS)
-def test_two_gateways_in_one_process_share_no_state(
-    first: list[tuple[str, int]], second: list[tuple[str, int]]
-) -> None:
+def test_two_gateways_share_no_state(first: list[tuple[str, int]], second: list[tuple[str, int]]) -> None:
     separate = [GatewayHarness(), GatewayHarness()]
     for harness, steps in zip(separate, (first, second), strict=True):
         for step in steps:
@@ -321,9 +313,7 @@
 
 
 @given(STEPS)
-def test_each_caller_gets_at_most_one_answer_and_in_time(
-    steps: list[tuple[str, int]],
-) -> None:
+def test_each_caller_gets_at_most_one_answer_and_in_time(steps: list[tuple[str, int]]) -> None:
     harness = GatewayHarness()
     left_callers: set[int] = set()
     for kind, n in steps:
