--- a/packages/policy/tests/test_load_order_limit.py
+++ b/packages/policy/tests/test_load_order_limit.py
@@ -1,4 +1,4 @@
-"""The load-order limit: reservations by themselves, and the router's use of them."""
+"""Tests of the load-order limit: its reservations, and how the router uses them."""
 
 from __future__ import annotations
 
@@ -19,200 +19,212 @@
 from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, orders, worker
 
 Outcome = api.Outcome
-WINDOW = 2 * SECOND
-START = 100 * SECOND
+WINDOW_US = 2 * SECOND
+START_US = 100 * SECOND
 
 
-def rationed(free: float = 2.0, share: float = 0.5, window: int = WINDOW) -> api.Settings:
+def rationed(
+    free_orders: float = 2.0, orders_per_request: float = 0.5, window_us: int = WINDOW_US
+) -> api.Settings:
+    """Return settings with a load-order limit."""
     guards = replace(
-        SETTINGS.guards, free_load_orders=free, load_orders_per_request=share, load_order_window_us=window
+        SETTINGS.guards,
+        free_load_orders=free_orders,
+        load_orders_per_request=orders_per_request,
+        load_order_window_us=window_us,
     )
     return replace(SETTINGS, guards=guards, are_restarts_unseen=True)
 
 
-def reserved(limit: LoadOrderLimit, now: int, part: float = BUDGET_FRACTION_QUEUED, tries: int = 100) -> int:
-    """How many orders fit at this moment, all of which are taken."""
-    return sum(limit.reserve(now, part) for _ in range(tries))
+def reserve_all(
+    limit: LoadOrderLimit, now_us: int, budget_fraction: float = BUDGET_FRACTION_QUEUED, max_orders: int = 100
+) -> int:
+    """Reserve as many orders as fit now, up to `max_orders`, and return their number."""
+    return sum(limit.reserve(now_us, budget_fraction) for _ in range(max_orders))
 
 
-def fresh_limit(settings: api.Settings | None = None) -> LoadOrderLimit:
-    """A limit whose process began so long ago that its start costs nothing any more."""
+def limit_past_first_window(settings: api.Settings | None = None) -> LoadOrderLimit:
+    """Return a limit whose process started more than one window ago, so all free orders are available."""
     limit = LoadOrderLimit(settings or rationed())
-    limit.begin(START - WINDOW - 1)
+    limit.begin(START_US - WINDOW_US - 1)
     return limit
 
 
-# --- the reservations -------------------------------------------------------------------------------------
+# --- Reservations -----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("later", "free"), [(0, 0), (WINDOW, 0), (WINDOW + 1, 2)])
-def test_a_start_has_the_free_orders_used_up_for_one_window(later: int, free: int) -> None:
+@pytest.mark.parametrize(("age_us", "available"), [(0, 0), (WINDOW_US, 0), (WINDOW_US + 1, 2)])
+def test_free_orders_are_unavailable_for_one_window_after_a_start(age_us: int, available: int) -> None:
     limit = LoadOrderLimit(rationed())
-    limit.begin(START)
-    assert reserved(limit, START + later) == free
+    limit.begin(START_US)
+    assert reserve_all(limit, START_US + age_us) == available
 
 
-def test_a_start_on_an_ideal_network_has_the_free_orders() -> None:
+def test_free_orders_are_available_at_the_start_on_an_ideal_network() -> None:
     limit = LoadOrderLimit(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
-    limit.begin(START)
-    assert reserved(limit, START) == 2
+    limit.begin(START_US)
+    assert reserve_all(limit, START_US) == 2
 
 
 def test_two_incarnations_in_one_window_stay_within_a_limit_with_fractional_free_orders() -> None:
-    """The former life used 3, of 2.5 and the share of one request, just before its end."""
-    settings, log = rationed(free=2.5, share=0.5), RationLog()
-
-    def arrive(limit: LoadOrderLimit, now: int) -> None:
-        orders_now = reserved(limit, now)
-        limit.settle(now, orders_now)
-        for _ in range(orders_now):
-            log.order_arrived("front", now)
-
-    def count_request(limit: LoadOrderLimit, now: int) -> None:
-        limit.count_request(now)
-        log.request_written("front", now)
-
-    former, next_one = fresh_limit(settings), LoadOrderLimit(settings)
-    arrive(former, START)
-    count_request(former, START + 1)
-    arrive(former, START + 1)
-    next_one.begin(START + 2)
-    count_request(next_one, START + 3)
-    arrive(next_one, START + 3)
-    found = log.breaches(Ration(2.5, 0.5, WINDOW))
-    assert not found, describe_breaches(found)
-
-
-def test_an_open_order_counts_for_as_long_as_it_is_unanswered() -> None:
-    limit = fresh_limit()
-    assert reserved(limit, START) == 2
-    assert reserved(limit, START + 50 * WINDOW) == 0
-
-
-def test_all_open_orders_are_at_most_the_free_ones_where_no_request_came_since() -> None:
-    """They may arrive together, long after the requests that came before."""
-    limit = fresh_limit()
+    """The previous incarnation sent 3 orders just before its end: 2.5 free ones and 0.5 for one request."""
+    settings, log = rationed(free_orders=2.5, orders_per_request=0.5), RationLog()
+
+    def deliver_orders(limit: LoadOrderLimit, now_us: int) -> None:
+        count = reserve_all(limit, now_us)
+        limit.settle(now_us, count)
+        for _ in range(count):
+            log.order_arrived("front", now_us)
+
+    def count_request(limit: LoadOrderLimit, now_us: int) -> None:
+        limit.count_request(now_us)
+        log.request_written("front", now_us)
+
+    previous, current = limit_past_first_window(settings), LoadOrderLimit(settings)
+    deliver_orders(previous, START_US)
+    count_request(previous, START_US + 1)
+    deliver_orders(previous, START_US + 1)
+    current.begin(START_US + 2)
+    count_request(current, START_US + 3)
+    deliver_orders(current, START_US + 3)
+    breaches = log.breaches(Ration(2.5, 0.5, WINDOW_US))
+    assert not breaches, describe_breaches(breaches)
+
+
+def test_an_open_order_counts_until_it_is_answered() -> None:
+    limit = limit_past_first_window()
+    assert reserve_all(limit, START_US) == 2
+    assert reserve_all(limit, START_US + 50 * WINDOW_US) == 0
+
+
+def test_open_orders_are_limited_to_the_free_orders_until_a_new_request_arrives() -> None:
+    """Open orders may all arrive together, long after the requests that preceded them."""
+    limit = limit_past_first_window()
     for _ in range(100):
-        limit.count_request(START)
-    assert reserved(limit, START) == 2
+        limit.count_request(START_US)
+    assert reserve_all(limit, START_US) == 2
 
 
-def test_orders_that_arrived_leave_capacity_for_requests_that_came_after_them() -> None:
-    limit = fresh_limit()
-    assert reserved(limit, START) == 2
-    limit.settle(START, 2)
+def test_requests_after_the_arrival_of_an_order_allow_further_orders() -> None:
+    limit = limit_past_first_window()
+    assert reserve_all(limit, START_US) == 2
+    limit.settle(START_US, 2)
     for _ in range(4):
-        limit.count_request(START + 1)
-    assert reserved(limit, START + 1) == 2, "4 requests at a share of 0.5"
+        limit.count_request(START_US + 1)
+    assert reserve_all(limit, START_US + 1) == 2, "4 requests at 0.5 orders per request"
 
 
-def test_a_request_of_the_moment_an_order_arrived_is_one_window_old_with_it() -> None:
-    limit = fresh_limit()
-    assert reserved(limit, START) == 2
-    limit.settle(START, 2)
+def test_a_request_at_the_arrival_time_of_an_order_allows_no_further_order() -> None:
+    """Both leave the window at the same time."""
+    limit = limit_past_first_window()
+    assert reserve_all(limit, START_US) == 2
+    limit.settle(START_US, 2)
     for _ in range(4):
-        limit.count_request(START)
-    assert reserved(limit, START) == 0
+        limit.count_request(START_US)
+    assert reserve_all(limit, START_US) == 0
 
 
-@pytest.mark.parametrize(("age", "fits"), [(WINDOW, 0), (WINDOW + 1, 2)])
-def test_an_order_counts_from_its_answer_for_one_window_more(age: int, fits: int) -> None:
-    limit = fresh_limit()
-    assert reserved(limit, START) == 2
-    answered = START + 3 * WINDOW
-    limit.settle(answered, 2)
-    assert reserved(limit, answered + age) == fits
+@pytest.mark.parametrize(("age_us", "available"), [(WINDOW_US, 0), (WINDOW_US + 1, 2)])
+def test_an_answered_order_counts_for_one_more_window(age_us: int, available: int) -> None:
+    limit = limit_past_first_window()
+    assert reserve_all(limit, START_US) == 2
+    answered_us = START_US + 3 * WINDOW_US
+    limit.settle(answered_us, 2)
+    assert reserve_all(limit, answered_us + age_us) == available
 
 
-@pytest.mark.parametrize(("age", "fits"), [(WINDOW - 1, 1), (WINDOW, 0)])
-def test_requests_exactly_one_window_old_do_not_count(age: int, fits: int) -> None:
-    limit = fresh_limit(rationed(free=2.0, share=1.0))
-    came = START + 2
-    assert reserved(limit, START + 1) == 2
-    limit.settle(came - 1, 2)
-    limit.count_request(came)
-    limit._forget_before(came + age - WINDOW)
-    assert len(limit.request_arrivals_us) == fits
+@pytest.mark.parametrize(("age_us", "counted"), [(WINDOW_US - 1, 1), (WINDOW_US, 0)])
+def test_requests_exactly_one_window_old_do_not_count(age_us: int, counted: int) -> None:
+    limit = limit_past_first_window(rationed(free_orders=2.0, orders_per_request=1.0))
+    arrived_us = START_US + 2
+    assert reserve_all(limit, START_US + 1) == 2
+    limit.settle(arrived_us - 1, 2)
+    limit.count_request(arrived_us)
+    limit._forget_before(arrived_us + age_us - WINDOW_US)
+    assert len(limit.request_arrivals_us) == counted
 
 
-def test_an_order_that_was_never_sent_is_given_back_at_once() -> None:
-    limit = fresh_limit()
-    assert reserved(limit, START) == 2
+def test_an_order_that_was_never_sent_is_released_at_once() -> None:
+    limit = limit_past_first_window()
+    assert reserve_all(limit, START_US) == 2
     limit.settle(0)
-    assert reserved(limit, START) == 1
+    assert reserve_all(limit, START_US) == 1
 
 
-def test_without_a_window_there_is_no_limit() -> None:
-    limit = LoadOrderLimit(rationed(free=0.0, share=0.0, window=0))
-    limit.begin(START)
-    assert reserved(limit, START, tries=50) == 50
+def test_a_window_of_zero_disables_the_limit() -> None:
+    limit = LoadOrderLimit(rationed(free_orders=0.0, orders_per_request=0.0, window_us=0))
+    limit.begin(START_US)
+    assert reserve_all(limit, START_US, max_orders=50) == 50
 
 
 @pytest.mark.parametrize(
-    ("part", "fits"),
+    ("budget_fraction", "available"),
     [(BUDGET_FRACTION_QUEUED, 10), (BUDGET_FRACTION_OVERFLOW, 8), (BUDGET_FRACTION_REFRESH, 5), (0.0, 0)],
 )
-def test_each_purpose_has_its_budget_fraction(part: float, fits: int) -> None:
-    limit = fresh_limit(rationed(free=10.0, share=0.0))
-    assert reserved(limit, START, part) == fits
+def test_each_purpose_has_its_budget_fraction(budget_fraction: float, available: int) -> None:
+    limit = limit_past_first_window(rationed(free_orders=10.0, orders_per_request=0.0))
+    assert reserve_all(limit, START_US, budget_fraction) == available
 
 
 def test_the_rest_of_the_limit_is_left_for_queued_requests() -> None:
-    limit = fresh_limit(rationed(free=10.0, share=0.0))
-    assert reserved(limit, START, BUDGET_FRACTION_REFRESH) == 5
-    assert reserved(limit, START, BUDGET_FRACTION_OVERFLOW) == 3
-    assert reserved(limit, START, BUDGET_FRACTION_QUEUED) == 2
+    limit = limit_past_first_window(rationed(free_orders=10.0, orders_per_request=0.0))
+    assert reserve_all(limit, START_US, BUDGET_FRACTION_REFRESH) == 5
+    assert reserve_all(limit, START_US, BUDGET_FRACTION_OVERFLOW) == 3
+    assert reserve_all(limit, START_US, BUDGET_FRACTION_QUEUED) == 2
 
 
-def test_memory_does_not_grow_with_requests_where_no_order_is_reserved() -> None:
-    limit = fresh_limit()
+def test_memory_does_not_grow_with_requests_when_no_order_is_reserved() -> None:
+    limit = limit_past_first_window()
     for second in range(1, 2_000):
-        limit.count_request(START + second * SECOND)
-        assert len(limit.request_arrivals_us) <= WINDOW // SECOND
+        limit.count_request(START_US + second * SECOND)
+        assert len(limit.request_arrivals_us) <= WINDOW_US // SECOND
 
 
 def test_memory_does_not_grow_with_orders() -> None:
-    limit = fresh_limit()
-    for turn in range(500):
-        now = START + turn * (WINDOW + 1)
-        assert reserved(limit, now) == 2
-        limit.settle(now, 2)
+    limit = limit_past_first_window()
+    for round_number in range(500):
+        now_us = START_US + round_number * (WINDOW_US + 1)
+        assert reserve_all(limit, now_us) == 2
+        limit.settle(now_us, 2)
         assert len(limit._arrivals_us) <= 2
 
 
-# --- the router's use -------------------------------------------------------------------------------------
+# --- Use by the router ------------------------------------------------------------------------------------
 
 
-class RationRig(Rig):
-    """A router past the first window of its life, whose transport tells of each order what it wanted."""
+class LimitedRouterRig(Rig):
+    """A rig whose router has a load-order limit and, by default, is past its first window.
 
-    def __init__(self, settings: api.Settings | None = None, workers: int = 8, first_window: bool = False):
+    The results of its load orders carry the number of copies that were ordered.
+    """
+
+    def __init__(self, settings: api.Settings | None = None, workers: int = 8, in_first_window: bool = False):
         super().__init__(workers=workers, settings=settings or rationed())
-        if not first_window:
-            self.now += WINDOW + 1
+        if not in_first_window:
+            self.now += WINDOW_US + 1
         self.function = 100
 
-    def ask_new(self, waited: int = 0) -> int:
-        """A request for a function that no other named."""
+    def request_new_function(self, waited_us: int = 0) -> int:
+        """Feed a request for a function that has had no request yet; return its number."""
         self.function += 1
         self._next += 1
         event = api.RequestArrived(
-            self._next, 0, 0, self.function, 3 * SECOND, None, 300.0, 2, SECOND // 2, False, waited
+            self._next, 0, 0, self.function, 3 * SECOND, None, 300.0, 2, SECOND // 2, False, waited_us
         )
         self.feed(event)
         return self._next
 
-    def ordered(self, requests: int = 10, waited: int = 0) -> list[api.LoadOrder]:
-        """The orders for so many new functions."""
-        found: list[api.LoadOrder] = []
+    def order_new_functions(self, requests: int = 10, waited_us: int = 0) -> list[api.LoadOrder]:
+        """Request that many new functions; return the load orders that the router sends for them."""
+        sent: list[api.LoadOrder] = []
         for _ in range(requests):
-            self.ask_new(waited)
-            found += orders(self.actions)
-        return found
+            self.request_new_function(waited_us)
+            sent += orders(self.actions)
+        return sent
 
     def order_ended(self, order: api.LoadOrder, outcome: Outcome = Outcome.OK) -> list[api.Action]:
-        stood = order.copies if outcome is Outcome.OK else 0
-        event = api.LoadOrderEnded(order.worker, order.function, outcome, 500_000, stood, order.copies)
+        copies = order.copies if outcome is Outcome.OK else 0
+        event = api.LoadOrderEnded(order.worker, order.function, outcome, 500_000, copies, order.copies)
         return self.feed(event)
 
     @property
@@ -220,339 +232,361 @@
         return self.router.load_orders.limit.open_orders
 
     @property
-    def counted(self) -> list[int]:
+    def counted_requests_us(self) -> list[int]:
+        """The arrival times of the requests that the limit counts."""
         return self.router.load_orders.limit.request_arrivals_us
 
 
-def test_the_first_window_after_a_start_has_no_orders_and_the_next_has_the_free_ones() -> None:
-    rig = RationRig(first_window=True)
-    assert not rig.ordered()
-    rig.now += WINDOW
-    assert not rig.ordered()
+def test_the_router_sends_no_orders_in_its_first_window_and_the_free_ones_after_it() -> None:
+    rig = LimitedRouterRig(in_first_window=True)
+    assert not rig.order_new_functions()
+    rig.now += WINDOW_US
+    assert not rig.order_new_functions()
     rig.now += 1
-    assert len(rig.ordered()) == 2
+    assert len(rig.order_new_functions()) == 2
 
 
-def test_the_first_window_orders_at_once_on_an_ideal_network() -> None:
-    rig = RationRig(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False), first_window=True)
-    assert len(rig.ordered(1)) == 1
+def test_the_router_sends_orders_in_its_first_window_on_an_ideal_network() -> None:
+    rig = LimitedRouterRig(
+        replace(rationed(), is_ideal_network=True, are_restarts_unseen=False), in_first_window=True
+    )
+    assert len(rig.order_new_functions(1)) == 1
 
 
-def test_requests_of_the_first_window_count_once_answered() -> None:
-    settings = replace(rationed(share=1.0), loads_on_miss=True)
-    rig = RationRig(settings, first_window=True)
-    rid = rig.ask_new()
+def test_requests_in_the_first_window_count_after_they_are_answered() -> None:
+    settings = replace(rationed(orders_per_request=1.0), loads_on_miss=True)
+    rig = LimitedRouterRig(settings, in_first_window=True)
+    first_request = rig.request_new_function()
     sent = [a for a in rig.actions if isinstance(a, api.Send)]
-    assert len(sent) == 1, "with the ration spent it loads on the miss"
+    assert len(sent) == 1, "no order is available, so the request is sent and the worker loads the copy"
     rig.now += 1
     rig.feed(api.RequestArrived(999, 0, 0, 1, 3 * SECOND, None, 300.0, 2, SECOND // 2, False))
-    second = next(a for a in rig.actions if isinstance(a, api.Send))
-    rig.attempt_ended(rid, 0, sent[0].worker)
-    rig.attempt_ended(999, 0, second.worker)
-    assert len(rig.ordered()) == 1, "the request of the very moment of the start is as old as what it charges"
+    second_send = next(a for a in rig.actions if isinstance(a, api.Send))
+    rig.attempt_ended(first_request, 0, sent[0].worker)
+    rig.attempt_ended(999, 0, second_send.worker)
+    assert len(rig.order_new_functions()) == 1, (
+        "a request exactly at the start is as old as the orders charged there and allows none"
+    )
 
 
 def test_unanswered_orders_stay_reserved_beyond_the_window() -> None:
-    rig = RationRig()
-    assert len(rig.ordered()) == 2
-    rig.now += 10 * WINDOW
-    assert not rig.ordered()
+    rig = LimitedRouterRig()
+    assert len(rig.order_new_functions()) == 2
+    rig.now += 10 * WINDOW_US
+    assert not rig.order_new_functions()
     assert rig.open_orders == 2
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.MISS])
-@pytest.mark.parametrize(("age", "room"), [(WINDOW, False), (WINDOW + 1, True)])
-def test_an_answered_order_counts_one_window_more(outcome: Outcome, age: int, room: bool) -> None:
-    rig = RationRig(rationed(free=1.0, share=0.0))
-    (order,) = rig.ordered()
-    rig.now += 3 * WINDOW
+@pytest.mark.parametrize(("age_us", "is_available"), [(WINDOW_US, False), (WINDOW_US + 1, True)])
+def test_the_router_counts_an_answered_order_for_one_more_window(
+    outcome: Outcome, age_us: int, is_available: bool
+) -> None:
+    rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
+    (order,) = rig.order_new_functions()
+    rig.now += 3 * WINDOW_US
     rig.order_ended(order, outcome)
-    rig.now += age
-    assert bool(rig.ordered(1)) is room
+    rig.now += age_us
+    assert bool(rig.order_new_functions(1)) is is_available
 
 
 @pytest.mark.parametrize("outcome", [Outcome.MOOT, Outcome.CONNECT_FAILED])
-def test_an_order_that_was_never_sent_is_given_back_by_the_router(outcome: Outcome) -> None:
-    rig = RationRig(rationed(free=1.0, share=0.0))
-    (order,) = rig.ordered()
-    again = orders(rig.order_ended(order, outcome)) + rig.ordered()
-    assert len(again) == 1
+def test_the_router_releases_an_order_that_was_never_sent(outcome: Outcome) -> None:
+    rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
+    (order,) = rig.order_new_functions()
+    new_orders = orders(rig.order_ended(order, outcome)) + rig.order_new_functions()
+    assert len(new_orders) == 1
     assert rig.open_orders == 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
-def test_an_order_without_an_answer_stays_charged(outcome: Outcome) -> None:
-    rig = RationRig(rationed(free=1.0, share=0.0))
-    (order,) = rig.ordered()
+def test_an_order_that_ends_without_an_answer_stays_reserved(outcome: Outcome) -> None:
+    rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
+    (order,) = rig.order_new_functions()
     assert not orders(rig.order_ended(order, outcome))
-    rig.now += 20 * WINDOW
-    assert not rig.ordered()
+    rig.now += 20 * WINDOW_US
+    assert not rig.order_new_functions()
     assert rig.open_orders == 1
 
 
-def patient(settings: api.Settings) -> api.Settings:
-    """Held requests keep all attempts for copies: none is out at a worker while the ration is spent."""
+def attempts_only_at_copies(settings: api.Settings) -> api.Settings:
+    """Reserve all attempts for workers with a copy.
+
+    Queued requests are then not sent to other workers while no load order is available.
+    """
     return replace(settings, limits=replace(settings.limits, max_attempts=ATTEMPTS_FOR_COPIES))
 
 
-def late_order(outcome: Outcome) -> tuple[RationRig, api.LoadOrder]:
-    rig = RationRig(patient(rationed(free=1.0, share=0.0)))
-    (order,) = rig.ordered()
+def unresolved_order(outcome: Outcome) -> tuple[LimitedRouterRig, api.LoadOrder]:
+    """Return a router and an order that ended without an answer and may still arrive."""
+    rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
+    (order,) = rig.order_new_functions()
     rig.order_ended(order, outcome)
-    rig.now += 3 * WINDOW
+    rig.now += 3 * WINDOW_US
     return rig, order
 
 
-def settles(rig: RationRig) -> None:
-    """The late order now counts as one that arrived a grace later, and for one window."""
+def assert_order_settles(rig: LimitedRouterRig) -> None:
+    """Check that the unresolved order is settled.
+
+    It counts as arriving at the end of the grace period, and for one window after that.
+    """
     assert rig.open_orders == 0
-    rig.now += WINDOW + rig.router.context.grace_us
-    assert not rig.ordered(1)
+    rig.now += WINDOW_US + rig.router.context.grace_us
+    assert not rig.order_new_functions(1)
     rig.now += 1
-    assert rig.ordered(1)
+    assert rig.order_new_functions(1)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 @pytest.mark.parametrize("answer", [Outcome.OK, Outcome.ERROR, Outcome.FULL])
-def test_a_late_order_settles_when_its_worker_answers_a_probe(outcome: Outcome, answer: Outcome) -> None:
-    rig, order = late_order(outcome)
+def test_an_unresolved_order_settles_when_its_worker_answers_a_probe(
+    outcome: Outcome, answer: Outcome
+) -> None:
+    rig, order = unresolved_order(outcome)
     rig.feed(api.LoadOrderEnded(order.worker, order.function, answer, 1_000, 0))
-    settles(rig)
+    assert_order_settles(rig)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
-def test_a_late_order_does_not_settle_when_another_worker_answers(outcome: Outcome) -> None:
-    rig, order = late_order(outcome)
-    other = order.worker % 8 + 1
-    rig.feed(api.LoadOrderEnded(other, order.function, Outcome.OK, 1_000, 0))
-    rig.now += 2 * WINDOW
+def test_an_unresolved_order_does_not_settle_when_another_worker_answers(outcome: Outcome) -> None:
+    rig, order = unresolved_order(outcome)
+    other_worker = order.worker % 8 + 1
+    rig.feed(api.LoadOrderEnded(other_worker, order.function, Outcome.OK, 1_000, 0))
+    rig.now += 2 * WINDOW_US
     assert rig.open_orders == 1
-    assert not rig.ordered(1)
+    assert not rig.order_new_functions(1)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
-def test_a_late_order_settles_when_its_worker_is_forgotten_as_gone(outcome: Outcome) -> None:
-    rig, order = late_order(outcome)
+def test_an_unresolved_order_settles_when_its_worker_is_gone(outcome: Outcome) -> None:
+    rig, order = unresolved_order(outcome)
     rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.GONE))
-    settles(rig)
+    assert_order_settles(rig)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
-def test_a_late_order_stays_charged_while_its_worker_drains(outcome: Outcome) -> None:
-    rig, order = late_order(outcome)
+def test_an_unresolved_order_stays_reserved_while_its_worker_drains(outcome: Outcome) -> None:
+    rig, order = unresolved_order(outcome)
     rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.DRAINING))
-    rig.now += 2 * WINDOW
+    rig.now += 2 * WINDOW_US
     assert rig.open_orders == 1
-    assert not rig.ordered(1)
+    assert not rig.order_new_functions(1)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
-def test_a_late_order_settles_when_its_worker_restarts(outcome: Outcome) -> None:
-    rig, order = late_order(outcome)
+def test_an_unresolved_order_settles_when_its_worker_restarts(outcome: Outcome) -> None:
+    rig, order = unresolved_order(outcome)
     rig.list_workers(api.ListKind.DELTA, worker(order.worker, started=rig.now))
-    settles(rig)
+    assert_order_settles(rig)
+
 
+def attempts_before_unresolved_orders() -> tuple[LimitedRouterRig, list[api.Send], list[api.LoadOrder]]:
+    """Return a router with attempts in flight at all workers, these attempts, and six later orders.
 
-def out_before_late_orders() -> tuple[RationRig, list[api.Send], list[api.LoadOrder]]:
-    """Attempts are out at all workers; then come six orders, whose connections break and hold them back."""
-    rig = RationRig(rationed(free=6.0, share=0.0), first_window=True)
+    The connections of the orders were reset, but the network may still deliver the orders.
+    """
+    rig = LimitedRouterRig(rationed(free_orders=6.0, orders_per_request=0.0), in_first_window=True)
     for _ in range(30):
-        rig.ask_new()
-    sent = [action for action in rig.all if isinstance(action, api.Send)]
-    rig.now += WINDOW + 1
-    late = rig.ordered(30)
-    for order in late:
+        rig.request_new_function()
+    sends = [action for action in rig.all if isinstance(action, api.Send)]
+    rig.now += WINDOW_US + 1
+    unresolved = rig.order_new_functions(30)
+    for order in unresolved:
         rig.order_ended(order, Outcome.RESET)
-    assert len(late) == 6
-    assert {order.worker for order in late} <= {send.worker for send in sent}
-    return rig, sent, late
+    assert len(unresolved) == 6
+    assert {order.worker for order in unresolved} <= {send.worker for send in sends}
+    return rig, sends, unresolved
 
 
-def test_a_late_order_stays_charged_when_its_worker_answers_what_was_sent_before_it() -> None:
-    """Such an answer may have been on its way since before the cut that holds the order."""
-    rig, sent, late = out_before_late_orders()
+def test_an_unresolved_order_stays_reserved_when_its_worker_answers_an_earlier_attempt() -> None:
+    """The answer may have left the worker before the network partition that delays the order."""
+    rig, sends, unresolved = attempts_before_unresolved_orders()
     rig.now += 1
-    for send in sent:
+    for send in sends:
         rig.attempt_ended(send.request, 0, send.worker)
-    assert rig.open_orders == len(late)
+    assert rig.open_orders == len(unresolved)
 
 
-def test_late_orders_and_those_after_them_arrive_together_within_the_limit() -> None:
-    rig, sent, late = out_before_late_orders()
+def test_unresolved_and_later_orders_that_arrive_together_stay_within_the_limit() -> None:
+    rig, sends, unresolved = attempts_before_unresolved_orders()
     rig.now += 1
-    for send in sent:
+    for send in sends:
         rig.attempt_ended(send.request, 0, send.worker)
-    rig.now += WINDOW + 2 * rig.router.context.grace_us
-    arrived = len(late) + len(rig.ordered(30))  # the cut heals now
-    found = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW), "front", [rig.now] * arrived, [])
-    assert not found, describe_breaches(found)
+    rig.now += WINDOW_US + 2 * rig.router.context.grace_us
+    arrived = len(unresolved) + len(rig.order_new_functions(30))  # the network partition heals now
+    breaches = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW_US), "front", [rig.now] * arrived, [])
+    assert not breaches, describe_breaches(breaches)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
-def test_a_late_order_stays_charged_when_its_worker_restarted_before_it(outcome: Outcome) -> None:
-    """The list tells of a restart later than it was; the order is on its way to the new life."""
-    rig = RationRig(patient(rationed(free=1.0, share=0.0)))
-    restarted = rig.now
+def test_an_unresolved_order_stays_reserved_when_its_worker_restarted_before_the_order(
+    outcome: Outcome,
+) -> None:
+    """The worker list reports the restart late; the order is on its way to the new process."""
+    rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
+    restarted_us = rig.now
     rig.now += SECOND // 10
-    (order,) = rig.ordered()
+    (order,) = rig.order_new_functions()
     rig.now += SECOND // 10
     rig.order_ended(order, outcome)
     rig.now += SECOND // 10
-    rig.list_workers(api.ListKind.DELTA, worker(order.worker, started=restarted))
+    rig.list_workers(api.ListKind.DELTA, worker(order.worker, started=restarted_us))
     assert rig.open_orders == 1
 
 
-def test_an_ideal_network_that_tells_what_an_order_wanted_settles_it_once() -> None:
-    rig = RationRig(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
-    (order,) = rig.ordered(1)
+def test_an_order_on_an_ideal_network_is_settled_only_once() -> None:
+    """It is settled when it is sent. Its result must not settle it again."""
+    rig = LimitedRouterRig(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
+    (order,) = rig.order_new_functions(1)
     rig.order_ended(order)
     assert rig.open_orders == 0
 
 
-def test_an_order_to_a_worker_that_left_meanwhile_settles_with_its_end() -> None:
-    rig = RationRig(patient(rationed(free=1.0, share=0.0)))
-    (order,) = rig.ordered()
+def test_an_order_to_a_worker_that_has_left_settles_when_it_ends() -> None:
+    rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
+    (order,) = rig.order_new_functions()
     rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.GONE))
     assert rig.open_orders == 1
     rig.order_ended(order, Outcome.RESET)
     assert rig.open_orders == 0
 
 
-def test_a_probe_that_ends_settles_no_order() -> None:
-    rig = RationRig(rationed(free=1.0, share=0.0))
-    (order,) = rig.ordered()
+def test_the_end_of_a_probe_does_not_settle_an_order() -> None:
+    rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
+    (order,) = rig.order_new_functions()
     rig.feed(api.LoadOrderEnded(order.worker, order.function, Outcome.OK, 1_000, 1, 0))
     assert rig.open_orders == 1
 
 
-def test_a_worker_silent_since_an_overdue_order_gets_no_further_one_and_another_does() -> None:
-    rig = RationRig(rationed(free=50.0, share=0.0))
-    silent = rig.ordered(1)[0].worker
-    rig.now += 4 * SECOND  # the usual load is half a second
-    later = rig.ordered(40)
+def test_a_worker_with_an_overdue_order_gets_no_further_orders_but_others_do() -> None:
+    rig = LimitedRouterRig(rationed(free_orders=50.0, orders_per_request=0.0))
+    silent_worker = rig.order_new_functions(1)[0].worker
+    rig.now += 4 * SECOND  # the usual load time is half a second
+    later = rig.order_new_functions(40)
     assert later
-    assert silent not in {order.worker for order in later}
+    assert silent_worker not in {order.worker for order in later}
 
 
-def test_a_worker_that_answered_since_gets_further_orders() -> None:
-    rig = RationRig(rationed(free=50.0, share=0.0))
-    (first,) = rig.ordered(1)
+def test_a_worker_that_answers_after_an_overdue_order_gets_further_orders() -> None:
+    rig = LimitedRouterRig(rationed(free_orders=50.0, orders_per_request=0.0))
+    (first,) = rig.order_new_functions(1)
     rig.now += 4 * SECOND
     rig.feed(api.LoadOrderEnded(first.worker, first.function, Outcome.OK, 1_000, 0))
-    assert first.worker in {order.worker for order in rig.ordered(40)}
+    assert first.worker in {order.worker for order in rig.order_new_functions(40)}
 
 
-# --- the requests that count ------------------------------------------------------------------------------
+# --- Counted requests -------------------------------------------------------------------------------------
 
 
-def asked(waited: int = 0) -> tuple[RationRig, int, int]:
-    """A request that is out at a worker, alone in its router."""
-    rig = RationRig(rationed(free=2.0, share=0.5))
-    request = rig.ask_new(waited)
+def request_in_flight(waited_us: int = 0) -> tuple[LimitedRouterRig, int, int]:
+    """Return a router, its only request, and the worker at which that request is in flight."""
+    rig = LimitedRouterRig(rationed(free_orders=2.0, orders_per_request=0.5))
+    request = rig.request_new_function(waited_us)
     (order,) = orders(rig.actions)
     sent = [a for a in rig.order_ended(order) if isinstance(a, api.Send)]
     return rig, request, sent[0].worker
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.FULL, Outcome.MISS])
-def test_a_request_counts_from_its_arrival_once_a_worker_proved_it_genuine(outcome: Outcome) -> None:
-    rig, request, where = asked()
-    came = rig.now
-    assert rig.counted == []
+def test_a_request_counts_from_its_arrival_after_a_worker_proves_it_genuine(outcome: Outcome) -> None:
+    rig, request, worker_id = request_in_flight()
+    arrived_us = rig.now
+    assert rig.counted_requests_us == []
     rig.now += SECOND
-    rig.attempt_ended(request, 0, where, outcome)
-    assert rig.counted == [came]
+    rig.attempt_ended(request, 0, worker_id, outcome)
+    assert rig.counted_requests_us == [arrived_us]
 
 
-def test_a_request_that_waited_counts_from_the_earliest_moment_it_may_have_come() -> None:
-    rig, request, where = asked(waited=300_000)
-    rig.attempt_ended(request, 0, where)
-    assert rig.counted == [rig.now - 300_000]
+def test_a_request_that_waited_counts_from_its_earliest_possible_arrival() -> None:
+    rig, request, worker_id = request_in_flight(waited_us=300_000)
+    rig.attempt_ended(request, 0, worker_id)
+    assert rig.counted_requests_us == [rig.now - 300_000]
 
 
 @pytest.mark.parametrize(
     "outcome",
     [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED],
 )
-def test_a_request_that_no_worker_proved_genuine_does_not_count(outcome: Outcome) -> None:
-    rig, request, where = asked()
-    rig.attempt_ended(request, 0, where, outcome)
-    assert rig.counted == []
+def test_a_request_that_no_worker_proves_genuine_does_not_count(outcome: Outcome) -> None:
+    rig, request, worker_id = request_in_flight()
+    rig.attempt_ended(request, 0, worker_id, outcome)
+    assert rig.counted_requests_us == []
 
 
-def test_a_request_counts_once_however_often_workers_answer_it() -> None:
-    rig, request, where = asked()
-    came = rig.now
+def test_a_request_that_workers_answer_repeatedly_counts_once() -> None:
+    rig, request, worker_id = request_in_flight()
+    arrived_us = rig.now
     attempt = 0
     for _ in range(6):
-        actions = rig.attempt_ended(request, attempt, where, Outcome.FULL)
-        again = [a for a in actions if isinstance(a, api.Send) and a.request == request]
-        if again:
-            attempt, where = attempt + 1, again[0].worker
+        actions = rig.attempt_ended(request, attempt, worker_id, Outcome.FULL)
+        retries = [a for a in actions if isinstance(a, api.Send) and a.request == request]
+        if retries:
+            attempt, worker_id = attempt + 1, retries[0].worker
         else:
             for order in orders(actions):
                 for sent in (a for a in rig.order_ended(order) if isinstance(a, api.Send)):
-                    attempt, where = attempt + 1, sent.worker
+                    attempt, worker_id = attempt + 1, sent.worker
     assert attempt > 0
-    assert rig.counted == [came]
+    assert rig.counted_requests_us == [arrived_us]
 
 
-def test_a_request_that_is_cancelled_does_not_count() -> None:
-    rig = RationRig()
-    rig.feed(api.RequestCancelled(rig.ask_new()))
+def test_a_cancelled_request_does_not_count() -> None:
+    rig = LimitedRouterRig()
+    rig.feed(api.RequestCancelled(rig.request_new_function()))
     rig.pass_time(5 * SECOND)
-    assert rig.counted == []
+    assert rig.counted_requests_us == []
 
 
-def test_a_request_cancelled_while_in_flight_does_not_count_by_its_cancelled_attempt() -> None:
-    rig, request, where = asked()
+def test_a_request_cancelled_in_flight_does_not_count_when_its_attempt_is_cancelled() -> None:
+    rig, request, worker_id = request_in_flight()
     rig.feed(api.RequestCancelled(request))
-    rig.attempt_ended(request, 0, where, Outcome.CANCELLED)
-    assert rig.counted == []
+    rig.attempt_ended(request, 0, worker_id, Outcome.CANCELLED)
+    assert rig.counted_requests_us == []
 
 
-def test_a_cancelled_request_does_not_count_by_an_answer_that_crossed_the_cancel() -> None:
-    rig, request, where = asked()
+def test_a_cancelled_request_does_not_count_when_an_answer_crosses_the_cancellation() -> None:
+    rig, request, worker_id = request_in_flight()
     rig.feed(api.RequestCancelled(request))
-    rig.attempt_ended(request, 0, where, Outcome.OK)
-    assert rig.counted == []
+    rig.attempt_ended(request, 0, worker_id, Outcome.OK)
+    assert rig.counted_requests_us == []
 
 
-def test_cancelling_an_answered_request_leaves_the_others_counted() -> None:
-    rig, request, where = asked()
-    rig.attempt_ended(request, 0, where)
-    assert len(rig.counted) == 1
+def test_an_answered_request_still_counts_after_it_is_cancelled() -> None:
+    rig, request, worker_id = request_in_flight()
+    rig.attempt_ended(request, 0, worker_id)
+    assert len(rig.counted_requests_us) == 1
     rig.feed(api.RequestCancelled(request))
-    assert len(rig.counted) == 1
+    assert len(rig.counted_requests_us) == 1
 
 
 def test_a_request_that_is_never_answered_does_not_count() -> None:
-    rig = RationRig(rationed(free=0.0))
-    rig.ask_new()
+    rig = LimitedRouterRig(rationed(free_orders=0.0))
+    rig.request_new_function()
     rig.pass_time(5 * SECOND)
-    assert rig.counted == []
+    assert rig.counted_requests_us == []
 
 
-def test_every_request_counts_as_it_comes_on_an_ideal_network() -> None:
-    rig = RationRig(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
-    rig.ask_new()
-    assert rig.counted == [rig.now]
+def test_every_request_counts_on_arrival_on_an_ideal_network() -> None:
+    rig = LimitedRouterRig(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
+    rig.request_new_function()
+    assert rig.counted_requests_us == [rig.now]
 
 
-def test_requests_of_a_long_day_leave_no_memory() -> None:
-    rig, request, where = asked()
+def test_memory_does_not_grow_with_answered_requests() -> None:
+    rig, request, worker_id = request_in_flight()
     for _ in range(300):
-        rig.attempt_ended(request, 0, where)
+        rig.attempt_ended(request, 0, worker_id)
         rig.now += SECOND
         request = rig.ask(function=rig.function)
         sent = [a for a in rig.actions if isinstance(a, api.Send) and a.request == request]
         for order in orders(rig.actions):
             rig.order_ended(order)
-        where = sent[0].worker
-    assert 1 <= len(rig.counted) <= WINDOW // SECOND + 1
+        worker_id = sent[0].worker
+    assert 1 <= len(rig.counted_requests_us) <= WINDOW_US // SECOND + 1
 
 
-ENDS = [
+ORDER_OUTCOMES = [
     Outcome.OK,
     Outcome.OK,
     Outcome.FULL,
@@ -565,34 +599,36 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_once_every_order_ended_and_every_worker_answered_no_reservation_stays_open(seed: int) -> None:
+def test_no_reservation_stays_open_after_all_orders_end_and_all_workers_answer(seed: int) -> None:
     random = Random(seed)
-    rig = RationRig(rationed(free=20.0), workers=6)
-    out: list[api.LoadOrder] = []
-    given, starts = 0, dict.fromkeys(range(1, 7), 0)
+    rig = LimitedRouterRig(rationed(free_orders=20.0), workers=6)
+    open_orders: list[api.LoadOrder] = []
+    order_count, started_us = 0, dict.fromkeys(range(1, 7), 0)
     for _ in range(1_500):
         rig.now += random.randrange(SECOND // 4)
         choice = random.random()
-        if choice < 0.6 or not out:
-            rig.ask_new()
+        if choice < 0.6 or not open_orders:
+            rig.request_new_function()
         elif choice < 0.95:
-            rig.order_ended(out.pop(random.randrange(len(out))), random.choice(ENDS))
+            rig.order_ended(
+                open_orders.pop(random.randrange(len(open_orders))), random.choice(ORDER_OUTCOMES)
+            )
         else:
-            wid, state = random.randint(1, 6), random.choice(list(api.WorkerState))
-            starts[wid] = max(starts[wid], rig.now * random.randint(0, 1))
-            rig.list_workers(api.ListKind.DELTA, worker(wid, state, starts[wid]))
-        out += orders(rig.actions)
-        given += len(orders(rig.actions))
-        assert rig.open_orders >= len(out)
-    while out:
-        rig.order_ended(out.pop(), random.choice(ENDS))
-        out += orders(rig.actions)
-    late = sum(len(w.unresolved_orders_us) for w in rig.router.endpoints.workers.values())
-    assert given > 50
-    assert rig.open_orders == late
-    for wid in range(1, 7):
-        rig.feed(api.LoadOrderEnded(wid, 1, Outcome.OK, 1_000, 0))
-    while more := orders(rig.pass_time(SECOND)):
-        for order in more:
+            worker_id, state = random.randint(1, 6), random.choice(list(api.WorkerState))
+            started_us[worker_id] = max(started_us[worker_id], rig.now * random.randint(0, 1))
+            rig.list_workers(api.ListKind.DELTA, worker(worker_id, state, started_us[worker_id]))
+        open_orders += orders(rig.actions)
+        order_count += len(orders(rig.actions))
+        assert rig.open_orders >= len(open_orders)
+    while open_orders:
+        rig.order_ended(open_orders.pop(), random.choice(ORDER_OUTCOMES))
+        open_orders += orders(rig.actions)
+    unresolved = sum(len(w.unresolved_orders_us) for w in rig.router.endpoints.workers.values())
+    assert order_count > 50
+    assert rig.open_orders == unresolved
+    for worker_id in range(1, 7):
+        rig.feed(api.LoadOrderEnded(worker_id, 1, Outcome.OK, 1_000, 0))
+    while new_orders := orders(rig.pass_time(SECOND)):
+        for order in new_orders:
             rig.order_ended(order)
     assert rig.open_orders == 0
