--- a/packages/policy/tests/test_load_order_limit_properties.py
+++ b/packages/policy/tests/test_load_order_limit_properties.py
@@ -134,7 +134,7 @@
 class ClientRequest:
     written_us: int
     function: int
-    copied: bool
+    copied: bool  # workers answer a copied request with an error
     attempts: int = 0
     counted: bool = False
     cancelled: bool = False
@@ -355,6 +355,7 @@
             self.run_at_front_end(process_answer)
 
     def holds_answers(self, connection: Connection) -> bool:
+        """Whether answers wait until a partition heals or earlier messages arrive."""
         if self.now < connection.partitioned_until_us:
             self.schedule(connection.partitioned_until_us, lambda: self.deliver(connection))
             return True
--- a/packages/policy/tests/test_slow_start_fleet.py
+++ b/packages/policy/tests/test_slow_start_fleet.py
@@ -231,7 +231,7 @@
     )
 
 
-# The worker starts at a multiple of the window on the virtual clock, so this time after its start is one, too.
+# The worker starts at a multiple of the window on the virtual clock, so one window later is a multiple, too.
 WINDOW_BOUNDARY_US = GUARDS.overload_window_us
 BURSTS_AROUND_A_BOUNDARY_US = (WINDOW_BOUNDARY_US - SECOND // 12, WINDOW_BOUNDARY_US + SECOND // 50)
 
