--- a/packages/policy/src/walnutpost/policy/attempts.py
+++ b/packages/policy/src/walnutpost/policy/attempts.py
@@ -97,7 +97,7 @@
 
         That is the earliest of: one clock tick before the deadline; the end of the idempotency key's window;
         the drain grace from now, as the worker may begin to drain at any time; and, if the worker is warming
-        up, `grace_us` from now, as slow start counts a send for that much longer than its window.
+        up, `probe_timeout_us` from now, as slow start counts a send for that much longer than its window.
         """
         context, request_class = self._context, request.request_class
         latest_us = request.deadline_us - context.settings.tick_us
@@ -107,6 +107,6 @@
                     latest_us = min(latest_us, attempt.sent_us + request_class.repeat_window_us)
         if context.settings.guards.drain_grace_us:
             latest_us = min(latest_us, context.now_us + context.settings.guards.drain_grace_us)
-        if self._slow_start.is_warming_up(worker) and context.grace_us:
-            latest_us = min(latest_us, context.now_us + context.grace_us)
+        if self._slow_start.is_warming_up(worker) and context.probe_timeout_us:
+            latest_us = min(latest_us, context.now_us + context.probe_timeout_us)
         return latest_us
--- a/packages/policy/src/walnutpost/policy/context.py
+++ b/packages/policy/src/walnutpost/policy/context.py
@@ -19,11 +19,11 @@
     __slots__ = (
         "actions",
         "first_event_us",
-        "grace_us",
         "keep_alive_us",
         "now_us",
         "objective_us",
         "other_front_ends_ratio",
+        "probe_timeout_us",
         "random",
         "settings",
         "shutdown_us",
@@ -42,7 +42,7 @@
         # The part of all calls that other front ends send. This front end doesn't see them.
         self.other_front_ends_ratio = 1 - 1 / max(1, settings.front_ends)
         # A live worker answers a probe within this time, however busy it is: docs/design.md, "silence".
-        self.grace_us = int(
+        self.probe_timeout_us = int(
             max(PROBE_TIMEOUT_TICKS * settings.tick_us, PROBE_TIMEOUT_OBJECTIVES * self.objective_us)
         )
 
--- a/packages/policy/src/walnutpost/policy/endpoint_updates.py
+++ b/packages/policy/src/walnutpost/policy/endpoint_updates.py
@@ -108,7 +108,7 @@
         self._orders.settle_unresolved(worker, worker.info.started_at_us)
         initial = new_worker(worker.info, self._context.keep_alive_us)
         worker.started_us = initial.started_us
-        worker.silent_since_us = None
+        worker.unresponsive_since_us = None
         worker.probe_sent_us = None
         worker.sample_weights = initial.sample_weights
         worker.slowdown_samples = initial.slowdown_samples
--- a/packages/policy/src/walnutpost/policy/failure_detection.py
+++ b/packages/policy/src/walnutpost/policy/failure_detection.py
@@ -47,18 +47,18 @@
 
     def record_answer(self, worker: Worker, sent_us: int) -> None:
         """Record that the worker answered a message that was sent to it at `sent_us`."""
-        now_us, silent_since_us = self._context.now_us, worker.silent_since_us
-        if silent_since_us is not None and now_us - silent_since_us > self._context.objective_us:
+        now_us, unresponsive_since_us = self._context.now_us, worker.unresponsive_since_us
+        if unresponsive_since_us is not None and now_us - unresponsive_since_us > self._context.objective_us:
             worker.started_us = now_us  # it may have restarted, so it warms up until the list says otherwise
         worker.last_heard_us = now_us
         worker.probe_sent_us = None
-        worker.silent_since_us = None
+        worker.unresponsive_since_us = None
         worker.first_unanswered_order_us = 0
         self._orders.settle_unresolved(worker, sent_us)
 
     def check_worker(self, worker: Worker) -> None:
         """Probe a quiet worker with attempts in flight; mark it unresponsive if the probe goes unanswered."""
-        if worker.silent_since_us is not None:
+        if worker.unresponsive_since_us is not None:
             self._check_unresponsive(worker)
         elif worker.in_flight:
             self._check_active(worker)
@@ -68,7 +68,7 @@
 
         A single connection may break by itself, so only a repeated failure is taken as a sign.
         """
-        is_first_failure = worker.probe_sent_us is None and worker.silent_since_us is None
+        is_first_failure = worker.probe_sent_us is None and worker.unresponsive_since_us is None
         if outcome is api.Outcome.RESET and is_first_failure:
             self._health_checks.probe(worker)
         else:
@@ -94,22 +94,25 @@
         if now_us - worker.last_heard_us < timeout_us:
             self._timers.schedule(worker.last_heard_us + timeout_us, TimerKind.CHECK_WORKER, worker.info.id)
             return
-        if worker.probe_sent_us is not None and now_us - worker.probe_sent_us >= self._context.grace_us:
+        if (
+            worker.probe_sent_us is not None
+            and now_us - worker.probe_sent_us >= self._context.probe_timeout_us
+        ):
             self._mark_unresponsive(worker)
             return
         if worker.is_ready and worker.probe_sent_us is None:
             self._health_checks.probe(worker)
-        self._schedule_check(worker, self._context.grace_us)
+        self._schedule_check(worker, self._context.probe_timeout_us)
 
     def _mark_unresponsive(self, worker: Worker) -> None:
         unresponsive = sum(
-            w.is_ready and w.silent_since_us is not None for w in self._endpoints.workers.values()
+            w.is_ready and w.unresponsive_since_us is not None for w in self._endpoints.workers.values()
         )
-        if worker.silent_since_us is not None:
+        if worker.unresponsive_since_us is not None:
             return
         if unresponsive + 1 > MAX_UNRESPONSIVE_RATIO * self._endpoints.ready_count:
             return
-        worker.silent_since_us = self._context.now_us
+        worker.unresponsive_since_us = self._context.now_us
         worker.probe_sent_us = None
         text = f"worker {worker.info.id} set aside as silent, {worker.in_flight} requests out"
         self._context.actions.append(api.Log(text))
--- a/packages/policy/src/walnutpost/policy/load_balancing.py
+++ b/packages/policy/src/walnutpost/policy/load_balancing.py
@@ -13,7 +13,7 @@
 from walnutpost.policy.workers import Worker
 
 MAX_EXPECTED_HOLDERS = 2  # first workers of the hash order that a call may try for a copy
-ATTEMPTS_FOR_COPIES = 2  # attempts that must remain for workers with a known copy
+RESERVED_COPY_ATTEMPTS = 2  # attempts that must remain for workers with a known copy
 MISS_VALID_LOAD_TIMES = 0.5  # how long a miss counts; another front end may order a load meanwhile
 
 
@@ -48,7 +48,7 @@
         is_unsafe = request.request_class.effect is api.Effect.UNSAFE
 
         def preference(worker: Worker) -> tuple[bool, bool, float, float]:
-            load = (worker.in_flight + 1) * outliers.slowness(worker) / worker.weight
+            load = (worker.in_flight + 1) * outliers.relative_slowdown(worker) / worker.weight
             is_deprioritized = is_unsafe and outliers.is_suspected(worker)
             return is_deprioritized, self._copies.exceeds_concurrency(function, worker), load, random.random()
 
@@ -62,13 +62,13 @@
         miss, which proves that nothing ran, and only while no scale-up of the function is in flight.
         """
         function, settings = request.function, self._context.settings
-        attempts_left = settings.limits.max_attempts - ATTEMPTS_FOR_COPIES - len(request.attempts)
+        attempts_left = settings.limits.max_attempts - RESERVED_COPY_ATTEMPTS - len(request.attempts)
         if settings.loads_on_miss or not settings.may_order_loads:
             return None
         if function.pending_orders_us or attempts_left <= 0:
             return None
         valid_since_us = self._context.now_us - MISS_VALID_LOAD_TIMES * self._orders.load_time_us(function)
-        in_order = (w for w in self._endpoints.hash_order(function) if w.silent_since_us is None)
+        in_order = (w for w in self._endpoints.hash_order(function) if w.unresponsive_since_us is None)
         for worker in islice(in_order, MAX_EXPECTED_HOLDERS):
             last_miss_us = function.last_miss_us.get(worker.info.id, 0)
             if last_miss_us <= valid_since_us and self._may_choose(request, worker):
--- a/packages/policy/src/walnutpost/policy/load_order_limit.py
+++ b/packages/policy/src/walnutpost/policy/load_order_limit.py
@@ -20,13 +20,15 @@
     requests allow in every time span that ends now (docs/design.md, "The load-order limit").
     """
 
-    __slots__ = ("_arrivals_us", "_guards", "_settings", "open_orders", "request_arrivals_us")
+    __slots__ = ("_guards", "_order_arrivals_us", "_settings", "open_orders", "request_arrivals_us")
 
     def __init__(self, settings: api.Settings) -> None:
         self._settings = settings
         self._guards = settings.guards
         self.open_orders = 0
-        self._arrivals_us: list[int] = []  # latest possible arrivals of settled orders in the window; sorted
+        self._order_arrivals_us: list[
+            int
+        ] = []  # latest possible arrivals of settled orders in the window; sorted
         self.request_arrivals_us: list[int] = []  # earliest possible arrivals in the window; sorted
 
     def begin(self, now_us: int) -> None:
@@ -35,7 +37,7 @@
         If restarts can't be seen, the previous process may have used all free orders just before it ended.
         """
         if self._settings.are_restarts_unseen:
-            self._arrivals_us = [now_us] * math.ceil(self._guards.free_load_orders)
+            self._order_arrivals_us = [now_us] * math.ceil(self._guards.free_load_orders)
 
     def count_request(self, earliest_arrival_us: int) -> None:
         """Count an accepted request, which arrived at `earliest_arrival_us` or later and allows orders."""
@@ -57,22 +59,22 @@
     def settle(self, latest_arrival_us: int, orders: int = 1) -> None:
         """Settle open orders that arrive by `latest_arrival_us`, or never if it is 0."""
         self.open_orders -= orders
-        self._arrivals_us = sorted(self._arrivals_us + [latest_arrival_us] * orders)
+        self._order_arrivals_us = sorted(self._order_arrivals_us + [latest_arrival_us] * orders)
 
     def _fits(self, now_us: int, window_start_us: int, budget_fraction: float) -> bool:
         """Return whether one more order fits the limit in each span from a counted arrival until now."""
         guards = self._guards
         span_starts_us = (
-            [window_start_us] if self._settings.is_ideal_network else [*self._arrivals_us, now_us]
+            [window_start_us] if self._settings.is_ideal_network else [*self._order_arrivals_us, now_us]
         )
         for earlier_orders, since_us in enumerate(span_starts_us):
             requests = len(self.request_arrivals_us) - bisect_right(self.request_arrivals_us, since_us)
-            orders = self.open_orders + len(self._arrivals_us) - earlier_orders + 1
+            orders = self.open_orders + len(self._order_arrivals_us) - earlier_orders + 1
             allowed = guards.free_load_orders + guards.load_orders_per_request * requests
             if orders > budget_fraction * allowed:
                 return False
         return True
 
     def _forget_before(self, start_us: int) -> None:
-        del self._arrivals_us[: bisect_left(self._arrivals_us, start_us)]
+        del self._order_arrivals_us[: bisect_left(self._order_arrivals_us, start_us)]
         del self.request_arrivals_us[: bisect_right(self.request_arrivals_us, start_us)]
--- a/packages/policy/src/walnutpost/policy/load_orders.py
+++ b/packages/policy/src/walnutpost/policy/load_orders.py
@@ -71,14 +71,14 @@
         self.limit.settle(0 if never_sent else self._context.now_us)
 
     def settle_unresolved(self, worker: Worker, evidence_time_us: float) -> None:
-        """Settle the worker's unresolved orders if they can't arrive later than `grace_us` from now.
+        """Settle the worker's unresolved orders if they can't arrive later than `probe_timeout_us` from now.
 
         `evidence_time_us` must be later than all of them. It is the time when a message was sent that the
         worker has answered, the time of the worker's start, or infinity if the worker has left the list.
         """
         orders_us = worker.unresolved_orders_us
         if orders_us and evidence_time_us > orders_us[-1]:
-            self.limit.settle(self._context.now_us + self._context.grace_us, len(orders_us))
+            self.limit.settle(self._context.now_us + self._context.probe_timeout_us, len(orders_us))
             orders_us.clear()
 
     def count_request(self, request: Request, is_genuine: bool) -> None:
--- a/packages/policy/src/walnutpost/policy/load_shedding.py
+++ b/packages/policy/src/walnutpost/policy/load_shedding.py
@@ -72,7 +72,7 @@
             if attempt.was_warm and attempt.outcome is None and attempt.sent_us > sent_after_us
         )
         workers, ready_count = self._endpoints.workers, self._endpoints.ready_count
-        counts = sorted(n for key, n in by_worker.items() if workers[key].silent_since_us is None)
+        counts = sorted(n for key, n in by_worker.items() if workers[key].unresponsive_since_us is None)
         # The median over all ready workers; those without attempts count as 0.
         median = counts[-(ready_count + 1) // 2] if 2 * len(counts) > ready_count else 0
         return sum(min(count, 2 * median + 1) for count in counts)
--- a/packages/policy/src/walnutpost/policy/outlier_detection.py
+++ b/packages/policy/src/walnutpost/policy/outlier_detection.py
@@ -59,7 +59,7 @@
         """Record an answer: its load report, and whether it was a success, an error or "full"."""
         self._record_report(worker, event.report)
         if event.outcome is api.Outcome.FULL:
-            self.record_sample(worker, FULL_ANSWER_SLOWDOWN, 1)
+            self.record_slowdown_sample(worker, FULL_ANSWER_SLOWDOWN, 1)
         elif event.outcome in (api.Outcome.OK, api.Outcome.ERROR):
             self._record_error(worker, request, event.outcome is api.Outcome.ERROR)
 
@@ -69,14 +69,14 @@
         expected_us = max(1.0, float(request.cost_hint_us or self.mean_latency_us))
         latency_ratio = min(MAX_LATENCY_RATIO, latency_us / expected_us)
         self.fleet_latency_ratio += FLEET_SMOOTHING * (latency_ratio - self.fleet_latency_ratio)
-        self.record_sample(worker, latency_ratio / self.fleet_latency_ratio, 1)
+        self.record_slowdown_sample(worker, latency_ratio / self.fleet_latency_ratio, 1)
 
-    def record_sample(self, worker: Worker, relative_slowdown: float, weight: float) -> None:
+    def record_slowdown_sample(self, worker: Worker, relative_slowdown: float, weight: float) -> None:
         """Add a slowdown sample; a `relative_slowdown` of 1 is the mean of the fleet."""
         worker.sample_weights.add(self._context.now_us, weight)
         worker.slowdown_samples.add(self._context.now_us, weight * relative_slowdown)
 
-    def slowness(self, worker: Worker) -> float:
+    def relative_slowdown(self, worker: Worker) -> float:
         """Return the worker's relative slowdown: the weighted mean of its samples, 1 for the fleet's mean."""
         now_us = self._context.now_us
         slowdowns = PRIOR_SAMPLES + worker.slowdown_samples.decayed_count(now_us)
@@ -105,7 +105,7 @@
         expected_in_flight = self._endpoints.total_in_flight * worker.weight / self._endpoints.total_weight
         return (
             worker.in_flight > OVERLOADED_IN_FLIGHT_RATIO * expected_in_flight + OVERLOADED_IN_FLIGHT_MARGIN
-            or self.slowness(worker) > OVERLOADED_SLOWDOWN
+            or self.relative_slowdown(worker) > OVERLOADED_SLOWDOWN
             or self.is_suspected(worker)
         )
 
@@ -120,7 +120,7 @@
         slowdown = 1 / (1 + 1 / MAX_BUSY_SLOWDOWN - min(1.0, busy))
         self.fleet_busy_slowdown += FLEET_SMOOTHING * (slowdown - self.fleet_busy_slowdown)
         weight = BUSY_SAMPLE_WEIGHT * self._context.other_front_ends_ratio**3
-        self.record_sample(worker, slowdown / self.fleet_busy_slowdown, weight)
+        self.record_slowdown_sample(worker, slowdown / self.fleet_busy_slowdown, weight)
 
     def _record_error(self, worker: Worker, request: Request, is_error: bool) -> None:
         """Record whether the answer was an error.
--- a/packages/policy/src/walnutpost/policy/scaling.py
+++ b/packages/policy/src/walnutpost/policy/scaling.py
@@ -52,7 +52,7 @@
         candidates = [
             w
             for w in self._endpoints.hash_order(function)
-            if w.silent_since_us is None and not self._orders.is_overdue(function, w)
+            if w.unresponsive_since_us is None and not self._orders.is_overdue(function, w)
         ]
         excluded = {*function.copies, *function.pending_orders_us}
         excluded.update(key for key, until_us in function.load_backoff_until_us.items() if until_us > now_us)
--- a/packages/policy/src/walnutpost/policy/slow_start.py
+++ b/packages/policy/src/walnutpost/policy/slow_start.py
@@ -9,7 +9,7 @@
 # An irrational step (1 over the plastic number: Roberts 2018, quasirandom sequences) spreads the rounding
 # thresholds evenly over time and over the front ends.
 ROUNDING_PHASE_STEP = 0.7548776662
-TURN_WINDOWS = 2  # windows for which a rounding threshold stays in effect
+ROUNDING_THRESHOLD_WINDOWS = 2  # windows for which a rounding threshold stays in effect
 
 
 class SlowStart:
@@ -27,8 +27,9 @@
         self._traffic = traffic
         self._guards = context.settings.guards
         self._index = context.settings.index
-        # A send may begin on the worker up to `grace_us` later (`Send.begin_within_us`), so it counts longer.
-        self._send_history_us = self._guards.overload_window_us + context.grace_us
+        # A send may begin on the worker up to `probe_timeout_us` later (`Send.begin_within_us`), so it counts
+        # longer.
+        self._send_history_us = self._guards.overload_window_us + context.probe_timeout_us
 
     def is_warming_up(self, worker: Worker) -> bool:
         """Return whether the worker started recently or was unresponsive for long until recently."""
@@ -49,7 +50,7 @@
             sends_us.popleft()
         if not self.is_warming_up(worker):
             return True
-        phase = now_us / (TURN_WINDOWS * self._guards.overload_window_us)
+        phase = now_us / (ROUNDING_THRESHOLD_WINDOWS * self._guards.overload_window_us)
         phase += (self._index + worker.info.id) * ROUNDING_PHASE_STEP
         rounding_threshold = phase // 1 * ROUNDING_PHASE_STEP % 1
         return len(sends_us) + rounding_threshold < self._budget(worker)
--- a/packages/policy/src/walnutpost/policy/warm_copies.py
+++ b/packages/policy/src/walnutpost/policy/warm_copies.py
@@ -45,7 +45,7 @@
         for key in expired:
             del copies[key]
         workers = map(self._endpoints.workers.__getitem__, copies)
-        return [w for w in workers if w.is_ready and w.silent_since_us is None]
+        return [w for w in workers if w.is_ready and w.unresponsive_since_us is None]
 
     def exceeds_concurrency(self, function: Function, worker: Worker) -> bool:
         """Return whether the worker's copies have no free slot or the worker is overloaded."""
--- a/packages/policy/src/walnutpost/policy/workers.py
+++ b/packages/policy/src/walnutpost/policy/workers.py
@@ -22,7 +22,7 @@
     in_flight: int = 0  # attempts of this front end only
     last_heard_us: int = 0
     probe_sent_us: int | None = None  # first probe since its last answer
-    silent_since_us: int | None = None  # not None while it counts as unresponsive
+    unresponsive_since_us: int | None = None  # not None while it counts as unresponsive
     first_unanswered_order_us: int = 0  # first order or probe since its last answer; 0 if none
     unresolved_orders_us: list[int] = field(default_factory=list)  # end of orders that may still arrive
     error_ratio: float = 0.0  # moving average over its answers
--- a/packages/policy/tests/test_defences.py
+++ b/packages/policy/tests/test_defences.py
@@ -105,7 +105,7 @@
         harness.ask(class_index=1)
     assert {probe.worker for probe in copy_probes(harness.pass_time(SECOND, step_us=4_000))} == {1, 2, 3, 4}
     workers = harness.router.endpoints.workers.values()
-    assert len([w for w in workers if w.silent_since_us is not None]) == 2
+    assert len([w for w in workers if w.unresponsive_since_us is not None]) == 2
 
 
 def test_silent_worker_that_answers_again_gets_requests() -> None:
@@ -443,10 +443,10 @@
     slow = harness.router.endpoints.workers[1]
     for _ in range(5):
         harness.router.context.now_us = harness.now
-        harness.router.outliers.record_sample(slow, 4.0, 1)
-    assert harness.router.outliers.slowness(slow) > 3
+        harness.router.outliers.record_slowdown_sample(slow, 4.0, 1)
+    assert harness.router.outliers.relative_slowdown(slow) > 3
     harness.router.context.now_us += 3 * KEEP_ALIVE_US
-    assert harness.router.outliers.slowness(slow) == 1.0
+    assert harness.router.outliers.relative_slowdown(slow) == 1.0
 
 
 def test_copies_that_other_front_ends_use_are_not_refreshed_by_orders() -> None:
@@ -556,7 +556,7 @@
     )
     harness.warm(1, 2)
     harness.ask()
-    assert send_validity_us(harness) == harness.router.context.grace_us, (
+    assert send_validity_us(harness) == harness.router.context.probe_timeout_us, (
         "the slow-start budget counts a send for that long beyond its window"
     )
 
@@ -566,7 +566,7 @@
     harness.ask()
     order = of(api.LoadOrder, harness.actions)[0]
     harness.feed(api.LoadOrderEnded(order.worker, 7, Outcome.MOOT, 100_000, 0))
-    assert harness.router.endpoints.workers[order.worker].silent_since_us is None
+    assert harness.router.endpoints.workers[order.worker].unresponsive_since_us is None
     assert not of(api.Log, harness.all)
 
 
--- a/packages/policy/tests/test_load_order_limit.py
+++ b/packages/policy/tests/test_load_order_limit.py
@@ -8,7 +8,7 @@
 import pytest
 
 from walnutpost import interface as api
-from walnutpost.policy.load_balancing import ATTEMPTS_FOR_COPIES
+from walnutpost.policy.load_balancing import RESERVED_COPY_ATTEMPTS
 from walnutpost.policy.load_order_limit import (
     BUDGET_FRACTION_OVERFLOW,
     BUDGET_FRACTION_QUEUED,
@@ -186,7 +186,7 @@
         now_us = START_US + round_number * (WINDOW_US + 1)
         assert reserve_all(limit, now_us) == 2
         limit.settle(now_us, 2)
-        assert len(limit._arrivals_us) <= 2
+        assert len(limit._order_arrivals_us) <= 2
 
 
 # --- Use by the router ------------------------------------------------------------------------------------
@@ -314,7 +314,7 @@
 
     Queued requests are then not sent to other workers while no load order is available.
     """
-    return replace(settings, limits=replace(settings.limits, max_attempts=ATTEMPTS_FOR_COPIES))
+    return replace(settings, limits=replace(settings.limits, max_attempts=RESERVED_COPY_ATTEMPTS))
 
 
 def unresolved_order(outcome: Outcome) -> tuple[LimitedRouterRig, api.LoadOrder]:
@@ -332,7 +332,7 @@
     It counts as arriving at the end of the grace period, and for one window after that.
     """
     assert rig.open_orders == 0
-    rig.now += WINDOW_US + rig.router.context.grace_us
+    rig.now += WINDOW_US + rig.router.context.probe_timeout_us
     assert not rig.order_new_functions(1)
     rig.now += 1
     assert rig.order_new_functions(1)
@@ -413,7 +413,7 @@
     rig.now += 1
     for send in sends:
         rig.attempt_ended(send.request, 0, send.worker)
-    rig.now += WINDOW_US + 2 * rig.router.context.grace_us
+    rig.now += WINDOW_US + 2 * rig.router.context.probe_timeout_us
     arrived = len(unresolved) + len(rig.order_new_functions(30))  # the network partition heals now
     breaches = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW_US), "front", [rig.now] * arrived, [])
     assert not breaches, describe_breaches(breaches)
--- a/packages/policy/tests/test_load_order_limit_properties.py
+++ b/packages/policy/tests/test_load_order_limit_properties.py
@@ -690,10 +690,10 @@
 class RouterCountingOrdersByDecision(Router):
     def __init__(self, router_settings: api.Settings, seed: int) -> None:
         super().__init__(router_settings, seed)
-        self.load_orders.limit = LimitByDecisionTime(router_settings, self.context.grace_us)
+        self.load_orders.limit = LimitByDecisionTime(router_settings, self.context.probe_timeout_us)
 
     def handle(self, now: int, event: api.Event) -> list[api.Action]:
-        grace_us = self.context.grace_us
+        grace_us = self.context.probe_timeout_us
         return [
             replace(action, begin_within_us=grace_us)
             if isinstance(action, api.LoadOrder) and action.copies
@@ -722,7 +722,7 @@
 class FaultyRouter(RouterCountingRequestsAsRead, RouterCountingOrdersByDecision):
     def __init__(self, router_settings: api.Settings, seed: int) -> None:
         super().__init__(router_settings, seed)
-        self.load_orders.limit = FaultyLimit(router_settings, self.context.grace_us)
+        self.load_orders.limit = FaultyLimit(router_settings, self.context.probe_timeout_us)
 
 
 @pytest.mark.parametrize(
--- a/packages/policy/tests/test_slow_start_fleet.py
+++ b/packages/policy/tests/test_slow_start_fleet.py
@@ -335,7 +335,7 @@
     assert max(loads) * allowed <= overload_threshold(allowed)
     assert (
         sum(loads) / len(loads)
-        <= (1 + 1 / slow_start.TURN_WINDOWS) * slow_start.SLOW_START_SAFETY_FACTOR
+        <= (1 + 1 / slow_start.ROUNDING_THRESHOLD_WINDOWS) * slow_start.SLOW_START_SAFETY_FACTOR
         <= 0.95
     )
 
@@ -349,7 +349,7 @@
         rig.attempt_ended(rig.ask(), 0, 1)
     silent_worker = rig.router.endpoints.workers[2]
     rig.router.context.now_us = rig.now
-    silent_worker.silent_since_us = rig.now
+    silent_worker.unresponsive_since_us = rig.now
     silent_worker.recent_sends_us.extend([rig.now] * 60)
     rig.now += SECOND + 1
     rig.load_ended(2)
