--- a/benchmarks/library.py
+++ b/benchmarks/library.py
@@ -24,12 +24,12 @@
     WorkersListed,
 )
 from walnutpost.interface import ListKind, Outcome, Warmth
-from walnutpost.testsupport.policy.harness import SAFE
+from walnutpost.testsupport.policy.harness import SAFE_CLASS
 from walnutpost.testsupport.policy.harness import SETTINGS as BASE
 
 SECOND = 1_000_000
 CALLS, GAP = 10_000, 400  # microseconds between two calls
-SETTINGS = replace(BASE, classes=(replace(SAFE, deadline_us=5 * SECOND // 2),), report_fields=("busy",))
+SETTINGS = replace(BASE, classes=(replace(SAFE_CLASS, deadline_us=5 * SECOND // 2),), report_fields=("busy",))
 CATALOGUE = Catalogue({"price": Function("price", 0, 100.0, 512.0)})
 
 
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -38,12 +38,12 @@
 from walnutpost.gateway.catalogue import NumberedNames, number_of
 from walnutpost.gateway.recent_outcomes import ENTRY_BYTES, RecentOutcomes
 from walnutpost.interface import Effect, ListKind, Outcome, RequestArrived
-from walnutpost.testsupport.policy.harness import SAFE, SECOND, SETTINGS, UNSAFE
+from walnutpost.testsupport.policy.harness import SAFE_CLASS, SECOND, SETTINGS, UNSAFE_CLASS
 
 CATALOGUE = Catalogue(
     {"price": Function("price", 0, 300.0, 2.0), "reserve": Function("reserve", 1, 300.0, 1.0)}
 )
-GATEWAY_SETTINGS = replace(SETTINGS, classes=(SAFE, UNSAFE))
+GATEWAY_SETTINGS = replace(SETTINGS, classes=(SAFE_CLASS, UNSAFE_CLASS))
 
 
 class GatewayHarness:
--- a/packages/policy/src/walnutpost/policy/load_order_limit.py
+++ b/packages/policy/src/walnutpost/policy/load_order_limit.py
@@ -26,9 +26,8 @@
         self._settings = settings
         self._guards = settings.guards
         self.open_orders = 0
-        self._order_arrivals_us: list[
-            int
-        ] = []  # latest possible arrivals of settled orders in the window; sorted
+        # Latest possible arrivals of settled orders in the window; sorted.
+        self._order_arrivals_us: list[int] = []
         self.request_arrivals_us: list[int] = []  # earliest possible arrivals in the window; sorted
 
     def begin(self, now_us: int) -> None:
--- a/packages/policy/tests/test_load_order_limit.py
+++ b/packages/policy/tests/test_load_order_limit.py
@@ -16,7 +16,7 @@
     LoadOrderLimit,
 )
 from walnutpost.testsupport.node.ration_checker import Ration, RationLog, breaches_of, describe_breaches
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, orders, worker
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, RouterHarness, listed_worker, load_orders
 
 Outcome = api.Outcome
 WINDOW_US = 2 * SECOND
@@ -192,7 +192,7 @@
 # --- Use by the router ------------------------------------------------------------------------------------
 
 
-class LimitedRouterRig(Rig):
+class LimitedRouterRig(RouterHarness):
     """A rig whose router has a load-order limit and, by default, is past its first window.
 
     The results of its load orders carry the number of copies that were ordered.
@@ -201,25 +201,35 @@
     def __init__(self, settings: api.Settings | None = None, workers: int = 8, in_first_window: bool = False):
         super().__init__(workers=workers, settings=settings or rationed())
         if not in_first_window:
-            self.now += WINDOW_US + 1
+            self.now_us += WINDOW_US + 1
         self.function = 100
 
     def request_new_function(self, waited_us: int = 0) -> int:
         """Feed a request for a function that has had no request yet; return its number."""
         self.function += 1
-        self._next += 1
+        self._last_request_id += 1
         event = api.RequestArrived(
-            self._next, 0, 0, self.function, 3 * SECOND, None, 300.0, 2, SECOND // 2, False, waited_us
+            self._last_request_id,
+            0,
+            0,
+            self.function,
+            3 * SECOND,
+            None,
+            300.0,
+            2,
+            SECOND // 2,
+            False,
+            waited_us,
         )
         self.feed(event)
-        return self._next
+        return self._last_request_id
 
     def order_new_functions(self, requests: int = 10, waited_us: int = 0) -> list[api.LoadOrder]:
         """Request that many new functions; return the load orders that the router sends for them."""
         sent: list[api.LoadOrder] = []
         for _ in range(requests):
             self.request_new_function(waited_us)
-            sent += orders(self.actions)
+            sent += load_orders(self.last_actions)
         return sent
 
     def order_ended(self, order: api.LoadOrder, outcome: Outcome = Outcome.OK) -> list[api.Action]:
@@ -240,9 +250,9 @@
 def test_the_router_sends_no_orders_in_its_first_window_and_the_free_ones_after_it() -> None:
     rig = LimitedRouterRig(in_first_window=True)
     assert not rig.order_new_functions()
-    rig.now += WINDOW_US
+    rig.now_us += WINDOW_US
     assert not rig.order_new_functions()
-    rig.now += 1
+    rig.now_us += 1
     assert len(rig.order_new_functions()) == 2
 
 
@@ -257,13 +267,13 @@
     settings = replace(rationed(orders_per_request=1.0), loads_on_miss=True)
     rig = LimitedRouterRig(settings, in_first_window=True)
     first_request = rig.request_new_function()
-    sent = [a for a in rig.actions if isinstance(a, api.Send)]
+    sent = [a for a in rig.last_actions if isinstance(a, api.Send)]
     assert len(sent) == 1, "no order is available, so the request is sent and the worker loads the copy"
-    rig.now += 1
+    rig.now_us += 1
     rig.feed(api.RequestArrived(999, 0, 0, 1, 3 * SECOND, None, 300.0, 2, SECOND // 2, False))
-    second_send = next(a for a in rig.actions if isinstance(a, api.Send))
-    rig.attempt_ended(first_request, 0, sent[0].worker)
-    rig.attempt_ended(999, 0, second_send.worker)
+    second_send = next(a for a in rig.last_actions if isinstance(a, api.Send))
+    rig.end_attempt(first_request, 0, sent[0].worker)
+    rig.end_attempt(999, 0, second_send.worker)
     assert len(rig.order_new_functions()) == 1, (
         "a request exactly at the start is as old as the orders charged there and allows none"
     )
@@ -272,7 +282,7 @@
 def test_unanswered_orders_stay_reserved_beyond_the_window() -> None:
     rig = LimitedRouterRig()
     assert len(rig.order_new_functions()) == 2
-    rig.now += 10 * WINDOW_US
+    rig.now_us += 10 * WINDOW_US
     assert not rig.order_new_functions()
     assert rig.open_orders == 2
 
@@ -284,9 +294,9 @@
 ) -> None:
     rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
     (order,) = rig.order_new_functions()
-    rig.now += 3 * WINDOW_US
+    rig.now_us += 3 * WINDOW_US
     rig.order_ended(order, outcome)
-    rig.now += age_us
+    rig.now_us += age_us
     assert bool(rig.order_new_functions(1)) is is_available
 
 
@@ -294,7 +304,7 @@
 def test_the_router_releases_an_order_that_was_never_sent(outcome: Outcome) -> None:
     rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
     (order,) = rig.order_new_functions()
-    new_orders = orders(rig.order_ended(order, outcome)) + rig.order_new_functions()
+    new_orders = load_orders(rig.order_ended(order, outcome)) + rig.order_new_functions()
     assert len(new_orders) == 1
     assert rig.open_orders == 1
 
@@ -303,8 +313,8 @@
 def test_an_order_that_ends_without_an_answer_stays_reserved(outcome: Outcome) -> None:
     rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
     (order,) = rig.order_new_functions()
-    assert not orders(rig.order_ended(order, outcome))
-    rig.now += 20 * WINDOW_US
+    assert not load_orders(rig.order_ended(order, outcome))
+    rig.now_us += 20 * WINDOW_US
     assert not rig.order_new_functions()
     assert rig.open_orders == 1
 
@@ -322,7 +332,7 @@
     rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
     (order,) = rig.order_new_functions()
     rig.order_ended(order, outcome)
-    rig.now += 3 * WINDOW_US
+    rig.now_us += 3 * WINDOW_US
     return rig, order
 
 
@@ -332,9 +342,9 @@
     It counts as arriving at the end of the grace period, and for one window after that.
     """
     assert rig.open_orders == 0
-    rig.now += WINDOW_US + rig.router.context.probe_timeout_us
+    rig.now_us += WINDOW_US + rig.router.context.probe_timeout_us
     assert not rig.order_new_functions(1)
-    rig.now += 1
+    rig.now_us += 1
     assert rig.order_new_functions(1)
 
 
@@ -353,7 +363,7 @@
     rig, order = unresolved_order(outcome)
     other_worker = order.worker % 8 + 1
     rig.feed(api.LoadOrderEnded(other_worker, order.function, Outcome.OK, 1_000, 0))
-    rig.now += 2 * WINDOW_US
+    rig.now_us += 2 * WINDOW_US
     assert rig.open_orders == 1
     assert not rig.order_new_functions(1)
 
@@ -361,15 +371,15 @@
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_an_unresolved_order_settles_when_its_worker_is_gone(outcome: Outcome) -> None:
     rig, order = unresolved_order(outcome)
-    rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.GONE))
+    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.GONE))
     assert_order_settles(rig)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_an_unresolved_order_stays_reserved_while_its_worker_drains(outcome: Outcome) -> None:
     rig, order = unresolved_order(outcome)
-    rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.DRAINING))
-    rig.now += 2 * WINDOW_US
+    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.DRAINING))
+    rig.now_us += 2 * WINDOW_US
     assert rig.open_orders == 1
     assert not rig.order_new_functions(1)
 
@@ -377,7 +387,7 @@
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_an_unresolved_order_settles_when_its_worker_restarts(outcome: Outcome) -> None:
     rig, order = unresolved_order(outcome)
-    rig.list_workers(api.ListKind.DELTA, worker(order.worker, started=rig.now))
+    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, started_at_us=rig.now_us))
     assert_order_settles(rig)
 
 
@@ -389,8 +399,8 @@
     rig = LimitedRouterRig(rationed(free_orders=6.0, orders_per_request=0.0), in_first_window=True)
     for _ in range(30):
         rig.request_new_function()
-    sends = [action for action in rig.all if isinstance(action, api.Send)]
-    rig.now += WINDOW_US + 1
+    sends = [action for action in rig.all_actions if isinstance(action, api.Send)]
+    rig.now_us += WINDOW_US + 1
     unresolved = rig.order_new_functions(30)
     for order in unresolved:
         rig.order_ended(order, Outcome.RESET)
@@ -402,20 +412,20 @@
 def test_an_unresolved_order_stays_reserved_when_its_worker_answers_an_earlier_attempt() -> None:
     """The answer may have left the worker before the network partition that delays the order."""
     rig, sends, unresolved = attempts_before_unresolved_orders()
-    rig.now += 1
+    rig.now_us += 1
     for send in sends:
-        rig.attempt_ended(send.request, 0, send.worker)
+        rig.end_attempt(send.request, 0, send.worker)
     assert rig.open_orders == len(unresolved)
 
 
 def test_unresolved_and_later_orders_that_arrive_together_stay_within_the_limit() -> None:
     rig, sends, unresolved = attempts_before_unresolved_orders()
-    rig.now += 1
+    rig.now_us += 1
     for send in sends:
-        rig.attempt_ended(send.request, 0, send.worker)
-    rig.now += WINDOW_US + 2 * rig.router.context.probe_timeout_us
+        rig.end_attempt(send.request, 0, send.worker)
+    rig.now_us += WINDOW_US + 2 * rig.router.context.probe_timeout_us
     arrived = len(unresolved) + len(rig.order_new_functions(30))  # the network partition heals now
-    breaches = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW_US), "front", [rig.now] * arrived, [])
+    breaches = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW_US), "front", [rig.now_us] * arrived, [])
     assert not breaches, describe_breaches(breaches)
 
 
@@ -425,13 +435,13 @@
 ) -> None:
     """The worker list reports the restart late; the order is on its way to the new process."""
     rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
-    restarted_us = rig.now
-    rig.now += SECOND // 10
+    restarted_us = rig.now_us
+    rig.now_us += SECOND // 10
     (order,) = rig.order_new_functions()
-    rig.now += SECOND // 10
+    rig.now_us += SECOND // 10
     rig.order_ended(order, outcome)
-    rig.now += SECOND // 10
-    rig.list_workers(api.ListKind.DELTA, worker(order.worker, started=restarted_us))
+    rig.now_us += SECOND // 10
+    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, started_at_us=restarted_us))
     assert rig.open_orders == 1
 
 
@@ -446,7 +456,7 @@
 def test_an_order_to_a_worker_that_has_left_settles_when_it_ends() -> None:
     rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
     (order,) = rig.order_new_functions()
-    rig.list_workers(api.ListKind.DELTA, worker(order.worker, api.WorkerState.GONE))
+    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.GONE))
     assert rig.open_orders == 1
     rig.order_ended(order, Outcome.RESET)
     assert rig.open_orders == 0
@@ -462,7 +472,7 @@
 def test_a_worker_with_an_overdue_order_gets_no_further_orders_but_others_do() -> None:
     rig = LimitedRouterRig(rationed(free_orders=50.0, orders_per_request=0.0))
     silent_worker = rig.order_new_functions(1)[0].worker
-    rig.now += 4 * SECOND  # the usual load time is half a second
+    rig.now_us += 4 * SECOND  # the usual load time is half a second
     later = rig.order_new_functions(40)
     assert later
     assert silent_worker not in {order.worker for order in later}
@@ -471,7 +481,7 @@
 def test_a_worker_that_answers_after_an_overdue_order_gets_further_orders() -> None:
     rig = LimitedRouterRig(rationed(free_orders=50.0, orders_per_request=0.0))
     (first,) = rig.order_new_functions(1)
-    rig.now += 4 * SECOND
+    rig.now_us += 4 * SECOND
     rig.feed(api.LoadOrderEnded(first.worker, first.function, Outcome.OK, 1_000, 0))
     assert first.worker in {order.worker for order in rig.order_new_functions(40)}
 
@@ -483,7 +493,7 @@
     """Return a router, its only request, and the worker at which that request is in flight."""
     rig = LimitedRouterRig(rationed(free_orders=2.0, orders_per_request=0.5))
     request = rig.request_new_function(waited_us)
-    (order,) = orders(rig.actions)
+    (order,) = load_orders(rig.last_actions)
     sent = [a for a in rig.order_ended(order) if isinstance(a, api.Send)]
     return rig, request, sent[0].worker
 
@@ -491,17 +501,17 @@
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.FULL, Outcome.MISS])
 def test_a_request_counts_from_its_arrival_after_a_worker_proves_it_genuine(outcome: Outcome) -> None:
     rig, request, worker_id = request_in_flight()
-    arrived_us = rig.now
+    arrived_us = rig.now_us
     assert rig.counted_requests_us == []
-    rig.now += SECOND
-    rig.attempt_ended(request, 0, worker_id, outcome)
+    rig.now_us += SECOND
+    rig.end_attempt(request, 0, worker_id, outcome)
     assert rig.counted_requests_us == [arrived_us]
 
 
 def test_a_request_that_waited_counts_from_its_earliest_possible_arrival() -> None:
     rig, request, worker_id = request_in_flight(waited_us=300_000)
-    rig.attempt_ended(request, 0, worker_id)
-    assert rig.counted_requests_us == [rig.now - 300_000]
+    rig.end_attempt(request, 0, worker_id)
+    assert rig.counted_requests_us == [rig.now_us - 300_000]
 
 
 @pytest.mark.parametrize(
@@ -510,21 +520,21 @@
 )
 def test_a_request_that_no_worker_proves_genuine_does_not_count(outcome: Outcome) -> None:
     rig, request, worker_id = request_in_flight()
-    rig.attempt_ended(request, 0, worker_id, outcome)
+    rig.end_attempt(request, 0, worker_id, outcome)
     assert rig.counted_requests_us == []
 
 
 def test_a_request_that_workers_answer_repeatedly_counts_once() -> None:
     rig, request, worker_id = request_in_flight()
-    arrived_us = rig.now
+    arrived_us = rig.now_us
     attempt = 0
     for _ in range(6):
-        actions = rig.attempt_ended(request, attempt, worker_id, Outcome.FULL)
+        actions = rig.end_attempt(request, attempt, worker_id, Outcome.FULL)
         retries = [a for a in actions if isinstance(a, api.Send) and a.request == request]
         if retries:
             attempt, worker_id = attempt + 1, retries[0].worker
         else:
-            for order in orders(actions):
+            for order in load_orders(actions):
                 for sent in (a for a in rig.order_ended(order) if isinstance(a, api.Send)):
                     attempt, worker_id = attempt + 1, sent.worker
     assert attempt > 0
@@ -534,27 +544,27 @@
 def test_a_cancelled_request_does_not_count() -> None:
     rig = LimitedRouterRig()
     rig.feed(api.RequestCancelled(rig.request_new_function()))
-    rig.pass_time(5 * SECOND)
+    rig.advance_time(5 * SECOND)
     assert rig.counted_requests_us == []
 
 
 def test_a_request_cancelled_in_flight_does_not_count_when_its_attempt_is_cancelled() -> None:
     rig, request, worker_id = request_in_flight()
     rig.feed(api.RequestCancelled(request))
-    rig.attempt_ended(request, 0, worker_id, Outcome.CANCELLED)
+    rig.end_attempt(request, 0, worker_id, Outcome.CANCELLED)
     assert rig.counted_requests_us == []
 
 
 def test_a_cancelled_request_does_not_count_when_an_answer_crosses_the_cancellation() -> None:
     rig, request, worker_id = request_in_flight()
     rig.feed(api.RequestCancelled(request))
-    rig.attempt_ended(request, 0, worker_id, Outcome.OK)
+    rig.end_attempt(request, 0, worker_id, Outcome.OK)
     assert rig.counted_requests_us == []
 
 
 def test_an_answered_request_still_counts_after_it_is_cancelled() -> None:
     rig, request, worker_id = request_in_flight()
-    rig.attempt_ended(request, 0, worker_id)
+    rig.end_attempt(request, 0, worker_id)
     assert len(rig.counted_requests_us) == 1
     rig.feed(api.RequestCancelled(request))
     assert len(rig.counted_requests_us) == 1
@@ -563,24 +573,24 @@
 def test_a_request_that_is_never_answered_does_not_count() -> None:
     rig = LimitedRouterRig(rationed(free_orders=0.0))
     rig.request_new_function()
-    rig.pass_time(5 * SECOND)
+    rig.advance_time(5 * SECOND)
     assert rig.counted_requests_us == []
 
 
 def test_every_request_counts_on_arrival_on_an_ideal_network() -> None:
     rig = LimitedRouterRig(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
     rig.request_new_function()
-    assert rig.counted_requests_us == [rig.now]
+    assert rig.counted_requests_us == [rig.now_us]
 
 
 def test_memory_does_not_grow_with_answered_requests() -> None:
     rig, request, worker_id = request_in_flight()
     for _ in range(300):
-        rig.attempt_ended(request, 0, worker_id)
-        rig.now += SECOND
-        request = rig.ask(function=rig.function)
-        sent = [a for a in rig.actions if isinstance(a, api.Send) and a.request == request]
-        for order in orders(rig.actions):
+        rig.end_attempt(request, 0, worker_id)
+        rig.now_us += SECOND
+        request = rig.send_request(function=rig.function)
+        sent = [a for a in rig.last_actions if isinstance(a, api.Send) and a.request == request]
+        for order in load_orders(rig.last_actions):
             rig.order_ended(order)
         worker_id = sent[0].worker
     assert 1 <= len(rig.counted_requests_us) <= WINDOW_US // SECOND + 1
@@ -605,7 +615,7 @@
     open_orders: list[api.LoadOrder] = []
     order_count, started_us = 0, dict.fromkeys(range(1, 7), 0)
     for _ in range(1_500):
-        rig.now += random.randrange(SECOND // 4)
+        rig.now_us += random.randrange(SECOND // 4)
         choice = random.random()
         if choice < 0.6 or not open_orders:
             rig.request_new_function()
@@ -615,20 +625,20 @@
             )
         else:
             worker_id, state = random.randint(1, 6), random.choice(list(api.WorkerState))
-            started_us[worker_id] = max(started_us[worker_id], rig.now * random.randint(0, 1))
-            rig.list_workers(api.ListKind.DELTA, worker(worker_id, state, started_us[worker_id]))
-        open_orders += orders(rig.actions)
-        order_count += len(orders(rig.actions))
+            started_us[worker_id] = max(started_us[worker_id], rig.now_us * random.randint(0, 1))
+            rig.send_worker_list(api.ListKind.DELTA, listed_worker(worker_id, state, started_us[worker_id]))
+        open_orders += load_orders(rig.last_actions)
+        order_count += len(load_orders(rig.last_actions))
         assert rig.open_orders >= len(open_orders)
     while open_orders:
         rig.order_ended(open_orders.pop(), random.choice(ORDER_OUTCOMES))
-        open_orders += orders(rig.actions)
+        open_orders += load_orders(rig.last_actions)
     unresolved = sum(len(w.unresolved_orders_us) for w in rig.router.endpoints.workers.values())
     assert order_count > 50
     assert rig.open_orders == unresolved
     for worker_id in range(1, 7):
         rig.feed(api.LoadOrderEnded(worker_id, 1, Outcome.OK, 1_000, 0))
-    while new_orders := orders(rig.pass_time(SECOND)):
+    while new_orders := load_orders(rig.advance_time(SECOND)):
         for order in new_orders:
             rig.order_ended(order)
     assert rig.open_orders == 0
--- a/packages/policy/tests/test_load_order_limit_properties.py
+++ b/packages/policy/tests/test_load_order_limit_properties.py
@@ -18,7 +18,7 @@
 from walnutpost.policy import Router
 from walnutpost.policy.load_order_limit import LoadOrderLimit
 from walnutpost.testsupport.node.ration_checker import Ration, RationLog, describe_breaches
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, worker
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, listed_worker
 
 Outcome = api.Outcome
 WINDOW_US = 2 * SECOND
@@ -216,7 +216,7 @@
 
     def send_worker_list(self) -> None:
         listed = tuple(
-            worker(
+            listed_worker(
                 worker_id,
                 api.WorkerState.DRAINING if connection.draining else api.WorkerState.READY,
                 connection.started_us,
--- a/packages/policy/tests/test_properties.py
+++ b/packages/policy/tests/test_properties.py
@@ -9,7 +9,7 @@
 
 from walnutpost import interface as api
 from walnutpost.policy import hash_rank
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, worker
+from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, RouterHarness, listed_worker
 
 LIMITED_LOAD_ORDERS = replace(
     SETTINGS,
@@ -37,7 +37,7 @@
 
     def __init__(self, site: api.Settings, seed: int) -> None:
         self.site = site
-        self.harness = Rig(workers=4, settings=site, seed=seed)
+        self.harness = RouterHarness(workers=4, settings=site, seed=seed)
         self.open_requests: dict[int, tuple[int, int]] = {}  # unanswered requests: class index and deadline
         self.attempts: dict[int, list[api.Outcome | None]] = {}  # outcomes by request, None in flight
         self.in_flight_attempts: list[tuple[int, int, int]] = []  # request, attempt and worker
@@ -49,7 +49,7 @@
 
     def check(self, actions: list[api.Action]) -> None:
         """Check actions against the rules and record what they start."""
-        now_us = self.harness.now
+        now_us = self.harness.now_us
         for action in actions:
             match action:
                 case api.Send(request_id, worker_id, timeout_us):
@@ -112,12 +112,12 @@
 
     def advance(self, duration_us: int) -> None:
         """Advance the clock and run due timers; each open request must be answered by its deadline."""
-        end_us = self.harness.now + duration_us
+        end_us = self.harness.now_us + duration_us
         while due := [t for t in self.timer_times_us if t <= end_us]:
-            self.harness.now = max(self.harness.now, min(due))
+            self.harness.now_us = max(self.harness.now_us, min(due))
             self.timer_times_us.remove(min(due))
             self.check(self.harness.feed(api.TimerDue(1)))
-        self.harness.now = end_us
+        self.harness.now_us = end_us
         for request_id, (_, deadline_us) in self.open_requests.items():
             assert deadline_us + self.site.guards.answer_slack_us >= end_us, f"request {request_id} was lost"
 
@@ -135,10 +135,10 @@
                 100_000 + (pick * 331) % 2_900_000,
             )
             self.open_requests[request_id], self.attempts[request_id] = (
-                (class_index, self.harness.now + time_left_us),
+                (class_index, self.harness.now_us + time_left_us),
                 [],
             )
-            self.request_times_us.append(self.harness.now)
+            self.request_times_us.append(self.harness.now_us)
             event = api.RequestArrived(
                 request_id, class_index, 0, pick % 5, time_left_us, None, 300.0, 1 + pick % 2, 0, False
             )
@@ -163,8 +163,12 @@
         elif kind == "l":
             worker_id, state = 1 + pick % 4, list(api.WorkerState)[pick % 3]
             self.worker_states[worker_id] = state
-            started_at_us = self.harness.now if pick % 2 else 0
-            self.check(self.harness.list_workers(api.ListKind.DELTA, worker(worker_id, state, started_at_us)))
+            started_at_us = self.harness.now_us if pick % 2 else 0
+            self.check(
+                self.harness.send_worker_list(
+                    api.ListKind.DELTA, listed_worker(worker_id, state, started_at_us)
+                )
+            )
         elif kind == "g" and self.open_requests:
             request_id = list(self.open_requests)[pick % len(self.open_requests)]
             del self.open_requests[request_id]
--- a/packages/policy/tests/test_slow_start.py
+++ b/packages/policy/tests/test_slow_start.py
@@ -14,7 +14,13 @@
 from hypothesis import strategies as st
 
 from walnutpost import interface as api
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, of, worker
+from walnutpost.testsupport.policy.harness import (
+    SECOND,
+    SETTINGS,
+    RouterHarness,
+    actions_of_type,
+    listed_worker,
+)
 
 GUARDS = SETTINGS.guards
 RESTART = 110 * SECOND  # time of the restart of the front ends, in microseconds
@@ -23,49 +29,51 @@
 MAX_SENDS = 400  # ends the loop if a budget has no limit
 
 
-def front_end(index: int, front_end_count: int, started_us: int, cold_since_us: int) -> Rig:
+def front_end(index: int, front_end_count: int, started_us: int, cold_since_us: int) -> RouterHarness:
     """Return a front end with two workers; worker 2 is listed as cold if `cold_since_us` has passed."""
     router_settings = replace(
         SETTINGS, front_ends=front_end_count, index=index, may_order_loads=False, loads_on_miss=True
     )
-    rig = Rig(2, router_settings, now=started_us)
+    rig = RouterHarness(2, router_settings, now_us=started_us)
     if started_us > cold_since_us:
-        rig.list_workers(api.ListKind.DELTA, worker(2, started=cold_since_us))
+        rig.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=cold_since_us))
     return rig
 
 
-def use_up_budget(rig: Rig) -> int:
+def use_up_budget(rig: RouterHarness) -> int:
     """Send as many calls to the cold worker as its budget allows; return their number."""
     cold_worker, sent = rig.router.endpoints.workers[2], 0
     while rig.router.slow_start.has_budget(cold_worker) and sent < MAX_SENDS:
-        cold_worker.recent_sends_us.append(rig.now)
+        cold_worker.recent_sends_us.append(rig.now_us)
         sent += 1
     return sent
 
 
-def serve(rig: Rig, until_us: int, rate: float, rng: Random, sends: list[int] | None = None) -> None:
+def serve(
+    rig: RouterHarness, until_us: int, rate: float, rng: Random, sends: list[int] | None = None
+) -> None:
     """Feed calls at random times until `until_us`; each is answered a tenth of a second after its send.
 
     With `sends`, use up the cold worker's budget at all times and append the times of its sends to the list.
     """
 
     def next_call_us() -> int:
-        return rig.now + 1 + int(rng.expovariate(rate) * SECOND)
+        return rig.now_us + 1 + int(rng.expovariate(rate) * SECOND)
 
     events = [(next_call_us(), 0)]
     while events[0][0] < until_us:
-        rig.now, request = heappop(events)
+        rig.now_us, request = heappop(events)
         if request:
-            rig.attempt_ended(request, 0, rig.router.requests.by_id[request].attempts[0].worker)
+            rig.end_attempt(request, 0, rig.router.requests.by_id[request].attempts[0].worker)
         else:
-            request = rig.ask()
-            if of(api.Send, rig.actions):
-                heappush(events, (rig.now + SECOND // 10, request))
+            request = rig.send_request()
+            if actions_of_type(api.Send, rig.last_actions):
+                heappush(events, (rig.now_us + SECOND // 10, request))
             heappush(events, (next_call_us(), 0))
         if sends is not None:
-            sends += [rig.now for send in of(api.Send, rig.actions) if send.worker == 2]
-            sends += [rig.now] * use_up_budget(rig)
-    rig.now = until_us
+            sends += [rig.now_us for send in actions_of_type(api.Send, rig.last_actions) if send.worker == 2]
+            sends += [rig.now_us] * use_up_budget(rig)
+    rig.now_us = until_us
 
 
 def allowed(age_us: int, rate: float) -> float:
@@ -97,7 +105,7 @@
         rng = Random(seed * FRONT_ENDS + index)
         rig = front_end(index, FRONT_ENDS, RESTART - 3 * SPAN, cold_since)
         serve(rig, cold_since, rate, rng)
-        rig.list_workers(api.ListKind.DELTA, worker(2, started=cold_since))
+        rig.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=cold_since))
         serve(rig, RESTART, rate, rng, sends)
         if index < restarted:
             rig = front_end(index, FRONT_ENDS, RESTART, cold_since)
@@ -121,7 +129,7 @@
         for seed in range(10):
             rig = front_end(0, 1, started_us, RESTART)
             serve(rig, RESTART + GUARDS.overload_window_us + SECOND // 10, 40.0, Random(seed))
-            rig.list_workers(api.ListKind.DELTA, worker(2, started=RESTART))
+            rig.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=RESTART))
             sent += use_up_budget(rig)
         return sent
 
@@ -130,5 +138,5 @@
 
 def test_a_front_end_without_answered_calls_has_no_budget() -> None:
     rig = front_end(0, 1, RESTART, RESTART - 1)
-    rig.now += 3 * SPAN
+    rig.now_us += 3 * SPAN
     assert not rig.router.slow_start.has_budget(rig.router.endpoints.workers[2])
--- a/packages/policy/tests/test_slow_start_fleet.py
+++ b/packages/policy/tests/test_slow_start_fleet.py
@@ -12,7 +12,13 @@
 
 from walnutpost import interface as api
 from walnutpost.policy import slow_start
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, Rig, of, worker
+from walnutpost.testsupport.policy.harness import (
+    SECOND,
+    SETTINGS,
+    RouterHarness,
+    actions_of_type,
+    listed_worker,
+)
 
 WARM_WORKERS = 10
 COLD_WORKER = WARM_WORKERS + 1
@@ -86,7 +92,7 @@
     scenario: Scenario
     now: int = START_US
     arrivals: list[int] = field(default_factory=list)
-    rigs: list[Rig] = field(default_factory=list)
+    rigs: list[RouterHarness] = field(default_factory=list)
     _events: list[tuple[int, int, str, tuple[int, ...]]] = field(default_factory=list)
     free_at_us: dict[int, int] = field(default_factory=dict)
     _event_count: int = 0
@@ -103,7 +109,7 @@
         self.incarnations = [0] * scenario.front_ends
         self.rigs = [self._start_router(index) for index in range(scenario.front_ends)]
 
-    def _start_router(self, index: int) -> Rig:
+    def _start_router(self, index: int) -> RouterHarness:
         scenario = self.scenario
         router_settings = replace(
             SETTINGS,
@@ -114,21 +120,21 @@
             loads_on_miss=True,
             has_weights=True,
         )
-        rig = Rig(0, router_settings, seed=scenario.seed * 1000 + index, now=self.now)
-        rig.list_workers(api.ListKind.CACHED, *(worker(i + 1) for i in range(WARM_WORKERS)))
+        rig = RouterHarness(0, router_settings, seed=scenario.seed * 1000 + index, now_us=self.now)
+        rig.send_worker_list(api.ListKind.CACHED, *(listed_worker(i + 1) for i in range(WARM_WORKERS)))
         if self.now >= self.started_us + scenario.listed_at_us:
             self._list_cold_worker(rig)
         return rig
 
-    def _list_cold_worker(self, rig: Rig) -> None:
+    def _list_cold_worker(self, rig: RouterHarness) -> None:
         """List the cold worker with a copy of the function.
 
         Its weight exceeds that of all others together, so every router prefers it.
         """
-        rig.list_workers(
-            api.ListKind.DELTA, replace(worker(COLD_WORKER, started=self.started_us), weight=1e6)
+        rig.send_worker_list(
+            api.ListKind.DELTA, replace(listed_worker(COLD_WORKER, started_at_us=self.started_us), weight=1e6)
         )
-        rig.load_ended(COLD_WORKER)
+        rig.end_load_order(COLD_WORKER)
 
     def _schedule(self, at_us: float, event: str, *arguments: int) -> None:
         self._event_count += 1
@@ -158,16 +164,16 @@
 
     def _feed_call(self, index: int) -> None:
         rig = self.rigs[index]
-        rig.now = self.now
-        rig.ask(concurrency=1000)
+        rig.now_us = self.now
+        rig.send_request(concurrency=1000)
         self._apply_actions(index)
         for worker_id in rig.router.endpoints.workers.keys() - rig.router.functions.by_key[7].copies.keys():
-            rig.load_ended(worker_id)  # every worker has a copy
+            rig.end_load_order(worker_id)  # every worker has a copy
             self._apply_actions(index)
 
     def _apply_actions(self, index: int) -> None:
         rig, rng = self.rigs[index], self.rng
-        for send in of(api.Send, rig.actions):
+        for send in actions_of_type(api.Send, rig.last_actions):
             attempt = len(rig.router.requests.by_id[send.request].attempts) - 1
             is_slow = rng.random() < SLOW_CONNECT_SHARE
             connected_us = self.now + int(rng.random() * MAX_CONNECT_TIME_S * SECOND * is_slow)
@@ -199,13 +205,13 @@
         if incarnation != self.incarnations[index]:
             return
         rig = self.rigs[index]
-        rig.now = self.now
-        rig.attempt_ended(request, attempt, worker_id, api.Outcome.OK if was_sent else api.Outcome.MOOT)
+        rig.now_us = self.now
+        rig.end_attempt(request, attempt, worker_id, api.Outcome.OK if was_sent else api.Outcome.MOOT)
         self._apply_actions(index)
 
     def _listed(self) -> None:
         for index, rig in enumerate(self.rigs):
-            rig.now = self.now
+            rig.now_us = self.now
             self._list_cold_worker(rig)
             self._apply_actions(index)
 
@@ -308,14 +314,14 @@
     sends = 0
     for index in range(front_ends):
         router_settings = replace(SETTINGS, guards=GUARDS, front_ends=front_ends, index=index)
-        rig = Rig(WARM_WORKERS, router_settings, now=begin_us - 100 * SECOND)
+        rig = RouterHarness(WARM_WORKERS, router_settings, now_us=begin_us - 100 * SECOND)
         answered_us = begin_us - 10.0 * SECOND
         while (
             answered_us := answered_us + rng.expovariate(capacity * WARM_WORKERS / front_ends) * SECOND
         ) < begin_us:
             rig.router.traffic.answers.add(int(answered_us))
-        rig.now = begin_us
-        rig.list_workers(api.ListKind.DELTA, worker(WARM_WORKERS, started=begin_us - age_us))
+        rig.now_us = begin_us
+        rig.send_worker_list(api.ListKind.DELTA, listed_worker(WARM_WORKERS, started_at_us=begin_us - age_us))
         cold_worker = rig.router.endpoints.workers[WARM_WORKERS]
         for step in range(steps):
             rig.router.context.now_us = begin_us + GUARDS.overload_window_us * step // steps
@@ -342,30 +348,30 @@
 
 def test_earlier_sends_still_count_when_a_silent_worker_returns() -> None:
     """They may have arrived since the worker started, or may arrive with new ones when a partition heals."""
-    rig = Rig(2, replace(SETTINGS, guards=replace(GUARDS, overload_window_us=3 * SECOND)))
-    rig.warm(1)
+    rig = RouterHarness(2, replace(SETTINGS, guards=replace(GUARDS, overload_window_us=3 * SECOND)))
+    rig.make_warm(1)
     for _ in range(100):
-        rig.now += SECOND // 10
-        rig.attempt_ended(rig.ask(), 0, 1)
+        rig.now_us += SECOND // 10
+        rig.end_attempt(rig.send_request(), 0, 1)
     silent_worker = rig.router.endpoints.workers[2]
-    rig.router.context.now_us = rig.now
-    silent_worker.unresponsive_since_us = rig.now
-    silent_worker.recent_sends_us.extend([rig.now] * 60)
-    rig.now += SECOND + 1
-    rig.load_ended(2)
+    rig.router.context.now_us = rig.now_us
+    silent_worker.unresponsive_since_us = rig.now_us
+    silent_worker.recent_sends_us.extend([rig.now_us] * 60)
+    rig.now_us += SECOND + 1
+    rig.end_load_order(2)
     assert rig.router.slow_start.is_warming_up(silent_worker)
     assert not rig.router.slow_start.has_budget(silent_worker)
 
 
 def test_a_budget_of_more_than_512_sends_is_limited() -> None:
     """A budget above 512 had no limit while only the last 512 sends were counted."""
-    rig = Rig(2, replace(SETTINGS, guards=GUARDS))
-    for answered_us in range(rig.now, rig.now + 10 * SECOND, 500):
+    rig = RouterHarness(2, replace(SETTINGS, guards=GUARDS))
+    for answered_us in range(rig.now_us, rig.now_us + 10 * SECOND, 500):
         rig.router.traffic.answers.add(answered_us)
-    rig.now += 10 * SECOND
-    rig.list_workers(api.ListKind.DELTA, worker(2, started=rig.now - SECOND))
+    rig.now_us += 10 * SECOND
+    rig.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=rig.now_us - SECOND))
     cold_worker, sent = rig.router.endpoints.workers[2], 0
     while rig.router.slow_start.has_budget(cold_worker) and sent < 3000:
-        cold_worker.recent_sends_us.append(rig.now)
+        cold_worker.recent_sends_us.append(rig.now_us)
         sent += 1
     assert 512 < sent <= allowed_calls(SECOND, 1000.0)
--- a/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
@@ -20,8 +20,8 @@
 from walnutpost import interface as api
 from walnutpost.testsupport.folders import golden_folder
 from walnutpost.testsupport.golden.neutral_values import from_neutral, to_neutral, write_lines
-from walnutpost.testsupport.policy.harness import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
-from walnutpost.testsupport.policy.recorded_day import RecordedDay
+from walnutpost.testsupport.policy.harness import KEYED_CLASS, SAFE_CLASS, SECOND, SETTINGS, UNSAFE_CLASS
+from walnutpost.testsupport.policy.recorded_day import RecordedSimulation
 
 GOLDEN = golden_folder("gateway") / "days"
 START_US = 100 * SECOND
@@ -39,10 +39,10 @@
     for index in range(9)
 )
 SETTINGS_BY_SITE: dict[str, api.Settings] = {
-    "plain": replace(SETTINGS, classes=(SAFE, UNSAFE, KEYED), keep_alive_us=4 * SECOND),
+    "plain": replace(SETTINGS, classes=(SAFE_CLASS, UNSAFE_CLASS, KEYED_CLASS), keep_alive_us=4 * SECOND),
     "rationed": replace(
         SETTINGS,
-        classes=(SAFE, UNSAFE, replace(KEYED, group=api.Group.ALL)),
+        classes=(SAFE_CLASS, UNSAFE_CLASS, replace(KEYED_CLASS, group=api.Group.ALL)),
         tenants=(api.Tenant(0.6, 0.0), api.Tenant(0.4, 0.0)),
         guards=replace(
             SETTINGS.guards,
@@ -85,7 +85,7 @@
     return gw.Gateway(from_neutral(settings), catalogue, seed, OUTCOME_TTL_US, MAX_OUTCOME_BYTES)
 
 
-class GatewayDay(RecordedDay):
+class GatewayDay(RecordedSimulation):
     """A Gateway with simulated callers and workers on virtual time; the seed determines every choice."""
 
     def __init__(self, site: str, seed: int) -> None:
@@ -101,19 +101,19 @@
         self.restarted_at: dict[str, int] = {}
         self.open_attempts: set[tuple[int, int]] = set()
         self.send_endpoint_list(api.ListKind.CACHED)
-        self.at(0, self.send_calls)
-        self.at(SECOND, self.disturb_worker)
+        self.schedule(0, self.send_calls)
+        self.schedule(SECOND, self.disturb_worker)
 
     def feed(self, event: gw.Input) -> None:
         """Pass an input to the Gateway, record it with its effects, and carry out the effects."""
-        effects = self.gateway.handle(self.now, event)
+        effects = self.gateway.handle(self.now_us, event)
         self.record(event, effects)
         for effect in effects:
             self.carry_out(effect)
 
     def feed_later(self, delay: int, event: gw.Input) -> None:
         """Pass an input to the Gateway after `delay` microseconds."""
-        self.at(delay, lambda: self.feed(event))
+        self.schedule(delay, lambda: self.feed(event))
 
     def carry_out(self, effect: gw.Effect) -> None:
         """Carry out an effect as a front end does."""
@@ -121,7 +121,7 @@
             case gw.Send():
                 self.run_attempt(effect)
             case gw.Cancel(call, attempt):
-                self.at(
+                self.schedule(
                     MILLISECOND,
                     lambda: self.end_attempt(gw.AttemptEnded(call, attempt, Outcome.CANCELLED, MILLISECOND)),
                 )
@@ -144,7 +144,7 @@
         draw = self.random.random()
         ended = gw.AttemptEnded(send.call, send.attempt, Outcome.OK, 2 * MILLISECOND, crowd=int(draw * 4))
         copy, warmth = (send.worker, send.function), api.Warmth.WARM
-        if self.silent_until.get(send.worker, 0) > self.now:
+        if self.silent_until.get(send.worker, 0) > self.now_us:
             ended = self.with_outcome(
                 ended, Outcome.TIMEOUT if draw < 0.8 else Outcome.RESET, send.timeout_us
             )
@@ -163,7 +163,7 @@
             latency = int((20 + self.random.expovariate(1 / 80)) * MILLISECOND)
             payload = b"did " + send.payload
             ended = gw.AttemptEnded(send.call, send.attempt, Outcome.OK, latency, payload, False, warmth)
-        self.at(ended.latency_us, lambda: self.end_attempt(ended))
+        self.schedule(ended.latency_us, lambda: self.end_attempt(ended))
 
     @staticmethod
     def with_outcome(ended: gw.AttemptEnded, outcome: Outcome, latency: int) -> gw.AttemptEnded:
@@ -174,7 +174,7 @@
         """Carry out a load order with a random outcome."""
         draw, copy = self.random.random(), (order.worker, order.function)
         outcome, latency, copies = Outcome.OK, 2 * MILLISECOND, int(copy in self.copies)
-        if self.silent_until.get(order.worker, 0) > self.now:
+        if self.silent_until.get(order.worker, 0) > self.now_us:
             outcome, latency = Outcome.TIMEOUT, 3 * SECOND
         elif self.states.get(order.worker) is GONE:
             outcome = Outcome.CONNECT_FAILED
@@ -189,13 +189,13 @@
                 self.copies.add(copy)
             self.feed(ended)
 
-        self.at(latency, end)
+        self.schedule(latency, end)
 
     def send_calls(self) -> None:
         """Send a call and schedule the next; in one of every eight seconds calls are more frequent."""
-        burst = (self.now - START_US) // SECOND % 8 == 5
+        burst = (self.now_us - START_US) // SECOND % 8 == 5
         self.send_call()
-        self.at(int(self.random.expovariate((250 if burst else 35) / SECOND)) + 1, self.send_calls)
+        self.schedule(int(self.random.expovariate((250 if burst else 35) / SECOND)) + 1, self.send_calls)
 
     def send_call(self) -> None:
         """Send a random call; at random, its caller leaves or stops it later."""
@@ -246,9 +246,9 @@
                 self.states[name] = DRAINING
                 self.send_endpoint_list(api.ListKind.DELTA, name)
             case "silent":
-                self.silent_until[name] = self.now + rng.randrange(2 * SECOND)
+                self.silent_until[name] = self.now_us + rng.randrange(2 * SECOND)
             case "restart":
-                self.states[name], self.restarted_at[name] = READY, self.now
+                self.states[name], self.restarted_at[name] = READY, self.now_us
                 self.copies = {copy for copy in self.copies if copy[0] != name}
                 self.send_endpoint_list(api.ListKind.DELTA, name)
             case "evict":
@@ -261,7 +261,7 @@
                 self.send_endpoint_list(api.ListKind.FULL)
             case "ping":
                 self.feed(gw.ProbeEnded(name, rng.choice([Outcome.OK, Outcome.TIMEOUT]), MILLISECOND, ()))
-        self.at(rng.randrange(SECOND // 2), self.disturb_worker)
+        self.schedule(rng.randrange(SECOND // 2), self.disturb_worker)
 
 
 def record_day(site: str, seed: int) -> list[Any]:
--- a/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
@@ -19,8 +19,8 @@
 from walnutpost.policy import Router
 from walnutpost.testsupport.folders import golden_folder
 from walnutpost.testsupport.golden.neutral_values import to_neutral, write_lines
-from walnutpost.testsupport.policy.harness import KEYED, SAFE, SECOND, SETTINGS, UNSAFE
-from walnutpost.testsupport.policy.recorded_day import RecordedDay
+from walnutpost.testsupport.policy.harness import KEYED_CLASS, SAFE_CLASS, SECOND, SETTINGS, UNSAFE_CLASS
+from walnutpost.testsupport.policy.recorded_day import RecordedSimulation
 
 GOLDEN_DIR = golden_folder("policy")
 START_US = 100 * SECOND
@@ -45,15 +45,15 @@
 READY, DRAINING, GONE = api.WorkerState.READY, api.WorkerState.DRAINING, api.WorkerState.GONE
 Outcome = api.Outcome
 
-STREAM_CLASS = replace(SAFE, is_stream=True, priority_weight=0.5, latency_objective_us=SECOND // 2)
-CELL_KEYED_CLASS = replace(KEYED, group=api.Group.CELL, repeat_window_us=SECOND // 2)
+STREAM_CLASS = replace(SAFE_CLASS, is_stream=True, priority_weight=0.5, latency_objective_us=SECOND // 2)
+CELL_KEYED_CLASS = replace(KEYED_CLASS, group=api.Group.CELL, repeat_window_us=SECOND // 2)
 CLASSES = (
-    SAFE,
-    UNSAFE,
-    KEYED,
+    SAFE_CLASS,
+    UNSAFE_CLASS,
+    KEYED_CLASS,
     STREAM_CLASS,
     CELL_KEYED_CLASS,
-    replace(KEYED, group=api.Group.ALL, priority_weight=0.3),
+    replace(KEYED_CLASS, group=api.Group.ALL, priority_weight=0.3),
 )
 LOAD_LIMIT_GUARDS = replace(
     SETTINGS.guards, free_load_orders=4.0, load_orders_per_request=0.25, load_order_window_us=2 * SECOND
@@ -130,7 +130,7 @@
     is_closed: bool = False  # answered, rejected, failed or cancelled
 
 
-class RouterSimulation(RecordedDay):
+class RouterSimulation(RecordedSimulation):
     """Simulates the clients and workers of one Router on virtual time; the seed determines each choice."""
 
     def __init__(self, settings: api.Settings, seed: int, is_low_traffic: bool = False) -> None:
@@ -147,8 +147,8 @@
         for _ in range(8):
             self.add_worker(started=0)
         self.send_worker_list(api.ListKind.CACHED)
-        self.at(0, self.generate_arrivals)
-        self.at(SECOND, self.inject_fleet_event)
+        self.schedule(0, self.generate_arrivals)
+        self.schedule(SECOND, self.inject_fleet_event)
 
     # Events and virtual time
 
@@ -161,7 +161,7 @@
 
     def feed(self, event: api.Event) -> None:
         """Pass an event to the router, record it, and carry out the actions."""
-        actions = self.router.handle(self.now, event)
+        actions = self.router.handle(self.now_us, event)
         self.record(event, actions)
         for action in actions:
             self.carry_out(action)
@@ -169,7 +169,7 @@
     def feed_later(self, delay_us: int, event: api.Event, incarnation: int | None = None) -> None:
         """Feed an event after a delay, unless the front end has restarted since."""
         incarnation = self.incarnation if incarnation is None else incarnation
-        self.at(delay_us, lambda: self.feed(event) if self.incarnation == incarnation else None)
+        self.schedule(delay_us, lambda: self.feed(event) if self.incarnation == incarnation else None)
 
     # Actions of the router
 
@@ -181,13 +181,13 @@
             case api.Reject(request) | api.Fail(request):
                 self.close_request(request)
                 if self.random.random() < 0.3:
-                    self.at(
+                    self.schedule(
                         action.retry_after_us if isinstance(action, api.Reject) else MILLISECOND_US,
                         self.send_repeat,
                     )
             case api.Cancel(request, attempt):
                 incarnation = self.incarnation
-                self.at(
+                self.schedule(
                     MILLISECOND_US,
                     lambda: self.end_attempt(request, attempt, Outcome.CANCELLED, 0)
                     if incarnation == self.incarnation
@@ -199,7 +199,7 @@
                 self.start_load_order(action)
             case api.WatchEndpoints():
                 kind = self.random.choices([api.ListKind.FULL, api.ListKind.FAILED], [4, 1])[0]
-                self.at(20 * MILLISECOND_US, lambda: self.send_worker_list(kind))
+                self.schedule(20 * MILLISECOND_US, lambda: self.send_worker_list(kind))
 
     def close_request(self, request: int) -> None:
         """Mark a request as closed if it belongs to this incarnation."""
@@ -225,14 +225,14 @@
                     request.is_closed = True
                     self.feed(started)
 
-            self.at(latency_us // 2, start)
+            self.schedule(latency_us // 2, start)
 
         def end() -> None:
             worker.in_flight -= 1
             if incarnation == self.incarnation:
                 self.end_attempt(send.request, attempt, outcome, latency_us, warmth)
 
-        self.at(latency_us, end)
+        self.schedule(latency_us, end)
 
     def choose_attempt_result(
         self, request: SyntheticRequest, worker: SyntheticWorker, send: api.Send
@@ -240,7 +240,7 @@
         """Choose the outcome and latency of an attempt, and the warmth that the worker reports."""
         draw, function = self.random.random(), request.event.function
         unreported = api.Warmth.UNREPORTED
-        if worker.silent_until_us > self.now:
+        if worker.silent_until_us > self.now_us:
             if draw < 0.1:
                 return Outcome.RESET, 50 * MILLISECOND_US, unreported
             return Outcome.TIMEOUT, send.timeout_us, unreported
@@ -310,7 +310,7 @@
         """Start a load order or a probe, and schedule its end."""
         worker, draw = self.workers[order.worker], self.random.random()
         latency_us, copies, outcome = 2 * MILLISECOND_US, int(order.function in worker.copies), Outcome.OK
-        if worker.silent_until_us > self.now:
+        if worker.silent_until_us > self.now_us:
             outcome, latency_us = (
                 (Outcome.TIMEOUT, self.settings.load_order_timeout_us)
                 if draw < 0.7
@@ -339,16 +339,16 @@
                     )
                 )
 
-        self.at(latency_us, end)
+        self.schedule(latency_us, end)
 
     # Clients
 
     def generate_arrivals(self) -> None:
         """Send a request and schedule the next; the rate varies, with bursts that overload the fleet."""
-        phase = (self.now - START_US) // SECOND % 12
+        phase = (self.now_us - START_US) // SECOND % 12
         requests_per_s = 25.0 if self.is_low_traffic else {3: 120.0, 7: 400.0, 8: 400.0}.get(phase, 30.0)
         self.send_request()
-        self.at(int(self.random.expovariate(requests_per_s / SECOND)) + 1, self.generate_arrivals)
+        self.schedule(int(self.random.expovariate(requests_per_s / SECOND)) + 1, self.generate_arrivals)
 
     def send_request(self, is_repeat: bool = False) -> None:
         """Send a request of a random class and function; some are cancelled later."""
@@ -383,7 +383,7 @@
         self.feed(event)
         if random.random() < 0.03:
             incarnation = self.incarnation
-            self.at(
+            self.schedule(
                 random.randrange(200 * MILLISECOND_US),
                 lambda: self.cancel_request(event.request) if incarnation == self.incarnation else None,
             )
@@ -427,7 +427,7 @@
     def restart_worker(self, worker: SyntheticWorker) -> None:
         """Restart a worker: it is ready and reachable, and has no copies."""
         worker.copies, worker.refuses_connections, worker.silent_until_us = set(), False, 0
-        self.update_worker(worker, state=READY, started_at=self.now)
+        self.update_worker(worker, state=READY, started_at=self.now_us)
 
     def inject_fleet_event(self) -> None:
         """Inject a random fault or an unusual event, and schedule the next."""
@@ -436,12 +436,12 @@
         match random.choice(FLEET_EVENTS):
             case "drain":
                 self.update_worker(worker, state=DRAINING)
-                self.at(random.randrange(2 * SECOND), lambda: self.restart_worker(worker))
+                self.schedule(random.randrange(2 * SECOND), lambda: self.restart_worker(worker))
             case "silent" if self.is_low_traffic:
                 for silent_worker in random.sample(list(self.workers.values()), len(self.workers) * 3 // 4):
-                    silent_worker.silent_until_us = self.now + random.randrange(SECOND, 3 * SECOND)
+                    silent_worker.silent_until_us = self.now_us + random.randrange(SECOND, 3 * SECOND)
             case "silent":
-                worker.silent_until_us = self.now + random.randrange(3 * SECOND)
+                worker.silent_until_us = self.now_us + random.randrange(3 * SECOND)
             case "slow":
                 worker.latency_factor = random.choice([1.0, 2.0, 5.0])
             case "fail":
@@ -450,11 +450,11 @@
                 worker.copies.clear()
             case "restart":
                 worker.refuses_connections = True
-                self.at(SECOND // 2, lambda: self.restart_worker(worker))
+                self.schedule(SECOND // 2, lambda: self.restart_worker(worker))
             case "gone" if sum(w.info.state is READY for w in self.workers.values()) > 4:
                 self.update_worker(worker, state=GONE)
             case "new" if len(self.workers) < 14:
-                self.add_worker(started=self.now)
+                self.add_worker(started=self.now_us)
                 self.send_worker_list(api.ListKind.FULL)
             case "probe":
                 outcome = random.choice([Outcome.OK, Outcome.TIMEOUT, Outcome.CONNECT_FAILED])
@@ -474,7 +474,9 @@
                         10**9, 0, worker.info.id, Outcome.OK, MILLISECOND_US, True, api.Warmth.WARM, 0, ()
                     )
                 )
-        self.at(random.randrange(4 * SECOND if self.is_low_traffic else SECOND // 2), self.inject_fleet_event)
+        self.schedule(
+            random.randrange(4 * SECOND if self.is_low_traffic else SECOND // 2), self.inject_fleet_event
+        )
 
 
 def simulate(site: str, seed: int) -> list[Any]:
--- a/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
@@ -11,11 +11,11 @@
 SECOND = 1_000_000
 KEEP_ALIVE_US = 10 * SECOND
 
-SAFE = api.RequestClass(SECOND, 3 * SECOND, 1.0, 0.2, api.Effect.SAFE, api.Group.ALL, 0, False, 0.0)
-UNSAFE = replace(SAFE, priority_weight=2.0, effect=api.Effect.UNSAFE)
-KEYED = replace(SAFE, effect=api.Effect.KEYED, group=api.Group.ZONE, repeat_window_us=SECOND)
+SAFE_CLASS = api.RequestClass(SECOND, 3 * SECOND, 1.0, 0.2, api.Effect.SAFE, api.Group.ALL, 0, False, 0.0)
+UNSAFE_CLASS = replace(SAFE_CLASS, priority_weight=2.0, effect=api.Effect.UNSAFE)
+KEYED_CLASS = replace(SAFE_CLASS, effect=api.Effect.KEYED, group=api.Group.ZONE, repeat_window_us=SECOND)
 SETTINGS = api.Settings(
-    classes=(SAFE, UNSAFE, KEYED),
+    classes=(SAFE_CLASS, UNSAFE_CLASS, KEYED_CLASS),
     tenants=(),
     limits=api.Limits(True, False, True, True, 5, SECOND),
     guards=api.Guards(16_000, SECOND, 16 * SECOND, 0.2, 4.0, SECOND, 0, 0.0, 0.0, 0),
@@ -39,47 +39,47 @@
 )
 
 
-def worker(
-    worker_id: int, state: api.WorkerState = api.WorkerState.READY, started: int = 0, zone: int = 0
+def listed_worker(
+    worker_id: int, state: api.WorkerState = api.WorkerState.READY, started_at_us: int = 0, zone: int = 0
 ) -> Any:
     """Return an entry of the endpoint list."""
-    return api.Worker(worker_id, zone, 0, zone, state, 1.0, started)
+    return api.Worker(worker_id, zone, 0, zone, state, 1.0, started_at_us)
 
 
-class Rig:
+class RouterHarness:
     """A router that knows the ready workers 1 to `workers`. Tests feed it events and read its actions.
 
     The clock moves only when a test sets `now` or calls `pass_time`.
     """
 
     def __init__(
-        self, workers: int = 4, settings: api.Settings = SETTINGS, seed: int = 1, now: int = 100 * SECOND
+        self, workers: int = 4, settings: api.Settings = SETTINGS, seed: int = 1, now_us: int = 100 * SECOND
     ) -> None:
-        self.now = now
+        self.now_us = now_us
         self.router = Router(settings, seed)
-        self.actions: list[api.Action] = []
-        self.all: list[api.Action] = []
-        self._next = 0
-        self.list_workers(api.ListKind.CACHED, *(worker(i) for i in range(1, workers + 1)))
+        self.last_actions: list[api.Action] = []
+        self.all_actions: list[api.Action] = []
+        self._last_request_id = 0
+        self.send_worker_list(api.ListKind.CACHED, *(listed_worker(i) for i in range(1, workers + 1)))
 
     def feed(self, event: api.Event) -> list[api.Action]:
         """Pass an event to the router; return its actions."""
-        self.actions = self.router.handle(self.now, event)
-        self.all += self.actions
-        return self.actions
+        self.last_actions = self.router.handle(self.now_us, event)
+        self.all_actions += self.last_actions
+        return self.last_actions
 
-    def list_workers(self, kind: api.ListKind, *workers: api.Worker) -> list[api.Action]:
+    def send_worker_list(self, kind: api.ListKind, *workers: api.Worker) -> list[api.Action]:
         """Send the router an endpoint list; return its actions."""
         return self.feed(api.WorkersListed(kind, 1, workers))
 
-    def ask(
+    def send_request(
         self, function: int = 7, class_index: int = 0, time_left_us: int = 3 * SECOND, concurrency: float = 2
     ) -> int:
         """Send a request to the router; return the ID of the request."""
-        self._next += 1
+        self._last_request_id += 1
         self.feed(
             api.RequestArrived(
-                self._next,
+                self._last_request_id,
                 class_index,
                 0,
                 function,
@@ -91,14 +91,14 @@
                 False,
             )
         )
-        return self._next
+        return self._last_request_id
 
     def actions_for_request(self, function: int) -> list[api.Action]:
         """Send a request for the function; return its actions."""
-        self.ask(function=function)
-        return self.actions
+        self.send_request(function=function)
+        return self.last_actions
 
-    def attempt_ended(
+    def end_attempt(
         self,
         request: int,
         attempt: int,
@@ -113,7 +113,7 @@
             api.AttemptEnded(request, attempt, worker_id, outcome, latency_us, is_finished, warmth, 0, ())
         )
 
-    def load_ended(
+    def end_load_order(
         self,
         worker_id: int,
         copies: int = 1,
@@ -127,29 +127,31 @@
         """
         return self.feed(api.LoadOrderEnded(worker_id, function, outcome, 500_000, copies, ordered_copies))
 
-    def pass_time(self, duration_us: int, step_us: int = 20_000) -> list[api.Action]:
+    def advance_time(self, duration_us: int, step_us: int = 20_000) -> list[api.Action]:
         """Advance the clock in steps and run the timers that are due; return all actions."""
         actions: list[api.Action] = []
-        end_us = self.now + duration_us
-        while self.now < end_us:
-            self.now += step_us
+        end_us = self.now_us + duration_us
+        while self.now_us < end_us:
+            self.now_us += step_us
             actions += self.feed(api.TimerDue(1))
         return actions
 
-    def warm(self, *worker_ids: int, function: int = 7) -> None:
+    def make_warm(self, *worker_ids: int, function: int = 7) -> None:
         """Make the router know of a warm copy at each of these workers; one of them serves a request."""
-        request = self.ask(function)
+        request = self.send_request(function)
         for worker_id in worker_ids:
-            self.load_ended(worker_id, function=function)
-        send = next(action for action in of(api.Send, self.all) if action.request == request)
-        self.attempt_ended(request, 0, send.worker)
+            self.end_load_order(worker_id, function=function)
+        send = next(
+            action for action in actions_of_type(api.Send, self.all_actions) if action.request == request
+        )
+        self.end_attempt(request, 0, send.worker)
 
 
-def of(action_type: Any, actions: list[api.Action]) -> list[Any]:
+def actions_of_type(action_type: Any, actions: list[api.Action]) -> list[Any]:
     """Return the actions of a type, or of a tuple of types."""
     return [action for action in actions if isinstance(action, action_type)]
 
 
-def orders(actions: list[api.Action]) -> list[api.LoadOrder]:
+def load_orders(actions: list[api.Action]) -> list[api.LoadOrder]:
     """Return the load orders that ask for copies, without the probes, which ask for none."""
-    return [order for order in of(api.LoadOrder, actions) if order.copies > 0]
+    return [order for order in actions_of_type(api.LoadOrder, actions) if order.copies > 0]
