--- a/packages/store/src/walnutpost/store/firings.py
+++ b/packages/store/src/walnutpost/store/firings.py
@@ -21,7 +21,7 @@
 create index if not exists firings_by_time on firings (decided_at);
 create table if not exists marks (schedule text primary key, mark integer not null) without rowid;
 """
-# Values of column firings.status, besides those of gateway.ExecutionStatus. They are stored and must not change.
+# Values of column firings.status besides those of gateway.ExecutionStatus. They are stored and must stay.
 FIRED = "RUNNING"
 SKIPPED = "SKIPPED"
 REFUSED = "REFUSED"
