--- a/packages/testsupport/src/walnutpost/testsupport/workerclient/exchanges.py
+++ b/packages/testsupport/src/walnutpost/testsupport/workerclient/exchanges.py
@@ -1,4 +1,4 @@
-"""What a scripted worker does with a connection."""
+"""Connection handlers for a scripted worker."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from walnutpost.eventloop import Stream
 
 
-def stay_silent(stream: Stream) -> None:
-    """Read a request and answer nothing until the client gives the connection up."""
+def never_respond(stream: Stream) -> None:
+    """Read a request and send no response until the client closes or resets the connection."""
     stream.recv()
-    with suppress(ConnectionResetError):  # a connection given up with something unanswered ends by a reset
+    with suppress(ConnectionResetError):  # the client resets a connection whose request has no response
         stream.recv()
--- a/packages/testsupport/src/walnutpost/testsupport/workerclient/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/workerclient/harness.py
@@ -1,4 +1,4 @@
-"""A worker client in virtual time, with one worker on a socket, whose behaviour a test scripts."""
+"""A worker client in virtual time, with one worker on a real socket whose behaviour a test scripts."""
 
 from __future__ import annotations
 
@@ -22,26 +22,26 @@
 TWO_COPIES_LOADED = encode_response(Response(200, {}, b'{"copies": 2}'))
 
 
-class WorkerRig:
-    """The client, its one worker, and the ends that the client reported."""
+class WorkerClientHarness:
+    """A worker client with one worker, and the events that the client has reported."""
 
     def __init__(self) -> None:
-        self.errors: list[BaseException] = []
-        self.loop = Loop(VirtualClock(), lambda name, error: self.errors.append(error))
+        self.loop_errors: list[BaseException] = []
+        self.loop = Loop(VirtualClock(), lambda name, error: self.loop_errors.append(error))
         settings = WorkerClientSettings("p", report_fields=("busy",))
         self.client = WorkerClient(self.loop, settings)
-        self.streams: list[Stream] = []
-        self.ended: list[Any] = []
+        self.worker_streams: list[Stream] = []
+        self.reported_events: list[Any] = []
         self.call_count = 0
 
     def run(self, serve: Callable[[Stream], None], script: Callable[[], None]) -> None:
-        """Run `script` against a worker that runs `serve` on each connection."""
+        """Run `script` with a worker that calls `serve` for each connection."""
 
         def main() -> None:
             listener = Listener(self.loop, LOCAL_ADDRESS)
 
             def serve_and_close(stream: Stream) -> None:
-                self.streams.append(stream)
+                self.worker_streams.append(stream)
                 try:
                     serve(stream)
                 finally:
@@ -56,31 +56,31 @@
             script()
 
         self.loop.run(main)
-        assert not self.errors, self.errors
+        assert not self.loop_errors, self.loop_errors
 
     def start_call(
         self,
         timeout_us: int = US_PER_S,
         begin_within_us: int = 0,
-        before: Callable[[], None] | None = None,
+        before_send: Callable[[], None] | None = None,
     ) -> Send:
-        """Begin an attempt; return what was sent."""
+        """Start an attempt and return its effect."""
         self.call_count += 1
         send = Send(self.call_count, 0, WORKER, "f", None, b"1", timeout_us, 1, False, begin_within_us)
-        self.client.send(send, self.ended.append, before)
+        self.client.send(send, self.reported_events.append, before_send)
         return send
 
-    def wait_for(self, condition: Callable[[], bool]) -> None:
-        """Sleep until the condition holds, for 15 seconds at most."""
+    def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Sleep until the condition holds, for at most 15 seconds."""
         deadline_us = self.loop.now() + 15 * US_PER_S
         while not condition():
-            assert self.loop.now() < deadline_us, "the condition never held"
+            assert self.loop.now() < deadline_us, "the condition did not hold within 15 seconds"
             self.loop.sleep(US_PER_MS)
 
     def wait_for_attempt_end(self) -> AttemptEnded:
-        """Return the end of the only attempt in flight."""
-        self.wait_for(lambda: bool(self.ended))
-        ended = self.ended.pop()
+        """Wait for the end of the only attempt in flight and return its event."""
+        self.wait_until(lambda: bool(self.reported_events))
+        ended = self.reported_events.pop()
         assert isinstance(ended, AttemptEnded)
         assert self.client.in_flight == 0
         return ended
@@ -89,26 +89,26 @@
         self,
         timeout_us: int = US_PER_S,
         begin_within_us: int = 0,
-        before: Callable[[], None] | None = None,
+        before_send: Callable[[], None] | None = None,
     ) -> AttemptEnded:
-        """Begin an attempt and return its end."""
-        self.start_call(timeout_us, begin_within_us, before)
+        """Start an attempt, wait for its end and return its event."""
+        self.start_call(timeout_us, begin_within_us, before_send)
         return self.wait_for_attempt_end()
 
-    def order(self, begin_within_us: int = 0) -> LoadOrderEnded:
-        """Send a load order; return its end, after a time in which no other may be reported."""
-        self.client.order_load(LoadOrder(WORKER, "f", 2, begin_within_us), self.ended.append)
-        self.wait_for(lambda: bool(self.ended))
+    def order_load(self, begin_within_us: int = 0) -> LoadOrderEnded:
+        """Send a load order and return its event; check that no other event follows within 20 seconds."""
+        self.client.order_load(LoadOrder(WORKER, "f", 2, begin_within_us), self.reported_events.append)
+        self.wait_until(lambda: bool(self.reported_events))
         self.loop.sleep(20 * US_PER_S)
-        (ended,) = self.ended
-        self.ended.clear()
+        (ended,) = self.reported_events
+        self.reported_events.clear()
         assert isinstance(ended, LoadOrderEnded)
         assert ended.ordered_copies == 2
         return ended
 
 
-class RespondingWorkerRig(WorkerRig):
-    """Records what the worker receives, and responds to each part with `response` after `delay_us`."""
+class RespondingWorkerHarness(WorkerClientHarness):
+    """A worker that records the data it receives and answers each piece with `response` after `delay_us`."""
 
     def __init__(self, response: bytes = CALL_SUCCEEDED, delay_us: int = 0) -> None:
         super().__init__()
@@ -118,26 +118,26 @@
         self.resets = 0
 
     def run_script(self, script: Callable[[], None]) -> None:
-        """Run `script` beside a worker that answers every request in the same way."""
+        """Run `script` with a worker that answers every request with `response`."""
         self.run(self._serve, script)
 
     def _serve(self, stream: Stream) -> None:
         try:
-            while part := stream.recv():
-                self.received.append(part)
+            while data := stream.recv():
+                self.received.append(data)
                 self.loop.sleep(self.delay_us)
                 stream.send_all(self.response)
         except (ConnectionResetError, BrokenPipeError):
             self.resets += 1
 
 
-def delay_connects(monkeypatch: pytest.MonkeyPatch, rig: WorkerRig, delay_us: int) -> None:
-    """Have each connection take `delay_us`."""
-    open_connection = Connection.open
+def delay_connects(monkeypatch: pytest.MonkeyPatch, harness: WorkerClientHarness, delay_us: int) -> None:
+    """Delay the opening of each connection by `delay_us`."""
+    original_open = Connection.open
 
-    def open_late(*args: object, **kwargs: object) -> Connection:
-        connection = open_connection(*args, **kwargs)  # type: ignore[arg-type]
-        rig.loop.sleep(delay_us)
+    def open_with_delay(*args: object, **kwargs: object) -> Connection:
+        connection = original_open(*args, **kwargs)  # type: ignore[arg-type]
+        harness.loop.sleep(delay_us)
         return connection
 
-    monkeypatch.setattr(Connection, "open", open_late)
+    monkeypatch.setattr(Connection, "open", open_with_delay)
--- a/packages/workerclient/src/walnutpost/workerclient/__init__.py
+++ b/packages/workerclient/src/walnutpost/workerclient/__init__.py
@@ -1,7 +1,7 @@
 """The client side of the worker protocol: HTTP/1.1 connections, attempts, load orders, probes, load reports.
 
-`client` is the entry point. `codec` and `orca` are the wire forms, without I/O; `delivery` takes one request
-to a worker over a connection of `connector` or `idle_connections`, and reports what its end proves.
+`client` is the entry point. `codec` and `orca` encode and decode messages, without I/O. `delivery` sends one
+request over a connection from `connector` or `idle_connections`, and reports how the request ended.
 """
 
 from walnutpost.workerclient.client import WorkerClient
--- a/packages/workerclient/src/walnutpost/workerclient/attempts.py
+++ b/packages/workerclient/src/walnutpost/workerclient/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of calls: each is a task of its own, so that a slow worker delays nothing else."""
+"""Attempts of calls. Each attempt runs in its own task, so a slow worker does not delay other calls."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from walnutpost.workerclient.codec import CallRequest, CallResult
 from walnutpost.workerclient.delivery import Delivery, WorkerRequest
 from walnutpost.workerclient.settings import WorkerClientSettings
-from walnutpost.workerclient.tasks import call_when_ended
+from walnutpost.workerclient.tasks import add_done_callback
 
 
 @dataclass(frozen=True, slots=True)
 class _AttemptResult:
-    """How an attempt ended, with the body of its response."""
+    """The end of an attempt and the body of its response."""
 
-    call: CallResult
+    call_result: CallResult
     payload: bytes = b""
 
 
@@ -30,31 +30,31 @@
 
 
 class AttemptSender:
-    """Sends attempts, and reports the one outcome of each."""
+    """Sends attempts and reports exactly one outcome for each."""
 
     def __init__(
         self, loop: Loop, settings: WorkerClientSettings, delivery: Delivery, wall_clock: Callable[[], int]
     ) -> None:
-        """Send deadlines by `wall_clock`, in microseconds since the epoch."""
+        """Create a sender; it sends deadlines by `wall_clock`, in microseconds since the epoch."""
         self._loop = loop
         self._settings = settings
         self._delivery = delivery
         self._wall_clock = wall_clock
-        self._attempts: dict[tuple[int, int], _Attempt] = {}  # by call and attempt
+        self._attempts: dict[tuple[int, int], _Attempt] = {}  # by call id and attempt number
 
     @property
     def in_flight(self) -> int:
-        """How many attempts have not ended."""
+        """The number of attempts that have not ended."""
         return len(self._attempts)
 
-    def start(
+    def send(
         self,
         effect: Send,
-        done: Callable[[AttemptEnded], None],
-        before: Callable[[], None] | None,
+        on_ended: Callable[[AttemptEnded], None],
+        before_send: Callable[[], None] | None,
         execution: str,
     ) -> None:
-        """Send an attempt; see `WorkerClient.start`."""
+        """Send an attempt; see `WorkerClient.send`."""
         key = (effect.call, effect.attempt)
         request = self._delivery.make_request(
             effect.worker,
@@ -63,35 +63,35 @@
             effect.begin_within_us,
             is_new_work=True,
         )
-        request.prepare = before
+        request.prepare = before_send
         task = self._loop.spawn(self._run, request, name="attempt")
         self._attempts[key] = _Attempt(request, task)
 
         def report_end() -> None:
             del self._attempts[key]
             result = task.result or _AttemptResult(_result_without_response(request, task.error))
-            done(self._make_event(effect, request, result))
+            on_ended(self._make_event(effect, request, result))
 
-        call_when_ended(self._loop, task, report_end)
+        add_done_callback(self._loop, task, report_end)
 
-    def abandon(self, call: int, attempt: int) -> None:
-        """Give an attempt up: no byte of it leaves from now on where none has left."""
-        known = self._attempts.get((call, attempt))
-        if known is not None:
-            # The task may be ready to run after a wait: it is then cancelled at its next one, which may
-            # come after the first byte.
-            known.request.is_abandoned = True
-            known.task.cancel()
+    def cancel(self, call: int, attempt: int) -> None:
+        """Cancel an attempt. If no byte of it has been sent, none will be."""
+        attempt_in_flight = self._attempts.get((call, attempt))
+        if attempt_in_flight is not None:
+            # Cancelling the task alone is not enough: if it is ready to run, it is only cancelled at its next
+            # wait, which may come after the first byte has been sent.
+            attempt_in_flight.request.is_cancelled = True
+            attempt_in_flight.task.cancel()
 
     def _run(self, request: WorkerRequest) -> _AttemptResult:
-        delivered = self._delivery.deliver(request)
-        if delivered.response is None:
-            return _AttemptResult(CallResult(delivered.outcome))
-        result = codec.decode_call_response(delivered.response, self._settings.report_fields)
-        return _AttemptResult(result, delivered.response.body)
+        delivery_result = self._delivery.deliver(request)
+        if delivery_result.response is None:
+            return _AttemptResult(CallResult(delivery_result.outcome))
+        result = codec.decode_call_response(delivery_result.response, self._settings.report_fields)
+        return _AttemptResult(result, delivery_result.response.body)
 
     def _encode(self, effect: Send, request: WorkerRequest, execution: str) -> bytes:
-        """Encode the call with the time that is left now, as the first byte leaves."""
+        """Encode the call with the deadline as of now, just before the first byte is sent."""
         time_left_us = request.deadline_us - self._loop.now()
         call = CallRequest(
             function=effect.function,
@@ -108,18 +108,18 @@
         return AttemptEnded(
             call=effect.call,
             attempt=effect.attempt,
-            outcome=result.call.outcome,
-            latency_us=self._loop.now() - request.decided_us,
+            outcome=result.call_result.outcome,
+            latency_us=self._loop.now() - request.decided_at_us,
             payload=result.payload,
-            is_function_error=result.call.is_function_error,
-            warmth=result.call.warmth,
-            crowd=result.call.crowd,
-            report=result.call.report,
+            is_function_error=result.call_result.is_function_error,
+            warmth=result.call_result.warmth,
+            crowd=result.call_result.crowd,
+            report=result.call_result.report,
         )
 
 
 def _result_without_response(request: WorkerRequest, error: BaseException | None) -> CallResult:
-    """Return the result of an attempt whose task was cancelled or raised."""
+    """Return the result of an attempt whose task was cancelled or raised an error."""
     if not request.has_begun:
         return CallResult(Outcome.MOOT)
     return CallResult(Outcome.CANCELLED if isinstance(error, Cancelled) else Outcome.ERROR)
--- a/packages/workerclient/src/walnutpost/workerclient/client.py
+++ b/packages/workerclient/src/walnutpost/workerclient/client.py
@@ -1,4 +1,4 @@
-"""The worker client: carries out the gateway's effects on workers, and reports how each ended."""
+"""The worker client: carries out the gateway's effects on workers and reports how each one ended."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class WorkerClient:
-    """The connections and requests of one front end to all its workers. Implements `dispatch.Carrier`."""
+    """One front end's connections and requests to its workers. Implements `dispatch.WorkerTransport`."""
 
     def __init__(
         self,
@@ -38,16 +38,16 @@
         context: ssl.SSLContext | None = None,
         wall_clock: Callable[[], int] | None = None,
     ) -> None:
-        """Begin without workers.
+        """Create a client without workers.
 
-        With `context`, workers are reached over TLS, and prove their names. `wall_clock` is the clock by
-        which workers are sent their deadlines, in microseconds since the epoch: the loop's own does not
-        follow when it is corrected.
+        If `context` is given, connections use TLS and verify the names of workers. `wall_clock` returns
+        microseconds since the epoch. Deadlines are sent to workers in its time, because the loop's clock does
+        not follow corrections of the system clock.
         """
         self._settings = settings
         self._directory = WorkerDirectory()
         self._connector = Connector(loop, settings.connect_timeout_us, traffic_observer, context)
-        self._idle = IdleConnections(loop, settings.idle_timeout_us, settings.max_idle_connections)
+        self._idle = IdleConnections(loop, settings.idle_timeout_us, settings.max_idle_connections_per_worker)
         self._delivery = Delivery(loop, self._directory, self._connector, self._idle)
         self._attempts = AttemptSender(loop, settings, self._delivery, wall_clock or loop.now)
         self._load_orders = LoadOrderSender(loop, self._delivery, self._directory, settings.order_timeout_us)
@@ -57,12 +57,12 @@
 
     @property
     def addresses(self) -> Mapping[str, Address]:
-        """The addresses of the listed workers."""
+        """The addresses of the workers in the endpoint list, by name."""
         return self._directory.addresses
 
     @property
     def workers(self) -> list[str]:
-        """The names of the listed workers."""
+        """The names of the workers in the endpoint list."""
         return list(self._directory.addresses)
 
     def update_workers(
@@ -73,8 +73,9 @@
     ) -> None:
         """Replace the list of workers.
 
-        A worker whose address changed is another process: its idle connections lead to the old one.
-        `certificate_names` are what certificates must name, where not the worker's own name.
+        Close the idle connections of workers that are no longer listed or whose address has changed: a new
+        address means a new process. `certificate_names` maps a worker to the name that its certificate must
+        contain, if that is not the worker's own name.
         """
         for worker, address in self._directory.addresses.items():
             if addresses.get(worker) != address:
@@ -85,13 +86,13 @@
         self._directory.draining = frozenset(draining)
 
     def replace_context(self, context: ssl.SSLContext) -> None:
-        """Use other certificates for new connections; close idle connections, made under the old ones."""
+        """Use a new TLS context for new connections, and close the idle ones that use the old context."""
         self._connector.replace_context(context)
         self._idle.close_all()
 
     @property
     def idle_connection_count(self) -> int:
-        """How many connections are open while nothing runs on them."""
+        """The number of idle connections to all workers."""
         return self._idle.count
 
     def close_idle_connections(self, worker: str) -> None:
@@ -102,50 +103,51 @@
 
     @property
     def in_flight(self) -> int:
-        """How many attempts have not ended."""
+        """The number of attempts that have not ended."""
         return self._attempts.in_flight
 
     def send(
         self,
         effect: Send,
-        done: Callable[[AttemptEnded], None],
-        before: Callable[[], None] | None = None,
+        on_ended: Callable[[AttemptEnded], None],
+        before_send: Callable[[], None] | None = None,
         execution: str = "",
     ) -> None:
-        """Send an attempt of a call; `done` is called once, however the attempt ends.
+        """Send an attempt of a call; `on_ended` is called exactly once, however the attempt ends.
 
-        `before` runs first, may wait, and stops the attempt by LookupError or OSError. `execution` is the
-        name of a deferred call.
+        `before_send` runs first and may wait; if it raises LookupError or OSError, the attempt is not sent.
+        `execution` is the name of the execution if the call is deferred.
         """
-        self._attempts.start(effect, done, before, execution)
+        self._attempts.send(effect, on_ended, before_send, execution)
 
     def cancel(self, call: int, attempt: int) -> None:
-        """Give an attempt up: no byte of it leaves from now on where none has left."""
-        self._attempts.abandon(call, attempt)
+        """Cancel an attempt. If no byte of it has been sent, none will be."""
+        self._attempts.cancel(call, attempt)
 
     # Load orders
 
     def order_load(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
-        """Send a load order; `done` is called once, however the order ends.
+        """Send a load order and report its end exactly once, however it ends.
 
-        Its outcome is as reliable as `interface.LoadOrderEnded` requires.
+        The outcome gives the guarantees that `interface.LoadOrderEnded` describes.
         """
-        self._load_orders.order(effect, done)
+        self._load_orders.order_load(effect, done)
 
     def unload(self, effect: Unload) -> None:
-        """Have the worker drop idle copies; how that ends is not reported."""
+        """Order the worker to unload its idle copies of a function; the outcome is not reported."""
         self._load_orders.unload(effect)
 
     # Queries
 
-    def probe(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
-        """Check a worker's health; `done` gets the outcome and the load report."""
-        self._prober.probe(effect, done)
+    def probe(self, effect: Probe, on_ended: Callable[[ProbeEnded], None]) -> None:
+        """Check a worker's health; `on_ended` is called with the outcome and the load report."""
+        self._prober.probe(effect, on_ended)
 
     def fetch_usage(self, worker: str, started: int, after_change: int) -> UsageReport | None:
-        """Fetch the worker's usage records newer than a change; None where it has none.
+        """Return the worker's usage records after the change `after_change`, or None if it keeps no records.
 
-        Raises WorkerUnavailableError without a response, InvalidUsageReportError for one that can't be used.
+        `started` identifies the worker's run that the change number belongs to. Raises WorkerUnavailableError
+        if there is no response, and InvalidUsageReportError if the response is invalid.
         """
         timeout_us = self._settings.order_timeout_us
         return queries.fetch_usage(self._delivery, worker, started, after_change, timeout_us)
--- a/packages/workerclient/src/walnutpost/workerclient/codec.py
+++ b/packages/workerclient/src/walnutpost/workerclient/codec.py
@@ -1,8 +1,9 @@
-"""Requests and responses of the worker protocol as bytes and values. No I/O.
+"""Encoding and decoding of the worker protocol's requests and responses. No I/O.
 
 Calls: `POST /2015-03-31/functions/{name}/invocations`, as Lambda's runtime emulator serves them.
-Loading: the repository extension of the Open Inference Protocol v2 (`/v2/repository/models/{name}/load`,
-`/unload`, parameters in the body), with `copies` as a parameter. Load reports: orca.py.
+Load orders: the repository extension of the Open Inference Protocol v2
+(`/v2/repository/models/{name}/load` and `/unload`, parameters in the body), with `copies` as a parameter.
+Load reports: orca.py.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 FUNCTION_ERROR_HEADER = "x-amz-function-error"
 CALL_ID_HEADER = "lambda-runtime-aws-request-id"
 DEADLINE_MS_HEADER = "lambda-runtime-deadline-ms"
-"""Milliseconds since the epoch, as Lambda has it."""
+"""The deadline in milliseconds since the epoch, as in Lambda's runtime API."""
 TENANT_HEADER = "x-amz-tenant-id"
 ATTEMPT_HEADER = "x-walnutpost-attempt"
 EXECUTION_HEADER = "x-amz-durable-execution-name"
@@ -38,13 +39,13 @@
     "queue": "queue",
     "loads": "loads",
 }
-"""The policy's names of report fields, by their ORCA names."""
+"""Names of report fields in the policy, by their ORCA names."""
 WARMTH_METRIC = "warmth"
 CROWD_METRIC = "crowd"
 USAGE_PATH = "/v2/usage"
-HOST = "worker"
-"""Host header of all requests."""
-READY_REQUEST = encode_request("GET", "/v2/health/ready", HOST, {})
+HOST_HEADER_VALUE = "worker"
+"""The Host header of all requests."""
+READY_REQUEST = encode_request("GET", "/v2/health/ready", HOST_HEADER_VALUE, {})
 US_PER_MS = 1000
 
 _WARMTH_BY_VALUE = {int(warmth): warmth for warmth in Warmth}
@@ -59,8 +60,8 @@
 class CallRequest:
     """An attempt of a call. `deadline_us` is in microseconds since the epoch.
 
-    `execution` is the name of a deferred call, the same after a restart, so that a function can recognise a
-    repeat; empty for other calls.
+    `execution` is the name of the execution of a deferred call. It stays the same after a restart, so that a
+    function can recognize a repeated call. It is empty for other calls.
     """
 
     function: str
@@ -74,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """What the end of an attempt proves; the fields are as in `gateway.AttemptEnded`."""
+    """The result of an attempt. The fields are those of `gateway.AttemptEnded`."""
 
     outcome: Outcome
     is_function_error: bool = False
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadResult:
-    """The outcome of a load order, and the copies that are loaded now."""
+    """The outcome of a load order and the number of copies now loaded."""
 
     outcome: Outcome
     copies: int = 0
@@ -104,30 +105,33 @@
     if request.execution:
         headers[EXECUTION_HEADER] = request.execution
     path = f"/2015-03-31/functions/{quote(request.function, safe='')}/invocations"
-    return encode_request("POST", path, HOST, headers, request.payload)
+    return encode_request("POST", path, HOST_HEADER_VALUE, headers, request.payload)
 
 
 def encode_load_order(function: str, copies: int) -> bytes:
-    """Encode an order to load so many copies; with none it only asks how many are loaded."""
+    """Encode an order to load at least `copies` copies; 0 only queries how many are loaded."""
     body = json.dumps({"parameters": {"copies": copies}}).encode()
-    return encode_request("POST", f"{_model_path(function)}/load", HOST, {}, body)
+    return encode_request("POST", f"{_model_path(function)}/load", HOST_HEADER_VALUE, {}, body)
 
 
 def encode_unload(function: str) -> bytes:
-    """Encode an order to drop the function's idle copies."""
-    return encode_request("POST", f"{_model_path(function)}/unload", HOST, {})
+    """Encode an order to unload the function's idle copies."""
+    return encode_request("POST", f"{_model_path(function)}/unload", HOST_HEADER_VALUE, {})
 
 
 def encode_usage_query(started: int, after_change: int) -> bytes:
-    """Encode a query for the usage records newer than a change, of the worker's run that began at `started`.
+    """Encode a query for the usage records after the change `after_change`.
 
-    A worker of another run answers with all its records.
+    The change number belongs to the worker's run that began at `started`. If the worker has been restarted
+    since, it returns all its records.
     """
-    return encode_request("GET", f"{USAGE_PATH}?started={started}&after={after_change}", HOST, {})
+    return encode_request(
+        "GET", f"{USAGE_PATH}?started={started}&after={after_change}", HOST_HEADER_VALUE, {}
+    )
 
 
 def decode_usage_response(response: Response) -> UsageReport | None:
-    """Return the usage report, or None where the worker has none. Raise InvalidUsageReportError."""
+    """Return the usage report, or None if the worker has none. Raise InvalidUsageReportError."""
     if response.status == HTTPStatus.NOT_FOUND:
         return None
     if response.status != HTTPStatus.OK:
@@ -140,10 +144,10 @@
 
 
 def decode_call_response(response: Response, report_fields: Sequence[str]) -> CallResult:
-    """Return what a complete response to a call proves.
+    """Return the result of a call from its complete response.
 
-    404 and 503 prove that the call never ran only where the worker itself sent the error type: a
-    proxy's 503, or a wrong server's 404, may come after the worker has begun.
+    A 404 or 503 proves that the call never ran only if it has an error type, which the worker itself sets: a
+    503 from a proxy or a 404 from a wrong server may come after the worker has begun to run the call.
     """
     metrics = orca.decode_report(response.headers)
     error_type = response.headers.get(ERROR_TYPE_HEADER, "")
@@ -159,7 +163,7 @@
 
 
 def decode_load_response(response: Response) -> LoadResult:
-    """Return what a complete response to a load order reports."""
+    """Return the result of a load order from its complete response."""
     try:
         body = json.loads(response.body or b"{}")
         copies = max(0, int(body.get("copies", 0))) if isinstance(body, dict) else 0
@@ -169,7 +173,7 @@
 
 
 def select_fields(metrics: Mapping[str, float], report_fields: Sequence[str]) -> tuple[float, ...]:
-    """Return the metrics in the order of `report_fields`; none at all where one of them is missing."""
+    """Return the metrics in the order of `report_fields`, or an empty tuple if any of them is missing."""
     by_field = {POLICY_FIELD_NAMES.get(name, name): value for name, value in metrics.items()}
     if not all(field in by_field for field in report_fields):
         return ()
--- a/packages/workerclient/src/walnutpost/workerclient/connector.py
+++ b/packages/workerclient/src/walnutpost/workerclient/connector.py
@@ -1,4 +1,4 @@
-"""New connections to workers, plain or under TLS."""
+"""New connections to workers, plain or over TLS."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from walnutpost.workerclient.directory import Address
 
 CAPTURE_ROLE = "link"
-"""Role of these connections in captures, which the audit reads."""
+"""Role of these connections in traffic captures. The audit reads it."""
 HANDSHAKE_RETRY_INTERVAL_US = 5_000
-"""How often a connection that is due for a handshake asks the limiter again."""
+"""Interval at which a connection asks the handshake limiter again whether its handshake may begin."""
 
 
 class Connector:
     """Opens connections within a time limit.
 
-    With a TLS context, workers must prove their names; sessions are cached for resumption, and handshakes are
-    limited.
+    With a TLS context, it verifies the names of workers, caches TLS sessions for resumption, and limits the
+    number of concurrent handshakes.
     """
 
     def __init__(
@@ -30,40 +30,40 @@
         traffic_observer: TrafficObserver | None,
         context: ssl.SSLContext | None,
     ) -> None:
-        """Open connections that `traffic_observer` sees, under TLS where there is a context."""
+        """Create a connector. It uses TLS if there is a context; `traffic_observer` sees all traffic."""
         self._loop = loop
         self._connect_timeout_us = connect_timeout_us
         self._traffic_observer = traffic_observer
         self._context = context
         self._sessions: dict[str, ssl.SSLSession] = {}
-        self.handshakes = HandshakeLimiter(HandshakeLimits())
+        self.handshake_limiter = HandshakeLimiter(HandshakeLimits())
         self.certificate_names: Mapping[str, str] = {}
-        """What a worker's certificate must name, where not the worker's own name."""
+        """The name that a worker's certificate must contain, if that is not the worker's own name."""
 
     def replace_context(self, context: ssl.SSLContext) -> None:
-        """Open connections with other certificates from now on."""
+        """Use a new TLS context for new connections and drop the cached sessions."""
         self._context = context
         self._sessions.clear()
 
     def forget(self, worker: str) -> None:
-        """Drop what is known of a worker that has gone, or is another process now."""
+        """Drop the cached TLS session and the handshake failures of a worker that is gone or replaced."""
         self._sessions.pop(worker, None)
-        self.handshakes.forget(worker)
+        self.handshake_limiter.forget(worker)
 
     def connect(self, worker: str, address: Address) -> Connection:
-        """Open a connection. Raise OSError where that fails or takes too long."""
-        with self._loop.timeout(self._connect_timeout_us) as limit:
+        """Open a connection. Raise OSError if that fails or takes too long."""
+        with self._loop.timeout(self._connect_timeout_us) as timeout_error:
             try:
                 if self._context is None:
                     return Connection.open(self._loop, address, self._traffic_observer, CAPTURE_ROLE)
-                return self._connect_secure(worker, address, self._context, limit)
+                return self._connect_tls(worker, address, self._context, timeout_error)
             except WaitTimeoutError as error:
-                if error is not limit:  # the caller's own timeout
+                if error is not timeout_error:  # the caller's own timeout
                     raise
-                raise ConnectionRefusedError("no connection in time") from None
+                raise ConnectionRefusedError("connect timed out") from None
 
     def allows_reuse(self, worker: str, connection: Connection) -> bool:
-        """Whether a connection was made with the present certificates; its session is cached then."""
+        """Whether the connection uses no TLS or the current TLS context; if so, cache its TLS session."""
         stream = connection.stream
         if not isinstance(stream, TlsStream):
             return True
@@ -73,23 +73,23 @@
             self._sessions[worker] = stream.session
         return True
 
-    def _connect_secure(
-        self, worker: str, address: Address, context: ssl.SSLContext, limit: WaitTimeoutError
+    def _connect_tls(
+        self, worker: str, address: Address, context: ssl.SSLContext, timeout_error: WaitTimeoutError
     ) -> Connection:
-        while not self.handshakes.try_begin(self._loop.now(), worker):
+        while not self.handshake_limiter.try_begin(self._loop.now(), worker):
             self._loop.sleep(HANDSHAKE_RETRY_INTERVAL_US)
         name = self.certificate_names.get(worker, worker)
-        secure = TlsClientSettings(context, name, self._sessions.get(worker))
+        tls_settings = TlsClientSettings(context, name, self._sessions.get(worker))
         try:
             connection = Connection.open(
-                self._loop, address, self._traffic_observer, CAPTURE_ROLE, tls=secure
+                self._loop, address, self._traffic_observer, CAPTURE_ROLE, tls=tls_settings
             )
         except BaseException as error:
-            if error is limit or isinstance(error, OSError):
-                self.handshakes.record_failure(self._loop.now(), worker)
+            if error is timeout_error or isinstance(error, OSError):
+                self.handshake_limiter.record_failure(self._loop.now(), worker)
                 self._sessions.pop(worker, None)
-            else:  # given up by the caller, which proves nothing about the worker
-                self.handshakes.record_abandoned(worker)
+            else:  # cancelled by the caller, which says nothing about the worker
+                self.handshake_limiter.record_abandoned(worker)
             raise
-        self.handshakes.record_success(worker)
+        self.handshake_limiter.record_success(worker)
         return connection
--- a/packages/workerclient/src/walnutpost/workerclient/directory.py
+++ b/packages/workerclient/src/walnutpost/workerclient/directory.py
@@ -1,4 +1,4 @@
-"""The workers that the endpoint list names now."""
+"""The workers in the current endpoint list."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class WorkerDirectory:
-    """Addresses of the listed workers, and which of them are draining; replaced by each list."""
+    """Addresses of the workers and the set of draining ones; both are replaced by each endpoint list."""
 
     addresses: Mapping[str, Address] = field(default_factory=dict)
     draining: frozenset[str] = frozenset()
--- a/packages/workerclient/src/walnutpost/workerclient/errors.py
+++ b/packages/workerclient/src/walnutpost/workerclient/errors.py
@@ -10,7 +10,7 @@
 
 
 class WorkerUnavailableError(WorkerClientError, ConnectionError):
-    """A query got no response; `outcome` is how it ended. Also a ConnectionError, like its usual causes."""
+    """A query got no response; `outcome` tells why. Also a ConnectionError, like most of its causes."""
 
     def __init__(self, worker: str, outcome: Outcome) -> None:
         super().__init__(outcome.value)
@@ -19,10 +19,10 @@
 
 
 class InvalidUsageReportError(WorkerClientError, ValueError):
-    """A worker's usage report can't be used. Also a ValueError."""
+    """A worker's usage report is invalid. Also a ValueError."""
 
     def __init__(self, found: str, wanted: str, text: str) -> None:
-        """Keep what was found and wanted; `text` is the message."""
+        """Store what was found and what was wanted; `text` is the error message."""
         super().__init__(text)
         self.found = found
         self.wanted = wanted
--- a/packages/workerclient/src/walnutpost/workerclient/load_orders.py
+++ b/packages/workerclient/src/walnutpost/workerclient/load_orders.py
@@ -1,4 +1,4 @@
-"""Load orders, queries for loaded copies, and orders to unload."""
+"""Load orders, queries for the number of loaded copies, and orders to unload."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from walnutpost.workerclient.codec import LoadResult
 from walnutpost.workerclient.delivery import Delivery, WorkerRequest
 from walnutpost.workerclient.directory import WorkerDirectory
-from walnutpost.workerclient.tasks import call_when_ended
+from walnutpost.workerclient.tasks import add_done_callback
 
 
 class LoadOrderSender:
-    """Sends load orders, and reports the one outcome of each."""
+    """Sends load orders and reports exactly one outcome for each."""
 
     def __init__(self, loop: Loop, delivery: Delivery, directory: WorkerDirectory, timeout_us: int) -> None:
-        """Wait `timeout_us` for each response."""
+        """Create a sender; an order times out after `timeout_us`."""
         self._loop = loop
         self._delivery = delivery
         self._directory = directory
         self._timeout_us = timeout_us
 
-    def order(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
-        """Send a load order; see `WorkerClient.order`."""
+    def order_load(self, effect: LoadOrder, on_ended: Callable[[LoadOrderEnded], None]) -> None:
+        """Send a load order; see `WorkerClient.order_load`."""
         request = self._delivery.make_request(
             effect.worker,
             lambda: codec.encode_load_order(effect.function, effect.copies),
@@ -34,13 +34,13 @@
             is_new_work=effect.copies > 0,
         )
         if request.is_new_work and effect.worker in self._directory.draining:
-            request.address = None  # as good as none for new work
+            request.address = None  # new work for a draining worker ends as CONNECT_FAILED
         task = self._loop.spawn(self._run, request, name="order")
 
         def report_end() -> None:
             result = task.result or _result_without_response(request)
-            latency_us = self._loop.now() - request.decided_us
-            done(
+            latency_us = self._loop.now() - request.decided_at_us
+            on_ended(
                 LoadOrderEnded(
                     worker=effect.worker,
                     function=effect.function,
@@ -51,24 +51,24 @@
                 )
             )
 
-        call_when_ended(self._loop, task, report_end)
+        add_done_callback(self._loop, task, report_end)
 
     def unload(self, effect: Unload) -> None:
-        """Send an order to unload; how it ends is not reported."""
+        """Send an order to unload; its outcome is not reported."""
         request = self._delivery.make_request(
             effect.worker, lambda: codec.encode_unload(effect.function), self._timeout_us
         )
         self._loop.spawn(self._delivery.deliver, request, name="unload")
 
     def _run(self, request: WorkerRequest) -> LoadResult:
-        delivered = self._delivery.deliver(request)
-        if delivered.response is not None:
-            return codec.decode_load_response(delivered.response)
-        if delivered.may_still_arrive:
+        delivery_result = self._delivery.deliver(request)
+        if delivery_result.response is not None:
+            return codec.decode_load_response(delivery_result.response)
+        if delivery_result.may_still_arrive:
             return LoadResult(Outcome.TIMEOUT)
-        return LoadResult(delivered.outcome)
+        return LoadResult(delivery_result.outcome)
 
 
 def _result_without_response(request: WorkerRequest) -> LoadResult:
-    """Return the result of an order whose task was cancelled or raised: what has left may still arrive."""
+    """Return the result of an order whose task was cancelled or raised; once begun, it may still arrive."""
     return LoadResult(Outcome.TIMEOUT if request.has_begun else Outcome.MOOT)
--- a/packages/workerclient/src/walnutpost/workerclient/orca.py
+++ b/packages/workerclient/src/walnutpost/workerclient/orca.py
@@ -1,8 +1,9 @@
 """Load reports in response headers, as ORCA (Open Request Cost Aggregation) defines them.
 
-`endpoint-load-metrics` holds "TEXT k=v, k=v" or "JSON {...}"; `endpoint-load-metrics-bin` is the base64
-of the protobuf message xds.data.orca.v3.OrcaLoadReport. Text and JSON name a map's entry
-`named_metrics.key`.
+`endpoint-load-metrics` contains "TEXT k=v, k=v", "JSON {...}" or "BIN" with the binary form;
+`endpoint-load-metrics-bin` contains the binary form, the base64 of the protobuf message
+xds.data.orca.v3.OrcaLoadReport. The text and JSON forms name an entry of the map of named metrics
+`named_metrics.key`; JSON may also nest the map as an object.
 """
 
 from __future__ import annotations
@@ -18,17 +19,17 @@
 BINARY_HEADER = "endpoint-load-metrics-bin"
 NAMED_METRICS = "named_metrics"
 SCALAR_METRICS = ("cpu_utilization", "mem_utilization", "application_utilization", "rps_fractional", "eps")
-"""Fields of the message with a meaning of their own; all others are named metrics."""
+"""Metrics that are fields of the message; all others are entries of its map `named_metrics`."""
 MAX_METRICS = 64
-"""Metrics read of one report; what a worker sends beyond is not worth its parsing."""
-BASE64_GROUP = 4
+"""Entries read from a report, and from its map of named metrics; the rest is not worth the parsing."""
+BASE64_GROUP_CHARS = 4
 
 LoadReport = dict[str, float]
-"""Metrics by name; a named metric has its own name, without a prefix."""
+"""Metrics by name; a named metric has its name without the prefix `named_metrics.`."""
 
 
-class ReportForm(StrEnum):
-    """The forms of a report in a header."""
+class ReportFormat(StrEnum):
+    """The encodings of a report in a header."""
 
     TEXT = "text"
     JSON = "json"
@@ -36,32 +37,32 @@
 
 
 def decode_report(headers: Mapping[str, str]) -> LoadReport:
-    """Return the report's metrics.
+    """Return the metrics of the load report in the headers.
 
-    What can't be read is omitted: a worker's broken report must not cost the answer that it came with.
+    Malformed metrics are omitted: an invalid report must not discard the response that carries it.
     """
     text = headers.get(HEADER)
     if text is None:
-        packed = headers.get(BINARY_HEADER)
-        return _decode_binary(packed) if packed is not None else {}
-    form, _, content = text.strip().partition(" ")
-    if form == "JSON":
+        encoded = headers.get(BINARY_HEADER)
+        return _decode_binary(encoded) if encoded is not None else {}
+    report_format, _, content = text.strip().partition(" ")
+    if report_format == "JSON":
         return _decode_json(content)
-    if form == "BIN":
+    if report_format == "BIN":
         return _decode_binary(content)
-    return _decode_text(content if form == "TEXT" else text)
-
-
-def encode_report(report: Mapping[str, float], form: str = ReportForm.TEXT) -> tuple[str, str]:
-    """Return the name and the value of the header; `form` is one of ReportForm."""
-    scalars = {name: value for name, value in report.items() if name in SCALAR_METRICS}
-    named = {name: value for name, value in report.items() if name not in SCALAR_METRICS}
-    if form == ReportForm.BINARY:
-        return BINARY_HEADER, _encode_binary(scalars, named)
-    if form == ReportForm.JSON:
-        return HEADER, "JSON " + json.dumps({**scalars, NAMED_METRICS: named})
-    pairs = [f"{name}={value:g}" for name, value in scalars.items()]
-    pairs += [f"{NAMED_METRICS}.{name}={value:g}" for name, value in named.items()]
+    return _decode_text(content if report_format == "TEXT" else text)
+
+
+def encode_report(report: Mapping[str, float], report_format: str = ReportFormat.TEXT) -> tuple[str, str]:
+    """Return the name and value of the header; `report_format` is a value of ReportFormat."""
+    scalar_metrics = {name: value for name, value in report.items() if name in SCALAR_METRICS}
+    named_metrics = {name: value for name, value in report.items() if name not in SCALAR_METRICS}
+    if report_format == ReportFormat.BINARY:
+        return BINARY_HEADER, _encode_binary(scalar_metrics, named_metrics)
+    if report_format == ReportFormat.JSON:
+        return HEADER, "JSON " + json.dumps({**scalar_metrics, NAMED_METRICS: named_metrics})
+    pairs = [f"{name}={value:g}" for name, value in scalar_metrics.items()]
+    pairs += [f"{NAMED_METRICS}.{name}={value:g}" for name, value in named_metrics.items()]
     return HEADER, "TEXT " + ", ".join(pairs)
 
 
@@ -84,20 +85,20 @@
         return report
     for name, value in list(decoded.items())[:MAX_METRICS]:
         if isinstance(value, dict) and name == NAMED_METRICS:
-            for inner_name, inner_value in list(value.items())[:MAX_METRICS]:
-                _add_metric(report, inner_name, inner_value)
+            for metric_name, metric_value in list(value.items())[:MAX_METRICS]:
+                _add_metric(report, metric_name, metric_value)
         elif not isinstance(value, bool):
             _add_metric(report, name, value)
     return report
 
 
 def _decode_binary(text: str) -> LoadReport:
-    # Imported here: few workers use this form, and the modules are large.
+    # Imported here because the modules are large and few workers use this format.
     from google.protobuf.message import DecodeError
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
     message = OrcaLoadReport()
-    padding = "=" * (-len(text) % BASE64_GROUP)
+    padding = "=" * (-len(text) % BASE64_GROUP_CHARS)
     try:
         message.ParseFromString(base64.b64decode(text + padding, validate=True))
     except (binascii.Error, DecodeError, ValueError):
@@ -110,15 +111,15 @@
     return report
 
 
-def _encode_binary(scalars: Mapping[str, float], named: Mapping[str, float]) -> str:
+def _encode_binary(scalar_metrics: Mapping[str, float], named_metrics: Mapping[str, float]) -> str:
     from xds.data.orca.v3.orca_load_report_pb2 import OrcaLoadReport
 
-    packed = OrcaLoadReport(named_metrics=named, **scalars).SerializeToString()
-    return base64.b64encode(packed).decode()
+    encoded = OrcaLoadReport(named_metrics=named_metrics, **scalar_metrics).SerializeToString()
+    return base64.b64encode(encoded).decode()
 
 
 def _add_metric(report: LoadReport, name: str, value: object) -> None:
-    """Add a metric, unless it is no finite number or has no name."""
+    """Add a metric, unless its name is empty or its value is not a finite number."""
     try:
         number = float(value)  # type: ignore[arg-type]
     except (TypeError, ValueError, OverflowError):
--- a/packages/workerclient/src/walnutpost/workerclient/queries.py
+++ b/packages/workerclient/src/walnutpost/workerclient/queries.py
@@ -1,4 +1,4 @@
-"""Health checks, and queries for usage records."""
+"""Health checks and queries for usage records."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 class Prober:
-    """Checks the health of workers."""
+    """Checks the health of workers over HTTP."""
 
     def __init__(self, loop: Loop, delivery: Delivery, report_fields: Sequence[str]) -> None:
-        """Report the load by `report_fields`."""
+        """Create a prober; load reports contain the metrics of `report_fields`."""
         self._loop = loop
         self._delivery = delivery
         self._report_fields = report_fields
 
-    def probe(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
-        """Check a worker; `done` gets the outcome."""
-        self._loop.spawn(self._run, effect, done, name="ping")
+    def probe(self, effect: Probe, on_ended: Callable[[ProbeEnded], None]) -> None:
+        """Check a worker's health; see `WorkerClient.probe`."""
+        self._loop.spawn(self._run, effect, on_ended, name="ping")
 
-    def _run(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
+    def _run(self, effect: Probe, on_ended: Callable[[ProbeEnded], None]) -> None:
         request = self._delivery.make_request(effect.worker, lambda: codec.READY_REQUEST, PROBE_TIMEOUT_US)
-        delivered = self._delivery.deliver(request)
-        outcome = delivered.outcome
+        delivery_result = self._delivery.deliver(request)
+        outcome = delivery_result.outcome
         report: tuple[float, ...] = ()
-        if delivered.response is not None:
-            outcome = Outcome.OK if delivered.response.status == HTTPStatus.OK else Outcome.FULL
-            metrics = orca.decode_report(delivered.response.headers)
+        if delivery_result.response is not None:
+            outcome = Outcome.OK if delivery_result.response.status == HTTPStatus.OK else Outcome.FULL
+            metrics = orca.decode_report(delivery_result.response.headers)
             report = codec.select_fields(metrics, self._report_fields)
-        done(ProbeEnded(effect.worker, outcome, self._loop.now() - request.decided_us, report))
+        on_ended(ProbeEnded(effect.worker, outcome, self._loop.now() - request.decided_at_us, report))
 
 
 def fetch_usage(
@@ -48,7 +48,7 @@
     request = delivery.make_request(
         worker, lambda: codec.encode_usage_query(started, after_change), timeout_us
     )
-    delivered = delivery.deliver(request)
-    if delivered.response is None:
-        raise WorkerUnavailableError(worker, delivered.outcome)
-    return codec.decode_usage_response(delivered.response)
+    delivery_result = delivery.deliver(request)
+    if delivery_result.response is None:
+        raise WorkerUnavailableError(worker, delivery_result.outcome)
+    return codec.decode_usage_response(delivery_result.response)
--- a/packages/workerclient/src/walnutpost/workerclient/settings.py
+++ b/packages/workerclient/src/walnutpost/workerclient/settings.py
@@ -9,13 +9,13 @@
 class WorkerClientSettings:
     """Settings of the connections and requests to workers.
 
-    `call_id_prefix` makes call ids differ between front ends and between their starts; `report_fields` are as
-    in `interface.Settings`; `max_idle_connections` is the limit for each worker.
+    `call_id_prefix` makes call ids unique across front ends and their restarts. `order_timeout_us` applies to
+    load orders, orders to unload and usage queries. `report_fields` is as in `interface.Settings`.
     """
 
     call_id_prefix: str
     connect_timeout_us: int = 250_000
     order_timeout_us: int = 10_000_000
     idle_timeout_us: int = 15_000_000
-    max_idle_connections: int = 512
+    max_idle_connections_per_worker: int = 512
     report_fields: tuple[str, ...] = ()
--- a/packages/workerclient/src/walnutpost/workerclient/tasks.py
+++ b/packages/workerclient/src/walnutpost/workerclient/tasks.py
@@ -1,4 +1,4 @@
-"""A callback at the end of a task."""
+"""Callbacks at the end of tasks."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 from walnutpost.eventloop import Loop, Task
 
 
-def call_when_ended(loop: Loop, task: Task[Any], callback: Callable[[], None]) -> None:
-    """Call `callback` once, also where the task raises, or is cancelled before it begins."""
+def add_done_callback(loop: Loop, task: Task[Any], callback: Callable[[], None]) -> None:
+    """Call `callback` once when the task ends, even if it raises or is cancelled before it starts."""
     task.done_callbacks.append(lambda: loop.run_guarded(task.name, callback))
--- a/packages/workerclient/tests/test_abandoned_attempts.py
+++ b/packages/workerclient/tests/test_abandoned_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts and orders that are given up: nothing of them leaves any more, and the worker sees a reset."""
+"""Cancelled or timed-out requests: no more of them is sent, and the worker sees a connection reset."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from walnutpost.eventloop import Event
 from walnutpost.interface import Outcome
-from walnutpost.testsupport.workerclient.exchanges import stay_silent
+from walnutpost.testsupport.workerclient.exchanges import never_respond
 from walnutpost.testsupport.workerclient.harness import (
     US_PER_MS,
     US_PER_S,
-    RespondingWorkerRig,
-    WorkerRig,
+    RespondingWorkerHarness,
+    WorkerClientHarness,
     delay_connects,
 )
 from walnutpost.workerclient import WorkerClient, WorkerClientSettings
@@ -21,102 +21,103 @@
 SETTINGS = WorkerClientSettings("p")
 
 
-def test_an_abandoned_attempt_ends_whenever_it_is_abandoned() -> None:
-    rig = WorkerRig()
+def test_a_cancelled_attempt_ends_as_moot_before_its_first_byte_and_as_cancelled_after() -> None:
+    harness = WorkerClientHarness()
 
     def script() -> None:
-        send = rig.start_call()
-        rig.client.cancel(send.call, send.attempt)  # before its task has begun
-        assert rig.wait_for_attempt_end().outcome is Outcome.MOOT
-        send = rig.start_call()
-        rig.wait_for(lambda: bool(rig.streams))
-        rig.client.cancel(send.call, send.attempt)
-        assert rig.wait_for_attempt_end().outcome is Outcome.CANCELLED
+        send = harness.start_call()
+        harness.client.cancel(send.call, send.attempt)  # before its task has started
+        assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+        send = harness.start_call()
+        harness.wait_until(lambda: bool(harness.worker_streams))
+        harness.client.cancel(send.call, send.attempt)
+        assert harness.wait_for_attempt_end().outcome is Outcome.CANCELLED
 
-    rig.run(stay_silent, script)
+    harness.run(never_respond, script)
 
 
-def test_an_attempt_abandoned_before_its_first_byte_never_writes(monkeypatch: pytest.MonkeyPatch) -> None:
-    rig = RespondingWorkerRig()
-    delay_connects(monkeypatch, rig, 100 * US_PER_MS)
+def test_an_attempt_cancelled_before_its_first_byte_sends_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = RespondingWorkerHarness()
+    delay_connects(monkeypatch, harness, 100 * US_PER_MS)
 
     def script() -> None:
-        # It waits for the disk, or for the connection.
-        for before in (lambda: rig.loop.sleep(100 * US_PER_MS), None):
-            send = rig.start_call(before=before)
-            rig.loop.sleep(50 * US_PER_MS)
-            rig.client.cancel(send.call, send.attempt)
-            assert rig.wait_for_attempt_end().outcome is Outcome.MOOT
-        rig.loop.sleep(US_PER_S)
-        assert not rig.received
+        # The attempt is cancelled while it waits for the disk, then while it waits for the connection.
+        for before_send in (lambda: harness.loop.sleep(100 * US_PER_MS), None):
+            send = harness.start_call(before_send=before_send)
+            harness.loop.sleep(50 * US_PER_MS)
+            harness.client.cancel(send.call, send.attempt)
+            assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+        harness.loop.sleep(US_PER_S)
+        assert not harness.received
 
-    rig.run_script(script)
+    harness.run_script(script)
 
 
-def test_an_attempt_abandoned_while_it_is_ready_to_run_never_writes() -> None:
-    rig = RespondingWorkerRig()
+def test_an_attempt_cancelled_while_its_task_is_ready_to_run_sends_nothing() -> None:
+    harness = RespondingWorkerHarness()
 
     def script() -> None:
-        assert rig.call().outcome is Outcome.OK  # leaves a connection, so that nothing is waited for
-        persisted = Event(rig.loop)
-        send = rig.start_call(before=persisted.wait)
-        rig.loop.sleep(US_PER_MS)
+        # This call leaves an idle connection, so that the next attempt need not wait for one.
+        assert harness.call().outcome is Outcome.OK
+        persisted = Event(harness.loop)
+        send = harness.start_call(before_send=persisted.wait)
+        harness.loop.sleep(US_PER_MS)
         persisted.set()
-        rig.client.cancel(send.call, send.attempt)
-        assert rig.wait_for_attempt_end().outcome is Outcome.MOOT
-        rig.loop.sleep(US_PER_S)
-        assert len(rig.received) == 1
+        harness.client.cancel(send.call, send.attempt)
+        assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+        harness.loop.sleep(US_PER_S)
+        assert len(harness.received) == 1
 
-    rig.run_script(script)
+    harness.run_script(script)
 
 
-def test_an_attempt_abandoned_while_it_waits_for_its_handshake_makes_no_connection() -> None:
-    rig = RespondingWorkerRig()
-    rig.client = WorkerClient(rig.loop, SETTINGS, context=ssl.create_default_context())
-    handshakes = rig.client._connector.handshakes
+def test_an_attempt_cancelled_while_it_waits_for_a_handshake_opens_no_connection() -> None:
+    harness = RespondingWorkerHarness()
+    harness.client = WorkerClient(harness.loop, SETTINGS, context=ssl.create_default_context())
+    handshake_limiter = harness.client._connector.handshake_limiter
 
     def script() -> None:
-        while handshakes.try_begin(rig.loop.now(), "w"):
+        while handshake_limiter.try_begin(harness.loop.now(), "w"):
             pass
-        send = rig.start_call()
-        rig.loop.sleep(50 * US_PER_MS)
-        rig.client.cancel(send.call, send.attempt)
-        assert rig.wait_for_attempt_end().outcome is Outcome.MOOT
-        handshakes.record_success("w")
-        rig.loop.sleep(US_PER_S)
-        assert not rig.streams
+        send = harness.start_call()
+        harness.loop.sleep(50 * US_PER_MS)
+        harness.client.cancel(send.call, send.attempt)
+        assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+        handshake_limiter.record_success("w")
+        harness.loop.sleep(US_PER_S)
+        assert not harness.worker_streams
 
-    rig.run_script(script)
+    harness.run_script(script)
 
 
-def test_a_handshake_cut_short_by_the_calls_timeout_is_no_failure_of_the_worker() -> None:
-    rig = RespondingWorkerRig(response=b"")
-    rig.client = WorkerClient(rig.loop, SETTINGS, context=ssl.create_default_context())
+def test_a_handshake_ended_by_the_call_timeout_is_not_a_failure_of_the_worker() -> None:
+    harness = RespondingWorkerHarness(response=b"")
+    harness.client = WorkerClient(harness.loop, SETTINGS, context=ssl.create_default_context())
 
     def script() -> None:
-        assert rig.call(timeout_us=20 * US_PER_MS).outcome is Outcome.MOOT
-        assert len(rig.streams) == 1
-        assert rig.client._connector.handshakes.try_begin(rig.loop.now(), "w")
+        assert harness.call(timeout_us=20 * US_PER_MS).outcome is Outcome.MOOT
+        assert len(harness.worker_streams) == 1
+        assert harness.client._connector.handshake_limiter.try_begin(harness.loop.now(), "w")
 
-    rig.run_script(script)
+    harness.run_script(script)
 
 
-@pytest.mark.parametrize("how", ["call timed out", "call abandoned", "order timed out"])
-def test_the_connection_of_a_request_given_up_unanswered_is_reset(how: str) -> None:
-    rig = RespondingWorkerRig(response=b"")
-    rig.client = WorkerClient(rig.loop, WorkerClientSettings("p", order_timeout_us=US_PER_S))
+@pytest.mark.parametrize("ending", ["call timed out", "call cancelled", "order timed out"])
+def test_the_connection_is_reset_if_a_request_ends_without_a_response(ending: str) -> None:
+    harness = RespondingWorkerHarness(response=b"")
+    harness.client = WorkerClient(harness.loop, WorkerClientSettings("p", order_timeout_us=US_PER_S))
 
     def script() -> None:
-        if how == "order timed out":
-            assert rig.order().outcome is Outcome.TIMEOUT
-        elif how == "call timed out":
-            assert rig.call().outcome is Outcome.TIMEOUT
+        if ending == "order timed out":
+            assert harness.order_load().outcome is Outcome.TIMEOUT
+        elif ending == "call timed out":
+            assert harness.call().outcome is Outcome.TIMEOUT
         else:
-            send = rig.start_call()
-            rig.wait_for(lambda: bool(rig.received))
-            rig.client.cancel(send.call, send.attempt)
-            assert rig.wait_for_attempt_end().outcome is Outcome.CANCELLED
-        rig.loop.sleep(US_PER_S)
-        assert rig.resets == 1
-
-    rig.run_script(script)
+            send = harness.start_call()
+            harness.wait_until(lambda: bool(harness.received))
+            harness.client.cancel(send.call, send.attempt)
+            assert harness.wait_for_attempt_end().outcome is Outcome.CANCELLED
+        harness.loop.sleep(US_PER_S)
+        assert harness.resets == 1
+
+    harness.run_script(script)
--- a/packages/workerclient/tests/test_load_order_outcomes.py
+++ b/packages/workerclient/tests/test_load_order_outcomes.py
@@ -1,4 +1,4 @@
-"""Load orders: each ends once, with an outcome that is true of the worker."""
+"""The outcome of load orders: each reports exactly one, which is true of the worker."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from walnutpost.testsupport.workerclient.harness import (
     TWO_COPIES_LOADED,
     US_PER_S,
-    RespondingWorkerRig,
+    RespondingWorkerHarness,
     delay_connects,
 )
 from walnutpost.workerclient import codec
@@ -28,7 +28,7 @@
     stream.reset()
 
 
-ORDER_ENDS: dict[str, tuple[bytes | Callable[[Stream], None], Outcome]] = {
+ORDER_EXCHANGES: dict[str, tuple[bytes | Callable[[Stream], None], Outcome]] = {
     "the copies are loaded": (TWO_COPIES_LOADED, Outcome.OK),
     "no capacity": (encode_response(Response(503, {}, b'{"copies": 1}')), Outcome.FULL),
     "an infinite number of copies": (
@@ -37,82 +37,82 @@
     ),
     "closed": (close_after_reading, Outcome.RESET),
     "reset": (reset_after_reading, Outcome.RESET),
-    # None of these proves that the worker won't read it later.
+    # After these, the worker may still read the order.
     "silence": (b"", Outcome.TIMEOUT),
     "a partial response": (TWO_COPIES_LOADED[:-1], Outcome.TIMEOUT),
-    "no HTTP": (b"\x00\x01 what\r\n\r\n", Outcome.TIMEOUT),
+    "not HTTP": (b"\x00\x01 what\r\n\r\n", Outcome.TIMEOUT),
 }
 
 
-@pytest.mark.parametrize("name", ORDER_ENDS)
-def test_the_outcome_of_an_order_is_true_and_reported_once(name: str) -> None:
-    worker, wanted = ORDER_ENDS[name]
-    rig = RespondingWorkerRig(worker if isinstance(worker, bytes) else b"")
+@pytest.mark.parametrize("name", ORDER_EXCHANGES)
+def test_a_load_order_reports_one_outcome_that_follows_from_how_the_exchange_ended(name: str) -> None:
+    worker, expected = ORDER_EXCHANGES[name]
+    harness = RespondingWorkerHarness(worker if isinstance(worker, bytes) else b"")
 
     def script() -> None:
-        ended = rig.order()
-        assert ended.outcome is wanted
-        assert ended.copies == {Outcome.OK: 2, Outcome.FULL: 1}.get(wanted, 0)
+        ended = harness.order_load()
+        assert ended.outcome is expected
+        assert ended.copies == {Outcome.OK: 2, Outcome.FULL: 1}.get(expected, 0)
 
     if isinstance(worker, bytes):
-        rig.run_script(script)
+        harness.run_script(script)
     else:
-        rig.run(worker, script)
+        harness.run(worker, script)
 
 
 @pytest.mark.parametrize(
-    ("error", "was_sent", "wanted"),
+    ("error", "has_sent_bytes", "expected"),
     [
         (ConnectionResetError(errno.ECONNRESET, "reset"), True, Outcome.RESET),
         (BrokenPipeError(errno.EPIPE, "broken"), True, Outcome.RESET),
         (BrokenPipeError(errno.EPIPE, "broken"), False, Outcome.CONNECT_FAILED),
-        # The network broke; what the worker's machine holds can still be read.
+        # After a network failure, the worker may still read the bytes in its kernel.
         (OSError(errno.EHOSTUNREACH, "no route"), True, Outcome.TIMEOUT),
         (TimeoutError(errno.ETIMEDOUT, "gave up"), True, Outcome.TIMEOUT),
-        (HttpMessageError(400, "no HTTP"), True, Outcome.TIMEOUT),
+        (HttpMessageError(400, "not HTTP"), True, Outcome.TIMEOUT),
     ],
 )
-def test_an_order_that_met_an_error_is_reported_as_what_the_error_proves(
-    error: Exception, was_sent: bool, wanted: Outcome, monkeypatch: pytest.MonkeyPatch
+def test_the_outcome_of_a_load_order_follows_from_the_connection_error(
+    error: Exception, has_sent_bytes: bool, expected: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig = RespondingWorkerRig()
+    harness = RespondingWorkerHarness()
 
     def fail(connection: Connection, data: bytes) -> Response:
-        connection.stream.has_sent = was_sent
+        connection.stream.has_sent = has_sent_bytes
         raise error
 
     monkeypatch.setattr(Connection, "exchange", fail)
-    rig.run_script(lambda: expect_order_outcome(rig, wanted))
+    harness.run_script(lambda: assert_load_order_outcome(harness, expected))
 
 
-def expect_order_outcome(rig: RespondingWorkerRig, wanted: Outcome) -> None:
-    assert rig.order().outcome is wanted
+def assert_load_order_outcome(harness: RespondingWorkerHarness, expected: Outcome) -> None:
+    assert harness.order_load().outcome is expected
 
 
-def test_an_order_without_a_connection_in_time_is_connect_failed(monkeypatch: pytest.MonkeyPatch) -> None:
-    rig = RespondingWorkerRig()
-    delay_connects(monkeypatch, rig, US_PER_S)
-    rig.run_script(lambda: expect_order_outcome(rig, Outcome.CONNECT_FAILED))
-    assert not rig.received
+def test_a_load_order_whose_connect_times_out_ends_as_connect_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+    harness = RespondingWorkerHarness()
+    delay_connects(monkeypatch, harness, US_PER_S)
+    harness.run_script(lambda: assert_load_order_outcome(harness, Outcome.CONNECT_FAILED))
+    assert not harness.received
 
 
 @pytest.mark.parametrize(
-    ("function", "wanted"), [("encode_load_order", Outcome.MOOT), ("decode_load_response", Outcome.TIMEOUT)]
+    ("function", "expected"), [("encode_load_order", Outcome.MOOT), ("decode_load_response", Outcome.TIMEOUT)]
 )
-def test_an_order_whose_task_raises_ends_once(
-    function: str, wanted: Outcome, monkeypatch: pytest.MonkeyPatch
+def test_a_load_order_whose_task_raises_reports_one_end(
+    function: str, expected: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    rig = RespondingWorkerRig(TWO_COPIES_LOADED)
-    fault = RuntimeError("a fault of ours")
+    harness = RespondingWorkerHarness(TWO_COPIES_LOADED)
+    error = RuntimeError("bug in the client")
 
     def fail(*args: object) -> bytes:
-        raise fault
+        raise error
 
     monkeypatch.setattr(codec, function, fail)
 
     def script() -> None:
-        assert rig.order().outcome is wanted
-        assert rig.errors == [fault]
-        rig.errors.clear()
+        assert harness.order_load().outcome is expected
+        assert harness.loop_errors == [error]
+        harness.loop_errors.clear()
 
-    rig.run_script(script)
+    harness.run_script(script)
--- a/packages/workerclient/tests/test_orca.py
+++ b/packages/workerclient/tests/test_orca.py
@@ -1,4 +1,4 @@
-"""Load reports in headers."""
+"""Load reports in response headers."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 REPORT = {"cpu_utilization": 0.25, "mem_utilization": 0.5, "queue": 3.0}
 
 
-@pytest.mark.parametrize("form", ["text", "json", "binary"])
-def test_a_report_is_decoded_as_it_was_encoded(form: str) -> None:
-    name, value = orca.encode_report(REPORT, form)
+@pytest.mark.parametrize("report_format", ["text", "json", "binary"])
+def test_a_decoded_report_equals_the_encoded_report(report_format: str) -> None:
+    name, value = orca.encode_report(REPORT, report_format)
     decoded = orca.decode_report({name: value})
     assert {metric: decoded[metric] for metric in REPORT} == REPORT
     assert codec.select_fields(decoded, ("busy", "memory_tied", "queue")) == (0.25, 0.5, 3.0)
@@ -32,6 +32,6 @@
         "x",
     ],
 )
-def test_a_broken_report_has_no_metrics(value: str) -> None:
+def test_a_malformed_report_has_no_metrics(value: str) -> None:
     assert orca.decode_report({orca.HEADER: value}) == {}
     assert orca.decode_report({orca.BINARY_HEADER: value.encode().hex()}).get("a") is None
--- a/packages/workerclient/tests/test_tls_fleet.py
+++ b/packages/workerclient/tests/test_tls_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet under TLS: calls, certificates that are replaced while it runs, and the program's commands."""
+"""A fleet that uses TLS: calls, replacement of certificates at run time, and the program's commands."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     (path / "root.pem").write_bytes(AUTHORITY.root)
     for name in ("worker-1", "worker-2", "worker-3", "front"):
         certificates.get(name.replace("-", "_"), AUTHORITY.issue(name)).write(path, name)
-    own = {"roots": "root.pem", "chain": "front.pem", "key": "front.key"}
+    tls = {"roots": "root.pem", "chain": "front.pem", "key": "front.key"}
     return Fleet(
-        path, {"front": {"tls": own}, "fleet": {"tls": {"folder": ".", "clients": True}}}, capture=True
+        path, {"front": {"tls": tls}, "fleet": {"tls": {"folder": ".", "clients": True}}}, capture=True
     )
 
 
-def test_a_fleet_under_tls_answers_calls_and_its_captures_pass_the_audit(tmp_path: Path) -> None:
+def test_a_fleet_with_tls_answers_calls_and_its_captures_pass_the_audit(tmp_path: Path) -> None:
     fleet = start_fleet(tmp_path)
 
     def script() -> None:
@@ -39,7 +39,7 @@
     assert fleet.runs() == 30
 
 
-def test_a_worker_with_the_certificate_of_another_gets_no_call_and_the_others_do(tmp_path: Path) -> None:
+def test_a_worker_with_the_certificate_of_another_worker_gets_no_calls(tmp_path: Path) -> None:
     fleet = start_fleet(tmp_path, worker_1=AUTHORITY.issue("worker-2"))
 
     def script() -> None:
@@ -53,8 +53,8 @@
     assert fleet.runs() == 20
 
 
-@pytest.mark.parametrize("idle_ms", [0, 15_000])  # a connection for each call, or reused ones
-def test_certificates_and_root_are_replaced_under_load_without_a_failed_call(
+@pytest.mark.parametrize("idle_ms", [0, 15_000])  # a new connection for each call, or reused connections
+def test_no_call_fails_while_certificates_and_the_root_are_replaced_under_load(
     idle_ms: int, tmp_path: Path
 ) -> None:
     fleet = start_fleet(tmp_path)
@@ -73,35 +73,36 @@
             while not stopped:
                 statuses.append(fleet.invoke("price", b"%d" % len(statuses)).status)
 
-        clients = [fleet.loop.spawn(call_repeatedly) for _ in range(4)]
-        (tmp_path / "root.pem").write_bytes(
-            AUTHORITY.root + new_authority.root
-        )  # both are trusted for a while
+        client_tasks = [fleet.loop.spawn(call_repeatedly) for _ in range(4)]
+        # Both roots are trusted for a while.
+        (tmp_path / "root.pem").write_bytes(AUTHORITY.root + new_authority.root)
         fleet.until(lambda: len(certificate_events()) == 1)
         new_authority.issue("front").write(tmp_path, "front")
-        complete = (tmp_path / "front.key").read_bytes()
-        (tmp_path / "front.key").write_bytes(complete[:100])  # half-written: rejected, the old one stays
+        key_pem = (tmp_path / "front.key").read_bytes()
+        (tmp_path / "front.key").write_bytes(
+            key_pem[:100]
+        )  # half-written: rejected, the old key stays in use
         fleet.until(lambda: len(certificate_events()) == 2)
-        (tmp_path / "front.key").write_bytes(complete)
-        for server in (fleet.workers["worker-1"], fleet.workers["worker-2"]):
-            context = server.server.context
+        (tmp_path / "front.key").write_bytes(key_pem)
+        for worker in (fleet.workers["worker-1"], fleet.workers["worker-2"]):
+            context = worker.server.context
             assert context is not None
             context.load_verify_locations(cadata=new_authority.root.decode())
-            new_authority.issue(server.model.spec.name).write(tmp_path, "renewed")
+            new_authority.issue(worker.model.spec.name).write(tmp_path, "renewed")
             context.load_cert_chain(tmp_path / "renewed.pem", tmp_path / "renewed.key")
         fleet.until(lambda: len(certificate_events()) == 3)
-        (tmp_path / "root.pem").write_bytes(new_authority.root)  # the old one is withdrawn
+        (tmp_path / "root.pem").write_bytes(new_authority.root)  # the old root is no longer trusted
         fleet.until(lambda: len(certificate_events()) == 4)
-        # The third worker still has its old certificate, so what was cached under the old root, sessions
-        # and idle connections, must not be used any more.
+        # The third worker still has its old certificate, so sessions and idle connections that date from the
+        # old root must no longer be used.
         fleet.loop.sleep(1_000_000)
         calls_before = len(statuses)
         runs_before = len(fleet.workers["worker-3"].runs)
         fleet.until(lambda: len(statuses) > calls_before + 60)
         assert len(fleet.workers["worker-3"].runs) == runs_before > 0
         stopped.append(True)
-        for client in clients:
-            client.join()
+        for task in client_tasks:
+            task.join()
         assert set(statuses) == {200}
         assert calls_before > 100
 
@@ -129,7 +130,7 @@
     fleet.run(script)
 
 
-def test_a_key_that_does_not_fit_ends_the_program_before_it_serves(tmp_path: Path) -> None:
+def test_serve_exits_with_an_error_if_the_key_does_not_match_the_certificate(tmp_path: Path) -> None:
     AUTHORITY.issue("front").write(tmp_path, "front")
     (tmp_path / "front.key").write_bytes(AUTHORITY.issue("worker-7").key)
     (tmp_path / "root.pem").write_bytes(AUTHORITY.root)
@@ -142,18 +143,20 @@
     assert (tmp_path / "front.key").stat().st_mode & 0o77 == 0
 
 
-def test_the_keys_of_a_test_authority_can_be_used_and_their_status_is_shown(tmp_path: Path) -> None:
+def test_status_accepts_the_keys_that_make_test_ca_creates(tmp_path: Path) -> None:
     path = tmp_path / "site.json5"
     tls = {"roots": "keys/root.pem", "chain": "keys/front.pem", "key": "keys/front.key"}
     path.write_text(json.dumps(merged(BASE, {"front": {"tls": tls}})))
     assert CliRunner().invoke(main, ["keys", "status", str(path)]).exit_code == 1
-    made = CliRunner().invoke(main, ["keys", "make-test-ca", str(path), "--out", str(tmp_path / "keys")])
-    assert made.exit_code == 0
-    assert "worker-3" in made.output
-    shown = CliRunner().invoke(main, ["keys", "status", str(path)])
-    assert shown.exit_code == 0
-    assert "front" in shown.output
-    assert "days left" in shown.output
+    make_result = CliRunner().invoke(
+        main, ["keys", "make-test-ca", str(path), "--out", str(tmp_path / "keys")]
+    )
+    assert make_result.exit_code == 0
+    assert "worker-3" in make_result.output
+    status_result = CliRunner().invoke(main, ["keys", "status", str(path)])
+    assert status_result.exit_code == 0
+    assert "front" in status_result.output
+    assert "days left" in status_result.output
     keys = list((tmp_path / "keys").glob("*.key"))
     assert len(keys) == 4
     assert all(key.stat().st_mode & 0o77 == 0 for key in keys)
--- a/packages/workerclient/tests/test_usage_queries.py
+++ b/packages/workerclient/tests/test_usage_queries.py
@@ -1,4 +1,4 @@
-"""Queries for usage records: their errors."""
+"""Errors of queries for usage records."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from walnutpost.http import Response
 from walnutpost.interface import Outcome
-from walnutpost.testsupport.workerclient.harness import RespondingWorkerRig
+from walnutpost.testsupport.workerclient.harness import RespondingWorkerHarness
 from walnutpost.workerclient import (
     InvalidUsageReportError,
     WorkerClientError,
@@ -15,20 +15,20 @@
 )
 
 
-def test_a_usage_query_to_a_worker_without_an_address_raises_with_worker_and_outcome() -> None:
-    rig = RespondingWorkerRig()
+def test_a_usage_query_to_a_worker_without_an_address_raises_an_error_with_worker_and_outcome() -> None:
+    harness = RespondingWorkerHarness()
 
     def script() -> None:
         with pytest.raises(WorkerUnavailableError, match="connect_failed") as raised:
-            rig.client.fetch_usage("nobody", 1, 0)
+            harness.client.fetch_usage("nobody", 1, 0)
         assert (raised.value.worker, raised.value.outcome) == ("nobody", Outcome.CONNECT_FAILED)
         assert isinstance(raised.value, WorkerClientError)
         assert isinstance(raised.value, OSError)
 
-    rig.run_script(script)
+    harness.run_script(script)
 
 
-def test_a_usage_response_of_another_status_raises_with_what_was_found_and_wanted() -> None:
+def test_a_usage_response_with_another_status_raises_an_error_with_found_and_wanted() -> None:
     with pytest.raises(InvalidUsageReportError) as raised:
         codec.decode_usage_response(Response(500))
     assert str(raised.value) == "found status 500, wanted 200"
--- a/packages/workerclient/tests/test_worker_protocol_golden.py
+++ b/packages/workerclient/tests/test_worker_protocol_golden.py
@@ -1,6 +1,6 @@
-"""The worker protocol over HTTP: requests, responses, load reports in their three forms, usage records.
+"""Golden files of the worker protocol: requests, responses, load reports in three formats, usage records.
 
-Run as a program, it writes the files again, which is right only for a wire that is meant to change.
+Run this module as a program to write the files again. Do so only if the protocol is meant to change.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from walnutpost.testsupport.metering.report_samples import REPORTS
 from walnutpost.workerclient import InvalidUsageReportError, codec, orca
 
-GOLDEN = Path(__file__).parent / "golden" / "frames"
+GOLDEN_FOLDER = Path(__file__).parent / "golden" / "frames"
 REPORTS_FOLDER = Path(__file__).parents[2] / "metering" / "tests" / "golden"
-SENT, RECEIVED = GOLDEN / "sent.jsonl", GOLDEN / "received.jsonl"
-FIELDS = ("busy", "memory_tied", "queue")
-ORCA_FORMS = ("text", "json", "binary")
+SENT_FILE, RECEIVED_FILE = GOLDEN_FOLDER / "sent.jsonl", GOLDEN_FOLDER / "received.jsonl"
+REPORT_FIELDS = ("busy", "memory_tied", "queue")
+ORCA_FORMATS = ("text", "json", "binary")
 REPORT = {
     "cpu_utilization": 0.875,
     "mem_utilization": 0.5,
@@ -42,7 +42,7 @@
     "crowd": 4.0,
 }
 
-SLICE = {
+USAGE_SLICE = {
     "worker": "w-1",
     "started": 5,
     "copy": 3,
@@ -60,64 +60,65 @@
 }
 
 
-def call(*fields: Any) -> bytes:
+def encode_call_fields(*fields: Any) -> bytes:
     return codec.encode_call(codec.CallRequest(*fields))
 
 
-def load_report(figures: dict[str, float], form: str) -> bytes:
-    name, value = orca.encode_report(figures, form)
+def encode_report_header(report: dict[str, float], report_format: str) -> bytes:
+    name, value = orca.encode_report(report, report_format)
     return f"{name}: {value}".encode()
 
 
-def response_of(data: bytes) -> Response:
+def parse_recorded_response(data: bytes) -> Response:
     status, headers, body = json.loads(data)
     return Response(status, headers, base64.b64decode(body))
 
 
-def call_result(data: bytes) -> tuple[Any, ...]:
-    found = codec.decode_call_response(response_of(data), FIELDS)
-    return found.outcome, found.is_function_error, found.warmth, found.crowd, found.report
+def decode_call(data: bytes) -> tuple[Any, ...]:
+    result = codec.decode_call_response(parse_recorded_response(data), REPORT_FIELDS)
+    return result.outcome, result.is_function_error, result.warmth, result.crowd, result.report
 
 
-def load_result(data: bytes) -> tuple[Any, ...]:
-    found = codec.decode_load_response(response_of(data))
-    return found.outcome, found.copies
+def decode_load(data: bytes) -> tuple[Any, ...]:
+    result = codec.decode_load_response(parse_recorded_response(data))
+    return result.outcome, result.copies
 
 
-def usage_report(data: bytes) -> Any:
-    """As its own JSON, to the byte: the records are stored and forwarded in that form."""
+def decode_usage(data: bytes) -> Any:
+    """Return the report re-encoded as JSON, byte for byte: records are stored and forwarded in this form."""
     try:
-        report = codec.decode_usage_response(response_of(data))
+        report = codec.decode_usage_response(parse_recorded_response(data))
     except InvalidUsageReportError:
         return "unusable"
     return "absent" if report is None else msgspec.json.encode(report)
 
 
-def metrics(data: bytes) -> dict[str, float]:
-    return dict(sorted(orca.decode_report(json.loads(data)).items()))  # a protobuf map has no order
+def decode_metrics(data: bytes) -> dict[str, float]:
+    # Sorted, because the order of a protobuf map is undefined.
+    return dict(sorted(orca.decode_report(json.loads(data)).items()))
 
 
 SENDERS: dict[str, Sender] = {
-    "call": call,
+    "call": encode_call_fields,
     "load": codec.encode_load_order,
     "unload": codec.encode_unload,
     "usage": codec.encode_usage_query,
     "ready": lambda: codec.READY_REQUEST,
-    "report": load_report,
+    "report": encode_report_header,
 }
 RECEIVERS = {
-    "call": call_result,
-    "load": load_result,
-    "usage": usage_report,
-    "report": metrics,
+    "call": decode_call,
+    "load": decode_load,
+    "usage": decode_usage,
+    "report": decode_metrics,
 }
 
 
-def response(status: int, headers: dict[str, str] | None = None, body: bytes = b"") -> bytes:
+def recorded_response(status: int, headers: dict[str, str] | None = None, body: bytes = b"") -> bytes:
     return json.dumps([status, headers or {}, base64.b64encode(body).decode()]).encode()
 
 
-def make() -> None:
+def write_golden_files() -> None:
     sent: list[tuple[Any, ...]] = [
         ("call", "price", None, b'{"a":1}', "c-1", 0, 1_700_000_000_123_456),
         (
@@ -143,31 +144,41 @@
         ("usage", 1_800_000_000_000_001, 2),
     ]
     rows = [sent_row(name, SENDERS, *arguments) for name, *arguments in sent]
-    rows += [sent_row("report", SENDERS, REPORT, form) for form in ("text", "json")]
-    rows += [sent_row("report", SENDERS, {"eps": 0.5, "queue": 2.0}, form) for form in ORCA_FORMS]
-    write_rows(SENT, rows)
-    # A protobuf map leaves in any order: one named figure keeps these bytes the same at each making.
-    one_named = {name: figure for name, figure in REPORT.items() if name not in ("loads", "warmth", "crowd")}
-    headers_of_reports = [
+    rows += [sent_row("report", SENDERS, REPORT, report_format) for report_format in ("text", "json")]
+    rows += [
+        sent_row("report", SENDERS, {"eps": 0.5, "queue": 2.0}, report_format)
+        for report_format in ORCA_FORMATS
+    ]
+    write_rows(SENT_FILE, rows)
+    # The entries of a protobuf map are encoded in any order. A report with one named metric has stable bytes.
+    report_with_one_named_metric = {
+        name: value for name, value in REPORT.items() if name not in ("loads", "warmth", "crowd")
+    }
+    report_headers = [
         dict([orca.encode_report(REPORT, "text")]),
         dict([orca.encode_report(REPORT, "json")]),
     ]
-    headers_of_reports += [dict([orca.encode_report(one_named, "binary")])]
-    errors = (*codec.FULL_ERROR_TYPES, codec.MISS_ERROR_TYPE, codec.LOAD_FAILED_ERROR_TYPE, "")
-    received = [("call", response(200, headers, b"1")) for headers in headers_of_reports]
+    report_headers += [dict([orca.encode_report(report_with_one_named_metric, "binary")])]
+    error_types = (*codec.FULL_ERROR_TYPES, codec.MISS_ERROR_TYPE, codec.LOAD_FAILED_ERROR_TYPE, "")
+    received = [("call", recorded_response(200, headers, b"1")) for headers in report_headers]
     received += [
-        ("call", response(status, {codec.ERROR_TYPE_HEADER: one}))
+        ("call", recorded_response(status, {codec.ERROR_TYPE_HEADER: error_type}))
         for status in (404, 503, 500)
-        for one in errors
+        for error_type in error_types
+    ]
+    received += [
+        ("call", recorded_response(200, {codec.FUNCTION_ERROR_HEADER: "Unhandled", **report_headers[0]}))
     ]
-    received += [("call", response(200, {codec.FUNCTION_ERROR_HEADER: "Unhandled", **headers_of_reports[0]}))]
-    warmths = ("0", "1", "2", "3", "4", "5", "-1", "x")
+    warmth_values = ("0", "1", "2", "3", "4", "5", "-1", "x")
     received += [
-        ("call", response(200, {orca.HEADER: f"TEXT named_metrics.warmth={one}"})) for one in warmths
+        ("call", recorded_response(200, {orca.HEADER: f"TEXT named_metrics.warmth={warmth}"}))
+        for warmth in warmth_values
     ]
     bodies = (b'{"copies":2}', b"{}", b"", b"[]", b"{", b'{"copies":"x"}', b'{"copies":-1}')
-    received += [("load", response(status, None, body)) for status in (200, 404, 503, 500) for body in bodies]
-    usage = {
+    received += [
+        ("load", recorded_response(status, None, body)) for status in (200, 404, 503, 500) for body in bodies
+    ]
+    usage_report = {
         "worker": "w-1",
         "started": 5,
         "at": 9,
@@ -178,34 +189,43 @@
         "forgotten": 2,
         "forgotten_mb_us": 11,
     }
-    received += [("usage", response(200, None, json.dumps(usage).encode()))]
-    usage["slices"] = [SLICE]
-    received += [("usage", response(200, None, json.dumps(usage).encode()))]
-    received += [("usage", response(404)), ("usage", response(500)), ("usage", response(200, None, b"{"))]
-    lines = (
-        *headers_of_reports,
+    received += [("usage", recorded_response(200, None, json.dumps(usage_report).encode()))]
+    usage_report["slices"] = [USAGE_SLICE]
+    received += [("usage", recorded_response(200, None, json.dumps(usage_report).encode()))]
+    received += [
+        ("usage", recorded_response(404)),
+        ("usage", recorded_response(500)),
+        ("usage", recorded_response(200, None, b"{")),
+    ]
+    header_samples = (
+        *report_headers,
         {},
         {orca.HEADER: "cpu_utilization=0.5, queue=x, loads=inf"},
         {orca.HEADER: "JSON ["},
     )
-    broken = ({orca.BINARY_HEADER: "!"}, {orca.HEADER: "BIN " + headers_of_reports[2][orca.BINARY_HEADER]})
-    received += [("report", json.dumps(headers).encode()) for headers in (*lines, *broken)]
-    write_rows(RECEIVED, [received_row(name, RECEIVERS, data) for name, data in received])
+    binary_header_samples = (
+        {orca.BINARY_HEADER: "!"},
+        {orca.HEADER: "BIN " + report_headers[2][orca.BINARY_HEADER]},
+    )
+    received += [
+        ("report", json.dumps(headers).encode()) for headers in (*header_samples, *binary_header_samples)
+    ]
+    write_rows(RECEIVED_FILE, [received_row(name, RECEIVERS, data) for name, data in received])
 
 
 @pytest.mark.parametrize("name", REPORTS)
-def test_a_usage_report_of_a_former_release_is_decoded(name: str) -> None:
+def test_a_usage_report_of_an_earlier_release_is_decoded(name: str) -> None:
     body = (REPORTS_FOLDER / f"{name}.json").read_bytes()
     assert codec.decode_usage_response(Response(200, body=body)) == REPORTS[name]
 
 
 def test_requests_are_encoded_as_recorded() -> None:
-    assert differences_sent(SENT, SENDERS) == []
+    assert differences_sent(SENT_FILE, SENDERS) == []
 
 
 def test_responses_are_decoded_as_recorded() -> None:
-    assert differences_received(RECEIVED, RECEIVERS) == []
+    assert differences_received(RECEIVED_FILE, RECEIVERS) == []
 
 
 if __name__ == "__main__":
-    make()
+    write_golden_files()
--- a/packages/workerclient/tests/test_worker_socket_faults.py
+++ b/packages/workerclient/tests/test_worker_socket_faults.py
@@ -1,4 +1,4 @@
-"""Sockets that fail: what never left counts as nothing ran, what was written may have run."""
+"""Socket failures: a call of which nothing was sent never ran, a call that was sent may have run."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 from walnutpost.interface import Outcome
 from walnutpost.testsupport.eventloop.scripted_sockets import ScriptedSocket, SocketFaults, scripted_sockets
-from walnutpost.testsupport.workerclient.harness import TWO_COPIES_LOADED, RespondingWorkerRig
+from walnutpost.testsupport.workerclient.harness import TWO_COPIES_LOADED, RespondingWorkerHarness
 
 
-def run(response: bytes, script: Callable[[RespondingWorkerRig, SocketFaults], None]) -> None:
+def run_with_faults(response: bytes, script: Callable[[RespondingWorkerHarness, SocketFaults], None]) -> None:
     with scripted_sockets() as faults:
-        rig = RespondingWorkerRig(response)
-        rig.run_script(lambda: script(rig, faults))
+        harness = RespondingWorkerHarness(response)
+        harness.run_script(lambda: script(harness, faults))
 
 
 def is_to_worker(sock: ScriptedSocket) -> bool:
-    """Whether a socket was connected to the rig's one worker."""
+    """Whether a socket is a connection to the only worker."""
     return sock.target is not None
 
 
 CONNECT_ERRORS = [
-    pytest.param(operation, number, id=f"{operation}-{errno.errorcode[number]}")
-    for operation, number in (
+    pytest.param(operation, error_number, id=f"{operation}-{errno.errorcode[error_number]}")
+    for operation, error_number in (
         ("socket", errno.EMFILE),
         ("socket", errno.ENFILE),
         ("socket", errno.ENOBUFS),
@@ -39,69 +39,71 @@
 ]
 
 
-@pytest.mark.parametrize(("operation", "number"), CONNECT_ERRORS)
-def test_a_connection_that_cannot_be_made_counts_as_nothing_ran(operation: Any, number: int) -> None:
-    def script(rig: RespondingWorkerRig, faults: SocketFaults) -> None:
-        faults.fail(operation, number, times=2)
-        assert rig.call().outcome is Outcome.CONNECT_FAILED
-        assert rig.order().outcome is Outcome.CONNECT_FAILED
-        assert not rig.received
+@pytest.mark.parametrize(("operation", "error_number"), CONNECT_ERRORS)
+def test_calls_and_load_orders_end_as_connect_failed_if_no_connection_can_be_made(
+    operation: Any, error_number: int
+) -> None:
+    def script(harness: RespondingWorkerHarness, faults: SocketFaults) -> None:
+        faults.fail(operation, error_number, times=2)
+        assert harness.call().outcome is Outcome.CONNECT_FAILED
+        assert harness.order_load().outcome is Outcome.CONNECT_FAILED
+        assert not harness.received
         assert faults.failed[operation] == 2
-        assert rig.call().outcome is Outcome.OK
+        assert harness.call().outcome is Outcome.OK
 
-    run(TWO_COPIES_LOADED, script)
+    run_with_faults(TWO_COPIES_LOADED, script)
 
 
 NETWORK_ERRORS = [
-    pytest.param(number, id=errno.errorcode[number])
-    for number in (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ENOBUFS, errno.EPERM)
+    pytest.param(error_number, id=errno.errorcode[error_number])
+    for error_number in (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ENOBUFS, errno.EPERM)
 ]
 
 
-@pytest.mark.parametrize("number", NETWORK_ERRORS)
-def test_a_call_that_was_written_may_have_run_whatever_ends_its_connection(number: int) -> None:
-    def script(rig: RespondingWorkerRig, faults: SocketFaults) -> None:
-        faults.fail("recv", number, when=is_to_worker)
-        assert rig.call().outcome is Outcome.RESET
-        assert rig.received
+@pytest.mark.parametrize("error_number", NETWORK_ERRORS)
+def test_a_call_ends_as_reset_if_its_connection_fails_after_the_call_was_sent(error_number: int) -> None:
+    def script(harness: RespondingWorkerHarness, faults: SocketFaults) -> None:
+        faults.fail("recv", error_number, when=is_to_worker)
+        assert harness.call().outcome is Outcome.RESET
+        assert harness.received
         assert faults.failed["recv"] == 1
-        assert rig.call().outcome is Outcome.OK
+        assert harness.call().outcome is Outcome.OK
 
-    run(TWO_COPIES_LOADED, script)
+    run_with_faults(TWO_COPIES_LOADED, script)
 
 
-@pytest.mark.parametrize("number", NETWORK_ERRORS)
-@pytest.mark.parametrize(("sent_bytes", "wanted"), [(0, Outcome.CONNECT_FAILED), (9, Outcome.RESET)])
-def test_a_call_of_which_a_byte_was_written_may_have_run(
-    number: int, sent_bytes: int, wanted: Outcome
+@pytest.mark.parametrize("error_number", NETWORK_ERRORS)
+@pytest.mark.parametrize(("sent_bytes", "expected"), [(0, Outcome.CONNECT_FAILED), (9, Outcome.RESET)])
+def test_a_call_ends_as_reset_if_a_byte_was_sent_and_else_as_connect_failed(
+    error_number: int, sent_bytes: int, expected: Outcome
 ) -> None:
-    def script(rig: RespondingWorkerRig, faults: SocketFaults) -> None:
+    def script(harness: RespondingWorkerHarness, faults: SocketFaults) -> None:
         if sent_bytes:
             faults.shorten("send", sent_bytes, when=is_to_worker)
-        faults.fail("send", number, after=sent_bytes > 0, when=is_to_worker)
-        assert rig.call().outcome is wanted
+        faults.fail("send", error_number, after=sent_bytes > 0, when=is_to_worker)
+        assert harness.call().outcome is expected
         assert faults.failed["send"] == 1
         faults.heal()
-        assert rig.call().outcome is Outcome.OK
+        assert harness.call().outcome is Outcome.OK
 
-    run(TWO_COPIES_LOADED, script)
+    run_with_faults(TWO_COPIES_LOADED, script)
 
 
-def test_a_call_and_its_response_in_single_bytes_succeed() -> None:
-    def script(rig: RespondingWorkerRig, faults: SocketFaults) -> None:
+def test_a_call_succeeds_if_it_is_sent_and_its_response_received_in_single_bytes() -> None:
+    def script(harness: RespondingWorkerHarness, faults: SocketFaults) -> None:
         faults.shorten("recv", 1, when=is_to_worker)
         faults.shorten("send", 1, when=is_to_worker)
-        assert rig.call().outcome is Outcome.OK
+        assert harness.call().outcome is Outcome.OK
 
     with scripted_sockets() as faults:
-        rig = RespondingWorkerRig()
+        harness = RespondingWorkerHarness()
 
         def serve(stream: Any) -> None:
-            got = b""
+            received_bytes = b""
             while part := stream.recv():
-                got += part
-                if got.endswith(b"\r\n\r\n1"):
+                received_bytes += part
+                if received_bytes.endswith(b"\r\n\r\n1"):
                     stream.send_all(TWO_COPIES_LOADED)
-                    got = b""
+                    received_bytes = b""
 
-        rig.run(serve, lambda: script(rig, faults))
+        harness.run(serve, lambda: script(harness, faults))
