--- a/packages/workerclient/src/walnutpost/workerclient/attempts.py
+++ b/packages/workerclient/src/walnutpost/workerclient/attempts.py
@@ -35,7 +35,7 @@
     def __init__(
         self, loop: Loop, settings: WorkerClientSettings, delivery: Delivery, wall_clock: Callable[[], int]
     ) -> None:
-        """Create a sender; it sends deadlines by `wall_clock`, in microseconds since the epoch."""
+        """Create a sender; deadlines are times of `wall_clock`, in microseconds since the epoch."""
         self._loop = loop
         self._settings = settings
         self._delivery = delivery
@@ -91,7 +91,7 @@
         return _AttemptResult(result, delivery_result.response.body)
 
     def _encode(self, effect: Send, request: WorkerRequest, execution: str) -> bytes:
-        """Encode the call with the deadline as of now, just before the first byte is sent."""
+        """Encode the call right before its first byte is sent, with the time left as a wall clock time."""
         time_left_us = request.deadline_us - self._loop.now()
         call = CallRequest(
             function=effect.function,
--- a/packages/workerclient/src/walnutpost/workerclient/client.py
+++ b/packages/workerclient/src/walnutpost/workerclient/client.py
@@ -35,18 +35,18 @@
         loop: Loop,
         settings: WorkerClientSettings,
         traffic_observer: TrafficObserver | None = None,
-        context: ssl.SSLContext | None = None,
+        tls_context: ssl.SSLContext | None = None,
         wall_clock: Callable[[], int] | None = None,
     ) -> None:
         """Create a client without workers.
 
-        If `context` is given, connections use TLS and verify the names of workers. `wall_clock` returns
+        If `tls_context` is given, connections use TLS and verify the names of workers. `wall_clock` returns
         microseconds since the epoch. Deadlines are sent to workers in its time, because the loop's clock does
-        not follow corrections of the system clock.
+        not follow corrections of the system clock. Its default is the loop's clock.
         """
         self._settings = settings
         self._directory = WorkerDirectory()
-        self._connector = Connector(loop, settings.connect_timeout_us, traffic_observer, context)
+        self._connector = Connector(loop, settings.connect_timeout_us, traffic_observer, tls_context)
         self._idle = IdleConnections(loop, settings.idle_timeout_us, settings.max_idle_connections_per_worker)
         self._delivery = Delivery(loop, self._directory, self._connector, self._idle)
         self._attempts = AttemptSender(loop, settings, self._delivery, wall_clock or loop.now)
@@ -85,9 +85,9 @@
         self._directory.addresses = dict(addresses)
         self._directory.draining = frozenset(draining)
 
-    def replace_context(self, context: ssl.SSLContext) -> None:
+    def replace_context(self, tls_context: ssl.SSLContext) -> None:
         """Use a new TLS context for new connections, and close the idle ones that use the old context."""
-        self._connector.replace_context(context)
+        self._connector.replace_context(tls_context)
         self._idle.close_all()
 
     @property
@@ -143,11 +143,11 @@
         """Check a worker's health; `on_ended` is called with the outcome and the load report."""
         self._prober.probe(effect, on_ended)
 
-    def fetch_usage(self, worker: str, started: int, after_change: int) -> UsageReport | None:
+    def fetch_usage(self, worker: str, started_us: int, after_change: int) -> UsageReport | None:
         """Return the worker's usage records after the change `after_change`, or None if it keeps no records.
 
-        `started` identifies the worker's run that the change number belongs to. Raises WorkerUnavailableError
-        if there is no response, and InvalidUsageReportError if the response is invalid.
+        `started_us` is the start time of the worker's run that numbered the change. Raises
+        WorkerUnavailableError if there is no response, InvalidUsageReportError if the response is invalid.
         """
         timeout_us = self._settings.order_timeout_us
-        return queries.fetch_usage(self._delivery, worker, started, after_change, timeout_us)
+        return queries.fetch_usage(self._delivery, worker, started_us, after_change, timeout_us)
--- a/packages/workerclient/src/walnutpost/workerclient/codec.py
+++ b/packages/workerclient/src/walnutpost/workerclient/codec.py
@@ -119,14 +119,14 @@
     return encode_request("POST", f"{_model_path(function)}/unload", HOST_HEADER_VALUE, {})
 
 
-def encode_usage_query(started: int, after_change: int) -> bytes:
+def encode_usage_query(started_us: int, after_change: int) -> bytes:
     """Encode a query for the usage records after the change `after_change`.
 
-    The change number belongs to the worker's run that began at `started`. If the worker has been restarted
-    since, it returns all its records.
+    The change number belongs to the worker's run that began at `started_us`. If the worker has been
+    restarted since, it returns all its records.
     """
     return encode_request(
-        "GET", f"{USAGE_PATH}?started={started}&after={after_change}", HOST_HEADER_VALUE, {}
+        "GET", f"{USAGE_PATH}?started={started_us}&after={after_change}", HOST_HEADER_VALUE, {}
     )
 
 
--- a/packages/workerclient/src/walnutpost/workerclient/connector.py
+++ b/packages/workerclient/src/walnutpost/workerclient/connector.py
@@ -28,21 +28,21 @@
         loop: Loop,
         connect_timeout_us: int,
         traffic_observer: TrafficObserver | None,
-        context: ssl.SSLContext | None,
+        tls_context: ssl.SSLContext | None,
     ) -> None:
-        """Create a connector. It uses TLS if there is a context; `traffic_observer` sees all traffic."""
+        """Create a connector. It uses TLS if `tls_context` is given; `traffic_observer` sees all traffic."""
         self._loop = loop
         self._connect_timeout_us = connect_timeout_us
         self._traffic_observer = traffic_observer
-        self._context = context
+        self._tls_context = tls_context
         self._sessions: dict[str, ssl.SSLSession] = {}
         self.handshake_limiter = HandshakeLimiter(HandshakeLimits())
         self.certificate_names: Mapping[str, str] = {}
         """The name that a worker's certificate must contain, if that is not the worker's own name."""
 
-    def replace_context(self, context: ssl.SSLContext) -> None:
+    def replace_context(self, tls_context: ssl.SSLContext) -> None:
         """Use a new TLS context for new connections and drop the cached sessions."""
-        self._context = context
+        self._tls_context = tls_context
         self._sessions.clear()
 
     def forget(self, worker: str) -> None:
@@ -54,9 +54,9 @@
         """Open a connection. Raise OSError if that fails or takes too long."""
         with self._loop.timeout(self._connect_timeout_us) as timeout_error:
             try:
-                if self._context is None:
+                if self._tls_context is None:
                     return Connection.open(self._loop, address, self._traffic_observer, CAPTURE_ROLE)
-                return self._connect_tls(worker, address, self._context, timeout_error)
+                return self._connect_tls(worker, address, self._tls_context, timeout_error)
             except WaitTimeoutError as error:
                 if error is not timeout_error:  # the caller's own timeout
                     raise
@@ -67,19 +67,19 @@
         stream = connection.stream
         if not isinstance(stream, TlsStream):
             return True
-        if stream.context is not self._context:
+        if stream.context is not self._tls_context:
             return False
         if stream.session is not None:
             self._sessions[worker] = stream.session
         return True
 
     def _connect_tls(
-        self, worker: str, address: Address, context: ssl.SSLContext, timeout_error: WaitTimeoutError
+        self, worker: str, address: Address, tls_context: ssl.SSLContext, timeout_error: WaitTimeoutError
     ) -> Connection:
         while not self.handshake_limiter.try_begin(self._loop.now(), worker):
             self._loop.sleep(HANDSHAKE_RETRY_INTERVAL_US)
         name = self.certificate_names.get(worker, worker)
-        tls_settings = TlsClientSettings(context, name, self._sessions.get(worker))
+        tls_settings = TlsClientSettings(tls_context, name, self._sessions.get(worker))
         try:
             connection = Connection.open(
                 self._loop, address, self._traffic_observer, CAPTURE_ROLE, tls=tls_settings
--- a/packages/workerclient/src/walnutpost/workerclient/idle_connections.py
+++ b/packages/workerclient/src/walnutpost/workerclient/idle_connections.py
@@ -15,7 +15,7 @@
         self._idle_timeout_us = idle_timeout_us
         self._max_per_worker = max_per_worker
         self._connections: dict[str, list[Connection]] = {}
-        self._workers_with_timer: set[str] = set()  # workers with a pending expiry timer
+        self._workers_with_expiry_timer: set[str] = set()
 
     @property
     def count(self) -> int:
@@ -41,8 +41,8 @@
             return
         connection.last_used_us = self._loop.now()
         connections.append(connection)
-        if worker not in self._workers_with_timer:
-            self._workers_with_timer.add(worker)
+        if worker not in self._workers_with_expiry_timer:
+            self._workers_with_expiry_timer.add(worker)
             self._loop.call_later(self._idle_timeout_us, lambda: self._expire(worker))
 
     def close(self, worker: str) -> None:
@@ -66,4 +66,4 @@
             delay_us = connections[0].last_used_us - cutoff_us
             self._loop.call_later(delay_us, lambda: self._expire(worker))
         else:
-            self._workers_with_timer.discard(worker)
+            self._workers_with_expiry_timer.discard(worker)
--- a/packages/workerclient/src/walnutpost/workerclient/orca.py
+++ b/packages/workerclient/src/walnutpost/workerclient/orca.py
@@ -1,9 +1,8 @@
 """Load reports in response headers, as ORCA (Open Request Cost Aggregation) defines them.
 
-`endpoint-load-metrics` contains "TEXT k=v, k=v", "JSON {...}" or "BIN" with the binary form;
-`endpoint-load-metrics-bin` contains the binary form, the base64 of the protobuf message
-xds.data.orca.v3.OrcaLoadReport. The text and JSON forms name an entry of the map of named metrics
-`named_metrics.key`; JSON may also nest the map as an object.
+`endpoint-load-metrics` contains "TEXT k=v, k=v", "JSON {...}" or "BIN ...". `endpoint-load-metrics-bin`
+contains what follows "BIN": the base64 of the protobuf message xds.data.orca.v3.OrcaLoadReport. Text and JSON
+write a named metric as `named_metrics.key`; JSON may also have an object `named_metrics`.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 SCALAR_METRICS = ("cpu_utilization", "mem_utilization", "application_utilization", "rps_fractional", "eps")
 """Metrics that are fields of the message; all others are entries of its map `named_metrics`."""
 MAX_METRICS = 64
-"""Entries read from a report, and from its map of named metrics; the rest is not worth the parsing."""
+"""Limit on the entries read from a report and from its named metrics; more are not worth parsing."""
 BASE64_GROUP_CHARS = 4
 
 LoadReport = dict[str, float]
--- a/packages/workerclient/src/walnutpost/workerclient/queries.py
+++ b/packages/workerclient/src/walnutpost/workerclient/queries.py
@@ -42,11 +42,11 @@
 
 
 def fetch_usage(
-    delivery: Delivery, worker: str, started: int, after_change: int, timeout_us: int
+    delivery: Delivery, worker: str, started_us: int, after_change: int, timeout_us: int
 ) -> UsageReport | None:
     """Fetch usage records; see `WorkerClient.fetch_usage`."""
     request = delivery.make_request(
-        worker, lambda: codec.encode_usage_query(started, after_change), timeout_us
+        worker, lambda: codec.encode_usage_query(started_us, after_change), timeout_us
     )
     delivery_result = delivery.deliver(request)
     if delivery_result.response is None:
--- a/packages/workerclient/tests/test_abandoned_attempts.py
+++ b/packages/workerclient/tests/test_abandoned_attempts.py
@@ -1,4 +1,4 @@
-"""Cancelled or timed-out requests: no more of them is sent, and the worker sees a connection reset."""
+"""Requests that are cancelled or time out: nothing more is sent, and the worker sees a reset."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 def test_an_attempt_cancelled_while_it_waits_for_a_handshake_opens_no_connection() -> None:
     harness = RespondingWorkerHarness()
-    harness.client = WorkerClient(harness.loop, SETTINGS, context=ssl.create_default_context())
+    harness.client = WorkerClient(harness.loop, SETTINGS, tls_context=ssl.create_default_context())
     handshake_limiter = harness.client._connector.handshake_limiter
 
     def script() -> None:
@@ -92,7 +92,7 @@
 
 def test_a_handshake_ended_by_the_call_timeout_is_not_a_failure_of_the_worker() -> None:
     harness = RespondingWorkerHarness(response=b"")
-    harness.client = WorkerClient(harness.loop, SETTINGS, context=ssl.create_default_context())
+    harness.client = WorkerClient(harness.loop, SETTINGS, tls_context=ssl.create_default_context())
 
     def script() -> None:
         assert harness.call(timeout_us=20 * US_PER_MS).outcome is Outcome.MOOT
--- a/packages/workerclient/tests/test_call_outcomes.py
+++ b/packages/workerclient/tests/test_call_outcomes.py
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("name", EXCHANGES)
-def test_the_outcome_of_a_call_follows_from_how_the_exchange_ended(name: str) -> None:
+def test_the_outcome_of_a_call_matches_how_the_exchange_ended(name: str) -> None:
     serve, expected = EXCHANGES[name]
     harness = WorkerClientHarness()
 
--- a/packages/workerclient/tests/test_load_order_outcomes.py
+++ b/packages/workerclient/tests/test_load_order_outcomes.py
@@ -1,4 +1,4 @@
-"""The outcome of load orders: each reports exactly one, which is true of the worker."""
+"""Each load order reports exactly one outcome, which is true of the worker."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("name", ORDER_EXCHANGES)
-def test_a_load_order_reports_one_outcome_that_follows_from_how_the_exchange_ended(name: str) -> None:
+def test_a_load_order_reports_one_outcome_that_matches_how_the_exchange_ended(name: str) -> None:
     worker, expected = ORDER_EXCHANGES[name]
     harness = RespondingWorkerHarness(worker if isinstance(worker, bytes) else b"")
 
@@ -72,7 +72,7 @@
         (HttpMessageError(400, "not HTTP"), True, Outcome.TIMEOUT),
     ],
 )
-def test_the_outcome_of_a_load_order_follows_from_the_connection_error(
+def test_the_outcome_of_a_load_order_depends_on_the_connection_error(
     error: Exception, has_sent_bytes: bool, expected: Outcome, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = RespondingWorkerHarness()
--- a/packages/workerclient/tests/test_may_begin.py
+++ b/packages/workerclient/tests/test_may_begin.py
@@ -1,4 +1,4 @@
-"""The check right before the first byte of a request that the decision to send it is still valid."""
+"""The check, right before the first byte of a request, that the decision to send it is still valid."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 )
 
 
-def test_a_call_is_not_sent_after_its_time_to_begin() -> None:
+def test_a_call_is_not_sent_after_its_time_to_begin_has_passed() -> None:
     harness = RespondingWorkerHarness()
 
     def script() -> None:
--- a/packages/workerclient/tests/test_tls_fleet.py
+++ b/packages/workerclient/tests/test_tls_fleet.py
@@ -39,7 +39,9 @@
     assert fleet.runs() == 30
 
 
-def test_a_worker_with_the_certificate_of_another_worker_gets_no_calls(tmp_path: Path) -> None:
+def test_a_worker_with_the_certificate_of_another_gets_no_calls_and_the_others_serve_them(
+    tmp_path: Path,
+) -> None:
     fleet = start_fleet(tmp_path, worker_1=AUTHORITY.issue("worker-2"))
 
     def script() -> None:
@@ -143,7 +145,7 @@
     assert (tmp_path / "front.key").stat().st_mode & 0o77 == 0
 
 
-def test_status_accepts_the_keys_that_make_test_ca_creates(tmp_path: Path) -> None:
+def test_keys_status_accepts_the_certificates_that_keys_make_test_ca_creates(tmp_path: Path) -> None:
     path = tmp_path / "site.json5"
     tls = {"roots": "keys/root.pem", "chain": "keys/front.pem", "key": "keys/front.key"}
     path.write_text(json.dumps(merged(BASE, {"front": {"tls": tls}})))
--- a/packages/workerclient/tests/test_tls_streams.py
+++ b/packages/workerclient/tests/test_tls_streams.py
@@ -105,7 +105,7 @@
     assert not requests
 
 
-def test_a_partial_response_raises_a_reset_whose_text_tells_truncation_from_a_close(
+def test_a_partial_response_raises_a_reset_error_that_tells_truncation_from_a_close(
     tmp_path: Path,
 ) -> None:
     for is_truncated in (True, False):
--- a/packages/workerclient/tests/test_worker_socket_faults.py
+++ b/packages/workerclient/tests/test_worker_socket_faults.py
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("error_number", NETWORK_ERRORS)
 @pytest.mark.parametrize(("sent_bytes", "expected"), [(0, Outcome.CONNECT_FAILED), (9, Outcome.RESET)])
-def test_a_call_ends_as_reset_if_a_byte_was_sent_and_else_as_connect_failed(
+def test_a_call_ends_as_reset_if_a_byte_was_sent_and_as_connect_failed_otherwise(
     error_number: int, sent_bytes: int, expected: Outcome
 ) -> None:
     def script(harness: RespondingWorkerHarness, faults: SocketFaults) -> None:
@@ -89,7 +89,7 @@
     run_with_faults(TWO_COPIES_LOADED, script)
 
 
-def test_a_call_succeeds_if_it_is_sent_and_its_response_received_in_single_bytes() -> None:
+def test_a_call_succeeds_if_request_and_response_arrive_one_byte_at_a_time() -> None:
     def script(harness: RespondingWorkerHarness, faults: SocketFaults) -> None:
         faults.shorten("recv", 1, when=is_to_worker)
         faults.shorten("send", 1, when=is_to_worker)
