--- a/packages/workerclient/src/walnutpost/workerclient/attempts.py
+++ b/packages/workerclient/src/walnutpost/workerclient/attempts.py
@@ -30,12 +30,12 @@
 
 
 class AttemptSender:
-    """Sends attempts and reports exactly one outcome for each."""
+    """Sender of attempts; it reports exactly one outcome for each."""
 
     def __init__(
         self, loop: Loop, settings: WorkerClientSettings, delivery: Delivery, wall_clock: Callable[[], int]
     ) -> None:
-        """Create a sender; deadlines are times of `wall_clock`, in microseconds since the epoch."""
+        """Create a sender; it sends deadlines in microseconds since the epoch, as `wall_clock` returns."""
         self._loop = loop
         self._settings = settings
         self._delivery = delivery
--- a/packages/workerclient/src/walnutpost/workerclient/connector.py
+++ b/packages/workerclient/src/walnutpost/workerclient/connector.py
@@ -17,7 +17,7 @@
 
 
 class Connector:
-    """Opens connections within a time limit.
+    """Factory of connections, with a time limit for each.
 
     With a TLS context, it verifies the names of workers, caches TLS sessions for resumption, and limits the
     number of concurrent handshakes.
--- a/packages/workerclient/src/walnutpost/workerclient/delivery.py
+++ b/packages/workerclient/src/walnutpost/workerclient/delivery.py
@@ -1,4 +1,4 @@
-"""Sends one request to a worker and reports how it ended.
+"""Delivery of single requests to workers, and how each one ended.
 
 The decision to send a request is made when the effect is carried out, but the first byte may be sent much
 later: after a write to disk, a connect, or a wait for a TLS handshake. `Delivery._may_begin` is the one place
@@ -63,12 +63,12 @@
 
 
 class Delivery:
-    """Runs the steps of a request: prepare, connect, check whether it may begin, exchange."""
+    """The steps of a request: prepare, connect, check whether it may begin, exchange."""
 
     def __init__(
         self, loop: Loop, directory: WorkerDirectory, connector: Connector, idle: IdleConnections
     ) -> None:
-        """Send requests to the addresses in `directory`, which is read again at each step."""
+        """Deliver requests to the addresses in `directory`, which is read again at each step."""
         self._loop = loop
         self._directory = directory
         self._connector = connector
--- a/packages/workerclient/src/walnutpost/workerclient/load_orders.py
+++ b/packages/workerclient/src/walnutpost/workerclient/load_orders.py
@@ -15,7 +15,7 @@
 
 
 class LoadOrderSender:
-    """Sends load orders and reports exactly one outcome for each."""
+    """Sender of load orders; it reports exactly one outcome for each."""
 
     def __init__(self, loop: Loop, delivery: Delivery, directory: WorkerDirectory, timeout_us: int) -> None:
         """Create a sender; an order times out after `timeout_us`."""
--- a/packages/workerclient/src/walnutpost/workerclient/queries.py
+++ b/packages/workerclient/src/walnutpost/workerclient/queries.py
@@ -17,10 +17,10 @@
 
 
 class Prober:
-    """Checks the health of workers over HTTP."""
+    """Sender of health checks."""
 
     def __init__(self, loop: Loop, delivery: Delivery, report_fields: Sequence[str]) -> None:
-        """Create a prober; load reports contain the metrics of `report_fields`."""
+        """Create a prober; it reports the metrics of `report_fields`."""
         self._loop = loop
         self._delivery = delivery
         self._report_fields = report_fields
