--- a/packages/eventloop/src/walnutpost/eventloop/__init__.py
+++ b/packages/eventloop/src/walnutpost/eventloop/__init__.py
@@ -1,9 +1,11 @@
-"""The event loop: greenlets over `select.poll`. Times are whole microseconds.
+"""An event loop that runs greenlets on top of `select.poll`. All times are integers in microseconds.
 
-`Loop` runs tasks; `Stream`, `Listener` and `connect` are its sockets; `Queue`, `Event` and `TaskGroup` join
-tasks. `replace_file` replaces a file durably and atomically. Modules import each other one way, in this
-order: errors, clock, timers, tasks; poller, waker, signals, worker_thread, timeouts, periodic; loop; streams,
-connecting, accept_errors, listener, tls. `sync` needs tasks only, `files` nothing.
+`Loop` runs tasks. `Stream`, `Listener` and `connect` provide sockets; `Queue`, `Event` and `TaskGroup`
+coordinate tasks. `replace_file` replaces a file atomically and durably.
+
+A module imports only modules that precede it in this list: errors, clock, timers, tasks; poller, waker,
+signals, worker_thread, timeouts, periodic; loop; streams, connecting, accept_errors, listener, tls. `sync`
+depends only on errors and tasks; `files` and `logger` import none of them.
 """
 
 from walnutpost.eventloop.accept_errors import AcceptErrorLog
--- a/packages/eventloop/src/walnutpost/eventloop/connecting.py
+++ b/packages/eventloop/src/walnutpost/eventloop/connecting.py
@@ -1,4 +1,4 @@
-"""Outgoing connections. Bound their time with `Loop.timeout`."""
+"""Outgoing connections. Use `Loop.timeout` to limit how long connecting takes."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 def connect(
     loop: Loop, address: Address, traffic_observer: TrafficObserver | None = None, role: str = ""
 ) -> Stream:
-    """Return a connection to `address`. Raises OSError if there is none."""
+    """Connect to `address` and return the stream. Raises OSError if the connection fails."""
     sock = connect_socket(loop, address)
     try:
         return Stream(loop, sock, traffic_observer, role)
-    except OSError:  # gone before its addresses could be read
+    except OSError:  # the connection was lost before its addresses could be read
         sock.close()
         raise
 
 
 def start_connect(address: Address) -> tuple[socket.socket, int]:
-    """Return a non-blocking socket on its way to `address`, and the error number of the first step.
+    """Start connecting a non-blocking socket to `address`; return it and the errno of `connect_ex`.
 
-    That number is 0 or EINPROGRESS where the connection may yet succeed.
+    The errno is 0 if the socket is connected, and EINPROGRESS if the connection is being established.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -38,7 +38,7 @@
 
 
 def connect_socket(loop: Loop, address: Address) -> socket.socket:
-    """Return a connected non-blocking socket. Raises OSError."""
+    """Connect to `address` and return the non-blocking socket. Raises OSError."""
     sock, code = start_connect(address)
     try:
         if code == errno.EINPROGRESS:
--- a/packages/eventloop/src/walnutpost/eventloop/errors.py
+++ b/packages/eventloop/src/walnutpost/eventloop/errors.py
@@ -1,7 +1,7 @@
 """Errors of the event loop.
 
-All of them derive from EventLoopError, except Cancelled. Errors of the operating system are passed on as they
-are: OSErrors with the system's number.
+All errors except Cancelled derive from EventLoopError. Errors of the operating system are raised unchanged,
+as OSErrors with the system's errno.
 """
 
 from __future__ import annotations
@@ -14,55 +14,59 @@
 
 
 class Cancelled(BaseException):
-    """Thrown into a task that is being ended; no Exception, so that `except Exception` does not catch it."""
+    """Raised in a task that is cancelled.
+
+    It derives from BaseException, so that `except Exception` does not catch it.
+    """
 
 
 class NotInTaskError(EventLoopError, RuntimeError):
-    """A wait was begun outside the tasks of a loop: in a callback, or on another thread."""
+    """Code outside the loop's tasks tried to wait: a callback, or another thread."""
 
     def __init__(self) -> None:
-        super().__init__("only a task of this loop can wait; this is a callback or another thread")
+        super().__init__("only a task of this loop can wait, not a callback or another thread")
 
 
 class ClockNotVirtualError(EventLoopError, RuntimeError):
-    """Real time was to be moved forward."""
+    """The caller tried to advance a real clock."""
 
     def __init__(self, time_us: int) -> None:
-        """`time_us` is the time that was asked for."""
-        super().__init__("real time does not jump")
+        """`time_us` is the requested time."""
+        super().__init__("cannot advance a real clock")
         self.time_us = time_us
 
 
 class WaitTimeoutError(EventLoopError):
     """A wait took longer than its `Loop.timeout` allows.
 
-    It is no builtin TimeoutError: that is an OSError, which callers take for a connection that broke.
+    It does not derive from the builtin TimeoutError, which is an OSError: callers treat an OSError as a
+    broken connection.
     """
 
     def __init__(self, timeout_us: int) -> None:
-        """`timeout_us` is the time that was allowed."""
-        super().__init__("it took too long")
+        """`timeout_us` is the timeout that expired."""
+        super().__init__("timed out")
         self.timeout_us = timeout_us
 
 
 class QueueFullError(EventLoopError):
-    """A bounded queue has no capacity left."""
+    """A bounded queue is full."""
 
     def __init__(self, max_items: int) -> None:
         """`max_items` is the capacity of the queue."""
-        super().__init__(f"queue holds {max_items} items")
+        super().__init__(f"queue is full ({max_items} items)")
         self.max_items = max_items
 
 
 class StreamClosedError(EventLoopError, ConnectionAbortedError):
-    """A stream was used after it had been closed on this side."""
+    """A stream was used after this side had closed it."""
 
     def __init__(self) -> None:
-        super().__init__(errno.ECONNABORTED, "closed here")
+        super().__init__(errno.ECONNABORTED, "stream was closed locally")
 
 
 class TlsTruncatedError(EventLoopError, ConnectionResetError):
-    """A connection ended without TLS's close_notify: somebody else may have cut it (RFC 8446, 6.1)."""
+    """A TLS connection ended without close_notify, so an attacker may have truncated it (RFC 8446, 6.1)."""
 
     def __init__(self) -> None:
         super().__init__(errno.ECONNRESET, "cut off without TLS's farewell")
--- a/packages/eventloop/src/walnutpost/eventloop/files.py
+++ b/packages/eventloop/src/walnutpost/eventloop/files.py
@@ -1,8 +1,8 @@
-"""Atomic and durable replacement of a file: whatever breaks off, its path has its former or new content.
+"""Atomic and durable replacement of a file: after any failure, it has either its old or its new content.
 
-The write goes to a file of its own beside it, which is synced, renamed over the path, and made durable by
-syncing the folder: without the last step a power cut may bring back the former content after the caller was
-answered that it had been replaced.
+The new content is written to a temporary file in the same directory, which is synced and then renamed over
+the path. The directory is synced last: without this step, a power failure could restore the old content after
+the caller was told that the file had been replaced.
 """
 
 from __future__ import annotations
@@ -13,24 +13,24 @@
 from contextlib import suppress
 from pathlib import Path
 
-TEMPORARY_SUFFIX = ".new"  # the end of the name of a file that is still being written
-NAME_BYTES = 4  # random bytes in such a name, in hexadecimal
-FILE_MODE = 0o666  # before the process's umask
+TEMPORARY_SUFFIX = ".new"  # suffix of a temporary file
+RANDOM_NAME_BYTES = 4  # random bytes in the name of a temporary file, written in hexadecimal
+FILE_MODE = 0o666  # the umask of the process applies
 
 
 class FileCalls:
-    """The system calls that can fail; tests replace them by ones that fail by script."""
+    """The system calls that replace a file; tests substitute calls that fail on demand."""
 
     def write(self, descriptor: int, data: bytes | memoryview) -> int:
-        """Write some bytes; return how many the system took, which may be fewer."""
+        """Write some bytes; return the number of bytes written, which may be smaller than `data`."""
         return os.write(descriptor, data)
 
     def fsync(self, descriptor: int) -> None:
-        """Make a file's content, or a folder's entries, durable."""
+        """Make the content of a file or the entries of a directory durable."""
         os.fsync(descriptor)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Move a file over another one, atomically."""
+        """Atomically rename a file, replacing the target."""
         os.replace(source, target)
 
 
@@ -38,28 +38,28 @@
 
 
 def use_file_calls(calls: FileCalls) -> FileCalls:
-    """Replace the system calls; return the former ones."""
+    """Replace the system calls that this module makes; return the previous ones."""
     global _calls
-    former, _calls = _calls, calls
-    return former
+    previous, _calls = _calls, calls
+    return previous
 
 
 def write_all(descriptor: int, data: bytes) -> None:
-    """Write all of `data`, also where the system takes it in parts.
+    """Write all of `data`, with as many system calls as needed.
 
-    Raises OSError, with any part of it written.
+    Raises OSError; part of the data may then have been written.
     """
-    rest = memoryview(data)
-    while rest:
-        rest = rest[_calls.write(descriptor, rest) :]
+    remaining = memoryview(data)
+    while remaining:
+        remaining = remaining[_calls.write(descriptor, remaining) :]
 
 
 def replace_file(path: Path, data: bytes) -> None:
-    """Return once `path` durably has this content.
+    """Replace the content of `path` by `data`, and return once it is durable.
 
-    Raises OSError: the content is then the former or the new one, and the call can be repeated.
+    Raises OSError. The file then has either its old or its new content, and the call can be retried.
     """
-    temporary = path.with_name(f"{path.name}.{secrets.token_hex(NAME_BYTES)}{TEMPORARY_SUFFIX}")
+    temporary = path.with_name(f"{path.name}.{secrets.token_hex(RANDOM_NAME_BYTES)}{TEMPORARY_SUFFIX}")
     try:
         descriptor = os.open(temporary, os.O_CREAT | os.O_EXCL | os.O_WRONLY, FILE_MODE)
         try:
@@ -72,24 +72,24 @@
         with suppress(OSError):
             temporary.unlink(missing_ok=True)
         raise
-    _sync_folder(path.parent)
+    _sync_directory(path.parent)
 
 
 def remove_leftovers(path: Path) -> None:
-    """Remove what a killed process left of writes to `path`, which nobody reads.
+    """Remove temporary files that a killed process left behind while it replaced `path`.
 
-    For the start of the one process that replaces `path`.
+    No process reads such files. Call this at startup, only in the single process that replaces `path`.
     """
-    random_part = rf"(\.[0-9a-f]{{{2 * NAME_BYTES}}})?"
-    leftover = re.compile(re.escape(path.name) + random_part + re.escape(TEMPORARY_SUFFIX))
+    random_part = rf"(\.[0-9a-f]{{{2 * RANDOM_NAME_BYTES}}})?"
+    leftover_name = re.compile(re.escape(path.name) + random_part + re.escape(TEMPORARY_SUFFIX))
     with suppress(OSError):
         for name in os.listdir(path.parent):
-            if leftover.fullmatch(name):
+            if leftover_name.fullmatch(name):
                 (path.parent / name).unlink(missing_ok=True)
 
 
-def _sync_folder(folder: Path) -> None:
-    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+def _sync_directory(directory: Path) -> None:
+    descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         _calls.fsync(descriptor)
     finally:
--- a/packages/eventloop/src/walnutpost/eventloop/listener.py
+++ b/packages/eventloop/src/walnutpost/eventloop/listener.py
@@ -1,4 +1,4 @@
-"""Listening sockets, which go on accepting whatever fails."""
+"""Listening sockets that keep accepting after errors."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 from walnutpost.eventloop.loop import Loop
 from walnutpost.eventloop.streams import Address, Stream, TrafficObserver
 
-SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-NO_SPARE_PAUSE_US = 50_000  # after an accept failed for want of descriptors and no spare one was left
-MAX_ACCEPT_NOW_PAUSES = 5  # after which `Listener.accept_now` raises
-BACKLOG = 1024
+RESOURCE_EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+NO_DESCRIPTOR_PAUSE_US = 50_000  # pause if accept fails with no descriptor left and none in reserve
+MAX_ACCEPT_NOW_PAUSES = 5  # `Listener.accept_now` raises if accept still fails after this many pauses
+LISTEN_BACKLOG = 1024
 
 
 class Listener:
-    """A listening socket. Port 0 takes any free one; `address` says which.
-
-    It takes connections until it is closed, whatever `accept` raises. An error of `accept` concerns the
-    connection at the head of the queue (accept(2): errors of the network pending on it, a firewall's rule),
-    which is then gone, or the machine for a while (memory, descriptors). So the next connections are tried at
-    once, MAX_ACCEPT_ERRORS_IN_ROW of them. Where all fail there is a pause: the descriptor stays readable
-    meanwhile, so nothing shows when the cause has passed, and only time, or `close`, ends it.
+    """A listening socket. If the port is 0, the system assigns one; `address` has the actual port.
+
+    The listener accepts connections until it is closed, whatever `accept` raises. An `accept` error has one
+    of two causes. Either it concerns the connection at the head of the queue, which is then lost (accept(2):
+    pending network errors, firewall rules), or the machine is temporarily short of memory or descriptors. The
+    listener therefore retries at once, and pauses after MAX_ACCEPT_ERRORS_IN_ROW consecutive errors. The
+    socket stays readable while `accept` fails, so polling cannot tell when the cause is gone: a pause ends
+    only after its time or with `close`.
     """
 
     def __init__(
@@ -33,44 +34,44 @@
         address: Address,
         traffic_observer: TrafficObserver | None = None,
         role: str = "",
-        backlog: int = BACKLOG,
+        backlog: int = LISTEN_BACKLOG,
         stream_factory: Callable[..., Stream] = Stream,
         free_descriptor: Callable[[], bool] = lambda: False,
     ) -> None:
         """Listen on `address`. Raises OSError.
 
-        `stream_factory` builds a stream of loop, socket, traffic observer and role; `free_descriptor` is
-        called when no descriptor is left, to close something that can be spared, and returns whether it did.
+        `stream_factory` builds a stream from the loop, socket, traffic observer and role. `free_descriptor`
+        is called when no descriptor is left; it may close one that is not needed, and returns whether it did.
         """
         self._loop = loop
         self._stream_factory = stream_factory
         self._free_descriptor = free_descriptor
-        # Called with each error that `accept` of the socket raises while it is open.
+        # Called with each error of the socket's `accept` while the listener is open.
         self.on_accept_error: Callable[[OSError], object] = lambda error: None
         self._traffic_observer = traffic_observer
         self._role = role
         self._sock = _listening_socket(address, backlog)
         self.address: Address = self._sock.getsockname()[:2]
         self._spare = SpareDescriptor()
-        self.rejected_connections = 0  # closed at once for want of descriptors
-        self.accept_errors = 0  # raised by `accept` of the socket, since the start
+        self.rejected_connections = 0  # closed at once because no descriptor was free
+        self.accept_errors = 0  # errors of the socket's `accept` so far
         self._backoff = AcceptBackoff()
-        self._end_pause_callbacks: set[Callable[[], None]] = set()  # how to end each of those that run
+        self._end_pause_callbacks: set[Callable[[], None]] = set()  # each ends one running pause
 
     @property
     def closed(self) -> bool:
-        """Whether it has been closed."""
+        """Whether the listener is closed."""
         return self._sock.fileno() < 0
 
     def accept(self, rejection: bytes = b"") -> Stream:
-        """Return the next connection. Raises OSError only once the listener is closed.
+        """Wait for the next connection and return it. Raises OSError only once the listener is closed.
 
-        Without a free descriptor, connections are sent `rejection` and closed at once, on a descriptor
-        reserved for this, instead of being left to hang in the backlog.
+        If no descriptor is free, the listener accepts connections on its spare descriptor, sends them
+        `rejection` and closes them at once, so that clients don't hang in the backlog.
         """
         while True:
             try:
-                stream = self._accept_queued(rejection)
+                stream = self._try_accept(rejection)
             except OSError:
                 if self.closed:
                     raise
@@ -81,22 +82,22 @@
             self._loop.wait_readable(self._sock.fileno())
 
     def accept_now(self) -> Stream | None:
-        """Return the next connection that the kernel has queued, or None where the queue is empty.
+        """Return the next connection from the kernel's queue, or None if the queue is empty.
 
-        For the time before `close`, which would reset those connections. Raises OSError where none could be
-        had for MAX_ACCEPT_NOW_PAUSES pauses.
+        Call this before `close`, which resets the queued connections. Raises OSError if `accept` still fails
+        after MAX_ACCEPT_NOW_PAUSES pauses.
         """
         for _ in range(MAX_ACCEPT_NOW_PAUSES):
             try:
-                return self._accept_queued(b"")
+                return self._try_accept(b"")
             except OSError:
                 if self.closed:
                     raise
                 self._pause()
-        return self._accept_queued(b"")
+        return self._try_accept(b"")
 
     def close(self) -> None:
-        """Close; the kernel resets the connections that are queued. Tasks that accept get an OSError."""
+        """Close the listener. The kernel resets queued connections; waiting `accept` calls raise OSError."""
         if not self.closed:
             self._loop.forget(self._sock.fileno())
             self._sock.close()
@@ -104,13 +105,14 @@
                 end_pause()
         self._spare.release()
 
-    def _accept_queued(self, rejection: bytes) -> Stream | None:
-        """Return the next connection, or None where the queue is empty.
+    def _try_accept(self, rejection: bytes) -> Stream | None:
+        """Return the next connection, or None if the queue is empty.
 
-        Raises OSError after MAX_ACCEPT_ERRORS_IN_ROW errors.
+        Raises OSError after MAX_ACCEPT_ERRORS_IN_ROW consecutive errors.
         """
         while True:
-            self._loop.count_operation()  # first: a task cancelled in here must own no connection
+            # Before accept, since this may yield: a task cancelled here must not lose an accepted connection.
+            self._loop.count_operation()
             try:
                 sock, _ = self._sock.accept()
             except BlockingIOError:
@@ -120,7 +122,7 @@
                 if self.closed:
                     raise
                 self._record_error(error)
-                if error.errno in SHORTAGE_ERRORS and not self._free_descriptor():
+                if error.errno in RESOURCE_EXHAUSTION_ERRORS and not self._free_descriptor():
                     self._reject_next(rejection)
                 continue
             self._backoff.record_success()
@@ -129,7 +131,7 @@
                 return stream
 
     def _make_stream(self, sock: socket.socket) -> Stream | None:
-        """Return None where the connection has gone before its addresses could be read."""
+        """Return the stream, or None if the connection was lost before its addresses could be read."""
         try:
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -139,7 +141,7 @@
             return None
 
     def _record_error(self, error: OSError) -> None:
-        """Count it; raise it where a pause is due."""
+        """Count and report the error; raise it if a pause is due."""
         self.accept_errors += 1
         is_pause_due = self._backoff.record_error()
         self.on_accept_error(error)
@@ -147,29 +149,29 @@
             raise error
 
     def _pause(self) -> None:
-        """Wait for the backoff, or until `close`."""
+        """Wait for the backoff time or until `close`."""
         pause_us = self._backoff.next_pause_us()
         task, token = self._loop.begin_wait()
 
-        def end() -> None:
+        def end_pause() -> None:
             self._loop.wake(task, token)
 
-        timer = self._loop.call_later(pause_us, end)
-        self._end_pause_callbacks.add(end)
+        timer = self._loop.call_later(pause_us, end_pause)
+        self._end_pause_callbacks.add(end_pause)
         try:
             self._loop.park()
         finally:
             timer.cancel()
-            self._end_pause_callbacks.discard(end)
+            self._end_pause_callbacks.discard(end_pause)
 
     def _reject_next(self, rejection: bytes) -> None:
-        """Answer the next connection on the spare descriptor, and close it."""
+        """Accept the next connection on the spare descriptor, send the rejection and close it."""
         if self._spare.is_reserved:
             self._spare.release()
-            with suppress(OSError):  # another thread or process took the descriptor: next round
+            with suppress(OSError):  # another thread or process took the descriptor; retry in the next round
                 self._reject_on_free_descriptor(rejection)
         else:
-            self._loop.sleep(NO_SPARE_PAUSE_US)
+            self._loop.sleep(NO_DESCRIPTOR_PAUSE_US)
         if not self.closed:
             self._spare.reserve()
         self._loop.yield_now()
@@ -179,7 +181,7 @@
         self.rejected_connections += 1
         self._backoff.record_success()
         sock.setblocking(False)
-        with suppress(OSError):  # it has gone: nothing is owed
+        with suppress(OSError):  # the client has disconnected
             sock.send(rejection)
             sock.shutdown(socket.SHUT_WR)
         sock.close()
--- a/packages/eventloop/src/walnutpost/eventloop/logger.py
+++ b/packages/eventloop/src/walnutpost/eventloop/logger.py
@@ -1,4 +1,4 @@
-"""The interface of a structured logger, as every package with I/O uses it."""
+"""The interface of a structured logger, shared by all packages that do I/O."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class Logger(Protocol):
-    """Structured logger: each entry is an event name in snake case and fields by name.
+    """A structured logger: an entry has an event name in snake case and named fields.
 
-    A logger of structlog fits, and so does `walnutpost.node.log.Log`. A field `exc_info` with
-    an exception adds its traceback. No method raises.
+    A structlog logger and `walnutpost.node.log.Log` both implement it. The field `exc_info` takes an
+    exception and adds its traceback. No method raises.
     """
 
     def info(self, event: str, **fields: object) -> object:
         """Log an expected event."""
 
     def warning(self, event: str, **fields: object) -> object:
-        """Log an event that the process copes with."""
+        """Log a problem that the process handles itself."""
 
     def error(self, event: str, **fields: object) -> object:
-        """Log an event that needs an operator."""
+        """Log a problem that needs an operator's attention."""
--- a/packages/eventloop/src/walnutpost/eventloop/loop.py
+++ b/packages/eventloop/src/walnutpost/eventloop/loop.py
@@ -1,4 +1,4 @@
-"""The loop: rounds of one poll, due timers and ready tasks."""
+"""The event loop. Each round polls once, runs due timers and then runs ready tasks."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from walnutpost.eventloop.worker_thread import Job, WorkerThread
 
 T = TypeVar("T")
-VIRTUAL_POLL_TIMEOUT_MS = 1  # real time that a virtual clock gives the kernel to deliver before it jumps
-MAX_CANCEL_ROUNDS = 1000  # at the end: a task that goes on after each cancellation must not hang the program
+VIRTUAL_POLL_TIMEOUT_MS = 1  # real time for the kernel to deliver data before a virtual clock advances
+MAX_CANCEL_ROUNDS = 1000  # a task that survives every cancellation must not prevent the loop from ending
 
 
 class Loop(TaskScheduler):
-    """One thread's tasks. Two loops share nothing, and each belongs to the thread that runs it.
+    """Runs the tasks of one thread. Loops share no state, and a loop belongs to the thread that runs it.
 
-    Fairness: each round polls once, runs due timers, then gives each task that was ready at its start a
-    turn, and EXTRA_TURNS to tasks that became ready meanwhile. A task whose socket calls all succeed
-    yields after MAX_OPERATIONS_PER_TURN of them. A task that only computes is not interrupted: it calls
-    `yield_now`. Callbacks run between tasks, and must not wait. Times are microseconds.
+    Fairness: a round polls once, runs due timers, then gives one turn to each task that is ready, and up to
+    EXTRA_TURNS turns to tasks that become ready meanwhile. A task whose socket calls succeed without waiting
+    yields after MAX_OPERATIONS_PER_TURN calls. A task that only computes is never interrupted and has to call
+    `yield_now`. Callbacks run between tasks and must not wait. Times are in microseconds.
     """
 
     def __init__(
@@ -37,9 +37,9 @@
         on_error: Callable[[str, BaseException], None] | None = None,
         poll_object: PollObject | None = None,
     ) -> None:
-        """`on_error` gets the name and error of each task and callback whose error nobody else sees.
+        """`on_error` receives the name and error of each task or callback whose error nobody handles.
 
-        Tests replace the clock and the system's poll object.
+        Tests pass their own clock and poll object.
         """
         super().__init__(on_error)
         self.clock = clock or RealClock()
@@ -48,28 +48,30 @@
         self._waker = Waker(self._poller, self._on_wake)
         self._signals = SignalHandlers(self.run_guarded)
         self._worker = WorkerThread()
-        self._soon: deque[Callable[[], object]] = deque()
+        self._soon_callbacks: deque[Callable[[], object]] = deque()
 
     # Time
 
     def now(self) -> int:
-        """Return the present time."""
+        """Return the current time."""
         return self.clock.now()
 
     def boot_time(self) -> BootTime:
-        """Return the present time on the machine's own clock."""
+        """Return the current time since boot."""
         return self.clock.boot_time()
 
     def arrived_after(self) -> int:
-        """Return a time after which everything came that this round finds: bytes, ends and connections.
+        """Return a lower bound of the arrival time of the bytes, connections and closes seen in this round.
 
-        That is true of what this round's poll reported, and of what it did not report and is found in this
-        round, of descriptors that were waited for since before the previous poll, or were empty after it.
+        The bound holds for events that this round's poll reported. It also holds for events that are found in
+        this round without having been reported, if their descriptor was already waited for before the
+        previous poll, or was empty after it.
 
-        Events that were there at once came after the previous poll returned, however long ago that is: a
-        process that was stopped reads late. Events that ended a wait came when it ended, unless it ended
-        long after its time-out: then the process was stopped in it, and they came after it began. Not
-        detected is a stop within a wait that ends before the time-out; it hides at most that wait's length.
+        If the poll reports events at once, they arrived after the previous poll returned. That may be long
+        ago, for example if the process was stopped in between. If events end a wait, they arrived when it
+        ended. The exception is a wait that ends long after its timeout: the process was stopped meanwhile,
+        and the events arrived after the wait began. A stop during a wait that ends before its timeout is not
+        detected; the error is then at most the length of that wait.
         """
         return self._poller.arrived_after_us
 
@@ -84,18 +86,18 @@
     def call_every(
         self, period_us: int, callback: Callable[[], object], name: str = "periodic"
     ) -> PeriodicCall:
-        """Run `callback` each period, for the first time after one, whether or not it raises."""
+        """Run `callback` every `period_us`, first after one period, even if it raises."""
         return PeriodicCall(self, name, period_us, callback)
 
     def call_soon(self, callback: Callable[[], object]) -> None:
         """Run `callback` at the end of this round, before the next poll.
 
-        What many callbacks of a round have to write can so leave in one call.
+        This lets the output of several callbacks of a round be written in one system call.
         """
-        self._soon.append(callback)
+        self._soon_callbacks.append(callback)
 
     def sleep(self, delay_us: int) -> None:
-        """Wait for a time."""
+        """Wait for `delay_us`."""
         task, token = self.begin_wait()
         timer = self.call_later(delay_us, lambda: self.wake(task, token))
         try:
@@ -104,16 +106,16 @@
             timer.cancel()
 
     def timeout(self, timeout_us: int) -> TimeoutScope:
-        """Return a block that raises WaitTimeoutError from the wait it is in once the time is over.
+        """Return a context manager that raises WaitTimeoutError from a wait in its block after `timeout_us`.
 
-        Blocks nest; `with ... as` binds the block's own error.
+        Blocks can be nested; `with ... as` binds the block's own error, which identifies the expired block.
         """
         return TimeoutScope(self, timeout_us)
 
     # Descriptors
 
     def wait_readable(self, fd: int) -> None:
-        """Wait until `fd` has something to read, is broken, or is forgotten."""
+        """Wait until `fd` is readable, has an error, or is passed to `forget`."""
         task, token = self.begin_wait()
         self._poller.set_reader(fd, lambda: self.wake(task, token))
         try:
@@ -122,7 +124,7 @@
             self._poller.clear_reader(fd)
 
     def wait_writable(self, fd: int) -> None:
-        """Wait until `fd` takes bytes, is broken, or is forgotten."""
+        """Wait until `fd` is writable, has an error, or is passed to `forget`."""
         task, token = self.begin_wait()
         self._poller.set_writer(fd, lambda: self.wake(task, token))
         try:
@@ -131,37 +133,37 @@
             self._poller.clear_writer(fd)
 
     def on_readable(self, fd: int, callback: Callable[[], object] | None) -> None:
-        """Call `callback` once when `fd` has something to read or is broken; None withdraws it."""
+        """Call `callback` once when `fd` is readable or has an error; None removes the callback."""
         self._poller.set_reader(fd, callback)
 
     def on_writable(self, fd: int, callback: Callable[[], object] | None) -> None:
-        """Call `callback` once when `fd` takes bytes or is broken; None withdraws it."""
+        """Call `callback` once when `fd` is writable or has an error; None removes the callback."""
         self._poller.set_writer(fd, callback)
 
     def forget(self, fd: int) -> None:
-        """Drop a descriptor before it is closed; whoever waits for it is woken and finds it closed."""
+        """Stop watching a descriptor that is about to be closed; wake the tasks that wait for it."""
         self._poller.forget(fd)
 
     # Signals and the worker thread
 
     def on_signal(self, number: int, callback: Callable[[], object]) -> None:
-        """Call `callback` when the process gets the signal; main thread only."""
+        """Call `callback` when the process receives the signal. Only the main thread may call this."""
         self._signals.add(number, callback, self._waker.open().fileno())
 
     def run_blocking(self, call: Callable[..., T], *args: Any) -> T:
         """Run `call` on the worker thread and wait for it; return its result or raise its error.
 
-        One call runs at a time, in order, while other tasks go on. A task that is interrupted leaves the
-        call running, whose result is then dropped.
+        Calls run one at a time, in order, while other tasks keep running. If the waiting task is interrupted,
+        the call continues and its result is discarded.
         """
-        sender = self._waker.open()
+        wake_up_socket = self._waker.open()
         self._worker.start()
         task, token = self.begin_wait()
         self._worker.submit(
             Job(
                 call=partial(call, *args),
                 on_done=lambda result, error: self.wake(task, token, result, error),
-                notify=partial(send_wake_up, sender),
+                notify=partial(send_wake_up, wake_up_socket),
             )
         )
         return self.park()  # type: ignore[no-any-return]
@@ -173,12 +175,12 @@
     # Running
 
     def run(self, call: Callable[..., T], *args: Any) -> T:
-        """Run `call` as a task until it ends, then end all other tasks; return or raise what it did."""
-        self._adopt_current_greenlet()
+        """Run `call` as the main task, then cancel all other tasks; return its result or raise its error."""
+        self._use_current_greenlet_as_hub()
         main = self.spawn(call, *args, name="main")
         main.has_joiner = True
         self._run_until(lambda: main.is_done)
-        for _ in range(MAX_CANCEL_ROUNDS):  # ending a task may start others
+        for _ in range(MAX_CANCEL_ROUNDS):  # a cancelled task may start others
             if not self.has_tasks:
                 break
             self._cancel_all()
@@ -189,31 +191,31 @@
         return main.result  # type: ignore[return-value]
 
     def close(self) -> None:
-        """Wait for blocking calls, and close what the loop has opened for itself."""
+        """Wait for blocking calls, and close the resources that the loop has opened for itself."""
         self._worker.close()
         if self._waker.is_open:
             self._signals.detach()
             self._waker.close()
 
-    def _run_until(self, is_over: Callable[[], bool]) -> None:
-        while not is_over():
+    def _run_until(self, is_finished: Callable[[], bool]) -> None:
+        while not is_finished():
             self._run_round()
 
     def _run_round(self) -> None:
         began_us = self.clock.now()
         events = self._poller.poll(began_us, self._poll_timeout_ms(began_us))
         self._poller.dispatch(events)
-        if self.clock.is_virtual and not events and not self.has_ready_tasks and not self._soon:
+        if self.clock.is_virtual and not events and not self.has_ready_tasks and not self._soon_callbacks:
             self._advance_clock()
         for callback in self._timers.pop_due(self.clock.now()):
             self.run_guarded("timer", callback)
         self._run_ready_tasks()
-        for _ in range(len(self._soon)):
-            self.run_guarded("soon", self._soon.popleft())
+        for _ in range(len(self._soon_callbacks)):
+            self.run_guarded("soon", self._soon_callbacks.popleft())
 
     def _poll_timeout_ms(self, now_us: int) -> int | None:
-        """Return how long the poll may wait; None means until something comes."""
-        if self.has_ready_tasks or self._soon:
+        """Return how long the poll may wait; None means until an event arrives."""
+        if self.has_ready_tasks or self._soon_callbacks:
             return 0
         due_us = self._timers.next_due_us()
         if self.clock.is_virtual:
@@ -223,8 +225,8 @@
         return max(0, -(-(due_us - now_us) // 1000))
 
     def _advance_clock(self) -> None:
-        """Jump to the next timer, where a virtual clock has nothing else to wait for."""
+        """Advance a virtual clock to the next timer, unless a blocking call is pending."""
         due_us = self._timers.next_due_us()
         if due_us is not None and not self._worker.pending_jobs:
             self.clock.advance_to(due_us)
-            self._poller.note_clock_advanced()
+            self._poller.record_clock_advance()
--- a/packages/eventloop/src/walnutpost/eventloop/poller.py
+++ b/packages/eventloop/src/walnutpost/eventloop/poller.py
@@ -1,4 +1,4 @@
-"""Descriptors: who waits for which, `select.poll` over all, and when what it reports may have come."""
+"""Watches descriptors with `select.poll`, runs their callbacks and bounds the arrival time of events."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 READABLE = select.POLLIN | select.POLLRDHUP
 WRITABLE = select.POLLOUT
 BROKEN = select.POLLERR | select.POLLHUP | select.POLLNVAL
-MAX_SHORT_ROUND_US = 2_000  # a round, or a poll, of at most this length is taken as no time at all
-LATE_POLL_US = 20_000  # a poll that returns this much after its time-out was held up with its process
+NEGLIGIBLE_DURATION_US = 2_000  # a round or a poll of at most this length counts as instantaneous
+LATE_POLL_THRESHOLD_US = 20_000  # a poll that exceeds its timeout by more shows that the process was stopped
 
 
 class PollObject(Protocol):
-    """What is used of `select.poll()`."""
+    """The methods of `select.poll()` that the poller uses."""
 
     def register(self, fd: int, event_mask: int, /) -> object:
-        """Report these events of a descriptor from now on."""
+        """Start reporting these events of a descriptor."""
 
     def modify(self, fd: int, event_mask: int, /) -> object:
         """Change the events of a registered descriptor."""
 
     def unregister(self, fd: int, /) -> object:
-        """Report nothing more of a descriptor."""
+        """Stop reporting events of a descriptor."""
 
     def poll(self, timeout_ms: int | None, /) -> list[tuple[int, int]]:
-        """Wait for events; return descriptors with their events."""
+        """Wait for events; return pairs of a descriptor and its events."""
 
 
 class _Descriptor:
-    """Who waits for one descriptor, and which events the poll object reports of it."""
+    """The callbacks that wait for a descriptor, and the events that the poll object reports for it."""
 
     __slots__ = ("created_round", "event_mask", "reader", "writer")
 
@@ -45,10 +45,11 @@
 
 
 class Poller:
-    """Calls back once for each wait. Interest in a descriptor outlives the wait.
+    """Watches descriptors, and calls each reader or writer back once.
 
-    A poll object rebuilds its whole array after each change, so a steady connection should cause none: events
-    are added when somebody waits for them, and dropped when they come while nobody does.
+    A descriptor stays registered after its callback has run, because a poll object rebuilds its whole array
+    after each change, and a connection in regular use should cause no changes. Events are registered when a
+    callback is set for them, and unregistered when they occur without a callback.
     """
 
     def __init__(
@@ -57,43 +58,43 @@
         run_guarded: Callable[[str, Callback], bool],
         poll_object: PollObject | None = None,
     ) -> None:
-        """`run_guarded` runs a callback under a name; `poll_object` replaces the system's in tests."""
+        """`run_guarded` runs a callback and reports its errors under a name; tests pass a `poll_object`."""
         self._clock = clock
         self._run_guarded = run_guarded
         self._poll_object: PollObject = poll_object or select.poll()
         self._descriptors: dict[int, _Descriptor] = {}
         self._round = 0
-        self._polled_us = clock.now()  # what came before was reported by the polls until now
-        self.arrived_after_us = self._polled_us  # see Loop.arrived_after
+        self._reported_until_us = clock.now()  # earlier events were reported by earlier polls
+        self.arrived_after_us = self._reported_until_us  # see Loop.arrived_after
 
     def set_reader(self, fd: int, callback: Callback | None) -> None:
-        """Call `callback` once when `fd` has something to read or is broken; None withdraws it."""
-        descriptor = self._descriptor(fd)
+        """Call `callback` once when `fd` is readable or has an error; None removes the callback."""
+        descriptor = self._get_or_add_descriptor(fd)
         descriptor.reader = callback
         if callback is not None:
             self._register(fd, descriptor)
 
     def set_writer(self, fd: int, callback: Callback | None) -> None:
-        """Call `callback` once when `fd` takes bytes or is broken; None withdraws it."""
-        descriptor = self._descriptor(fd)
+        """Call `callback` once when `fd` is writable or has an error; None removes the callback."""
+        descriptor = self._get_or_add_descriptor(fd)
         descriptor.writer = callback
         if callback is not None:
             self._register(fd, descriptor)
 
     def clear_reader(self, fd: int) -> None:
-        """Withdraw the reader of a descriptor that may have been forgotten meanwhile."""
+        """Remove the reader of `fd`; do nothing if `forget` was called for it meanwhile."""
         descriptor = self._descriptors.get(fd)
         if descriptor is not None:
             descriptor.reader = None
 
     def clear_writer(self, fd: int) -> None:
-        """Withdraw the writer of a descriptor that may have been forgotten meanwhile."""
+        """Remove the writer of `fd`; do nothing if `forget` was called for it meanwhile."""
         descriptor = self._descriptors.get(fd)
         if descriptor is not None:
             descriptor.writer = None
 
     def forget(self, fd: int) -> None:
-        """Drop a descriptor before it is closed; whoever waits for it is called back."""
+        """Stop watching a descriptor that is about to be closed, and call its reader and writer."""
         descriptor = self._descriptors.pop(fd, None)
         if descriptor is None:
             return
@@ -104,39 +105,40 @@
                 callback()
 
     def poll(self, began_us: int, timeout_ms: int | None) -> list[tuple[int, int]]:
-        """Poll once from `began_us`, which is now; return descriptors with their events.
+        """Poll once, beginning now at `began_us`; return pairs of a descriptor and its events.
 
-        Moves `arrived_after_us` to what this poll shows of when its events came.
+        Sets `arrived_after_us` to a lower bound of the arrival time of these events.
         """
-        if timeout_ms != 0 and began_us - self._polled_us > MAX_SHORT_ROUND_US:
-            # Whether the events were there at once matters now, and time alone does not tell it reliably.
+        if timeout_ms != 0 and began_us - self._reported_until_us > NEGLIGIBLE_DURATION_US:
+            # The last poll was a while ago, so it matters whether events are already there. The duration of a
+            # poll would not show this reliably, so poll without waiting first.
             events = self._poll_object.poll(0)
             if events:
                 timeout_ms = 0
             else:
-                self._polled_us = began_us
+                self._reported_until_us = began_us
                 events = self._poll_object.poll(timeout_ms)
         else:
             events = self._poll_object.poll(timeout_ms)
         returned_us = self._clock.now()
         took_us = returned_us - began_us
-        is_late = timeout_ms is not None and took_us > timeout_ms * 1000 + LATE_POLL_US
-        has_waited = timeout_ms != 0 and took_us > MAX_SHORT_ROUND_US
-        self.arrived_after_us = returned_us if has_waited and not is_late else self._polled_us
-        self._polled_us = began_us if is_late else returned_us
+        is_late = timeout_ms is not None and took_us > timeout_ms * 1000 + LATE_POLL_THRESHOLD_US
+        has_waited = timeout_ms != 0 and took_us > NEGLIGIBLE_DURATION_US
+        self.arrived_after_us = returned_us if has_waited and not is_late else self._reported_until_us
+        self._reported_until_us = began_us if is_late else returned_us
         return events
 
-    def note_clock_advanced(self) -> None:
-        """Record that a virtual clock has jumped: the jump stands for a wait in which nothing came."""
-        self._polled_us = self.arrived_after_us = self._clock.now()
+    def record_clock_advance(self) -> None:
+        """Record that a virtual clock has advanced, which counts as a wait without events."""
+        self._reported_until_us = self.arrived_after_us = self._clock.now()
 
     def dispatch(self, events: list[tuple[int, int]]) -> None:
-        """Call back those who wait for the events of one poll."""
+        """Call the readers and writers that wait for the events of one poll."""
         self._round += 1
         for fd, event_mask in events:
             self._dispatch_one(fd, event_mask)
 
-    def _descriptor(self, fd: int) -> _Descriptor:
+    def _get_or_add_descriptor(self, fd: int) -> _Descriptor:
         return self._descriptors.get(fd) or self._descriptors.setdefault(fd, _Descriptor(self._round))
 
     def _register(self, fd: int, descriptor: _Descriptor) -> None:
@@ -152,7 +154,7 @@
     def _dispatch_one(self, fd: int, events: int) -> None:
         descriptor = self._descriptors.get(fd)
         if descriptor is None or descriptor.created_round == self._round:
-            return  # the event is that of a closed socket which had the same number
+            return  # the event belongs to a closed socket that had the same descriptor number
         reader = descriptor.reader if events & (READABLE | BROKEN) else None
         writer = descriptor.writer if events & (WRITABLE | BROKEN) else None
         if reader is not None:
@@ -161,19 +163,19 @@
         if writer is not None:
             descriptor.writer = None
             self._run_guarded("writer", writer)
-        # What the callbacks have just begun to wait for is no idle interest.
-        idle_mask = 0
+        # Events for which a callback has just set a new reader or writer are still wanted.
+        unwanted_mask = 0
         if reader is None and descriptor.reader is None and events & (READABLE | BROKEN):
-            idle_mask |= READABLE
+            unwanted_mask |= READABLE
         if writer is None and descriptor.writer is None and events & (WRITABLE | BROKEN):
-            idle_mask |= WRITABLE
-        if idle_mask:
-            self._drop_interest(fd, descriptor, idle_mask)
+            unwanted_mask |= WRITABLE
+        if unwanted_mask:
+            self._unregister_events(fd, descriptor, unwanted_mask)
 
-    def _drop_interest(self, fd: int, descriptor: _Descriptor, idle_mask: int) -> None:
-        if not descriptor.event_mask & idle_mask or self._descriptors.get(fd) is not descriptor:
+    def _unregister_events(self, fd: int, descriptor: _Descriptor, unwanted_mask: int) -> None:
+        if not descriptor.event_mask & unwanted_mask or self._descriptors.get(fd) is not descriptor:
             return
-        descriptor.event_mask &= ~idle_mask
+        descriptor.event_mask &= ~unwanted_mask
         if descriptor.event_mask:
             self._poll_object.modify(fd, descriptor.event_mask)
         else:
--- a/packages/eventloop/src/walnutpost/eventloop/streams.py
+++ b/packages/eventloop/src/walnutpost/eventloop/streams.py
@@ -1,4 +1,4 @@
-"""Stream sockets on the loop."""
+"""Stream sockets for tasks of the event loop."""
 
 from __future__ import annotations
 
@@ -11,55 +11,56 @@
 
 Address = tuple[str, int]  # IPv4 address and port
 CHUNK_BYTES = 65536
-NO_LINGER = b"\1\0\0\0\0\0\0\0"  # struct linger {1, 0}: close(2) then resets the connection (socket(7))
+ZERO_LINGER = b"\1\0\0\0\0\0\0\0"  # struct linger {1, 0}: makes close(2) reset the connection (socket(7))
 
 
 class TrafficObserver(Protocol):
-    """Sees the bytes of both directions: what the sockets carried, or under TLS the plaintext of it."""
+    """Receives a copy of the bytes sent and received on streams; with TLS, the plaintext."""
 
     def on_opened(self, stream: int, role: str, local: Address, remote: Address) -> None:
-        """Record a new stream under its number."""
+        """Record a new stream with its number."""
 
     def on_bytes(self, stream: int, sent: bool, data: bytes) -> None:
-        """Record bytes that were sent, or received."""
+        """Record bytes that were sent, or received if `sent` is false."""
 
     def on_closed(self, stream: int) -> None:
         """Record that the stream was closed on this side."""
 
 
 class Stream:
-    """A connected socket. One task reads it at a time, and one writes.
+    """A connected socket. Only one task may read at a time, and only one may write.
 
-    Methods raise StreamClosedError after `close`, and the system's OSError where the connection broke.
+    Methods raise StreamClosedError after `close`, and the system's OSError if the connection fails.
     """
 
-    _count = 0
+    _last_number = 0  # of the streams with a traffic observer
 
     def __init__(
         self, loop: Loop, sock: socket.socket, traffic_observer: TrafficObserver | None = None, role: str = ""
     ) -> None:
-        """Take over a connected socket that never blocks. Raises OSError if it has lost its peer already."""
+        """Take ownership of a connected non-blocking socket. Raises OSError if the peer is already gone."""
         self._loop = loop
         self._sock = sock
         self._fd = sock.fileno()
         self._traffic_observer = traffic_observer
         self._number = self._fd
         self.closed = False
-        self.has_sent = False  # whether the kernel ever took a byte; if not, the other end saw none
+        self.has_sent = False  # whether the kernel accepted any byte; if not, the peer received none
         if traffic_observer is not None:
-            Stream._count += 1
-            self._number = Stream._count
+            Stream._last_number += 1
+            self._number = Stream._last_number
             traffic_observer.on_opened(self._number, role, sock.getsockname()[:2], sock.getpeername()[:2])
 
     @property
     def fd(self) -> int:
-        """The descriptor's number, also after it has been closed."""
+        """The descriptor number, even after the stream was closed."""
         return self._fd
 
     def recv(self, max_bytes: int = CHUNK_BYTES, wait_first: bool = False) -> bytes:
-        """Return the next bytes, once there are any; none at the end of the stream.
+        """Wait for data and return it; return b"" at the end of the stream.
 
-        `wait_first`: probably nothing is there yet, so it saves the attempt to read before it waits.
+        With `wait_first`, wait for the socket before the first attempt to read. This saves a system call if
+        probably no data is there yet.
         """
         if wait_first and not self.closed:
             self._loop.wait_readable(self._fd)
@@ -69,7 +70,7 @@
         return data
 
     def recv_now(self, max_bytes: int = CHUNK_BYTES) -> bytes | None:
-        """Return what the kernel has, without waiting: none at the end, None where nothing is there."""
+        """Return the data that the kernel has, without waiting: b"" at the end, None if there is none yet."""
         if self.closed:
             raise StreamClosedError
         try:
@@ -81,7 +82,7 @@
         return data
 
     def send_all(self, data: bytes) -> None:
-        """Hand all of `data` to the kernel."""
+        """Pass all of `data` to the kernel, waiting as needed."""
         view = memoryview(data)
         while view:
             count = self._send_to_kernel(view)
@@ -91,7 +92,7 @@
             view = view[count:]
 
     def send_now(self, data: bytes) -> bytes:
-        """Hand over what the kernel takes without waiting; return the rest, usually none."""
+        """Pass as much to the kernel as it accepts without waiting; return the rest, usually b""."""
         if self.closed:
             raise StreamClosedError
         try:
@@ -105,7 +106,7 @@
         return data[count:]
 
     def is_stale(self) -> bool:
-        """Whether the other end has closed, or sent unexpected bytes: unfit for a new exchange."""
+        """Whether the stream is unfit for a new exchange: the peer has closed it or sent unexpected bytes."""
         try:
             self._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -115,7 +116,7 @@
         return True
 
     def has_ended(self) -> bool:
-        """Whether the other end has closed, or the connection broke; False while unread bytes are there."""
+        """Whether the peer has closed the stream or the connection failed; False while data is unread."""
         try:
             return self._sock.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
@@ -124,29 +125,29 @@
             return True
 
     def on_readable(self, callback: Callable[[], object] | None) -> None:
-        """Call `callback` once when there is something to read, or the end; None withdraws it."""
+        """Call `callback` once when there is data or the stream has ended; None removes the callback."""
         if not self.closed:
             self._loop.on_readable(self._fd, callback)
 
     def on_writable(self, callback: Callable[[], object] | None) -> None:
-        """Call `callback` once when the kernel takes bytes, or the connection broke; None withdraws it."""
+        """Call `callback` once when the stream is writable or has failed; None removes the callback."""
         if not self.closed:
             self._loop.on_writable(self._fd, callback)
 
     def end_writing(self) -> None:
-        """Let the other end see that nothing more comes; what it sends can still be read."""
+        """Shut down the sending side; data from the peer can still be read."""
         if self.closed:
             raise StreamClosedError
         self._sock.shutdown(socket.SHUT_WR)
 
     def reset(self) -> None:
-        """Close so that the other end sees a reset, not an orderly end."""
+        """Close the stream so that the peer sees a reset instead of an orderly end."""
         if not self.closed:
-            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+            self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         Stream.close(self)
 
     def close(self) -> None:
-        """Close; waits of other tasks for this stream end."""
+        """Close the stream, and wake the tasks that wait for it."""
         if not self.closed:
             self.closed = True
             self._loop.forget(self._fd)
@@ -155,7 +156,7 @@
                 self._traffic_observer.on_closed(self._number)
 
     def _recv_from_kernel(self, max_bytes: int) -> bytes:
-        """Return what the kernel has, as soon as it has something; none at the end."""
+        """Wait for data from the kernel and return it; return b"" at the end of the stream."""
         while True:
             if self.closed:
                 raise StreamClosedError
@@ -168,7 +169,7 @@
             return data
 
     def _send_to_kernel(self, view: memoryview) -> int:
-        """Return how much of it the kernel took, as soon as it took some."""
+        """Wait until the kernel accepts some bytes; return how many."""
         while True:
             if self.closed:
                 raise StreamClosedError
--- a/packages/eventloop/src/walnutpost/eventloop/sync.py
+++ b/packages/eventloop/src/walnutpost/eventloop/sync.py
@@ -1,4 +1,4 @@
-"""Events, bounded queues and groups of tasks."""
+"""Synchronization of tasks: events, bounded queues and task groups."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Event:
-    """Set once; every wait ends then."""
+    """A flag that tasks wait for. It is set once and never cleared."""
 
     def __init__(self, loop: TaskScheduler) -> None:
         self._loop = loop
@@ -23,21 +23,21 @@
         self.is_set = False
 
     def set(self) -> None:
-        """End all waits, present and later; may be called from callbacks."""
+        """Wake all waiting tasks, and let later waits return at once. Callbacks may call this."""
         self.is_set = True
         waiters, self._waiters = self._waiters, []
         for task, token in waiters:
             self._loop.wake(task, token)
 
     def wait(self) -> None:
-        """Wait until it is set."""
+        """Wait until the event is set."""
         if not self.is_set:
             self._waiters.append(self._loop.begin_wait())
             self._loop.park()
 
 
 class Queue(Generic[T]):
-    """A bounded queue: first in, first out."""
+    """A bounded first-in, first-out queue."""
 
     def __init__(self, loop: TaskScheduler, max_items: int) -> None:
         self._loop = loop
@@ -51,14 +51,14 @@
         return len(self._items)
 
     def put_nowait(self, item: T) -> None:
-        """Append an item; may be called from callbacks. Raises QueueFullError instead of waiting."""
+        """Append an item. Raises QueueFullError instead of waiting. Callbacks may call this."""
         if len(self._items) >= self._max_items:
             raise QueueFullError(self._max_items)
         self._items.append(item)
         self._wake_one(self._getters)
 
     def put(self, item: T) -> None:
-        """Append an item, once there is capacity for it."""
+        """Wait until the queue is not full, and append an item."""
         while len(self._items) >= self._max_items:
             self._putters.append(self._loop.begin_wait())
             self._loop.park()
@@ -66,7 +66,7 @@
         self._wake_one(self._getters)
 
     def get(self) -> T:
-        """Remove and return the first item, once there is one."""
+        """Wait until the queue is not empty; remove and return the first item."""
         while not self._items:
             self._getters.append(self._loop.begin_wait())
             self._loop.park()
@@ -75,27 +75,27 @@
         return item
 
     def _wake_one(self, waiters: deque[_Waiter]) -> None:
-        """Wake the first whose wait nothing else has ended."""
+        """Wake the first waiter whose wait has not ended otherwise, such as by a timeout."""
         while waiters and not self._loop.wake(*waiters.popleft()):
             pass
 
 
 class TaskGroup:
-    """Tasks that end together: leaving the block waits for all, or cancels all when an error leaves it."""
+    """A group of tasks. Leaving the `with` block waits for all; an error in the block cancels them."""
 
     def __init__(self, loop: TaskScheduler) -> None:
         self._loop = loop
         self._tasks: dict[Task[Any], None] = {}
 
     def spawn(self, call: Callable[..., T], *args: Any, name: str = "") -> Task[T]:
-        """Start a task of this group."""
+        """Start a task in this group."""
         task = self._loop.spawn(call, *args, name=name)
         self._tasks[task] = None
         task.done_callbacks.append(lambda: self._tasks.pop(task, None))
         return task
 
     def cancel(self) -> None:
-        """End all tasks at their present or next wait."""
+        """Cancel all tasks, each at its current or next wait."""
         for task in list(self._tasks):
             task.cancel()
 
@@ -104,13 +104,13 @@
         return len(self._tasks)
 
     def __enter__(self) -> TaskGroup:
-        """Begin the block."""
+        """Enter the block."""
         return self
 
     def __exit__(
         self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
-        """Wait for all tasks; raise the first error of one, which cancels the others."""
+        """Wait for all tasks. The first error of a task cancels the others and is raised."""
         if error is not None:
             self.cancel()
         task_error = self._join_all()
@@ -127,7 +127,7 @@
                     first_error = error
                     self.cancel()
             except BaseException:
-                if not task.is_done:  # this very task is being ended: the others with it
+                if not task.is_done:  # the joining task itself is cancelled, so cancel the group
                     self.cancel()
                     raise
         return first_error
--- a/packages/eventloop/src/walnutpost/eventloop/tasks.py
+++ b/packages/eventloop/src/walnutpost/eventloop/tasks.py
@@ -1,7 +1,7 @@
-"""Tasks: greenlets that take turns, their waits, and what ends a wait.
+"""Tasks, which are cooperatively scheduled greenlets, and their waits.
 
-Each wait has a token. Whoever is to end it gets the token and calls `wake`; only the first call with a token
-has an effect, so several may race for the same wait.
+Each wait has a token, and is ended by a call of `wake` with this token. Only the first call has an effect, so
+several events may compete to end the same wait.
 """
 
 from __future__ import annotations
@@ -15,14 +15,12 @@
 from walnutpost.eventloop.errors import Cancelled, NotInTaskError
 
 T = TypeVar("T")
-MAX_OPERATIONS_PER_TURN = (
-    32  # socket calls that a task may make without waiting, before others get their turn
-)
-EXTRA_TURNS = 64  # of tasks that others of the same round made ready, before the sockets are polled again
+MAX_OPERATIONS_PER_TURN = 32  # socket calls that a task may make without waiting before it yields
+EXTRA_TURNS = 64  # turns per round for tasks that became ready during it, before the sockets are polled again
 
 
 class Task(Generic[T]):
-    """A greenlet and its outcome: once `is_done`, `result` or `error` is set."""
+    """A greenlet and its outcome: when `is_done` is true, either `result` or `error` is set."""
 
     __slots__ = (
         "_greenlet",
@@ -39,28 +37,27 @@
     )
 
     def __init__(self, scheduler: TaskScheduler, name: str, call: Callable[[], T]) -> None:
-        """Prepare the task; `TaskScheduler.spawn` makes it ready."""
+        """Create the task; `TaskScheduler.spawn` schedules its first turn."""
         self.name = name
         self.is_done = False
-        self.has_joiner = False  # somebody will see its error
+        self.has_joiner = False  # another task receives its error from `join`
         self.result: T | None = None
         self.error: BaseException | None = None
-        self.wait_token = 0  # of the present wait; odd while waiting
+        self.wait_token = 0  # token of the current wait; odd while waiting
         self.operations = 0  # socket calls since the last wait
-        self.pending_errors: list[
-            BaseException
-        ] = []  # came while it was not waiting; thrown at the next wait
+        # Errors of interruptions while the task was not waiting; raised at its next wait.
+        self.pending_errors: list[BaseException] = []
         self.done_callbacks: list[Callable[[], object]] = []
         self._scheduler = scheduler
         self._greenlet = greenlet(lambda _: scheduler._run_body(self, call), parent=scheduler._hub)
 
     def cancel(self) -> None:
-        """End the task at its present or next wait; without effect if it has ended."""
+        """Raise Cancelled in the task at its current or next wait; do nothing if it has ended."""
         if not self.is_done:
             self._scheduler.interrupt(self, Cancelled())
 
     def join(self) -> T:
-        """Wait for the end; raise what the task raised."""
+        """Wait until the task ends; return its result or raise its error."""
         if not self.is_done:
             scheduler = self._scheduler
             self.has_joiner = True
@@ -73,10 +70,10 @@
 
 
 class TaskScheduler:
-    """The tasks of one thread, and the queue of those that are ready to go on."""
+    """Runs the tasks of one thread from a queue of ready tasks."""
 
     def __init__(self, on_error: Callable[[str, BaseException], None] | None = None) -> None:
-        """`on_error` gets the name and error of each task and callback whose error nobody else sees."""
+        """`on_error` receives the name and error of each task or callback whose error nobody handles."""
         self._hub: Any = getcurrent()  # the greenlet that tasks switch back to
         self._on_error = on_error or (lambda name, error: None)
         self._ready: deque[tuple[Task[Any], Any, BaseException | None]] = deque()
@@ -85,7 +82,7 @@
 
     @property
     def has_ready_tasks(self) -> bool:
-        """Whether any task can go on now."""
+        """Whether any task is ready to run."""
         return bool(self._ready)
 
     @property
@@ -94,7 +91,7 @@
         return bool(self._tasks)
 
     def spawn(self, call: Callable[..., T], *args: Any, name: str = "") -> Task[T]:
-        """Start a task that runs `call`; it gets its first turn after the present ones."""
+        """Start a task that runs `call`; its first turn comes after those of the tasks that are ready now."""
         task: Task[T] = Task(self, name or getattr(call, "__name__", "task"), lambda: call(*args))
         self._tasks[task] = None
         task.wait_token += 1
@@ -102,19 +99,19 @@
         return task
 
     def current_task(self) -> Task[Any]:
-        """Return the task that runs now. Raises NotInTaskError."""
+        """Return the running task. Raises NotInTaskError if there is none."""
         if self._current is None:
             raise NotInTaskError
         return self._current
 
     def begin_wait(self) -> tuple[Task[Any], int]:
-        """Announce a wait of the current task: `wake` with this token ends it, once. Then call `park`."""
+        """Begin a wait of the current task, which `wake` ends with the returned token. Then call `park`."""
         task = self.current_task()
         task.wait_token += 1
         return task, task.wait_token
 
     def park(self) -> Any:
-        """Wait until woken; return the value given to `wake`, or raise the error that interrupts the wait."""
+        """Suspend the current task until it is woken; return the value or raise the error given to `wake`."""
         task = self.current_task()
         task.operations = 0
         if task.pending_errors:
@@ -125,7 +122,7 @@
     def wake(
         self, task: Task[Any], token: int, value: Any = None, error: BaseException | None = None
     ) -> bool:
-        """End the wait announced with `token`; return False if something else ended it before."""
+        """End the wait that has this token; return False if it had already ended."""
         if task.wait_token != token or task.is_done:
             return False
         task.wait_token += 1
@@ -133,19 +130,19 @@
         return True
 
     def interrupt(self, task: Task[Any], error: BaseException) -> None:
-        """Throw `error` into the task's present wait, or its next one."""
+        """Raise `error` from the current wait of the task, or from its next one."""
         is_waiting = task.wait_token & 1 and task is not self._current
         if not (is_waiting and self.wake(task, task.wait_token, error=error)):
             task.pending_errors.append(error)
 
     def yield_now(self) -> None:
-        """Give every other ready task and the sockets their turn."""
+        """Let the other ready tasks and the sockets have a turn."""
         task, token = self.begin_wait()
         self.wake(task, token)
         self.park()
 
     def count_operation(self) -> None:
-        """Count a socket call that did not wait; after MAX_OPERATIONS_PER_TURN of them, yield."""
+        """Count a socket call that did not wait; yield after MAX_OPERATIONS_PER_TURN calls."""
         task = self._current
         if task is not None:
             task.operations += 1
@@ -153,9 +150,9 @@
                 self.yield_now()
 
     def run_guarded(self, name: str, callback: Callable[[], object]) -> bool:
-        """Run a callback; return False if it raised, which is reported under `name`.
+        """Run a callback; if it raises, report the error under `name` and return False.
 
-        One callback's error must not end the loop, and with it everything else.
+        An error in one callback must not end the whole loop.
         """
         try:
             callback()
@@ -164,12 +161,12 @@
             return False
         return True
 
-    def _adopt_current_greenlet(self) -> None:
-        """Let tasks switch back to the caller, which may not be the one that made the scheduler."""
+    def _use_current_greenlet_as_hub(self) -> None:
+        """Make the calling greenlet the hub; it may differ from the one that created the scheduler."""
         self._hub = getcurrent()
 
     def _run_ready_tasks(self) -> None:
-        """Give a turn to each task that is ready, and EXTRA_TURNS to those that become ready meanwhile."""
+        """Give each ready task a turn, and up to EXTRA_TURNS to tasks that become ready meanwhile."""
         ready = self._ready
         for _ in range(len(ready) + EXTRA_TURNS):
             if not ready:
@@ -178,7 +175,7 @@
             self._current = task
             if error is None:
                 task._greenlet.switch(value)
-            elif not task._greenlet:  # ended before it began
+            elif not task._greenlet:  # interrupted before its first turn
                 task.error = error
                 self._finish(task)
             else:
@@ -190,16 +187,16 @@
             task.cancel()
 
     def _run_body(self, task: Task[T], call: Callable[[], T]) -> None:
-        """Run all of a task, on its own greenlet."""
+        """Run the task from start to end, on its own greenlet."""
         try:
-            if task.pending_errors:  # ended before it began
+            if task.pending_errors:  # interrupted before its first turn
                 raise task.pending_errors.pop(0)
             task.result = call()
         except Cancelled as error:
             task.error = error
         except Exception as error:
             task.error = error
-            if not task.has_joiner:  # the error ends this task alone, and is reported
+            if not task.has_joiner:  # nobody else receives the error, so report it
                 self._on_error(task.name, error)
         self._finish(task)
 
--- a/packages/eventloop/src/walnutpost/eventloop/timeouts.py
+++ b/packages/eventloop/src/walnutpost/eventloop/timeouts.py
@@ -1,4 +1,4 @@
-"""Time-outs as blocks: whatever wait the block is in when the time is over, that wait raises."""
+"""Timeouts for `with` blocks: when the time is over, the wait within the block raises."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 from walnutpost.eventloop.timers import Timer
 
 
-class InterruptingLoop(Protocol):
-    """What a time-out needs of a loop."""
+class TimeoutLoop(Protocol):
+    """The methods of a loop that a timeout uses."""
 
     def current_task(self) -> Task[Any]:
-        """Return the task that runs now."""
+        """Return the running task."""
 
     def call_later(self, delay_us: int, callback: Callable[[], object]) -> Timer:
-        """Run `callback` after a time."""
+        """Run `callback` after `delay_us`."""
 
     def interrupt(self, task: Task[Any], error: BaseException) -> None:
-        """Throw `error` into a wait of the task."""
+        """Raise `error` from the current or next wait of the task."""
 
 
 class TimeoutScope:
-    """What `Loop.timeout` returns; `with ... as` binds the error that it would raise."""
+    """The context manager that `Loop.timeout` returns; `with ... as` binds the error that it may raise."""
 
     __slots__ = ("_error", "_loop", "_task", "_timeout_us", "_timer")
 
-    def __init__(self, loop: InterruptingLoop, timeout_us: int) -> None:
+    def __init__(self, loop: TimeoutLoop, timeout_us: int) -> None:
         self._loop = loop
         self._timeout_us = timeout_us
 
@@ -41,7 +41,7 @@
         return self._error
 
     def __exit__(self, *_: object) -> None:
-        """Stop the timer, and drop an error that has not been raised."""
+        """Cancel the timer, and discard its error if it is still pending."""
         self._timer.cancel()
         pending_errors = self._task.pending_errors
         if pending_errors and self._error in pending_errors:
--- a/packages/eventloop/src/walnutpost/eventloop/timers.py
+++ b/packages/eventloop/src/walnutpost/eventloop/timers.py
@@ -1,6 +1,6 @@
-"""Pending timers: a hierarchical timing wheel (Varghese and Lauck, 1987).
+"""Timers in a hierarchical timing wheel (Varghese and Lauck, 1987).
 
-`benchmarks/timers.py` measures it against a heap; docs/loop.md says more.
+`benchmarks/timers.py` compares it with a heap; see also docs/loop.md.
 """
 
 from __future__ import annotations
@@ -12,46 +12,47 @@
 SLOTS = 1 << SLOT_BITS
 SLOT_MASK = SLOTS - 1
 LEVELS = 4
-TICK_US = 1_000  # the finest slot; due times are rounded up to it
+TICK_US = 1_000  # width of a slot of the finest level; due times are rounded up to a multiple of it
 
 
 class TimerOwner(Protocol):
-    """What holds pending timers."""
+    """A container of pending timers."""
 
     def on_cancelled(self) -> None:
         """Count a timer that was cancelled."""
 
 
 class Timer:
-    """One callback at one time; `callback` is None once it was handed out or cancelled."""
+    """A callback that is due at `due_us`; `callback` is None after it was handed out or cancelled."""
 
     __slots__ = ("_owner", "callback", "due_us")
 
     def __init__(self, due_us: int, callback: Callable[[], object], owner: TimerOwner) -> None:
-        """`owner` counts a cancellation."""
+        """`owner` is notified of a cancellation."""
         self.due_us = due_us
         self.callback: Callable[[], object] | None = callback
         self._owner = owner
 
     def cancel(self) -> None:
-        """Run it no more; may be called at any moment, also after it ran."""
+        """Cancel the timer; do nothing if it was already handed out or cancelled."""
         if self.callback is not None:
             self.callback = None
             self._owner.on_cancelled()
 
 
 class TimerWheel:
-    """A hierarchical wheel: slots of TICK_US, each level SLOTS times coarser.
+    """A hierarchical timing wheel. Slots of the finest level span TICK_US; each level is SLOTS times coarser.
 
-    Entries cascade down as their time comes near. Adding and cancelling cost the same however many are
-    pending. One integer a level has a bit for each slot that holds anything, so that empty ones cost nothing.
+    Timers cascade to finer levels as their due time approaches. Adding and cancelling take constant time,
+    regardless of the number of pending timers. Each level has a bitmap of its occupied slots, so that empty
+    slots are skipped at no cost.
     """
 
     def __init__(self, now_us: int = 0) -> None:
-        """Start empty at `now_us`."""
+        """Create an empty wheel whose time is `now_us`."""
         self._tick = now_us // TICK_US
         self._slots: list[list[list[Timer]]] = [[[] for _ in range(SLOTS)] for _ in range(LEVELS)]
-        self._filled_bits = [0] * LEVELS
+        self._occupied_bits = [0] * LEVELS
         self._pending = 0
 
     def __len__(self) -> int:
@@ -59,7 +60,7 @@
         return self._pending
 
     def add(self, due_us: int, callback: Callable[[], object]) -> Timer:
-        """Add a timer; it is handed out at `due_us`, rounded up to a tick."""
+        """Add a timer; its callback is handed out at `due_us`, rounded up to a tick."""
         timer = Timer(due_us, callback, self)
         self._pending += 1
         self._place(timer)
@@ -70,9 +71,9 @@
         self._pending -= 1
 
     def next_due_us(self) -> int | None:
-        """Return a lower bound of the next due time, None if no timer is pending.
+        """Return a lower bound of the next due time, or None if no timer is pending.
 
-        It is that of the first filled slot, or the time at which the next level cascades.
+        The bound is the time of the first occupied slot or of the next cascade, whichever comes first.
         """
         if not self._pending:
             return None
@@ -91,8 +92,8 @@
             if not self._tick & SLOT_MASK:
                 self._cascade()
             slot = self._tick & SLOT_MASK
-            if self._filled_bits[0] >> slot & 1:
-                for timer in self._empty_slot(0, slot):
+            if self._occupied_bits[0] >> slot & 1:
+                for timer in self._take_slot(0, slot):
                     if timer.callback is not None:
                         callbacks.append(timer.callback)
                         timer.callback = None
@@ -100,57 +101,57 @@
         return callbacks
 
     def _place(self, timer: Timer) -> None:
-        now_tick = self._tick
+        current_tick = self._tick
         due_tick = -(-timer.due_us // TICK_US)
-        if due_tick <= now_tick:
-            due_tick = now_tick + 1
-        distance = due_tick - now_tick
-        if distance < SLOTS:
+        if due_tick <= current_tick:
+            due_tick = current_tick + 1
+        ticks_ahead = due_tick - current_tick
+        if ticks_ahead < SLOTS:
             level, slot = 0, due_tick & SLOT_MASK
-        elif distance < SLOTS * SLOTS:
+        elif ticks_ahead < SLOTS * SLOTS:
             level, slot = 1, (due_tick >> SLOT_BITS) & SLOT_MASK
         else:
-            # Beyond the last level's reach an entry waits in its farthest slot, and is then placed again.
-            due_tick = min(due_tick, now_tick + (1 << SLOT_BITS * LEVELS) - 1)
-            level = 2 if distance < 1 << SLOT_BITS * 3 else 3
+            # A timer beyond the range of the last level waits in its farthest slot, and is then placed again.
+            due_tick = min(due_tick, current_tick + (1 << SLOT_BITS * LEVELS) - 1)
+            level = 2 if ticks_ahead < 1 << SLOT_BITS * 3 else 3
             slot = (due_tick >> SLOT_BITS * level) & SLOT_MASK
         self._slots[level][slot].append(timer)
-        self._filled_bits[level] |= 1 << slot
+        self._occupied_bits[level] |= 1 << slot
 
     def _next_tick(self) -> int:
         first_slot = (self._tick + 1) & SLOT_MASK
         cascade_tick = (self._tick | SLOT_MASK) + 1
-        filled_bits = self._filled_bits[0]
-        if filled_bits:
-            ahead_bits = (filled_bits >> first_slot) | (filled_bits << (SLOTS - first_slot))
+        occupied_bits = self._occupied_bits[0]
+        if occupied_bits:
+            ahead_bits = (occupied_bits >> first_slot) | (occupied_bits << (SLOTS - first_slot))
             return min(self._tick + (ahead_bits & -ahead_bits).bit_length(), cascade_tick)
         return cascade_tick
 
     def _cascade(self) -> None:
-        """Place the timers of the coarser slots that begin at this tick anew."""
+        """Move the timers of the coarser slots that begin at this tick to finer levels."""
         for level in range(1, LEVELS):
             slot = (self._tick >> SLOT_BITS * level) & SLOT_MASK
-            for timer in self._empty_slot(level, slot):
+            for timer in self._take_slot(level, slot):
                 if timer.callback is None:
                     continue
-                if timer.due_us <= self._tick * TICK_US:  # due in this very tick
-                    now_slot = self._tick & SLOT_MASK
-                    self._slots[0][now_slot].append(timer)
-                    self._filled_bits[0] |= 1 << now_slot
+                if timer.due_us <= self._tick * TICK_US:  # due in this tick
+                    current_slot = self._tick & SLOT_MASK
+                    self._slots[0][current_slot].append(timer)
+                    self._occupied_bits[0] |= 1 << current_slot
                 else:
                     self._place(timer)
             if slot:
                 return
 
-    def _empty_slot(self, level: int, slot: int) -> list[Timer]:
+    def _take_slot(self, level: int, slot: int) -> list[Timer]:
         timers = self._slots[level][slot]
         self._slots[level][slot] = []
-        self._filled_bits[level] &= ~(1 << slot)
+        self._occupied_bits[level] &= ~(1 << slot)
         return timers
 
     def _clear(self) -> None:
-        """Drop what is left in the slots when no timer is pending: those were cancelled."""
+        """Empty all slots when no timer is pending: the timers left in them were cancelled."""
         for level in range(LEVELS):
-            if self._filled_bits[level]:
+            if self._occupied_bits[level]:
                 self._slots[level] = [[] for _ in range(SLOTS)]
-                self._filled_bits[level] = 0
+                self._occupied_bits[level] = 0
--- a/packages/eventloop/src/walnutpost/eventloop/tls.py
+++ b/packages/eventloop/src/walnutpost/eventloop/tls.py
@@ -1,4 +1,4 @@
-"""Streams under TLS: the standard library's `ssl` on memory buffers, the loop's sockets around it."""
+"""TLS streams: the standard library's `ssl` module on memory buffers, with I/O by the loop's sockets."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsClientSettings:
-    """How a client makes a connection.
+    """The settings of a client connection.
 
-    The other end's certificate must name `server_name`, whatever its address. `session` of an earlier
-    connection to the same end saves most of the handshake.
+    The server's certificate must be valid for `server_name`, whatever the server's address. With the
+    `session` of an earlier connection to the same server, most of the handshake is skipped.
     """
 
     context: ssl.SSLContext
@@ -28,9 +28,9 @@
 
 
 class TlsStream(Stream):
-    """A stream whose bytes are encrypted. Traffic observers see the plaintext.
+    """An encrypted stream. Traffic observers see the plaintext.
 
-    Errors of TLS are OSErrors; TlsTruncatedError is one of them.
+    TLS errors are OSErrors, including TlsTruncatedError.
     """
 
     def __init__(
@@ -43,19 +43,19 @@
         traffic_observer: TrafficObserver | None = None,
         role: str = "",
     ) -> None:
-        """Take over a connected socket: a client's where `server_name` is given, else a server's."""
+        """Take ownership of a connected socket, as a client if `server_name` is given, else as a server."""
         super().__init__(loop, sock, traffic_observer, role)
         self.context = context
         self._incoming = ssl.MemoryBIO()
         self._outgoing = ssl.MemoryBIO()
         is_server = server_name is None
         self._tls = context.wrap_bio(self._incoming, self._outgoing, is_server, server_name, session)
-        self._plaintext = b""  # decrypted, and not asked for yet
-        self._has_ended = False  # the other end has closed its side of TLS
+        self._plaintext = b""  # decrypted but not yet returned by `recv`
+        self._has_ended = False  # the peer has sent close_notify
 
     @property
     def session(self) -> ssl.SSLSession | None:
-        """For the next connection; TLS 1.3 gives it with the first answer."""
+        """The session for the next connection; with TLS 1.3, it is known after the first response."""
         return self._tls.session
 
     @property
@@ -64,10 +64,10 @@
         return bool(self._tls.session_reused)
 
     def handshake(self) -> None:
-        """Prove the other end's identity; bound its time with `Loop.timeout`.
+        """Perform the handshake, which verifies the peer; limit its time with `Loop.timeout`.
 
-        Raises OSError where that end can't be trusted, or doesn't speak TLS. No byte of what is sent later
-        has left then.
+        Raises OSError if the peer can't be verified or doesn't speak TLS. No application data has been sent
+        then.
         """
         while True:
             try:
@@ -79,11 +79,11 @@
                 self._add_ciphertext(self._recv_from_kernel(CHUNK_BYTES))
             except ssl.SSLError:
                 with suppress(OSError):
-                    self._sock.send(self._outgoing.read())  # the alert that gives the reason
+                    self._sock.send(self._outgoing.read())  # the alert that states the reason
                 raise
 
     def recv(self, max_bytes: int = CHUNK_BYTES, wait_first: bool = False) -> bytes:
-        """Return the next decrypted bytes, once there are any; none at the end of the stream."""
+        """Wait for data and return it decrypted; return b"" at the end of the stream."""
         if wait_first and not (self._has_buffered_input() or self.closed):
             self._loop.wait_readable(self._fd)
         while True:
@@ -94,11 +94,11 @@
                 if self._traffic_observer is not None and data:
                     self._traffic_observer.on_bytes(self._number, False, data)
                 return data
-            self._flush(has_payload=False)  # an answer that TLS itself owes
+            self._flush(has_payload=False)  # a reply of the TLS protocol itself
             self._add_ciphertext(self._recv_from_kernel(CHUNK_BYTES))
 
     def send_all(self, data: bytes) -> None:
-        """Encrypt all of `data` and hand it to the kernel."""
+        """Encrypt all of `data` and pass it to the kernel, waiting as needed."""
         if self.closed:
             raise StreamClosedError
         self._flush(has_payload=False)
@@ -111,19 +111,19 @@
             self._flush(has_payload=True)
 
     def send_now(self, data: bytes) -> bytes:
-        """Return all of `data`: a record of which the kernel takes a part must be waited for."""
+        """Return all of `data` unsent: sending the rest of a partly sent TLS record could require a wait."""
         return data
 
     def is_stale(self) -> bool:
-        """Whether the other end has closed, or sent unexpected bytes: unfit for a new exchange."""
+        """Whether the stream is unfit for a new exchange: the peer has closed it or sent unexpected bytes."""
         return self.closed or self._read_ahead() is not None
 
     def has_ended(self) -> bool:
-        """Whether the other end has closed, or the connection broke; False while unread bytes are there."""
+        """Whether the peer has closed the stream or the connection failed; False while data is unread."""
         return self._read_ahead() is True
 
     def close(self) -> None:
-        """Send close_notify, without waiting for the other end's, and close."""
+        """Send close_notify and close, without waiting for the peer's close_notify."""
         if not self.closed:
             with suppress(OSError, ValueError):
                 self._tls.unwrap()
@@ -132,11 +132,11 @@
         super().close()
 
     def _has_buffered_input(self) -> bool:
-        """Whether there is input in the buffers, for which the socket does not become readable."""
+        """Whether the buffers hold input, which the socket no longer reports as readable."""
         return bool(self._plaintext or self._tls.pending() or self._incoming.pending)
 
     def _decrypt(self, max_bytes: int) -> bytes | None:
-        """Return decrypted bytes; none at the end, None where more must come first."""
+        """Return decrypted bytes: b"" at the end, None if more input is needed first."""
         if self._plaintext:
             data = self._plaintext[:max_bytes]
             self._plaintext = self._plaintext[max_bytes:]
@@ -161,7 +161,7 @@
             self._incoming.write_eof()
 
     def _flush(self, has_payload: bool) -> None:
-        """Send what TLS has written; `has_payload`: some of it is the caller's, which the peer may see."""
+        """Send the pending output of TLS; `has_payload` says that it includes application data."""
         while self._outgoing.pending:
             view = memoryview(self._outgoing.read())
             while view:
@@ -169,9 +169,9 @@
                 self.has_sent = self.has_sent or has_payload
 
     def _read_ahead(self) -> bool | None:
-        """Return without waiting whether the other end has closed; None where nothing shows.
+        """Read without waiting; return True if the stream has ended, False if it has data, else None.
 
-        Session tickets come unasked, and show nothing.
+        Session tickets arrive unrequested and don't count as data.
         """
         try:
             with suppress(BlockingIOError):
@@ -196,9 +196,9 @@
     traffic_observer: TrafficObserver | None = None,
     role: str = "",
 ) -> TlsStream:
-    """Return a connection whose other end has proved its name; bound its time with `Loop.timeout`.
+    """Connect to `address`, verify the server's name and return the stream.
 
-    Raises OSError if there is none.
+    Limit the time with `Loop.timeout`. Raises OSError if the connection or the handshake fails.
     """
     sock = connect_socket(loop, address)
     stream = TlsStream(
@@ -215,7 +215,7 @@
 def tls_stream_factory(
     context: ssl.SSLContext,
 ) -> Callable[[Loop, socket.socket, TrafficObserver | None, str], TlsStream]:
-    """Return what builds a Listener's streams; whoever serves a stream makes the handshake."""
+    """Return a `stream_factory` for Listener. The code that serves a stream has to call `handshake`."""
     return lambda loop, sock, traffic_observer, role: TlsStream(
         loop, sock, context, traffic_observer=traffic_observer, role=role
     )
--- a/packages/eventloop/src/walnutpost/eventloop/waker.py
+++ b/packages/eventloop/src/walnutpost/eventloop/waker.py
@@ -1,4 +1,4 @@
-"""Ends a poll from outside the loop's thread: a socket pair whose reading end the loop polls."""
+"""Wakes a polling loop from a signal or another thread, through a socket pair that the loop polls."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 
 class Waker:
-    """A socket pair, opened when first needed. Signals and finished work write a byte each."""
+    """A socket pair that is opened on first use. Each signal and each finished job writes one byte."""
 
     def __init__(self, poller: Poller, on_wake: Callable[[bytes], None]) -> None:
-        """`on_wake` gets the bytes that were written, between tasks."""
+        """`on_wake` is called between tasks with the bytes that were written."""
         self._poller = poller
         self._on_wake = on_wake
         self._ends: tuple[socket.socket, socket.socket] | None = None
 
     @property
     def is_open(self) -> bool:
-        """Whether there is a socket pair."""
+        """Whether the socket pair is open."""
         return self._ends is not None
 
     def open(self) -> socket.socket:
-        """Return the writing end, of a new socket pair if there is none."""
+        """Open the socket pair if necessary; return its writing end."""
         if self._ends is None:
             self._ends = socket.socketpair()
             for end in self._ends:
                 end.setblocking(False)
-            self._listen()
+            self._register_reader()
         return self._ends[1]
 
     def close(self) -> None:
@@ -42,7 +42,7 @@
                 end.close()
             self._ends = None
 
-    def _listen(self) -> None:
+    def _register_reader(self) -> None:
         assert self._ends is not None
         self._poller.set_reader(self._ends[0].fileno(), self._read)
 
@@ -52,11 +52,11 @@
             data = self._ends[0].recv(MAX_READ_BYTES)
         except BlockingIOError:
             data = b""
-        self._listen()  # first: what a callback raises must not leave the next signal unheard
+        self._register_reader()  # before on_wake: if a callback raises, later signals must still be seen
         self._on_wake(data)
 
 
 def send_wake_up(sender: socket.socket) -> None:
-    """Write to the writing end, from any thread; without effect once the loop has been closed."""
-    with suppress(OSError):  # also where it is full of wake-ups already
+    """Wake the loop by a byte on the writing end, from any thread; do nothing once the loop is closed."""
+    with suppress(OSError):  # the socket is closed, or full of wake-ups already
         sender.send(b"\0")
--- a/packages/eventloop/src/walnutpost/eventloop/worker_thread.py
+++ b/packages/eventloop/src/walnutpost/eventloop/worker_thread.py
@@ -1,4 +1,4 @@
-"""The thread for calls that block: one call at a time, in order, while the loop's tasks go on."""
+"""A thread for blocking calls, which run one at a time and in order while the loop's tasks continue."""
 
 from __future__ import annotations
 
@@ -9,47 +9,49 @@
 from dataclasses import dataclass
 from typing import Any
 
-JOIN_TIMEOUT_S = 10.0  # what the thread gets at the end to finish the calls that it was given
+JOIN_TIMEOUT_S = 10.0  # time for the thread to finish its submitted jobs when the loop closes
 
 
 @dataclass(slots=True)
 class Job:
-    """A blocking call and, once it has run, its outcome."""
+    """A blocking call and, after it has run, its outcome."""
 
     call: Callable[[], Any]
-    on_done: Callable[[Any, Exception | None], object]  # gets the result or the error, on the loop's thread
-    notify: Callable[[], None]  # called on the worker thread once the outcome is there
+    on_done: Callable[
+        [Any, Exception | None], object
+    ]  # receives the result or the error, on the loop's thread
+    notify: Callable[[], None]  # called on the worker thread when the outcome is available
     result: Any = None
     error: Exception | None = None
 
 
 class WorkerThread:
-    """Runs jobs on a thread that is started when first needed, and hands their outcomes to the loop."""
+    """Runs jobs on a thread that is started on first use, and delivers their outcomes to the loop."""
 
     def __init__(self) -> None:
         self._jobs: queue.SimpleQueue[Job | None] | None = None
         self._thread: threading.Thread | None = None
         self._finished: deque[Job] = deque()
-        self.pending_jobs = 0  # submitted, and their outcomes not delivered yet
+        self.pending_jobs = 0  # submitted jobs whose outcome is not yet delivered
 
     def submit(self, job: Job) -> None:
-        """Run `job` after those submitted before."""
+        """Queue `job`; it runs after the jobs submitted before it."""
         self.pending_jobs += 1
         self._job_queue().put(job)
 
     def start(self) -> None:
-        """Start the thread unless it runs."""
+        """Start the thread unless it is running."""
         self._job_queue()
 
     def deliver(self) -> None:
-        """Hand over the outcomes that are there; for the loop's thread, after a notification."""
+        """Deliver the available outcomes; called on the loop's thread after a notification."""
         while self._finished:
             job = self._finished.popleft()
             self.pending_jobs -= 1
             job.on_done(job.result, job.error)
 
     def close(self) -> None:
-        """Wait for the submitted jobs, at most JOIN_TIMEOUT_S: what they work on is closed after the loop."""
+        """Wait up to JOIN_TIMEOUT_S for submitted jobs: the resources they use are closed after the loop."""
         if self._jobs is not None:
             self._jobs.put(None)
             self._jobs = None
--- a/packages/eventloop/tests/test_errors.py
+++ b/packages/eventloop/tests/test_errors.py
@@ -22,16 +22,16 @@
 from walnutpost.testsupport.eventloop.fixtures import SECOND, virtual_loop
 
 ERRORS = [
-    (ClockNotVirtualError(SECOND), RuntimeError, "real time does not jump"),
+    (ClockNotVirtualError(SECOND), RuntimeError, "cannot advance a real clock"),
     (
         NotInTaskError(),
         RuntimeError,
-        "only a task of this loop can wait; this is a callback or another thread",
+        "only a task of this loop can wait, not a callback or another thread",
     ),
-    (QueueFullError(3), Exception, "queue holds 3 items"),
-    (StreamClosedError(), ConnectionAbortedError, "[Errno 103] closed here"),
+    (QueueFullError(3), Exception, "queue is full (3 items)"),
+    (StreamClosedError(), ConnectionAbortedError, "[Errno 103] stream was closed locally"),
     (TlsTruncatedError(), ConnectionResetError, "[Errno 104] cut off without TLS's farewell"),
-    (WaitTimeoutError(SECOND), Exception, "it took too long"),
+    (WaitTimeoutError(SECOND), Exception, "timed out"),
 ]
 
 
--- a/packages/eventloop/tests/test_listener.py
+++ b/packages/eventloop/tests/test_listener.py
@@ -20,8 +20,8 @@
 from walnutpost.eventloop.listener import MAX_ACCEPT_NOW_PAUSES
 from walnutpost.testsupport.eventloop.fixtures import (
     LOCAL,
-    PENDING_ERRORS,
-    SHORTAGE_ERRORS,
+    PENDING_NETWORK_ERRORS,
+    RESOURCE_EXHAUSTION_ERRORS,
     close_all,
     run_with_faults,
     start_accepting,
@@ -29,14 +29,20 @@
 )
 from walnutpost.testsupport.eventloop.scripted_sockets import FOREVER, SocketFaults, at
 
-NUMBERS = [pytest.param(number, id=errno.errorcode[number]) for number in (*PENDING_ERRORS, *SHORTAGE_ERRORS)]
+NUMBERS = [
+    pytest.param(number, id=errno.errorcode[number])
+    for number in (*PENDING_NETWORK_ERRORS, *RESOURCE_EXHAUSTION_ERRORS)
+]
 
 
 @pytest.mark.parametrize(
     ("number", "drops"),
     [
         pytest.param(number, drops, id=f"{errno.errorcode[number]}-{'gone' if drops else 'left'}")
-        for drops, numbers in ((False, (*PENDING_ERRORS, *SHORTAGE_ERRORS)), (True, PENDING_ERRORS))
+        for drops, numbers in (
+            (False, (*PENDING_NETWORK_ERRORS, *RESOURCE_EXHAUSTION_ERRORS)),
+            (True, PENDING_NETWORK_ERRORS),
+        )
         for number in numbers
     ],
 )
@@ -52,7 +58,7 @@
         lost = (3 if drops else 0) + listener.rejected_connections
         wait_until(loop, lambda: len(streams) + lost == len(clients))
         assert listener.accept_errors == 3
-        assert listener.rejected_connections == (3 if number in SHORTAGE_ERRORS else 0)
+        assert listener.rejected_connections == (3 if number in RESOURCE_EXHAUSTION_ERRORS else 0)
         close_all(listener, *streams, *clients)
 
     run_with_faults(script)
--- a/packages/testsupport/src/walnutpost/testsupport/eventloop/fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/fixtures.py
@@ -12,7 +12,7 @@
 MS = 1_000
 SECOND = 1_000_000
 LOCAL = ("127.0.0.1", 0)
-PENDING_ERRORS = (  # of the network, as accept(2) names them, and of rules for sockets
+PENDING_NETWORK_ERRORS = (  # of the network, as accept(2) names them, and of rules for sockets
     errno.ECONNABORTED,
     errno.EHOSTDOWN,
     errno.EHOSTUNREACH,
@@ -27,7 +27,7 @@
     errno.ETIMEDOUT,
     errno.EINVAL,
 )
-SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RESOURCE_EXHAUSTION_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 def virtual_loop(errors: list[tuple[str, BaseException]] | None = None) -> Loop:
