--- a/packages/http/src/walnutpost/http/__init__.py
+++ b/packages/http/src/walnutpost/http/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on the event loop, for both sides, around the httptools parser (RFC 9110 and 9112)."""
+"""An HTTP/1.1 client and server for the event loop, based on the httptools parser (RFC 9110, RFC 9112)."""
 
 from walnutpost.http.client import Connection
 from walnutpost.http.errors import HttpError, HttpMessageError
--- a/packages/http/src/walnutpost/http/errors.py
+++ b/packages/http/src/walnutpost/http/errors.py
@@ -1,4 +1,4 @@
-"""Errors of this package. Connections that break raise the system's OSErrors."""
+"""Errors of this package. Failures of a connection are raised as the system's OSErrors."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class HttpMessageError(HttpError):
-    """A message that is no HTTP, or exceeds a limit."""
+    """A message is not valid HTTP, or exceeds a limit."""
 
     def __init__(self, status: int, text: str) -> None:
-        """`status` is what a server answers to it, `text` the reason."""
+        """`status` is the status with which a server responds, `text` the reason."""
         super().__init__(text)
         self.status = int(status)
--- a/packages/http/src/walnutpost/http/parsing.py
+++ b/packages/http/src/walnutpost/http/parsing.py
@@ -1,6 +1,6 @@
-"""Parsers: bytes in, complete messages out, within limits. No I/O.
+"""Parsers that turn bytes into complete messages and enforce the limits. They do no I/O.
 
-They are the callbacks of httptools' parsers, which name them `on_...`.
+httptools calls the methods named `on_...`.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from walnutpost.http.errors import HttpMessageError
 from walnutpost.http.messages import HEADER_ENCODING, Limits, Request, Response
 
-HEADER_OVERHEAD_BYTES = 4  # what a header line adds to its name and value
+HEADER_OVERHEAD_BYTES = 4  # bytes of a header line besides name and value: ": " and CRLF
 CONTINUE_EXPECTATION = "100-continue"
 
 
 class _MessageParser:
-    """What both parsers share: collecting the parts of one message."""
+    """The common part of both parsers, which collects the parts of a message."""
 
     def __init__(self, limits: Limits) -> None:
         self._limits = limits
-        self.has_partial = False  # a message has begun and is not complete
+        self.has_partial = False  # a message has begun but is not complete
         self.has_head = False  # the head of that message is complete
-        self._failure: HttpMessageError | None = None
+        self._first_error: HttpMessageError | None = None
         self._reset()
 
     def _reset(self) -> None:
@@ -42,90 +42,90 @@
         self._reset()
 
     def on_url(self, target: bytes) -> None:
-        """Add a part of the request's target."""
+        """Append a part of the request target."""
         self._target += target
-        self._count_head(len(target))
+        self._count_head_bytes(len(target))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Add a header."""
-        self._count_head(len(name) + len(value) + HEADER_OVERHEAD_BYTES)
+        self._count_head_bytes(len(name) + len(value) + HEADER_OVERHEAD_BYTES)
         key = name.decode(HEADER_ENCODING).lower()
         text = value.decode(HEADER_ENCODING)
-        known = self._headers.get(key)
-        if known is not None and key == "content-length" and known != text:
-            self._fail(HttpMessageError(HTTPStatus.BAD_REQUEST, "two content lengths that differ"))
-        self._headers[key] = text if known is None else f"{known}, {text}"
+        previous_value = self._headers.get(key)
+        if previous_value is not None and key == "content-length" and previous_value != text:
+            self._raise_error(HttpMessageError(HTTPStatus.BAD_REQUEST, "two content lengths that differ"))
+        self._headers[key] = text if previous_value is None else f"{previous_value}, {text}"
 
     def on_body(self, data: bytes) -> None:
-        """Add a part of the body."""
+        """Append a part of the body."""
         self._body_bytes += len(data)
         max_bytes = self._limits.max_body_bytes
         if self._body_bytes > max_bytes:
             reason = f"body of more than {max_bytes} bytes"
-            self._fail(HttpMessageError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, reason))
+            self._raise_error(HttpMessageError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, reason))
         self._body_parts.append(data)
 
-    def _count_head(self, size_bytes: int) -> None:
+    def _count_head_bytes(self, size_bytes: int) -> None:
         self._head_bytes += size_bytes
         if self._head_bytes > self._limits.max_head_bytes:
-            self._fail(self._head_too_large())
+            self._raise_error(self._head_too_large_error())
 
-    def _head_too_large(self) -> HttpMessageError:
+    def _head_too_large_error(self) -> HttpMessageError:
         reason = f"head of more than {self._limits.max_head_bytes} bytes"
         return HttpMessageError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE, reason)
 
-    def _check_length(self) -> None:
+    def _check_content_length(self) -> None:
         length = self._headers.get("content-length", "0")
         max_bytes = self._limits.max_body_bytes
         if length.isdigit() and int(length) > max_bytes:
             reason = f"body of {length} bytes; {max_bytes} at most"
-            self._fail(HttpMessageError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, reason))
+            self._raise_error(HttpMessageError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, reason))
 
-    def _fail(self, error: HttpMessageError) -> None:
-        """Raise through httptools, which puts an error of its own in the place of this one."""
-        self._failure = self._failure or error
+    def _raise_error(self, error: HttpMessageError) -> None:
+        """Remember and raise `error`; httptools replaces it by an error of its own."""
+        self._first_error = self._first_error or error
         raise error
 
-    def _explain(self, error: httptools.HttpParserError) -> HttpMessageError:
-        """Return the error that was raised here, else one for the parser's."""
-        return self._failure or HttpMessageError(HTTPStatus.BAD_REQUEST, f"not HTTP/1.1: {error}")
+    def _to_message_error(self, error: httptools.HttpParserError) -> HttpMessageError:
+        """Return the error that a callback raised, or else a new one for the error of httptools."""
+        return self._first_error or HttpMessageError(HTTPStatus.BAD_REQUEST, f"not HTTP/1.1: {error}")
 
 
 class RequestParser(_MessageParser):
-    """Takes bytes; `ready` has the complete requests, in order."""
+    """Parses requests; `ready` holds the complete ones, in order."""
 
     def __init__(self, limits: Limits) -> None:
         super().__init__(limits)
         self.ready: deque[Request] = deque()
-        self.wants_continue = False  # the client waits for 100 before it sends the body
+        self.wants_continue = False  # the client waits for a 100 response before it sends the body
         self._parser: Any = httptools.HttpRequestParser(self)
         self._unparsed_head_bytes = 0
 
     def feed(self, data: bytes) -> None:
-        """Parse bytes. Raises HttpMessageError; requests that were complete before it are in `ready`."""
+        """Parse bytes. Raises HttpMessageError; `ready` then has the requests before the error."""
         ready_before = len(self.ready)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             raise HttpMessageError(HTTPStatus.BAD_REQUEST, "upgrades are not served") from None
         except httptools.HttpParserError as error:
-            raise self._explain(error) from None
-        # A header line that never ends reaches no callback before it does: bytes without progress count too.
+            raise self._to_message_error(error) from None
+        # httptools reports a line only when it is complete, so count the bytes of an unfinished one here.
         if self.has_partial and not self.has_head and len(self.ready) == ready_before:
             self._unparsed_head_bytes += len(data)
             if self._unparsed_head_bytes > self._limits.max_head_bytes:
-                raise self._head_too_large()
+                raise self._head_too_large_error()
         else:
             self._unparsed_head_bytes = 0
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Check the headers."""
         self.has_head = True
-        self._check_length()
+        self._check_content_length()
         self.wants_continue = self._headers.get("expect", "").lower() == CONTINUE_EXPECTATION
 
     def on_message_complete(self) -> None:
-        """Add the request to `ready`."""
+        """Append the request to `ready`."""
         self.has_partial = False
         self.wants_continue = False
         self.ready.append(
@@ -140,12 +140,12 @@
 
 
 class ResponseParser(_MessageParser):
-    """Takes bytes of one response after another; `response` is the last complete one until taken."""
+    """Parses consecutive responses; `response` is the last complete one, until the caller clears it."""
 
     def __init__(self, limits: Limits) -> None:
         super().__init__(limits)
         self.response: Response | None = None
-        self.has_input = False  # any byte at all since the last complete response
+        self.has_input = False  # any bytes have arrived since the last complete response
         self._parser: Any = httptools.HttpResponseParser(self)
 
     def feed(self, data: bytes) -> None:
@@ -154,15 +154,15 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            raise self._explain(error) from None
+            raise self._to_message_error(error) from None
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
+        """Check the headers."""
         self.has_head = True
-        self._check_length()
+        self._check_content_length()
 
     def on_message_complete(self) -> None:
-        """Set `response`, unless the message is an interim one (RFC 9110, 15.2)."""
+        """Set `response`, unless the message is an interim response (RFC 9110, 15.2)."""
         status = self._parser.get_status_code()
         if HTTPStatus.CONTINUE <= status < HTTPStatus.OK:
             return
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -1,4 +1,4 @@
-"""The server's side: connections, limits, one request after another on each."""
+"""The HTTP server. Each connection is a task that handles one request after another."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 from walnutpost.http.parsing import RequestParser
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
-LINGER_TIMEOUT_US = 1_000_000  # how long a rejected sender may go on sending before the connection is cut
-MAX_LINGER_BYTES = 16 << 20  # how much of it is read, so that the answer is not lost to a reset
+LINGER_TIMEOUT_US = 1_000_000  # time that a rejected client has to stop sending before the close
+MAX_LINGER_BYTES = 16 << 20  # input discarded after a rejection, so that a reset doesn't lose the response
 MAX_CONNECTIONS = 100_000
-TOO_SLOW = "the request took too long to arrive"
+REQUEST_TIMEOUT_TEXT = "the request took too long to arrive"
 
 
 @dataclass(slots=True)
 class Exchange:
-    """One request and the connection it came on."""
+    """A request and the connection on which it arrived."""
 
     request: Request
     stream: Stream
-    received_us: int  # when its last byte was read
+    received_us: int  # when the last byte of the request was read
 
 
 Handler = Callable[[Exchange], Response | None]
@@ -46,9 +46,9 @@
 
 
 class Server:
-    """Serves `handler` on a listener; each connection is a task.
+    """Serves the connections of a listener with `handler`, each in its own task.
 
-    A handler that returns None has dealt with the connection itself, which is then closed.
+    A handler that returns None has responded on the connection itself; the server then closes it.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         limits: Limits | None = None,
         max_connections: int = MAX_CONNECTIONS,
     ) -> None:
-        """`error_responder` makes the response to a message that can't be served."""
+        """`error_responder` returns the response to a request that is rejected without calling `handler`."""
         self._loop = loop
         self._listener = listener
         self._handler = handler
@@ -68,17 +68,17 @@
         self._limits = limits or Limits()
         self._max_connections = max_connections
         self.tasks = TaskGroup(loop)
-        self.streams: dict[Stream, bool] = {}  # whether a request is being served on it
+        self.streams: dict[Stream, bool] = {}  # value: whether a request is being served
         self.is_draining = False
         self.context: SSLContext | None = None
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address on which the server listens."""
         return self._listener.address
 
     def serve(self) -> None:
-        """Accept until cancelled, or until the listener is closed, which is an OSError."""
+        """Accept connections until cancelled. Raises OSError when the listener is closed."""
         unavailable = HttpMessageError(HTTPStatus.SERVICE_UNAVAILABLE, "no free descriptor")
         rejection = encode_response(self._error_responder(unavailable))
         while True:
@@ -91,7 +91,7 @@
             self.tasks.spawn(self._serve_connection, stream, name="connection")
 
     def stop_accepting(self) -> None:
-        """Take no new connections; idle ones are closed, busy ones after their present answer."""
+        """Close the listener and idle connections; close busy connections after their current response."""
         self.is_draining = True
         self._listener.close()
         for stream, is_busy in list(self.streams.items()):
@@ -106,7 +106,7 @@
                     stream.handshake()
             self._serve_requests(stream, parser)
         except (OSError, WaitTimeoutError):
-            pass  # the client has gone, or is too slow for an answer
+            pass  # the client has disconnected, or was too slow
         finally:
             self.streams.pop(stream, None)
             stream.close()
@@ -133,18 +133,18 @@
                 return
 
     def _send_response(self, stream: Stream, response: Response) -> None:
-        rest = stream.send_now(encode_response(response))
-        if rest:
+        remaining = stream.send_now(encode_response(response))
+        if remaining:
             with self._loop.timeout(self._limits.body_timeout_us):
-                stream.send_all(rest)
+                stream.send_all(remaining)
 
     def _read_request(self, stream: Stream, parser: RequestParser, is_first: bool) -> Request | None:
-        """Return the next complete request; None where the client ended, or was idle for too long.
+        """Return the next complete request, or None if the client has closed or was idle for too long.
 
-        The times run from a request's first byte, so that a byte a second wins nothing.
+        Timeouts run from the first byte of a request, so that sending slowly does not extend them.
         """
         began_us: int | None = None
-        has_continued = False
+        has_sent_continue = False
         while not parser.ready:
             if parser.has_partial and began_us is None:
                 began_us = self._loop.now()
@@ -152,25 +152,25 @@
             if not data:
                 return None
             self._parse(parser, data)
-            if parser.wants_continue and not has_continued:
-                has_continued = True
+            if parser.wants_continue and not has_sent_continue:
+                has_sent_continue = True
                 stream.send_all(CONTINUE)
         return parser.ready.popleft()
 
     def _read_part(
         self, stream: Stream, parser: RequestParser, is_first: bool, began_us: int | None
     ) -> bytes | None:
-        """Return the next bytes; none at the end, None after an idle time without a request."""
+        """Return the next bytes: b"" at the end of the stream, None after the idle timeout."""
         time_left_us = self._time_left_us(parser, began_us)
         if time_left_us <= 0:
-            raise HttpMessageError(HTTPStatus.REQUEST_TIMEOUT, TOO_SLOW)
+            raise HttpMessageError(HTTPStatus.REQUEST_TIMEOUT, REQUEST_TIMEOUT_TEXT)
         try:
             with self._loop.timeout(time_left_us):
                 return stream.recv(wait_first=not is_first)
         except WaitTimeoutError:
             if began_us is None:
                 return None
-            raise HttpMessageError(HTTPStatus.REQUEST_TIMEOUT, TOO_SLOW) from None
+            raise HttpMessageError(HTTPStatus.REQUEST_TIMEOUT, REQUEST_TIMEOUT_TEXT) from None
 
     def _time_left_us(self, parser: RequestParser, began_us: int | None) -> int:
         limits = self._limits
@@ -181,7 +181,7 @@
 
     @staticmethod
     def _parse(parser: RequestParser, data: bytes) -> None:
-        """Parse bytes; complete requests before a broken one are served, the last ends the connection."""
+        """Parse bytes; if the error comes after complete requests, serve these and then close."""
         try:
             parser.feed(data)
         except HttpMessageError:
@@ -190,7 +190,7 @@
             parser.ready[-1].keep_alive = False
 
     def _reject(self, stream: Stream, error: HttpMessageError) -> None:
-        """Answer a message that can't be served, and read on for a while, so that the answer arrives."""
+        """Send an error response, then discard input for a while so that the response reaches the client."""
         response = self._error_responder(error)
         response.keep_alive = False
         self._try_send(stream, encode_response(response))
@@ -215,9 +215,9 @@
     context: SSLContext | None = None,
     log: Logger | None = None,
 ) -> Server:
-    """Return a server that already accepts, as a task of its own; under TLS where there is a context.
+    """Start a server in a new task and return it; use TLS if there is a `context`.
 
-    Failed accepts go to `log`.
+    Failed accepts are logged to `log`.
     """
     stream_factory = tls_stream_factory(context) if context is not None else Stream
     listener = Listener(loop, address, traffic_observer, role, stream_factory=stream_factory)
