--- a/packages/eventloop/tests/test_arrival_times.py
+++ b/packages/eventloop/tests/test_arrival_times.py
@@ -1,4 +1,4 @@
-"""When what a poll reports may have come: `Loop.arrived_after`."""
+"""`Loop.arrived_after`: the lower bound of the arrival time of the events that a poll reports."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ManualClock:
-    """Real time that moves only where a test moves it."""
+    """A clock that the loop treats as real, and that advances only when a test advances it."""
 
     is_virtual = False
 
@@ -33,7 +33,7 @@
 
 
 class ScriptedPoll:
-    """A poll object whose polls take the time that the script says, and report what it says."""
+    """A poll object with scripted results: pairs of the duration of a poll and the readable descriptors."""
 
     def __init__(self, clock: ManualClock, script: list[tuple[int, list[int]]]) -> None:
         self._clock = clock
@@ -46,13 +46,13 @@
     def unregister(self, fd: int, /) -> None: ...
 
     def poll(self, timeout_ms: int | None, /) -> list[tuple[int, int]]:
-        took_us, readable = self.script.pop(0)
-        self._clock.now_us += took_us
+        duration_us, readable = self.script.pop(0)
+        self._clock.now_us += duration_us
         return [(fd, READABLE) for fd in readable]
 
 
 @pytest.mark.parametrize(
-    ("round_took", "polls", "came_after"),
+    ("round_duration_us", "polls", "expected_us"),
     [
         pytest.param(0, [(10 * MS, [WATCHED])], 10 * MS, id="came-in-a-wait"),
         pytest.param(0, [(3 * SECOND, [WATCHED])], 0, id="stopped-in-a-wait"),
@@ -70,45 +70,45 @@
         pytest.param(0, [(SECOND, []), (0, [WATCHED])], 0, id="there-after-a-wait-that-it-was-stopped-in"),
     ],
 )
-def test_event_came_after_the_last_poll_that_did_not_report_it(
-    round_took: int, polls: list[tuple[int, list[int]]], came_after: int
+def test_event_arrived_after_the_last_poll_that_did_not_report_it(
+    round_duration_us: int, polls: list[tuple[int, list[int]]], expected_us: int
 ) -> None:
-    """`round_took`: between two polls. `polls`: those after it, how long each took and what it reported."""
+    """`round_duration_us`: time between two polls. `polls`: duration and result of each poll after it."""
     clock = ManualClock()
-    kernel = ScriptedPoll(clock, [(0, []), (0, [BUSY]), *polls])
-    loop = Loop(clock, poll_object=kernel)
-    began = clock.now_us
+    scripted_poll = ScriptedPoll(clock, [(0, []), (0, [BUSY]), *polls])
+    loop = Loop(clock, poll_object=scripted_poll)
+    start_us = clock.now_us
 
     def busy() -> None:
-        clock.now_us += round_took
+        clock.now_us += round_duration_us
         loop.call_later(100 * MS, lambda: None)
 
     def main() -> Any:
         task, token = loop.begin_wait()
         loop.on_readable(BUSY, busy)
-        loop.on_readable(WATCHED, lambda: loop.wake(task, token, loop.arrived_after() - began))
+        loop.on_readable(WATCHED, lambda: loop.wake(task, token, loop.arrived_after() - start_us))
         return loop.park()
 
-    assert loop.run(main) == came_after
-    assert not kernel.script
+    assert loop.run(main) == expected_us
+    assert not scripted_poll.script
 
 
-def test_virtual_clock_moved_by_a_test_is_a_stall_and_moved_by_the_loop_is_none() -> None:
+def test_virtual_clock_advance_counts_as_a_stall_only_if_a_test_makes_it() -> None:
     clock = VirtualClock()
     loop = Loop(clock)
 
     def main() -> list[int]:
-        left, right = socket.socketpair()
-        stalls = []
-        for stall, sleep in ((0, 0), (0, SECOND), (SECOND, 0)):
-            loop.sleep(sleep)
-            left.send(b"x")
-            clock.advance_to(loop.now() + stall)
-            loop.wait_readable(right.fileno())
-            right.recv(1)
-            stalls.append(loop.now() - loop.arrived_after())
-        loop.forget(right.fileno())
-        close_all(left, right)
-        return stalls
+        local, peer = socket.socketpair()
+        measured_stalls_us = []
+        for stall_us, sleep_us in ((0, 0), (0, SECOND), (SECOND, 0)):
+            loop.sleep(sleep_us)
+            local.send(b"x")
+            clock.advance_to(loop.now() + stall_us)
+            loop.wait_readable(peer.fileno())
+            peer.recv(1)
+            measured_stalls_us.append(loop.now() - loop.arrived_after())
+        loop.forget(peer.fileno())
+        close_all(local, peer)
+        return measured_stalls_us
 
     assert loop.run(main) == [0, 0, SECOND]
--- a/packages/eventloop/tests/test_errors.py
+++ b/packages/eventloop/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors: one base class, and the builtin classes that callers catch."""
+"""Errors of the event loop: their base class, messages, and the builtin classes that callers catch."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize(("error", "builtin", "text"), ERRORS)
-def test_error_has_the_common_base_its_builtin_class_and_its_text(
+def test_error_has_its_base_class_builtin_class_and_message(
     error: Exception, builtin: type[Exception], text: str
 ) -> None:
     assert isinstance(error, EventLoopError)
@@ -44,15 +44,15 @@
     assert str(error) == text
 
 
-def test_timeout_is_not_taken_for_a_broken_connection() -> None:
+def test_wait_timeout_error_is_not_an_os_error() -> None:
     assert not issubclass(WaitTimeoutError, OSError)
 
 
-def test_cancellation_is_not_caught_as_an_exception() -> None:
+def test_cancelled_is_not_caught_by_except_exception() -> None:
     assert not issubclass(Cancelled, Exception)
 
 
-def test_wait_in_a_callback_raises_and_is_reported() -> None:
+def test_wait_in_a_callback_raises_an_error_that_is_reported() -> None:
     errors: list[tuple[str, BaseException]] = []
     loop = virtual_loop(errors)
 
@@ -64,24 +64,24 @@
     assert [(name, type(error)) for name, error in errors] == [("timer", NotInTaskError)]
 
 
-def test_real_clock_is_not_moved() -> None:
+def test_real_clock_cannot_be_advanced() -> None:
     with pytest.raises(ClockNotVirtualError) as raised:
         RealClock().advance_to(SECOND)
     assert raised.value.time_us == SECOND
 
 
-def test_closed_stream_raises_with_the_systems_number() -> None:
+def test_closed_stream_raises_econnaborted() -> None:
     loop = virtual_loop()
 
     def main() -> None:
-        near, far = socket.socketpair()
-        near.setblocking(False)
-        stream = Stream(loop, near)
+        local, peer = socket.socketpair()
+        local.setblocking(False)
+        stream = Stream(loop, local)
         stream.close()
-        far.close()
-        for use in (stream.recv, stream.recv_now, lambda: stream.send_all(b"x"), stream.end_writing):
+        peer.close()
+        for method in (stream.recv, stream.recv_now, lambda: stream.send_all(b"x"), stream.end_writing):
             with pytest.raises(StreamClosedError) as raised:
-                use()
+                method()
             assert raised.value.errno == errno.ECONNABORTED
 
     loop.run(main)
--- a/packages/eventloop/tests/test_files.py
+++ b/packages/eventloop/tests/test_files.py
@@ -1,4 +1,4 @@
-"""Replacing a file: its former or new content whatever fails, nothing half done, and durable on return."""
+"""File replacement is atomic whichever system call fails, and durable on return."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("call", CALLS)
-def test_failed_call_leaves_former_or_new_content_and_no_other_file(tmp_path: Path, call: str) -> None:
+def test_failed_call_leaves_old_or_new_content_and_no_temporary_file(tmp_path: Path, call: str) -> None:
     path = tmp_path / "state"
     path.write_bytes(b"former")
     with scripted_files() as files:
@@ -34,17 +34,17 @@
     assert list(tmp_path.iterdir()) == [path]
 
 
-def test_short_write_is_continued_where_it_ended(tmp_path: Path) -> None:
+def test_short_write_is_continued_until_all_data_is_written(tmp_path: Path) -> None:
     with scripted_files() as files:
         files.fails["short write"] = 5
         replace_file(tmp_path / "state", b"0123456789" * 100)
     assert (tmp_path / "state").read_bytes() == b"0123456789" * 100
 
 
-def test_leftovers_of_a_killed_write_are_removed_and_nothing_else(tmp_path: Path) -> None:
-    others = {"state", "state.0a1b2c3d.new.txt", "other.0a1b2c3d.new", "state.own.new"}
-    for name in others | {"state.0a1b2c3d.new", "state.new"}:
+def test_only_temporary_files_of_the_path_are_removed(tmp_path: Path) -> None:
+    other_names = {"state", "state.0a1b2c3d.new.txt", "other.0a1b2c3d.new", "state.own.new"}
+    for name in other_names | {"state.0a1b2c3d.new", "state.new"}:
         (tmp_path / name).write_bytes(b"half")
     remove_leftovers(tmp_path / "state")
-    assert {path.name for path in tmp_path.iterdir()} == others
+    assert {path.name for path in tmp_path.iterdir()} == other_names
     remove_leftovers(tmp_path / "nowhere" / "state")
--- a/packages/eventloop/tests/test_listener.py
+++ b/packages/eventloop/tests/test_listener.py
@@ -1,4 +1,4 @@
-"""Listeners whose accepts fail: they serve until they are closed, and pace what fails over and over."""
+"""Failing accepts: a listener keeps accepting until it is closed, and backs off from repeated errors."""
 
 from __future__ import annotations
 
@@ -29,82 +29,82 @@
 )
 from walnutpost.testsupport.eventloop.scripted_sockets import FOREVER, SocketFaults, at
 
-NUMBERS = [
-    pytest.param(number, id=errno.errorcode[number])
-    for number in (*PENDING_NETWORK_ERRORS, *RESOURCE_EXHAUSTION_ERRORS)
+ACCEPT_ERROR_PARAMETERS = [
+    pytest.param(error_number, id=errno.errorcode[error_number])
+    for error_number in (*PENDING_NETWORK_ERRORS, *RESOURCE_EXHAUSTION_ERRORS)
 ]
 
 
 @pytest.mark.parametrize(
-    ("number", "drops"),
+    ("error_number", "drops"),
     [
-        pytest.param(number, drops, id=f"{errno.errorcode[number]}-{'gone' if drops else 'left'}")
-        for drops, numbers in (
+        pytest.param(error_number, drops, id=f"{errno.errorcode[error_number]}-{'gone' if drops else 'left'}")
+        for drops, error_numbers in (
             (False, (*PENDING_NETWORK_ERRORS, *RESOURCE_EXHAUSTION_ERRORS)),
             (True, PENDING_NETWORK_ERRORS),
         )
-        for number in numbers
+        for error_number in error_numbers
     ],
 )
-def test_listener_serves_on_after_any_error_of_accept(number: int, drops: bool) -> None:
+def test_listener_serves_on_after_any_error_of_accept(error_number: int, drops: bool) -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         streams = start_accepting(loop, listener)
         clients: list[Stream] = []
         for failed in range(1, 4):
-            faults.fail("accept", number, when=at(listener.address), drops=drops)
+            faults.fail("accept", error_number, when=at(listener.address), drops=drops)
             clients += [connect(loop, listener.address) for _ in range(4)]
             wait_until(loop, lambda: faults.failed["accept"] == failed)  # noqa: B023
-        lost = (3 if drops else 0) + listener.rejected_connections
-        wait_until(loop, lambda: len(streams) + lost == len(clients))
+        lost_connections = (3 if drops else 0) + listener.rejected_connections
+        wait_until(loop, lambda: len(streams) + lost_connections == len(clients))
         assert listener.accept_errors == 3
-        assert listener.rejected_connections == (3 if number in RESOURCE_EXHAUSTION_ERRORS else 0)
+        assert listener.rejected_connections == (3 if error_number in RESOURCE_EXHAUSTION_ERRORS else 0)
         close_all(listener, *streams, *clients)
 
     run_with_faults(script)
 
 
-@pytest.mark.parametrize("number", NUMBERS)
-def test_accepts_that_fail_repeatedly_are_paced_and_then_served(number: int) -> None:
+@pytest.mark.parametrize("error_number", ACCEPT_ERROR_PARAMETERS)
+def test_accepts_that_fail_repeatedly_are_paced_and_then_served(error_number: int) -> None:
     rounds = 60
 
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
-        streams, began = start_accepting(loop, listener), loop.now()
-        faults.fail("accept", number, rounds * MAX_ACCEPT_ERRORS_IN_ROW, when=at(listener.address))
+        streams, start_us = start_accepting(loop, listener), loop.now()
+        faults.fail("accept", error_number, rounds * MAX_ACCEPT_ERRORS_IN_ROW, when=at(listener.address))
         client = connect(loop, listener.address)
         wait_until(loop, lambda: streams or listener.rejected_connections)
-        passed = loop.now() - began
+        elapsed_us = loop.now() - start_us
         assert listener.accept_errors >= rounds * MAX_ACCEPT_ERRORS_IN_ROW // 2
-        assert passed >= (rounds // 2 - 6) * MAX_ACCEPT_BACKOFF_US
+        assert elapsed_us >= (rounds // 2 - 6) * MAX_ACCEPT_BACKOFF_US
         close_all(listener, client, *streams)
 
     run_with_faults(script)
 
 
-def test_fewer_accept_errors_in_a_row_than_the_limit_cause_no_pause() -> None:
+def test_fewer_consecutive_accept_errors_than_the_limit_cause_no_pause() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         faults.fail("accept", errno.EPROTO, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(listener.address))
-        client, began = connect(loop, listener.address), loop.now()
+        client, start_us = connect(loop, listener.address), loop.now()
         stream = listener.accept()
-        assert loop.now() == began
+        assert loop.now() == start_us
         close_all(listener, client, stream)
 
     run_with_faults(script)
 
 
-def test_pause_is_the_shortest_again_after_a_success() -> None:
+def test_successful_accept_resets_the_backoff() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
-        ends: list[Any] = [listener]
+        closables: list[Any] = [listener]
         for _ in range(3):
             faults.fail("accept", errno.EPROTO, MAX_ACCEPT_ERRORS_IN_ROW, when=at(listener.address))
-            ends.append(connect(loop, listener.address))
-            began = loop.now()
-            ends.append(listener.accept())
-            assert MIN_ACCEPT_BACKOFF_US <= loop.now() - began <= 2 * MIN_ACCEPT_BACKOFF_US
-        close_all(*ends)
+            closables.append(connect(loop, listener.address))
+            start_us = loop.now()
+            closables.append(listener.accept())
+            assert MIN_ACCEPT_BACKOFF_US <= loop.now() - start_us <= 2 * MIN_ACCEPT_BACKOFF_US
+        close_all(*closables)
 
     run_with_faults(script)
 
@@ -112,13 +112,13 @@
 def test_close_during_a_pause_ends_accepting_at_once() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
-        ends: list[OSError] = []
+        errors: list[OSError] = []
 
         def accept() -> None:
             try:
                 listener.accept()
             except OSError as error:
-                ends.append(error)
+                errors.append(error)
 
         task = loop.spawn(accept)
         faults.fail("accept", errno.EPERM, FOREVER, when=at(listener.address))
@@ -128,7 +128,7 @@
         listener.close()
         task.join()
         assert loop.now() == closed_us
-        assert [error.errno for error in ends] == [errno.EBADF]
+        assert [error.errno for error in errors] == [errno.EBADF]
         client.close()
 
     run_with_faults(script)
@@ -150,7 +150,7 @@
     run_with_faults(script)
 
 
-def test_accept_now_raises_where_every_accept_fails() -> None:
+def test_accept_now_raises_if_every_accept_fails() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         faults.fail("accept", errno.EPERM, FOREVER, when=at(listener.address))
@@ -175,7 +175,7 @@
 
         task = loop.spawn(accept)
         loop.yield_now()
-        assert 0 < len(streams) < 50  # it has given way
+        assert 0 < len(streams) < 50  # the accepting task has yielded
         task.cancel()
         while not task.is_done:
             loop.yield_now()
@@ -187,7 +187,7 @@
     run_with_faults(script)
 
 
-def test_failed_accepts_are_logged_once_a_second_with_their_count() -> None:
+def test_failed_accepts_are_logged_at_most_once_a_second_with_their_count() -> None:
     lines: list[tuple[str, dict[str, Any]]] = []
 
     class Log:
@@ -223,31 +223,32 @@
                 served.append(listener.accept(b"rejected"))
 
         loop.spawn(accept)
-        outside = socket.create_connection(listener.address)  # its descriptor is there before the shortage
+        # Connect the first client before the descriptors are used up.
+        first_client = socket.create_connection(listener.address)
         while not served:
             loop.sleep(1000)
-        late = socket.socket()
+        rejected_client = socket.socket()
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        taken: list[int] = []
+        filler_fds: list[int] = []
         try:
-            top = max(int(fd) for fd in os.listdir("/proc/self/fd"))
-            resource.setrlimit(resource.RLIMIT_NOFILE, (top + 1, hard))
+            highest_fd = max(int(fd) for fd in os.listdir("/proc/self/fd"))
+            resource.setrlimit(resource.RLIMIT_NOFILE, (highest_fd + 1, hard))
             with pytest.raises(OSError):
                 while True:
-                    taken.append(os.dup(0))
-            late.connect(listener.address)
+                    filler_fds.append(os.dup(0))
+            rejected_client.connect(listener.address)
             while not listener.rejected_connections:
                 loop.sleep(1000)
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            for fd in taken:
+            for fd in filler_fds:
                 os.close(fd)
-        assert late.recv(10) == b"rejected"
-        assert late.recv(10) == b""
-        after = socket.create_connection(listener.address)
+        assert rejected_client.recv(10) == b"rejected"
+        assert rejected_client.recv(10) == b""
+        next_client = socket.create_connection(listener.address)
         while len(served) < 2:
             loop.sleep(1000)
-        for sock in (outside, late, after):
+        for sock in (first_client, rejected_client, next_client):
             sock.close()
 
     loop.run(main)
--- a/packages/eventloop/tests/test_poller.py
+++ b/packages/eventloop/tests/test_poller.py
@@ -1,4 +1,4 @@
-"""Descriptors: whose events are delivered to whom, when numbers are used again and callbacks wait anew."""
+"""Delivery of events when descriptor numbers are reused and when callbacks set new callbacks."""
 
 from __future__ import annotations
 
@@ -8,50 +8,50 @@
 
 
 def test_event_of_a_closed_socket_is_not_delivered_to_the_next_one_with_its_number() -> None:
-    """Two sockets fire in one round; the first one's callback closes the second, and opens another there."""
+    """Both sockets are ready in one round; the callback of the first closes and reopens the second."""
     loop, received = virtual_loop(), list[str]()
 
-    def body() -> None:
+    def main() -> None:
         pairs = [socket.socketpair() for _ in range(2)]
-        fresh: list[socket.socket] = []
+        new_pair: list[socket.socket] = []
 
-        def first() -> None:
-            number = pairs[1][0].fileno()
-            loop.forget(number)
+        def reopen_second() -> None:
+            fd = pairs[1][0].fileno()
+            loop.forget(fd)
             pairs[1][0].close()
-            fresh.extend(socket.socketpair())
-            assert fresh[0].fileno() == number
-            loop.on_readable(number, lambda: received.append(fresh[0].recv(9).decode()))
-
-        for mine, other in pairs:
-            mine.setblocking(False)
-            other.send(b"old")
-        loop.on_readable(pairs[0][0].fileno(), first)
+            new_pair.extend(socket.socketpair())
+            assert new_pair[0].fileno() == fd
+            loop.on_readable(fd, lambda: received.append(new_pair[0].recv(9).decode()))
+
+        for local, peer in pairs:
+            local.setblocking(False)
+            peer.send(b"old")
+        loop.on_readable(pairs[0][0].fileno(), reopen_second)
         loop.on_readable(pairs[1][0].fileno(), lambda: None)
         loop.sleep(1000)
         assert received == []
-        fresh[1].send(b"new")
+        new_pair[1].send(b"new")
         loop.sleep(1000)
-        for sock in (*pairs[0], pairs[1][1], *fresh):
+        for sock in (*pairs[0], pairs[1][1], *new_pair):
             loop.forget(sock.fileno())
             sock.close()
 
-    loop.run(body)
+    loop.run(main)
     assert received == ["new"]
 
 
-def test_wait_begun_in_the_callback_of_a_broken_socket_is_called_back() -> None:
+def test_reader_set_in_the_writer_callback_of_a_failed_socket_is_called() -> None:
     loop, called = virtual_loop(), list[str]()
 
-    def body() -> None:
-        mine, other = socket.socketpair()
-        mine.setblocking(False)
-        other.close()
-        fd = mine.fileno()
+    def main() -> None:
+        local, peer = socket.socketpair()
+        local.setblocking(False)
+        peer.close()
+        fd = local.fileno()
         loop.on_writable(fd, lambda: loop.on_readable(fd, lambda: called.append("reader")))
         loop.sleep(10_000)
         loop.forget(fd)
-        mine.close()
+        local.close()
 
-    loop.run(body)
+    loop.run(main)
     assert called == ["reader"]
--- a/packages/eventloop/tests/test_signals_and_blocking.py
+++ b/packages/eventloop/tests/test_signals_and_blocking.py
@@ -1,4 +1,4 @@
-"""What comes from outside the loop's thread: signals, and outcomes of blocking calls."""
+"""Signals and blocking calls, whose events come from outside the loop's tasks."""
 
 from __future__ import annotations
 
@@ -28,40 +28,40 @@
     errors: list[tuple[str, BaseException]] = []
     loop, delivered = virtual_loop(errors), list[int]()
 
-    def fails() -> None:
+    def raise_error() -> None:
         delivered.append(1)
-        raise KeyError("a configuration that nobody foresaw")
+        raise KeyError("unexpected configuration")
 
     def main() -> None:
-        loop.on_signal(signal.SIGHUP, fails)
+        loop.on_signal(signal.SIGHUP, raise_error)
         for _ in range(2):
             os.kill(os.getpid(), signal.SIGHUP)
             loop.sleep(10_000)
 
-    before = signal.getsignal(signal.SIGHUP)
+    previous_handler = signal.getsignal(signal.SIGHUP)
     try:
         loop.run(main)
     finally:
-        signal.signal(signal.SIGHUP, before)
+        signal.signal(signal.SIGHUP, previous_handler)
     assert len(delivered) == len(errors) == 2
 
 
-def test_blocking_calls_run_in_order_also_after_a_timeout_and_raise_their_errors() -> None:
+def test_blocking_calls_run_in_order_even_after_a_timeout_and_raise_their_errors() -> None:
     loop = Loop()
     order: list[int] = []
 
     def main() -> None:
         delivered = Event(loop)
-        loop.on_signal(signal.SIGUSR1, delivered.set)  # both share what wakes the loop
+        loop.on_signal(signal.SIGUSR1, delivered.set)  # signals and blocking calls share the waker
         os.kill(os.getpid(), signal.SIGUSR1)
         delivered.wait()
         gate = threading.Event()
 
-        def wait_at_gate() -> None:
+        def wait_for_gate() -> None:
             gate.wait()
             order.append(1)
 
-        first = loop.spawn(loop.run_blocking, wait_at_gate)
+        first = loop.spawn(loop.run_blocking, wait_for_gate)
         second = loop.spawn(loop.run_blocking, order.append, 2)
         with pytest.raises(WaitTimeoutError), loop.timeout(SECOND // 100):
             first.join()
@@ -79,17 +79,17 @@
 
     def main() -> int:
         loop.call_later(SECOND, lambda: None)
-        began = loop.now()
+        start_us = loop.now()
         gate = threading.Event()
         threading.Timer(0.05, gate.set).start()
         loop.run_blocking(gate.wait)
-        return loop.now() - began
+        return loop.now() - start_us
 
     assert loop.run(main) == 0
 
 
-def test_end_of_the_loop_waits_for_the_last_blocking_call() -> None:
-    """What calls work on is closed right after; a store closed under a commit took the process with it."""
+def test_loop_waits_for_the_last_blocking_call_before_it_ends() -> None:
+    """The resources of blocking calls are closed after the loop: closing a store during a commit crashed."""
     loop = virtual_loop()
     gate, done = threading.Event(), list[str]()
 
--- a/packages/eventloop/tests/test_streams.py
+++ b/packages/eventloop/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams on sockets that fail, or move few bytes at a time; a step that failed leaves nothing open."""
+"""Streams on sockets that fail or that transfer few bytes per call; failures leak no descriptor."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, at, scripted_sockets, to
 
 SETUP_FAULTS = [
-    pytest.param(operation, number, id=f"{operation}-{errno.errorcode[number]}")
-    for operation, number in (
+    pytest.param(operation, error_number, id=f"{operation}-{errno.errorcode[error_number]}")
+    for operation, error_number in (
         ("socket", errno.EMFILE),
         ("socket", errno.ENFILE),
         ("socket", errno.ENOBUFS),
@@ -30,15 +30,15 @@
 ]
 
 
-@pytest.mark.parametrize(("operation", "number"), SETUP_FAULTS)
-def test_socket_that_cannot_be_set_up_raises_and_leaves_no_descriptor(operation: Any, number: int) -> None:
+@pytest.mark.parametrize(("operation", "error_number"), SETUP_FAULTS)
+def test_failed_socket_setup_raises_and_leaks_no_descriptor(operation: Any, error_number: int) -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         open_before = len(os.listdir("/proc/self/fd"))
-        faults.fail(operation, number)
+        faults.fail(operation, error_number)
         with pytest.raises(OSError) as raised:
             Listener(loop, LOCAL) if operation == "bind" else connect(loop, listener.address)
-        assert raised.value.errno == number
+        assert raised.value.errno == error_number
         assert len(os.listdir("/proc/self/fd")) == open_before
         client = connect(loop, listener.address)
         close_all(client, listener.accept(), listener)
@@ -46,7 +46,7 @@
     run_with_faults(script)
 
 
-def test_short_reads_and_writes_change_no_byte() -> None:
+def test_data_arrives_unchanged_despite_short_reads_and_writes() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         faults.shorten("recv", 1, when=at(listener.address))
@@ -54,24 +54,24 @@
         client = connect(loop, listener.address)
         stream, data = listener.accept(), os.urandom(1000)
         client.send_all(data)
-        rest = client.send_now(data)
-        assert rest == data[3:]
+        unsent = client.send_now(data)
+        assert unsent == data[3:]
         assert client.has_sent
-        client.send_all(rest)
+        client.send_all(unsent)
         client.end_writing()
-        got = list(iter(stream.recv, b""))
-        assert b"".join(got) == data * 2
-        assert {len(part) for part in got} == {1}
+        received = list(iter(stream.recv, b""))
+        assert b"".join(received) == data * 2
+        assert {len(part) for part in received} == {1}
         close_all(listener, client, stream)
 
     run_with_faults(script)
 
 
-def test_unscripted_socket_is_a_real_one() -> None:
+def test_socket_without_a_matching_fault_works_normally() -> None:
     with scripted_sockets() as faults:
         faults.fail("connect", errno.EPERM, when=to(("127.0.0.1", 1)))
-        near, far = socket.socketpair()
-        near.send(b"as ever")
-        assert far.recv(10) == b"as ever"
+        local, peer = socket.socketpair()
+        local.send(b"as ever")
+        assert peer.recv(10) == b"as ever"
         assert not faults.failed
-        close_all(near, far)
+        close_all(local, peer)
--- a/packages/eventloop/tests/test_tasks.py
+++ b/packages/eventloop/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks: errors, cancellation, and turns for all."""
+"""Tasks: errors, cancellation and fair scheduling."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from walnutpost.testsupport.eventloop.fixtures import SECOND, close_all, virtual_loop
 
 
-def test_error_of_a_task_or_callback_ends_it_alone_and_is_reported() -> None:
+def test_error_ends_only_its_own_task_or_callback_and_is_reported() -> None:
     errors: list[tuple[str, BaseException]] = []
     loop = virtual_loop(errors)
 
-    def fails() -> None:
+    def raise_error() -> None:
         raise ValueError("mine")
 
     def main() -> str:
-        loop.spawn(fails, name="bad")
-        loop.call_later(0, fails)
+        loop.spawn(raise_error, name="bad")
+        loop.call_later(0, raise_error)
         loop.sleep(SECOND)
         return "alive"
 
@@ -29,47 +29,47 @@
     assert sorted(name for name, _ in errors) == ["bad", "timer"]
 
 
-def test_cancelled_task_ends_whether_it_has_not_begun_waits_or_is_in_a_group() -> None:
+def test_cancellation_ends_unstarted_waiting_and_grouped_tasks() -> None:
     loop = virtual_loop()
-    ended: list[str] = []
+    cancellations: list[str] = []
 
-    def works() -> None:
+    def sleep_until_cancelled() -> None:
         try:
             loop.sleep(SECOND)
         except Cancelled:
-            ended.append("cancelled")
+            cancellations.append("cancelled")
             raise
 
     def main() -> None:
-        not_begun, waiting = loop.spawn(works), loop.spawn(works)
-        not_begun.cancel()
+        not_started, waiting = loop.spawn(sleep_until_cancelled), loop.spawn(sleep_until_cancelled)
+        not_started.cancel()
         loop.yield_now()
         waiting.cancel()
-        for task in (not_begun, waiting):
+        for task in (not_started, waiting):
             with pytest.raises(Cancelled):
                 task.join()
         with pytest.raises(ValueError), TaskGroup(loop) as group:
-            group.spawn(works)
+            group.spawn(sleep_until_cancelled)
             loop.yield_now()
             raise ValueError
         assert not len(group)
 
     loop.run(main)
-    assert ended == ["cancelled", "cancelled"]
+    assert cancellations == ["cancelled", "cancelled"]
 
 
 def test_task_whose_socket_calls_all_succeed_yields_to_others() -> None:
-    """Others run after MAX_OPERATIONS_PER_TURN of its calls at most."""
+    """Other tasks run after at most MAX_OPERATIONS_PER_TURN of its socket calls."""
     loop = Loop()
     counts_at_turns: list[int] = []
     operations = 0
 
     def greedy() -> None:
         nonlocal operations
-        ends = socket.socketpair()
-        for end in ends:
-            end.setblocking(False)
-        sender, receiver = (Stream(loop, end) for end in ends)
+        sockets = socket.socketpair()
+        for sock in sockets:
+            sock.setblocking(False)
+        sender, receiver = (Stream(loop, sock) for sock in sockets)
         while len(counts_at_turns) < 20:
             sender.send_all(b"x")
             receiver.recv(1)
--- a/packages/eventloop/tests/test_timeouts.py
+++ b/packages/eventloop/tests/test_timeouts.py
@@ -1,4 +1,4 @@
-"""Time-outs: any wait is interrupted, by the right block, and nothing is raised after the block."""
+"""Timeouts interrupt any wait, raise the error of the right block, and raise nothing after the block."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from walnutpost.testsupport.eventloop.fixtures import LOCAL, SECOND, virtual_loop
 
 
-def recv_from_a_silent_listener(loop: Loop) -> bytes:
+def recv_from_a_peer_that_sends_nothing(loop: Loop) -> bytes:
     listener = Listener(loop, LOCAL)
     data = connect(loop, listener.address).recv()
-    listener.close()  # not before: a reset would end the wait
+    listener.close()  # only now: closing earlier would reset the connection and end the wait
     return data
 
 
@@ -23,7 +23,7 @@
     "event": lambda loop: Event(loop).wait(),
     "accept": lambda loop: Listener(loop, LOCAL).accept(),
     "join": lambda loop: loop.spawn(loop.sleep, 10 * SECOND).join(),
-    "recv": recv_from_a_silent_listener,
+    "recv": recv_from_a_peer_that_sends_nothing,
 }
 
 
@@ -32,16 +32,16 @@
     loop = virtual_loop()
 
     def main() -> int:
-        began = loop.now()
+        start_us = loop.now()
         with pytest.raises(WaitTimeoutError) as raised, loop.timeout(SECOND):
             WAITS[name](loop)
         assert raised.value.timeout_us == SECOND
-        return loop.now() - began
+        return loop.now() - start_us
 
     assert loop.run(main) == SECOND
 
 
-def test_outer_timeout_within_an_inner_block_raises_the_outer_error() -> None:
+def test_outer_timeout_raises_its_own_error_within_an_inner_block() -> None:
     loop = virtual_loop()
 
     def main() -> str:
@@ -63,6 +63,6 @@
         loop.call_later(SECOND, event.set)
         with loop.timeout(SECOND):
             event.wait()
-        loop.sleep(SECOND)  # would be thrown here
+        loop.sleep(SECOND)  # a pending timeout error would be raised here
 
     loop.run(main)
--- a/packages/eventloop/tests/test_timer_wheel.py
+++ b/packages/eventloop/tests/test_timer_wheel.py
@@ -1,4 +1,4 @@
-"""The timer wheel, and the heap that it is measured against: the same promises."""
+"""The timer wheel and the heap that the benchmark compares it with fulfil the same contract."""
 
 from __future__ import annotations
 
--- a/packages/http/tests/test_http_messages.py
+++ b/packages/http/tests/test_http_messages.py
@@ -1,4 +1,4 @@
-"""Parsing and encoding."""
+"""Parsing and encoding of HTTP messages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from walnutpost.testsupport.http.fixtures import LIMITS
 
 
-def test_requests_parse_the_same_however_their_bytes_are_split() -> None:
+def test_requests_parse_identically_however_their_bytes_are_split() -> None:
     data = encode_request("POST", "/a?b=c", "h", {"x": "1", "y": "2"}, b"body") * 2
     for cut in range(len(data)):
         parser = RequestParser(LIMITS)
@@ -16,6 +16,6 @@
         assert [(r.target, r.body, r.headers["y"]) for r in parser.ready] == [(b"/a?b=c", b"body", "2")] * 2
 
 
-def test_line_break_in_a_header_value_starts_no_other_header() -> None:
+def test_line_break_in_a_header_value_does_not_start_another_header() -> None:
     data = encode_request("GET", "/", "h", {"x": "1\r\ny: 2"})
     assert b"\r\ny:" not in data
--- a/packages/http/tests/test_http_server.py
+++ b/packages/http/tests/test_http_server.py
@@ -1,4 +1,4 @@
-"""Servers on sockets: limits, pipelining, slow senders. What a peer does wrong ends its own connection."""
+"""The HTTP server: limits, pipelining, slow senders. A faulty client affects only its own connection."""
 
 from __future__ import annotations
 
@@ -41,15 +41,15 @@
 
 
 @pytest.mark.parametrize("name", INVALID_REQUESTS)
-def test_invalid_request_is_answered_with_its_status_and_the_connection_closed(name: str) -> None:
+def test_invalid_request_gets_its_error_status_and_the_connection_is_closed(name: str) -> None:
     data, status = INVALID_REQUESTS[name]
 
     def script(loop: Loop, server: Server) -> None:
         good = Connection.open(loop, server.address)
         assert good.request("POST", "/a", body=b"1").body == b"1"
-        answer = response_bytes(loop, server, data)
-        assert answer.startswith(b"HTTP/1.1 %d " % status), answer[:100]
-        assert b"connection: close" in answer
+        response = response_bytes(loop, server, data)
+        assert response.startswith(b"HTTP/1.1 %d " % status), response[:100]
+        assert b"connection: close" in response
         assert good.request("POST", "/b", body=b"2").body == b"2"
 
     run_with_server(script)
@@ -61,14 +61,14 @@
     broken = b"nonsense\r\n\r\n"
 
     def script(loop: Loop, server: Server) -> None:
-        answers = response_bytes(loop, server, chunked + plain + broken)
-        assert answers.count(b"HTTP/1.1 200") == 2
-        assert answers.index(b"abcde") < answers.index(b"x-target: /two")
+        responses = response_bytes(loop, server, chunked + plain + broken)
+        assert responses.count(b"HTTP/1.1 200") == 2
+        assert responses.index(b"abcde") < responses.index(b"x-target: /two")
 
     run_with_server(script)
 
 
-def test_client_that_expects_100_is_asked_for_its_body() -> None:
+def test_client_that_expects_100_continue_receives_it() -> None:
     def script(loop: Loop, server: Server) -> None:
         stream = connect(loop, server.address)
         stream.send_all(POST + b"expect: 100-continue\r\ncontent-length: 2\r\n\r\n")
@@ -79,7 +79,7 @@
     run_with_server(script)
 
 
-def test_error_of_a_handler_ends_its_own_connection_only() -> None:
+def test_handler_error_ends_only_its_own_connection() -> None:
     errors: list[BaseException] = []
     loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
 
@@ -98,26 +98,27 @@
     assert [type(e) for e in errors] == [ValueError]
 
 
-def test_thousands_of_slow_senders_delay_nobody_and_are_cut_off() -> None:
-    """Their time runs from the first byte, whatever drips in; an idle connection's does not."""
-    many = min(10_000, (resource.getrlimit(resource.RLIMIT_NOFILE)[0] - 1000) // 2 // 500 * 500)
+def test_thousands_of_slow_senders_delay_no_other_client_and_are_disconnected() -> None:
+    """A request's timeout runs from its first byte, however slowly it arrives; idle connections are kept."""
+    sender_count = min(10_000, (resource.getrlimit(resource.RLIMIT_NOFILE)[0] - 1000) // 2 // 500 * 500)
 
     def script(loop: Loop, server: Server) -> None:
         good = Connection.open(loop, server.address)
-        slow: list[socket.socket] = []
-        while len(slow) < many:  # no faster than they are accepted, since a full backlog takes none
-            slow += [socket.create_connection(server.address) for _ in range(500)]
-            while len(server.streams) < len(slow) + 1:
+        slow_senders: list[socket.socket] = []
+        # Connect no faster than the server accepts, because a full backlog admits no more connections.
+        while len(slow_senders) < sender_count:
+            slow_senders += [socket.create_connection(server.address) for _ in range(500)]
+            while len(server.streams) < len(slow_senders) + 1:
                 loop.yield_now()
         for second in range(12):
-            for sock in slow:
+            for sock in slow_senders:
                 with suppress(OSError):
                     sock.send(b"GET / HTTP/1.1\r\n"[second : second + 1])
-            began = loop.now()
+            start_us = loop.now()
             assert good.request("POST", "/a", body=b"1").body == b"1"
-            assert loop.now() == began
+            assert loop.now() == start_us
             loop.sleep(SECOND)
-        for sock in slow:
+        for sock in slow_senders:
             sock.close()
         assert len(server.streams) == 1
 
--- a/packages/http/tests/test_server_faults.py
+++ b/packages/http/tests/test_server_faults.py
@@ -1,4 +1,4 @@
-"""A server and its clients on sockets that fail now and then, or move a byte at a time."""
+"""The HTTP server and client on sockets that fail occasionally or transfer one byte per call."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from walnutpost.testsupport.http.fixtures import ACCEPT_ERRORS, SECOND, run_with_server
 
 
-class EventNames:
-    """A log that records the names of its events."""
+class EventNameLog:
+    """A logger that records the names of logged events."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -25,23 +25,23 @@
 
 
 def run_with_faults(script: Callable[[Loop, Server, SocketFaults], Any], log: Any = None) -> None:
-    """Runs `script` beside a server on scripted sockets, within ten seconds."""
+    """Start a server on scripted sockets and run `script` with a timeout of 10 s."""
 
-    def bounded(loop: Loop, server: Server) -> None:
+    def run_with_timeout(loop: Loop, server: Server) -> None:
         with loop.timeout(10 * SECOND):
             script(loop, server, faults)
 
     with scripted_sockets() as faults:
-        run_with_server(bounded, limits=None, log=log)
+        run_with_server(run_with_timeout, limits=None, log=log)
 
 
-@pytest.mark.parametrize("number", [pytest.param(n, id=errno.errorcode[n]) for n in ACCEPT_ERRORS])
-def test_server_serves_every_client_while_some_accepts_fail(number: int) -> None:
-    log = EventNames()
+@pytest.mark.parametrize("error_number", [pytest.param(n, id=errno.errorcode[n]) for n in ACCEPT_ERRORS])
+def test_server_serves_every_client_while_some_accepts_fail(error_number: int) -> None:
+    log = EventNameLog()
 
     def script(loop: Loop, server: Server, faults: SocketFaults) -> None:
         for after in (0, 1, 4, 9):
-            faults.fail("accept", number, times=2, after=after, when=at(server.address))
+            faults.fail("accept", error_number, times=2, after=after, when=at(server.address))
         for n in range(10):
             connection = Connection.open(loop, server.address)
             assert connection.request("POST", "/", body=b"%d" % n).body == b"%d" % n
@@ -62,7 +62,7 @@
     run_with_faults(script)
 
 
-def test_messages_that_move_a_byte_at_a_time_arrive_complete() -> None:
+def test_messages_transferred_one_byte_at_a_time_arrive_complete() -> None:
     def script(loop: Loop, server: Server, faults: SocketFaults) -> None:
         for operation in ("send", "recv"):
             faults.shorten(operation, 1, when=at(server.address))
@@ -76,12 +76,12 @@
 
 
 @pytest.mark.parametrize("operation", ["send", "recv"])
-@pytest.mark.parametrize("number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ENOBUFS])
-def test_error_on_a_connection_in_use_ends_that_one_only(operation: Any, number: int) -> None:
+@pytest.mark.parametrize("error_number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ENOBUFS])
+def test_error_on_a_connection_in_use_ends_that_one_only(operation: Any, error_number: int) -> None:
     def script(loop: Loop, server: Server, faults: SocketFaults) -> None:
         first, second = (Connection.open(loop, server.address) for _ in range(2))
         assert first.request("GET", "/").status == second.request("GET", "/").status == 200
-        faults.fail(operation, number, when=at(server.address))
+        faults.fail(operation, error_number, when=at(server.address))
         with pytest.raises(OSError):
             first.request("GET", "/")
         assert second.request("POST", "/", body=b"goes on").body == b"goes on"
--- a/packages/testsupport/src/walnutpost/testsupport/eventloop/__init__.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers for tests on the event loop: fixtures, scripted sockets, addresses."""
+"""Test helpers for the event loop: fixtures, sockets with scripted faults, loopback addresses."""
--- a/packages/testsupport/src/walnutpost/testsupport/eventloop/fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/fixtures.py
@@ -1,4 +1,4 @@
-"""What tests of the event loop share: loops on a virtual clock, scripted sockets, waiting for a condition."""
+"""Shared helpers for event loop tests: loops with a virtual clock, socket faults, waiting for a condition."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 MS = 1_000
 SECOND = 1_000_000
 LOCAL = ("127.0.0.1", 0)
-PENDING_NETWORK_ERRORS = (  # of the network, as accept(2) names them, and of rules for sockets
+# Errors of `accept` that concern a single connection: pending network errors and firewall rules (accept(2)).
+PENDING_NETWORK_ERRORS = (
     errno.ECONNABORTED,
     errno.EHOSTDOWN,
     errno.EHOSTUNREACH,
@@ -31,34 +32,34 @@
 
 
 def virtual_loop(errors: list[tuple[str, BaseException]] | None = None) -> Loop:
-    """Return a loop that appends the errors it reports, with their names, to `errors`."""
+    """Return a loop with a virtual clock; it appends the errors it reports to `errors`, with their names."""
     if errors is None:
         return Loop(VirtualClock())
     return Loop(VirtualClock(), lambda name, error: errors.append((name, error)))
 
 
 def run_with_faults(script: Callable[[Loop, SocketFaults], Any]) -> None:
-    """Run `script` on scripted sockets, within ten seconds; no error may be reported."""
+    """Run `script` with scripted sockets and a timeout of 10 s; fail if the loop reports an error."""
     errors: list[tuple[str, BaseException]] = []
     loop = virtual_loop(errors)
 
-    def bounded() -> None:
+    def run_with_timeout() -> None:
         with loop.timeout(10 * SECOND):
             script(loop, faults)
 
     with scripted_sockets() as faults:
-        loop.run(bounded)
+        loop.run(run_with_timeout)
     assert not errors, errors
 
 
 def wait_until(loop: Loop, condition: Callable[[], Any]) -> None:
-    """Sleep until the condition holds, 10 ms at a time, without a limit."""
+    """Sleep in steps of 10 ms until `condition` holds; there is no timeout."""
     while not condition():
         loop.sleep(10 * MS)
 
 
 def start_accepting(loop: Loop, listener: Listener) -> list[Stream]:
-    """Return the streams that a task accepts from now on, until the listener is closed."""
+    """Accept connections in a task until the listener is closed; return the growing list of streams."""
     streams: list[Stream] = []
 
     def accept() -> None:
@@ -73,7 +74,7 @@
     return streams
 
 
-def close_all(*ends: Any) -> None:
-    """Close each stream or listener."""
-    for end in ends:
-        end.close()
+def close_all(*closables: Any) -> None:
+    """Close all streams, sockets or listeners."""
+    for closable in closables:
+        closable.close()
--- a/packages/testsupport/src/walnutpost/testsupport/eventloop/loopback.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback addresses for child processes of tests."""
+"""Loopback addresses for child processes that tests start."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 import socket
 from contextlib import suppress
 
-PORTS = 12_000, 32_000  # below Linux's usual net.ipv4.ip_local_port_range
+PORT_RANGE = 12_000, 32_000  # below Linux's default net.ipv4.ip_local_port_range
 
 
 def free_address() -> str:
-    """Return a loopback address that nobody listens on.
+    """Return a loopback address on which no process listens.
 
-    Its port is one that the system gives to no other socket, since it must stay free until a process listens
-    on it, and while that process is replaced.
+    The port is outside the range from which the system assigns ports, so that it stays free until a process
+    listens on it, and while that process is restarted.
     """
     while True:
-        port = random.randrange(*PORTS)
+        port = random.randrange(*PORT_RANGE)
         with suppress(OSError), socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
             sock.bind(("127.0.0.1", port))
             return f"127.0.0.1:{port}"
--- a/packages/testsupport/src/walnutpost/testsupport/eventloop/scripted_sockets.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/scripted_sockets.py
@@ -1,12 +1,13 @@
-"""Sockets that fail by a script: a seam under everything that uses `socket.socket`.
+"""Sockets with scripted faults, which replace `socket.socket` for all code within a `with` block.
 
     with scripted_sockets() as faults:
         faults.fail("accept", errno.EPROTO, when=at(server.address))
         faults.fail("connect", errno.ENETUNREACH, times=2, after=1, when=to(address))
         faults.shorten("recv", 1)
 
-Real sockets do all that is not scripted. `when` picks the sockets; without it, a fault is for all that are
-made within the block, those of the test itself among them. Sockets that `accept` returns are scripted, too.
+Calls without a scripted fault go to real sockets. `when` selects the sockets of a fault; without it, the
+fault applies to all sockets created within the block, including those of the test itself. Sockets that
+`accept` returns are scripted as well.
 """
 
 from __future__ import annotations
@@ -27,23 +28,23 @@
 Address = tuple[str, int]
 FOREVER = 1 << 60
 
-# What Linux documents for the calls of a client's connection, as parameters (operation, error number).
+# Errors that Linux documents for the socket calls of a client, as test parameters (operation, error number).
 CONNECTION_FAULTS = [
-    pytest.param(operation, number, id=f"{operation}-{errno.errorcode[number]}")
+    pytest.param(operation, error_number, id=f"{operation}-{errno.errorcode[error_number]}")
     for operation, numbers in {
         "socket": (errno.EMFILE, errno.ENFILE, errno.ENOBUFS),
         "connect": (errno.EADDRNOTAVAIL, errno.EAGAIN, errno.ENETUNREACH, errno.EPERM),
         "send": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENOBUFS),
         "recv": (errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN),
     }.items()
-    for number in numbers
+    for error_number in numbers
 ]
 
 
 @dataclass
 class _Fault:
     operation: Operation
-    number: int
+    error_number: int
     times: int
     after: int
     drops: bool
@@ -51,53 +52,53 @@
 
 
 @dataclass
-class _Limit:
+class _SizeLimit:
     operation: Operation
-    size: int
+    max_bytes: int
     when: Callable[[ScriptedSocket], bool]
 
 
 class SocketFaults:
-    """What is to fail. `calls` counts each operation, `failed` those of them that a fault was put on."""
+    """A script of socket faults. `calls` counts the calls of each operation, `failed` those that failed."""
 
     def __init__(self) -> None:
         self._faults: list[_Fault] = []
-        self._limits: list[_Limit] = []
+        self._size_limits: list[_SizeLimit] = []
         self.calls: Counter[Operation] = Counter()
         self.failed: Counter[Operation] = Counter()
 
     def fail(
         self,
         operation: Operation,
-        number: int,
+        error_number: int,
         times: int = 1,
         after: int = 0,
         when: Callable[[ScriptedSocket], bool] = lambda sock: True,
         drops: bool = False,
     ) -> None:
-        """Let the next `times` calls of `operation` fail with errno `number`, on sockets that `when` picks.
+        """Let `times` calls of `operation` fail with errno `error_number`, on sockets that `when` selects.
 
-        The first `after` calls pass. `drops`: a failing accept takes the connection off the queue, as an
-        error of the network that is pending on it does.
+        The first `after` calls succeed. With `drops`, a failing `accept` removes the connection from the
+        queue, as a pending network error does.
         """
-        self._faults.append(_Fault(operation, number, times, after, drops, when))
+        self._faults.append(_Fault(operation, error_number, times, after, drops, when))
 
     def shorten(
         self,
         operation: Literal["send", "recv"],
-        size: int,
+        max_bytes: int,
         when: Callable[[ScriptedSocket], bool] = lambda sock: True,
     ) -> None:
-        """Let each call move `size` bytes at most."""
-        self._limits.append(_Limit(operation, size, when))
+        """Limit each call to `max_bytes` bytes."""
+        self._size_limits.append(_SizeLimit(operation, max_bytes, when))
 
     def heal(self) -> None:
-        """Let nothing fail and nothing be short from now on."""
+        """Remove all faults and size limits."""
         self._faults.clear()
-        self._limits.clear()
+        self._size_limits.clear()
 
-    def error(self, operation: Operation, sock: ScriptedSocket) -> int:
-        """Return the errno of this call, or 0 where it is to be made."""
+    def next_error_number(self, operation: Operation, sock: ScriptedSocket) -> int:
+        """Return the errno with which this call fails, or 0 if it is to be made."""
         self.calls[operation] += 1
         for fault in self._faults:
             if fault.operation != operation or not fault.times or not fault.when(sock):
@@ -108,87 +109,87 @@
             fault.times -= 1
             self.failed[operation] += 1
             sock.drops_connection = fault.drops
-            return fault.number
+            return fault.error_number
         return 0
 
-    def check(self, operation: Operation, sock: ScriptedSocket) -> None:
-        """Raise the error that is scripted for this call, if any."""
-        number = self.error(operation, sock)
-        if number:
-            raise OSError(number, os.strerror(number))
+    def raise_scripted_error(self, operation: Operation, sock: ScriptedSocket) -> None:
+        """Raise the error scripted for this call, if any."""
+        error_number = self.next_error_number(operation, sock)
+        if error_number:
+            raise OSError(error_number, os.strerror(error_number))
 
-    def size(self, operation: Operation, sock: ScriptedSocket, wanted: int) -> int:
-        """Return how many of the wanted bytes this call may move."""
-        limits = (limit for limit in self._limits if limit.operation == operation and limit.when(sock))
-        return min((limit.size for limit in limits), default=wanted)
+    def allowed_bytes(self, operation: Operation, sock: ScriptedSocket, requested_bytes: int) -> int:
+        """Return how many of the requested bytes this call may transfer."""
+        limits = (limit for limit in self._size_limits if limit.operation == operation and limit.when(sock))
+        return min((limit.max_bytes for limit in limits), default=requested_bytes)
 
 
 class ScriptedSocket(socket.socket):
-    """A socket that asks its script first. `target` is where it was connected to."""
+    """A socket that consults its script before each call. `target` is the address passed to `connect`."""
 
     script: SocketFaults
     target: Any = None
     drops_connection = False
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
-        if kwargs.get("fileno") is None:  # made anew, not by `accept`
-            self.script.check("socket", self)
+        if kwargs.get("fileno") is None:  # a new socket, not one that `accept` returns
+            self.script.raise_scripted_error("socket", self)
         super().__init__(*args, **kwargs)
 
     def bind(self, address: Any) -> None:
-        """Bind, unless the script fails it."""
-        self.script.check("bind", self)
+        """Bind, or raise the scripted error."""
+        self.script.raise_scripted_error("bind", self)
         super().bind(address)
 
     def connect(self, address: Any) -> None:
-        """Connect, unless the script fails it; `target` is set either way."""
+        """Connect, or raise the scripted error; set `target` in both cases."""
         self.target = address
-        self.script.check("connect", self)
+        self.script.raise_scripted_error("connect", self)
         super().connect(address)
 
     def connect_ex(self, address: Any) -> int:
-        """Connect, or return the scripted errno; `target` is set either way."""
+        """Connect, or return the scripted errno; set `target` in both cases."""
         self.target = address
-        return self.script.error("connect", self) or super().connect_ex(address)
+        return self.script.next_error_number("connect", self) or super().connect_ex(address)
 
     def accept(self) -> tuple[socket.socket, Any]:
-        """Accept, unless the script fails it; the failure may drop the connection."""
-        number = self.script.error("accept", self)
-        if not number:
+        """Accept, or raise the scripted error, which may also drop the connection."""
+        error_number = self.script.next_error_number("accept", self)
+        if not error_number:
             return super().accept()
         if self.drops_connection:
             super().accept()[0].close()
-        raise OSError(number, os.strerror(number))
+        raise OSError(error_number, os.strerror(error_number))
 
     def send(self, data: Any, flags: int = 0) -> int:
-        """Send as many bytes as the script allows."""
-        self.script.check("send", self)
-        return super().send(data[: self.script.size("send", self, len(data))], flags)
+        """Send at most as many bytes as the script allows, or raise the scripted error."""
+        self.script.raise_scripted_error("send", self)
+        return super().send(data[: self.script.allowed_bytes("send", self, len(data))], flags)
 
     def recv(self, max_bytes: int, flags: int = 0) -> bytes:
-        """Receive as many bytes as the script allows."""
-        self.script.check("recv", self)
-        return super().recv(self.script.size("recv", self, max_bytes), flags)
+        """Receive at most as many bytes as the script allows, or raise the scripted error."""
+        self.script.raise_scripted_error("recv", self)
+        return super().recv(self.script.allowed_bytes("recv", self, max_bytes), flags)
 
 
 def at(address: Address) -> Callable[[ScriptedSocket], bool]:
-    """Pick the sockets with this own address: a listener and what it accepted."""
+    """Select the sockets with this local address: a listener and the connections it has accepted."""
     return lambda sock: sock.fileno() >= 0 and sock.getsockname()[:2] == address
 
 
 def to(address: Address) -> Callable[[ScriptedSocket], bool]:
-    """Pick the sockets that were connected to this address, or are about to be."""
+    """Select the sockets that are connected, or being connected, to this address."""
     return lambda sock: sock.target is not None and tuple(sock.target[:2]) == address
 
 
 def datagrams(sock: ScriptedSocket) -> bool:
-    """Pick the UDP sockets."""
+    """Select the UDP sockets."""
     return sock.fileno() >= 0 and sock.type == socket.SOCK_DGRAM
 
 
 @contextmanager
 def scripted_sockets() -> Iterator[SocketFaults]:
-    """Let all new sockets of the process ask the script that this yields, within the block."""
+    """Within the block, let all new sockets of the process follow the script that this yields."""
     faults = SocketFaults()
 
     class Scripted(ScriptedSocket):
--- a/packages/testsupport/src/walnutpost/testsupport/http/__init__.py
+++ b/packages/testsupport/src/walnutpost/testsupport/http/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers for tests of the HTTP server and client."""
+"""Test helpers for the HTTP server and client."""
--- a/packages/testsupport/src/walnutpost/testsupport/http/fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/http/fixtures.py
@@ -1,4 +1,4 @@
-"""What tests of HTTP share: a server on a virtual clock, and a handler that echoes."""
+"""Shared helpers for HTTP tests: a server with a virtual clock and an echo handler."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 def error_response(error: HttpMessageError) -> Response:
-    """Return the response with the error's status and text."""
+    """Return a response with the status and the text of the error."""
     return Response(error.status, body=str(error).encode())
 
 
 def echo(exchange: Exchange) -> Response:
-    """Answer with the request's body, and its target as a header."""
+    """Respond with the body of the request, and its target in the header x-target."""
     return Response(200, {"x-target": exchange.request.target.decode()}, exchange.request.body)
 
 
@@ -47,7 +47,7 @@
     limits: Limits | None = LIMITS,
     log: Any = None,
 ) -> Any:
-    """Run `script` beside a server; no error may be reported."""
+    """Start a server and run `script` with it; fail if the loop reports an error."""
     errors: list[BaseException] = []
     loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
 
@@ -60,7 +60,7 @@
 
 
 def response_bytes(loop: Loop, server: Server, data: bytes) -> bytes:
-    """Return all that comes back for `data`, until the server closes or sends nothing for a minute."""
+    """Send `data` and return everything received until the server closes, or for at most a minute."""
     stream = connect(loop, server.address)
     received = b""
     stream.send_all(data)
