--- a/packages/eventloop/src/walnutpost/eventloop/accept_errors.py
+++ b/packages/eventloop/src/walnutpost/eventloop/accept_errors.py
@@ -8,7 +8,7 @@
 from walnutpost.eventloop.logger import Logger
 from walnutpost.eventloop.loop import Loop
 
-MAX_ACCEPT_ERRORS_IN_ROW = 32  # the listener pauses after this many failures in a row
+MAX_ACCEPT_ERRORS_IN_ROW = 32  # the listener pauses after this many consecutive errors
 MIN_ACCEPT_BACKOFF_US = 1_000  # doubles with each pause until an accept succeeds
 MAX_ACCEPT_BACKOFF_US = 20_000
 ACCEPT_LOG_INTERVAL_US = 1_000_000  # minimum interval between two `accept_failed` events
@@ -47,7 +47,7 @@
         self._backoff_us = MIN_ACCEPT_BACKOFF_US
 
     def record_error(self) -> bool:
-        """Count an error; return True, for a pause, after MAX_ACCEPT_ERRORS_IN_ROW consecutive errors."""
+        """Count an error; return whether a pause is due because too many errors occurred in a row."""
         self._consecutive_errors += 1
         if self._consecutive_errors < MAX_ACCEPT_ERRORS_IN_ROW:
             return False
--- a/packages/eventloop/src/walnutpost/eventloop/listener.py
+++ b/packages/eventloop/src/walnutpost/eventloop/listener.py
@@ -23,9 +23,9 @@
     The listener accepts connections until it is closed, whatever `accept` raises. An `accept` error has one
     of two causes. Either it concerns the connection at the head of the queue, which is then lost (accept(2):
     pending network errors, firewall rules), or the machine is temporarily short of memory or descriptors. The
-    listener therefore retries at once, and pauses after MAX_ACCEPT_ERRORS_IN_ROW consecutive errors. The
-    socket stays readable while `accept` fails, so polling cannot tell when the cause is gone: a pause ends
-    only after its time or with `close`.
+    listener therefore retries at once, and pauses after a number of consecutive errors (see AcceptBackoff).
+    The socket stays readable while `accept` fails, so polling cannot tell when the cause is gone: a pause
+    ends only when its time is over or on `close`.
     """
 
     def __init__(
@@ -108,7 +108,7 @@
     def _try_accept(self, rejection: bytes) -> Stream | None:
         """Return the next connection, or None if the queue is empty.
 
-        Raises OSError after MAX_ACCEPT_ERRORS_IN_ROW consecutive errors.
+        Raises OSError when a pause is due after consecutive errors.
         """
         while True:
             # Before accept, since this may yield: a task cancelled here must not lose an accepted connection.
--- a/packages/eventloop/src/walnutpost/eventloop/loop.py
+++ b/packages/eventloop/src/walnutpost/eventloop/loop.py
@@ -115,7 +115,7 @@
     # Descriptors
 
     def wait_readable(self, fd: int) -> None:
-        """Wait until `fd` is readable, has an error, or is passed to `forget`."""
+        """Wait until `fd` is readable, has an error, or is no longer watched."""
         task, token = self.begin_wait()
         self._poller.set_reader(fd, lambda: self.wake(task, token))
         try:
@@ -124,7 +124,7 @@
             self._poller.clear_reader(fd)
 
     def wait_writable(self, fd: int) -> None:
-        """Wait until `fd` is writable, has an error, or is passed to `forget`."""
+        """Wait until `fd` is writable, has an error, or is no longer watched."""
         task, token = self.begin_wait()
         self._poller.set_writer(fd, lambda: self.wake(task, token))
         try:
@@ -202,8 +202,8 @@
             self._run_round()
 
     def _run_round(self) -> None:
-        began_us = self.clock.now()
-        events = self._poller.poll(began_us, self._poll_timeout_ms(began_us))
+        start_us = self.clock.now()
+        events = self._poller.poll(start_us, self._poll_timeout_ms(start_us))
         self._poller.dispatch(events)
         if self.clock.is_virtual and not events and not self.has_ready_tasks and not self._soon_callbacks:
             self._advance_clock()
--- a/packages/eventloop/src/walnutpost/eventloop/poller.py
+++ b/packages/eventloop/src/walnutpost/eventloop/poller.py
@@ -82,13 +82,13 @@
             self._register(fd, descriptor)
 
     def clear_reader(self, fd: int) -> None:
-        """Remove the reader of `fd`; do nothing if `forget` was called for it meanwhile."""
+        """Remove the reader of `fd`; do nothing if `fd` is no longer watched."""
         descriptor = self._descriptors.get(fd)
         if descriptor is not None:
             descriptor.reader = None
 
     def clear_writer(self, fd: int) -> None:
-        """Remove the writer of `fd`; do nothing if `forget` was called for it meanwhile."""
+        """Remove the writer of `fd`; do nothing if `fd` is no longer watched."""
         descriptor = self._descriptors.get(fd)
         if descriptor is not None:
             descriptor.writer = None
@@ -104,28 +104,28 @@
             if callback is not None:
                 callback()
 
-    def poll(self, began_us: int, timeout_ms: int | None) -> list[tuple[int, int]]:
-        """Poll once, beginning now at `began_us`; return pairs of a descriptor and its events.
+    def poll(self, start_us: int, timeout_ms: int | None) -> list[tuple[int, int]]:
+        """Poll once, beginning now at `start_us`; return pairs of a descriptor and its events.
 
         Sets `arrived_after_us` to a lower bound of the arrival time of these events.
         """
-        if timeout_ms != 0 and began_us - self._reported_until_us > NEGLIGIBLE_DURATION_US:
+        if timeout_ms != 0 and start_us - self._reported_until_us > NEGLIGIBLE_DURATION_US:
             # The last poll was a while ago, so it matters whether events are already there. The duration of a
             # poll would not show this reliably, so poll without waiting first.
             events = self._poll_object.poll(0)
             if events:
                 timeout_ms = 0
             else:
-                self._reported_until_us = began_us
+                self._reported_until_us = start_us
                 events = self._poll_object.poll(timeout_ms)
         else:
             events = self._poll_object.poll(timeout_ms)
         returned_us = self._clock.now()
-        took_us = returned_us - began_us
-        is_late = timeout_ms is not None and took_us > timeout_ms * 1000 + LATE_POLL_THRESHOLD_US
-        has_waited = timeout_ms != 0 and took_us > NEGLIGIBLE_DURATION_US
+        duration_us = returned_us - start_us
+        is_late = timeout_ms is not None and duration_us > timeout_ms * 1000 + LATE_POLL_THRESHOLD_US
+        has_waited = timeout_ms != 0 and duration_us > NEGLIGIBLE_DURATION_US
         self.arrived_after_us = returned_us if has_waited and not is_late else self._reported_until_us
-        self._reported_until_us = began_us if is_late else returned_us
+        self._reported_until_us = start_us if is_late else returned_us
         return events
 
     def record_clock_advance(self) -> None:
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -143,12 +143,12 @@
 
         Timeouts run from the first byte of a request, so that sending slowly does not extend them.
         """
-        began_us: int | None = None
+        start_us: int | None = None
         has_sent_continue = False
         while not parser.ready:
-            if parser.has_partial and began_us is None:
-                began_us = self._loop.now()
-            data = self._read_part(stream, parser, is_first, began_us)
+            if parser.has_partial and start_us is None:
+                start_us = self._loop.now()
+            data = self._read_part(stream, parser, is_first, start_us)
             if not data:
                 return None
             self._parse(parser, data)
@@ -158,26 +158,26 @@
         return parser.ready.popleft()
 
     def _read_part(
-        self, stream: Stream, parser: RequestParser, is_first: bool, began_us: int | None
+        self, stream: Stream, parser: RequestParser, is_first: bool, start_us: int | None
     ) -> bytes | None:
         """Return the next bytes: b"" at the end of the stream, None after the idle timeout."""
-        time_left_us = self._time_left_us(parser, began_us)
+        time_left_us = self._time_left_us(parser, start_us)
         if time_left_us <= 0:
             raise HttpMessageError(HTTPStatus.REQUEST_TIMEOUT, REQUEST_TIMEOUT_TEXT)
         try:
             with self._loop.timeout(time_left_us):
                 return stream.recv(wait_first=not is_first)
         except WaitTimeoutError:
-            if began_us is None:
+            if start_us is None:
                 return None
             raise HttpMessageError(HTTPStatus.REQUEST_TIMEOUT, REQUEST_TIMEOUT_TEXT) from None
 
-    def _time_left_us(self, parser: RequestParser, began_us: int | None) -> int:
+    def _time_left_us(self, parser: RequestParser, start_us: int | None) -> int:
         limits = self._limits
-        if began_us is None:
+        if start_us is None:
             return limits.idle_timeout_us
         allowed_us = limits.head_timeout_us + (limits.body_timeout_us if parser.has_head else 0)
-        return began_us + allowed_us - self._loop.now()
+        return start_us + allowed_us - self._loop.now()
 
     @staticmethod
     def _parse(parser: RequestParser, data: bytes) -> None:
