--- a/packages/eventloop/src/walnutpost/eventloop/loop.py
+++ b/packages/eventloop/src/walnutpost/eventloop/loop.py
@@ -61,7 +61,7 @@
         return self.clock.boot_time()
 
     def arrived_after(self) -> int:
-        """Return a lower bound of the arrival time of the bytes, connections and closes seen in this round.
+        """Return a lower bound on the arrival time of the bytes, connections and closes seen in this round.
 
         The bound holds for events that this round's poll reported. It also holds for events that are found in
         this round without having been reported, if their descriptor was already waited for before the
--- a/packages/eventloop/src/walnutpost/eventloop/poller.py
+++ b/packages/eventloop/src/walnutpost/eventloop/poller.py
@@ -107,7 +107,7 @@
     def poll(self, start_us: int, timeout_ms: int | None) -> list[tuple[int, int]]:
         """Poll once, beginning now at `start_us`; return pairs of a descriptor and its events.
 
-        Sets `arrived_after_us` to a lower bound of the arrival time of these events.
+        Sets `arrived_after_us` to a lower bound on the arrival time of these events.
         """
         if timeout_ms != 0 and start_us - self._reported_until_us > NEGLIGIBLE_DURATION_US:
             # The last poll was a while ago, so it matters whether events are already there. The duration of a
--- a/packages/eventloop/src/walnutpost/eventloop/timers.py
+++ b/packages/eventloop/src/walnutpost/eventloop/timers.py
@@ -71,7 +71,7 @@
         self._pending -= 1
 
     def next_due_us(self) -> int | None:
-        """Return a lower bound of the next due time, or None if no timer is pending.
+        """Return a lower bound on the next due time, or None if no timer is pending.
 
         The bound is the time of the first occupied slot or of the next cascade, whichever comes first.
         """
--- a/packages/eventloop/tests/test_arrival_times.py
+++ b/packages/eventloop/tests/test_arrival_times.py
@@ -1,4 +1,4 @@
-"""`Loop.arrived_after`: the lower bound of the arrival time of the events that a poll reports."""
+"""`Loop.arrived_after`: the lower bound on the arrival time of the events that a poll reports."""
 
 from __future__ import annotations
 
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -181,7 +181,7 @@
 
     @staticmethod
     def _parse(parser: RequestParser, data: bytes) -> None:
-        """Parse bytes; if the error comes after complete requests, serve these and then close."""
+        """Parse bytes; if complete requests precede an invalid one, serve them before the connection closes."""
         try:
             parser.feed(data)
         except HttpMessageError:
