--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -181,7 +181,7 @@
 
     @staticmethod
     def _parse(parser: RequestParser, data: bytes) -> None:
-        """Parse bytes; if complete requests precede an invalid one, serve them before the connection closes."""
+        """Parse bytes; if complete requests precede an invalid one, serve them and then close."""
         try:
             parser.feed(data)
         except HttpMessageError:
