--- a/packages/node/tests/test_discovery.py
+++ b/packages/node/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Polling the name server on sockets: failures, other addresses, unexpected responses."""
+"""Polling the name server over UDP: socket failures, address changes, unexpected responses."""
 
 from __future__ import annotations
 
@@ -16,36 +16,36 @@
 from walnutpost.testsupport.node.harness import MS, REFUSED, SECOND, World, listing, play, warm
 
 
-def test_move_without_a_descriptor_polls_the_new_address(
+def test_move_without_a_free_file_descriptor_polls_the_new_address(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
-        other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        other.setblocking(False)
-        other.bind(("127.0.0.1", 0))
+        new_name_server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        new_name_server.setblocking(False)
+        new_name_server.bind(("127.0.0.1", 0))
 
-        def none_left(*args: Any) -> socket.socket:
+        def raise_emfile(*args: Any) -> socket.socket:
             raise OSError(errno.EMFILE, "no descriptor left")
 
         with monkeypatch.context() as patch:
-            patch.setattr("walnutpost.node.discovery.socket.socket", none_left)
-            world.node.discovery.move(other.getsockname())
-        world.loop.wait_readable(other.fileno())
-        query, address = other.recvfrom(512)
-        other.sendto(listing(query, 7, world.workers), address)
+            patch.setattr("walnutpost.node.discovery.socket.socket", raise_emfile)
+            world.node.discovery.move(new_name_server.getsockname())
+        world.loop.wait_readable(new_name_server.fileno())
+        query, address = new_name_server.recvfrom(512)
+        new_name_server.sendto(listing(query, 7, world.workers), address)
         world.until(lambda: world.node.directory.serial == 7)
-        world.loop.forget(other.fileno())
-        other.close()
+        world.loop.forget(new_name_server.fileno())
+        new_name_server.close()
 
     play(script)
 
 
-def test_move_to_an_unreachable_address_keeps_polling_the_former_one() -> None:
+def test_move_to_an_unreachable_address_keeps_polling_the_old_one() -> None:
     def script(world: World) -> None:
         with pytest.raises(OSError):
             world.node.discovery.move(("255.255.255.255", 9))
-        seen = world.node.discovery.queries
-        world.until(lambda: world.node.discovery.queries > seen + 3)
+        queries_before = world.node.discovery.queries
+        world.until(lambda: world.node.discovery.queries > queries_before + 3)
         query, address = world.name_server.recvfrom(512)
         world.name_server.sendto(listing(query, 7, world.workers), address)
         world.until(lambda: world.node.directory.serial == 7)
@@ -53,19 +53,19 @@
     play(script)
 
 
-def test_response_that_raises_an_unexpected_error_leaves_the_next_one_applied(
+def test_unexpected_error_in_a_response_does_not_block_later_responses(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
         apply_response = world.node.directory.apply_response
-        left = [RuntimeError("no such case"), KeyError("nor this")]
+        remaining_errors = [RuntimeError("unexpected error"), KeyError("unexpected key")]
 
-        def odd(data: bytes) -> Any:
-            if left:
-                raise left.pop()
+        def raise_or_apply(data: bytes) -> Any:
+            if remaining_errors:
+                raise remaining_errors.pop()
             return apply_response(data)
 
-        monkeypatch.setattr(world.node.directory, "apply_response", odd)
+        monkeypatch.setattr(world.node.directory, "apply_response", raise_or_apply)
         for serial in (5, 6, 7):
             world.loop.wait_readable(world.name_server.fileno())
             query, address = world.name_server.recvfrom(512)
@@ -79,21 +79,21 @@
 
 def test_reloaded_configuration_moves_polling_to_another_name_server() -> None:
     def script(world: World) -> None:
-        other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        other.setblocking(False)
-        other.bind(("127.0.0.1", 0))
+        new_name_server = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        new_name_server.setblocking(False)
+        new_name_server.bind(("127.0.0.1", 0))
         world.loop.wait_readable(world.name_server.fileno())
-        world.node.discovery.move(other.getsockname())
-        world.loop.wait_readable(other.fileno())
-        world.loop.forget(other.fileno())
+        world.node.discovery.move(new_name_server.getsockname())
+        world.loop.wait_readable(new_name_server.fileno())
+        world.loop.forget(new_name_server.fileno())
         world.loop.forget(world.name_server.fileno())
-        other.close()
+        new_name_server.close()
 
     play(script)
 
 
-def test_draining_worker_gets_nothing_before_the_change_counts_as_announced() -> None:
-    """A change counts as announced 1.5 s after it happened, and no call begins at the worker from then on."""
+def test_drain_is_noticed_by_its_announcement_deadline_and_stops_new_commands() -> None:
+    """A change counts as announced 1.5 s after it happens; from then on no call may start at the worker."""
 
     def script(world: World) -> None:
         client = world.client()
@@ -101,33 +101,34 @@
         warm(world, client)
         with suppress(BlockingIOError):
             while world.name_server.recv(512):
-                pass  # asked before the change
-        changed = world.loop.now()
-        while worker.state is WorkerState.READY:  # the server answers what it was asked after the change
+                pass  # discard queries sent before the change
+        changed_at = world.loop.now()
+        while worker.state is WorkerState.READY:  # answer the first query sent after the change
             world.loop.wait_readable(world.name_server.fileno())
             query, address = world.name_server.recvfrom(512)
             if len(query) >= 12:
                 worker.state = WorkerState.DRAINING
                 world.name_server.sendto(listing(query, 2, world.workers), address)
         world.until(lambda: any("draining" in line for line in world.log.lines))
-        assert world.loop.now() - changed < 1_500_000
-        seen = len(worker.got)
+        assert world.loop.now() - changed_at < 1_500_000
+        commands_before = len(worker.got)
         client.send(budget="400")
         assert client.next()[2] == REFUSED
-        assert len(worker.got) == seen
+        assert len(worker.got) == commands_before
 
     play(script, workers=1)
 
 
 @pytest.mark.parametrize(
-    "number", ids([errno.ENOBUFS, errno.ENETUNREACH, errno.EPERM, errno.ECONNREFUSED, errno.EHOSTUNREACH])
+    "error_number",
+    ids([errno.ENOBUFS, errno.ENETUNREACH, errno.EPERM, errno.ECONNREFUSED, errno.EHOSTUNREACH]),
 )
 @pytest.mark.parametrize("operation", ["send", "recv"])
-def test_query_that_fails_is_sent_again(operation: Any, number: int) -> None:
+def test_failed_query_is_sent_again(operation: Any, error_number: int) -> None:
     def script(world: World, faults: SocketFaults) -> None:
-        asked = world.node.discovery.queries
-        faults.fail(operation, number, times=20, when=datagrams)
-        world.until(lambda: world.node.discovery.queries > asked + 5)
+        queries_before = world.node.discovery.queries
+        faults.fail(operation, error_number, times=20, when=datagrams)
+        world.until(lambda: world.node.discovery.queries > queries_before + 5)
         while world.node.directory.serial != 7:
             world.loop.wait_readable(world.name_server.fileno())
             query, address = world.name_server.recvfrom(512)
@@ -140,28 +141,26 @@
 
 
 @pytest.mark.parametrize("operation", ["socket", "connect"])
-@pytest.mark.parametrize("number", ids([errno.ENETUNREACH, errno.ENOBUFS, errno.EMFILE]))
-def test_node_without_a_route_to_the_name_server_at_its_start_serves_and_polls_later(
-    operation: Any, number: int
-) -> None:
+@pytest.mark.parametrize("error_number", ids([errno.ENETUNREACH, errno.ENOBUFS, errno.EMFILE]))
+def test_discovery_client_started_without_a_route_polls_later(operation: Any, error_number: int) -> None:
     def script(world: World, faults: SocketFaults) -> None:
-        former = world.node
-        former.discovery.close()
-        faults.fail(operation, number, times=3, when=datagrams_or_new)
-        node = DiscoveryClient(
+        old_node = world.node
+        old_node.discovery.close()
+        faults.fail(operation, error_number, times=3, when=datagrams_or_new)
+        discovery = DiscoveryClient(
             world.loop,
-            former.directory,
+            old_node.directory,
             world.name_server.getsockname(),
             1,
             lambda endpoints: None,
             world.log,
         )
         assert faults.failed[operation] == 1
-        world.until(lambda: node.queries)
+        world.until(lambda: discovery.queries)
         assert faults.failed[operation] == 3
-        asked = node.queries
-        node.close()
+        queries_before_close = discovery.queries
+        discovery.close()
         world.loop.sleep(SECOND)
-        assert node.queries == asked  # what was closed stays so
+        assert discovery.queries == queries_before_close  # a closed client sends nothing
 
     play_with_faults(script)
--- a/packages/node/tests/test_load_order_properties.py
+++ b/packages/node/tests/test_load_order_properties.py
@@ -1,4 +1,4 @@
-"""The outcome of a load order is true in any order of events (property test)."""
+"""Property test: the reported outcome of a load order is true in any order of events."""
 
 from __future__ import annotations
 
@@ -39,8 +39,8 @@
 )
 
 
-ORDER_IN_PART = (
-    st.tuples(  # an order that the kernel takes a part of, and what comes before the rest could leave
+PARTLY_SENT_ORDER = (
+    st.tuples(  # an order that the kernel accepts in part, and the steps before the rest can be sent
         st.just(("room", PART)),
         st.tuples(st.just("order"), st.just(0)),
         STEPS,
@@ -51,12 +51,12 @@
 )
 
 
-EPISODES = st.lists(
-    st.one_of(st.tuples(STEPS), st.tuples(STEPS, STEPS), ORDER_IN_PART), min_size=3, max_size=8
+STEP_GROUPS = st.lists(
+    st.one_of(st.tuples(STEPS), st.tuples(STEPS, STEPS), PARTLY_SENT_ORDER), min_size=3, max_size=8
 )
 
 
-REST_LEAVES_LATE = (
+REST_SENT_LATE = (
     ("room", PART),
     ("order", 0),
     ("sleep", 30),
@@ -66,13 +66,13 @@
 )
 
 
-class OrderDay:
-    """Plays steps, and keeps each order's outcomes and when the worker got it."""
+class LoadOrderRun:
+    """A run of steps that records when each load order ended, how, and when it reached the worker."""
 
-    def __init__(self, world: World, patch: pytest.MonkeyPatch, held: HeldConnections) -> None:
-        self.world, self.worker, self._held = world, world.workers[0], held
-        self._way, self._room = "good", PLENTY
-        self._address = dict(world.node.pool._addresses)
+    def __init__(self, world: World, patch: pytest.MonkeyPatch, delayed: HeldConnections) -> None:
+        self.world, self.worker, self._delayed = world, world.workers[0], delayed
+        self._answer_mode, self._send_capacity_bytes = "good", PLENTY
+        self._addresses = dict(world.node.pool._addresses)
         self.outcomes: dict[bytes, list[tuple[int, Outcome]]] = {}
         self.arrivals: dict[bytes, list[int]] = {}
         self._clients: list[Any] = []
@@ -82,104 +82,115 @@
         world.node.pool.limits = limits
 
     def _throttle(self, patch: pytest.MonkeyPatch) -> None:
-        """All connections share the room; a blocked one looks again each 5 ms."""
-        init, day = WorkerConnection.__init__, self
+        """Let all connections share one send capacity; a blocked connection polls it every 5 ms."""
+        init, run = WorkerConnection.__init__, self
 
-        def made(connection: WorkerConnection, *args: Any) -> None:
+        def init_throttled(connection: WorkerConnection, *args: Any) -> None:
             init(connection, *args)
-            send, watch = connection.stream.send_now, connection.stream.on_writable
+            send_now, on_writable = connection.stream.send_now, connection.stream.on_writable
 
-            def take(data: bytes) -> bytes:
-                count = min(day._room, len(data))
-                if day._room < PLENTY:
-                    day._room -= count
-                return (send(data[:count]) if count else b"") + data[count:]
+            def send_throttled(data: bytes) -> bytes:
+                accepted = min(run._send_capacity_bytes, len(data))
+                if run._send_capacity_bytes < PLENTY:
+                    run._send_capacity_bytes -= accepted
+                return (send_now(data[:accepted]) if accepted else b"") + data[accepted:]
 
-            def look_again(callback: Callable[[], object] | None) -> None:
+            def poll_writable(callback: Callable[[], object] | None) -> None:
                 if connection.is_connected and callback is not None:
-                    day.world.loop.call_later(5 * MS, callback)
+                    run.world.loop.call_later(5 * MS, callback)
                 else:
-                    watch(callback)
+                    on_writable(callback)
 
-            connection.stream.send_now = take  # type: ignore[method-assign]
-            connection.stream.on_writable = look_again  # type: ignore[method-assign]
+            connection.stream.send_now = send_throttled  # type: ignore[method-assign]
+            connection.stream.on_writable = poll_writable  # type: ignore[method-assign]
 
-        patch.setattr(WorkerConnection, "__init__", made)
+        patch.setattr(WorkerConnection, "__init__", init_throttled)
 
     def _answer(self, words: Words) -> bytes | None:
         if words[0] == b"SPAWN" and ORDERED.encode() in words[2]:
             self.arrivals.setdefault(words[1], []).append(self.world.loop.now())
-        good = Worker.good(words)
-        ways = {"good": good, "silent": None, "reset": b"", "noise": b"noise\r\n"}
-        ways |= {"half": (good or b"")[:15] or None, "twice": good and good + good}
-        return ways[self._way]
+        default = Worker.good(words)
+        answers = {"good": default, "silent": None, "reset": b"", "noise": b"noise\r\n"}
+        answers |= {"half": (default or b"")[:15] or None, "twice": default and default + default}
+        return answers[self._answer_mode]
 
-    def _order(self, latest: int) -> None:
+    def _order(self, begin_within_us: int) -> None:
         pool = self.world.node.workers
-        tag = b"t%d" % (pool._last_id + 1)
-        ends = self.outcomes.setdefault(tag, [])
-        effect = LoadOrder(self.worker.name, ORDERED, 1, latest)
-        pool.order_load(effect, lambda done: ends.append((self.world.loop.now(), done.outcome)))
-
-    def step(self, what: str, how: Any) -> None:
-        match what:
+        message_id = b"t%d" % (pool._last_id + 1)
+        results = self.outcomes.setdefault(message_id, [])
+        load_order = LoadOrder(self.worker.name, ORDERED, 1, begin_within_us)
+        pool.order_load(load_order, lambda result: results.append((self.world.loop.now(), result.outcome)))
+
+    def step(self, action: str, argument: Any) -> None:
+        """Run one step.
+
+        "leave" closes a client, "room" sets the send capacity, "way" sets how the worker answers, and "speak"
+        makes it send an unrequested response. "break" ends the worker's connections, "hold" delays new ones,
+        and "list" adds the worker to the endpoint list or removes it.
+        """
+        match action:
             case "order":
-                self._order(how)
+                self._order(argument)
             case "call":
                 self._clients.append(self.world.client())
                 self._clients[-1].send()
             case "leave" if self._clients:
                 self._clients.pop().stream.close()
             case "room":
-                self._room = how
+                self._send_capacity_bytes = argument
             case "way":
-                self._way = how
+                self._answer_mode = argument
             case "speak":
                 for stream in self.worker.streams:
                     with suppress(OSError):
                         stream.send_all(reply(b"0" * 16, b"OK"))
             case "break":
                 for stream in self.worker.streams:
-                    getattr(stream, how)()
+                    getattr(stream, argument)()
             case "hold":
-                self._held.is_holding = how
-                if not how:
-                    self._held.come_up()
+                self._delayed.is_holding = argument
+                if not argument:
+                    self._delayed.come_up()
             case "list":
-                self.world.node.pool.update_addresses(self._address if how else {})
+                self.world.node.pool.update_addresses(self._addresses if argument else {})
             case "sleep":
-                self.world.loop.sleep(how * MS)
+                self.world.loop.sleep(argument * MS)
 
     def check(self) -> None:
-        self._room = PLENTY
-        self._held.come_up()
+        """Compare the outcome of each order with what the worker received."""
+        self._send_capacity_bytes = PLENTY
+        self._delayed.come_up()
         self.world.loop.sleep(3 * SECOND)
-        for tag, ends in self.outcomes.items():
-            assert len(ends) == 1, "one outcome for each order"
-            (at, outcome), arrivals = ends[0], self.arrivals.get(tag, [])
-            assert len(arrivals) <= 1, "an order is not sent twice"
-            assert not arrivals or outcome not in NEVER_ARRIVED, "reported as never arrived"
+        for message_id, results in self.outcomes.items():
+            assert len(results) == 1, "each order must have exactly one outcome"
+            (ended_at, outcome), arrivals = results[0], self.arrivals.get(message_id, [])
+            assert len(arrivals) <= 1, "order sent twice"
+            assert not arrivals or outcome not in NEVER_ARRIVED, (
+                "order arrived although its outcome says that it did not"
+            )
             if outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):
-                assert arrivals, "reported as answered"
-            # The stand-in reads at once: what arrives later has left this process later.
-            assert all(arrival <= at + LATE_US for arrival in arrivals), "left after its outcome was told"
+                assert arrivals, "order never arrived although its outcome is a response"
+            # The fake worker reads at once, so a late arrival was sent late.
+            assert all(arrival <= ended_at + LATE_US for arrival in arrivals), (
+                "order sent after its outcome was reported"
+            )
 
 
 @hypothesis_settings(
     max_examples=120, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck)
 )
-@given(episodes=EPISODES)
-@example(episodes=[REST_LEAVES_LATE])
-def test_load_order_outcome_is_true_in_any_order_of_events(
-    episodes: list[tuple[tuple[str, Any], ...]],
+@given(step_groups=STEP_GROUPS)
+@example(step_groups=[REST_SENT_LATE])
+def test_load_order_outcome_matches_what_the_worker_received(
+    step_groups: list[tuple[tuple[str, Any], ...]],
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        held = HeldConnections(patch)
+        delayed = HeldConnections(patch)
 
         def script(world: World) -> None:
-            day = OrderDay(world, patch, held)
-            for step in chain.from_iterable(episodes):
-                day.step(*step)
-            day.check()
+            run = LoadOrderRun(world, patch, delayed)
+            for step in chain.from_iterable(step_groups):
+                run.step(*step)
+            run.check()
 
         play(script, workers=1)
--- a/packages/node/tests/test_load_orders.py
+++ b/packages/node/tests/test_load_orders.py
@@ -1,7 +1,7 @@
-"""Load orders on the wire: what each outcome proves about whether the order arrived.
+"""Load orders on the wire: what each outcome says about whether the order reached the worker.
 
-`HeldConnections` keeps a connection from coming up, `Throttle` says how many bytes the kernel takes, and the
-fake worker's own record shows what has arrived.
+The tests delay connects, limit the number of bytes that the kernel accepts, and check what the fake worker
+received.
 """
 
 from __future__ import annotations
@@ -34,22 +34,22 @@
 )
 
 
-def test_load_order_too_late_for_its_limit_does_not_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    held, ended = HeldConnections(monkeypatch), list[LoadOrderEnded]()
+def test_load_order_past_its_send_limit_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    delayed, ended = HeldConnections(monkeypatch), list[LoadOrderEnded]()
 
     def script(world: World) -> None:
-        held.is_holding = True
+        delayed.is_holding = True
         world.node.workers.order_load(LoadOrder(world.workers[0].name, FUNCTION, 1, 50 * MS), ended.append)
         world.loop.sleep(60 * MS)
-        held.come_up()
+        delayed.come_up()
         world.until(lambda: ended)
-        assert [t.outcome for t in ended] == [Outcome.MOOT]
+        assert [result.outcome for result in ended] == [Outcome.MOOT]
         assert not world.workers[0].got
 
     play(script, workers=1)
 
 
-def test_load_order_of_which_no_byte_left_in_time_never_ran(
+def test_load_order_with_no_byte_sent_before_its_timeout_never_arrives(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
@@ -65,7 +65,7 @@
     play(script, workers=1)
 
 
-def test_load_order_sent_in_part_and_abandoned_never_arrives(
+def test_partly_sent_load_order_never_arrives_after_its_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
@@ -73,7 +73,7 @@
         throttle = Throttle(monkeypatch, one_connection(world, worker), PART)
         ended = order(world, worker.name)
         world.until(lambda: ended)
-        with suppress(OSError):  # closed by now
+        with suppress(OSError):  # already closed
             throttle.open()
         world.loop.sleep(SECOND)
         assert outcomes(ended) == [Outcome.MOOT]
@@ -83,7 +83,7 @@
     play(script, workers=1)
 
 
-def test_load_order_sent_in_part_and_abandoned_takes_no_response_from_a_call_beside_it(
+def test_abandoned_partly_sent_load_order_keeps_the_response_of_a_concurrent_call(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
@@ -106,7 +106,7 @@
     play(script, workers=1)
 
 
-def test_command_queued_behind_a_load_order_sent_in_part_moves_to_another_connection(
+def test_command_queued_behind_a_partly_sent_load_order_moves_to_another_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
@@ -123,7 +123,7 @@
     play(script, workers=1)
 
 
-def test_response_to_a_load_order_sent_in_part_does_not_end_it(
+def test_response_to_a_partly_sent_load_order_does_not_end_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
@@ -132,8 +132,8 @@
         throttle = Throttle(monkeypatch, connection, PART)
         ended = order(world, worker.name)
         world.until(lambda: not throttle.room)
-        (tag,) = connection.open
-        worker.streams[0].send_all(reply(tag, b"BUSY"))
+        (message_id,) = connection.open
+        worker.streams[0].send_all(reply(message_id, b"BUSY"))
         world.loop.sleep(10 * MS)
         assert not ended
         throttle.open()
@@ -144,7 +144,7 @@
     play(script, workers=1)
 
 
-def test_load_order_sent_in_part_when_its_connection_breaks_arrives_once(
+def test_partly_sent_load_order_arrives_once_after_its_connection_breaks(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
@@ -162,14 +162,14 @@
     play(script, workers=1)
 
 
-@pytest.mark.parametrize("end", ["close", "reset"])
-def test_load_order_sent_completely_when_its_connection_breaks_is_not_sent_again(end: str) -> None:
+@pytest.mark.parametrize("close_method", ["close", "reset"])
+def test_fully_sent_load_order_is_not_resent_after_its_connection_breaks(close_method: str) -> None:
     def script(world: World) -> None:
         worker = warm(world, world.client())
         worker.answer = silent
         ended = order(world, worker.name)
         world.until(lambda: spawns(worker))
-        getattr(worker.streams[0], end)()
+        getattr(worker.streams[0], close_method)()
         world.until(lambda: ended)
         world.loop.sleep(5 * SECOND)
         assert outcomes(ended) == [Outcome.RESET]
@@ -178,7 +178,7 @@
     play(script, workers=1)
 
 
-def test_malformed_bytes_do_not_count_as_a_response_to_a_load_order() -> None:
+def test_malformed_response_ends_a_load_order_as_reset() -> None:
     def script(world: World) -> None:
         worker = warm(world, world.client())
         worker.answer = lambda words: b"noise\r\n"
@@ -191,20 +191,20 @@
     play(script, workers=1)
 
 
-def test_load_order_to_a_worker_that_has_gone_ends_with_its_response() -> None:
+def test_load_order_sent_before_its_worker_is_removed_ends_with_its_response() -> None:
     def script(world: World) -> None:
         worker = warm(world, world.client())
         connection = one_connection(world, worker)
         worker.answer = silent
         sent = order(world, worker.name)
         world.until(lambda: spawns(worker))
-        waiting = order(world, worker.name)
+        queued = order(world, worker.name)
         world.node.pool.update_addresses({})
-        late = order(world, worker.name)
+        ordered_after_removal = order(world, worker.name)
         world.node.workers.close_idle_connections(worker.name)
-        world.until(lambda: waiting and late)
-        assert outcomes(waiting) == [Outcome.MOOT]
-        assert outcomes(late) == [Outcome.CONNECT_FAILED]
+        world.until(lambda: queued and ordered_after_removal)
+        assert outcomes(queued) == [Outcome.MOOT]
+        assert outcomes(ordered_after_removal) == [Outcome.CONNECT_FAILED]
         assert not sent
         assert not connection.is_closed
         worker.streams[0].send_all(reply(spawns(worker)[0][1], b"OK", b"slots_up=1"))
@@ -213,12 +213,12 @@
         assert outcomes(sent) == [Outcome.OK]
         assert len(spawns(worker)) == 1
         assert connection.is_closed
-        assert len(waiting) == len(late) == 1
+        assert len(queued) == len(ordered_after_removal) == 1
 
     play(script, workers=1)
 
 
-def test_load_order_to_a_gone_worker_that_does_not_answer_is_dropped_at_its_timeout() -> None:
+def test_unanswered_load_order_to_a_removed_worker_ends_at_its_timeout() -> None:
     def script(world: World) -> None:
         worker = warm(world, world.client())
         one_connection(world, worker)
--- a/packages/node/tests/test_node.py
+++ b/packages/node/tests/test_node.py
@@ -1,4 +1,4 @@
-"""A call through a node on loopback sockets."""
+"""Calls through a node on loopback sockets."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 def test_call_passes_through_unchanged() -> None:
     def script(world: World) -> None:
         client = world.client()
-        number = client.send(rid="9b1f03aa5c7e2d41", attrs="memory_mb:512;lanes:2")
-        assert client.next() == [1, number, None, [b"did body 1", {}]]
+        message_id = client.send(rid="9b1f03aa5c7e2d41", attrs="memory_mb:512;lanes:2")
+        assert client.next() == [1, message_id, None, [b"did body 1", {}]]
         (call,) = [words for worker in world.workers for words in worker.calls()]
         assert call[1] == b"9b1f03aa5c7e2d41"
         assert call[3] == b"body 1"
@@ -20,26 +20,26 @@
     play(script)
 
 
-def test_request_that_no_worker_answers_is_rejected_or_failed_in_time() -> None:
+def test_unanswered_request_fails_within_its_budget() -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
         worker.answer = lambda words: None
-        began = world.loop.now()
+        sent_at = world.loop.now()
         client.send(method="reservation", budget="300")
         assert client.next()[2] == FAILED
-        assert world.loop.now() - began <= 300_000
+        assert world.loop.now() - sent_at <= 300_000
 
     play(script, workers=1)
 
 
-def test_calls_pass_a_byte_at_a_time() -> None:
+def test_calls_succeed_when_sockets_transfer_one_byte_at_a_time() -> None:
     def script(world: World, faults: SocketFaults) -> None:
         faults.shorten("recv", 1)
         faults.shorten("send", 1)
         client = world.client()
         for _ in range(2):
-            number = client.send()
-            assert client.next()[:3] == [1, number, None]
+            message_id = client.send()
+            assert client.next()[:3] == [1, message_id, None]
 
     play_with_faults(script)
--- a/packages/node/tests/test_node_configuration.py
+++ b/packages/node/tests/test_node_configuration.py
@@ -1,4 +1,4 @@
-"""What the configuration decides: settings of two nodes, idempotency keys, weights."""
+"""Effects of the configuration: separate settings of two nodes, idempotency keys, worker weights."""
 
 from __future__ import annotations
 
@@ -16,32 +16,34 @@
 )
 
 
-def test_two_nodes_of_one_process_keep_their_settings_apart() -> None:
+def test_two_nodes_in_one_process_keep_separate_settings() -> None:
     tenants = [{"Name": "gutenberg", "Share": 0.6}, {"Name": "caxton", "Share": 0.4}]
-    one = settings(Realms=tenants)
-    two = settings(
+    first_settings = settings(Realms=tenants)
+    second_settings = settings(
         Profiles=[{**PROFILE, "Name": "stamp", "HardLimit": 5_000_000}], PolicyLimits={"Cancel": False}
     )
 
     def script(world: World) -> None:
         known = {"offset": 1, "batch": [{"offset": 1, "topology": {"all": True, "targets": []}}]}
-        other = Node(world.loop, parse_config(config_text(known=known, settings=two)), world.log)
-        mine, theirs = world.client(), Client(world.loop, other.listener.address)
-        mine.send(acct="gutenberg", est="230.0")
-        assert mine.next()[2] is None
-        mine.send(acct="somebody")
-        assert mine.next()[2] == ["Internal", {"reason": "acct: found 'somebody'"}]
-        mine.send(method="stamp")
-        assert mine.next()[2][1]["reason"].startswith("class:")
-        theirs.send(method="stamp", acct="gutenberg", budget="5000")
-        assert theirs.next()[2] == REFUSED
-        theirs.send()
-        assert theirs.next()[2][1]["reason"].startswith("class:")
-        assert (world.node.pool.limits.may_cancel, other.pool.limits.may_cancel) == (True, False)
-        other.listener.close()
-        other.discovery.close()
+        second_node = Node(
+            world.loop, parse_config(config_text(known=known, settings=second_settings)), world.log
+        )
+        first_client, second_client = world.client(), Client(world.loop, second_node.listener.address)
+        first_client.send(acct="gutenberg", est="230.0")
+        assert first_client.next()[2] is None
+        first_client.send(acct="somebody")
+        assert first_client.next()[2] == ["Internal", {"reason": "acct: found 'somebody'"}]
+        first_client.send(method="stamp")
+        assert first_client.next()[2][1]["reason"].startswith("class:")
+        second_client.send(method="stamp", acct="gutenberg", budget="5000")
+        assert second_client.next()[2] == REFUSED
+        second_client.send()
+        assert second_client.next()[2][1]["reason"].startswith("class:")
+        assert (world.node.pool.limits.may_cancel, second_node.pool.limits.may_cancel) == (True, False)
+        second_node.listener.close()
+        second_node.discovery.close()
 
-    play(script, settings=one)
+    play(script, settings=first_settings)
 
 
 def test_idempotency_key_of_a_request_reaches_the_worker_unchanged() -> None:
@@ -56,7 +58,7 @@
     play(script, workers=1)
 
 
-def test_worker_of_weight_zero_counts_as_one_of_the_least_weight() -> None:
+def test_worker_of_weight_zero_is_treated_as_having_the_least_weight() -> None:
     def script(world: World) -> None:
         world.loop.wait_readable(world.name_server.fileno())
         query, address = world.name_server.recvfrom(512)
