--- a/packages/node/tests/test_node_interleavings.py
+++ b/packages/node/tests/test_node_interleavings.py
@@ -1,4 +1,7 @@
-"""Clients, workers, the list and signals in any order; the rules are checked from what the stand-ins saw."""
+"""Property test: clients, workers, the endpoint list and shutdown in any order.
+
+The rules are checked against what the fake clients and workers observed.
+"""
 
 from __future__ import annotations
 
@@ -13,14 +16,14 @@
 from walnutpost.testsupport.node.harness import MS, Client, HeldConnections, Words, Worker, World, play, reply
 from walnutpost.testsupport.node.harness import settings as with_settings
 
-GRACE_US, GONE_US, BUDGET_US = 100 * MS, 100 * MS, 1_000 * MS
-NEVER_RAN = ("full", "miss")
-WAYS = ("good", "silent", "error", "full", "miss", "reset", "malformed", "twice")
+DRAIN_GRACE_US, CLIENT_GONE_GRACE_US, BUDGET_US = 100 * MS, 100 * MS, 1_000 * MS
+MODES_WITHOUT_EXECUTION = ("full", "miss")
+ANSWER_MODES = ("good", "silent", "error", "full", "miss", "reset", "malformed", "twice")
 METHODS = ("valuation", "reservation")
 STEPS = st.one_of(
     st.tuples(st.just("ask"), st.integers(0, 2), st.sampled_from(METHODS)),
     st.tuples(st.just("leave"), st.integers(0, 2), st.sampled_from(("close", "reset", "interrupt"))),
-    st.tuples(st.just("way"), st.integers(0, 1), st.sampled_from(WAYS)),
+    st.tuples(st.just("way"), st.integers(0, 1), st.sampled_from(ANSWER_MODES)),
     st.tuples(st.just("list"), st.integers(0, 1), st.sampled_from(("Ready", "Terminating", "Gone"))),
     st.tuples(st.just("hold"), st.booleans(), st.none()),
     st.tuples(st.just("end"), st.none(), st.none()),
@@ -28,114 +31,133 @@
 )
 
 
-class Day:
-    def __init__(self, world: World, held: HeldConnections) -> None:
-        self.world, self.held = world, held
-        self.ways = ["good", "good"]
-        self.left_us: dict[bytes, int] = {}  # by id of a request
-        self.told_us: dict[str, int] = {}  # since when a worker leaves
-        self.arrivals: list[tuple[bytes, str, str, int]] = []  # id, class, how it was taken, when
-        self.asked: list[tuple[Client, int, bytes, str]] = []
+class InterleavingRun:
+    """A run of steps that records requests, answers and calls that reached a worker."""
+
+    def __init__(self, world: World, delayed: HeldConnections) -> None:
+        self.world, self.delayed = world, delayed
+        self.answer_modes = ["good", "good"]
+        self.client_left_at_us: dict[bytes, int] = {}  # by request id
+        self.drain_announced_at_us: dict[str, int] = {}  # by worker name
+        self.arrivals: list[tuple[bytes, str, str, int]] = []  # request id, class, answer mode, time
+        self.requests: list[tuple[Client, int, bytes, str]] = []
         self.clients: list[Client] = []
-        self.ended = False
-        for number, worker in enumerate(world.workers):
-            worker.answer = partial(self.take, number, worker)
+        self.is_shutting_down = False
+        for worker_index, worker in enumerate(world.workers):
+            worker.answer = partial(self.answer_command, worker_index, worker)
 
-    def take(self, number: int, worker: Worker, words: Words) -> bytes | None:
+    def answer_command(self, worker_index: int, worker: Worker, words: Words) -> bytes | None:
         if words[0] != b"FN":
             return Worker.good(words)
-        way, now = self.ways[number], self.world.loop.now()
-        cls = words[2].split(b",")[0].decode()
-        self.arrivals.append((words[1], cls, way, now))
-        assert now <= self.told_us.get(worker.name, now) + GRACE_US + 5 * MS, "begun after the grace"
-        assert now <= self.left_us.get(words[1], now) + GONE_US, "begun for a client that left"
-        good = reply(words[1], b"OK", b"-", b"did " + words[3])
+        mode, now = self.answer_modes[worker_index], self.world.loop.now()
+        request_class = words[2].split(b",")[0].decode()
+        self.arrivals.append((words[1], request_class, mode, now))
+        assert now <= self.drain_announced_at_us.get(worker.name, now) + DRAIN_GRACE_US + 5 * MS, (
+            "call started after the drain grace"
+        )
+        assert now <= self.client_left_at_us.get(words[1], now) + CLIENT_GONE_GRACE_US, (
+            "call started for a client that left"
+        )
+        default = reply(words[1], b"OK", b"-", b"did " + words[3])
         return {
-            "good": good,
+            "good": default,
             "silent": None,
             "error": reply(words[1], b"ERR"),
             "full": reply(words[1], b"BUSY"),
             "miss": reply(words[1], b"MISS"),
             "reset": b"",
             "malformed": b"*4\r\n$2\r\nzz",
-            "twice": good + good,
-        }[way]
+            "twice": default + default,
+        }[mode]
 
-    def client(self, number: int) -> Client:
-        while len(self.clients) <= number or self.clients[number].stream.closed:
-            if len(self.clients) <= number:
+    def client(self, index: int) -> Client:
+        while len(self.clients) <= index or self.clients[index].stream.closed:
+            if len(self.clients) <= index:
                 self.clients.append(self.world.client())
             else:
-                self.clients[number] = self.world.client()
-        return self.clients[number]
+                self.clients[index] = self.world.client()
+        return self.clients[index]
 
-    def step(self, what: str, one: Any, two: Any) -> None:
+    def step(self, action: str, first: Any, second: Any) -> None:
+        """Run one step.
+
+        "ask" sends a request and "leave" makes a client leave. "way" sets how a worker answers, "list" sets
+        its state in the endpoint list, "hold" delays connects to workers, and "end" shuts the node down.
+        """
         world, now = self.world, self.world.loop.now()
-        if what == "ask" and not self.ended:
-            client = self.client(one)
-            request = f"{len(self.asked):016x}"
-            self.asked.append((client, client.send(method=two, rid=request), request.encode(), two))
-        elif what == "leave" and one < len(self.clients) and not self.clients[one].stream.closed:
-            client = self.clients[one]
-            for other, number, rid, _ in self.asked:
+        if action == "ask" and not self.is_shutting_down:
+            client = self.client(first)
+            request = f"{len(self.requests):016x}"
+            self.requests.append((client, client.send(method=second, rid=request), request.encode(), second))
+        elif action == "leave" and first < len(self.clients) and not self.clients[first].stream.closed:
+            client = self.clients[first]
+            for other, message_id, request_id, _ in self.requests:
                 if other is client:
-                    self.left_us.setdefault(rid, now)
-                    if two == "interrupt":
-                        client.raw(msgpack.packb([2, "interrupt", [number]]))
-            if two != "interrupt":
-                getattr(client.stream, two)()
-        elif what == "way":
-            self.ways[one] = two
-        elif what == "list":
-            name = world.workers[one].name
-            if two == "Ready":
-                self.told_us.pop(name, None)
+                    self.client_left_at_us.setdefault(request_id, now)
+                    if second == "interrupt":
+                        client.raw(msgpack.packb([2, "interrupt", [message_id]]))
+            if second != "interrupt":
+                getattr(client.stream, second)()
+        elif action == "way":
+            self.answer_modes[first] = second
+        elif action == "list":
+            name = world.workers[first].name
+            if second == "Ready":
+                self.drain_announced_at_us.pop(name, None)
             else:
-                self.told_us.setdefault(name, now)
-            targets = [{**world.workers[one].target, "state": two}]
+                self.drain_announced_at_us.setdefault(name, now)
+            targets = [{**world.workers[first].target, "state": second}]
             serial = world.node.directory.serial + 1
             event = {"offset": serial, "topology": {"all": False, "targets": targets}}
             world.node._apply_endpoints(
                 world.node.directory.apply_known_events({"offset": serial, "batch": [event]})
             )
-        elif what == "hold":
-            self.held.is_holding = one
-            if not one:
-                self.held.come_up()
-        elif what == "end" and not self.ended:
-            self.ended = True
+        elif action == "hold":
+            self.delayed.is_holding = first
+            if not first:
+                self.delayed.come_up()
+        elif action == "end" and not self.is_shutting_down:
+            self.is_shutting_down = True
             world.loop.spawn(world.node.shut_down)
-        elif what == "sleep":
-            world.loop.sleep(one * MS)
+        elif action == "sleep":
+            world.loop.sleep(first * MS)
 
     def check(self) -> None:
-        """Every request that its client still waited for has one answer; nothing unsafe has run twice."""
-        self.held.come_up()
+        """Check that each request still awaited got one answer and no non-idempotent call ran twice."""
+        self.delayed.come_up()
         self.world.loop.sleep(BUDGET_US + 100 * MS)
-        got: dict[tuple[int, int], int] = {}
-        for client in {id(c): c for c, *_ in self.asked}.values():
+        answer_counts: dict[tuple[int, int], int] = {}
+        for client in {id(c): c for c, *_ in self.requests}.values():
             if not client.stream.closed:
-                client.raw(msgpack.packb([0, 10_000, "check", [{}]])) if not self.ended else None
+                client.raw(msgpack.packb([0, 10_000, "check", [{}]])) if not self.is_shutting_down else None
                 while (answer := client.next()) is not None and answer[1] != 10_000:
                     key = id(client), answer[1]
-                    got[key] = got.get(key, 0) + 1
-        for client, number, rid, method in self.asked:
-            count = got.get((id(client), number), 0)
-            assert count <= 1 and (count == 1 or rid in self.left_us), "one final answer"
-            ran = [way for id, _, way, _ in self.arrivals if id == rid and way not in NEVER_RAN]
-            assert method == "valuation" or len(ran) <= 1, "no effect twice"
+                    answer_counts[key] = answer_counts.get(key, 0) + 1
+        for client, message_id, request_id, method in self.requests:
+            count = answer_counts.get((id(client), message_id), 0)
+            assert count <= 1 and (count == 1 or request_id in self.client_left_at_us), (
+                "each request needs exactly one answer unless its client left"
+            )
+            executions = [
+                mode
+                for arrived_id, _, mode, _ in self.arrivals
+                if arrived_id == request_id and mode not in MODES_WITHOUT_EXECUTION
+            ]
+            assert method == "valuation" or len(executions) <= 1, "non-idempotent call executed twice"
 
 
 @settings(max_examples=60, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(steps=st.lists(STEPS, min_size=4, max_size=24))
-def test_invariants_hold_in_any_order_of_events(steps: list[tuple[str, Any, Any]]) -> None:
+def test_requests_get_one_answer_and_run_safely_in_any_order_of_events(
+    steps: list[tuple[str, Any, Any]],
+) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        held = HeldConnections(patch)
+        delayed = HeldConnections(patch)
 
         def script(world: World) -> None:
-            day = Day(world, held)
+            run = InterleavingRun(world, delayed)
             for step in steps:
-                day.step(*step)
-            day.check()
+                run.step(*step)
+            run.check()
 
-        play(script, workers=2, settings=with_settings(Guarantees={"DrainGrace": GRACE_US}))
+        play(script, workers=2, settings=with_settings(Guarantees={"DrainGrace": DRAIN_GRACE_US}))
--- a/packages/node/tests/test_node_memory.py
+++ b/packages/node/tests/test_node_memory.py
@@ -1,4 +1,4 @@
-"""What is reachable does not grow while functions, workers, clients and connections come and go."""
+"""The number of reachable objects stays bounded while functions, workers, clients and connections change."""
 
 from __future__ import annotations
 
@@ -26,95 +26,100 @@
 from walnutpost.testsupport.node.harness import World, play
 from walnutpost.testsupport.policy.harness import SECOND, SETTINGS
 
-SHARED = (type, ModuleType, FunctionType, CodeType, FrameType)
+EXCLUDED_TYPES = (type, ModuleType, FunctionType, CodeType, FrameType)
 
 
 def count_reachable(*roots: Any) -> int:
-    """Objects that are reached from `roots`, the program's own text aside."""
+    """Count the objects reachable from `roots`, except for classes, modules, functions, code and frames."""
     gc.collect()
     seen: dict[int, Any] = {}
-    todo = list(roots)
-    while todo:
-        thing = todo.pop()
-        if id(thing) not in seen and not isinstance(thing, SHARED):
-            seen[id(thing)] = thing
-            todo += gc.get_referents(thing)
+    pending = list(roots)
+    while pending:
+        obj = pending.pop()
+        if id(obj) not in seen and not isinstance(obj, EXCLUDED_TYPES):
+            seen[id(obj)] = obj
+            pending += gc.get_referents(obj)
     return len(seen)
 
 
-class Day:
-    """A gateway whose workers load what is ordered and answer at once; all are replaced each round."""
+class GatewaySimulation:
+    """A gateway whose workers load and answer at once; each round replaces all workers and functions."""
 
     def __init__(self) -> None:
         self.now, self.calls, self.served = 100 * SECOND, 0, 0
         self.gateway = Gateway(SETTINGS, Catalogue({}), 1)
-        self.due: list[tuple[int, int]] = []
-        self.copies: set[tuple[str, str]] = set()
+        self.timers: list[tuple[int, int]] = []
+        self.loaded_copies: set[tuple[str, str]] = set()
 
-    def feed(self, event: Any) -> None:
-        todo: list[Effect] = self.gateway.handle(self.now, event)
-        while todo:
-            match todo.pop(0):
+    def handle(self, event: Any) -> None:
+        effects: list[Effect] = self.gateway.handle(self.now, event)
+        while effects:
+            match effects.pop(0):
                 case Send(call, attempt, worker, function):
-                    there = Outcome.OK if (worker, function) in self.copies else Outcome.MISS
-                    todo += self.gateway.handle(self.now, AttemptEnded(call, attempt, there, 1000))
+                    outcome = Outcome.OK if (worker, function) in self.loaded_copies else Outcome.MISS
+                    effects += self.gateway.handle(self.now, AttemptEnded(call, attempt, outcome, 1000))
                 case LoadOrder(worker, function, copies):
-                    self.copies.add((worker, function))
-                    done = LoadOrderEnded(worker, function, Outcome.OK, 1000, copies)
-                    todo += self.gateway.handle(self.now, done)
+                    self.loaded_copies.add((worker, function))
+                    load_order_ended = LoadOrderEnded(worker, function, Outcome.OK, 1000, copies)
+                    effects += self.gateway.handle(self.now, load_order_ended)
                 case SetTimer(delay, token):
-                    self.due.append((self.now + delay, token))
+                    self.timers.append((self.now + delay, token))
                 case AnswerCaller():
                     self.served += 1
 
-    def pass_time(self, span: int) -> None:
-        until = self.now + span
-        while self.due and min(self.due)[0] <= until:
-            self.due.remove(first := min(self.due))
-            self.now = max(self.now, first[0])
-            self.feed(TimerDue(first[1]))
-        self.now = until
-
-    def round(self, number: int) -> None:
-        names = tuple(ListedWorker(f"w{number}-{n}") for n in range(20))
-        self.feed(WorkersListed(ListKind.FULL, number, names))
-        for n in range(100):
+    def advance(self, duration_us: int) -> None:
+        end = self.now + duration_us
+        while self.timers and min(self.timers)[0] <= end:
+            self.timers.remove(earliest := min(self.timers))
+            self.now = max(self.now, earliest[0])
+            self.handle(TimerDue(earliest[1]))
+        self.now = end
+
+    def run_round(self, number: int) -> None:
+        listed_workers = tuple(ListedWorker(f"w{number}-{index}") for index in range(20))
+        self.handle(WorkersListed(ListKind.FULL, number, listed_workers))
+        for index in range(100):
             self.calls += 1
-            of = Function(f"f{number}-{n}", 0, 300.0, 2.0)
-            self.feed(CallArrived(self.calls, of.name, b"", 2 * SECOND, definition=of))
-        self.pass_time(5 * SECOND)
-        self.copies.clear()
+            function_definition = Function(f"f{number}-{index}", 0, 300.0, 2.0)
+            self.handle(
+                CallArrived(
+                    self.calls, function_definition.name, b"", 2 * SECOND, definition=function_definition
+                )
+            )
+        self.advance(5 * SECOND)
+        self.loaded_copies.clear()
 
 
-def test_gateway_forgets_functions_and_workers_that_are_gone() -> None:
-    day = Day()
+def test_gateway_drops_the_state_of_removed_functions_and_workers() -> None:
+    simulation = GatewaySimulation()
     for number in range(20):
-        day.round(number)
-    early = count_reachable(day.gateway)
+        simulation.run_round(number)
+    baseline = count_reachable(simulation.gateway)
     for number in range(20, 60):
-        day.round(number)
-    assert day.served == day.calls == 6000
-    assert (
-        count_reachable(day.gateway) < 1.3 * early
-    )  # names are looked through now and then: what is kept swings
+        simulation.run_round(number)
+    assert simulation.served == simulation.calls == 6000
+    # Unused names are removed in periodic sweeps, so the count fluctuates.
+    assert count_reachable(simulation.gateway) < 1.3 * baseline
 
 
-def test_node_forgets_clients_workers_and_connections_that_are_gone() -> None:
+def test_node_drops_the_state_of_removed_clients_workers_and_connections() -> None:
     def script(world: World) -> None:
         node, count = world.node, 0
 
-        def rounds(number: int) -> int:
+        def run_rounds_and_count(rounds: int) -> int:
             nonlocal count
-            for _ in range(number):
-                names = [{**w.target, "uid": f"{w.name}-{count}"} for w in world.workers]
-                event = {"offset": count + 2, "topology": {"all": True, "targets": names}}
+            for _ in range(rounds):
+                listed_workers = [
+                    {**worker.target, "uid": f"{worker.name}-{count}"} for worker in world.workers
+                ]
+                event = {"offset": count + 2, "topology": {"all": True, "targets": listed_workers}}
                 node._apply_endpoints(
                     node.directory.apply_known_events({"offset": count + 2, "batch": [event]})
                 )
-                for n in range(10):
+                for client_number in range(10):
                     client = world.client()
-                    for m in range(4):
-                        client.send(f"{count:08x}{n:04x}{m:04x}")
+                    for request_number in range(4):
+                        client.send(f"{count:08x}{client_number:04x}{request_number:04x}")
                         assert client.next()[2] is None
                     client.stream.close()
                 world.loop.sleep(12 * SECOND)
@@ -125,7 +130,7 @@
             world.log.lines.clear()
             return count_reachable(node, world.loop)
 
-        early = rounds(10)
-        assert rounds(20) < 1.3 * early
+        baseline = run_rounds_and_count(10)
+        assert run_rounds_and_count(20) < 1.3 * baseline
 
     play(script)
