--- a/packages/node/tests/test_node_stats.py
+++ b/packages/node/tests/test_node_stats.py
@@ -1,11 +1,11 @@
-"""The node's periodic counts in the log: the events that operators and on-call pages read."""
+"""Periodic statistics events in the log, which operators and on-call pages read."""
 
 from __future__ import annotations
 
 from walnutpost.node.stats import STATS_INTERVAL_US
 from walnutpost.testsupport.node.harness import SECOND, Worker, World, play
 
-FIELDS = (
+NODE_STATS_FIELDS = (
     "served",
     "rejected",
     "failed",
@@ -26,33 +26,33 @@
 )
 
 
-def reported(world: World, event: str) -> list[str]:
+def lines_of_event(world: World, event: str) -> list[str]:
     return [line for line in world.log.lines if line.startswith(f"{event} ")]
 
 
-def test_node_stats_after_one_interval_state_every_count() -> None:
+def test_node_stats_event_contains_every_counter() -> None:
     def script(world: World) -> None:
         client = world.client()
         client.send()
         assert client.next()[2] is None
-        client.raw(b"\xc1")  # no message of the protocol
+        client.raw(b"\xc1")  # not a message of the protocol
         world.loop.sleep(STATS_INTERVAL_US)
-        line = reported(world, "node_stats")[0]
-        assert [f"'{name}'" in line for name in FIELDS] == [True] * len(FIELDS)
+        line = lines_of_event(world, "node_stats")[0]
+        assert [f"'{name}'" in line for name in NODE_STATS_FIELDS] == [True] * len(NODE_STATS_FIELDS)
         assert "'served': 1," in line
         assert "'malformed_connections': 1," in line
 
     play(script, workers=1)
 
 
-def test_attempt_stats_after_each_interval_state_the_outcomes_since_the_last() -> None:
+def test_attempt_stats_event_covers_only_the_last_interval() -> None:
     def script(world: World) -> None:
         client = world.client()
         client.send()
         assert client.next()[2] is None
         world.loop.sleep(STATS_INTERVAL_US)
-        assert "s-0:ok:1" in reported(world, "attempt_stats")[0]
+        assert "s-0:ok:1" in lines_of_event(world, "attempt_stats")[0]
         world.loop.sleep(STATS_INTERVAL_US + SECOND)
-        assert "s-0:" not in reported(world, "attempt_stats")[1]
+        assert "s-0:" not in lines_of_event(world, "attempt_stats")[1]
 
     play(script, workers=1, make_worker=Worker)
--- a/packages/node/tests/test_periodic_work.py
+++ b/packages/node/tests/test_periodic_work.py
@@ -1,4 +1,4 @@
-"""Periodic work of a node goes on after an error."""
+"""Periodic tasks of a node keep running after an error."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from walnutpost.testsupport.node.harness import SECOND
 
 
-def test_periodic_work_that_raises_goes_on_and_counts_the_failure() -> None:
+def test_periodic_task_that_raises_keeps_running_and_counts_failures() -> None:
     errors: list[BaseException] = []
     loop, runs = Loop(VirtualClock(), lambda name, error: errors.append(error)), list[int]()
 
     def work() -> None:
         runs.append(1)
         if len(runs) < 3:
-            raise ValueError("odd")
+            raise ValueError("unexpected value")
 
     def body() -> int:
         periodic = loop.call_every(SECOND, work)
--- a/packages/node/tests/test_ration_crossings.py
+++ b/packages/node/tests/test_ration_crossings.py
@@ -1,8 +1,8 @@
-"""The ration of load orders, judged by their arrivals, while links hold, workers stall and nodes begin anew.
+"""The limit on load orders per time window, while links delay them, workers stall and nodes restart.
 
-The witness is the workers' own log of the moment at which a whole order was read; no count of the node's is
-looked at. A `Relay` between node and worker, or a worker that does not read, forces orders that were decided
-at different times to arrive together.
+The tests check the times at which the workers have read whole orders, and none of the node's own counters. A
+relay between node and worker, or a worker that doesn't read, makes orders that were decided at different
+times arrive together.
 """
 
 from __future__ import annotations
@@ -29,14 +29,14 @@
 from walnutpost.testsupport.node.ration_checker import Ration, RationLog, describe_breaches
 from walnutpost.testsupport.node.witness import FRONT_END, Witness
 
-FREE_LOADS, LOAD_SHARE, LOAD_WINDOW = 4, 0.2, 2 * SECOND
-OPEN_AT_ONCE = 16  # requests of one client before the next one is used
-USELESS_REQUESTS = 300
-SINGLE_SHOT = "reservation"  # a class whose requests are not tried again after an error
+FREE_LOADS, LOAD_SHARE, LOAD_WINDOW_US = 4, 0.2, 2 * SECOND
+MAX_REQUESTS_PER_CLIENT = 16  # then a new client connects
+UNCOUNTED_REQUESTS = 300  # duplicate or abandoned ones, which must not raise the limit
+UNRETRIED_CLASS = "reservation"  # a class whose requests are not retried after an error
 
 
-def kill(node: Node) -> None:
-    """As SIGKILL does: no code runs on, the kernel closes the sockets, and what it has taken still leaves."""
+def kill_node(node: Node) -> None:
+    """Act like SIGKILL: the node runs no more code; the kernel closes its sockets but sends what it holds."""
     for effect in ("start", "order", "ping", "discard", "abandon", "place"):
         setattr(node.workers, effect, lambda *_, **__: None)
     node.listener.close()
@@ -50,309 +50,325 @@
         client.close()
 
 
-class Day:
-    """A node among witnesses, and the clients that ask it."""
+class LoadLimitRun:
+    """A node with workers that log load orders, and the clients that send it requests."""
 
-    def __init__(self, world: World, log: RationLog) -> None:
+    def __init__(self, world: World, order_log: RationLog) -> None:
         self.world = world
         self.loop = world.loop
-        self.log = log
-        self.witnesses = [worker for worker in world.workers if isinstance(worker, Witness)]
-        self._numbers = itertools.count(1)
-        self._clients: list[Client] = []  # all, so that none is closed before the end
-        self._sent = 0
-        self.genuine: list[tuple[str, str]] = []  # request id and function
-        self.asking = True
+        self.order_log = order_log
+        self.workers = [worker for worker in world.workers if isinstance(worker, Witness)]
+        self._request_numbers = itertools.count(1)
+        self._clients: list[Client] = []  # keeps all clients connected until the end
+        self._sent_count = 0
+        self.sent_requests: list[tuple[str, str]] = []  # request id and function
+        self.is_sending = True
 
     def new_id(self) -> str:
-        return f"{next(self._numbers):016x}"
+        return f"{next(self._request_numbers):016x}"
 
     def client(self) -> Client:
         self._clients.append(self.world.client())
         return self._clients[-1]
 
-    def ask(self, method: str = "valuation") -> None:
-        """A genuine request, for a function of its own."""
-        client = self.client() if self._sent % OPEN_AT_ONCE == 0 else self._clients[-1]
-        self._sent += 1
+    def send_request(self, method: str = "valuation") -> None:
+        """Send a request with a new id for a function that no other request uses."""
+        client = self.client() if self._sent_count % MAX_REQUESTS_PER_CLIENT == 0 else self._clients[-1]
+        self._sent_count += 1
         request, function = self.new_id(), self.new_id()
         client.send(function, method, rid=request)
-        self.log.request_written(FRONT_END, self.loop.now())
-        self.genuine.append((request, function))
+        self.order_log.request_written(FRONT_END, self.loop.now())
+        self.sent_requests.append((request, function))
 
-    def ask_on(self, every_us: int) -> None:
-        """Genuine requests, each for a function of its own, until `asking` ends."""
+    def send_requests_every(self, interval_us: int) -> None:
+        """Send requests at an interval until `stop_traffic` is called."""
 
-        def go_on() -> None:
-            while self.asking:
-                self.ask()
-                self.loop.sleep(every_us)
+        def send_requests() -> None:
+            while self.is_sending:
+                self.send_request()
+                self.loop.sleep(interval_us)
 
-        self.loop.spawn(go_on, name="clients")
+        self.loop.spawn(send_requests, name="clients")
 
     def restart(self) -> None:
-        """The node is killed, and another begins under its name and address; clients connect anew."""
-        kill(self.world.node)
+        """Kill the node and start another one with its name and address; clients reconnect."""
+        kill_node(self.world.node)
         self.world.restart()
-        self._sent = 0
+        self._sent_count = 0
 
-    def cut(self) -> None:
-        for witness in self.witnesses:
-            witness.relay.cut()
+    def cut_links(self) -> None:
+        for worker in self.workers:
+            worker.relay.cut()
 
-    def heal(self) -> None:
-        for witness in self.witnesses:
-            witness.relay.heal()
+    def restore_links(self) -> None:
+        for worker in self.workers:
+            worker.relay.heal()
 
-    def read_at_once(self, at_us: int) -> int:
-        """Orders read at that moment: of those that were held back, all."""
-        return sum(at_us <= at <= at_us + 10 * MS for witness in self.witnesses for at in witness.orders)
+    def count_orders_read_at(self, at_us: int) -> int:
+        """Count the orders read at that time, which include all that were held back."""
+        return sum(at_us <= at <= at_us + 10 * MS for worker in self.workers for at in worker.orders)
 
-    def settle(self, time_us: int = SECOND) -> None:
-        """Lets what is on its way arrive."""
-        self.asking = False
-        self.loop.sleep(time_us)
+    def stop_traffic(self, wait_us: int = SECOND) -> None:
+        """Stop sending requests, then wait for the orders in transit."""
+        self.is_sending = False
+        self.loop.sleep(wait_us)
 
 
-def rationed(script: Callable[[Day], None], workers: int = 4, **changes: Any) -> None:
-    """Plays `script`, then holds all that arrived against the ration."""
-    log = RationLog()
+def run_with_load_limit(script: Callable[[LoadLimitRun], None], workers: int = 4, **changes: Any) -> None:
+    """Run a node with a limit on load orders, then check all orders that arrived against it."""
+    order_log = RationLog()
 
-    def whole(world: World) -> None:
-        script(Day(world, log))
+    def start_run(world: World) -> None:
+        script(LoadLimitRun(world, order_log))
 
-    extra: dict[str, Any] = {"FreeLoads": FREE_LOADS, "LoadShare": LOAD_SHARE, "LoadWindow": LOAD_WINDOW}
+    extra: dict[str, Any] = {"FreeLoads": FREE_LOADS, "LoadShare": LOAD_SHARE, "LoadWindow": LOAD_WINDOW_US}
     extra.update(changes.pop("Extra", {}))
-    told_settings = settings(Extra=extra, **changes)
-    play(whole, workers, partial(Witness, log=log), settings=told_settings)
-    ration = Ration.on_sockets(extra["FreeLoads"], extra["LoadShare"], extra["LoadWindow"])
-    breaches = log.breaches(ration)
-    assert not breaches, describe_breaches(breaches)
-
-
-def test_without_faults_the_orders_that_arrive_keep_the_ration() -> None:
-    """Forces nothing: the checker passes a day of steady traffic, and the node does order."""
-
-    def script(day: Day) -> None:
-        day.ask_on(100 * MS)
-        day.loop.sleep(6 * SECOND)
-        day.settle()
-        assert sum(len(witness.orders) for witness in day.witnesses) >= FREE_LOADS
-
-    rationed(script)
-
-
-@pytest.mark.parametrize("leaks", [0, 20], ids=["whole commands held", "their first bytes pass"])
-def test_orders_held_by_a_cut_within_their_time_out_keep_the_ration_as_it_heals(leaks: int) -> None:
-    """Forces (a): a cut of three windows, shorter than the order time-out. The orders decided in each window
-    of the cut arrive in one moment, next to those decided since; or their last bytes do."""
-
-    def script(day: Day) -> None:
-        day.ask_on(100 * MS)
-        day.loop.sleep(2 * SECOND)
-        for witness in day.witnesses:
-            witness.relay.leaks = leaks
-        day.cut()
-        day.loop.sleep(3 * LOAD_WINDOW)
-        healed = day.loop.now()
-        day.heal()
-        day.loop.sleep(SECOND)
-        day.settle()
-        assert day.read_at_once(healed) > 0, "no order was on its way"
-
-    rationed(script, Extra={"OrderLimit": 10 * SECOND})
-
-
-def test_orders_held_by_some_cut_links_keep_the_ration_beside_those_of_the_others() -> None:
-    """Forces (a): two links of four are cut from the start, for five windows. No call goes there, so that no
-    worker looks silent; the share is such that the ration is hardly spent. The others' orders arrive at once,
-    and those of the cut ones with the last of them."""
-
-    def script(day: Day) -> None:
-        for witness in day.witnesses[:2]:
-            witness.relay.cut()
-        day.ask_on(100 * MS)
-        day.loop.sleep(5 * LOAD_WINDOW)
-        healed = day.loop.now()
-        day.heal()
-        day.settle()
-        assert day.read_at_once(healed) > 0, "no order was on its way"
-
-    rationed(script, Extra={"OrderLimit": 20 * SECOND, "LoadShare": 1.0})
-
-
-def test_orders_that_take_any_time_up_to_some_windows_keep_the_ration() -> None:
-    """Forces (a) without a cut: each order is on its way for another time, so that late ones meet early
-    ones."""
-    times = random.Random(39)
-
-    def script(day: Day) -> None:
-        for witness in day.witnesses:
-            witness.relay.delay = lambda: times.randrange(2 * LOAD_WINDOW)
-        day.ask_on(50 * MS)
-        day.loop.sleep(6 * LOAD_WINDOW)
-        day.settle(3 * LOAD_WINDOW)
-
-    rationed(script, Extra={"OrderLimit": 20 * SECOND})
-
-
-@pytest.mark.parametrize("keeps", [True, False], ids=["kept after reset", "lost by reset"])
-def test_orders_that_timed_out_during_a_cut_keep_the_ration_as_they_arrive_after_all(keeps: bool) -> None:
-    """Forces (b): a cut longer than the order time-out and a window. The node has given the orders up and
-    ended their connections; what the link holds arrives all the same. After a reset the link delivers it too,
-    as a worker's kernel does, or drops it."""
-
-    def script(day: Day) -> None:
-        for witness in day.witnesses:
-            witness.relay.keeps_after_reset = keeps
-        day.ask_on(100 * MS)
-        day.loop.sleep(2 * SECOND)
-        day.cut()
-        day.loop.sleep(SECOND + 2 * LOAD_WINDOW + SECOND)
-        healed = day.loop.now()
-        day.heal()
-        day.loop.sleep(SECOND)
-        day.settle()
-        assert not keeps or day.read_at_once(healed) > 0, "no order was on its way"
-
-    rationed(script, Extra={"OrderLimit": SECOND})
+    node_settings = settings(Extra=extra, **changes)
+    play(start_run, workers, partial(Witness, log=order_log), settings=node_settings)
+    limit = Ration.on_sockets(extra["FreeLoads"], extra["LoadShare"], extra["LoadWindow"])
+    violations = order_log.breaches(limit)
+    assert not violations, describe_breaches(violations)
+
+
+def test_load_orders_stay_within_the_limit_without_faults() -> None:
+    """Under steady traffic the node sends load orders, and the checker accepts them."""
+
+    def script(run: LoadLimitRun) -> None:
+        run.send_requests_every(100 * MS)
+        run.loop.sleep(6 * SECOND)
+        run.stop_traffic()
+        assert sum(len(worker.orders) for worker in run.workers) >= FREE_LOADS
+
+    run_with_load_limit(script)
+
+
+@pytest.mark.parametrize("leaked_bytes", [0, 20], ids=["whole commands held", "their first bytes pass"])
+def test_orders_delayed_by_a_cut_shorter_than_their_timeout_stay_within_the_limit(leaked_bytes: int) -> None:
+    """A cut lasts three windows, less than the order timeout.
+
+    The orders decided in each window of the cut, or their last bytes, arrive together with newer orders.
+    """
+
+    def script(run: LoadLimitRun) -> None:
+        run.send_requests_every(100 * MS)
+        run.loop.sleep(2 * SECOND)
+        for worker in run.workers:
+            worker.relay.leaks = leaked_bytes
+        run.cut_links()
+        run.loop.sleep(3 * LOAD_WINDOW_US)
+        restored_at_us = run.loop.now()
+        run.restore_links()
+        run.loop.sleep(SECOND)
+        run.stop_traffic()
+        assert run.count_orders_read_at(restored_at_us) > 0, "no order was in transit"
+
+    run_with_load_limit(script, Extra={"OrderLimit": 10 * SECOND})
+
+
+def test_orders_delayed_on_some_links_stay_within_the_limit_with_all_others() -> None:
+    """Of four links, two are cut from the start, for five windows.
+
+    They carry no calls, so no worker looks unresponsive, and the load share leaves most of the limit unused.
+    Orders on the other links arrive at once; those on the cut links arrive with the last of them.
+    """
+
+    def script(run: LoadLimitRun) -> None:
+        for worker in run.workers[:2]:
+            worker.relay.cut()
+        run.send_requests_every(100 * MS)
+        run.loop.sleep(5 * LOAD_WINDOW_US)
+        restored_at_us = run.loop.now()
+        run.restore_links()
+        run.stop_traffic()
+        assert run.count_orders_read_at(restored_at_us) > 0, "no order was in transit"
+
+    run_with_load_limit(script, Extra={"OrderLimit": 20 * SECOND, "LoadShare": 1.0})
+
+
+def test_orders_with_random_delays_stay_within_the_limit() -> None:
+    """Each order is delayed by a different time, so that late orders arrive together with early ones."""
+    delays = random.Random(39)
+
+    def script(run: LoadLimitRun) -> None:
+        for worker in run.workers:
+            worker.relay.delay = lambda: delays.randrange(2 * LOAD_WINDOW_US)
+        run.send_requests_every(50 * MS)
+        run.loop.sleep(6 * LOAD_WINDOW_US)
+        run.stop_traffic(3 * LOAD_WINDOW_US)
+
+    run_with_load_limit(script, Extra={"OrderLimit": 20 * SECOND})
+
+
+@pytest.mark.parametrize("delivers_after_reset", [True, False], ids=["kept after reset", "lost by reset"])
+def test_timed_out_orders_that_arrive_after_a_cut_stay_within_the_limit(delivers_after_reset: bool) -> None:
+    """A cut lasts longer than the order timeout plus a window.
+
+    The node has abandoned the orders and closed their connections, but the link still delivers what it holds.
+    After a reset it either delivers that too, as a worker's kernel does, or drops it.
+    """
+
+    def script(run: LoadLimitRun) -> None:
+        for worker in run.workers:
+            worker.relay.keeps_after_reset = delivers_after_reset
+        run.send_requests_every(100 * MS)
+        run.loop.sleep(2 * SECOND)
+        run.cut_links()
+        run.loop.sleep(SECOND + 2 * LOAD_WINDOW_US + SECOND)
+        restored_at_us = run.loop.now()
+        run.restore_links()
+        run.loop.sleep(SECOND)
+        run.stop_traffic()
+        assert not delivers_after_reset or run.count_orders_read_at(restored_at_us) > 0, (
+            "no order was in transit"
+        )
+
+    run_with_load_limit(script, Extra={"OrderLimit": SECOND})
 
 
 @pytest.mark.parametrize("order_limit", [SECOND, 10 * SECOND], ids=["orders time out", "orders wait"])
-def test_orders_that_a_stopped_worker_reads_late_keep_the_ration(order_limit: int) -> None:
-    """Forces (c): the workers' processes stop. Orders wait in their kernels, beyond the reach of the node,
-    and are read in one go."""
-
-    def script(day: Day) -> None:
-        day.ask_on(100 * MS)
-        day.loop.sleep(2 * SECOND)
-        for witness in day.witnesses:
-            witness.reads.shut()
-        day.loop.sleep(3 * LOAD_WINDOW)
-        woken = day.loop.now()
-        for witness in day.witnesses:
-            witness.reads.open()
-        day.loop.sleep(SECOND)
-        day.settle()
-        assert day.read_at_once(woken) > 0, "no order was on its way"
-
-    rationed(script, Extra={"OrderLimit": order_limit})
-
-
-def send_copies(day: Day) -> None:
-    """On new connections, with ids from 1 up: only the id and the workers' answer tell them from genuine
-    ones."""
-    for number in range(USELESS_REQUESTS):
-        if number % OPEN_AT_ONCE == 0:
-            client = day.client()
-        request, function = day.genuine[0]
-        client.send(function, SINGLE_SHOT, rid=request)
-        day.loop.sleep(2 * MS)
-
-
-def take_back(day: Day) -> None:
-    """Each is answered within the same millisecond, or isn't; its client takes it back at once."""
-    client = day.client()
-    for _ in range(USELESS_REQUESTS):
-        number = client.send(day.genuine[0][1], rid=day.new_id())
-        client.raw(msgpack.packb([2, "interrupt", [number]]))
-        day.loop.sleep(2 * MS)
-
-
-def leave_at_once(day: Day) -> None:
-    for _ in range(USELESS_REQUESTS):
-        client = day.world.client()
-        client.send(day.genuine[0][1], rid=day.new_id())
+def test_orders_read_late_by_stopped_workers_stay_within_the_limit(order_limit: int) -> None:
+    """The worker processes stop, and read all waiting orders at once when they resume.
+
+    The orders wait in the workers' kernels, where the node can't withdraw them.
+    """
+
+    def script(run: LoadLimitRun) -> None:
+        run.send_requests_every(100 * MS)
+        run.loop.sleep(2 * SECOND)
+        for worker in run.workers:
+            worker.reads.shut()
+        run.loop.sleep(3 * LOAD_WINDOW_US)
+        resumed_at_us = run.loop.now()
+        for worker in run.workers:
+            worker.reads.open()
+        run.loop.sleep(SECOND)
+        run.stop_traffic()
+        assert run.count_orders_read_at(resumed_at_us) > 0, "no order was in transit"
+
+    run_with_load_limit(script, Extra={"OrderLimit": order_limit})
+
+
+def send_duplicates(run: LoadLimitRun) -> None:
+    """Repeat a request on new connections, with message ids from 1.
+
+    Only the request id and the workers' answers tell the copies from new requests.
+    """
+    for number in range(UNCOUNTED_REQUESTS):
+        if number % MAX_REQUESTS_PER_CLIENT == 0:
+            client = run.client()
+        request, function = run.sent_requests[0]
+        client.send(function, UNRETRIED_CLASS, rid=request)
+        run.loop.sleep(2 * MS)
+
+
+def interrupt_at_once(run: LoadLimitRun) -> None:
+    """Interrupt each request at once, when it may or may not have been answered in the same millisecond."""
+    client = run.client()
+    for _ in range(UNCOUNTED_REQUESTS):
+        message_id = client.send(run.sent_requests[0][1], rid=run.new_id())
+        client.raw(msgpack.packb([2, "interrupt", [message_id]]))
+        run.loop.sleep(2 * MS)
+
+
+def disconnect_at_once(run: LoadLimitRun) -> None:
+    for _ in range(UNCOUNTED_REQUESTS):
+        client = run.world.client()
+        client.send(run.sent_requests[0][1], rid=run.new_id())
         client.stream.close()
-        day.loop.sleep(2 * MS)
+        run.loop.sleep(2 * MS)
 
 
-@pytest.mark.parametrize("burst", [send_copies, take_back, leave_at_once])
-def test_requests_that_are_of_no_use_give_no_ground_for_orders(burst: Callable[[Day], None]) -> None:
-    """Forces (d): hundreds of copied requests, or of requests whose clients leave at once, then a crowd of
-    genuine ones that each want a load."""
+@pytest.mark.parametrize("send_uncounted", [send_duplicates, interrupt_at_once, disconnect_at_once])
+def test_duplicate_and_abandoned_requests_do_not_raise_the_limit(
+    send_uncounted: Callable[[LoadLimitRun], None],
+) -> None:
+    """Hundreds of duplicate or abandoned requests precede a burst of requests that each need a load."""
 
-    def script(day: Day) -> None:
-        day.ask(SINGLE_SHOT)
-        day.loop.sleep(LOAD_WINDOW + SECOND)
-        burst(day)
+    def script(run: LoadLimitRun) -> None:
+        run.send_request(UNRETRIED_CLASS)
+        run.loop.sleep(LOAD_WINDOW_US + SECOND)
+        send_uncounted(run)
         for _ in range(30):
-            day.ask()
-            day.loop.sleep(10 * MS)
-        day.settle()
+            run.send_request()
+            run.loop.sleep(10 * MS)
+        run.stop_traffic()
 
-    rationed(script, workers=8)
+    run_with_load_limit(script, workers=8)
 
 
-@pytest.mark.parametrize("late", [False, True], ids=["at once", "held by the link"])
-def test_a_new_life_keeps_the_ration_beside_the_orders_of_the_former(late: bool) -> None:
-    """Forces (e): the former life spends its free loads and is killed; the next one under its name and
-    address begins at once into a crowd. `late`: the former's orders are still on their way and arrive beside
-    its own."""
+@pytest.mark.parametrize("orders_in_transit", [False, True], ids=["at once", "held by the link"])
+def test_restarted_node_stays_within_the_limit_with_its_predecessor(orders_in_transit: bool) -> None:
+    """A node uses up its free loads and is killed; its successor starts at once under a burst of requests.
 
-    def script(day: Day) -> None:
-        if late:
-            day.cut()
+    The successor has the same name and address. With `orders_in_transit`, the orders of the first node are
+    still on the link and arrive together with those of the successor.
+    """
+
+    def script(run: LoadLimitRun) -> None:
+        if orders_in_transit:
+            run.cut_links()
         for _ in range(FREE_LOADS + 2):
-            day.ask()
-        day.loop.sleep(100 * MS)
-        day.restart()
-        day.heal()
+            run.send_request()
+        run.loop.sleep(100 * MS)
+        run.restart()
+        run.restore_links()
         for _ in range(FREE_LOADS + 2):
-            day.ask()
-        day.settle()
+            run.send_request()
+        run.stop_traffic()
 
-    rationed(script)
+    run_with_load_limit(script)
 
 
-def test_several_short_lives_keep_the_ration_together() -> None:
-    """Forces (e) again: a node that is killed as soon as it has ordered, four times within a window."""
+def test_quickly_restarted_nodes_stay_within_the_limit_together() -> None:
+    """Within a window, four incarnations of a node are each killed as soon as they have sent orders."""
 
-    def script(day: Day) -> None:
-        for life in range(4):
-            if life:
-                day.restart()
+    def script(run: LoadLimitRun) -> None:
+        for incarnation in range(4):
+            if incarnation:
+                run.restart()
             for _ in range(FREE_LOADS):
-                day.ask()
-            day.loop.sleep(200 * MS)
-        day.settle()
+                run.send_request()
+            run.loop.sleep(200 * MS)
+        run.stop_traffic()
 
-    rationed(script)
+    run_with_load_limit(script)
 
 
 @pytest.mark.parametrize("order_limit", [SECOND, 10 * SECOND], ids=["orders time out", "orders wait"])
-def test_orders_that_arrive_after_the_traffic_has_stopped_keep_the_ration(order_limit: int) -> None:
-    """Forces (f): a crowd of requests gives ground for orders that the link holds; as they arrive, the
-    requests are older than a window, and none have come since."""
-
-    def script(day: Day) -> None:
-        day.ask(SINGLE_SHOT)
-        day.loop.sleep(LOAD_WINDOW + SECOND)  # no order of a former life can count any more
-        day.cut()
+def test_orders_that_arrive_after_the_traffic_stops_stay_within_the_limit(order_limit: int) -> None:
+    """A burst of requests allows load orders that the link then holds back.
+
+    When the orders arrive, the requests are older than a window and no new ones have come.
+    """
+
+    def script(run: LoadLimitRun) -> None:
+        run.send_request(UNRETRIED_CLASS)
+        run.loop.sleep(LOAD_WINDOW_US + SECOND)  # orders of an earlier incarnation no longer count
+        run.cut_links()
         for _ in range(60):
-            day.ask()
-            day.loop.sleep(20 * MS)
-        day.loop.sleep(LOAD_WINDOW + SECOND)
-        healed = day.loop.now()
-        day.heal()
-        day.settle()
-        assert day.read_at_once(healed) > 0, "no order was on its way"
+            run.send_request()
+            run.loop.sleep(20 * MS)
+        run.loop.sleep(LOAD_WINDOW_US + SECOND)
+        restored_at_us = run.loop.now()
+        run.restore_links()
+        run.stop_traffic()
+        assert run.count_orders_read_at(restored_at_us) > 0, "no order was in transit"
 
-    rationed(script, Extra={"OrderLimit": order_limit})
+    run_with_load_limit(script, Extra={"OrderLimit": order_limit})
 
 
-def test_orders_that_wait_for_late_connections_keep_the_ration(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Forces (g): each connection to a worker comes up only after up to a second."""
-    dialled, delays = WorkerConnection._on_connect_result, random.Random(39)
+def test_orders_that_wait_for_slow_connects_stay_within_the_limit(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each connect to a worker takes up to a second."""
+    on_connect_result, delays = WorkerConnection._on_connect_result, random.Random(39)
 
-    def come_up_late(connection: WorkerConnection) -> None:
-        connection._loop.call_later(delays.randrange(SECOND), partial(dialled, connection))
+    def delay_connect_result(connection: WorkerConnection) -> None:
+        connection._loop.call_later(delays.randrange(SECOND), partial(on_connect_result, connection))
 
-    monkeypatch.setattr(WorkerConnection, "_on_connect_result", come_up_late)
+    monkeypatch.setattr(WorkerConnection, "_on_connect_result", delay_connect_result)
 
-    def script(day: Day) -> None:
-        day.ask_on(50 * MS)
-        day.loop.sleep(8 * SECOND)
-        day.settle(2 * SECOND)
+    def script(run: LoadLimitRun) -> None:
+        run.send_requests_every(50 * MS)
+        run.loop.sleep(8 * SECOND)
+        run.stop_traffic(2 * SECOND)
 
-    rationed(script, PolicyLimits={"DialTimeout": 1_100 * MS})
+    run_with_load_limit(script, PolicyLimits={"DialTimeout": 1_100 * MS})
--- a/packages/node/tests/test_ration_processes.py
+++ b/packages/node/tests/test_ration_processes.py
@@ -1,8 +1,8 @@
-"""The ration of load orders with whole processes: nodes that are stopped, killed and begun anew, links that
-are cut and heal, clients that keep calling.
+"""The limit on load orders, checked with node processes that are stopped, killed and restarted.
 
-Workers, links and clients live in the test's own process, in real time; the arrivals at the workers are the
-witness.
+Links are cut and restored, and clients keep sending requests.
+Workers, links and clients run in the test process, in real time; the tests check when orders reach the
+workers.
 """
 
 from __future__ import annotations
@@ -21,74 +21,76 @@
 from walnutpost.testsupport.node.ration_checker import Ration, RationLog, describe_breaches
 from walnutpost.testsupport.node.witness import Witness
 
-FREE_LOADS, LOAD_SHARE, LOAD_WINDOW = 4, 0.2, 2 * SECOND
-RATION = Ration.on_sockets(FREE_LOADS, LOAD_SHARE, LOAD_WINDOW)
-ORDER_LIMIT = 3 * SECOND  # shorter than the longest cut, longer than the others
-FRONT_ENDS, WORKERS = 3, 4
-PATIENCE = 30 * SECOND  # until a process listens
-ASK_EVERY = 80 * MS
-OPEN_AT_ONCE = 16  # requests on one connection before the next one is used
-CROWD = 12  # requests at once
-STOPPED_CROWDS = 8  # so many of them while a process stands still
+FREE_LOADS, LOAD_SHARE, LOAD_WINDOW_US = 4, 0.2, 2 * SECOND
+LOAD_LIMIT = Ration.on_sockets(FREE_LOADS, LOAD_SHARE, LOAD_WINDOW_US)
+ORDER_TIMEOUT_US = 3 * SECOND  # shorter than the longest cut, longer than the others
+FRONT_END_COUNT, WORKER_COUNT = 3, 4
+WAIT_TIMEOUT_US = 30 * SECOND  # for a process to listen, or an order to arrive
+REQUEST_INTERVAL_US = 80 * MS
+MAX_REQUESTS_PER_CLIENT = 16  # then a new client connects
+BURST_SIZE = 12  # requests sent at once
+BURSTS_WHILE_STOPPED = 8  # bursts sent while a process is stopped
 NO_NAME_SERVER = "127.0.0.1:9"
-LISTENING = re.compile(r"listening role='node' address=\('127\.0\.0\.1', (\d+)\)")
-EXTRA = {
+LISTENING_LINE = re.compile(r"listening role='node' address=\('127\.0\.0\.1', (\d+)\)")
+EXTRA_SETTINGS = {
     "FreeLoads": FREE_LOADS,
     "LoadShare": LOAD_SHARE,
-    "LoadWindow": LOAD_WINDOW,
-    "OrderLimit": ORDER_LIMIT,
+    "LoadWindow": LOAD_WINDOW_US,
+    "OrderLimit": ORDER_TIMEOUT_US,
 }
 
 
 class FrontEnd:
-    """One node's process, its links to the workers, and its clients."""
+    """A node process, its links to the workers, and its clients."""
 
-    def __init__(self, loop: Loop, number: int, log: RationLog, copies: list[set[str]], folder: Path) -> None:
+    def __init__(
+        self, loop: Loop, number: int, order_log: RationLog, loaded_by_worker: list[set[str]], folder: Path
+    ) -> None:
         self._loop = loop
-        self._log = log
+        self._order_log = order_log
         self._number = number
         self.name = f"n{number}"
         self._folder = folder
         self._port = 0
-        self._lives = 0
+        self._incarnations = 0
         self._process: subprocess.Popen[bytes] | None = None
         self._client: Client | None = None
-        self._clients: list[Client] = []  # all, so that none is closed before the end
-        self._sent = 0
-        self.witnesses = [Witness(loop, f"s-{n}", log, self.name) for n in range(len(copies))]
-        for witness, loaded in zip(self.witnesses, copies, strict=True):
-            witness.loaded = loaded  # one worker to all front ends
+        self._clients: list[Client] = []  # keeps all clients connected until the end
+        self._sent_count = 0
+        self.workers = [Witness(loop, f"s-{n}", order_log, self.name) for n in range(len(loaded_by_worker))]
+        for worker, loaded in zip(self.workers, loaded_by_worker, strict=True):
+            worker.loaded = loaded  # shared by the fakes of this worker in all front ends
 
-    # The process
+    # Process
 
     def start(self) -> None:
-        """A life under the same name and, but for the first, the same address."""
-        self._lives += 1
+        """Start a process with the same name as the last and, except for the first one, the same address."""
+        self._incarnations += 1
         path = self._folder / f"{self.name}.json"
         path.write_bytes(self._config())
-        said = self._folder / f"{self.name}-{self._lives}.log"
-        with said.open("wb") as out:
+        log_file = self._folder / f"{self.name}-{self._incarnations}.log"
+        with log_file.open("wb") as output:
             self._process = subprocess.Popen(
                 [sys.executable, "-m", "walnutpost.node"],
                 env={**os.environ, "NODE_CONFIG": str(path)},
-                stdout=out,
-                stderr=out,
+                stdout=output,
+                stderr=output,
             )
-        with self._loop.timeout(PATIENCE):
-            while (found := LISTENING.search(said.read_text())) is None:
-                assert self._process.poll() is None, said.read_text()
+        with self._loop.timeout(WAIT_TIMEOUT_US):
+            while (found := LISTENING_LINE.search(log_file.read_text())) is None:
+                assert self._process.poll() is None, log_file.read_text()
                 self._loop.sleep(10 * MS)
         self._port = int(found[1])
 
     def _config(self) -> bytes:
-        topology = {"all": True, "rev": 0, "targets": [witness.target for witness in self.witnesses]}
+        topology = {"all": True, "rev": 0, "targets": [worker.target for worker in self.workers]}
         return config_text(
             name=self.name,
             listen=f"127.0.0.1:{self._port}",
             seed=f"{self._number + 1:x}",
             dns=NO_NAME_SERVER,
             known={"offset": 1, "batch": [{"offset": 1, "topology": topology}]},
-            settings=settings(Extra=EXTRA),
+            settings=settings(Extra=EXTRA_SETTINGS),
         )
 
     def signal(self, number: signal.Signals) -> None:
@@ -102,127 +104,135 @@
             self._process = None
             self._client = None
 
-    # Its links
+    # Links
 
-    def cut(self) -> None:
-        for witness in self.witnesses:
-            witness.relay.cut()
+    def cut_links(self) -> None:
+        for worker in self.workers:
+            worker.relay.cut()
 
-    def heal(self) -> None:
-        for witness in self.witnesses:
-            witness.relay.heal()
+    def restore_links(self) -> None:
+        for worker in self.workers:
+            worker.relay.heal()
 
     @property
-    def orders(self) -> int:
-        return sum(len(witness.orders) for witness in self.witnesses)
+    def order_count(self) -> int:
+        return sum(len(worker.orders) for worker in self.workers)
 
-    def until_more_orders(self, than: int) -> None:
-        """What a healed link held takes a moment to be read."""
-        with self._loop.timeout(PATIENCE):
-            while self.orders <= than:
+    def wait_for_more_orders(self, count: int) -> None:
+        """Wait until the workers have read orders that a restored link had held back."""
+        with self._loop.timeout(WAIT_TIMEOUT_US):
+            while self.order_count <= count:
                 self._loop.sleep(5 * MS)
 
-    # Its clients
+    # Clients
 
-    def ask(self) -> None:
-        """A request for a function of its own. It counts once its last byte is written to a connection that
-        the machine has accepted; while no process listens there is none."""
-        if self._client is None or self._sent % OPEN_AT_ONCE == 0:
+    def send_request(self) -> None:
+        """Send a request for a function that no other request uses.
+
+        The request counts once its last byte is written to a connection that the kernel has accepted. No
+        request is sent while no process listens.
+        """
+        if self._client is None or self._sent_count % MAX_REQUESTS_PER_CLIENT == 0:
             self._client = None
             with suppress(OSError):
                 self._client = Client(self._loop, ("127.0.0.1", self._port))
                 self._clients.append(self._client)
         if self._client is None:
             return
-        self._sent += 1
+        self._sent_count += 1
         try:
             self._client.send(
-                f"{self._number + 1:04x}{self._sent:012x}", rid=f"{self._number + 1:04x}{self._sent:012x}"
+                f"{self._number + 1:04x}{self._sent_count:012x}",
+                rid=f"{self._number + 1:04x}{self._sent_count:012x}",
             )
         except OSError:
             self._client = None
         else:
-            self._log.request_written(self.name, self._loop.now())
-
-    def crowd(self) -> None:
-        for _ in range(CROWD):
-            self.ask()
-
-    def ask_on(self, asking: Callable[[], bool]) -> None:
-        while asking():
-            self.ask()
-            self._loop.sleep(ASK_EVERY)
-
-
-def cut_for_some_windows(loop: Loop, front_end: FrontEnd) -> None:
-    """Orders of three windows, given up or not, arrive together; then those of half a second."""
-    front_end.cut()
-    loop.sleep(3 * LOAD_WINDOW)
-    before = front_end.orders
-    front_end.heal()
-    front_end.until_more_orders(before)
-    front_end.cut()
+            self._order_log.request_written(self.name, self._loop.now())
+
+    def send_burst(self) -> None:
+        for _ in range(BURST_SIZE):
+            self.send_request()
+
+    def send_requests_while(self, condition: Callable[[], bool]) -> None:
+        while condition():
+            self.send_request()
+            self._loop.sleep(REQUEST_INTERVAL_US)
+
+
+def cut_links_for_some_windows(loop: Loop, front_end: FrontEnd) -> None:
+    """Let the orders of three windows, some abandoned, arrive together; then those of half a second."""
+    front_end.cut_links()
+    loop.sleep(3 * LOAD_WINDOW_US)
+    orders_before = front_end.order_count
+    front_end.restore_links()
+    front_end.wait_for_more_orders(orders_before)
+    front_end.cut_links()
     loop.sleep(SECOND // 2)
-    front_end.heal()
+    front_end.restore_links()
 
 
-def stop_before_a_crowd(loop: Loop, front_end: FrontEnd) -> None:
-    """The process reads requests when they are nearly a window old, and its answers late."""
-    for stopped_for in (LOAD_WINDOW - 100 * MS, SECOND):
+def stop_process_during_bursts(loop: Loop, front_end: FrontEnd) -> None:
+    """Make the process read requests that are nearly a window old, and read responses late."""
+    for stopped_us in (LOAD_WINDOW_US - 100 * MS, SECOND):
         front_end.signal(signal.SIGSTOP)
-        for _ in range(STOPPED_CROWDS):
-            front_end.crowd()
-        loop.sleep(stopped_for)
+        for _ in range(BURSTS_WHILE_STOPPED):
+            front_end.send_burst()
+        loop.sleep(stopped_us)
         front_end.signal(signal.SIGCONT)
-        loop.sleep(LOAD_WINDOW)
+        loop.sleep(LOAD_WINDOW_US)
 
 
-def kill_while_orders_are_on_their_way(loop: Loop, front_end: FrontEnd) -> None:
-    """The orders of two former lives arrive beside those of the third."""
-    front_end.cut()
+def kill_process_with_orders_in_transit(loop: Loop, front_end: FrontEnd) -> None:
+    """Let the orders of two earlier incarnations arrive together with those of the third."""
+    front_end.cut_links()
     for _ in range(2):
-        front_end.crowd()
+        front_end.send_burst()
         loop.sleep(300 * MS)
         front_end.kill()
         front_end.start()
-    before = front_end.orders
-    front_end.heal()
-    front_end.crowd()
-    front_end.until_more_orders(before)
-    loop.sleep(LOAD_WINDOW)
+    orders_before = front_end.order_count
+    front_end.restore_links()
+    front_end.send_burst()
+    front_end.wait_for_more_orders(orders_before)
+    loop.sleep(LOAD_WINDOW_US)
 
 
-TROUBLES = (cut_for_some_windows, stop_before_a_crowd, kill_while_orders_are_on_their_way)
+FAULTS = (cut_links_for_some_windows, stop_process_during_bursts, kill_process_with_orders_in_transit)
 
 
-def test_processes_in_trouble_keep_the_ration_each_by_itself(tmp_path: Path) -> None:
-    """Each of three processes has its own kind of trouble, all at the same time."""
+def test_each_faulty_process_stays_within_its_own_limit(tmp_path: Path) -> None:
+    """Each of three processes suffers its own kind of fault, all at the same time."""
     errors: list[BaseException] = []
     loop = Loop(on_error=lambda name, error: errors.append(error))
-    log = RationLog()
+    order_log = RationLog()
     front_ends: list[FrontEnd] = []
 
-    def whole() -> None:
-        copies: list[set[str]] = [set() for _ in range(WORKERS)]
-        front_ends.extend(FrontEnd(loop, n, log, copies, tmp_path) for n in range(FRONT_ENDS))
-        for starting in [loop.spawn(front_end.start) for front_end in front_ends]:
-            starting.join()
-        asking = [True]
+    def run_all() -> None:
+        loaded_by_worker: list[set[str]] = [set() for _ in range(WORKER_COUNT)]
+        front_ends.extend(
+            FrontEnd(loop, n, order_log, loaded_by_worker, tmp_path) for n in range(FRONT_END_COUNT)
+        )
+        for start_task in [loop.spawn(front_end.start) for front_end in front_ends]:
+            start_task.join()
+        is_sending = [True]
         for front_end in front_ends:
-            loop.spawn(front_end.ask_on, lambda: asking[0], name="clients")
+            loop.spawn(front_end.send_requests_while, lambda: is_sending[0], name="clients")
         loop.sleep(SECOND)
-        troubles = [loop.spawn(trouble, loop, it) for trouble, it in zip(TROUBLES, front_ends, strict=True)]
-        for trouble in troubles:
-            trouble.join()
-        asking[0] = False
+        fault_tasks = [
+            loop.spawn(fault, loop, front_end) for fault, front_end in zip(FAULTS, front_ends, strict=True)
+        ]
+        for fault_task in fault_tasks:
+            fault_task.join()
+        is_sending[0] = False
         loop.sleep(SECOND)
 
     try:
-        loop.run(whole)
+        loop.run(run_all)
     finally:
         for front_end in front_ends:
             front_end.kill()
     assert not errors, errors
-    assert all(front_end.orders for front_end in front_ends)
-    breaches = log.breaches(RATION)
-    assert not breaches, describe_breaches(breaches)
+    assert all(front_end.order_count for front_end in front_ends)
+    violations = order_log.breaches(LOAD_LIMIT)
+    assert not violations, describe_breaches(violations)
