--- a/packages/node/tests/test_send_guards.py
+++ b/packages/node/tests/test_send_guards.py
@@ -1,4 +1,4 @@
-"""No byte of a call leaves once its client has left or its decision is out of date."""
+"""No byte of a call is sent once its client has left or the choice of its worker is out of date."""
 
 from __future__ import annotations
 
@@ -35,16 +35,16 @@
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("leave", LEAVE)
-def test_no_attempt_begins_for_a_client_that_left_during_the_connect(
+def test_no_attempt_starts_for_a_client_that_left_during_the_connect(
     monkeypatch: pytest.MonkeyPatch, leave: Callable[[Client], None], cancel: bool
 ) -> None:
-    held = HeldConnections(monkeypatch)
+    delayed = HeldConnections(monkeypatch)
 
     def script(world: World) -> None:
-        client = call_that_waits(world, held)
+        client = call_that_waits(world, delayed)
         leave(client)
         world.until(lambda: not world.node.clients.requests.request_ids)
-        held.come_up()
+        delayed.come_up()
         world.loop.sleep(SECOND)
         assert len(world.workers[0].calls()) == 1
         assert world.node.dispatcher.open_calls == 0
@@ -53,87 +53,87 @@
     play(script, workers=1, settings=settings(PolicyLimits={"Cancel": cancel}))
 
 
-def test_request_answered_during_the_connect_does_not_begin(
+def test_request_rejected_during_the_connect_is_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = HeldConnections(monkeypatch)
+    delayed = HeldConnections(monkeypatch)
 
     def script(world: World) -> None:
-        client = call_that_waits(world, held, budget="100")
+        client = call_that_waits(world, delayed, budget="100")
         assert client.next()[2] == REFUSED
-        held.come_up()
+        delayed.come_up()
         world.loop.sleep(SECOND)
         assert len(world.workers[0].calls()) == 1
 
     play(script, workers=1)
 
 
-@pytest.mark.parametrize(("late_ms", "begins"), [(80, True), (120, False)])
-def test_call_that_waited_past_the_drain_grace_does_not_begin_at_that_worker(
-    monkeypatch: pytest.MonkeyPatch, late_ms: int, begins: bool
+@pytest.mark.parametrize(("connect_delay_ms", "is_sent"), [(80, True), (120, False)])
+def test_call_delayed_past_the_drain_grace_is_not_sent_to_that_worker(
+    monkeypatch: pytest.MonkeyPatch, connect_delay_ms: int, is_sent: bool
 ) -> None:
-    """Its worker may have been told to drain the moment after it was chosen."""
-    held = HeldConnections(monkeypatch)
+    """The worker may have been told to drain right after it was chosen."""
+    delayed = HeldConnections(monkeypatch)
 
     def script(world: World) -> None:
-        client = call_that_waits(world, held, method="reservation")
-        world.loop.sleep(late_ms * MS)
-        held.come_up()
+        client = call_that_waits(world, delayed, method="reservation")
+        world.loop.sleep(connect_delay_ms * MS)
+        delayed.come_up()
         world.loop.sleep(10 * MS)
-        assert len(world.workers[0].calls()) == 1 + begins
-        assert client.next()[2] == (None if begins else REFUSED)
+        assert len(world.workers[0].calls()) == 1 + is_sent
+        assert client.next()[2] == (None if is_sent else REFUSED)
 
     play(script, workers=1, settings=settings(Guarantees={"DrainGrace": 100_000}))
 
 
-def test_call_to_a_gone_worker_does_not_go_to_the_new_one_at_its_address(
+def test_call_to_a_removed_worker_is_not_sent_to_its_successor_at_the_same_address(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = HeldConnections(monkeypatch)
+    delayed = HeldConnections(monkeypatch)
 
     def script(world: World) -> None:
-        client, node = call_that_waits(world, held, method="reservation"), world.node
+        client, node = call_that_waits(world, delayed, method="reservation"), world.node
         successor = {**world.workers[0].target, "uid": "s-new"}
-        told = {"offset": 2, "topology": {"all": True, "targets": [successor]}}
-        node._apply_endpoints(node.directory.apply_known_events({"offset": 2, "batch": [told]}))
-        held.waiting.pop(0)()
+        event = {"offset": 2, "topology": {"all": True, "targets": [successor]}}
+        node._apply_endpoints(node.directory.apply_known_events({"offset": 2, "batch": [event]}))
+        delayed.waiting.pop(0)()
         world.loop.sleep(10 * MS)
         assert len(world.workers[0].calls()) == 1
-        held.come_up()  # the new one's own connection, for the order that the call waits for now
+        delayed.come_up()  # the successor's connection, for the load order that the call now waits for
         assert client.next()[2] is None
         assert len(world.workers[0].calls()) == 2
 
     play(script, workers=1)
 
 
-def test_no_byte_of_a_call_behind_a_full_send_buffer_leaves_after_its_client_left(
+def test_call_queued_behind_a_full_send_buffer_is_not_sent_after_its_client_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The kernel takes part of the first command; the second waits whole, and is taken back."""
+    """The kernel accepts part of the first command; the second is queued whole and is withdrawn."""
 
     def script(world: World) -> None:
         client, other = world.client(), world.client()
         worker = warm(world, client)
         world.node.pool.limits = replace(world.node.pool.limits, max_connections=1)
         (connection,) = world.node.pool._connections[worker.name]
-        send, room = connection.stream.send_now, [20]
+        send_now, capacity = connection.stream.send_now, [20]
 
-        def stuffed(data: bytes) -> bytes:
-            n = min(room[0], len(data))
-            room[0] -= n
-            return (send(data[:n]) if n else b"") + data[n:]
+        def send_throttled(data: bytes) -> bytes:
+            accepted = min(capacity[0], len(data))
+            capacity[0] -= accepted
+            return (send_now(data[:accepted]) if accepted else b"") + data[accepted:]
 
-        blocked: list[Callable[[], object] | None] = []
-        monkeypatch.setattr(connection.stream, "send_now", stuffed)
-        monkeypatch.setattr(connection.stream, "on_writable", blocked.append)
+        writable_callbacks: list[Callable[[], object] | None] = []
+        monkeypatch.setattr(connection.stream, "send_now", send_throttled)
+        monkeypatch.setattr(connection.stream, "on_writable", writable_callbacks.append)
         client.send()
-        other.send()  # read in the same round, so that both are offered to the kernel at once
-        world.until(lambda: not room[0])
+        other.send()  # read in the same loop iteration, so that both are offered to the kernel at once
+        world.until(lambda: not capacity[0])
         assert len(connection._outbox) == 1
         other.stream.close()
         world.until(lambda: len(world.node.clients.requests.request_ids) == 1)
         assert not connection._outbox
-        room[0] = 1 << 20
+        capacity[0] = 1 << 20
         connection._flush()
         assert client.next()[2] is None
         world.loop.sleep(100 * MS)
@@ -143,7 +143,7 @@
     play(script, workers=1)
 
 
-def test_abandoned_call_without_cancel_in_the_settings_is_not_cancelled_at_its_worker() -> None:
+def test_abandoned_call_is_not_cancelled_at_its_worker_if_cancel_is_off() -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
@@ -157,26 +157,28 @@
     play(script, workers=1, settings=settings(PolicyLimits={"Cancel": False}))
 
 
-@pytest.mark.parametrize("end", ["close", "reset", "interrupt"])
-def test_no_attempt_begins_for_a_client_that_left_while_other_work_filled_the_round(end: str) -> None:
+@pytest.mark.parametrize("departure", ["close", "reset", "interrupt"])
+def test_no_attempt_starts_for_a_client_that_left_during_a_long_loop_iteration(departure: str) -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
-        number = client.send(method="reservation")
-        (mine,) = world.node.clients.connections
-        mine.read()  # chosen, to leave at the end of this round
-        if end == "interrupt":
-            client.raw(msgpack.packb([2, "interrupt", [number]]))
+        message_id = client.send(method="reservation")
+        (connection,) = world.node.clients.connections
+        connection.read()  # a worker is chosen; the call is sent at the end of this loop iteration
+        if departure == "interrupt":
+            client.raw(msgpack.packb([2, "interrupt", [message_id]]))
         else:
-            getattr(client.stream, end)()
-        world.loop.clock.advance_to(world.loop.now() + 150 * MS)  # the round's other work
+            getattr(client.stream, departure)()
+        world.loop.clock.advance_to(world.loop.now() + 150 * MS)  # other work of this loop iteration
         world.loop.sleep(SECOND)
         assert len(worker.calls()) == 1
 
     play(script, workers=1)
 
 
-def test_no_further_byte_of_a_call_leaves_after_its_client_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rest_of_a_partly_sent_call_is_not_sent_after_its_client_left(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     def script(world: World) -> None:
         client, other = world.client(), world.client()
         worker = warm(world, client)
@@ -198,33 +200,33 @@
     play(script, workers=1)
 
 
-def test_call_moved_to_another_connection_does_not_begin_once_its_client_has_left(
+def test_call_moved_to_another_connection_is_not_sent_after_its_client_left(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = HeldConnections(monkeypatch)
+    delayed = HeldConnections(monkeypatch)
 
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
         throttle = Throttle(monkeypatch, one_connection(world, worker), PART)
-        held.is_holding = True
+        delayed.is_holding = True
         client.send()
         world.until(lambda: not throttle.room)
         worker.streams[0].reset()
-        world.until(lambda: held.waiting)
+        world.until(lambda: delayed.waiting)
         client.stream.close()
         world.until(lambda: not world.node.clients.requests.request_ids)
-        held.come_up()
+        delayed.come_up()
         world.loop.sleep(SECOND)
         assert len(worker.calls()) == 1
 
     play(script, workers=1)
 
 
-def test_attempt_abandoned_while_its_connection_breaks_is_not_moved(
+def test_attempt_cancelled_while_its_connection_breaks_is_not_moved(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end of the one before it gives it up, as when that was the call's last chance."""
+    """The end of the first attempt cancels the second one, as if the call could no longer succeed."""
 
     def script(world: World) -> None:
         worker = warm(world, world.client())
@@ -238,7 +240,10 @@
         worker.streams[0].reset()
         world.until(lambda: second)
         world.loop.sleep(SECOND)
-        assert [done.outcome for done in first + second] == [Outcome.RESET, Outcome.CANCELLED]
+        assert [result.outcome for result in first + second] == [
+            Outcome.RESET,
+            Outcome.CANCELLED,
+        ]
         assert len(worker.calls()) == sent + 1
 
     play(script, workers=1)
--- a/packages/node/tests/test_worker_connection_close.py
+++ b/packages/node/tests/test_worker_connection_close.py
@@ -1,4 +1,4 @@
-"""When a connection to a worker is closed or reset, and what is not delivered any more then."""
+"""When a connection to a worker is closed or reset, and which bytes are then not delivered."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 )
 
 
-@pytest.mark.parametrize("end", ["close", "reset"])
-def test_idle_connection_with_an_unread_end_carries_no_call(end: str) -> None:
+@pytest.mark.parametrize("close_method", ["close", "reset"])
+def test_idle_connection_with_an_unread_close_carries_no_call(close_method: str) -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
-        client.send(method="reservation")  # the node reads this before it learns of the worker's close
+        client.send(method="reservation")  # the node reads this before it sees that the worker closed
         (connection,) = world.node.clients.connections
-        getattr(worker.streams[0], end)()
+        getattr(worker.streams[0], close_method)()
         connection.read()
         assert client.next() == [1, 2, None, [b"did body 2", {}]]
         assert len(worker.calls()) == 2
@@ -39,7 +39,7 @@
     play(script, workers=1)
 
 
-def test_connection_idle_for_most_of_the_idle_timeout_carries_no_call() -> None:
+def test_connection_near_its_idle_timeout_carries_no_call() -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
@@ -51,24 +51,25 @@
     play(script, workers=1, settings=settings(PolicyLimits={"ConnIdle": 100_000}))
 
 
-def test_kernels_bytes_of_an_abandoned_load_order_are_not_delivered() -> None:
+def test_abandoned_load_order_in_the_kernel_buffer_is_not_delivered() -> None:
     def script(world: World) -> None:
         with slow_reader(world) as (name, listener):
             world.node.pool.limits = replace(world.node.pool.limits, order_timeout_us=ORDER_TIMEOUT_US)
-            told = order(world, name)
+            ended = order(world, name)
             (connection,) = world.node.pool._connections[name]
-            connection._outbox._waiting.appendleft(
-                bytes(64 << 10)
-            )  # fills the reader's side, ahead of the order
-            world.until(lambda: told)
-            assert outcomes(told) == [Outcome.TIMEOUT] and not connection._outbox, "the kernel took it whole"
+            # Fills the worker's receive buffer ahead of the order.
+            connection._outbox._waiting.appendleft(bytes(64 << 10))
+            world.until(lambda: ended)
+            assert outcomes(ended) == [Outcome.TIMEOUT] and not connection._outbox, (
+                "the kernel should have accepted the whole order"
+            )
             assert b"SPAWN" not in received(listener)
 
     play(script)
 
 
-def test_kernels_bytes_are_not_delivered_once_the_process_has_ended() -> None:
-    """A killed process's sockets are closed by the kernel; its successor begins a ration of its own."""
+def test_load_order_in_the_kernel_buffer_is_not_delivered_after_the_process_ends() -> None:
+    """The kernel closes the sockets of a killed process; its successor starts with its own load limit."""
 
     def script(world: World) -> None:
         with slow_reader(world) as (name, listener):
@@ -94,41 +95,41 @@
     play(script, workers=1)
 
 
-def test_connection_ended_by_the_worker_delivers_no_load_order_any_more() -> None:
-    """The worker ends its sending side alone: it could still read what the kernel holds."""
+def test_load_order_is_not_delivered_after_the_worker_closes_its_sending_side() -> None:
+    """The worker closes only its sending side and could still read what the kernel holds."""
 
     def script(world: World) -> None:
         with slow_reader(world) as (name, listener):
-            told = order(world, name)
+            ended = order(world, name)
             (connection,) = world.node.pool._connections[name]
             connection._outbox._waiting.appendleft(bytes(64 << 10))
             world.until(lambda: connection.is_connected and not connection._outbox)
             sock, _ = listener.accept()
             sock.shutdown(socket.SHUT_WR)
-            world.until(lambda: told)
+            world.until(lambda: ended)
             data = b""
             with sock, suppress(ConnectionResetError):
                 while more := sock.recv(PLENTY):
                     data += more
-            assert outcomes(told) == [Outcome.RESET]
+            assert outcomes(ended) == [Outcome.RESET]
             assert b"SPAWN" not in data
 
     play(script)
 
 
-def test_connection_with_an_abandoned_load_order_takes_nothing_new_and_ends_by_a_reset() -> None:
-    """Also where the worker has spoken since, and without taking the answer of a call beside it."""
+def test_connection_with_an_abandoned_load_order_is_not_reused_and_ends_by_reset() -> None:
+    """This holds even if the worker has sent data since, and a concurrent call still gets its response."""
 
     def script(world: World) -> None:
         client, other = world.client(), world.client()
         worker = warm(world, client)
         connection = one_connection(world, worker)
         call = call_without_answer(world, worker, client)
-        told = order(world, worker.name)
+        ended = order(world, worker.name)
         world.until(lambda: spawns(worker))
         worker.streams[0].send_all(reply(b"0" * 16, b"OK"))
-        world.until(lambda: told)
-        assert outcomes(told) == [Outcome.TIMEOUT]
+        world.until(lambda: ended)
+        assert outcomes(ended) == [Outcome.TIMEOUT]
         assert not connection.is_closed
         world.node.pool.limits = replace(world.node.pool.limits, max_connections=2)
         worker.answer = Worker.good
@@ -143,25 +144,25 @@
     play(script, workers=1)
 
 
-def test_kernels_bytes_of_an_abandoned_call_are_not_delivered() -> None:
+def test_abandoned_call_in_the_kernel_buffer_is_not_delivered() -> None:
     def script(world: World) -> None:
         with slow_reader(world) as (name, listener):
-            slow = world.workers[0]
-            slow.name = name
-            told = attempt(world, slow, 300 * MS, 300 * MS)
+            worker = world.workers[0]
+            worker.name = name
+            ended = attempt(world, worker, 300 * MS, 300 * MS)
             (connection,) = world.node.pool._connections[name]
             connection._outbox._waiting.appendleft(bytes(64 << 10))
             world.until(lambda: connection.is_connected and not connection._outbox)
             world.loop.sleep(10 * MS)
             world.node.workers.cancel(1_000_000, 0)
-            world.until(lambda: told)
-            assert [done.outcome for done in told] == [Outcome.CANCELLED]
+            world.until(lambda: ended)
+            assert [result.outcome for result in ended] == [Outcome.CANCELLED]
             assert b"FN" not in received(listener)
 
     play(script)
 
 
-def test_connection_closed_while_idle_costs_no_call() -> None:
+def test_reset_of_an_idle_connection_fails_no_call() -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
@@ -173,15 +174,15 @@
     play(script, workers=1)
 
 
-def test_connection_carries_no_more_than_its_streams() -> None:
+def test_connection_carries_at_most_its_limit_of_calls() -> None:
     def script(world: World) -> None:
         client, other = world.client(), world.client()
         worker = warm(world, client)
         world.node.pool.limits = replace(world.node.pool.limits, max_connections=1, max_streams=4)
         worker.answer = lambda words: None
-        for asking in (client, other):
+        for sender in (client, other):
             for _ in range(5):
-                asking.send()
+                sender.send()
         world.until(lambda: len(worker.calls()) == 11)
         assert len(worker.streams) == 3
 
--- a/packages/node/tests/test_worker_responses.py
+++ b/packages/node/tests/test_worker_responses.py
@@ -1,4 +1,4 @@
-"""Responses of workers: partial, malformed, duplicate, late; no other request gets or loses one."""
+"""Partial, malformed, duplicate and late responses of workers leave other requests unaffected."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
         worker = warm(world, client)
         (connection,) = world.node.pool._connections[worker.name]
         client.send(method="reservation")
-        (mine,) = world.node.clients.connections
-        mine.read()  # chosen, to leave at the end of this round
+        (node_side,) = world.node.clients.connections
+        node_side.read()  # a worker is chosen; the call is sent at the end of this loop iteration
         world.node.pool.on_malformed_response(connection)
         assert client.next()[2] is None
         assert len(worker.calls()) == 2
@@ -27,7 +27,7 @@
     play(script, workers=1)
 
 
-def test_partial_response_to_an_abandoned_call_corrupts_no_later_call() -> None:
+def test_partial_response_to_an_abandoned_call_does_not_corrupt_a_later_call() -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
@@ -41,7 +41,7 @@
     play(script, workers=1)
 
 
-def test_partial_response_to_an_abandoned_call_beside_another_corrupts_no_later_call() -> None:
+def test_partial_response_on_a_shared_connection_does_not_corrupt_a_later_call() -> None:
     def script(world: World) -> None:
         first, second, third = world.client(), world.client(), world.client()
         worker = warm(world, first)
@@ -59,7 +59,7 @@
     play(script, workers=1)
 
 
-def test_partial_response_behind_a_complete_one_corrupts_no_later_call() -> None:
+def test_partial_response_after_a_complete_one_does_not_corrupt_a_later_call() -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
@@ -73,26 +73,26 @@
     play(script, workers=1)
 
 
-def test_connection_with_a_partial_response_is_shared_last() -> None:
+def test_connection_with_a_partial_response_is_chosen_last() -> None:
     def script(world: World) -> None:
         first, second, third = world.client(), world.client(), world.client()
         worker = warm(world, first)
         world.node.pool.limits = replace(world.node.pool.limits, max_connections=2)
-        one = call_without_answer(world, worker, first)
-        two = call_without_answer(world, worker, second)
+        first_call = call_without_answer(world, worker, first)
+        second_call = call_without_answer(world, worker, second)
         assert len(worker.streams) == 2
-        worker.streams[0].send_all(reply(one[1], b"OK")[:20])
+        worker.streams[0].send_all(reply(first_call[1], b"OK")[:20])
         world.loop.sleep(10 * MS)
         worker.answer = Worker.good
         third.send(method="reservation")
-        assert third.next()[2] is None, "taken for the rest of the half"
-        worker.streams[1].send_all(reply(two[1], b"OK"))
+        assert third.next()[2] is None, "the response was read as the rest of a partial one"
+        worker.streams[1].send_all(reply(second_call[1], b"OK"))
         assert second.next()[2] is None
 
     play(script, workers=1)
 
 
-def test_response_received_before_the_connection_broke_counts(
+def test_response_received_before_the_connection_breaks_is_delivered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def script(world: World) -> None:
@@ -100,12 +100,12 @@
         worker = warm(world, client)
         connection = one_connection(world, worker)
         call = call_without_answer(world, worker, client)
-        worker.streams[0].send_all(reply(call[1], b"OK", b"-", b"mine"))  # here, and not read yet
+        worker.streams[0].send_all(reply(call[1], b"OK", b"-", b"mine"))  # arrived but not read yet
 
-        def broken(data: bytes) -> bytes:
+        def raise_reset(data: bytes) -> bytes:
             raise ConnectionResetError
 
-        monkeypatch.setattr(connection.stream, "send_now", broken)
+        monkeypatch.setattr(connection.stream, "send_now", raise_reset)
         connection.send_one_way(b"*1\r\n$4\r\nNOOP\r\n")
         connection._flush()
         assert client.next()[2:] == [None, [b"mine", {}]]
@@ -113,15 +113,15 @@
     play(script, workers=1)
 
 
-def test_request_under_an_abandoned_id_gets_no_late_response_of_the_former() -> None:
+def test_reused_request_id_does_not_get_the_response_of_an_abandoned_request() -> None:
     def script(world: World) -> None:
         client, other = world.client(), world.client()
         worker = warm(world, client)
         world.until(lambda: len(world.node.clients.connections) == 2)
         worker.answer = silent
-        number = client.send(rid="00000000000000aa")
+        message_id = client.send(rid="00000000000000aa")
         world.until(lambda: len(worker.calls()) == 2)
-        client.raw(msgpack.packb([2, "interrupt", [number]]))
+        client.raw(msgpack.packb([2, "interrupt", [message_id]]))
         world.until(lambda: not world.node.clients.requests.request_ids)
         other.send(rid="00000000000000aa")
         world.until(lambda: len(worker.calls()) == 3)
@@ -135,28 +135,28 @@
 
 
 @pytest.mark.parametrize("malformed", [b"noise\r\n", b"*4\r\n$2\r\nID\r\n$3000000000\r\n", b""])
-@pytest.mark.parametrize(("method", "again"), [("valuation", True), ("reservation", False)])
-def test_call_after_a_malformed_or_broken_response_runs_again_only_if_idempotent(
-    malformed: bytes, method: str, again: bool
+@pytest.mark.parametrize(("method", "is_retried"), [("valuation", True), ("reservation", False)])
+def test_call_is_retried_after_a_malformed_response_or_reset_only_if_idempotent(
+    malformed: bytes, method: str, is_retried: bool
 ) -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
         worker.answer = after(malformed)
-        number = client.send(method=method)
+        message_id = client.send(method=method)
         answer = client.next()
-        ran = [words for w in world.workers for words in w.calls() if words[3] == b"body 2"]
-        if again:
-            assert answer == [1, number, None, [b"did body 2", {}]]
-            assert len(ran) == 2
+        executions = [words for worker in world.workers for words in worker.calls() if words[3] == b"body 2"]
+        if is_retried:
+            assert answer == [1, message_id, None, [b"did body 2", {}]]
+            assert len(executions) == 2
         else:
-            assert answer == [1, number, FAILED, None]
-            assert len(ran) == 1
+            assert answer == [1, message_id, FAILED, None]
+            assert len(executions) == 1
 
     play(script)
 
 
-def test_worker_that_sends_a_malformed_response_does_not_count_as_dead() -> None:
+def test_worker_that_sends_a_malformed_response_is_not_set_aside() -> None:
     def script(world: World) -> None:
         client = world.client()
         warm(world, client).answer = after(b"noise\r\n")
@@ -169,15 +169,15 @@
     play(script, workers=1)
 
 
-def test_duplicate_and_unrequested_responses_change_nothing() -> None:
+def test_duplicate_and_unrequested_responses_are_ignored() -> None:
     def script(world: World) -> None:
         client = world.client()
         worker = warm(world, client)
-        extra = reply(b"0" * 16, b"OK", b"-", b"somebody's")
-        good = reply(b"ID", b"OK", b"-", b"mine").replace(b"$2\r\nID", b"$16\r\nID")
-        worker.answer = after(extra + good + good)
+        unrequested = reply(b"0" * 16, b"OK", b"-", b"somebody's")
+        valid = reply(b"ID", b"OK", b"-", b"mine").replace(b"$2\r\nID", b"$16\r\nID")
+        worker.answer = after(unrequested + valid + valid)
         for _ in range(2):
-            number = client.send()
-            assert client.next()[1:3] == [number, None]
+            message_id = client.send()
+            assert client.next()[1:3] == [message_id, None]
 
     play(script, workers=1)
