--- a/packages/node/src/walnutpost/node/__init__.py
+++ b/packages/node/src/walnutpost/node/__init__.py
@@ -1,5 +1,5 @@
-"""The platform's front end: its protocols towards clients, workers and the name server, round the gateway.
+"""The platform's front end: the gateway with its protocols to clients, workers and the name server.
 
-Decisions on load and health are the policy's. What is decided here concerns the node's own resources alone:
-memory, descriptors, connections, sizes of messages.
+The policy makes all decisions on load and health. This package only manages the node's own resources: memory,
+file descriptors, connections and message sizes.
 """
--- a/packages/node/src/walnutpost/node/__main__.py
+++ b/packages/node/src/walnutpost/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m walnutpost.node`: one front end, configured by `NODE_CONFIG`."""
+"""`python -m walnutpost.node`: runs one front end, configured by the file that `NODE_CONFIG` names."""
 
 import os
 import sys
@@ -9,6 +9,5 @@
     code = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(
-        code
-    )  # a regular exit of the interpreter takes 50 to 90 ms of the last 100 before SIGKILL may come
+    # A regular interpreter exit takes 50 to 90 ms, of the 100 ms that are left before a possible SIGKILL.
+    os._exit(code)
--- a/packages/node/src/walnutpost/node/client_context.py
+++ b/packages/node/src/walnutpost/node/client_context.py
@@ -1,4 +1,4 @@
-"""What all client connections of a node share."""
+"""State that all client connections of a node share."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.node.open_requests import OpenRequests
 
-MAX_OPEN_REQUESTS = 32  # on one connection
+MAX_OPEN_REQUESTS = 32  # on one client connection
 
 
 class ClientContext(Protocol):
-    """The listener's side as one connection sees it."""
+    """What one client connection needs from `Clients`, which owns all of them."""
 
     loop: Loop
     dispatcher: Dispatcher
@@ -21,7 +21,7 @@
     class_deadlines_us: dict[str, int]
     tenants: tuple[str, ...]
     requests: OpenRequests
-    is_shutting_down: bool  # serves on, but is not ready for more
+    is_shutting_down: bool  # still accepts requests, but reports that it is not ready for more
     is_draining: bool  # accepts no new requests
     invalid_requests: int
-    malformed_connections: int  # whose bytes were no message
+    malformed_connections: int  # connections on which unreadable bytes arrived
--- a/packages/node/src/walnutpost/node/config.py
+++ b/packages/node/src/walnutpost/node/config.py
@@ -1,4 +1,4 @@
-"""`NODE_CONFIG` to checked values (DEPLOY, "What a front end is told")."""
+"""Parses and validates the configuration file of a node (DEPLOY, "What a front end is told")."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
 
 
 class ConfigError(NodeError):
-    """The configuration lacks or misstates something; the text names the place."""
+    """A missing or invalid value in the configuration; the message names the key."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The checked configuration.
+    """The validated configuration.
 
-    `known_events` are the name server's events up to the start, as they came; `max_descriptors` is what the
-    process may have open; `max_streams` calls may be open at once on one connection to a worker.
+    `known_events` are the name server's events up to the start, not parsed yet. `max_descriptors` is the
+    limit on open file descriptors of the process. `max_streams` is the limit on concurrent calls on one
+    connection to a worker.
     """
 
     listen: Address
@@ -44,23 +45,23 @@
 
 
 def parse_config(text: bytes) -> Config:
-    """Check the configuration. Raises ConfigError."""
+    """Parse and validate the configuration. Raises ConfigError."""
     root = _parse_object(text)
     try:
         return _parse_values(root)
     except SettingsError as error:
         raise ConfigError(str(error)) from error
     except (TypeError, AttributeError, KeyError, OverflowError) as error:
-        raise ConfigError(f"the configuration: {type(error).__name__}: {error}") from error
+        raise ConfigError(f"the configuration is invalid: {type(error).__name__}: {error}") from error
     except ValueError as error:
-        raise ConfigError(f"seed: found {root.get('seed')!r}, wanted hex digits") from error
+        raise ConfigError(f"seed: found {root.get('seed')!r}, expected hex digits") from error
 
 
 def parse_address(text: object, key: str) -> Address:
-    """Parse HOST:PORT. Raises ConfigError, which names `key`."""
+    """Parse HOST:PORT. Raises a ConfigError that names `key`."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
-        raise ConfigError(f"{key}: found {text!r}, wanted HOST:PORT")
+        raise ConfigError(f"{key}: found {text!r}, expected HOST:PORT")
     return host, int(port)
 
 
@@ -70,7 +71,7 @@
     except ValueError as error:
         raise ConfigError(f"the configuration is not JSON: {error}") from error
     if not isinstance(root, dict):
-        raise ConfigError("the configuration: wanted an object")
+        raise ConfigError("the configuration is not a JSON object")
     for key in REQUIRED_KEYS:
         if not root.get(key):
             raise ConfigError(f"{key}: missing")
--- a/packages/node/src/walnutpost/node/directory.py
+++ b/packages/node/src/walnutpost/node/directory.py
@@ -1,7 +1,8 @@
-"""The list of workers, out of the name server's responses and the `known` events (PROTOCOL).
+"""The list of workers, from the name server's responses and the `known` events (PROTOCOL).
 
-No I/O: `Directory` makes queries and reads what comes back; `discovery.py` sends and receives them. The list
-only moves forward: a response replaces it if it is complete, asked for, and not older.
+No I/O: `Directory` encodes queries and parses responses; `discovery.py` sends and receives them. The list
+never goes back to an older version: a response replaces it only if it is complete, answers an open query, and
+is not older than the current list.
 """
 
 from __future__ import annotations
@@ -24,38 +25,42 @@
 
 SERVICE = "_api._tcp.svc.local."
 QUESTION = dns.name.from_text(SERVICE), dns.rdatatype.SRV, dns.rdataclass.IN
-MAX_OPEN_QUERIES = 8  # a response to an older one is ignored
-HEADER_BYTES = 12
-STATES = {"Ready": WorkerState.READY, "Terminating": WorkerState.DRAINING, "Gone": WorkerState.GONE}
-WEIGHT_SCALE = 10  # SRV weights are whole numbers, ten times the size
+MAX_OPEN_QUERIES = 8  # responses to older queries are ignored
+DNS_HEADER_BYTES = 12
+WORKER_STATE_BY_NAME = {
+    "Ready": WorkerState.READY,
+    "Terminating": WorkerState.DRAINING,
+    "Gone": WorkerState.GONE,
+}
+WEIGHT_SCALE = 10  # SRV weights are integers: ten times the actual weight
 US_PER_MS = 1000
 Address = tuple[str, int]
 
 
 class EndpointListError(NodeError):
-    """A response or event that can't be used; the list stays as it was."""
+    """An invalid response or event, which leaves the list unchanged."""
 
 
 @dataclass(frozen=True, slots=True)
 class TopologyNames:
-    """The settings' names of zones and kinds, which the policy knows by their indices."""
+    """The names of zones and worker kinds in the settings; the policy uses their indices."""
 
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
     is_weighted: bool
 
     def zone_index(self, name: str) -> int:
-        """Return the zone's index; one past the last for a name that the settings don't have."""
+        """Return the zone's index, or one past the last if the settings don't list the name."""
         return self.zones.index(name) if name in self.zones else len(self.zones)
 
     def kind_index(self, name: str) -> int:
-        """Return the kind's index; one past the last for a name that the settings don't have."""
+        """Return the kind's index, or one past the last if the settings don't list the name."""
         return self.kinds.index(name) if name in self.kinds else len(self.kinds)
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A worker of the list, and where it listens."""
+    """A listed worker and the address that it listens on."""
 
     worker: ListedWorker
     address: Address
@@ -63,7 +68,7 @@
 
 @dataclass(slots=True)
 class _Records:
-    """The resource records of one response, by what they are for."""
+    """The resource records of one response, grouped by purpose."""
 
     serial: int | None = None
     hosts: dict[dns.name.Name, str] = field(default_factory=dict)
@@ -72,28 +77,28 @@
 
 
 class Directory:
-    """The list of workers, and which responses may replace it."""
+    """Holds the list of workers, and checks which responses may replace it."""
 
     def __init__(self, names: TopologyNames) -> None:
         self._names = names
         self._endpoints: dict[str, Endpoint] = {}
         self._open_queries: dict[int, None] = {}
-        self._last_response = b""  # without its id
+        self._last_response = b""  # without its 2-byte id
         self.serial = 0
 
     @property
     def addresses(self) -> Mapping[str, Address]:
-        """Where each worker of the list listens."""
+        """The listen address of each worker in the list, by worker name."""
         return {name: endpoint.address for name, endpoint in self._endpoints.items()}
 
     def snapshot(self, kind: ListKind) -> WorkersListed:
-        """Return the complete list as an input of the gateway."""
+        """Return the complete list as an input to the gateway."""
         return WorkersListed(kind, self.serial, tuple(each.worker for each in self._endpoints.values()))
 
-    # The events up to the start
+    # Events from the configuration
 
     def apply_known_events(self, known: Any) -> WorkersListed:
-        """Make the list out of the configuration's events. Raises EndpointListError."""
+        """Build the list from the events in the configuration. Raises EndpointListError."""
         try:
             for event in known["batch"]:
                 self._apply_event(event["topology"])
@@ -120,7 +125,7 @@
             self._names.zone_index(str(target.get("az", ""))),
             self._names.kind_index(str(target.get("model", ""))),
             int(target.get("pod_group") or 0),
-            STATES[target["state"]],
+            WORKER_STATE_BY_NAME[target["state"]],
             weight,
             int(target.get("boot_ms") or 0) * US_PER_MS,
         )
@@ -129,7 +134,7 @@
     # Queries and responses
 
     def query(self, id: int) -> bytes:
-        """Return the bytes of a new query; `id` is a random number of 16 bits."""
+        """Register and encode a new query; `id` is a random 16-bit number."""
         self._open_queries[id] = None
         while len(self._open_queries) > MAX_OPEN_QUERIES:
             self._open_queries.pop(next(iter(self._open_queries)))
@@ -139,24 +144,24 @@
         return message.to_wire()
 
     def forget_queries(self) -> None:
-        """Ignore what is still to come from the name server that was asked so far."""
+        """Ignore responses to all queries so far, because they went to a former name server."""
         self._open_queries.clear()
 
     def apply_response(self, data: bytes) -> WorkersListed | None:
-        """Return the new list, or None where nothing has changed.
+        """Return the new list, or None if nothing has changed.
 
-        Raises EndpointListError for a response that doesn't count: one that nobody asked for, a failure, one
-        that is truncated, one that is older than the present list.
+        Raises EndpointListError if the response is malformed or truncated, reports an error, matches no open
+        query, or is older than the current list.
         """
         id = int.from_bytes(data[:2], "big")
-        if len(data) < HEADER_BYTES or id not in self._open_queries:
-            raise EndpointListError("a response that nobody asked for")
+        if len(data) < DNS_HEADER_BYTES or id not in self._open_queries:
+            raise EndpointListError("the response matches no open query")
         if data[2:] == self._last_response:
             del self._open_queries[id]
             return None
         serial, endpoints = self._parse_list(_parse_message(data))
         if serial < self.serial:
-            raise EndpointListError(f"list {serial} is older than the present one, {self.serial}")
+            raise EndpointListError(f"list serial {serial} is older than the current serial {self.serial}")
         del self._open_queries[id]
         self._last_response = data[2:]
         if serial == self.serial and endpoints == self._endpoints:
@@ -168,7 +173,7 @@
     def _parse_list(self, message: dns.message.Message) -> tuple[int, dict[str, Endpoint]]:
         records = _collect_records(message)
         if records.serial is None:
-            raise EndpointListError("no SOA record states the list's serial number")
+            raise EndpointListError("the SOA record with the list's serial number is missing")
         endpoints: dict[str, Endpoint] = {}
         for service in records.services:
             if service.target not in records.hosts:
@@ -196,17 +201,17 @@
 
 
 def _parse_message(data: bytes) -> dns.message.Message:
-    """Parse a response to QUESTION. Raises EndpointListError for anything else."""
+    """Parse a response to QUESTION. Raises EndpointListError for any other message."""
     try:
         message = dns.message.from_wire(data)
     except (dns.exception.DNSException, ValueError) as error:
         raise EndpointListError(f"{type(error).__name__}: {error}") from error
     if not message.flags & dns.flags.QR or message.flags & dns.flags.TC:
-        raise EndpointListError("truncated, or no response at all")
+        raise EndpointListError("the message is truncated or not a response")
     if message.rcode() != dns.rcode.NOERROR:
         raise EndpointListError(f"the name server reports {dns.rcode.to_text(message.rcode())}")
     if [(q.name, q.rdtype, q.rdclass) for q in message.question] != [QUESTION]:
-        raise EndpointListError("a response to another question")
+        raise EndpointListError("the response is to another question")
     return message
 
 
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -1,7 +1,7 @@
-"""Polls the name server over UDP, and follows it to another address.
+"""Polls the name server over UDP; the name server's address may change at run time.
 
-Whatever a socket raises, and whatever a response makes its parser raise, polling goes on: the next query is
-never further away than QUERY_INTERVAL_US.
+Neither a socket error nor a parser error stops the polling: the next query always follows within
+QUERY_INTERVAL_US.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from walnutpost.gateway import WorkersListed
 from walnutpost.node.directory import Address, Directory, EndpointListError
 
-QUERY_INTERVAL_US = 100_000  # a fraction of the time within which a list change must be acted on
+QUERY_INTERVAL_US = 100_000  # a fraction of the time within which the node must apply a list change
 MAX_RESPONSE_BYTES = 9000
 MAX_READS_PER_EVENT = 16
 MAX_LOGGED_REJECTIONS = 20
@@ -23,7 +23,7 @@
 
 
 class DiscoveryClient:
-    """Keeps a `Directory` up to date."""
+    """Keeps a `Directory` up to date with the name server."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         on_change: Callable[[WorkersListed], None],
         log: Logger,
     ) -> None:
-        """Begin to poll at `address`; `on_change` is called with each new list."""
+        """Start to poll the name server at `address`; `on_change` is called with each new list."""
         self._loop = loop
         self._directory = directory
         self._on_change = on_change
@@ -45,16 +45,18 @@
         self.rejected_responses = 0
         self._initial_address: Address | None = address  # None once a socket has been connected
         self._send_query()
-        self.polling = loop.call_every(QUERY_INTERVAL_US, self._send_query, "queries to the name server")
+        self.periodic_query = loop.call_every(
+            QUERY_INTERVAL_US, self._send_query, "queries to the name server"
+        )
 
     def move(self, address: Address) -> None:
-        """Poll there from now on.
+        """Poll the name server at another address from now on.
 
-        Raises OSError where there is no route to that address; polling then goes on at the former one.
+        Raises OSError if there is no route to that address; polling then continues at the former address.
         """
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        except OSError:  # no descriptor left: the present socket is connected to the other address
+        except OSError:  # no file descriptor left: connect the current socket to the new address
             if self._sock is None:
                 raise
             self._sock.connect(address)
@@ -88,18 +90,19 @@
 
     def _send_query(self) -> None:
         if self._initial_address is not None:
-            with suppress(OSError):  # no route yet, or no descriptor: tried again at the next interval
+            with suppress(OSError):  # no route yet, or no file descriptor: retried after the next interval
                 self.move(self._initial_address)
         elif self._sock is not None:
             self.queries += 1
-            with suppress(OSError):  # sent again at the next interval
+            with suppress(OSError):  # the next interval sends another query
                 self._sock.send(self._directory.query(self._random.getrandbits(QUERY_ID_BITS)))
 
     def _on_readable(self) -> None:
         sock = self._sock
         if sock is None:
             return
-        self._loop.on_readable(sock.fileno(), self._on_readable)  # first: an error must not end the watching
+        # Register again first, so that an error below doesn't stop the reading.
+        self._loop.on_readable(sock.fileno(), self._on_readable)
         for _ in range(MAX_READS_PER_EVENT):
             if self._sock is not sock:
                 return
@@ -108,13 +111,13 @@
             except BlockingIOError:
                 return
             except OSError:
-                continue  # an ICMP error to an earlier query
+                continue  # an ICMP error for an earlier query
             self._apply(data)
 
     def _apply(self, data: bytes) -> None:
         try:
             endpoints = self._directory.apply_response(data)
-        except Exception as error:  # whatever a response makes its parser raise, the present list stays
+        except Exception as error:  # any parser error leaves the current list unchanged
             self._log_rejected(error)
             return
         if endpoints is not None:
--- a/packages/node/src/walnutpost/node/errors.py
+++ b/packages/node/src/walnutpost/node/errors.py
@@ -1,5 +1,5 @@
-"""The base of the errors that the node raises by itself."""
+"""Base class of the errors that the node package raises."""
 
 
 class NodeError(Exception):
-    """An input of the node that can't be used: its configuration, an endpoint list, a peer's bytes."""
+    """Invalid input to the node: its configuration, an endpoint list, or bytes from a peer."""
--- a/packages/node/src/walnutpost/node/run.py
+++ b/packages/node/src/walnutpost/node/run.py
@@ -1,4 +1,4 @@
-"""The process of one node: its configuration, its signals, its exit code."""
+"""The process of one node: configuration, signals and exit code."""
 
 from __future__ import annotations
 
@@ -19,11 +19,13 @@
 
 
 def main() -> int:
-    """Serve until SIGTERM; return the exit code."""
+    """Run a node until SIGTERM, and return the exit code."""
     log = Log()
     path = os.environ.get("NODE_CONFIG")
     if not path:
-        log.error("start_failed", error="NODE_CONFIG: found none, wanted the path of the configuration")
+        log.error(
+            "start_failed", error="NODE_CONFIG is not set; it must be the path of the configuration file"
+        )
         return EXIT_CONFIG
     try:
         config = parse_config(Path(path).read_bytes())
@@ -42,9 +44,9 @@
 
 
 def _serve(loop: Loop, path: Path, config: Config, log: Log) -> None:
-    """Run a node until SIGTERM. Raises ConfigError, or OSError where the address can't be had."""
-    # The handlers are set before the listener is made: a signal in between would end the process with
-    # connections that the machine has accepted.
+    """Run a node until SIGTERM. Raises ConfigError, or OSError if it can't bind the listen address."""
+    # Install the signal handlers before creating the listener: a signal in between would end the process
+    # while the kernel already holds accepted connections.
     task, token = loop.begin_wait()
     nodes: list[Node] = []
     loop.on_signal(signal.SIGHUP, partial(_reload, path, nodes, log))
@@ -61,7 +63,7 @@
 
 
 def _reload(path: Path, nodes: list[Node], log: Log) -> None:
-    """Reload the configuration file; `nodes` is empty until the node has been made."""
+    """Reload the configuration file; `nodes` is empty until the node has been created."""
     try:
         config = parse_config(path.read_bytes())
         for node in nodes:
--- a/packages/node/src/walnutpost/node/worker_limits.py
+++ b/packages/node/src/walnutpost/node/worker_limits.py
@@ -1,4 +1,4 @@
-"""What the settings allow the connections to workers."""
+"""Limits from the settings on connections to workers."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerLimits:
-    """Bounds on connections to workers, and what their load reports contain.
+    """Limits on connections to workers, and the fields of the workers' load reports.
 
-    `max_connections` counts those to all workers, `max_streams` the commands at once on one of them.
+    `max_connections` applies to all workers together; `max_streams` to the open commands on one connection.
     """
 
     connect_timeout_us: int
@@ -18,4 +18,4 @@
     max_streams: int
     max_connections: int
     report_fields: tuple[str, ...]
-    may_cancel: bool  # whether a worker may be asked to cancel a call
+    may_cancel: bool  # whether the node may ask a worker to cancel a call
