--- a/packages/node/src/walnutpost/node/client_connection.py
+++ b/packages/node/src/walnutpost/node/client_connection.py
@@ -1,9 +1,10 @@
-"""One client's connection: when it is read, how fast, and how it ends.
+"""One client connection: when and how fast it is read, and how it closes.
 
-A request counts from when its client wrote the last byte, and may have waited for the process since: each
-read states a time before which none of its bytes came. A request that was read gets an answer before its
-connection closes, unless its client cancelled it or reset the connection. Nothing begins for a client that
-has left: unread bytes that may say so are read before a request is accepted, and again before a call leaves.
+A request's budget starts when its client writes the last byte, but the bytes may then wait in the kernel.
+Each read therefore states a time before which none of its bytes arrived. A request that was read gets an
+answer before its connection closes, unless its client cancelled it or reset the connection. The node starts
+nothing for a client that has left: before it accepts a request, and again before it sends a call, it reads
+unread bytes that may contain a cancellation or the end of the connection.
 """
 
 from __future__ import annotations
@@ -17,62 +18,62 @@
 from walnutpost.node.client_output import ClientOutput
 from walnutpost.node.client_requests import ClientRequests
 
-MESSAGE_TIMEOUT_US = 2_000_000  # until a connection without a complete message is closed
-MAX_REJECTED_BEFORE_PAUSE = 8  # messages on one connection, after which it is read more slowly
+MESSAGE_TIMEOUT_US = 2_000_000  # an idle connection without a complete message is closed after this
+MAX_REJECTED_BEFORE_PAUSE = 8  # rejected messages on one connection, after which it is read more slowly
 READ_PAUSE_US = 200_000
-MAX_REJECTED = 256  # beside requests that are open: then nothing more is accepted there
-LINGER_TIMEOUT_US = 500_000  # for a client to fetch its answers while what it sends is thrown away
-HALF_CLOSED_TIMEOUT_US = 3_000_000  # for a client that has ended its sending side to fetch its answers
-MAX_PRESENCE_AGE_US = 50_000  # for which a client's presence is assumed; at most 100 ms are allowed
+MAX_REJECTED = 256  # rejected messages, after which a connection with open requests accepts no more
+LINGER_TIMEOUT_US = 500_000  # for a client to read its answers while its further input is discarded
+HALF_CLOSED_TIMEOUT_US = 3_000_000  # for a client that has shut down its sending side to read its answers
+MAX_PRESENCE_AGE_US = 50_000  # how long a client is assumed to be still there; at most 100 ms are allowed
 
 
 class ClientConnection:
-    """One client's connection: requests in, one answer each out.
+    """One client connection, which answers each request once.
 
-    A client ends its sending side when it closes, and also when it only has nothing more to ask: TCP shows
-    the difference once something is written. So an end of its input is taken as both: nothing begins any
-    more for what is open, as for one that has gone, and each open request gets its answer, as for one that
-    still reads.
+    The end of a client's input has two possible meanings: the client has closed the connection, or it has no
+    more requests but still reads answers. TCP shows the difference only after something is written. The end
+    is therefore handled as both: no further attempts start for open requests, and each open request gets an
+    answer.
     """
 
     def __init__(
         self,
         context: ClientContext,
         stream: Stream,
-        came_after_us: int,
+        arrived_after_us: int,
         on_close: Callable[[ClientConnection], None],
     ) -> None:
-        """Nothing has come on the stream before `came_after_us`."""
+        """No byte arrived on the stream before `arrived_after_us`."""
         self._context = context
         self._loop = context.loop
         self._stream = stream
         self._on_close = on_close
         parser = rpc.MessageParser(context.class_deadlines_us, context.tenants)
-        self._input = ClientInput(self._loop, stream, parser, came_after_us)
+        self._input = ClientInput(self._loop, stream, parser, arrived_after_us)
         self._output = ClientOutput(self._loop, stream, self._on_flushed, self.close)
-        self._requests = ClientRequests(context, self._input, self._output, self.read_ahead, came_after_us)
+        self._requests = ClientRequests(context, self._input, self._output, self.read_ahead, arrived_after_us)
         self._opened_us = self._loop.now()
-        self._reads_when_flushed = False
-        self.is_lingering = False  # its own side has ended, for the client to fetch what was answered
+        self._is_paused_until_flush = False
+        self.is_lingering = False  # the node has shut down its sending side, and the client may still read
 
     @property
     def open(self) -> dict[int, int]:
-        """Tickets of the requests that have no answer yet, by message id."""
+        """Caller ids of the requests that have no answer yet, by message id."""
         return self._requests.open
 
     @property
     def has_valid_message(self) -> bool:
-        """Whether a message of the protocol has come."""
+        """Whether a valid protocol message has arrived."""
         return self._requests.has_valid_message
 
     @property
     def last_used_us(self) -> int:
-        """When the last message was taken, or the connection itself."""
+        """When the last message was processed, or else when the connection was accepted."""
         return self._requests.last_used_us
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is open here, and no answer waits to leave."""
+        """Whether no request is open and no answer is waiting to be sent."""
         return not (self.open or self._output.has_pending)
 
     def write(self, data: bytes) -> None:
@@ -80,7 +81,10 @@
         self._output.write(data)
 
     def check_timeouts(self, now_us: int) -> None:
-        """Close it where its client connects and sends nothing, or stops within a message."""
+        """Close the connection if a timeout has passed.
+
+        That is, if its client sends no message, stops in the middle of one, or leaves it half-closed.
+        """
         if self._input.end_read_us is not None:
             if now_us - self._input.end_read_us >= HALF_CLOSED_TIMEOUT_US:
                 self.close()
@@ -92,17 +96,18 @@
     # Reading
 
     def read_ahead(self) -> None:
-        """Read unread bytes that are too old to be passed over, for what cancels requests.
+        """Read unread bytes early if they may be older than MAX_PRESENCE_AGE_US, to find cancelled requests.
 
-        All else in them waits for its turn. Where rounds are short, the last poll is recent enough. Called
-        from within the gateway's effects: only marks what has gone.
+        All other messages in them wait for their turn. While the rounds of the loop are short, the last poll
+        is recent enough and nothing is read. This runs inside the gateway's effects, so it only prevents
+        further attempts for cancelled requests, and cancels nothing.
         """
         if self._input.has_unread_older_than(MAX_PRESENCE_AGE_US):
             self._loop.call_soon(self.read)
-            if not self._loop.run_guarded("client", self._withdraw_cancelled):
+            if not self._loop.run_guarded("client", self._prevent_cancelled_attempts):
                 self._input.discard()
 
-    def _withdraw_cancelled(self) -> None:
+    def _prevent_cancelled_attempts(self) -> None:
         try:
             batch = self._input.receive_ahead()
         except OSError:
@@ -110,14 +115,14 @@
         else:
             for message in batch.messages:
                 if isinstance(message, rpc.Interrupt):
-                    self._requests.withdraw(message.message_ids)
+                    self._requests.prevent_attempts(message.message_ids)
         if self._input.has_ended:
-            self._requests.withdraw(self.open)
+            self._requests.prevent_attempts(self.open)
 
     def read(self) -> None:
-        """Take what has come, if anything has.
+        """Read and process the available input, if there is any.
 
-        An unexpected error is reported by the loop and costs this connection at the most; requests that came
+        The loop reports an unexpected error, which affects at most this connection; requests that arrived
         before it are still answered.
         """
         was_discarding = self._input.is_discarding
@@ -127,7 +132,7 @@
             self.close()
         else:
             self._input.discard()
-            self._watch()
+            self._watch_readable()
             self.close_if_done()
 
     def _read(self) -> None:
@@ -140,7 +145,7 @@
             self.close()
             return
         if not self._input.is_discarding:
-            self._take(batches)
+            self._process(batches)
         if self._input.has_ended:
             self._requests.answer_all()
         if self._input.end_read_us is not None:
@@ -148,56 +153,57 @@
         else:
             self._schedule_read(self._requests.rejected > rejected_before)
 
-    def _take(self, batches: list[Batch]) -> None:
-        self._requests.take(batches)
+    def _process(self, batches: list[Batch]) -> None:
+        self._requests.process(batches)
         if any(batch.error for batch in batches) and not self._input.is_discarding:
             self._context.malformed_connections += 1
             self._input.discard()
-        self._input.update_partial()
+        self._input.update_partial_since()
 
     def _schedule_read(self, was_rejected: bool) -> None:
-        """Decide when to read again; `was_rejected`: some of what was just read was rejected."""
-        if self._pause(was_rejected):
+        """Decide when to read again; `was_rejected` says whether the last read brought rejected messages."""
+        if self._pause_if_overloaded(was_rejected):
             return
         if was_rejected and self._requests.rejected > MAX_REJECTED and not self._input.is_discarding:
-            self._requests.answer_all()  # what cancels them is not read any more
+            self._requests.answer_all()  # their cancellations would not be read any more
             self._input.discard()
-        self._watch()
+        self._watch_readable()
         if self._input.is_discarding or self._context.is_draining:
             self.close_if_done()
 
-    def _pause(self, was_rejected: bool) -> bool:
-        """Stop reading for a while where the client asks too much; return whether it does.
+    def _pause_if_overloaded(self, was_rejected: bool) -> bool:
+        """Stop reading for a while if the client sends too much; return whether reading has stopped.
 
-        Never while something is open, as the client's leaving would be noticed late.
+        Reading never stops while a request is open, because the node would then notice late that the client
+        has left.
         """
         if self.open or self._input.is_discarding:
             return False
         if self._output.is_above_high_water:
-            self._reads_when_flushed = True
-            self._input.pause()
+            self._is_paused_until_flush = True
+            self._input.mark_paused()
             return True
         if was_rejected and self._requests.rejected > MAX_REJECTED_BEFORE_PAUSE:
-            self._input.pause()
+            self._input.mark_paused()
             self._loop.call_later(READ_PAUSE_US, self.read)
             return True
         return False
 
-    def _watch(self) -> None:
+    def _watch_readable(self) -> None:
         if not self._stream.closed:
             self._stream.on_readable(self.read)
 
     def _on_flushed(self) -> None:
-        """Go on once all answers have left."""
+        """Continue after all answers have been sent."""
         self.close_if_done()
-        if self._reads_when_flushed:
-            self._reads_when_flushed = False
+        if self._is_paused_until_flush:
+            self._is_paused_until_flush = False
             self.read()
 
-    # Ending
+    # Closing
 
     def close_if_done(self) -> None:
-        """End the connection if it is idle and nothing more is accepted."""
+        """Start to close the connection if it is idle and accepts no more requests."""
         if not self.is_idle:
             return
         if self._input.end_read_us is not None:
@@ -209,10 +215,10 @@
             self._linger()
 
     def _linger(self) -> None:
-        """End the sending side first.
+        """Shut down the sending side, and close the connection after LINGER_TIMEOUT_US.
 
-        A close on bytes that nobody reads would reset the connection, and take away answers that the client
-        has not fetched yet.
+        Closing a socket with unread input resets the connection, and the client would lose answers that it
+        hasn't read yet.
         """
         if self.is_lingering:
             return
@@ -225,9 +231,9 @@
         self._loop.call_later(LINGER_TIMEOUT_US, self.close)
 
     def close_if_idle(self) -> bool:
-        """Close it unless something has come that is still unread; return whether it was closed.
+        """Close the connection, unless it has unread input; return whether it was closed.
 
-        A request that the kernel has taken counts as accepted, and closing on it would lose it.
+        A request that the kernel has received counts as accepted, and closing the connection would lose it.
         """
         if not self._input.is_discarding and self._input.has_unread():
             self.read()
@@ -236,7 +242,10 @@
         return True
 
     def close(self) -> None:
-        """Close it at once; what is open gets no answer: only for a client that can't fetch one any more."""
+        """Close the connection immediately, without answering open requests.
+
+        Use this only if the client can't read an answer any more.
+        """
         if self._stream.closed:
             return
         self._stream.close()
--- a/packages/node/src/walnutpost/node/client_input.py
+++ b/packages/node/src/walnutpost/node/client_input.py
@@ -1,4 +1,4 @@
-"""The receiving side of one client connection: bytes into messages, and a bound on when they arrived."""
+"""The receiving side of one client connection: parses messages and bounds their arrival times."""
 
 from __future__ import annotations
 
@@ -9,38 +9,39 @@
 from walnutpost.node import rpc
 from walnutpost.node.client_context import MAX_OPEN_REQUESTS
 
-READ_ALL_AFTER_US = 20_000  # bytes that may have waited for longer are all read before any is acted on
-MAX_BATCH_BYTES = 1 << 20  # all that MAX_OPEN_REQUESTS requests can take
+READ_ALL_AFTER_US = 20_000  # input that may have waited longer is read completely before it is processed
+MAX_BATCH_BYTES = 1 << 20  # enough for MAX_OPEN_REQUESTS requests of the maximum size
 MAX_BATCH_MESSAGES = 8 * MAX_OPEN_REQUESTS
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What one reading gave: complete messages, and what is wrong with the bytes behind them.
+    """The result of one read: complete messages, and the error in the bytes that follow them, if any.
 
-    None of it came before `came_after_us`.
+    None of the bytes arrived before `arrived_after_us`.
     """
 
-    came_after_us: int
+    arrived_after_us: int
     messages: list[rpc.Incoming]
     error: rpc.UnreadableMessageError | None
 
 
 class ClientInput:
-    """Reads and parses what a client sends. It never closes the stream; a broken one raises OSError."""
+    """Reads and parses a client's input. Never closes the stream; raises OSError if the stream is broken."""
 
-    def __init__(self, loop: Loop, stream: Stream, parser: rpc.MessageParser, came_after_us: int) -> None:
-        """Nothing has come on the stream before `came_after_us`."""
+    def __init__(self, loop: Loop, stream: Stream, parser: rpc.MessageParser, arrived_after_us: int) -> None:
+        """No byte arrived on the stream before `arrived_after_us`."""
         self._loop = loop
         self._stream = stream
         self._parser = parser
-        self.is_discarding = False  # what comes can't be followed, or is too much: it is thrown away
-        self.has_ended = False  # the end of the input has come, perhaps behind bytes that are still unread
-        self.end_read_us: int | None = None  # when it was read
-        self.partial_since_us: int | None = None  # since when a message has been incomplete
-        # What is unread came after this. None while the socket is watched and was found empty.
-        self._unread_since_us: int | None = came_after_us
-        self._read_ahead: list[Batch] = []  # before their turn, and to be taken in order
+        self.is_discarding = False  # further input is unreadable or too much, and is not parsed
+        self.has_ended = False  # the end of the input has arrived, possibly behind unread bytes
+        self.end_read_us: int | None = None  # when the end of the input was read
+        # When the input first ended in an incomplete message; None if it doesn't.
+        self.partial_since_us: int | None = None
+        # Unread bytes arrived after this time; None while the socket is watched and was last found empty.
+        self._unread_since_us: int | None = arrived_after_us
+        self._read_ahead_batches: list[Batch] = []  # read early, and to be processed in order
 
     @property
     def is_closed(self) -> bool:
@@ -49,61 +50,61 @@
 
     @property
     def has_partial(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether the last message is incomplete."""
         return self._parser.has_partial
 
     @property
     def unread_since_us(self) -> int:
-        """A time before which nothing came of what is unread."""
+        """A time before which none of the unread bytes arrived."""
         if self._unread_since_us is None:
             return self._loop.arrived_after()
         return self._unread_since_us
 
     def has_unread(self) -> bool:
-        """Return whether bytes have come that are still unread."""
+        """Return whether bytes have arrived that are still unread."""
         return self._stream.is_stale() and not self._stream.has_ended()
 
     def has_unread_older_than(self, age_us: int) -> bool:
-        """Return whether bytes or an end are unread that may have come longer ago than this."""
+        """Return whether unread bytes, or an unread end, may have arrived more than `age_us` ago."""
         return self._loop.now() - self.unread_since_us > age_us and self._stream.is_stale()
 
-    def pause(self) -> None:
-        """Note that what comes from now on may wait until it is read."""
+    def mark_paused(self) -> None:
+        """Record that input that arrives from now on may wait before it is read."""
         if self._unread_since_us is None:
             self._unread_since_us = self._loop.now()
 
     def discard(self) -> None:
-        """Parse nothing from now on; the end of the input is still noticed."""
+        """Stop parsing; the end of the input is still detected."""
         self.is_discarding = True
         self.partial_since_us = None
 
-    def update_partial(self) -> None:
-        """Note since when a message has been incomplete, if one is."""
+    def update_partial_since(self) -> None:
+        """Record when the input first ended in an incomplete message; None once it doesn't."""
         if not self.has_partial:
             self.partial_since_us = None
         elif not self.partial_since_us:
             self.partial_since_us = self._loop.now()
 
     def receive_ahead(self) -> Batch:
-        """Read what `receive_all` returns later. Raises OSError if the connection broke."""
+        """Read a batch early; `receive_all` returns it again. Raises OSError if the connection broke."""
         batch = self._receive()
-        self._read_ahead.append(batch)
+        self._read_ahead_batches.append(batch)
         return batch
 
     def receive_all(self) -> list[Batch]:
-        """Return what was read ahead, and one more reading. Raises OSError if the connection broke."""
-        batches = [*self._read_ahead, self._receive()]
-        self._read_ahead.clear()
+        """Return the batches that were read ahead, and a new one. Raises OSError if the connection broke."""
+        batches = [*self._read_ahead_batches, self._receive()]
+        self._read_ahead_batches.clear()
         return batches
 
     def _receive(self) -> Batch:
-        """Read once, or, where the bytes may have waited, until there are no more.
+        """Read once, or until no bytes are left if they may have waited longer than READ_ALL_AFTER_US.
 
-        What cancels a request may lie far behind it.
+        The cancellation of a request may be far behind it in the input.
         """
-        came_after_us = self.unread_since_us
-        must_read_all = self._loop.now() - came_after_us > READ_ALL_AFTER_US
-        is_discarding = self.is_discarding or any(batch.error for batch in self._read_ahead)
+        arrived_after_us = self.unread_since_us
+        must_read_all = self._loop.now() - arrived_after_us > READ_ALL_AFTER_US
+        is_discarding = self.is_discarding or any(batch.error for batch in self._read_ahead_batches)
         messages: list[rpc.Incoming] = []
         error: rpc.UnreadableMessageError | None = None
         size = 0
@@ -118,12 +119,12 @@
             is_full = size >= MAX_BATCH_BYTES or len(messages) >= MAX_BATCH_MESSAGES
             if not must_read_all or error or is_full:
                 break
-        self._unread_since_us = came_after_us if may_have_more else None
-        self._note_end(data, may_have_more)
-        return Batch(came_after_us, messages, error)
+        self._unread_since_us = arrived_after_us if may_have_more else None
+        self._record_end(data, may_have_more)
+        return Batch(arrived_after_us, messages, error)
 
-    def _note_end(self, last_read: bytes | None, may_have_more: bool) -> None:
-        """Note whether the input has ended; `last_read` is None where nothing was there."""
+    def _record_end(self, last_read: bytes | None, may_have_more: bool) -> None:
+        """Record whether the input has ended; `last_read` is None if no bytes were available."""
         if may_have_more:
             self.has_ended = self.has_ended or _has_hung_up(self._stream)
         elif last_read == b"" or (last_read and self._stream.has_ended()):
@@ -132,7 +133,7 @@
 
 
 def _has_hung_up(stream: Stream) -> bool:
-    """Return whether the other end has ended its sending side, also where that is behind unread bytes."""
+    """Return whether the other end has shut down its sending side, even if unread bytes precede the end."""
     poller = select.poll()
     poller.register(stream.fd, select.POLLRDHUP)
     return bool(poller.poll(0))
--- a/packages/node/src/walnutpost/node/client_output.py
+++ b/packages/node/src/walnutpost/node/client_output.py
@@ -7,13 +7,13 @@
 
 from walnutpost.eventloop import Loop, Stream
 
-MAX_PENDING_BYTES = 1 << 20  # of answers that a client hasn't fetched: beyond, bodies give way to errors
-# Beyond, further requests are rejected, or left unread where nothing is open.
+MAX_PENDING_BYTES = 1 << 20  # of unsent answers; above this, clients get errors instead of results
+# Above this, further requests are rejected, or left unread if no request is open.
 HIGH_WATER_BYTES = MAX_PENDING_BYTES // 4
 
 
 class ClientOutput:
-    """Answers that wait to leave; what is written in one round of the loop leaves together at its end."""
+    """Buffers answers; all answers of one round of the loop are sent together at the end of the round."""
 
     def __init__(
         self,
@@ -22,46 +22,46 @@
         on_flushed: Callable[[], None],
         on_broken: Callable[[], None],
     ) -> None:
-        """`on_flushed` is called when all has left, `on_broken` when the connection broke."""
+        """`on_flushed` is called when everything has been sent, `on_broken` when the connection breaks."""
         self._loop = loop
         self._stream = stream
         self._on_flushed = on_flushed
         self._on_broken = on_broken
-        self._written: list[bytes] = []  # not offered to the kernel yet
-        self._unsent = b""  # offered, and not taken
+        self._written: list[bytes] = []  # not passed to the kernel yet
+        self._unsent = b""  # passed to the kernel, which didn't accept it
         self._is_flush_due = False
 
     @property
     def has_pending(self) -> bool:
-        """Whether anything is still to leave."""
+        """Whether any answer is still to be sent."""
         return bool(self._written or self._unsent)
 
     @property
     def pending_bytes(self) -> int:
-        """Size of the answers that have not left."""
+        """Size of the answers that have not been sent."""
         return len(self._unsent) + sum(map(len, self._written))
 
     @property
     def is_above_high_water(self) -> bool:
-        """Whether the client fetches too little for more requests to be accepted."""
+        """Whether too many answers are unsent for more requests to be accepted."""
         return len(self._unsent) > HIGH_WATER_BYTES
 
     def has_capacity(self, size: int) -> bool:
-        """Return whether so many more bytes may wait; what the kernel would take does not count."""
+        """Return whether the buffer has room for `size` bytes more, after sending what the kernel accepts."""
         if self.pending_bytes + size > MAX_PENDING_BYTES and self._is_flush_due:
-            with suppress(OSError):  # met again by the flush that is due
+            with suppress(OSError):  # the pending flush will hit the error again and handle it
                 self._send()
         return self.pending_bytes + size <= MAX_PENDING_BYTES
 
     def write(self, data: bytes) -> None:
-        """Append an answer."""
+        """Add an answer to the buffer, and send it at the end of this round."""
         self._written.append(data)
         if not self._is_flush_due and not self._unsent:
             self._is_flush_due = True
             self._loop.call_soon(self.flush)
 
     def flush(self) -> None:
-        """Send what the kernel takes, and the rest once it takes more."""
+        """Send as much as the kernel accepts, and the rest as soon as the socket is writable."""
         self._is_flush_due = False
         if self._stream.closed:
             return
@@ -76,7 +76,7 @@
             self._on_flushed()
 
     def _send(self) -> None:
-        """Give the kernel what it takes. Raises OSError if the connection broke."""
+        """Send as much as the kernel accepts. Raises OSError if the connection broke."""
         self._unsent += b"".join(self._written)
         self._written.clear()
         if self._unsent:
--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -1,4 +1,4 @@
-"""The requests of one client connection: each message is acted on, and each request gets one answer."""
+"""The requests of one client connection: handles each message, and answers each request once."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from walnutpost.node.client_output import ClientOutput
 from walnutpost.node.open_requests import RequestIdentity
 
-FIRST_MESSAGE_ID = 1  # of a connection's requests: ids go up from there
-MAX_CANCELLED_AHEAD = 64  # requests cancelled before they came
-MAX_LOGGED_INVALID = 20  # invalid requests that are logged, of all connections
+FIRST_MESSAGE_ID = 1  # message id of a connection's first request; the ids increase from there
+MAX_CANCELLED_AHEAD = 64  # requests on one connection that were cancelled before they arrived
+MAX_LOGGED_INVALID = 20  # logged invalid requests, on all connections together
 NO_MESSAGE_ID = -1
 
 
 class ClientRequests:
-    """Takes the messages of one connection in order, and writes the answers."""
+    """Handles the messages of one connection in order, and writes the answers."""
 
     def __init__(
         self,
@@ -27,28 +27,31 @@
         incoming: ClientInput,
         output: ClientOutput,
         read_ahead: Callable[[], None],
-        came_after_us: int,
+        arrived_after_us: int,
     ) -> None:
-        """`read_ahead` finds unread bytes that cancel a request."""
+        """`read_ahead` reads unread bytes early and prevents attempts for requests that they cancel."""
         self._context = context
         self._loop = context.loop
         self._input = incoming
         self._output = output
         self._read_ahead = read_ahead
-        self._came_after_us = came_after_us  # of the message that is being taken
+        self._arrived_after_us = arrived_after_us  # of the message that is being handled
         self._last_message_id = NO_MESSAGE_ID
-        self._cancelled_ahead: set[int] = set()  # message ids of requests that have not come yet
-        self.open: dict[int, int] = {}  # message id -> caller
-        self.rejected = 0  # messages that were rejected or of no use
-        self.has_valid_message = False  # a message of the protocol has come
-        self.last_used_us = self._loop.now()  # when the last message was taken
-
-    def take(self, batches: list[Batch]) -> None:
-        """Act on what came, until a message ends the reading; those behind it get an error."""
-        messages = [(batch.came_after_us, message) for batch in batches for message in batch.messages]
+        self._cancelled_ahead: set[int] = set()  # message ids of requests that have not arrived yet
+        self.open: dict[int, int] = {}  # caller ids by message id
+        self.rejected = 0  # messages that were rejected, invalid or already cancelled
+        self.has_valid_message = False  # whether a valid protocol message has arrived
+        self.last_used_us = self._loop.now()  # when the last message was handled
+
+    def process(self, batches: list[Batch]) -> None:
+        """Handle the messages in order.
+
+        If a message ends the reading of this connection, the requests behind it get an error.
+        """
+        messages = [(batch.arrived_after_us, message) for batch in batches for message in batch.messages]
         for _, message in messages:
-            self._note_cancelled(message)
-        for index, (self._came_after_us, message) in enumerate(messages):
+            self._record_cancelled(message)
+        for index, (self._arrived_after_us, message) in enumerate(messages):
             try:
                 self._take(message)
             except Exception:
@@ -58,21 +61,22 @@
                 self._fail_unprocessed([rest for _, rest in messages[index + 1 :]])
                 return
 
-    def withdraw(self, message_ids: Iterable[int]) -> None:
-        """Let no attempt of these begin from now on. The gateway is notified when they are cancelled."""
+    def prevent_attempts(self, message_ids: Iterable[int]) -> None:
+        """Prevent further attempts for these requests. The gateway is told later, when they are cancelled."""
         for message_id in message_ids:
             if message_id in self.open:
-                self._context.requests.withdraw(self.open[message_id])
+                self._context.requests.prevent_attempts(self.open[message_id])
 
     def cancel_all(self) -> None:
-        """End what is open, with no answer: only for a client that can't fetch one any more."""
+        """Cancel all open requests without an answer; only for a client that can't read one any more."""
         for message_id in list(self.open):
             self._cancel(message_id)
 
     def answer_all(self) -> None:
-        """End what is open, with an answer each.
+        """Cancel all open requests, and send an answer to each.
 
-        Rejected, so that a retry is harmless, is only what no attempt was started for.
+        A rejection tells the client that a retry is harmless, so only requests without an attempt are
+        rejected. The others get an internal error.
         """
         for message_id, caller_id in list(self.open.items()):
             was_attempted = self._context.requests.was_attempted(caller_id)
@@ -82,14 +86,14 @@
             else:
                 self._output.write(rpc.encode_overloaded(message_id))
 
-    def _note_cancelled(self, message: rpc.Incoming) -> None:
+    def _record_cancelled(self, message: rpc.Incoming) -> None:
         if isinstance(message, rpc.Interrupt):
             message_ids = (*self._cancelled_ahead, *message.message_ids)
             ahead = [message_id for message_id in message_ids if message_id > self._last_message_id]
             self._cancelled_ahead = set(ahead[-MAX_CANCELLED_AHEAD:])
 
     def _fail_unprocessed(self, messages: list[rpc.Incoming]) -> None:
-        """Answer what was read behind a message that ended the reading."""
+        """Send an error to each request behind a message that ended the reading."""
         for message in messages:
             if isinstance(message, rpc.Interrupt) or message.message_id <= self._last_message_id:
                 continue
@@ -99,15 +103,15 @@
                 self._output.write(rpc.encode_internal_error(message.message_id, reason))
 
     def _take(self, message: rpc.Incoming) -> None:
-        """Act on one message; an unexpected error costs only its request, which gets an answer."""
+        """Handle one message; an unexpected error only fails its request, which still gets an answer."""
         self.last_used_us = self._loop.now()
-        if self._loop.run_guarded("request", partial(self._act_on, message)):
+        if self._loop.run_guarded("request", partial(self._handle, message)):
             return
-        if not isinstance(message, rpc.Interrupt):  # an answer is written last: none has been
+        if not isinstance(message, rpc.Interrupt):  # handlers write the answer last, so none was written
             self._cancel(message.message_id)
             self._output.write(rpc.encode_internal_error(message.message_id))
 
-    def _act_on(self, message: rpc.Incoming) -> None:
+    def _handle(self, message: rpc.Incoming) -> None:
         match message:
             case rpc.CallRequest():
                 self._call(message)
@@ -142,9 +146,9 @@
             self._open_or_reject(call)
 
     def _invalid_reason(self, call: rpc.CallRequest) -> str:
-        """Return why it can't be a request of this connection; empty if it can."""
+        """Return why the call can't be a request of this connection, or an empty string if it can."""
         is_first = self._last_message_id == NO_MESSAGE_ID and not self.has_valid_message
-        if is_first and call.message_id > FIRST_MESSAGE_ID:  # copied from another connection's request
+        if is_first and call.message_id > FIRST_MESSAGE_ID:  # a copy of a request from another connection
             return f"message id: found {call.message_id}, wanted {FIRST_MESSAGE_ID} first"
         if call.request_id.encode() in self._context.requests.request_ids:
             return "rid: this request is open already"
@@ -160,12 +164,12 @@
             self._open(call)
 
     def _is_overloaded(self) -> bool:
-        """Return whether no more requests are accepted on this connection now."""
+        """Return whether this connection currently accepts no more requests."""
         is_full = len(self.open) >= MAX_OPEN_REQUESTS
         return is_full or self._output.is_above_high_water or self._context.is_draining
 
     def _skip_cancelled(self, message_id: int) -> None:
-        """Ignore a request that was cancelled before it came: nobody waits for an answer."""
+        """Ignore a request that was cancelled before it arrived; nobody waits for an answer."""
         self._cancelled_ahead.discard(message_id)
         self._last_message_id = message_id
         self.rejected += 1
@@ -182,11 +186,11 @@
             self._output.write(rpc.encode_internal_error(message_id, reason))
 
     def _reject_reused_id(self, message_id: int) -> None:
-        """End the reading, as a second request came under an id that had one.
+        """Stop reading this connection, because a second request has arrived with a used message id.
 
-        Where the first is open, it gets an error at once: closing on it would lose it, and its own answer
-        could be taken for the second's. There is no second answer under one id. The connection ends once all
-        that is open has its answer.
+        If the first request is still open, it gets an error immediately: closing the connection would lose
+        it, and the client could mistake its regular answer for the answer to the second request. No message
+        id gets two answers. The connection closes after all open requests have been answered.
         """
         if message_id in self.open:
             self._cancel(message_id)
@@ -211,7 +215,8 @@
     def _arrival(self, call: rpc.CallRequest, caller_id: int) -> CallArrived:
         """Return the gateway's input for a call.
 
-        Its budget counts from when its client wrote the last byte, taken as early as that can have been.
+        The budget counts from the earliest time at which the client can have written the last byte of the
+        call.
         """
         function = Function(
             call.function,
@@ -221,7 +226,7 @@
             call.load_time_us,
             call.cost_us,
         )
-        waited_us = max(0, self._loop.now() - self._came_after_us)
+        waited_us = max(0, self._loop.now() - self._arrived_after_us)
         return CallArrived(
             caller_id,
             call.function,
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -1,4 +1,4 @@
-"""The listener's side of a node's clients: accepting connections, evicting idle ones, timeouts, the drain."""
+"""Manages the client connections of a node: accepting, evicting idle ones, timeouts and draining."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from walnutpost.node.open_requests import OpenRequests, RequestIdentity
 
 SWEEP_INTERVAL_US = 250_000
-NEW_CONNECTION_GRACE_US = 300_000  # in which a new connection may be about to send
+NEW_CONNECTION_GRACE_US = 300_000  # during which a new connection may be about to send its first message
 
 
 class Clients:
-    """All client connections of a node; a `ClientContext` for each of them."""
+    """Owns all client connections of a node, and is their `ClientContext`."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         max_connections: int,
         log: Logger,
     ) -> None:
-        """Start with no connections; `classes` are the names of the settings' classes."""
+        """`classes` are the names of the classes in the settings, in the same order."""
         self.loop = loop
         self.dispatcher = dispatcher
         self.log = log
@@ -45,21 +45,22 @@
         self.invalid_requests = 0
         self.malformed_connections = 0
         self.evicted_connections = 0
-        # What the listener's queue holds came after this; None while it is watched and was seen empty.
+        # Connections in the listener's queue arrived after this time; None while the listener is watched and
+        # its queue was last seen empty.
         self._backlog_since_us: int | None = loop.now()
         self.sweeping = loop.call_every(SWEEP_INTERVAL_US, self._sweep, "sweep of clients")
 
-    def identity(self, caller_id: int) -> RequestIdentity | None:
-        """Return what a worker is given of a request; None where no attempt may begin for it any more."""
-        return self.requests.identity(caller_id)
+    def identity_for_attempt(self, caller_id: int) -> RequestIdentity | None:
+        """Return what to send to a worker about a request; None if no further attempt may start."""
+        return self.requests.identity_for_attempt(caller_id)
 
     def accept(self, listener: Listener) -> None:
-        """Accept connections until the listener is closed (the work of a task)."""
-        log = AcceptErrorLog(self.loop, self.log)
+        """Accept connections until the listener is closed; must run in a task."""
+        log_accept_error = AcceptErrorLog(self.loop, self.log)
 
         def on_error(error: OSError) -> None:
             self._mark_backlog()
-            log(error)
+            log_accept_error(error)
 
         listener.on_accept_error = on_error
         try:
@@ -74,31 +75,35 @@
             if stream is None:
                 self._backlog_since_us = None
                 stream = listener.accept()
-        except OSError:  # the listener has counted it, and paused where it is open
+        except OSError:  # the listener has counted the error, and has paused if it is still open
             return
         finally:
             self._mark_backlog()
-        self.loop.run_guarded("client", partial(self.take, stream))
+        self.loop.run_guarded("client", partial(self.add_connection, stream))
 
-    def take_queued(self, listener: Listener) -> None:
-        """Accept what the kernel has queued, before the listener is closed."""
-        with suppress(OSError):  # those that can't be accepted now are lost: the others' answers can't wait
+    def accept_queued(self, listener: Listener) -> None:
+        """Accept the connections that the kernel has queued; call this before closing the listener."""
+        # After an error the rest of the queue is lost: answers on other connections can't wait for a retry.
+        with suppress(OSError):
             while (stream := listener.accept_now()) is not None:
-                self.loop.run_guarded("client", partial(self.take, stream))
+                self.loop.run_guarded("client", partial(self.add_connection, stream))
 
     def _mark_backlog(self) -> None:
-        """Note that until the queue is seen empty its connections may have waited since this round's poll."""
+        """Record that connections in the queue may have waited since this round's poll.
+
+        This holds until the queue is seen empty.
+        """
         if self._backlog_since_us is None:
             self._backlog_since_us = self.loop.arrived_after()
 
-    def take(self, stream: Stream) -> None:
-        """Take a connection from the listener's queue, and what has come on it."""
+    def add_connection(self, stream: Stream) -> None:
+        """Add a connection from the listener's queue, and read what has arrived on it."""
         if len(self.connections) >= self._max_connections:
             self.evict()
-        came_after_us = self._backlog_since_us
-        if came_after_us is None:
-            came_after_us = self.loop.arrived_after()
-        connection = ClientConnection(self, stream, came_after_us, self._on_closed)
+        arrived_after_us = self._backlog_since_us
+        if arrived_after_us is None:
+            arrived_after_us = self.loop.arrived_after()
+        connection = ClientConnection(self, stream, arrived_after_us, self._on_closed)
         self.connections[connection] = None
         connection.read()
 
@@ -106,10 +111,11 @@
         self.connections.pop(connection, None)
 
     def evict(self) -> bool:
-        """Close one idle connection; return False where there is none.
+        """Close one idle connection; return False if there is none.
 
-        The oldest that never sent a complete message goes, else the one idle for longest, else one that is
-        new, and last one whose client may still be fetching its answers.
+        The order of preference is: the oldest connection that never sent a complete message, the connection
+        that has been idle longest, a new connection, and a lingering connection, whose client may still be
+        reading its answers.
         """
         idle = [connection for connection in self.connections if connection.is_idle]
         idle.sort(key=partial(_eviction_order, now_us=self.loop.now()))
@@ -117,7 +123,7 @@
         if is_evicted:
             self.evicted_connections += 1
         else:
-            self._mark_backlog()  # the listener may have asked, and wait for a descriptor
+            self._mark_backlog()  # the listener may have called this, and then waits for a file descriptor
         return is_evicted
 
     def _sweep(self) -> None:
@@ -126,16 +132,16 @@
             self.loop.run_guarded("sweep of clients", partial(connection.check_timeouts, now_us))
 
     def drain(self) -> None:
-        """Close each connection as soon as nothing is open on it, and reject what comes from now on."""
+        """Close each connection once it is idle, and reject requests that arrive from now on."""
         for connection in list(self.connections):
-            connection.read()  # what has come by now is still accepted
+            connection.read()  # requests that have arrived by now are still accepted
         self.is_draining = True
         for connection in list(self.connections):
             connection.close_if_done()
 
 
 def _eviction_order(connection: ClientConnection, now_us: int) -> tuple[int, int]:
-    """Return the sort key of an idle connection: the first is evicted first."""
+    """Return the sort key of an idle connection; the lowest is evicted first."""
     if connection.is_lingering:
         rank = 3
     elif connection.has_valid_message:
--- a/packages/node/src/walnutpost/node/node.py
+++ b/packages/node/src/walnutpost/node/node.py
@@ -1,4 +1,4 @@
-"""One node: its parts wired together, and its graceful shutdown."""
+"""A front end node: creates and connects its components, and shuts them down gracefully."""
 
 from __future__ import annotations
 
@@ -15,27 +15,36 @@
 from walnutpost.node.worker_limits import WorkerLimits
 from walnutpost.node.worker_pool import WorkerPool
 
-# Of the descriptors; the rest is for files and what else is open.
+# Shares of the file descriptor limit; the rest is for files and other sockets.
 WORKER_DESCRIPTOR_RATIO, CLIENT_DESCRIPTOR_RATIO = 0.4, 0.5
-DRAIN_PERIOD_US = 700_000  # from SIGTERM: until then connections and requests keep coming
-KILL_AFTER_US = 3_000_000  # beyond that, or the longest deadline where it is less, SIGKILL may come
-KILL_MARGIN_US = 100_000  # for the last answers to get to their clients
-EXIT_TIME_US = 100_000  # for the process itself to exit, once every request has been answered
+DRAIN_PERIOD_US = 700_000  # after SIGTERM, during which connections and requests keep arriving
+# Time from the end of the drain period until SIGKILL may arrive; shorter if the longest deadline is shorter.
+MAX_SIGKILL_DELAY_US = 3_000_000
+SIGKILL_MARGIN_US = 100_000  # for the last answers to reach their clients
+EXIT_TIME_US = 100_000  # for the process to exit after it has answered every request
 DRAIN_POLL_INTERVAL_US = 5_000
 
 
 class Node:
-    """A front end: listens for clients as soon as it is made."""
+    """A front end, which listens for clients as soon as it is created."""
 
     def __init__(self, loop: Loop, config: Config, log: Logger) -> None:
-        """Raise EndpointListError or OSError where the list can't be read or the address can't be had."""
+        """Start the node.
+
+        Raises EndpointListError if the configured list of workers is invalid, and OSError if it can't bind
+        the listen address.
+        """
         self._loop = loop
         self._log = log
         gateway = Gateway(config.settings, Catalogue({}, config.tenants, allows_no_tenant=True), config.seed)
         max_deadline_us = max((each.deadline_us for each in config.settings.classes), default=0)
-        self._drain_limit_us = DRAIN_PERIOD_US + min(max_deadline_us, KILL_AFTER_US) - KILL_MARGIN_US
+        self._drain_limit_us = (
+            DRAIN_PERIOD_US + min(max_deadline_us, MAX_SIGKILL_DELAY_US) - SIGKILL_MARGIN_US
+        )
         self.pool = WorkerPool(loop, _worker_limits(config))
-        self.workers = WorkerCommands(loop, self.pool, lambda caller_id: self.clients.identity(caller_id))
+        self.workers = WorkerCommands(
+            loop, self.pool, lambda caller_id: self.clients.identity_for_attempt(caller_id)
+        )
         self.dispatcher = Dispatcher(loop, gateway, self.workers, log)
         self.clients = Clients(
             loop,
@@ -67,37 +76,38 @@
             self._log.info("endpoints_applied", revision=endpoints.version, workers=states)
 
     def reload(self, config: Config) -> None:
-        """Take up what may change while the node serves: the name server's address."""
+        """Apply the only value that may change while the node runs: the name server's address."""
         self.discovery.move(config.dns)
         self._log.info("config_file_reloaded", discovery_address=config.dns)
 
     def shut_down(self) -> None:
-        """Shut down gracefully (the work of a task).
+        """Shut down gracefully; must run in a task.
 
-        Serves on for DRAIN_PERIOD_US, then accepts nothing new. What is open gets its final answer before the
-        process may be killed; it ends once all clients have closed their connections.
+        The node keeps serving for DRAIN_PERIOD_US, then accepts no new connections or requests. Open requests
+        get their final answers before SIGKILL may arrive. Returns when all clients have closed their
+        connections, or when the time is up.
         """
         started_us = self._loop.now()
         self.clients.is_shutting_down = True
         self.dispatcher.feed(ShuttingDown(self._drain_limit_us))
         self._loop.sleep(DRAIN_PERIOD_US)
         self._accepting.cancel()
-        self.clients.take_queued(self.listener)
+        self.clients.accept_queued(self.listener)
         self.listener.close()
         self.clients.drain()
-        while self._must_wait_for_clients(started_us + self._drain_limit_us + KILL_MARGIN_US):
+        while self._must_wait_for_clients(started_us + self._drain_limit_us + SIGKILL_MARGIN_US):
             self._loop.sleep(DRAIN_POLL_INTERVAL_US)
         self.discovery.close()
 
-    def _must_wait_for_clients(self, killed_at_us: int) -> bool:
-        """Return whether the shutdown waits on.
+    def _must_wait_for_clients(self, sigkill_at_us: int) -> bool:
+        """Return whether the shutdown must keep waiting for client connections.
 
-        For answers that are still to leave it waits up to the kill, for clients that only haven't closed
-        their connections until there is just time to exit.
+        It waits for pending answers until SIGKILL may arrive. For idle connections that their clients haven't
+        closed, it stops EXIT_TIME_US earlier, so that the process can still exit by itself.
         """
         connections = self.clients.connections
-        has_open = any(not connection.is_idle for connection in connections)
-        end_us = killed_at_us if has_open else killed_at_us - EXIT_TIME_US
+        has_busy_connection = any(not connection.is_idle for connection in connections)
+        end_us = sigkill_at_us if has_busy_connection else sigkill_at_us - EXIT_TIME_US
         return bool(connections) and self._loop.now() < end_us
 
 
--- a/packages/node/src/walnutpost/node/open_requests.py
+++ b/packages/node/src/walnutpost/node/open_requests.py
@@ -1,6 +1,6 @@
-"""The clients' requests that are open at this node, by caller.
+"""The open client requests of this node, by caller id.
 
-Says what workers are given of a request, and whether an attempt for it may still begin.
+Provides what workers need to know about a request, and whether an attempt for it may still start.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class RequestIdentity(NamedTuple):
-    """What a worker is given of a request, as its client stated it."""
+    """The fields of a request that are forwarded to a worker, as the client sent them."""
 
     request_id: bytes
     request_class: str
@@ -18,30 +18,34 @@
 
 
 class OpenRequests:
-    """Requests from when they are accepted until they end here.
+    """Tracks requests from their acceptance until they end at this node.
 
-    `request_ids` are those of the requests that an attempt may still begin for.
+    `request_ids` contains the ids of the requests for which an attempt may still start.
     """
 
     def __init__(self) -> None:
         self.identities: dict[int, RequestIdentity] = {}
         self.request_ids: set[bytes] = set()
-        self._read_ahead: dict[int, Callable[[], None]] = {}  # of the connection that each came on
+        self._read_ahead_callbacks: dict[int, Callable[[], None]] = {}  # by caller id
         self._attempted: set[int] = set()
 
     def add(self, caller_id: int, identity: RequestIdentity, read_ahead: Callable[[], None]) -> None:
-        """Take up a request; `read_ahead` finds unread bytes that cancel it, and then calls `withdraw`."""
+        """Add a request.
+
+        `read_ahead` reads unread bytes of its connection early, and calls `prevent_attempts` if they cancel
+        it.
+        """
         self.identities[caller_id] = identity
         self.request_ids.add(identity.request_id)
-        self._read_ahead[caller_id] = read_ahead
+        self._read_ahead_callbacks[caller_id] = read_ahead
 
-    def identity(self, caller_id: int) -> RequestIdentity | None:
-        """Return what a worker is given of a request.
+    def identity_for_attempt(self, caller_id: int) -> RequestIdentity | None:
+        """Return what to send to a worker about a request, and record that an attempt was started for it.
 
-        Asked before an attempt is made and before its first byte leaves. None once its client has left, also
-        where that is still unread, or once it has been answered.
+        Call this before creating an attempt, and again before sending its first byte. Returns None if the
+        request has been answered, or if its client has cancelled it or left, even if that is still unread.
         """
-        read_ahead = self._read_ahead.get(caller_id)
+        read_ahead = self._read_ahead_callbacks.get(caller_id)
         if read_ahead is not None:
             read_ahead()
         identity = self.identities.get(caller_id)
@@ -50,17 +54,17 @@
         return identity
 
     def was_attempted(self, caller_id: int) -> bool:
-        """Return whether an attempt was started for it, so that it may have run."""
+        """Return whether an attempt was started for the request, so that it may have run."""
         return caller_id in self._attempted
 
-    def withdraw(self, caller_id: int) -> None:
-        """Let no attempt begin for it from now on."""
+    def prevent_attempts(self, caller_id: int) -> None:
+        """Prevent further attempts for the request."""
         identity = self.identities.pop(caller_id, None)
         if identity is not None:
             self.request_ids.discard(identity.request_id)
-        self._read_ahead.pop(caller_id, None)
+        self._read_ahead_callbacks.pop(caller_id, None)
 
     def remove(self, caller_id: int) -> None:
-        """Forget a request that has ended here."""
-        self.withdraw(caller_id)
+        """Remove a request that has ended at this node."""
+        self.prevent_attempts(caller_id)
         self._attempted.discard(caller_id)
