--- a/packages/node/src/walnutpost/node/connection_selection.py
+++ b/packages/node/src/walnutpost/node/connection_selection.py
@@ -1,4 +1,4 @@
-"""Which of the connections to a worker may carry another command."""
+"""Selects the connections to a worker that can carry another command."""
 
 from __future__ import annotations
 
@@ -10,22 +10,23 @@
 def rank_candidates(
     connections: Iterable[WorkerConnection], id: bytes, max_streams: int
 ) -> list[WorkerConnection]:
-    """Return the connections with room for the command, the best first.
+    """Return the connections with capacity for the command, best first.
 
-    Idle ones come first, then those with the fewest commands, as a reset then affects few others; those with
-    a partial response come last. A connection that has carried this id before is no candidate: a late
-    response to the earlier command could be taken for one to this.
+    Connections with fewer open commands come first, starting with idle ones, so that a reset affects few
+    other commands. Connections with a partial response come last. A connection that recently carried a
+    command with the same id is excluded, because a late response to that command could be mistaken for the
+    response to this one.
     """
     usable = [
         connection
         for connection in connections
         if not connection.is_draining
         and len(connection.open) < max_streams
-        and not connection.has_carried(id)
+        and not connection.has_used_id(id)
     ]
-    usable.sort(key=_load)
+    usable.sort(key=_selection_order)
     return usable
 
 
-def _load(connection: WorkerConnection) -> tuple[bool, int]:
+def _selection_order(connection: WorkerConnection) -> tuple[bool, int]:
     return connection.has_partial_response, len(connection.open)
--- a/packages/node/src/walnutpost/node/exchange.py
+++ b/packages/node/src/walnutpost/node/exchange.py
@@ -1,6 +1,7 @@
-"""A command to a worker that ends with exactly one outcome: a call's attempt, a load order, a query, a probe.
+"""A command to a worker and its single outcome: an attempt of a call, a load order, a copy query or a probe.
 
-Knows neither connections nor their pool: the connection that carries an exchange registers as its `carrier`.
+This module doesn't depend on connections or their pool: the connection that carries an exchange sets itself
+as the exchange's `connection`.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 
 class CommandKind(Enum):
-    """What a command is for."""
+    """The purpose of a command."""
 
     CALL = "call"
     LOAD_ORDER = "load_order"
-    COPY_QUERY = "copy_query"  # an order for no copies: asks how many are loaded
+    COPY_QUERY = "copy_query"  # a load order for 0 copies, which asks how many are loaded
     PROBE = "probe"
 
 
@@ -27,9 +28,9 @@
 
 
 class SendProgress(Enum):
-    """How much of a command the kernel has taken on its present connection.
+    """How much of a command the kernel has accepted on its current connection.
 
-    One that is not SENT when that connection is reset never reaches the worker complete.
+    If the connection is reset before the command is SENT, the worker never receives the complete command.
     """
 
     WAITING = "waiting"
@@ -37,25 +38,26 @@
     SENT = "sent"
 
 
-class Carrier(Protocol):
+class ExchangeConnection(Protocol):
     """The connection that carries an exchange."""
 
     def abandon(self, exchange: Exchange) -> None:
-        """Detach the exchange, and give the kernel no further byte of it."""
+        """Detach the exchange, and send no further byte of it."""
 
 
 class Exchange:
-    """One command and its one outcome; whatever comes after the outcome is ignored.
+    """One command and its one outcome; anything that arrives after the outcome is ignored.
 
-    A command is decided on when it is given to a connection, and may leave much later: once the connection
-    has come up, or the send buffer has room. `may_begin` is asked where its first byte would leave, and
-    `encode` then makes the command, so that it states the time that is left.
+    The decision for a command is made when it is assigned to a connection, but its bytes may be sent much
+    later: once the connection is established, or the send buffer has room. The connection therefore checks
+    `may_send` just before the first byte, and only then calls `encode`, so that the command states the time
+    that is left.
     """
 
     __slots__ = (
-        "_is_wanted",
+        "_is_awaited",
         "_on_end",
-        "carrier",
+        "connection",
         "deadline_us",
         "decided_us",
         "encode",
@@ -80,13 +82,13 @@
         timeout_us: int,
         on_end: Callable[[Exchange, Outcome, resp.Response | None], None],
         send_within_us: int = 0,
-        is_wanted: Callable[[], bool] | None = None,
+        is_awaited: Callable[[], bool] | None = None,
     ):
-        """Make an exchange that waits to be sent.
+        """Create an exchange that waits to be sent.
 
-        `encode` makes the command out of the time at which it begins to leave; `timeout_us` and
-        `send_within_us` (0: no such limit) count from `decided_us`; `is_wanted` says whether somebody still
-        waits for the outcome (None: always).
+        `encode` returns the bytes of the command for the time at which it is sent. `timeout_us` and
+        `send_within_us` (0 means no such limit) count from `decided_us`. `is_awaited` returns whether a
+        caller still waits for the outcome (None means always).
         """
         self.kind = kind
         self.id = id
@@ -95,37 +97,37 @@
         self.deadline_us = decided_us + timeout_us
         self.send_by_us = decided_us + send_within_us if send_within_us else self.deadline_us
         self._on_end = on_end
-        self._is_wanted = is_wanted
+        self._is_awaited = is_awaited
         self.has_ended = False
-        self.is_abandoned = False  # its outcome is about to be reported
-        self.carrier: Carrier | None = None
+        self.is_abandoned = False  # cancelled; the outcome will be reported shortly
+        self.connection: ExchangeConnection | None = None
         self.timer: Timer | None = None
         self.progress = SendProgress.WAITING
-        self.queued_us = decided_us  # since when it has been with its present connection
-        self.sent_us = 0  # when the kernel took its last byte
-        self.move_count = 0  # to other connections
+        self.queued_us = decided_us  # when it was queued on its current connection
+        self.sent_us = 0  # when the kernel accepted its last byte
+        self.move_count = 0  # number of moves to other connections
 
     @property
     def can_move(self) -> bool:
-        """Whether it may go out on another connection once its present one is reset.
+        """Whether the exchange may move to another connection after its current one is reset.
 
-        It may where it can't have arrived complete, or is idempotent.
+        This is safe if the worker can't have received the complete command, or if the command is idempotent.
         """
         return self.progress is not SendProgress.SENT or self.kind in IDEMPOTENT_KINDS
 
     @property
     def is_over(self) -> bool:
-        """Whether it has ended or was abandoned: no byte of it may leave any more."""
+        """Whether the exchange has ended or was abandoned, so that no further byte of it may be sent."""
         return self.has_ended or self.is_abandoned
 
-    def may_begin(self, now_us: int) -> bool:
-        """Guard against what has changed between decision and first byte.
+    def may_send(self, now_us: int) -> bool:
+        """Return whether the first byte may still be sent.
 
-        The client may have left, the answer may be out, the time of the decision may be over. What may not
-        begin any more never ran.
+        Since the decision, the client may have left, the request may have been answered, or the time limit
+        may have passed. A command that may not be sent any more counts as never run.
         """
         in_time = now_us <= self.send_by_us and now_us < self.deadline_us
-        return in_time and not self.is_over and (self._is_wanted is None or self._is_wanted())
+        return in_time and not self.is_over and (self._is_awaited is None or self._is_awaited())
 
     def finish(self, outcome: Outcome, response: resp.Response | None = None) -> None:
         """Report the outcome, unless one was reported before."""
--- a/packages/node/src/walnutpost/node/outbox.py
+++ b/packages/node/src/walnutpost/node/outbox.py
@@ -1,4 +1,4 @@
-"""The commands that wait to leave on one connection, and how much of each the kernel has taken."""
+"""The send queue of one worker connection, which tracks how much of each command the kernel has accepted."""
 
 from __future__ import annotations
 
@@ -6,51 +6,51 @@
 
 from walnutpost.node.exchange import Exchange, SendProgress
 
-MAX_CHUNK_BYTES = 64 << 10  # offered to the kernel at once: only what it may take is encoded
+MAX_CHUNK_BYTES = 64 << 10  # per send call; limits how much is encoded before the kernel accepts it
 
 
 class Outbox:
-    """A queue of exchanges, and of commands that get no response (bytes).
+    """A queue of exchanges, and of encoded commands that get no response (bytes).
 
-    `len` counts those that have not begun to leave; they are encoded when they are offered, and again if no
-    byte of them was taken.
+    `len` counts the commands of which no byte has been sent. Exchanges are encoded when they are passed to
+    the kernel, and encoded again later if it accepted no byte of them.
     """
 
     def __init__(self) -> None:
         self._waiting: deque[Exchange | bytes] = deque()
-        self._unsent = b""  # what is left of the command that has begun to leave
-        self._partial: Exchange | None = None  # whose command that is
+        self._unsent = b""  # the rest of the partially sent command
+        self._partial: Exchange | None = None  # the exchange of that command
         self._offered: list[tuple[Exchange | None, bytes]] = []
 
     def __len__(self) -> int:
-        """Return the number of commands that have not begun to leave."""
+        """Return the number of commands of which no byte has been sent."""
         return len(self._waiting)
 
     @property
     def has_partial(self) -> bool:
-        """Whether a command has begun to leave and not left completely."""
+        """Whether a command has been sent partially."""
         return bool(self._unsent)
 
     @property
     def has_pending(self) -> bool:
-        """Whether anything is still to leave."""
+        """Whether any bytes are still to be sent."""
         return bool(self._unsent or self._waiting)
 
     @property
     def oldest(self) -> Exchange | None:
-        """The unsent exchange that has waited for longest."""
+        """The unsent exchange that has waited longest."""
         return next((command for command in self._waiting if isinstance(command, Exchange)), None)
 
     def add(self, command: Exchange | bytes) -> None:
-        """Append a command."""
+        """Append a command to the queue."""
         self._waiting.append(command)
 
     def unsent_exchanges(self) -> list[Exchange]:
-        """Return the exchanges of which no byte has left."""
+        """Return the exchanges of which no byte has been sent."""
         return [command for command in self._waiting if isinstance(command, Exchange)]
 
     def remove(self, exchange: Exchange) -> bool:
-        """Remove an exchange that has not begun to leave; return False if it has, or isn't here."""
+        """Remove an unsent exchange; return False if it is partly or fully sent, or isn't in the queue."""
         for index, command in enumerate(self._waiting):
             if command is exchange:
                 del self._waiting[index]
@@ -58,13 +58,13 @@
         return False
 
     def clear(self) -> None:
-        """Drop everything, also the rest of a command that has begun to leave."""
+        """Drop everything, including the rest of a partially sent command."""
         self._waiting.clear()
         self._unsent = b""
         self._partial = None
 
     def next_chunk(self, now_us: int) -> bytes:
-        """Return the next bytes to offer to the kernel; `mark_sent` must follow."""
+        """Return the next bytes to pass to the kernel; the caller must then call `mark_sent`."""
         self._offered = [(self._partial, self._unsent)] if self._unsent else []
         size = len(self._unsent)
         for command in self._waiting:
@@ -80,7 +80,7 @@
         return b"".join(data for _, data in self._offered)
 
     def mark_sent(self, count: int, now_us: int) -> None:
-        """Note that the kernel took the first `count` bytes of the last chunk."""
+        """Record that the kernel accepted the first `count` bytes of the last chunk."""
         for exchange, data in self._offered:
             if count <= 0:
                 break
--- a/packages/node/src/walnutpost/node/worker_commands.py
+++ b/packages/node/src/walnutpost/node/worker_commands.py
@@ -1,6 +1,6 @@
-"""The gateway's effects on workers as exchanges: attempts of calls, load orders, queries, probes.
+"""Sends the gateway's commands to workers: attempts of calls, load orders, copy queries and probes.
 
-Implements `dispatch.WorkerTransport`; the connections are the pool's.
+Implements `dispatch.WorkerTransport`; the pool manages the connections.
 """
 
 from __future__ import annotations
@@ -21,20 +21,23 @@
 
 
 class WorkerCommands:
-    """Sends commands to workers, and reports the one outcome of each."""
+    """Sends commands to workers, and reports the single outcome of each."""
 
     def __init__(
-        self, loop: Loop, pool: WorkerPool, identity: Callable[[int], RequestIdentity | None]
+        self, loop: Loop, pool: WorkerPool, identity_for_attempt: Callable[[int], RequestIdentity | None]
     ) -> None:
-        """`identity` gives what a worker is given of a caller, and None once nobody waits for its answer."""
+        """`identity_for_attempt` maps a caller id to what a worker needs to know about the request.
+
+        It returns None if nobody waits for the answer any more.
+        """
         self._loop = loop
         self._pool = pool
-        self._identity = identity
+        self._identity_for_attempt = identity_for_attempt
         self._last_id = 0
-        self._attempts: dict[tuple[int, int], Exchange] = {}  # by call and attempt
+        self._attempts: dict[tuple[int, int], Exchange] = {}  # by (call, attempt)
         self.load_orders = 0
         self.copy_queries = 0
-        self.attempt_outcomes: Counter[tuple[str, Outcome]] = Counter()  # since it was last cleared
+        self.attempt_outcomes: Counter[tuple[str, Outcome]] = Counter()  # since the last report cleared it
 
     def send(
         self,
@@ -43,9 +46,9 @@
         before: Callable[[], None] | None = None,
         execution: str = "",
     ) -> None:
-        """Send an attempt of a call; its timeout runs from now."""
+        """Send an attempt of a call; its timeout starts now."""
         now_us = self._loop.now()
-        identity = self._identity(effect.caller_id)
+        identity = self._identity_for_attempt(effect.caller_id)
         deadline_us = now_us + effect.timeout_us
         exchange = Exchange(
             CommandKind.CALL,
@@ -55,26 +58,26 @@
             effect.timeout_us,
             partial(self._end_attempt, effect, done),
             effect.begin_within_us,
-            partial(self._is_wanted, effect.caller_id),
+            partial(self._is_awaited, effect.caller_id),
         )
         self._attempts[effect.call, effect.attempt] = exchange
-        if identity is None:  # the client left while this was decided
+        if identity is None:  # the client left while the policy decided
             self._loop.call_soon(partial(exchange.finish, Outcome.MOOT))
             return
-        self._begin(effect.worker, exchange)
+        self._start(effect.worker, exchange)
 
     def cancel(self, call: int, attempt: int) -> None:
-        """Give the attempt up, also where it has been sent."""
+        """Cancel the attempt, even if it has been sent."""
         exchange = self._attempts.get((call, attempt))
         if exchange is None:
             return
         exchange.is_abandoned = True
-        if exchange.carrier is not None:
-            exchange.carrier.abandon(exchange)
+        if exchange.connection is not None:
+            exchange.connection.abandon(exchange)
         self._loop.call_soon(partial(exchange.finish, Outcome.CANCELLED))
 
     def order_load(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
-        """Send a load order, or a query for copies; its outcome is as `interface.HoldEnded` says."""
+        """Send a load order or a copy query; `interface.HoldEnded` describes its outcome."""
         is_query = not effect.copies
         if is_query:
             self.copy_queries += 1
@@ -84,13 +87,13 @@
         exchange = Exchange(
             CommandKind.COPY_QUERY if is_query else CommandKind.LOAD_ORDER,
             id,
-            _as_encoded(resp.encode_spawn(id, effect.function, effect.copies)),
+            _constant_encoder(resp.encode_spawn(id, effect.function, effect.copies)),
             self._loop.now(),
             self._pool.limits.order_timeout_us,
             partial(self._end_order, effect, done),
             effect.begin_within_us,
         )
-        self._begin(effect.worker, exchange)
+        self._start(effect.worker, exchange)
 
     def probe(self, effect: Probe, done: Callable[[ProbeEnded], None]) -> None:
         """Send a probe."""
@@ -98,12 +101,12 @@
         exchange = Exchange(
             CommandKind.PROBE,
             id,
-            _as_encoded(resp.encode_probe(id)),
+            _constant_encoder(resp.encode_probe(id)),
             self._loop.now(),
             PROBE_TIMEOUT_US,
             partial(self._end_probe, effect, done),
         )
-        self._begin(effect.worker, exchange)
+        self._start(effect.worker, exchange)
 
     def unload(self, effect: Unload) -> None:
         """Ask the worker to unload idle copies; there is no response."""
@@ -112,7 +115,7 @@
             connection.send_one_way(resp.encode_reap(effect.function))
 
     def close_idle_connections(self, worker: str) -> None:
-        """Close the worker's connections that carry nothing."""
+        """Close the worker's connections that have no open commands."""
         self._pool.close_idle(worker)
 
     # Outcomes
@@ -153,7 +156,7 @@
         response: resp.Response | None,
     ) -> None:
         if response is None and outcome is Outcome.ERROR and effect.copies:
-            outcome = Outcome.RESET  # malformed bytes came, which answer nothing
+            outcome = Outcome.RESET  # the connection failed on a malformed response, which answers no command
         copies = response.copies or 0 if response is not None else 0
         duration_us = self._loop.now() - exchange.decided_us
         done(LoadOrderEnded(effect.worker, effect.function, outcome, duration_us, copies, effect.copies))
@@ -169,20 +172,20 @@
         report = response.report if response is not None else ()
         done(ProbeEnded(effect.worker, outcome, self._loop.now() - exchange.decided_us, report))
 
-    def _begin(self, worker: str, exchange: Exchange) -> None:
+    def _start(self, worker: str, exchange: Exchange) -> None:
         timeout_us = exchange.deadline_us - exchange.decided_us
         exchange.timer = self._loop.call_later(timeout_us, partial(self._expire, exchange))
         self._pool.assign(worker, exchange)
 
     def _expire(self, exchange: Exchange) -> None:
-        """End an exchange whose time is over: what was not sent completely can't arrive any more."""
+        """End an exchange whose timeout has passed; if it was not sent completely, it can't run any more."""
         was_sent = exchange.progress is SendProgress.SENT
-        if exchange.carrier is not None:
-            exchange.carrier.abandon(exchange)
+        if exchange.connection is not None:
+            exchange.connection.abandon(exchange)
         exchange.finish(Outcome.TIMEOUT if was_sent else Outcome.MOOT)
 
-    def _is_wanted(self, caller_id: int) -> bool:
-        return self._identity(caller_id) is not None
+    def _is_awaited(self, caller_id: int) -> bool:
+        return self._identity_for_attempt(caller_id) is not None
 
     def _next_id(self) -> bytes:
         self._last_id += 1
@@ -190,7 +193,7 @@
 
 
 def _encode_call(identity: RequestIdentity | None, effect: Send, deadline_us: int, now_us: int) -> bytes:
-    """Encode the call with the time that is left; without an identity it is never sent."""
+    """Encode a call with the time that is left; a call without an identity is encoded, but never sent."""
     request_id, request_class, idempotency_key = identity or RequestIdentity(b"", "", "")
     budget_us = deadline_us - now_us
     return resp.encode_call(
@@ -198,8 +201,8 @@
     )
 
 
-def _as_encoded(command: bytes) -> Callable[[int], bytes]:
-    """Return an `encode` for a command that states no time."""
+def _constant_encoder(command: bytes) -> Callable[[int], bytes]:
+    """Return an `encode` function for a command that doesn't depend on the time."""
 
     def encode(now_us: int) -> bytes:
         return command
--- a/packages/node/src/walnutpost/node/worker_connection.py
+++ b/packages/node/src/walnutpost/node/worker_connection.py
@@ -1,7 +1,7 @@
-"""One connection to a worker: commands out, responses in, and what its end means for what is open on it.
+"""One connection to a worker: sends commands, receives responses, and ends open commands when it fails.
 
-What was given to the kernel completely may arrive until the connection is reset, and an orderly close would
-still deliver it. So a connection on which something sent was abandoned is reset when it ends.
+A command that the kernel has accepted may still reach the worker until the connection is reset; an orderly
+close would deliver it. A connection with an abandoned command is therefore closed by a reset.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from walnutpost.node.outbox import Outbox
 from walnutpost.node.worker_limits import WorkerLimits
 
-MAX_MOVES = 3  # to other connections, of what can't have arrived, or is idempotent
-MAX_RECENT_IDS = 256  # ids of former commands that a connection remembers
+MAX_MOVES = 3  # per exchange, to other connections; only if it can't have arrived or is idempotent
+MAX_RECENT_IDS = 256  # ids of ended commands that a connection remembers
 LINGER_RESET = struct.pack("ii", 1, 0)
 LINGER_OFF = struct.pack("ii", 0, 0)
-POLL_BEFORE_SEND_AFTER_US = 20_000  # a command that has waited so long leaves only after another poll
+POLL_BEFORE_SEND_AFTER_US = 20_000  # a command that has waited longer is sent only after another poll
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that it belongs to."""
+    """What a connection needs from the pool that it belongs to."""
 
     @property
     def loop(self) -> Loop:
@@ -37,42 +37,42 @@
 
     @property
     def limits(self) -> WorkerLimits:
-        """The bounds on connections to workers."""
+        """The limits on connections to workers."""
 
-    def assign(self, worker: str, exchange: Exchange, on_new: bool = False) -> None:
-        """Put the exchange on a connection, a new one where `on_new`."""
+    def assign(self, worker: str, exchange: Exchange, prefer_new: bool = False) -> None:
+        """Send the exchange to the worker; with `prefer_new`, try a new connection before an idle one."""
 
     def on_malformed_response(self, connection: WorkerConnection) -> None:
-        """React to bytes on the connection that are no response."""
+        """Handle a malformed response on the connection."""
 
     def forget(self, connection: WorkerConnection) -> None:
-        """Forget the connection, which has been closed."""
+        """Remove the connection, which has been closed."""
 
 
 class WorkerConnection:
-    """One connection; what is to be written waits until the end of the round, or until it is up."""
+    """A connection that sends commands at the end of the round, or once it is established."""
 
     def __init__(self, owner: ConnectionOwner, worker: str, address: Address) -> None:
-        """Begin to connect. Raises OSError where there is no descriptor."""
+        """Start to connect. Raises OSError if no file descriptor is available."""
         self.worker = worker
         self._owner = owner
         self._loop = owner.loop
         self.open: dict[bytes, Exchange] = {}
         self._recent_ids: dict[bytes, None] = {}
         self.is_connected = False
-        self._was_accepted = False  # the other end took the connection, whatever became of it
-        self.is_draining = False  # takes nothing new
+        self._was_accepted = False  # the worker accepted the connection, even if it reset it afterwards
+        self.is_draining = False  # accepts no new commands
         self.is_closed = False
         self._last_received_us = 0
         self.idle_since_us = self._loop.now()
         self._parser = resp.ResponseParser(owner.limits.report_fields)
-        self.has_partial_response = False  # what comes next is taken for the rest of it
+        self.has_partial_response = False  # the next bytes would be parsed as the rest of it
         self._outbox = Outbox()
-        self._is_flush_due = False  # at the end of the round, after a poll, or once the kernel takes bytes
-        self._is_write_closed = False  # an abandoned command had left in part: no byte may follow it
+        self._is_flush_due = False  # at the end of the round, after a poll, or when the socket is writable
+        self._is_write_closed = False  # an abandoned command was partially sent: no byte may follow it
         self._must_reset = False
         self._sock, code = start_connect(address)
-        # Where this process ends without `close`, the kernel must not deliver for a former process either.
+        # If this process ends without `close`, the kernel must not deliver the commands that it left behind.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.stream = Stream(self._loop, self._sock)
         self._connect_timer = self._loop.call_later(owner.limits.connect_timeout_us, self.fail)
@@ -95,15 +95,15 @@
         self.stream.on_readable(self._on_readable)
         self._flush()
 
-    def has_carried(self, id: bytes) -> bool:
-        """Return whether a response under this id that comes now could be one to an earlier command."""
+    def has_used_id(self, id: bytes) -> bool:
+        """Return whether a response with this id could belong to an earlier command on this connection."""
         return id in self._recent_ids or id in self.open
 
     # Sending
 
     def send(self, exchange: Exchange) -> None:
-        """Carry the exchange; it leaves as soon as it can."""
-        exchange.carrier = self
+        """Queue the exchange, and send it as soon as possible."""
+        exchange.connection = self
         exchange.progress = SendProgress.WAITING
         exchange.queued_us = self._loop.now()
         self.open[exchange.id] = exchange
@@ -120,12 +120,12 @@
             self._loop.call_soon(self._flush)
 
     def _flush(self) -> None:
-        """Send what waits: the one place where a command's first byte leaves.
+        """Send the queued commands; if they have waited long, poll the sockets again first.
 
-        So it is also where it is asked whether a decision still holds. What doesn't goes back to the policy
-        as never run. That a client has left is known from the last poll of the sockets. Where that may be
-        long ago, as other work has filled the round, they are polled once more first: timers run right
-        after a poll.
+        This is the only place that sends commands, so it also checks whether the decision for each command
+        still holds. If it doesn't, the policy is told that the command never ran. The check relies on the
+        last poll of the sockets to know which clients have left. Other work in this round may have made that
+        poll outdated; in this case, a timer defers the sending, because timers run right after a poll.
         """
         oldest = self._outbox.oldest
         if oldest is not None and self._loop.now() - oldest.queued_us > POLL_BEFORE_SEND_AFTER_US:
@@ -140,7 +140,7 @@
             return
         now_us = self._loop.now()
         for exchange in self._outbox.unsent_exchanges():
-            if not exchange.may_begin(now_us):
+            if not exchange.may_send(now_us):
                 self._end_unsent(exchange)
         if self.is_closed:
             return
@@ -148,12 +148,12 @@
             self._send_waiting(now_us)
         except OSError:
             self._read_remaining()
-        except Exception:  # costs this connection at the most; the loop reports it
+        except Exception:  # affects only this connection; the loop reports it
             self.fail()
             raise
 
     def _send_waiting(self, now_us: int) -> None:
-        """Give the kernel what it takes."""
+        """Send as much as the kernel accepts, and the rest when the socket is writable."""
         while self._outbox.has_pending:
             data = self._outbox.next_chunk(now_us)
             sent = len(data) - len(self.stream.send_now(data))
@@ -163,17 +163,20 @@
                 self.stream.on_writable(self._flush)
                 return
 
-    def _withdraw(self, exchange: Exchange) -> bool:
-        """Take back what has not begun to leave; return False if it has, or isn't here."""
+    def _remove_unsent(self, exchange: Exchange) -> bool:
+        """Remove an unsent exchange; return False if it is partly or fully sent, or isn't queued here."""
         if not self._outbox.remove(exchange):
             return False
         self.open.pop(exchange.id, None)
-        exchange.carrier = None
+        exchange.connection = None
         return True
 
     def _end_unsent(self, exchange: Exchange) -> None:
-        """End it as never run, after this round: what follows may be sent on this very connection."""
-        if self._withdraw(exchange):
+        """Remove an unsent exchange, and report at the end of the round that it never ran.
+
+        The report is deferred because its handler may send another command on this connection.
+        """
+        if self._remove_unsent(exchange):
             self._loop.call_soon(partial(exchange.finish, Outcome.MOOT))
             self._on_detached()
 
@@ -182,12 +185,12 @@
     def _on_readable(self) -> None:
         try:
             self._read()
-        except Exception:  # costs this connection at the most; the loop reports it
+        except Exception:  # affects only this connection; the loop reports it
             self.fail()
             raise
 
     def _read(self) -> bool:
-        """Take what has come; return whether there was anything, and may be more."""
+        """Read and process available bytes; return whether there were any, so that more may follow."""
         if self.is_closed:
             return False
         try:
@@ -198,12 +201,12 @@
             self.fail()
             return False
         if data:
-            self._take(data)
+            self._process(data)
         if not self.is_closed:
             self.stream.on_readable(self._on_readable)
         return bool(data)
 
-    def _take(self, data: bytes) -> None:
+    def _process(self, data: bytes) -> None:
         self._last_received_us = self._loop.now()
         responses, error = self._parser.feed(data)
         self.has_partial_response = self._parser.has_partial
@@ -213,7 +216,7 @@
             self._owner.on_malformed_response(self)
 
     def _read_remaining(self) -> None:
-        """Take the responses that came before the connection ended under a command."""
+        """Process the responses that arrived before a send failed, then fail the connection."""
         self.is_draining = True
         try:
             while self._read():
@@ -222,10 +225,10 @@
             self.fail()
 
     def _on_response(self, response: resp.Response) -> None:
-        """End the exchange that the response answers.
+        """End the exchange that the response belongs to.
 
-        An id that isn't open belongs to an abandoned exchange, a duplicate or another client's mistake: it
-        is ignored. So is a response to what hasn't left completely.
+        A response is ignored if its id isn't open, as after an abandoned exchange, a duplicate or a mix-up
+        with another client, or if its command hasn't been sent completely.
         """
         exchange = self.open.get(response.id)
         if exchange is not None and exchange.progress is SendProgress.SENT:
@@ -234,10 +237,10 @@
             exchange.finish(response.outcome, response)
 
     def check_ended(self) -> bool:
-        """Return whether it has ended, also where that has come and isn't read yet.
+        """Return whether the connection has ended, even if the end hasn't been read yet.
 
-        A call written into it would count as one that may have run. Reads what has come, where nothing is
-        open that it could concern.
+        A call sent on an ended connection would count as one that may have run. If no command is open, this
+        also reads unread bytes.
         """
         if self.is_connected and not self.is_closed:
             if self.open:
@@ -246,16 +249,16 @@
                 self._on_readable()
         return self.is_closed
 
-    # Ending
+    # Abandoning and closing
 
     def abandon(self, exchange: Exchange) -> None:
         """Detach an exchange that nobody waits for any more.
 
-        Where it may still be on its way, what the kernel holds of it is dropped by a reset, once that takes
-        no response away from others.
+        If any of its bytes have been sent, the connection will end by a reset, which drops those that the
+        kernel still holds. The reset waits until no other exchange is open that could lose its response.
         """
         if exchange.progress is SendProgress.WAITING:
-            if self._withdraw(exchange):
+            if self._remove_unsent(exchange):
                 self._on_detached()
             return
         if self.open.get(exchange.id) is not exchange:
@@ -266,52 +269,52 @@
             self._is_write_closed = True
         if not self._is_reusable_after(exchange):
             self.is_draining = True
-            self._move_waiting()
+            self._move_unsent()
         elif exchange.kind is CommandKind.CALL and self._owner.limits.may_cancel:
             self.send_one_way(resp.encode_kill(exchange.id))
         self._on_detached()
 
     def _is_reusable_after(self, exchange: Exchange) -> bool:
-        """Return whether other commands may follow an abandoned one.
+        """Return whether the connection may carry other commands after an abandoned exchange.
 
-        A connection that has sent nothing since the exchange left may be dead, and the rest of a partial
-        response would be taken for the next one's. A load order must not arrive later, so its connection
-        ends.
+        A connection on which nothing has arrived since the exchange was sent may be dead, and the rest of a
+        partial response would be mistaken for the next response. An abandoned load order must not arrive
+        later, so its connection is not reused.
         """
         was_sent = exchange.progress is SendProgress.SENT
         is_alive = was_sent and self._last_received_us >= exchange.sent_us
         return is_alive and exchange.kind is not CommandKind.LOAD_ORDER and not self.has_partial_response
 
-    def _move_waiting(self) -> None:
-        """Move what has not begun to leave to another connection."""
+    def _move_unsent(self) -> None:
+        """Move the unsent exchanges to other connections."""
         for exchange in self._outbox.unsent_exchanges():
             if exchange.move_count >= MAX_MOVES:
                 self._end_unsent(exchange)
-            elif self._withdraw(exchange):
+            elif self._remove_unsent(exchange):
                 exchange.move_count += 1
                 self._owner.assign(self.worker, exchange)
         if self._is_write_closed:
             self._outbox.clear()
 
     def _detach(self, exchange: Exchange) -> None:
-        """Remove it from this connection; its id is remembered, as a response may still come."""
-        exchange.carrier = None
+        """Remove the exchange, and remember its id, because a response may still arrive."""
+        exchange.connection = None
         self.open.pop(exchange.id, None)
         self._recent_ids[exchange.id] = None
         if len(self._recent_ids) > MAX_RECENT_IDS:
             del self._recent_ids[next(iter(self._recent_ids))]
 
     def _on_detached(self) -> None:
-        """Note when nothing is left on the connection, and close it if it is draining."""
+        """If no exchange is open any more, record that time, and close the connection if it is draining."""
         if not self.open:
             self.idle_since_us = self._loop.now()
             if self.is_draining:
                 self.close()
 
     def drain(self) -> None:
-        """End it without a loss: its worker has gone, or its address is another's by now.
+        """Close the connection without losing responses; its worker has left the list or changed its address.
 
-        What has not begun doesn't begin there; what has is left to end by itself.
+        Unsent exchanges end as never run; the others may still finish.
         """
         self.is_draining = True
         for exchange in self._outbox.unsent_exchanges():
@@ -320,11 +323,11 @@
             self.close()
 
     def fail(self, outcome: Outcome = Outcome.RESET) -> None:
-        """End it because the other end, or the way there, has failed.
+        """Close the connection because the worker or the network has failed.
 
-        What was sent completely may have run and ends with `outcome`; what was not can't have. One
-        connection may break by itself, and then others with it: what can move goes out on a new one, so that
-        only a worker that accepts none counts as failed.
+        Exchanges that were sent completely may have run, and end with `outcome`; the others can't have run.
+        The failure may affect only this connection, or also other open ones. Exchanges that can move are
+        therefore sent on a new connection, and only a worker that accepts no connection counts as failed.
         """
         if self.is_closed:
             return
@@ -333,21 +336,21 @@
         self._must_reset = True
         self.close()
         for exchange in unanswered:
-            exchange.carrier = None
-            if not exchange.is_over:  # it may have been abandoned upon the end of one before it
+            exchange.connection = None
+            if not exchange.is_over:  # the end of an earlier one may have abandoned it
                 self._move_or_finish(exchange, outcome)
 
     def _move_or_finish(self, exchange: Exchange, outcome: Outcome) -> None:
         if self._was_accepted and exchange.move_count < MAX_MOVES and exchange.can_move:
             exchange.move_count += 1
-            self._owner.assign(self.worker, exchange, on_new=True)
+            self._owner.assign(self.worker, exchange, prefer_new=True)
         elif exchange.progress is SendProgress.SENT:
             exchange.finish(outcome)
         else:
             exchange.finish(Outcome.CONNECT_FAILED)
 
     def close(self) -> None:
-        """End it, by a reset where bytes that nobody waits for may still be with the kernel."""
+        """Close the connection, by a reset if the kernel may still hold bytes of an abandoned command."""
         if self.is_closed:
             return
         self.is_closed = True
--- a/packages/node/src/walnutpost/node/worker_pool.py
+++ b/packages/node/src/walnutpost/node/worker_pool.py
@@ -1,4 +1,4 @@
-"""The connections to each worker: which one carries a command, and when an idle one is closed."""
+"""The pool of connections to workers: selects one for each command, and closes idle ones."""
 
 from __future__ import annotations
 
@@ -14,12 +14,14 @@
 from walnutpost.node.worker_limits import WorkerLimits
 
 MAX_SWEEP_INTERVAL_US = 1_000_000
-SWEEP_INTERVAL_RATIO = 0.1  # of the idle timeout, where that is less
-IDLE_RATIO = 0.7  # of the time after which the worker closes an idle connection: never write into that
+SWEEP_INTERVAL_RATIO = 0.1  # of the idle timeout, if that gives a shorter interval
+# Share of the worker's idle timeout after which a connection is not reused: a command that is sent later
+# could cross the worker's close.
+IDLE_RATIO = 0.7
 
 
 class WorkerPool:
-    """All connections to workers, bounded by `limits`; the owner of each `WorkerConnection`."""
+    """Owns all connections to workers, within `limits`."""
 
     def __init__(self, loop: Loop, limits: WorkerLimits) -> None:
         self.loop = loop
@@ -33,33 +35,34 @@
         self.sweeping = loop.call_every(max(1, interval_us), self._sweep, "sweep of connections to workers")
 
     def update_addresses(self, addresses: Mapping[str, Address]) -> None:
-        """Follow the list of workers; connections to a worker that has gone or moved are drained."""
+        """Apply a new list of workers, and drain connections to workers that have left or moved."""
         for name, address in list(self._addresses.items()):
             if addresses.get(name) != address:
                 for connection in list(self._connections.get(name, ())):
                     connection.drain()
         self._addresses = dict(addresses)
 
-    # Which connection
+    # Connection selection
 
-    def assign(self, worker: str, exchange: Exchange, on_new: bool = False) -> None:
-        """Put the exchange on a connection to the worker, a new one where `on_new`."""
-        connection = self.select(worker, exchange.id, on_new)
+    def assign(self, worker: str, exchange: Exchange, prefer_new: bool = False) -> None:
+        """Send the exchange to the worker; see `select` for `prefer_new`."""
+        connection = self.select(worker, exchange.id, prefer_new)
         if connection is not None:
             connection.send(exchange)
             return
-        # Where a worker is listed and no connection could be made, that is our lack of descriptors.
+        # If the worker is listed, the node itself had no file descriptor for a connection.
         outcome = Outcome.MOOT if worker in self._addresses else Outcome.CONNECT_FAILED
         self.loop.call_soon(partial(exchange.finish, outcome))
 
-    def select(self, worker: str, id: bytes, on_new: bool = False) -> WorkerConnection | None:
-        """Return an idle connection, else a new one while the limits allow, else the least loaded.
+    def select(self, worker: str, id: bytes, prefer_new: bool = False) -> WorkerConnection | None:
+        """Return an idle connection, or a new one within the limits, or else the least loaded one.
 
-        `on_new`: not an idle one, as it may be broken, too. None where there is none and none can be made.
+        With `prefer_new`, try a new connection before an idle one, which may be broken, too, after another
+        has failed. Returns None if there is no usable connection and none can be opened.
         """
         usable = rank_candidates(self._connections.get(worker, ()), id, self.limits.max_streams)
         best = next((connection for connection in usable if self._is_reusable(connection)), None)
-        if best is not None and not best.open and not on_new:
+        if best is not None and not best.open and not prefer_new:
             return best
         max_per_worker = max(1, self.limits.max_connections // max(1, len(self._addresses)))
         may_open = self.connection_count < self.limits.max_connections and len(usable) < max_per_worker
@@ -68,7 +71,7 @@
         return best
 
     def _connect(self, worker: str) -> WorkerConnection | None:
-        """Begin a new connection; None without an address or a descriptor."""
+        """Open a new connection; return None without an address or a file descriptor."""
         address = self._addresses.get(worker)
         if address is None:
             return None
@@ -82,10 +85,10 @@
         return connection
 
     def _is_reusable(self, connection: WorkerConnection) -> bool:
-        """Return whether a call may be written into it.
+        """Return whether the connection may carry another command, and close it if it is idle and may not.
 
-        The other end's close may have come, or be about to, and the rest of a partial response that nobody
-        waits for would be taken for part of the next one.
+        The worker may have closed an idle connection, or may be about to. The rest of a partial response,
+        which nobody waits for, would be mistaken for part of the next response.
         """
         is_idle = not connection.open and connection.is_connected
         if is_idle and (connection.has_partial_response or self._is_stale(connection)):
@@ -98,13 +101,13 @@
     # Closing
 
     def close_idle(self, worker: str) -> None:
-        """Close the worker's connections that carry nothing."""
+        """Close the worker's connections that have no open commands."""
         for connection in list(self._connections.get(worker, ())):
             if not connection.open:
                 connection.close()
 
     def evict_idle(self) -> bool:
-        """Close the connection that has been idle for longest; return False where none is idle."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         idle = [each for each in self._all_connections() if not each.open and each.is_connected]
         if not idle:
             return False
@@ -112,25 +115,29 @@
         return True
 
     def forget(self, connection: WorkerConnection) -> None:
-        """Forget a connection that has been closed."""
-        siblings = self._connections.get(connection.worker, [])
-        if connection in siblings:
-            siblings.remove(connection)
+        """Remove a closed connection from the pool."""
+        worker_connections = self._connections.get(connection.worker, [])
+        if connection in worker_connections:
+            worker_connections.remove(connection)
             self.connection_count -= 1
-            if not siblings:
+            if not worker_connections:
                 del self._connections[connection.worker]
 
     def on_malformed_response(self, connection: WorkerConnection) -> None:
-        """Reset a connection on which bytes came that are no response.
+        """Reset a connection on which a malformed response arrived.
 
-        The worker is alive, and has answered something to somebody: no sign that it died. Whatever was
-        written to this connection may have run, and its response can't be read any more.
+        The malformed response still shows that the worker is alive. Commands that were sent on this
+        connection may have run, and their responses can't be read any more.
         """
         self.malformed_responses += 1
         connection.fail(Outcome.ERROR)
 
     def _all_connections(self) -> list[WorkerConnection]:
-        return [connection for siblings in self._connections.values() for connection in siblings]
+        return [
+            connection
+            for worker_connections in self._connections.values()
+            for connection in worker_connections
+        ]
 
     def _sweep(self) -> None:
         for connection in self._all_connections():
