--- a/packages/node/src/walnutpost/node/resp.py
+++ b/packages/node/src/walnutpost/node/resp.py
@@ -1,7 +1,7 @@
 """Commands to workers and their responses: RESP arrays of bulk strings (PROTOCOL, "Front ends to executors").
 
-No I/O. hiredis is not used: its parser sets no bound on the elements of an array, so that one malformed line
-makes it reserve gigabytes.
+No I/O. hiredis is not used because its parser doesn't limit the number of elements in an array: one malformed
+line can make it allocate gigabytes.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 MAX_LENGTH_LINE_BYTES = 24
 MAX_LENGTH_DIGITS = 9
-RESPONSE_WORDS = 4
-MAX_WORD_BYTES, MAX_FIELDS_BYTES, MAX_BODY_BYTES = 64, 2048, 128 << 10
-MAX_BYTES_BY_POSITION = (MAX_WORD_BYTES, MAX_WORD_BYTES, MAX_FIELDS_BYTES, MAX_BODY_BYTES)
+RESPONSE_ELEMENTS = 4
+MAX_SHORT_STRING_BYTES, MAX_FIELDS_BYTES, MAX_BODY_BYTES = 64, 2048, 128 << 10
+MAX_BYTES_BY_POSITION = (MAX_SHORT_STRING_BYTES, MAX_SHORT_STRING_BYTES, MAX_FIELDS_BYTES, MAX_BODY_BYTES)
 LINE_END = b"\r\n"
 NO_FIELDS = b"-"
 OUTCOMES = {
@@ -33,7 +33,7 @@
     "rode": Warmth.JOINED_LOAD,
     "boot_error": Warmth.LOAD_FAILED,
 }
-# The settings' names of load report values, by the short names that workers may send.
+# Names of load report values in the settings, by the short names that workers may send.
 REPORT_FIELD_ALIASES = {
     "inflight": "outstanding",
     "queue": "backlog",
@@ -45,13 +45,14 @@
 
 
 class MalformedResponseError(NodeError):
-    """Bytes that are no response; nothing that follows on that connection can be trusted."""
+    """Bytes that are not a valid response; the rest of the connection's input can't be parsed."""
 
 
 class Response(Message, frozen=True):
     """A worker's response to the command with this id.
 
-    `copies` is None where the response doesn't state any; `report` is in the order of the settings.
+    `copies` is None if the response doesn't contain a number of copies; the values of `report` are in the
+    order of the settings.
     """
 
     id: bytes
@@ -64,18 +65,18 @@
     report: tuple[float, ...] = ()
 
 
-def encode_command(*words: bytes) -> bytes:
+def encode_command(*elements: bytes) -> bytes:
     """Encode an array of bulk strings."""
-    parts = [b"*%d\r\n" % len(words)]
-    for word in words:
-        parts.append(b"$%d\r\n%b\r\n" % (len(word), word))
+    parts = [b"*%d\r\n" % len(elements)]
+    for element in elements:
+        parts.append(b"$%d\r\n%b\r\n" % (len(element), element))
     return b"".join(parts)
 
 
 def encode_call(
     id: bytes, request_class: str, function: str, budget_us: int, body: bytes, idempotency_key: str = ""
 ) -> bytes:
-    """Encode a call; `idempotency_key` is what a worker recognizes a retry of a keyed request by."""
+    """Encode a call; workers recognize a retry of a keyed request by its `idempotency_key`."""
     fields = f"queue={request_class},path={function},budget={max(1, budget_us // 1000)}".encode()
     if idempotency_key:
         fields += b",uniq=" + idempotency_key.encode()
@@ -95,12 +96,12 @@
 
 
 def encode_spawn(id: bytes, function: str, copies: int) -> bytes:
-    """Encode an order to load copies; one for no copies asks how many are loaded."""
+    """Encode a load order; an order for 0 copies asks how many are loaded."""
     return encode_command(b"SPAWN", id, f"path={function},slots_up={copies}".encode())
 
 
 def encode_reap(function: str) -> bytes:
-    """Encode the order to unload idle copies."""
+    """Encode an order to unload idle copies of a function."""
     return encode_command(b"REAP", function.encode())
 
 
@@ -110,7 +111,7 @@
 
 
 class ResponseParser:
-    """Parses the bytes of one connection into responses; buffers no more than one response may have."""
+    """Parses the bytes of one connection into responses; buffers at most one incomplete response."""
 
     def __init__(self, report_fields: Iterable[str]) -> None:
         self._incomplete = b""
@@ -118,11 +119,11 @@
 
     @property
     def has_partial(self) -> bool:
-        """Whether a response has come in part."""
+        """Whether the last response is incomplete."""
         return bool(self._incomplete)
 
     def feed(self, data: bytes) -> tuple[list[Response], MalformedResponseError | None]:
-        """Return the complete responses, and what is wrong with the bytes behind them, if anything is."""
+        """Return the complete responses, and the error in the bytes that follow them, if any."""
         data = self._incomplete + data if self._incomplete else data
         responses: list[Response] = []
         position = 0
@@ -131,8 +132,8 @@
                 parsed = self._parse_array(data, position)
                 if parsed is None:
                     break
-                words, position = parsed
-                responses.append(self._parse_response(words))
+                elements, position = parsed
+                responses.append(self._parse_response(elements))
         except MalformedResponseError as error:
             self._incomplete = b""
             return responses, error
@@ -140,13 +141,13 @@
         return responses, None
 
     def _parse_array(self, data: bytes, position: int) -> tuple[list[bytes], int] | None:
-        """Return the words of the array that begins at `position` and its end; None while incomplete."""
+        """Return the elements of the array at `position` and its end position; None while incomplete."""
         line, position = _parse_line(data, position)
         if line is None:
             return None
-        if _parse_length(line, b"*", RESPONSE_WORDS) != RESPONSE_WORDS:
-            raise MalformedResponseError(f"found an array {line!r}, wanted four words")
-        words: list[bytes] = []
+        if _parse_length(line, b"*", RESPONSE_ELEMENTS) != RESPONSE_ELEMENTS:
+            raise MalformedResponseError(f"found array header {line!r}, expected four elements")
+        elements: list[bytes] = []
         for max_bytes in MAX_BYTES_BY_POSITION:
             line, position = _parse_line(data, position)
             if line is None:
@@ -155,16 +156,16 @@
             if len(data) < end + 2:
                 return None
             if data[end : end + 2] != LINE_END:
-                raise MalformedResponseError("a string is longer than its stated length")
-            words.append(data[position:end])
+                raise MalformedResponseError("a bulk string is longer than its stated length")
+            elements.append(data[position:end])
             position = end + 2
-        return words, position
+        return elements, position
 
-    def _parse_response(self, words: list[bytes]) -> Response:
-        id, word, fields, body = words
-        outcome = OUTCOMES.get(word) or PROBE_OUTCOMES.get(word)
+    def _parse_response(self, elements: list[bytes]) -> Response:
+        id, status, fields, body = elements
+        outcome = OUTCOMES.get(status) or PROBE_OUTCOMES.get(status)
         if outcome is None:
-            raise MalformedResponseError(f"found the word {word!r}")
+            raise MalformedResponseError(f"unknown status {status!r}")
         warmth, crowd, copies = Warmth.UNREPORTED, 0, None
         report: tuple[float, ...] = ()
         if fields != NO_FIELDS:
@@ -181,29 +182,29 @@
                         report = self._parse_report(value)
             except ValueError as error:
                 raise MalformedResponseError(f"fields {fields[:80]!r}: {error}") from error
-        return Response(id, outcome, word in PROBE_OUTCOMES, body, warmth, crowd, copies, report)
+        return Response(id, outcome, status in PROBE_OUTCOMES, body, warmth, crowd, copies, report)
 
     def _parse_report(self, text: str) -> tuple[float, ...]:
-        """Return the values in the order of the settings; none at all where one of them is missing."""
+        """Return the values in the order of the settings, or no values if one is missing."""
         values: dict[str, float] = {}
         for part in text.split(";"):
             name, _, value = part.partition(":")
             values[REPORT_FIELD_ALIASES.get(name, name)] = float(value)
-        return _in_order(values, self._report_fields)
+        return _ordered_values(values, self._report_fields)
 
 
-def _in_order(values: Mapping[str, float], names: tuple[str, ...]) -> tuple[float, ...]:
+def _ordered_values(values: Mapping[str, float], names: tuple[str, ...]) -> tuple[float, ...]:
     if any(name not in values for name in names):
         return ()
     return tuple(values[name] for name in names)
 
 
 def _parse_line(data: bytes, position: int) -> tuple[bytes | None, int]:
-    """Return the line that begins at `position`, None while incomplete, and where the next one begins."""
+    """Return the line at `position`, or None while incomplete, and the position of the next line."""
     end = data.find(LINE_END, position, position + MAX_LENGTH_LINE_BYTES)
     if end < 0:
         if len(data) - position >= MAX_LENGTH_LINE_BYTES:
-            raise MalformedResponseError("a line that states a length doesn't end")
+            raise MalformedResponseError("a length line has no line end")
         return None, position
     return data[position:end], end + 2
 
@@ -213,5 +214,5 @@
     is_number = digits.isdigit() and len(digits) <= MAX_LENGTH_DIGITS
     if line[:1] != type_byte or not is_number or int(digits) > max_length:
         found = line[:MAX_LENGTH_LINE_BYTES]
-        raise MalformedResponseError(f"found {found!r}, wanted a length of at most {max_length}")
+        raise MalformedResponseError(f"found {found!r}, expected a length of at most {max_length}")
     return int(digits)
--- a/packages/node/src/walnutpost/node/rpc.py
+++ b/packages/node/src/walnutpost/node/rpc.py
@@ -1,6 +1,6 @@
-"""MessagePack-RPC, the server's side: bytes to messages or one error (PROTOCOL, "Clients to front ends").
+"""MessagePack-RPC, server side: parses messages and encodes answers (PROTOCOL, "Clients to front ends").
 
-No I/O; what is buffered of a connection is bounded by one message.
+No I/O. Each connection buffers at most one incomplete message.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from walnutpost.node.errors import NodeError
 
 MAX_BODY_BYTES = 16 << 10
-MAX_MESSAGE_BYTES = MAX_BODY_BYTES + (8 << 10)  # a body and its fields
-MAX_READ_BYTES = 32 << 10  # to be given to the parser at a time
+MAX_MESSAGE_BYTES = MAX_BODY_BYTES + (8 << 10)  # the body and the fields
+MAX_READ_BYTES = 32 << 10  # maximum input to the parser per call
 MAX_STRING_BYTES, MAX_ARRAY_ITEMS, MAX_MAP_ITEMS = 1024, 4096, 64
 UNPACKER_READ_BYTES = 4096
 MAX_MESSAGE_ID = (1 << 32) - 1
 REQUEST, RESPONSE, NOTIFICATION = 0, 1, 2
 IDENTIFIER = re.compile(r"[0-9a-f]{16}")
 NUMBER = re.compile(r"\d{1,12}(\.\d{1,12})?")
-IDEMPOTENCY_KEY = re.compile(r"[\w.:-]{0,64}", re.ASCII)  # goes into a list of fields as it is
+IDEMPOTENCY_KEY = re.compile(r"[\w.:-]{0,64}", re.ASCII)  # sent to workers unescaped in a list of fields
 MAX_COST_MS = 1e9
 MAX_MEMORY_MB, MAX_CONCURRENCY, MAX_LOAD_MS = 1e6, 1e4, 1e7
-BUDGET_SLACK_MS = 1000  # the check is whether a number is sane, not how a client rounds it
+BUDGET_SLACK_MS = 1000  # allows for a client's rounding; the check only rejects implausible budgets
 
 
 class UnreadableMessageError(NodeError):
-    """Bytes that are no message of the protocol: the connection can't be followed any further."""
+    """Bytes that are not a valid protocol message; the rest of the connection's input can't be parsed."""
 
 
 class InvalidRequest(Message, frozen=True):
-    """A request with a valid message id that is otherwise of no use; an error is its answer."""
+    """An invalid request with a valid message id, which is answered with an error."""
 
     message_id: int
     reason: str
@@ -43,8 +43,8 @@
 class CallRequest(Message, frozen=True):
     """A call of a function.
 
-    `memory_mb`, `concurrency` and `load_time_us` are those of one copy. `tenant`, `cost_us` (of a standard
-    core) and `idempotency_key` come on some platforms only.
+    `memory_mb`, `concurrency` and `load_time_us` apply to one copy of the function. Only some platforms send
+    `tenant`, `cost_us` (time on a standard core) and `idempotency_key`.
     """
 
     message_id: int
@@ -63,13 +63,13 @@
 
 
 class CheckRequest(Message, frozen=True):
-    """Asks whether the node is ready for more."""
+    """Asks whether the node is ready for more requests."""
 
     message_id: int
 
 
 class Interrupt(Message, frozen=True):
-    """Cancels requests of this connection; gets no answer."""
+    """Cancels requests of the same connection; gets no answer."""
 
     message_ids: tuple[int, ...]
 
@@ -78,7 +78,7 @@
 
 
 def encode_result(message_id: int, body: bytes) -> bytes:
-    """Encode the answer to a call that was served."""
+    """Encode the answer to a successful call."""
     return msgpack.packb([RESPONSE, message_id, None, [body, {}]])  # type: ignore[no-any-return]
 
 
@@ -88,13 +88,13 @@
 
 
 def encode_overloaded(message_id: int, retry_after_us: int = 0) -> bytes:
-    """Encode a rejection, which states that nothing ran; `retry_after_us` 0 gives no advice."""
+    """Encode a rejection, which states that the call did not run; `retry_after_us` 0 sends no backoff."""
     fields = {"backoff": str(max(1, retry_after_us // 1000))} if retry_after_us else {}
     return msgpack.packb([RESPONSE, message_id, ["Overloaded", fields], None])  # type: ignore[no-any-return]
 
 
 def encode_internal_error(message_id: int, reason: str = "") -> bytes:
-    """Encode a failure: the call may have run."""
+    """Encode a failure, after which the call may have run."""
     fields = {"reason": reason} if reason else {}
     return msgpack.packb([RESPONSE, message_id, ["Internal", fields], None])  # type: ignore[no-any-return]
 
@@ -103,25 +103,25 @@
     """Parses the bytes of one connection into messages."""
 
     def __init__(self, class_deadlines_us: Mapping[str, int], tenants: Collection[str] = ()) -> None:
-        """Take each class's longest budget; without `tenants` a call's tenant is ignored."""
+        """`class_deadlines_us` is each class's maximum budget; without `tenants` the tenant is ignored."""
         self._class_deadlines_us = class_deadlines_us
         self._tenants = tenants
         self._incomplete = b""
 
     @property
     def has_partial(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether the last message is incomplete."""
         return bool(self._incomplete)
 
     def feed(self, data: bytes) -> tuple[list[Incoming], UnreadableMessageError | None]:
-        """Return the complete messages of at most MAX_READ_BYTES more, and what is wrong behind them."""
+        """Parse up to MAX_READ_BYTES more; return the complete messages and the error behind them, if any."""
         data = self._incomplete + data if self._incomplete else data
         messages: list[Incoming] = []
         self._incomplete = b""
         try:
             end = self._parse_messages(data, messages)
             if len(data) - end > MAX_MESSAGE_BYTES:
-                raise UnreadableMessageError(f"a message of more than {MAX_MESSAGE_BYTES} bytes")
+                raise UnreadableMessageError(f"a message is longer than {MAX_MESSAGE_BYTES} bytes")
         except UnreadableMessageError as error:
             return messages, error
         except (ValueError, TypeError, RecursionError, msgpack.UnpackException) as error:
@@ -130,8 +130,8 @@
         return messages, None
 
     def _parse_messages(self, data: bytes, messages: list[Incoming]) -> int:
-        """Append the complete messages; return where the last of them ends."""
-        # A new unpacker each time: one that is reused keeps its largest buffer as long as the connection.
+        """Append the complete messages to `messages`, and return the end position of the last one."""
+        # A reused unpacker would keep its largest buffer for the lifetime of the connection.
         unpacker = msgpack.Unpacker(
             read_size=min(len(data), UNPACKER_READ_BYTES) or 1,
             max_buffer_size=MAX_MESSAGE_BYTES + MAX_READ_BYTES,
@@ -153,14 +153,14 @@
 
     def _parse_message(self, value: Any) -> Incoming:
         if type(value) is not list or not value:
-            raise UnreadableMessageError("found no array")
+            raise UnreadableMessageError("a message is not a non-empty array")
         if value[0] == NOTIFICATION and len(value) == 3 and type(value[2]) is list:
             return _parse_notification(value[1], value[2])
         if value[0] != REQUEST or len(value) != 4:
-            raise UnreadableMessageError("found neither a request nor a notification")
+            raise UnreadableMessageError("a message is neither a request nor a notification")
         message_id, method, params = value[1:]
         if type(message_id) is not int or not 0 <= message_id <= MAX_MESSAGE_ID:
-            raise UnreadableMessageError(f"found a message id {message_id!r:.40}")
+            raise UnreadableMessageError(f"invalid message id {message_id!r:.40}")
         if method == "check":
             return CheckRequest(message_id)
         if type(params) is not list or len(params) != 2:
@@ -178,7 +178,7 @@
     def _parse_call(
         self, message_id: int, method: Any, fields: Mapping[str, str], body: bytes
     ) -> CallRequest:
-        """Check a call's fields. Raises ValueError for the first that can't be used."""
+        """Parse and validate the fields of a call. Raises ValueError for the first invalid field."""
         request_class = fields.get("method", method)
         if type(request_class) is not str or request_class not in self._class_deadlines_us:
             raise ValueError(f"class: found {request_class!r:.40}")
@@ -223,14 +223,14 @@
 def _parse_notification(method: Any, params: list[Any]) -> Interrupt:
     message_ids = params[0] if params and type(params[0]) is list else params
     if method != "interrupt" or any(type(message_id) is not int for message_id in message_ids):
-        raise UnreadableMessageError(f"found a notification {method!r:.40}")
+        raise UnreadableMessageError(f"unknown or invalid notification {method!r:.40}")
     return Interrupt(tuple(message_ids))
 
 
 def _parse_number(
     fields: Mapping[str, str], name: str, minimum: float, maximum: float, default: float | None
 ) -> float:
-    """Return a field's value. Raises ValueError where it is out of bounds, or missing without a default."""
+    """Return a field's value. Raises ValueError if it is out of range, or missing without a default."""
     text = fields.get(name)
     if text is None and default is not None:
         return default
--- a/packages/node/src/walnutpost/node/stats.py
+++ b/packages/node/src/walnutpost/node/stats.py
@@ -1,4 +1,4 @@
-"""The node's periodic counts in the log."""
+"""Periodic log events with the node's counters."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class StatsReporter:
-    """Logs counts since the start, and the outcomes of attempts since the last report."""
+    """Logs counters since the start, and the outcomes of attempts since the last report."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._log = log
 
     def report(self) -> None:
-        """Log one `node_stats` and one `attempt_stats`."""
+        """Log one `node_stats` event and one `attempt_stats` event."""
         self._report_counts()
         self._report_attempts()
 
