--- a/packages/node/src/walnutpost/node/__main__.py
+++ b/packages/node/src/walnutpost/node/__main__.py
@@ -9,5 +9,5 @@
     code = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    # A regular interpreter exit takes 50 to 90 ms, of the 100 ms that are left before a possible SIGKILL.
+    # A regular interpreter exit takes 50 to 90 ms of the 100 ms that are left until SIGKILL may arrive.
     os._exit(code)
--- a/packages/node/src/walnutpost/node/client_connection.py
+++ b/packages/node/src/walnutpost/node/client_connection.py
@@ -98,9 +98,9 @@
     def read_ahead(self) -> None:
         """Read unread bytes early if they may be older than MAX_PRESENCE_AGE_US, to find cancelled requests.
 
-        All other messages in them wait for their turn. While the rounds of the loop are short, the last poll
-        is recent enough and nothing is read. This runs inside the gateway's effects, so it only prevents
-        further attempts for cancelled requests, and cancels nothing.
+        Other messages in those bytes are processed later, in order. If the loop's rounds are short, the last
+        poll is recent enough and nothing is read. This runs inside the gateway's effects, so it only prevents
+        further attempts for cancelled requests, and leaves their cancellation to the later read.
         """
         if self._input.has_unread_older_than(MAX_PRESENCE_AGE_US):
             self._loop.call_soon(self.read)
@@ -244,7 +244,7 @@
     def close(self) -> None:
         """Close the connection immediately, without answering open requests.
 
-        Use this only if the client can't read an answer any more.
+        With open requests, use this only if the client can't read an answer any more.
         """
         if self._stream.closed:
             return
--- a/packages/node/src/walnutpost/node/client_input.py
+++ b/packages/node/src/walnutpost/node/client_input.py
@@ -35,7 +35,7 @@
         self._stream = stream
         self._parser = parser
         self.is_discarding = False  # further input is unreadable or too much, and is not parsed
-        self.has_ended = False  # the end of the input has arrived, possibly behind unread bytes
+        self.has_ended = False  # the end of the input has arrived, possibly after unread bytes
         self.end_read_us: int | None = None  # when the end of the input was read
         # When the input first ended in an incomplete message; None if it doesn't.
         self.partial_since_us: int | None = None
@@ -69,7 +69,7 @@
         return self._loop.now() - self.unread_since_us > age_us and self._stream.is_stale()
 
     def mark_paused(self) -> None:
-        """Record that input that arrives from now on may wait before it is read."""
+        """Record that input arriving from now on may wait before it is read."""
         if self._unread_since_us is None:
             self._unread_since_us = self._loop.now()
 
@@ -98,9 +98,9 @@
         return batches
 
     def _receive(self) -> Batch:
-        """Read once, or until no bytes are left if they may have waited longer than READ_ALL_AFTER_US.
+        """Read once; if the bytes may have waited longer than READ_ALL_AFTER_US, read until none are left.
 
-        The cancellation of a request may be far behind it in the input.
+        The input may contain the cancellation of a request long after the request itself.
         """
         arrived_after_us = self.unread_since_us
         must_read_all = self._loop.now() - arrived_after_us > READ_ALL_AFTER_US
--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -46,7 +46,7 @@
     def process(self, batches: list[Batch]) -> None:
         """Handle the messages in order.
 
-        If a message ends the reading of this connection, the requests behind it get an error.
+        If the connection stops reading because of a message, the requests after it get an error.
         """
         messages = [(batch.arrived_after_us, message) for batch in batches for message in batch.messages]
         for _, message in messages:
@@ -93,7 +93,7 @@
             self._cancelled_ahead = set(ahead[-MAX_CANCELLED_AHEAD:])
 
     def _fail_unprocessed(self, messages: list[rpc.Incoming]) -> None:
-        """Send an error to each request behind a message that ended the reading."""
+        """Send an error to each request after a message that made the connection stop reading."""
         for message in messages:
             if isinstance(message, rpc.Interrupt) or message.message_id <= self._last_message_id:
                 continue
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -91,7 +91,7 @@
     def _mark_backlog(self) -> None:
         """Record that connections in the queue may have waited since this round's poll.
 
-        This holds until the queue is seen empty.
+        This holds until the queue is found empty.
         """
         if self._backlog_since_us is None:
             self._backlog_since_us = self.loop.arrived_after()
--- a/packages/node/src/walnutpost/node/rpc.py
+++ b/packages/node/src/walnutpost/node/rpc.py
@@ -114,7 +114,7 @@
         return bool(self._incomplete)
 
     def feed(self, data: bytes) -> tuple[list[Incoming], UnreadableMessageError | None]:
-        """Parse up to MAX_READ_BYTES more; return the complete messages and the error behind them, if any."""
+        """Parse up to MAX_READ_BYTES more; return the complete messages and the error after them, if any."""
         data = self._incomplete + data if self._incomplete else data
         messages: list[Incoming] = []
         self._incomplete = b""
--- a/packages/node/src/walnutpost/node/worker_connection.py
+++ b/packages/node/src/walnutpost/node/worker_connection.py
@@ -72,7 +72,7 @@
         self._is_write_closed = False  # an abandoned command was partially sent: no byte may follow it
         self._must_reset = False
         self._sock, code = start_connect(address)
-        # If this process ends without `close`, the kernel must not deliver the commands that it left behind.
+        # If this process ends without calling `close`, the kernel must drop unsent bytes, not deliver them.
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self.stream = Stream(self._loop, self._sock)
         self._connect_timer = self._loop.call_later(owner.limits.connect_timeout_us, self.fail)
--- a/packages/node/src/walnutpost/node/worker_pool.py
+++ b/packages/node/src/walnutpost/node/worker_pool.py
@@ -85,7 +85,7 @@
         return connection
 
     def _is_reusable(self, connection: WorkerConnection) -> bool:
-        """Return whether the connection may carry another command, and close it if it is idle and may not.
+        """Return whether the connection may carry another command; close an idle one that may not.
 
         The worker may have closed an idle connection, or may be about to. The rest of a partial response,
         which nobody waits for, would be mistaken for part of the next response.
