--- a/packages/node/tests/test_accept_faults.py
+++ b/packages/node/tests/test_accept_faults.py
@@ -17,30 +17,30 @@
     ids([errno.ECONNABORTED, errno.EHOSTUNREACH, errno.EINTR, errno.ENETDOWN, errno.EPERM, errno.EPROTO]),
 )
 def test_client_is_served_at_once_while_accept_fails_now_and_then(number: int) -> None:
-    def script(world: World, faults: SocketFaults) -> None:
-        warm(world, world.client())
-        began = world.loop.now()
-        faults.fail("accept", number, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(world.node.listener.address))
+    def scenario(harness: World, faults: SocketFaults) -> None:
+        warm(harness, harness.client())
+        began = harness.loop.now()
+        faults.fail("accept", number, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(harness.node.listener.address))
         for n in range(10):
-            faults.fail("accept", number, after=n, when=at(world.node.listener.address))
-            client = world.client()
+            faults.fail("accept", number, after=n, when=at(harness.node.listener.address))
+            client = harness.client()
             client.send()
             assert client.next()[2] is None
             client.stream.close()
-        assert world.node.listener.accept_errors >= MAX_ACCEPT_ERRORS_IN_ROW
-        assert world.loop.now() - began < 10 * MS  # no pause of the listener is in it
-        assert any(line.startswith("accept_failed") for line in world.log.lines)
+        assert harness.node.listener.accept_errors >= MAX_ACCEPT_ERRORS_IN_ROW
+        assert harness.loop.now() - began < 10 * MS  # no pause of the listener is in it
+        assert any(line.startswith("accept_failed") for line in harness.log.lines)
 
-    play_with_faults(script)
+    play_with_faults(scenario)
 
 
 def test_client_cut_off_by_a_failed_accept_is_served_when_it_reconnects() -> None:
-    def script(world: World, faults: SocketFaults) -> None:
-        faults.fail("accept", errno.EPERM, when=at(world.node.listener.address), drops=True)
-        client = world.client()
+    def scenario(harness: World, faults: SocketFaults) -> None:
+        faults.fail("accept", errno.EPERM, when=at(harness.node.listener.address), drops=True)
+        client = harness.client()
         assert client.next() is None
-        client = world.client()
+        client = harness.client()
         client.send()
         assert client.next()[2] is None
 
-    play_with_faults(script)
+    play_with_faults(scenario)
--- a/packages/node/tests/test_call_deadline.py
+++ b/packages/node/tests/test_call_deadline.py
@@ -18,7 +18,7 @@
     play,
     warm,
 )
-from walnutpost.testsupport.node.worker_fixtures import Throttle, attempt, budget_of, one_connection
+from walnutpost.testsupport.node.worker_fixtures import Throttle, attempt, call_budget_ms, one_connection
 
 
 def test_budget_after_a_slow_connect_is_what_is_left(
@@ -26,28 +26,28 @@
 ) -> None:
     held = HeldConnections(monkeypatch)
 
-    def script(world: World) -> None:
-        client = call_that_waits(world, held)
-        world.loop.sleep(180 * MS)
+    def scenario(harness: World) -> None:
+        client = call_that_waits(harness, held)
+        harness.loop.sleep(180 * MS)
         held.come_up()
         assert client.next()[2] is None
-        assert 800 <= budget_of(world.workers[0].calls()[-1]) <= 820
+        assert 800 <= call_budget_ms(harness.workers[0].calls()[-1]) <= 820
 
-    play(script, workers=1)
+    play(scenario, workers=1)
 
 
 def test_budget_after_a_full_send_buffer_is_what_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    def script(world: World) -> None:
-        client = world.client()
-        worker = warm(world, client)
-        throttle = Throttle(monkeypatch, one_connection(world, worker), 0)
+    def scenario(harness: World) -> None:
+        client = harness.client()
+        worker = warm(harness, client)
+        throttle = Throttle(monkeypatch, one_connection(harness, worker), 0)
         client.send()
-        world.loop.sleep(300 * MS)
+        harness.loop.sleep(300 * MS)
         throttle.open()
         assert client.next()[2] is None
-        assert 680 <= budget_of(worker.calls()[-1]) <= 700
+        assert 680 <= call_budget_ms(worker.calls()[-1]) <= 700
 
-    play(script, workers=1)
+    play(scenario, workers=1)
 
 
 def test_call_that_the_kernel_takes_at_once_is_encoded_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -60,47 +60,47 @@
 
     monkeypatch.setattr(resp, "encode_call", counted)
 
-    def script(world: World) -> None:
-        client = world.client()
+    def scenario(harness: World) -> None:
+        client = harness.client()
         for _ in range(5):
             client.send()
             assert client.next()[2] is None
-        assert len(encoded) == sum(len(worker.calls()) for worker in world.workers)
+        assert len(encoded) == sum(len(worker.calls()) for worker in harness.workers)
 
-    play(script)
+    play(scenario)
 
 
 def test_call_expired_before_its_first_byte_is_not_begun(monkeypatch: pytest.MonkeyPatch) -> None:
     held = HeldConnections(monkeypatch)
 
-    def script(world: World) -> None:
-        held.is_holding, worker = True, world.workers[0]
-        ended = attempt(world, worker, 50 * MS, 10 * SECOND)
-        world.until(lambda: held.waiting)
-        world.loop.clock.advance_to(world.loop.now() + 60 * MS)  # its timer is due, and has not run
+    def scenario(harness: World) -> None:
+        held.is_holding, worker = True, harness.workers[0]
+        ended = attempt(harness, worker, 50 * MS, 10 * SECOND)
+        harness.until(lambda: held.waiting)
+        harness.loop.clock.advance_to(harness.loop.now() + 60 * MS)  # its timer is due, and has not run
         held.come_up()
-        world.until(lambda: ended)
-        world.loop.sleep(SECOND)
+        harness.until(lambda: ended)
+        harness.loop.sleep(SECOND)
         assert [done.outcome for done in ended] == [Outcome.MOOT]
         assert not worker.calls()
 
     monkeypatch.setattr(connection_module, "POLL_BEFORE_SEND_AFTER_US", SECOND)
-    play(script, workers=1)
+    play(scenario, workers=1)
 
 
 def test_call_unsent_at_its_deadline_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     held = HeldConnections(monkeypatch)
 
-    def script(world: World) -> None:
-        held.is_holding, worker = True, world.workers[0]
-        ended = attempt(world, worker, 50 * MS, 10 * SECOND)
-        world.until(lambda: ended)
+    def scenario(harness: World) -> None:
+        held.is_holding, worker = True, harness.workers[0]
+        ended = attempt(harness, worker, 50 * MS, 10 * SECOND)
+        harness.until(lambda: ended)
         held.come_up()
-        world.loop.sleep(SECOND)
+        harness.loop.sleep(SECOND)
         assert [done.outcome for done in ended] == [Outcome.MOOT]
         assert not worker.calls()
 
-    play(script, workers=1)
+    play(scenario, workers=1)
 
 
 def test_call_without_a_latest_start_may_begin_until_its_deadline(
@@ -108,13 +108,13 @@
 ) -> None:
     held = HeldConnections(monkeypatch)
 
-    def script(world: World) -> None:
-        held.is_holding, worker = True, world.workers[0]
-        ended = attempt(world, worker, SECOND, 0)
-        world.loop.sleep(150 * MS)
+    def scenario(harness: World) -> None:
+        held.is_holding, worker = True, harness.workers[0]
+        ended = attempt(harness, worker, SECOND, 0)
+        harness.loop.sleep(150 * MS)
         held.come_up()
-        world.until(lambda: ended)
+        harness.until(lambda: ended)
         assert [done.outcome for done in ended] == [Outcome.OK]
         assert len(worker.calls()) == 1
 
-    play(script, workers=1)
+    play(scenario, workers=1)
--- a/packages/node/tests/test_graceful_shutdown.py
+++ b/packages/node/tests/test_graceful_shutdown.py
@@ -19,7 +19,12 @@
 from walnutpost.node import run
 from walnutpost.node.node import DRAIN_PERIOD_US
 from walnutpost.testsupport.eventloop.scripted_sockets import FOREVER, SocketFaults, at
-from walnutpost.testsupport.node.client_fixtures import only_connection, play_bounded, request, silence
+from walnutpost.testsupport.node.client_fixtures import (
+    encode_request,
+    only_client_connection,
+    run_scenario_with_timeout,
+    silence_workers,
+)
 from walnutpost.testsupport.node.fault_injection import play_with_faults
 from walnutpost.testsupport.node.harness import (
     CONFIG,
@@ -40,20 +45,20 @@
     """A close resets the connection when more comes, and drops what the kernel has not sent by then."""
     large = bytes(100_000)
 
-    def script(world: World) -> None:
+    def scenario(harness: World) -> None:
         caller = socket.socket()
         caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-        caller.connect(world.node.listener.address)
-        caller.sendall(request(1))
-        silence(world)
-        worker = world.workers[0]
-        worker.answer = lambda words: Worker.good(words) if words[0] != b"FN" else None
-        world.until(worker.calls)
-        ending = world.loop.spawn(world.node.shut_down)
-        world.loop.sleep(750 * MS)
+        caller.connect(harness.node.listener.address)
+        caller.sendall(encode_request(1))
+        silence_workers(harness)
+        worker = harness.workers[0]
+        worker.answer = lambda command: Worker.good(command) if command[0] != b"FN" else None
+        harness.until(worker.calls)
+        ending = harness.loop.spawn(harness.node.shut_down)
+        harness.loop.sleep(750 * MS)
         worker.streams[0].send_all(reply(worker.calls()[0][1], b"OK", b"-", large))
-        world.until(lambda: only_connection(world).is_idle)
-        caller.sendall(request(2))  # crosses the end of the connection
+        harness.until(lambda: only_client_connection(harness).is_idle)
+        caller.sendall(encode_request(2))  # crosses the end of the connection
         caller.setblocking(False)
         got = b""
 
@@ -63,71 +68,71 @@
                 got += caller.recv(65536)
             return len(got) >= len(large)
 
-        world.until(fetched, step=MS)
+        harness.until(fetched, step=MS)
         assert msgpack.unpackb(got) == [1, 1, None, [large, {}]]
         caller.close()
         ending.join()
 
-    play_bounded(script, workers=1)
+    run_scenario_with_timeout(scenario, workers=1)
 
 
 def test_request_partly_received_at_shutdown_is_answered_once_complete() -> None:
-    def script(world: World) -> None:
-        client = world.client()
-        warm(world, client)
-        ending = world.loop.spawn(world.node.shut_down)
-        whole = request(2)
+    def scenario(harness: World) -> None:
+        client = harness.client()
+        warm(harness, client)
+        ending = harness.loop.spawn(harness.node.shut_down)
+        whole = encode_request(2)
         client.raw(whole[:20])
-        world.loop.sleep(750 * MS)
+        harness.loop.sleep(750 * MS)
         client.raw(whole[20:])
         assert client.next() == [1, 2, REFUSED, None]
         assert client.next() is None
         client.stream.close()
         ending.join()
 
-    play_bounded(script)
+    run_scenario_with_timeout(scenario)
 
 
 def test_request_in_the_backlog_when_the_listener_closes_gets_its_answer() -> None:
-    def script(world: World) -> None:
-        warm(world, world.client())
-        world.node._accepting.cancel()
-        late = world.client()
+    def scenario(harness: World) -> None:
+        warm(harness, harness.client())
+        harness.node._accepting.cancel()
+        late = harness.client()
         late.send()
-        ending = world.loop.spawn(world.node.shut_down)
+        ending = harness.loop.spawn(harness.node.shut_down)
         assert late.next()[2] is None
         assert late.next() is None
         ending.join()
 
-    play(script)
+    play(scenario)
 
 
 def test_check_after_the_signal_says_not_ready() -> None:
-    def script(world: World) -> None:
-        client = world.client()
-        world.loop.spawn(world.node.shut_down)
-        world.loop.sleep(10 * MS)
+    def scenario(harness: World) -> None:
+        client = harness.client()
+        harness.loop.spawn(harness.node.shut_down)
+        harness.loop.sleep(10 * MS)
         client.raw(msgpack.packb([0, 1, "check", [{}]]))
         assert client.next() == [1, 1, None, [False, {}]]
 
-    play(script)
+    play(scenario)
 
 
 def test_client_that_always_has_a_request_open_does_not_keep_the_process() -> None:
-    def script(world: World) -> None:
-        client = world.client()
-        worker = warm(world, client)
-        worker.answer = lambda words: None
-        ending = world.loop.spawn(world.node.shut_down)
+    def scenario(harness: World) -> None:
+        client = harness.client()
+        worker = warm(harness, client)
+        worker.answer = lambda command: None
+        ending = harness.loop.spawn(harness.node.shut_down)
         open_one = client.send(budget="1000")
-        world.loop.sleep(750 * MS)
+        harness.loop.sleep(750 * MS)
         late = client.send(budget="1000")
         assert client.next() == [1, late, REFUSED, None]
         assert client.next()[1] == open_one
         assert client.next() is None
         ending.join()
 
-    play(script, workers=1)
+    play(scenario, workers=1)
 
 
 @pytest.mark.parametrize(("method", "answer"), [("valuation", REFUSED), ("reservation", FAILED)])
@@ -135,19 +140,19 @@
     """SIGKILL comes as early as 3.7 s after SIGTERM, where deadlines are longer than that."""
     profiles = [{**p, "HardLimit": 9_000_000} for p in CONFIG["settings"]["Profiles"]]
 
-    def script(world: World) -> None:
-        client = world.client()
-        worker = warm(world, client)
-        worker.answer = lambda words: None
+    def scenario(harness: World) -> None:
+        client = harness.client()
+        worker = warm(harness, client)
+        worker.answer = lambda command: None
         client.send(method=method, budget="9000")
-        world.until(lambda: len(worker.calls()) == 2)
-        at = world.loop.now()
-        ending = world.loop.spawn(world.node.shut_down)
+        harness.until(lambda: len(worker.calls()) == 2)
+        at = harness.loop.now()
+        ending = harness.loop.spawn(harness.node.shut_down)
         assert client.next()[2] == answer
-        assert world.loop.now() - at < 3_700_000
+        assert harness.loop.now() - at < 3_700_000
         ending.join()
 
-    play(script, workers=1, settings=settings(Profiles=profiles))
+    play(scenario, workers=1, settings=settings(Profiles=profiles))
 
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
@@ -182,43 +187,43 @@
 
 
 def test_shutdown_waits_for_open_requests_and_accepts_nothing_after() -> None:
-    def script(world: World) -> None:
-        client = world.client()
-        worker = warm(world, client)
-        ending = world.loop.spawn(world.node.shut_down)
+    def scenario(harness: World) -> None:
+        client = harness.client()
+        worker = warm(harness, client)
+        ending = harness.loop.spawn(harness.node.shut_down)
         # For 0.4 s connections come, for 0.2 s more requests do, on those that are open and on new ones.
-        world.loop.sleep(390_000)
-        late = world.client()
-        world.loop.sleep(260_000)
-        for each in (late, client, world.client()):
+        harness.loop.sleep(390_000)
+        late = harness.client()
+        harness.loop.sleep(260_000)
+        for each in (late, client, harness.client()):
             each.send()
             assert each.next()[2] is None
-        worker.answer = lambda words: None
+        worker.answer = lambda command: None
         number = client.send(budget="1000")
         assert client.next()[1] == number
         assert client.next() is None
         ending.join()
         with pytest.raises(OSError):
-            world.client()
+            harness.client()
 
-    play(script, workers=1)
+    play(scenario, workers=1)
 
 
 def test_shutdown_while_accept_fails_accepts_what_it_can_and_answers_open_requests() -> None:
-    def script(world: World, faults: SocketFaults) -> None:
-        client = world.client()
-        warm(world, client)
-        for worker in world.workers:
-            worker.answer = lambda words: None
+    def scenario(harness: World, faults: SocketFaults) -> None:
+        client = harness.client()
+        warm(harness, client)
+        for worker in harness.workers:
+            worker.answer = lambda command: None
         client.send(method="reservation")
-        world.until(lambda: world.node.clients.requests)
-        ending = world.loop.spawn(world.node.shut_down)
-        world.loop.sleep(DRAIN_PERIOD_US - MS)
-        faults.fail("accept", errno.EPERM, FOREVER, when=at(world.node.listener.address))
-        world.client()
+        harness.until(lambda: harness.node.clients.requests)
+        ending = harness.loop.spawn(harness.node.shut_down)
+        harness.loop.sleep(DRAIN_PERIOD_US - MS)
+        faults.fail("accept", errno.EPERM, FOREVER, when=at(harness.node.listener.address))
+        harness.client()
         assert client.next()[2] == FAILED  # its deadline, as ever
         client.stream.close()
         ending.join()
-        assert world.node.listener.closed
+        assert harness.node.listener.closed
 
-    play_with_faults(script)
+    play_with_faults(scenario)
--- a/packages/node/tests/test_ration_checker.py
+++ b/packages/node/tests/test_ration_checker.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from walnutpost.testsupport.node.ration_checker import (
-    Breach,
+    LimitViolation,
     Ration,
     RationLog,
     breaches_of,
@@ -21,12 +21,12 @@
 
 def test_one_order_more_than_the_free_loads_is_a_breach() -> None:
     assert breaches_of(PLAIN, "n0", [10, 20, 30], []) == []
-    assert breaches_of(PLAIN, "n0", [10, 20, 30, 40], []) == [Breach("n0", 40, 4, 3.0)]
+    assert breaches_of(PLAIN, "n0", [10, 20, 30, 40], []) == [LimitViolation("n0", 40, 4, 3.0)]
 
 
 def test_requests_give_ground_by_the_share_and_not_below_a_whole_order() -> None:
     assert breaches_of(PLAIN, "n0", [50] * 4, range(5)) == []
-    assert breaches_of(PLAIN, "n0", [50] * 4, range(4)) == [Breach("n0", 50, 4, 3.8)]
+    assert breaches_of(PLAIN, "n0", [50] * 4, range(4)) == [LimitViolation("n0", 50, 4, 3.8)]
 
 
 def test_the_slack_of_sockets_is_fifteen_in_a_hundred_and_one_order() -> None:
@@ -36,7 +36,7 @@
 
 
 def test_an_order_one_window_old_counts_and_one_older_does_not() -> None:
-    assert breaches_of(PLAIN, "n0", [0, 0, 0, WINDOW], []) == [Breach("n0", WINDOW, 4, 3.0)]
+    assert breaches_of(PLAIN, "n0", [0, 0, 0, WINDOW], []) == [LimitViolation("n0", WINDOW, 4, 3.0)]
     assert breaches_of(PLAIN, "n0", [0, 0, 0, WINDOW + 1], []) == []
 
 
@@ -61,7 +61,7 @@
     for _ in range(100):
         log.request_written("n1", 5)  # another's
     log.order_arrived("n0", 40)
-    assert log.breaches(PLAIN) == [Breach("n0", 40, 4, 3.0)]
+    assert log.breaches(PLAIN) == [LimitViolation("n0", 40, 4, 3.0)]
 
 
 def test_a_day_that_spends_its_whole_ration_and_no_more_keeps_the_rule() -> None:
@@ -83,7 +83,7 @@
 
 
 def test_breaches_are_described_with_count_and_allowance() -> None:
-    assert describe_breaches([]) == "no breach"
+    assert describe_breaches([]) == "no violation"
     text = describe_breaches(breaches_of(PLAIN, "n0", [50] * 4, range(4)))
     assert "n0" in text
     assert "4 orders" in text
--- a/packages/node/tests/test_shutdown_deadline.py
+++ b/packages/node/tests/test_shutdown_deadline.py
@@ -46,11 +46,11 @@
     return settings(Profiles=[{**p, "HardLimit": deadline, "Aim": deadline // 2} for p in profiles])
 
 
-def answers_every_other(words: list[bytes]) -> bytes | None:
+def answers_every_other(command: list[bytes]) -> bytes | None:
     """A worker that answers half of its calls, and loads and questions at once."""
-    if words[0] == b"FN" and int(words[3].split()[-1]) % 2:
+    if command[0] == b"FN" and int(command[3].split()[-1]) % 2:
         return None
-    return Worker.good(words)
+    return Worker.good(command)
 
 
 @dataclass(eq=False)
@@ -100,24 +100,24 @@
 @pytest.mark.parametrize("closes", [True, False])
 @pytest.mark.parametrize("deadline", DEADLINES)
 def test_requests_received_in_time_are_answered_when_the_kill_may_come(deadline: int, closes: bool) -> None:
-    def script(world: World) -> None:
-        for worker in world.workers:
+    def scenario(harness: World) -> None:
+        for worker in harness.workers:
             worker.answer = answers_every_other
-        address = world.node.listener.address
-        senders = [send_on(world.loop, address, deadline, closes) for _ in range(CONNECTIONS)]
-        world.until(lambda: all(sender.answered for sender in senders))
-        signalled_at = world.loop.now()
-        ending = world.loop.spawn(world.node.shut_down)
-        world.loop.sleep(395 * MS)
-        senders.append(send_on(world.loop, address, deadline, closes))  # the last new connection
+        address = harness.node.listener.address
+        senders = [send_on(harness.loop, address, deadline, closes) for _ in range(CONNECTIONS)]
+        harness.until(lambda: all(sender.answered for sender in senders))
+        signalled_at = harness.loop.now()
+        ending = harness.loop.spawn(harness.node.shut_down)
+        harness.loop.sleep(395 * MS)
+        senders.append(send_on(harness.loop, address, deadline, closes))  # the last new connection
         killed_at = signalled_at + TAKEN_FOR + min(deadline, KILL_COUNTS_AT_MOST)
-        world.loop.sleep(killed_at - world.loop.now())
+        harness.loop.sleep(killed_at - harness.loop.now())
         assert [sender.unanswered(signalled_at + TAKEN_FOR) for sender in senders] == [[]] * len(senders)
         assert ending.is_done, "the process would still run"
         went_on = signalled_at + TAKEN_FOR - SEND_EVERY
         assert all(max(sender.sent_at.values()) >= went_on for sender in senders)
 
-    play(script, settings=site(deadline))
+    play(scenario, settings=site(deadline))
 
 
 class Process:
--- a/packages/testsupport/src/walnutpost/testsupport/node/__init__.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/__init__.py
@@ -1,1 +1,1 @@
-"""A node with fake workers and clients for tests."""
+"""Test harness for a node, with fake workers and test clients."""
--- a/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
@@ -1,4 +1,4 @@
-"""Clients of a node under test: requests in bytes, stalls, clients that fetch nothing."""
+"""Helpers for tests of client connections: encoded requests, process stalls, clients that stop reading."""
 
 from __future__ import annotations
 
@@ -15,104 +15,107 @@
 from walnutpost.node.client_connection import ClientConnection
 from walnutpost.testsupport.node.harness import FUNCTION, SECOND, Client, Words, World, play
 
-LARGE = bytes(rpc.MAX_BODY_BYTES)  # two such requests are more than one read
+LARGE_BODY = bytes(rpc.MAX_BODY_BYTES)  # two requests of this size don't fit into one read
 
 
-def play_bounded(script: Callable[[World], None], workers: int = 2) -> None:
-    """Plays it for a minute at the most: what never comes is a failure, not a wait without end."""
+def run_scenario_with_timeout(scenario: Callable[[World], None], workers: int = 2) -> None:
+    """Run `scenario` with a time limit of one minute, so that a missing event fails the test."""
 
-    def bounded(world: World) -> None:
-        with world.loop.timeout(60 * SECOND):
-            script(world)
+    def bounded(harness: World) -> None:
+        with harness.loop.timeout(60 * SECOND):
+            scenario(harness)
 
     play(bounded, workers)
 
 
-def request(number: int, body: bytes = b"", rid: str | None = None, budget: str = "1000") -> bytes:
-    """Return a call of a client as the bytes of its wire form."""
+def encode_request(number: int, body: bytes = b"", rid: str | None = None, budget: str = "1000") -> bytes:
+    """Return a client's call in its wire form."""
     fields = {"rid": rid or f"{number:016x}", "budget": budget, "obj": FUNCTION}
     return msgpack.packb([0, number, "valuation", [fields, body]])  # type: ignore[no-any-return]
 
 
-def stall(world: World, time: int) -> None:
-    """Stop the process for so long: no round of the loop passes meanwhile."""
-    assert isinstance(world.loop.clock, VirtualClock)
-    world.loop.clock.advance_to(world.loop.now() + time)
+def stall_process(harness: World, duration_us: int) -> None:
+    """Simulate a suspended process: time passes, but the event loop does not turn."""
+    assert isinstance(harness.loop.clock, VirtualClock)
+    harness.loop.clock.advance_to(harness.loop.now() + duration_us)
 
 
-def arrivals(
-    world: World, patch: pytest.MonkeyPatch, during: Callable[[], None] = lambda: None
+def record_submitted_calls(
+    harness: World, patch: pytest.MonkeyPatch, before_each: Callable[[], None] = lambda: None
 ) -> list[CallArrived]:
-    """Collect the calls that arrive at the gateway from now on; `during` runs just before each of them."""
-    dispatcher, arrived = world.node.dispatcher, list[CallArrived]()
-    arrive = dispatcher.submit
+    """Record all calls submitted to the dispatcher from now on; `before_each` runs before each submission."""
+    dispatcher, submitted = harness.node.dispatcher, list[CallArrived]()
+    submit = dispatcher.submit
 
-    def noting(call: CallArrived, done: Any) -> None:
-        arrived.append(call)
-        during()
-        arrive(call, done)
+    def record(call: CallArrived, done: Any) -> None:
+        submitted.append(call)
+        before_each()
+        submit(call, done)
 
-    patch.setattr(dispatcher, "submit", noting)
-    return arrived
+    patch.setattr(dispatcher, "submit", record)
+    return submitted
 
 
-def crowd(world: World, count: int) -> list[socket.socket]:
-    """Connect clients with a request each, into the listener's queue: the loop has no turn meanwhile."""
-    callers = [socket.create_connection(world.node.listener.address) for _ in range(count)]
-    for position, caller in enumerate(callers):
-        caller.sendall(request(1, rid=f"{position + 1000:016x}"))
-    return callers
+def connect_clients_with_requests(harness: World, count: int) -> list[socket.socket]:
+    """Connect clients that send one request each.
 
+    The event loop does not turn meanwhile, so all of them wait in the listener's backlog.
+    """
+    clients = [socket.create_connection(harness.node.listener.address) for _ in range(count)]
+    for position, client in enumerate(clients):
+        client.sendall(encode_request(1, rid=f"{position + 1000:016x}"))
+    return clients
 
-def silence(world: World) -> None:
-    """Let no worker answer from now on."""
-    for worker in world.workers:
-        worker.answer = lambda words: None
 
+def silence_workers(harness: World) -> None:
+    """Make all workers stop answering."""
+    for worker in harness.workers:
+        worker.answer = lambda command: None
 
-def calls(world: World) -> list[Words]:
-    """Return the calls that have arrived at the workers."""
-    return [words for worker in world.workers for words in worker.calls()]
 
+def received_calls(harness: World) -> list[Words]:
+    """Return the calls that all workers have received."""
+    return [command for worker in harness.workers for command in worker.calls()]
 
-def only_connection(world: World) -> ClientConnection:
-    """Return the node's connection to its one client."""
-    (connection,) = world.node.clients.connections
+
+def only_client_connection(harness: World) -> ClientConnection:
+    """Return the node's only client connection."""
+    (connection,) = harness.node.clients.connections
     return connection
 
 
-class Unfetched:
-    """A client whose receive window is full until `fetch`."""
+class FullReceiveWindow:
+    """Simulates a client that does not read: the node can't write to `connection` until `open` is called."""
 
     def __init__(self, patch: pytest.MonkeyPatch, connection: ClientConnection) -> None:
         self._connection = connection
         patch.setattr(connection._stream, "send_now", lambda data: data)
         patch.setattr(connection._stream, "on_writable", lambda callback: None)
 
-    def fetch(self) -> None:
-        """Let the client fetch what is held back, and all that follows."""
+    def open(self) -> None:
+        """Let the client read the pending output and everything after it."""
         del self._connection._stream.send_now, self._connection._stream.on_writable
         self._connection._output.flush()
 
 
-class FailingSocket:
-    """A listening socket whose `accept` raises `errors`, then goes on."""
+class FailingListenSocket:
+    """A listening socket whose `accept` raises each of `errors`, the last one first, and then works."""
 
     def __init__(self, sock: socket.socket, errors: list[OSError]) -> None:
         self._sock = sock
         self._errors = errors
 
     def accept(self) -> Any:
-        """Raise the next error, or accept once all were raised."""
+        """Raise the next error, or accept a connection if none is left."""
         if self._errors:
             raise self._errors.pop()
         return self._sock.accept()
 
     def __getattr__(self, name: str) -> Any:
-        """Return the attribute of the real socket."""
+        """Delegate to the real socket."""
         return getattr(self._sock, name)
 
 
-def interrupt_second(client: Client) -> None:
-    """Interrupt the client's second call."""
+def interrupt_second_call(client: Client) -> None:
+    """Send an interrupt for the client's second call."""
     client.raw(msgpack.packb([2, "interrupt", [2]]))
--- a/packages/testsupport/src/walnutpost/testsupport/node/fault_injection.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/fault_injection.py
@@ -1,4 +1,4 @@
-"""A node on sockets that fail by script."""
+"""Runs a node on sockets with injected faults."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, datagrams, scripted_sockets, to
 from walnutpost.testsupport.node.harness import SECOND, World, play
 
-Script = Callable[[World, SocketFaults], None]
+Scenario = Callable[[World, SocketFaults], None]
 
 
-def play_with_faults(script: Script, workers: int = 2) -> None:
-    """Run `script` beside a node on scripted sockets, within 30 seconds."""
+def play_with_faults(scenario: Scenario, workers: int = 2) -> None:
+    """Run `scenario` against a node on scripted sockets, with a time limit of 30 seconds."""
 
-    def bounded(world: World) -> None:
-        with world.loop.timeout(30 * SECOND):
-            script(world, faults)
+    def bounded(harness: World) -> None:
+        with harness.loop.timeout(30 * SECOND):
+            scenario(harness, faults)
 
     with scripted_sockets() as faults:
         play(bounded, workers)
 
 
 def ids(numbers: list[int]) -> list[Any]:
-    """Return error numbers as parameters named by their symbols."""
+    """Return one test parameter for each error number, with its symbol as the test id."""
     return [pytest.param(number, id=errno.errorcode[number]) for number in numbers]
 
 
-def open_calls(world: World) -> list[int]:
-    """How much is out on each connection to a worker."""
-    return [len(c.open) for those in world.node.pool._connections.values() for c in those]
+def open_calls(harness: World) -> list[int]:
+    """Return the number of open calls on each worker connection."""
+    return [len(c.open) for connections in harness.node.pool._connections.values() for c in connections]
 
 
-def to_any(world: World) -> Callable[[Any], bool]:
-    """Pick the sockets to any of the workers."""
-    chosen = [to(worker._listener.address) for worker in world.workers]
-    return lambda sock: any(choice(sock) for choice in chosen)
+def to_any(harness: World) -> Callable[[Any], bool]:
+    """Return a predicate that matches sockets connected to any of the workers."""
+    predicates = [to(worker._listener.address) for worker in harness.workers]
+    return lambda sock: any(matches(sock) for matches in predicates)
 
 
 def datagrams_or_new(sock: Any) -> bool:
-    """Pick the UDP sockets, and those that are not made yet."""
+    """Match UDP sockets and sockets that have no descriptor yet."""
     return sock.fileno() < 0 or datagrams(sock)
--- a/packages/testsupport/src/walnutpost/testsupport/node/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/harness.py
@@ -1,4 +1,4 @@
-"""A node among fakes on loopback: workers that answer by script, a name server, clients."""
+"""Test harness that runs a node on loopback with fake workers, a fake name server and test clients."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from walnutpost.node.node import Node
 from walnutpost.node.worker_connection import WorkerConnection
 
-MS, SECOND = 1000, 1_000_000
+MS, SECOND = 1000, 1_000_000  # in microseconds, the unit of the event loop
 FUNCTION = "7f3a9c21e0b4d655"
 REFUSED, FAILED = ["Overloaded", {}], ["Internal", {}]
 PROFILE = {"Aim": 430000, "HardLimit": 1060000, "Importance": 1.0, "Idempotency": "free", "Name": "valuation"}
@@ -56,12 +56,12 @@
 
 
 def config_text(**changes: Any) -> bytes:
-    """Return the node's configuration with keys changed, as its file's bytes."""
+    """Return the content of the node's configuration file, with the given top-level keys replaced."""
     return json.dumps({**CONFIG, **changes}).encode()
 
 
 class RecordingLog:
-    """A log that collects its lines."""
+    """A log that keeps its lines in memory."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
@@ -76,33 +76,36 @@
 Words = list[bytes]
 
 
-def words_of(data: bytes) -> tuple[list[Words], bytes]:
-    """Whole arrays of bulk strings, and what follows."""
+def parse_commands(data: bytes) -> tuple[list[Words], bytes]:
+    """Return the complete RESP arrays of bulk strings in `data`, and the remaining bytes."""
     out: list[Words] = []
     while data:
-        at, words = data.find(b"\r\n") + 2, list[bytes]()
+        at, command = data.find(b"\r\n") + 2, list[bytes]()
         for _ in range(int(data[1 : at - 2]) if at > 1 else 0):
             end = data.find(b"\r\n", at)
             if end < 0 or len(data) < (stop := end + 2 + int(data[at + 1 : end])) + 2:
                 return out, data
-            words.append(data[end + 2 : stop])
+            command.append(data[end + 2 : stop])
             at = stop + 2
-        if not words:
+        if not command:
             break
-        out.append(words)
+        out.append(command)
         data = data[at:]
     return out, data
 
 
 class Worker:
-    """Keeps every command it got; `answer` says what goes back for one, None for nothing, b"" for a close."""
+    """A fake worker that records every command it receives.
+
+    `answer` returns the response to a command, None to send nothing, or b"" to reset the connection.
+    """
 
     def __init__(self, loop: Loop, name: str) -> None:
         self.name = name
         self.state = WorkerState.READY
         self.got: list[Words] = []
         self.streams: list[Stream] = []
-        self.ends: list[str] = []  # how each connection that the other side ended has ended: closed or reset
+        self.ends: list[str] = []  # "closed" or "reset", for each connection that the node ended
         self.answer: Callable[[Words], bytes | None] = self.good
         self._listener = Listener(loop, ("127.0.0.1", 0))
         self._loop = loop
@@ -110,20 +113,20 @@
 
     @property
     def target(self) -> dict[str, Any]:
-        """Return the worker's entry in the name server's list."""
-        where = "{}:{}".format(*self._listener.address)
-        return {"uid": self.name, "endpoint": where, "az": "east", "model": "std", "state": "Ready"}
+        """Return the worker's entry in a list of endpoints."""
+        endpoint = "{}:{}".format(*self._listener.address)
+        return {"uid": self.name, "endpoint": endpoint, "az": "east", "model": "std", "state": "Ready"}
 
     @staticmethod
-    def good(words: Words) -> bytes | None:
-        """Answer as a worker whose copies are all loaded."""
-        if words[0] == b"FN":
-            return reply(words[1], b"OK", b"detail=resident", b"did " + words[3])
-        return reply(words[1], b"OK", b"slots_up=1") if words[0] == b"SPAWN" else None
+    def good(command: Words) -> bytes | None:
+        """Answer as a worker that has every function loaded."""
+        if command[0] == b"FN":
+            return reply(command[1], b"OK", b"detail=resident", b"did " + command[3])
+        return reply(command[1], b"OK", b"slots_up=1") if command[0] == b"SPAWN" else None
 
     def calls(self) -> list[Words]:
-        """Return the calls that have arrived."""
-        return [words for words in self.got if words[0] == b"FN"]
+        """Return the calls that the worker has received."""
+        return [command for command in self.got if command[0] == b"FN"]
 
     def _accept(self) -> None:
         while True:
@@ -135,14 +138,14 @@
         rest = b""
         try:
             while data := stream.recv():
-                complete, rest = words_of(rest + data)
-                for words in complete:
-                    self.got.append(words)
-                    back = self.answer(words)
-                    if back == b"":
+                commands, rest = parse_commands(rest + data)
+                for command in commands:
+                    self.got.append(command)
+                    response = self.answer(command)
+                    if response == b"":
                         return stream.reset()
-                    if back is not None:
-                        stream.send_all(back)
+                    if response is not None:
+                        stream.send_all(response)
             self.ends.append("closed")
         except OSError:
             if not stream.closed:
@@ -152,7 +155,7 @@
 
 
 def listing(query: bytes, serial: int, workers: list[Worker], weight: int = 10) -> bytes:
-    """Return the name server's answer to a query: all workers, as they are."""
+    """Return the name server's response to `query`, with all workers in their present state."""
     message = dns.message.make_response(dns.message.from_wire(query))
     rows = [(message.authority, "svc.local.", "SOA", f"a. b. {serial} 1 1 1 1")]
     for w in workers:
@@ -166,13 +169,13 @@
     return message.to_wire()
 
 
-def reply(id: bytes, word: bytes, fields: bytes = b"-", body: bytes = b"") -> bytes:
-    """Return a worker's answer to message `id` as the bytes of its wire form."""
-    return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in (id, word, fields, body))
+def reply(id: bytes, status: bytes, fields: bytes = b"-", body: bytes = b"") -> bytes:
+    """Return a worker's response to message `id` in its wire form."""
+    return b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in (id, status, fields, body))
 
 
 class Client:
-    """A client on one connection, which numbers its requests from 1."""
+    """A client with one connection, whose message ids count up from 1."""
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
         self._loop = loop
@@ -181,7 +184,7 @@
         self._number = 0
 
     def send(self, function: str = "7f3a9c21e0b4d655", method: str = "valuation", **fields: str) -> int:
-        """Send a call; return its number."""
+        """Send a call and return its message id."""
         self._number += 1
         request_fields = {
             "rid": f"{id(self) & 0xFFFFFFFF:08x}{self._number:08x}",
@@ -194,7 +197,7 @@
         return self._number
 
     def raw(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send `data` unchanged."""
         self.stream.send_all(data)
 
     def next(self) -> Any:
@@ -213,7 +216,7 @@
 
 
 class World:
-    """A node, its workers and its name server in one event loop."""
+    """A node with its fake workers and name server in one event loop."""
 
     def __init__(
         self,
@@ -231,60 +234,63 @@
         self.name_server.bind(("127.0.0.1", 0))
         known = {"offset": 1, "batch": [{"offset": 1, "topology": topology}]}
         dns = "{}:{}".format(*self.name_server.getsockname())
-        self._changes = {"known": known, "dns": dns, **changes}
-        self.node = Node(loop, parse_config(config_text(**self._changes)), self.log)
+        self._config_changes = {"known": known, "dns": dns, **changes}
+        self.node = Node(loop, parse_config(config_text(**self._config_changes)), self.log)
 
     def restart(self) -> None:
-        """Start a new node of the same name, address and settings; the former one's listener is closed."""
+        """Start a new node with the same name, address and settings.
+
+        The listener of the previous node must be closed.
+        """
         listen = "{}:{}".format(*self.node.listener.address)
-        changes = {**self._changes, "listen": listen}
+        changes = {**self._config_changes, "listen": listen}
         self.node = Node(self.loop, parse_config(config_text(**changes)), self.log)
 
     def client(self) -> Client:
-        """Return a new client that is connected to the node."""
+        """Connect a new client to the node and return it."""
         return Client(self.loop, self.node.listener.address)
 
     def until(self, condition: Callable[[], Any], step: int = 5_000) -> None:
-        """Sleep until the condition holds, `step` microseconds at a time.
+        """Wait until the condition holds; check it every `step` microseconds.
 
-        Raises AssertionError after 4000 steps.
+        Raises AssertionError if it does not hold after 4000 steps.
         """
         for _ in range(4000):
             if condition():
                 return
             self.loop.sleep(step)
-        raise AssertionError("it never came to that")
+        raise AssertionError("condition not met within 4000 steps")
 
 
 def play(
-    script: Callable[[World], None],
+    scenario: Callable[[World], None],
     workers: int = 2,
     make_worker: Callable[[Loop, str], Worker] = Worker,
     **changes: Any,
 ) -> None:
-    """Run `script` beside a node; an error anywhere in the loop is the test's."""
+    """Run `scenario` against a node on virtual time; raise the first error of any task in the event loop."""
     errors: list[BaseException] = []
     loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
 
-    worlds: list[World] = []
+    harnesses: list[World] = []
 
     def body() -> None:
-        worlds.append(World(loop, workers, make_worker, **changes))
-        script(worlds[0])
+        harnesses.append(World(loop, workers, make_worker, **changes))
+        scenario(harnesses[0])
 
     try:
         loop.run(body)
     finally:
-        for world in worlds:
-            world.name_server.close()
-            world.node.listener.close()
-            world.node.discovery.close()
+        for harness in harnesses:
+            harness.name_server.close()
+            harness.node.listener.close()
+            harness.node.discovery.close()
     if errors:
         raise errors[0]
 
 
 def settings(**changes: Any) -> dict[str, Any]:
-    """Return the harness's settings with parts of them changed."""
+    """Return the default settings with `changes` applied; objects are merged, other values are replaced."""
     defaults = CONFIG["settings"]
     changed = {
         key: {**defaults[key], **value} if type(value) is dict else value for key, value in changes.items()
@@ -293,72 +299,75 @@
 
 
 class HeldConnections:
-    """Connections to workers come up for the kernel, but the node is notified by `come_up`."""
+    """Delays the notification that a worker connection is established.
+
+    The kernel connects as usual, but the node is notified only when the test allows it.
+    """
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.waiting: list[Callable[[], None]] = []
-        self.is_holding = False
+        self.is_holding = False  # whether new connections are delayed
         on_connect_result = WorkerConnection._on_connect_result
 
-        def hold(connection: WorkerConnection) -> None:
+        def delay(connection: WorkerConnection) -> None:
             if self.is_holding:
                 self.waiting.append(partial(on_connect_result, connection))
             else:
                 on_connect_result(connection)
 
-        patch.setattr(WorkerConnection, "_on_connect_result", hold)
+        patch.setattr(WorkerConnection, "_on_connect_result", delay)
 
     def come_up(self) -> None:
-        """Let the held connections come up, and hold no others."""
+        """Notify the node of the delayed connections and delay no others."""
         self.is_holding = False
         while self.waiting:
             self.waiting.pop(0)()
 
 
-def leave_by_interrupt(client: Client) -> None:
-    """Interrupt the client's first call."""
+def interrupt_first_call(client: Client) -> None:
+    """Send an interrupt for the client's first call."""
     client.raw(msgpack.packb([2, "interrupt", [1]]))
 
 
-def leave_by_close(client: Client) -> None:
+def close_connection(client: Client) -> None:
     """Close the client's connection."""
     client.stream.close()
 
 
-def leave_by_reset(client: Client) -> None:
+def reset_connection(client: Client) -> None:
     """Reset the client's connection."""
     client.stream.reset()
 
 
-LEAVE = [leave_by_interrupt, leave_by_close, leave_by_reset]
+LEAVE = [interrupt_first_call, close_connection, reset_connection]
 
 
-def call_that_waits(world: World, held: HeldConnections, **fields: str) -> Client:
-    """Return a client whose second call is on its way to a warm worker, on a connection that is coming up."""
-    client = world.client()
-    worker = warm(world, client)
-    world.node.workers.close_idle_connections(worker.name)
+def call_that_waits(harness: World, held: HeldConnections, **fields: str) -> Client:
+    """Return a client whose second call waits for a new connection to a warm worker."""
+    client = harness.client()
+    worker = warm(harness, client)
+    harness.node.workers.close_idle_connections(worker.name)
     held.is_holding = True
     client.send(**fields)
-    world.until(lambda: held.waiting)
+    harness.until(lambda: held.waiting)
     return client
 
 
-def warm(world: World, client: Any) -> Worker:
-    """One call served; the worker that did it."""
+def warm(harness: World, client: Any) -> Worker:
+    """Let a worker serve one call and return that worker."""
     client.send()
     client.next()
-    return next(worker for worker in world.workers if worker.calls())
+    return next(worker for worker in harness.workers if worker.calls())
 
 
 def after(first: bytes | None) -> Callable[[Words], bytes | None]:
-    """Answers the next call with `first`, and all else well."""
-    left = [first]
-
-    def answer(words: Words) -> bytes | None:
-        if words[0] == b"FN" and left:
-            response = left.pop()
-            return response if response is None else response.replace(b"ID", words[1])
-        return Worker.good(words)
+    """Return an answer function that gives `first` to the next call and the default to everything else."""
+    responses = [first]
+
+    def answer(command: Words) -> bytes | None:
+        if command[0] == b"FN" and responses:
+            response = responses.pop()
+            return response if response is None else response.replace(b"ID", command[1])
+        return Worker.good(command)
 
     return answer
--- a/packages/testsupport/src/walnutpost/testsupport/node/ration_checker.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/ration_checker.py
@@ -1,6 +1,6 @@
-"""The ration of load orders, recomputed from what others saw: arrivals at workers, and requests of clients.
+"""Checks the limit on load orders against what workers received and what clients sent.
 
-It shares no code with the policy and asks no front end what it counted. Times are whole microseconds.
+It shares no code with the policy and uses no counter of a front end. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -9,36 +9,37 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-SOCKET_FACTOR, SOCKET_ORDERS = 1.15, 1.0  # on sockets the ration is so much wider, and so many orders more
-ROUNDING = 1e-9  # of the products of shares
+# Over real sockets the limit is multiplied by the factor, and this many orders more are allowed.
+NETWORK_SLACK_FACTOR, NETWORK_SLACK_ORDERS = 1.15, 1.0
+ROUNDING_TOLERANCE = 1e-9  # for the product of load share and request count
 
 
 @dataclass(frozen=True, slots=True)
 class Ration:
-    """Within any `window_us`, `free_loads` plus `load_share` for each request taken may arrive.
+    """Allows `free_loads` load orders, plus `load_share` for each request, within any `window_us`.
 
-    With slack it is the whole times `factor`, plus `extra` orders.
+    The slack multiplies this limit by `slack_factor` and adds `slack_orders`.
     """
 
     free_loads: float
     load_share: float
     window_us: int
-    factor: float = 1.0
-    extra: float = 0.0
+    slack_factor: float = 1.0
+    slack_orders: float = 0.0
 
     @classmethod
     def on_sockets(cls, free_loads: float, load_share: float, window_us: int) -> Ration:
-        """Return the ration for nodes on real sockets, with its slack."""
-        return cls(free_loads, load_share, window_us, SOCKET_FACTOR, SOCKET_ORDERS)
+        """Return the limit for nodes on real sockets, which includes slack."""
+        return cls(free_loads, load_share, window_us, NETWORK_SLACK_FACTOR, NETWORK_SLACK_ORDERS)
 
     def allowance(self, requests: int) -> float:
-        """Return how many load orders so many requests allow."""
-        return self.factor * (self.free_loads + self.load_share * requests) + self.extra
+        """Return how many load orders are allowed for a number of requests."""
+        return self.slack_factor * (self.free_loads + self.load_share * requests) + self.slack_orders
 
 
 @dataclass(frozen=True, slots=True)
-class Breach:
-    """An order that arrived as one too many: `count` within the window up to it, where `allowance` may be."""
+class LimitViolation:
+    """A load order above the limit: `count` orders in the window up to it, with `allowance` allowed."""
 
     front_end: str
     at_us: int
@@ -47,66 +48,69 @@
 
 
 def breaches_of(
-    ration: Ration, front_end: str, orders: Iterable[int], requests: Iterable[int]
-) -> list[Breach]:
-    """Return each order that breaks the ration of one front end.
+    limit: Ration, front_end: str, orders: Iterable[int], requests: Iterable[int]
+) -> list[LimitViolation]:
+    """Return each load order of one front end that exceeds the limit.
 
-    `orders` are the times at which its orders to load had arrived whole, `requests` those at which its
-    clients had written a request's last byte.
+    `orders` are the times at which a worker had received a load order completely, `requests` the times at
+    which a client had written the last byte of a request.
 
-    An order that is exactly one window old still counts, and a request that old gives no ground any more: of
-    the readings of "within the last window" the strictest. Orders of one moment arrive one after the other.
+    An order that is exactly one window old still counts, but a request of that age allows no orders any more:
+    this is the strictest reading of "within the last window". Orders with equal times count one by one.
     """
-    arrived, taken = sorted(orders), sorted(requests)
-    found: list[Breach] = []
-    for place, at in enumerate(arrived):
-        count = place + 1 - bisect_left(arrived, at - ration.window_us)
-        within = bisect_right(taken, at) - bisect_right(taken, at - ration.window_us)
-        allowance = ration.allowance(within)
-        if count > allowance + ROUNDING:
-            found.append(Breach(front_end, at, count, allowance))
+    order_times, request_times = sorted(orders), sorted(requests)
+    found: list[LimitViolation] = []
+    for position, at in enumerate(order_times):
+        count = position + 1 - bisect_left(order_times, at - limit.window_us)
+        recent_requests = bisect_right(request_times, at) - bisect_right(request_times, at - limit.window_us)
+        allowance = limit.allowance(recent_requests)
+        if count > allowance + ROUNDING_TOLERANCE:
+            found.append(LimitViolation(front_end, at, count, allowance))
     return found
 
 
 @dataclass(slots=True)
 class RationLog:
-    """What workers and clients saw, by front end: a new life under the same name is the same front end."""
+    """Load orders that workers received and requests that clients sent, by the name of the front end.
+
+    A restarted front end keeps its name and counts as the same one.
+    """
 
     orders: dict[str, list[int]] = field(default_factory=dict)
     requests: dict[str, list[int]] = field(default_factory=dict)
 
     def order_arrived(self, front_end: str, at_us: int) -> None:
-        """Log a load order that a worker has read."""
+        """Log a load order that a worker has received."""
         self.orders.setdefault(front_end, []).append(at_us)
 
     def request_written(self, front_end: str, at_us: int) -> None:
-        """Log a request that a client has written."""
+        """Log a request that a client has sent."""
         self.requests.setdefault(front_end, []).append(at_us)
 
-    def breaches(self, ration: Ration) -> list[Breach]:
-        """Return the breaches of the ration by what was logged."""
-        return all_breaches(ration, self.orders, self.requests)
+    def breaches(self, limit: Ration) -> list[LimitViolation]:
+        """Return the load orders in the log that exceed the limit."""
+        return find_all_violations(limit, self.orders, self.requests)
 
 
-def all_breaches(
-    ration: Ration, orders: Mapping[str, Iterable[int]], requests: Mapping[str, Iterable[int]]
-) -> list[Breach]:
-    """Return the breaches of all front ends, each judged by its own orders and requests."""
+def find_all_violations(
+    limit: Ration, orders: Mapping[str, Iterable[int]], requests: Mapping[str, Iterable[int]]
+) -> list[LimitViolation]:
+    """Return the violations of all front ends, each checked by its own orders and requests."""
     return [
-        breach
-        for front_end, arrived in sorted(orders.items())
-        for breach in breaches_of(ration, front_end, arrived, requests.get(front_end, ()))
+        violation
+        for front_end, order_times in sorted(orders.items())
+        for violation in breaches_of(limit, front_end, order_times, requests.get(front_end, ()))
     ]
 
 
-def describe_breaches(breaches: list[Breach]) -> str:
-    """Return the breaches for a failing test's output, times in seconds after the first."""
-    if not breaches:
-        return "no breach"
-    first = min(breach.at_us for breach in breaches)
+def describe_breaches(violations: list[LimitViolation]) -> str:
+    """Describe violations for the output of a failing test, with times in seconds since the first one."""
+    if not violations:
+        return "no violation"
+    first = min(violation.at_us for violation in violations)
     lines = (
-        f"{b.front_end} at +{(b.at_us - first) / 1e6:.3f} s: {b.count} orders within the window, "
-        f"{b.allowance:.2f} allowed"
-        for b in breaches
+        f"{v.front_end} at +{(v.at_us - first) / 1e6:.3f} s: {v.count} orders within the window, "
+        f"{v.allowance:.2f} allowed"
+        for v in violations
     )
-    return "\n".join([f"{len(breaches)} breaches of the ration", *lines])
+    return "\n".join([f"{len(violations)} violations of the load order limit", *lines])
--- a/packages/testsupport/src/walnutpost/testsupport/node/witness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/witness.py
@@ -1,4 +1,4 @@
-"""Workers behind relays that delay, cut and restore connections, and log load orders."""
+"""Fake workers that log load orders, behind relays that delay, cut and restore their connections."""
 
 from __future__ import annotations
 
@@ -10,60 +10,59 @@
 from walnutpost.testsupport.node.harness import (
     Words,
     Worker,
+    parse_commands,
     reply,
-    words_of,
 )
 from walnutpost.testsupport.node.ration_checker import RationLog
 
 FRONT_END = "n0"
 
-CHUNKS_MOST = 100_000  # that one direction of a connection may hold back
+MAX_HELD_CHUNKS = 100_000  # per direction of a connection
 
 
-class Valve:
-    """Lets tasks pass while it is open; those that come while it is shut wait in order."""
+class Gate:
+    """Blocks tasks while it is closed and lets them continue in order once it opens."""
 
     def __init__(self, loop: Loop) -> None:
         self._loop = loop
-        self._waits: list[tuple[Task[Any], int]] = []
-        self.is_shut = False
+        self._waiting: list[tuple[Task[Any], int]] = []
+        self.is_closed = False
 
     def shut(self) -> None:
-        """Hold back all tasks that come from now on."""
-        self.is_shut = True
+        """Block all tasks that call `wait` from now on."""
+        self.is_closed = True
 
     def open(self) -> None:
-        """Let the waiting tasks pass in order, and all that follow."""
-        self.is_shut = False
-        waits, self._waits = self._waits, []
-        for task, token in waits:
+        """Wake the waiting tasks in order and block no others."""
+        self.is_closed = False
+        waiting, self._waiting = self._waiting, []
+        for task, token in waiting:
             self._loop.wake(task, token)
 
     def wait(self) -> None:
-        """Wait while the valve is shut."""
-        while self.is_shut:
-            self._waits.append(self._loop.begin_wait())
+        """Wait while the gate is closed."""
+        while self.is_closed:
+            self._waiting.append(self._loop.begin_wait())
             self._loop.park()
 
 
 class Relay:
-    """A link to one worker, whose bytes in either direction wait while the valve of that direction is shut.
+    """A TCP relay to one worker, which holds bytes back while the gate of their direction is closed.
 
-    Connections to it always come up. What was taken before the sender closed is delivered all the same, in
-    order, before the end; of a sender that reset its connection only where `keeps_after_reset`. `delay` gives
-    the time that each piece takes, and of each that finds the valve shut the first `leaks` bytes pass.
+    The relay always accepts connections. If the sender closes its connection, the bytes sent before are still
+    delivered in order.
     """
 
-    def __init__(self, loop: Loop, upstream: tuple[str, int], keeps_after_reset: bool = True) -> None:
+    def __init__(self, loop: Loop, upstream: tuple[str, int], delivers_after_reset: bool = True) -> None:
         self._loop = loop
         self._upstream = upstream
         self._listener = Listener(loop, ("127.0.0.1", 0))
         self.address = self._listener.address
-        self.keeps_after_reset = keeps_after_reset
-        self.to_worker = Valve(loop)
-        self.to_node = Valve(loop)
-        self.delay: Callable[[], int] = lambda: 0
-        self.leaks = 0
+        self.keeps_after_reset = delivers_after_reset  # whether bytes sent before a reset are still delivered
+        self.to_worker = Gate(loop)
+        self.to_node = Gate(loop)
+        self.delay: Callable[[], int] = lambda: 0  # returns the delay of a chunk in microseconds
+        self.leaks = 0  # so many bytes of each chunk pass a closed gate
         loop.spawn(self._accept, name="relay")
 
     def cut(self) -> None:
@@ -72,49 +71,51 @@
         self.to_node.shut()
 
     def heal(self) -> None:
-        """Let the bytes that were held back pass, and all that follow."""
+        """Forward the bytes that were held back and everything after them."""
         self.to_worker.open()
         self.to_node.open()
 
     def _accept(self) -> None:
         while True:
-            self._loop.spawn(self._carry, self._listener.accept(), name="link")
+            self._loop.spawn(self._forward_connection, self._listener.accept(), name="relay connection")
 
-    def _carry(self, near: Stream) -> None:
+    def _forward_connection(self, node_side: Stream) -> None:
         try:
-            far = connect(self._loop, self._upstream)
+            worker_side = connect(self._loop, self._upstream)
         except OSError:
-            near.reset()
+            node_side.reset()
             return
-        back = self._loop.spawn(self._pass_on, far, near, self.to_node, name="towards the node")
-        self._pass_on(near, far, self.to_worker)
-        back.join()
-        near.close()
-        far.close()
-
-    def _pass_on(self, source: Stream, sink: Stream, valve: Valve) -> None:
-        """Read on while the valve is shut, so that the sender's end is seen whenever it comes."""
-        held: Queue[bytes | None] = Queue(self._loop, CHUNKS_MOST)
-        reading = self._loop.spawn(self._take, source, held, name="link's reader")
+        to_node_task = self._loop.spawn(
+            self._forward, worker_side, node_side, self.to_node, name="relay to node"
+        )
+        self._forward(node_side, worker_side, self.to_worker)
+        to_node_task.join()
+        node_side.close()
+        worker_side.close()
+
+    def _forward(self, source: Stream, sink: Stream, gate: Gate) -> None:
+        """Forward bytes; keep reading while the gate is closed, to notice at once if the sender closes."""
+        held: Queue[bytes | None] = Queue(self._loop, MAX_HELD_CHUNKS)
+        reader = self._loop.spawn(self._read_into, source, held, name="relay reader")
         while True:
             data = held.get()
             try:
-                if data and valve.is_shut and self.leaks:
+                if data and gate.is_closed and self.leaks:
                     sink.send_all(data[: self.leaks])
                     data = data[self.leaks :]
                 if data and (delay := self.delay()):
                     self._loop.sleep(delay)
-                valve.wait()
-                if reading.is_done and reading.result and not self.keeps_after_reset:
+                gate.wait()
+                if reader.is_done and reader.result and not self.keeps_after_reset:
                     return sink.reset()
                 if data is None:
-                    return sink.reset() if reading.result else sink.end_writing()
+                    return sink.reset() if reader.result else sink.end_writing()
                 sink.send_all(data)
-            except OSError:  # nobody is there to get it
-                return reading.cancel()
+            except OSError:  # the receiver has gone
+                return reader.cancel()
 
-    def _take(self, source: Stream, held: Queue[bytes | None]) -> bool:
-        """All that comes, and None for the end; says whether that was a reset."""
+    def _read_into(self, source: Stream, held: Queue[bytes | None]) -> bool:
+        """Put all chunks into `held`, then None at the end; return whether the sender sent a reset."""
         try:
             while data := source.recv():
                 held.put(data)
@@ -126,46 +127,49 @@
 
 
 class Witness(Worker):
-    """A worker behind a relay, which logs each order to load once it has read it whole.
+    """A fake worker behind a relay, which logs each load order when it has received it completely.
 
-    With `reads` shut it is a process that has stopped: connections come up and bytes wait in its kernel.
+    While its read gate is closed, it acts like a stopped process: connections are accepted, and bytes wait in
+    the kernel.
     """
 
     def __init__(self, loop: Loop, name: str, log: RationLog, front_end: str = FRONT_END) -> None:
         super().__init__(loop, name)
         self.log = log
         self.front_end = front_end
-        self.reads = Valve(loop)
+        self.reads = Gate(loop)
         self.relay = Relay(loop, self._listener.address)
         self.loaded: set[str] = set()
-        self.served: set[bytes] = set()
-        self.orders: list[int] = []  # when each had been read whole
-        self.answer = self.model
+        self.executed_calls: set[bytes] = set()
+        self.orders: list[int] = []  # times at which each had been received completely, in microseconds
+        self.answer = self.answer_from_loaded_functions
 
     @property
     def target(self) -> dict[str, Any]:
-        """Return the worker's entry in the name server's list, with the relay's address."""
+        """Return the worker's entry in a list of endpoints, with the address of its relay."""
         return {**super().target, "endpoint": "{}:{}".format(*self.relay.address)}
 
-    def model(self, words: Words) -> bytes | None:
-        """Answer as a worker whose copies are ready as soon as they are ordered, and stay.
+    def answer_from_loaded_functions(self, command: Words) -> bytes | None:
+        """Answer as a worker that loads a function at once when ordered and never unloads it.
 
-        A request that was served before has been repeated by somebody, and ends as an error.
+        A call whose id was executed before is answered with an error, as it must be a duplicate.
         """
-        fields = dict(part.partition("=")[::2] for part in words[2].decode().split(",")) if words[2:] else {}
-        if words[0] == b"SPAWN":
+        fields = (
+            dict(part.partition("=")[::2] for part in command[2].decode().split(",")) if command[2:] else {}
+        )
+        if command[0] == b"SPAWN":
             if int(fields["slots_up"]):
                 self.loaded.add(fields["path"])
             copies = b"slots_up=%d" % (fields["path"] in self.loaded)
-            return reply(words[1], b"OK", copies)
-        if words[0] != b"FN":
+            return reply(command[1], b"OK", copies)
+        if command[0] != b"FN":
             return None
         if fields["path"] not in self.loaded:
-            return reply(words[1], b"MISS")
-        if words[1] in self.served:
-            return reply(words[1], b"ERR")
-        self.served.add(words[1])
-        return reply(words[1], b"OK", b"detail=resident", b"did " + words[3])
+            return reply(command[1], b"MISS")
+        if command[1] in self.executed_calls:
+            return reply(command[1], b"ERR")
+        self.executed_calls.add(command[1])
+        return reply(command[1], b"OK", b"detail=resident", b"did " + command[3])
 
     def _serve(self, stream: Stream) -> None:
         rest = b""
@@ -176,17 +180,17 @@
                 data = stream.recv()
                 if not data:
                     break
-                whole, rest = words_of(rest + data)
-                for words in whole:  # all are here now, whatever becomes of the answers
-                    self._arrived(words)
-                for words in whole:
-                    if (back := self.answer(words)) is not None:
+                commands, rest = parse_commands(rest + data)
+                for command in commands:  # all are recorded first, as a failed response must not lose one
+                    self._record(command)
+                for command in commands:
+                    if (response := self.answer(command)) is not None:
                         with suppress(OSError):
-                            stream.send_all(back)
+                            stream.send_all(response)
         stream.close()
 
-    def _arrived(self, words: Words) -> None:
-        self.got.append(words)
-        if words[0] == b"SPAWN" and not words[2].endswith(b"slots_up=0"):
+    def _record(self, command: Words) -> None:
+        self.got.append(command)
+        if command[0] == b"SPAWN" and not command[2].endswith(b"slots_up=0"):
             self.orders.append(self._loop.now())
             self.log.order_arrived(self.front_end, self._loop.now())
--- a/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
@@ -1,4 +1,4 @@
-"""Connections to workers under test: throttled sends, load orders, workers that read slowly."""
+"""Helpers for tests of worker connections: throttled sends, load orders, workers that don't read."""
 
 from __future__ import annotations
 
@@ -19,26 +19,26 @@
 ORDER_TIMEOUT_US = 200 * MS
 
 
-PART = 20  # bytes: some of any command, all of none
+PART = 20  # less than any whole command
 
 
 PLENTY = 1 << 20
 
 
-ORDERED = "00000000000000ff"  # the function of the tests' own orders
+ORDERED = "00000000000000ff"  # function id of the load orders that tests send
 
 
-LATE_US = 5 * MS  # within which the stand-in has read what has left
+LATE_US = 5 * MS  # until the fake worker has read what the node has sent
 
 
 NEVER_ARRIVED = (Outcome.MOOT, Outcome.CONNECT_FAILED)
 
 
 class Throttle:
-    """The kernel takes `room` bytes on the connection, and more once `open` is called."""
+    """Simulates a send buffer with room for `available_bytes`, and for much more once `open` is called."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, connection: WorkerConnection, room: int) -> None:
-        self.room = room
+    def __init__(self, patch: pytest.MonkeyPatch, connection: WorkerConnection, available_bytes: int) -> None:
+        self.room = available_bytes
         self._connection = connection
         self._send = connection.stream.send_now
         patch.setattr(connection.stream, "send_now", self._take)
@@ -50,28 +50,28 @@
         return (self._send(data[:count]) if count else b"") + data[count:]
 
     def open(self) -> None:
-        """Make room for all that is to be sent."""
+        """Make room for everything and flush the connection."""
         self.room = PLENTY
         self._connection._flush()
 
 
 def spawns(worker: Worker) -> list[Words]:
-    """Return the tests' own orders that have arrived."""
-    return [words for words in worker.got if words[0] == b"SPAWN" and ORDERED.encode() in words[2]]
+    """Return the load orders sent by tests that the worker has received."""
+    return [command for command in worker.got if command[0] == b"SPAWN" and ORDERED.encode() in command[2]]
 
 
-def one_connection(world: World, worker: Worker, **limits: Any) -> WorkerConnection:
-    """Return the connection to a warm worker, with no room for a second one."""
-    ended = {"max_connections": 1, "order_timeout_us": ORDER_TIMEOUT_US, **limits}
-    world.node.pool.limits = replace(world.node.pool.limits, **ended)
-    (connection,) = world.node.pool._connections[worker.name]
+def one_connection(harness: World, worker: Worker, **limits: Any) -> WorkerConnection:
+    """Limit the pool to one connection per worker and return the one to `worker`."""
+    changes = {"max_connections": 1, "order_timeout_us": ORDER_TIMEOUT_US, **limits}
+    harness.node.pool.limits = replace(harness.node.pool.limits, **changes)
+    (connection,) = harness.node.pool._connections[worker.name]
     return connection
 
 
-def order(world: World, worker: str, latest: int = 0) -> list[LoadOrderEnded]:
-    """Orders one copy; where its outcomes will stand."""
+def order(harness: World, worker: str, begin_within_us: int = 0) -> list[LoadOrderEnded]:
+    """Order one copy; return the list to which the outcomes will be appended."""
     ended: list[LoadOrderEnded] = []
-    world.node.workers.order_load(LoadOrder(worker, ORDERED, 1, latest), ended.append)
+    harness.node.workers.order_load(LoadOrder(worker, ORDERED, 1, begin_within_us), ended.append)
     return ended
 
 
@@ -80,32 +80,32 @@
     return [done.outcome for done in ended]
 
 
-def silent(words: Words) -> bytes | None:
-    """Answer nothing."""
+def silent(command: Words) -> bytes | None:
+    """Send no response."""
     return None
 
 
-def call_without_answer(world: World, worker: Worker, client: Any) -> Words:
-    """Return a call that has arrived at the worker and isn't answered."""
+def call_without_answer(harness: World, worker: Worker, client: Any) -> Words:
+    """Send a call to a worker that does not answer; return it once the worker has received it."""
     worker.answer, before = silent, len(worker.calls())
     client.send(method="reservation")
-    world.until(lambda: len(worker.calls()) > before)
+    harness.until(lambda: len(worker.calls()) > before)
     return worker.calls()[-1]
 
 
 @contextmanager
-def slow_reader(world: World) -> Iterator[tuple[str, socket.socket]]:
-    """Return a worker that takes one connection and reads nothing: the kernel keeps what it is sent."""
+def slow_reader(harness: World) -> Iterator[tuple[str, socket.socket]]:
+    """Provide a worker that accepts one connection and never reads: what it is sent stays in the kernel."""
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        world.node.pool.update_addresses({"slow": listener.getsockname()})
+        harness.node.pool.update_addresses({"slow": listener.getsockname()})
         yield "slow", listener
 
 
 def received(listener: socket.socket) -> bytes:
-    """All that still comes on the connection, from the kernel of either side."""
+    """Return the bytes of the next connection that are still in the kernel of either side."""
     sock, _ = listener.accept()
     data = b""
     with sock, suppress(ConnectionResetError):
@@ -114,28 +114,28 @@
     return data
 
 
-def budget_of(call: Words) -> int:
-    """Return the time budget of a call that has arrived."""
+def call_budget_ms(call: Words) -> int:
+    """Return the time budget of a received call."""
     fields = dict(pair.split(b"=") for pair in call[2].split(b","))
     return int(fields[b"budget"])
 
 
 def attempt(
-    world: World,
+    harness: World,
     worker: Worker,
-    timeout: int,
-    latest: int,
-    call: int = 1_000_000,
-    then: Callable[[], None] = lambda: None,
+    timeout_us: int,
+    begin_within_us: int,
+    call_id: int = 1_000_000,
+    on_end: Callable[[], None] = lambda: None,
 ) -> list[AttemptEnded]:
-    """Begin an attempt straight from the gateway, for a client that waits; `then` runs when it has ended."""
+    """Start an attempt without the gateway, for a simulated client; call `on_end` when it has ended."""
     ended: list[AttemptEnded] = []
 
     def done(attempt_done: AttemptEnded) -> None:
         ended.append(attempt_done)
-        then()
+        on_end()
 
-    world.node.clients.requests.identities[call] = RequestIdentity(b"%016x" % call, "valuation", "")
-    start = Send(call, 0, worker.name, FUNCTION, None, b"body", timeout, call, False, latest)
-    world.node.workers.send(start, done)
+    harness.node.clients.requests.identities[call_id] = RequestIdentity(b"%016x" % call_id, "valuation", "")
+    send = Send(call_id, 0, worker.name, FUNCTION, None, b"body", timeout_us, call_id, False, begin_within_us)
+    harness.node.workers.send(send, done)
     return ended
