--- a/packages/node/tests/test_accept_faults.py
+++ b/packages/node/tests/test_accept_faults.py
@@ -1,4 +1,4 @@
-"""Clients of a node whose `accept` fails."""
+"""Errors of `accept` on a node's client listener."""
 
 from __future__ import annotations
 
@@ -13,28 +13,30 @@
 
 
 @pytest.mark.parametrize(
-    "number",
+    "error_number",
     ids([errno.ECONNABORTED, errno.EHOSTUNREACH, errno.EINTR, errno.ENETDOWN, errno.EPERM, errno.EPROTO]),
 )
-def test_client_is_served_at_once_while_accept_fails_now_and_then(number: int) -> None:
+def test_occasional_accept_errors_do_not_delay_clients(error_number: int) -> None:
     def scenario(harness: World, faults: SocketFaults) -> None:
         warm(harness, harness.client())
-        began = harness.loop.now()
-        faults.fail("accept", number, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(harness.node.listener.address))
+        started_us = harness.loop.now()
+        faults.fail(
+            "accept", error_number, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(harness.node.listener.address)
+        )
         for n in range(10):
-            faults.fail("accept", number, after=n, when=at(harness.node.listener.address))
+            faults.fail("accept", error_number, after=n, when=at(harness.node.listener.address))
             client = harness.client()
             client.send()
             assert client.next()[2] is None
             client.stream.close()
         assert harness.node.listener.accept_errors >= MAX_ACCEPT_ERRORS_IN_ROW
-        assert harness.loop.now() - began < 10 * MS  # no pause of the listener is in it
+        assert harness.loop.now() - started_us < 10 * MS  # the listener did not back off
         assert any(line.startswith("accept_failed") for line in harness.log.lines)
 
     play_with_faults(scenario)
 
 
-def test_client_cut_off_by_a_failed_accept_is_served_when_it_reconnects() -> None:
+def test_client_dropped_by_a_failed_accept_is_served_after_reconnecting() -> None:
     def scenario(harness: World, faults: SocketFaults) -> None:
         faults.fail("accept", errno.EPERM, when=at(harness.node.listener.address), drops=True)
         client = harness.client()
--- a/packages/node/tests/test_call_deadline.py
+++ b/packages/node/tests/test_call_deadline.py
@@ -1,4 +1,4 @@
-"""The budget that a worker is given, and calls that are late when they would leave."""
+"""The time budget that workers get, and calls that expire before they are sent."""
 
 from __future__ import annotations
 
@@ -21,22 +21,24 @@
 from walnutpost.testsupport.node.worker_fixtures import Throttle, attempt, call_budget_ms, one_connection
 
 
-def test_budget_after_a_slow_connect_is_what_is_left(
+def test_slow_connect_reduces_the_budget_sent_to_the_worker(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = HeldConnections(monkeypatch)
+    delayed = HeldConnections(monkeypatch)
 
     def scenario(harness: World) -> None:
-        client = call_that_waits(harness, held)
+        client = call_that_waits(harness, delayed)
         harness.loop.sleep(180 * MS)
-        held.come_up()
+        delayed.come_up()
         assert client.next()[2] is None
         assert 800 <= call_budget_ms(harness.workers[0].calls()[-1]) <= 820
 
     play(scenario, workers=1)
 
 
-def test_budget_after_a_full_send_buffer_is_what_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_wait_for_a_full_send_buffer_reduces_the_budget_sent_to_the_worker(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
@@ -50,35 +52,35 @@
     play(scenario, workers=1)
 
 
-def test_call_that_the_kernel_takes_at_once_is_encoded_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    encoded: list[bytes] = []
+def test_call_sent_without_waiting_is_encoded_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    encoded_ids: list[bytes] = []
     encode = resp.encode_call
 
-    def counted(id: bytes, *args: Any) -> bytes:
-        encoded.append(id)
+    def encode_and_record(id: bytes, *args: Any) -> bytes:
+        encoded_ids.append(id)
         return encode(id, *args)
 
-    monkeypatch.setattr(resp, "encode_call", counted)
+    monkeypatch.setattr(resp, "encode_call", encode_and_record)
 
     def scenario(harness: World) -> None:
         client = harness.client()
         for _ in range(5):
             client.send()
             assert client.next()[2] is None
-        assert len(encoded) == sum(len(worker.calls()) for worker in harness.workers)
+        assert len(encoded_ids) == sum(len(worker.calls()) for worker in harness.workers)
 
     play(scenario)
 
 
-def test_call_expired_before_its_first_byte_is_not_begun(monkeypatch: pytest.MonkeyPatch) -> None:
-    held = HeldConnections(monkeypatch)
+def test_call_that_expires_before_its_first_byte_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    delayed = HeldConnections(monkeypatch)
 
     def scenario(harness: World) -> None:
-        held.is_holding, worker = True, harness.workers[0]
+        delayed.is_holding, worker = True, harness.workers[0]
         ended = attempt(harness, worker, 50 * MS, 10 * SECOND)
-        harness.until(lambda: held.waiting)
-        harness.loop.clock.advance_to(harness.loop.now() + 60 * MS)  # its timer is due, and has not run
-        held.come_up()
+        harness.until(lambda: delayed.waiting)
+        harness.loop.clock.advance_to(harness.loop.now() + 60 * MS)  # its timer is due but has not run yet
+        delayed.come_up()
         harness.until(lambda: ended)
         harness.loop.sleep(SECOND)
         assert [done.outcome for done in ended] == [Outcome.MOOT]
@@ -88,14 +90,14 @@
     play(scenario, workers=1)
 
 
-def test_call_unsent_at_its_deadline_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
-    held = HeldConnections(monkeypatch)
+def test_call_not_sent_by_its_deadline_is_never_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    delayed = HeldConnections(monkeypatch)
 
     def scenario(harness: World) -> None:
-        held.is_holding, worker = True, harness.workers[0]
+        delayed.is_holding, worker = True, harness.workers[0]
         ended = attempt(harness, worker, 50 * MS, 10 * SECOND)
         harness.until(lambda: ended)
-        held.come_up()
+        delayed.come_up()
         harness.loop.sleep(SECOND)
         assert [done.outcome for done in ended] == [Outcome.MOOT]
         assert not worker.calls()
@@ -103,16 +105,16 @@
     play(scenario, workers=1)
 
 
-def test_call_without_a_latest_start_may_begin_until_its_deadline(
+def test_call_without_a_start_limit_can_be_sent_until_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = HeldConnections(monkeypatch)
+    delayed = HeldConnections(monkeypatch)
 
     def scenario(harness: World) -> None:
-        held.is_holding, worker = True, harness.workers[0]
+        delayed.is_holding, worker = True, harness.workers[0]
         ended = attempt(harness, worker, SECOND, 0)
         harness.loop.sleep(150 * MS)
-        held.come_up()
+        delayed.come_up()
         harness.until(lambda: ended)
         assert [done.outcome for done in ended] == [Outcome.OK]
         assert len(worker.calls()) == 1
--- a/packages/node/tests/test_client_backpressure.py
+++ b/packages/node/tests/test_client_backpressure.py
@@ -1,4 +1,4 @@
-"""Clients that fetch too little or ask too much."""
+"""Clients that read their answers too slowly or send too many requests."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 from walnutpost.testsupport.node.harness import FAILED, MS, Worker, World, reply, warm
 
 
-def test_client_that_fetches_too_little_gets_errors_for_bodies_and_no_close(
+def test_slow_reader_gets_an_error_instead_of_a_body_and_stays_connected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
         worker.answer = lambda command: None
-        number = client.send()
+        message_id = client.send()
         harness.until(lambda: len(worker.calls()) == 2)
         connection = only_client_connection(harness)
         window = FullReceiveWindow(monkeypatch, connection)
-        before = bytes(MAX_PENDING_BYTES)
-        connection.write(msgpack.packb(before))
+        pending_body = bytes(MAX_PENDING_BYTES)
+        connection.write(msgpack.packb(pending_body))
         harness.loop.sleep(10 * MS)
         worker.streams[0].send_all(reply(worker.calls()[1][1], b"OK", b"-", b"body"))
         harness.until(lambda: not connection.open)
         window.open()
-        assert client.next() == before
-        kind, answered, error, _ = client.next()
-        assert (kind, answered) == (1, number)
+        assert client.next() == pending_body
+        kind, answered_id, error, _ = client.next()
+        assert (kind, answered_id) == (1, message_id)
         assert error[1]["reason"].startswith("too many")
-        following = client.send()
+        next_id = client.send()
         worker.answer = Worker.good
-        assert client.next()[:3] == [1, following, None]
+        assert client.next()[:3] == [1, next_id, None]
 
     run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_many_large_answers_at_once_are_sent_while_the_kernel_takes_them(
+def test_many_large_answers_at_once_are_sent_if_the_kernel_accepts_them(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
@@ -56,25 +56,25 @@
         for _ in range(12):
             client.send()
         harness.until(lambda: len(worker.calls()) == 13)
-        connection, left = only_client_connection(harness), list[bytes]()
+        connection, sent = only_client_connection(harness), list[bytes]()
 
-        def leaves(data: bytes) -> bytes:
-            left.append(data)
+        def accept_all(data: bytes) -> bytes:
+            sent.append(data)
             return b""
 
-        monkeypatch.setattr(connection._stream, "send_now", leaves)
+        monkeypatch.setattr(connection._stream, "send_now", accept_all)
         large = bytes(120_000)
         for caller_id in list(connection.open.values()):
             harness.node.dispatcher._on_final_by_caller[caller_id](Served(large, worker.name, ""))
         harness.until(lambda: connection.is_idle)
         unpacker = msgpack.Unpacker()
-        unpacker.feed(b"".join(left))
+        unpacker.feed(b"".join(sent))
         assert [answer[3][0] for answer in unpacker] == [large] * 12
 
     run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_requests_beyond_the_high_water_mark_are_read_once_answers_are_fetched(
+def test_reading_pauses_above_the_high_water_mark_until_the_answers_are_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
@@ -83,42 +83,42 @@
         connection = only_client_connection(harness)
         window = FullReceiveWindow(monkeypatch, connection)
         connection.write(msgpack.packb(bytes(HIGH_WATER_BYTES)))
-        checks = [msgpack.packb([0, number, "check", [{}]]) for number in range(2, 20_002)]
-        sending = harness.loop.spawn(client.raw, b"".join(checks))
+        checks = [msgpack.packb([0, message_id, "check", [{}]]) for message_id in range(2, 20_002)]
+        send_task = harness.loop.spawn(client.raw, b"".join(checks))
         harness.loop.sleep(2_000 * MS)
-        kept = connection._output.pending_bytes
-        assert kept < HIGH_WATER_BYTES + 3 * rpc.MAX_READ_BYTES
+        pending_bytes = connection._output.pending_bytes
+        assert pending_bytes < HIGH_WATER_BYTES + 3 * rpc.MAX_READ_BYTES
         window.open()
-        began = harness.loop.now()
+        started_us = harness.loop.now()
         assert len(client.next()) == HIGH_WATER_BYTES
         assert [client.next()[1] for _ in range(6_000)] == list(range(2, 6_002))
-        assert harness.loop.now() - began < 100 * MS
+        assert harness.loop.now() - started_us < 100 * MS
         assert [client.next()[1] for _ in checks[6_000:]] == list(range(6_002, 20_002))
-        sending.join()
+        send_task.join()
 
     run_scenario_with_timeout(scenario)
 
 
-def test_flood_beside_an_open_request_ends_it_with_an_answer_at_once() -> None:
-    """What would take it back is not looked at any more."""
+def test_flood_of_invalid_requests_fails_an_open_request_at_once() -> None:
+    """The node stops reading such a client, and so would miss a cancellation of the open request."""
 
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
         silence_workers(harness)
-        number = client.send()
+        message_id = client.send()
         harness.until(lambda: len(worker.calls()) == 2)
-        began = harness.loop.now()
+        started_us = harness.loop.now()
         flood = [
-            msgpack.packb([0, n, "no such class", [{}, b""]]) for n in range(number + 1, MAX_REJECTED + 9)
+            msgpack.packb([0, n, "no such class", [{}, b""]]) for n in range(message_id + 1, MAX_REJECTED + 9)
         ]
         client.raw(b"".join(flood))
         answers = []
         while (answer := client.next()) is not None:
             answers.append(answer)
-        assert [answer for answer in answers if answer[1] == number] == [[1, number, FAILED, None]]
+        assert [answer for answer in answers if answer[1] == message_id] == [[1, message_id, FAILED, None]]
         assert len(answers) == len(flood) + 1
-        assert harness.loop.now() - began < 50 * MS
+        assert harness.loop.now() - started_us < 50 * MS
         assert harness.node.dispatcher.open_calls == 0
 
     run_scenario_with_timeout(scenario, workers=1)
--- a/packages/node/tests/test_client_departure.py
+++ b/packages/node/tests/test_client_departure.py
@@ -1,4 +1,4 @@
-"""Clients that leave or cancel: no attempt begins for them, and a half-closed one gets its answers."""
+"""Clients that disconnect or cancel: no attempt starts for them, but half-closed ones get their answers."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
         client = harness.client()
         worker = warm(harness, client)
         silence_workers(harness)
-        number = client.send()
+        message_id = client.send()
         harness.until(lambda: len(worker.calls()) == 2)
         client.stream.end_writing()
-        assert client.next() == [1, number, FAILED, None]
+        assert client.next() == [1, message_id, FAILED, None]
         assert client.next() is None
         assert harness.node.dispatcher.open_calls == 0
         assert not harness.node.clients.connections
@@ -40,7 +40,7 @@
     run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_requests_followed_by_their_clients_end_are_rejected_and_not_begun() -> None:
+def test_requests_followed_by_a_half_close_are_rejected_without_an_attempt() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
@@ -55,20 +55,20 @@
     run_scenario_with_timeout(scenario)
 
 
-def test_request_queued_for_a_copy_when_its_client_half_closes_is_rejected() -> None:
+def test_queued_request_is_rejected_if_its_client_half_closes() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
-        number = client.send()
+        message_id = client.send()
         harness.until(lambda: only_client_connection(harness).open)
         client.stream.end_writing()
-        assert client.next() == [1, number, REFUSED, None]
+        assert client.next() == [1, message_id, REFUSED, None]
         assert client.next() is None
         assert harness.node.dispatcher.open_calls == 0
 
     run_scenario_with_timeout(scenario, workers=0)
 
 
-def test_half_closed_client_that_fetches_nothing_is_closed_after_the_timeout(
+def test_half_closed_client_that_reads_nothing_is_closed_after_the_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
@@ -86,11 +86,11 @@
     run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_no_attempt_begins_for_a_client_whose_end_is_far_behind_its_requests() -> None:
+def test_close_several_reads_after_the_requests_prevents_their_attempts() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
-        client.raw(b"".join(encode_request(number, LARGE_BODY) for number in (2, 3, 4)))
+        client.raw(b"".join(encode_request(message_id, LARGE_BODY) for message_id in (2, 3, 4)))
         client.stream.close()
         harness.until(lambda: not harness.node.clients.connections)
         harness.loop.sleep(100 * MS)
@@ -99,37 +99,41 @@
     run_scenario_with_timeout(scenario)
 
 
-def test_requests_with_an_end_far_behind_them_are_all_answered() -> None:
+def test_half_close_several_reads_after_the_requests_rejects_all_of_them() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
-        client.raw(b"".join(encode_request(number, LARGE_BODY) for number in (2, 3, 4)))
+        client.raw(b"".join(encode_request(message_id, LARGE_BODY) for message_id in (2, 3, 4)))
         client.stream.end_writing()
-        assert [client.next() for _ in range(3)] == [[1, number, REFUSED, None] for number in (2, 3, 4)]
+        assert [client.next() for _ in range(3)] == [
+            [1, message_id, REFUSED, None] for message_id in (2, 3, 4)
+        ]
         assert client.next() is None
         assert len(received_calls(harness)) == 1
 
     run_scenario_with_timeout(scenario)
 
 
-def test_requests_with_an_end_behind_them_are_answered_without_a_pause(
+def test_many_requests_followed_by_a_half_close_are_rejected_without_a_read_pause(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
         monkeypatch.setattr(rpc, "MAX_READ_BYTES", 1024)
-        numbers = range(2, 2 * MAX_REJECTED_BEFORE_PAUSE)
-        client.raw(b"".join(encode_request(number, bytes(900)) for number in numbers))
+        message_ids = range(2, 2 * MAX_REJECTED_BEFORE_PAUSE)
+        client.raw(b"".join(encode_request(message_id, bytes(900)) for message_id in message_ids))
         client.stream.end_writing()
-        began = harness.loop.now()
-        assert [client.next() for _ in numbers] == [[1, number, REFUSED, None] for number in numbers]
-        assert harness.loop.now() - began < READ_PAUSE_US
+        started_us = harness.loop.now()
+        assert [client.next() for _ in message_ids] == [
+            [1, message_id, REFUSED, None] for message_id in message_ids
+        ]
+        assert harness.loop.now() - started_us < READ_PAUSE_US
 
     run_scenario_with_timeout(scenario)
 
 
-def test_end_of_a_discarded_client_behind_its_bytes_is_noticed() -> None:
+def test_half_close_after_discarded_input_is_noticed() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
@@ -147,38 +151,38 @@
     run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_no_attempt_begins_for_a_request_cancelled_far_behind_it_during_a_stall(
+def test_interrupt_during_a_stall_cancels_requests_several_reads_before_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
-        arrived = record_submitted_calls(harness, monkeypatch)
-        client.raw(b"".join(encode_request(number, LARGE_BODY) for number in (2, 3, 4)))
+        submitted = record_submitted_calls(harness, monkeypatch)
+        client.raw(b"".join(encode_request(message_id, LARGE_BODY) for message_id in (2, 3, 4)))
         client.raw(msgpack.packb([2, "interrupt", [2, 3, 4]]))
         stall_process(harness, 150 * MS)
         harness.loop.sleep(100 * MS)
         assert len(received_calls(harness)) == 1
-        assert not arrived
+        assert not submitted
 
     run_scenario_with_timeout(scenario)
 
 
 @pytest.mark.parametrize("leave", [*LEAVE[1:], interrupt_second_call])
-def test_no_attempt_begins_for_a_client_that_left_in_a_stall_between_reading_and_sending(
+def test_no_attempt_starts_for_a_client_that_leaves_during_a_stall_before_the_send(
     monkeypatch: pytest.MonkeyPatch, leave: Callable[[Client], None]
 ) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
 
-        def meanwhile() -> None:
+        def leave_and_stall() -> None:
             leave(client)
             stall_process(harness, 150 * MS)
 
-        arrived = record_submitted_calls(harness, monkeypatch, before_each=meanwhile)
+        submitted = record_submitted_calls(harness, monkeypatch, before_each=leave_and_stall)
         client.send()
-        harness.until(lambda: arrived and not harness.node.clients.requests.request_ids)
+        harness.until(lambda: submitted and not harness.node.clients.requests.request_ids)
         harness.loop.sleep(100 * MS)
         assert len(received_calls(harness)) == 1
         assert harness.node.dispatcher.open_calls == 0
@@ -186,7 +190,7 @@
     run_scenario_with_timeout(scenario)
 
 
-def test_attempted_request_whose_clients_end_was_read_ahead_fails_and_is_not_rejected(
+def test_half_close_read_ahead_fails_attempted_requests_and_rejects_the_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
@@ -196,11 +200,11 @@
         client.send(method="reservation")
         harness.until(lambda: len(worker.calls()) == 2)
 
-        def meanwhile() -> None:
+        def half_close_and_stall() -> None:
             client.stream.end_writing()
             stall_process(harness, 150 * MS)
 
-        record_submitted_calls(harness, monkeypatch, before_each=meanwhile)
+        record_submitted_calls(harness, monkeypatch, before_each=half_close_and_stall)
         client.send(method="reservation")
         answers = {answer[1]: answer[2] for answer in (client.next(), client.next())}
         assert answers == {2: FAILED, 3: REFUSED}
@@ -209,41 +213,41 @@
     run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_messages_read_ahead_are_taken_in_order(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_messages_read_ahead_are_processed_in_order(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
-        more = [encode_request(3) + encode_request(4)[:20]]
+        unsent = [encode_request(3) + encode_request(4)[:20]]
 
-        def meanwhile() -> None:
-            if more:
-                client.raw(more.pop())
+        def send_more_and_stall() -> None:
+            if unsent:
+                client.raw(unsent.pop())
                 stall_process(harness, 150 * MS)
 
-        arrived = record_submitted_calls(harness, monkeypatch, before_each=meanwhile)
+        submitted = record_submitted_calls(harness, monkeypatch, before_each=send_more_and_stall)
         client.send()
-        harness.until(lambda: len(arrived) == 2)
+        harness.until(lambda: len(submitted) == 2)
         client.raw(encode_request(4)[20:])
         assert sorted(client.next()[1] for _ in range(3)) == [2, 3, 4]
-        assert [call.waited_us for call in arrived] == [0, 150 * MS, 0]
+        assert [call.waited_us for call in submitted] == [0, 150 * MS, 0]
 
     run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_request_after_a_stall_alone_is_attempted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_delayed_only_by_a_stall_is_attempted(monkeypatch: pytest.MonkeyPatch) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
         record_submitted_calls(harness, monkeypatch, before_each=lambda: stall_process(harness, 150 * MS))
-        number = client.send(method="reservation")
-        assert client.next()[:3] == [1, number, None]
+        message_id = client.send(method="reservation")
+        assert client.next()[:3] == [1, message_id, None]
         assert len(received_calls(harness)) == 2
 
     run_scenario_with_timeout(scenario)
 
 
 @pytest.mark.parametrize("end", ["close", "reset"])
-def test_request_with_its_clients_end_behind_it_is_not_begun(end: str) -> None:
+def test_request_followed_by_a_close_is_not_attempted(end: str) -> None:
     def scenario(harness: World) -> None:
         first, client = harness.client(), harness.client()
         warm(harness, first)
@@ -274,7 +278,7 @@
 
 
 @pytest.mark.parametrize("leave", LEAVE)
-def test_client_with_rejected_requests_that_leaves_is_noticed_at_once(
+def test_departure_of_a_client_with_rejected_requests_is_noticed_at_once(
     leave: Callable[[Client], None],
 ) -> None:
     def scenario(harness: World) -> None:
@@ -285,15 +289,15 @@
         for _ in range(MAX_REJECTED_BEFORE_PAUSE + 1):
             client.send(method="no such class")
             client.next()
-        at = harness.loop.now()
+        started_us = harness.loop.now()
         leave(client)
         harness.until(lambda: not harness.node.clients.requests.request_ids, step=MS)
-        assert harness.loop.now() - at <= 5 * MS
+        assert harness.loop.now() - started_us <= 5 * MS
 
     play(scenario)
 
 
-def test_client_that_fetches_no_answers_and_leaves_is_noticed_at_once(
+def test_interrupt_by_a_client_that_reads_no_answers_is_noticed_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
@@ -313,14 +317,14 @@
     play(scenario, workers=1)
 
 
-def test_interrupt_of_an_open_call_cancels_it_at_its_worker() -> None:
+def test_interrupt_cancels_an_open_call_at_its_worker() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
         worker.answer = after(None)
-        number = client.send(method="reservation")
+        message_id = client.send(method="reservation")
         harness.until(lambda: len(worker.calls()) == 2)
-        client.raw(msgpack.packb([2, "interrupt", [number]]))
+        client.raw(msgpack.packb([2, "interrupt", [message_id]]))
         harness.until(lambda: worker.got[-1] == [b"KILL", worker.calls()[1][1]])
         assert harness.node.dispatcher.open_calls == 0
         assert not harness.node.clients.requests.request_ids
@@ -328,7 +332,7 @@
     play(scenario, workers=1)
 
 
-def test_call_cancelled_in_the_bytes_it_came_with_never_reaches_the_gateway() -> None:
+def test_call_cancelled_in_the_same_read_is_not_submitted() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
--- a/packages/node/tests/test_client_eviction.py
+++ b/packages/node/tests/test_client_eviction.py
@@ -1,4 +1,4 @@
-"""Which client connection is closed when the node needs its descriptor."""
+"""Which client connection the node closes when it needs a descriptor."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 def test_lingering_client_is_evicted_last() -> None:
     def scenario(harness: World) -> None:
-        fetching, idle = harness.client(), harness.client()
-        for client in (fetching, idle):
+        lingering, idle = harness.client(), harness.client()
+        for client in (lingering, idle):
             client.send()
             assert client.next()[2] is None
-        fetching.raw(b"\xc1")
+        lingering.raw(b"\xc1")
         clients = harness.node.clients
         harness.until(lambda: any(connection.is_lingering for connection in clients.connections))
         clients.evict()
@@ -23,15 +23,15 @@
     run_scenario_with_timeout(scenario)
 
 
-def test_connections_beyond_the_limit_evict_idle_ones_and_serve_new_requests() -> None:
+def test_connection_above_the_limit_evicts_an_idle_one_and_is_served() -> None:
     def scenario(harness: World) -> None:
         warm(harness, harness.client())
-        crowd = [harness.client() for _ in range(200)]
-        late = harness.client()
+        idle_clients = [harness.client() for _ in range(200)]
+        new_client = harness.client()
         assert len(harness.node.clients.connections) <= 128
-        late.send()
-        assert late.next()[2] is None
-        assert crowd
+        new_client.send()
+        assert new_client.next()[2] is None
+        assert idle_clients  # a reference until here, so that none is closed earlier
 
     play(scenario)
 
@@ -41,10 +41,10 @@
         client, clients = harness.client(), harness.node.clients
         warm(harness, client)
         (connection,) = clients.connections
-        client.send()  # the kernel has it, the node hasn't read it
+        client.send()  # the kernel has received it, but the node has not read it yet
         clients.evict()
         assert client.next()[2] is None
-        connection.write(msgpack.packb(7))  # leaves at the end of the round
+        connection.write(msgpack.packb(7))  # sent at the end of this turn of the event loop
         clients.evict()
         assert client.next() == 7
         clients.evict()
--- a/packages/node/tests/test_client_protocol_errors.py
+++ b/packages/node/tests/test_client_protocol_errors.py
@@ -1,4 +1,4 @@
-"""Clients that break the protocol, and unexpected errors: what each costs, and what is still answered."""
+"""Protocol violations by clients and unexpected errors: what fails and what is still answered."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 from walnutpost.testsupport.node.harness import FAILED, MS, REFUSED, SECOND, World, play, reply, warm
 
 
-def test_unexpected_error_in_taking_a_request_fails_that_request_alone(
+def test_unexpected_error_while_processing_a_request_fails_only_that_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         warm(harness, client)
-        failing = [ZeroDivisionError()]
+        errors = [ZeroDivisionError()]
 
-        def fails() -> None:
-            if failing:
-                raise failing.pop()
+        def raise_once() -> None:
+            if errors:
+                raise errors.pop()
 
-        record_submitted_calls(harness, monkeypatch, before_each=fails)
+        record_submitted_calls(harness, monkeypatch, before_each=raise_once)
         client.raw(encode_request(2) + encode_request(3))
         answers = sorted([client.next(), client.next()], key=lambda answer: int(answer[1]))
         assert answers[0] == [1, 2, FAILED, None]
@@ -40,31 +40,31 @@
         assert not harness.node.clients.requests.request_ids
         assert not only_client_connection(harness).open
 
-    with pytest.raises(ZeroDivisionError):  # told by the loop
+    with pytest.raises(ZeroDivisionError):  # reported by the event loop
         run_scenario_with_timeout(scenario)
 
 
-def test_unexpected_error_in_reading_leaves_open_requests_their_answers(
+def test_open_requests_are_answered_after_an_unexpected_read_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
         silence_workers(harness)
-        number = client.send()
+        message_id = client.send()
         harness.until(lambda: len(worker.calls()) == 2)
         monkeypatch.setattr(only_client_connection(harness)._input._parser, "feed", lambda data: 1 / 0)
         client.send()
         harness.loop.sleep(10 * MS)
         worker.streams[0].send_all(reply(worker.calls()[1][1], b"OK", b"-", b"late"))
-        assert client.next() == [1, number, None, [b"late", {}]]
+        assert client.next() == [1, message_id, None, [b"late", {}]]
         assert client.next() is None
 
     with pytest.raises(ZeroDivisionError):
         run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_messages_behind_one_that_ends_the_reading_get_an_error(
+def test_requests_received_after_a_reused_id_get_an_error(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
@@ -87,57 +87,55 @@
     run_scenario_with_timeout(scenario)
 
 
-@pytest.mark.parametrize("where", ["end", "sweep", "evict"])
-def test_error_on_one_connection_costs_the_others_nothing(
-    monkeypatch: pytest.MonkeyPatch, where: str
-) -> None:
+@pytest.mark.parametrize("stage", ["end", "sweep", "evict"])
+def test_error_on_one_connection_does_not_affect_others(monkeypatch: pytest.MonkeyPatch, stage: str) -> None:
     def scenario(harness: World) -> None:
         clients = harness.node.clients
         broken, healthy = harness.client(), harness.client()
         harness.until(lambda: len(clients.connections) == 2)
         first, second = clients.connections
-        monkeypatch.setattr(first, "_read" if where != "sweep" else "check_timeouts", lambda *_: 1 / 0)
-        if where == "end":
-            ending = harness.loop.spawn(harness.node.shut_down)
+        monkeypatch.setattr(first, "_read" if stage != "sweep" else "check_timeouts", lambda *_: 1 / 0)
+        if stage == "end":
+            shutdown = harness.loop.spawn(harness.node.shut_down)
             harness.loop.sleep(690 * MS)
             healthy.send()
             assert healthy.next()[2] is None
             assert healthy.next() is None
             broken.stream.close()
-            ending.join()
-        elif where == "sweep":
+            shutdown.join()
+        elif stage == "sweep":
             healthy.raw(b"\x94")
             harness.until(lambda: second not in clients.connections)
         else:
             monkeypatch.setattr(clients, "_max_connections", 2)
             first._stream.on_readable(None)
-            broken.raw(encode_request(1))  # unread when room is made
-            late = harness.client()
-            late.send()
-            assert late.next()[2] is None
-        assert harness.node._accepting.is_done == (where == "end")
+            broken.raw(encode_request(1))  # still unread when the node evicts a connection
+            new_client = harness.client()
+            new_client.send()
+            assert new_client.next()[2] is None
+        assert harness.node._accepting.is_done == (stage == "end")
 
     with pytest.raises(ZeroDivisionError):
         run_scenario_with_timeout(scenario)
 
 
-def test_second_request_under_an_open_id_fails_the_first_and_gets_no_answer() -> None:
+def test_reused_id_fails_the_open_request_and_the_second_gets_no_answer() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
         silence_workers(harness)
-        good, twice = client.send(), client.send()
+        other_id, reused_id = client.send(), client.send()
         harness.until(lambda: len(worker.calls()) == 3)
-        client.raw(encode_request(twice, b"second"))
+        client.raw(encode_request(reused_id, b"second"))
         harness.loop.sleep(10 * MS)
         for command in worker.calls()[1:]:
             for stream in worker.streams:
                 with suppress(OSError):
                     stream.send_all(reply(command[1], b"OK", b"-", command[3]))
         answers = [client.next() for _ in range(2)]
-        assert [(number, error and error[0]) for _, number, error, _ in answers] == [
-            (twice, "Internal"),
-            (good, None),
+        assert [(message_id, error and error[0]) for _, message_id, error, _ in answers] == [
+            (reused_id, "Internal"),
+            (other_id, None),
         ]
         assert client.next() is None
         assert len(worker.calls()) == 3
@@ -145,18 +143,18 @@
     run_scenario_with_timeout(scenario, workers=1)
 
 
-def test_requests_before_unreadable_bytes_are_answered_and_then_the_connection_ends() -> None:
+def test_malformed_input_closes_the_connection_after_open_requests_are_answered() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
         worker.answer = lambda command: None
-        number = client.send()
+        message_id = client.send()
         harness.until(lambda: len(worker.calls()) == 2)
         client.raw(b"\xc1" * 1000)
         harness.loop.sleep(50 * MS)
-        client.raw(bytes(256 << 10))  # comes still, and is thrown away: most of it after the answer has left
+        client.raw(bytes(256 << 10))  # received and discarded, mostly after the answer was sent
         worker.streams[0].send_all(reply(worker.calls()[1][1], b"OK", b"-", b"late"))
-        assert client.next() == [1, number, None, [b"late", {}]]
+        assert client.next() == [1, message_id, None, [b"late", {}]]
         assert client.next() is None
         client.stream.close()
         harness.until(lambda: not harness.node.clients.connections)
@@ -164,27 +162,27 @@
     play(scenario, workers=1)
 
 
-def test_two_requests_under_one_id_get_one_error_and_take_no_answer_away() -> None:
+def test_invalid_request_that_reuses_an_open_id_fails_only_that_id() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
         worker.answer = lambda command: None
-        good, twice = client.send(), client.send()
+        other_id, reused_id = client.send(), client.send()
         harness.until(lambda: len(worker.calls()) == 3)
-        client.raw(msgpack.packb([0, twice, "valuation", [{}, b""]]))
+        client.raw(msgpack.packb([0, reused_id, "valuation", [{}, b""]]))
         harness.loop.sleep(10 * MS)
         for command in worker.calls()[1:]:
             for stream in worker.streams:
-                with suppress(OSError):  # that of the call given up has ended
+                with suppress(OSError):  # the connection of the cancelled call is closed
                     stream.send_all(reply(command[1], b"OK", b"-", command[3]))
         error, answer = client.next(), client.next()
-        assert (error[1], error[2][0], answer[1]) == (twice, FAILED[0], good)
+        assert (error[1], error[2][0], answer[1]) == (reused_id, FAILED[0], other_id)
         assert client.next() is None
 
     play(scenario, workers=1)
 
 
-def test_listener_error_on_one_connection_costs_none_after_it(
+def test_accept_errors_do_not_affect_later_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
@@ -203,7 +201,7 @@
     play(scenario)
 
 
-def test_unexpected_error_on_a_connection_costs_that_connection_alone(
+def test_unexpected_error_on_a_connection_closes_only_that_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def scenario(harness: World) -> None:
@@ -216,53 +214,56 @@
         second.send()
         assert second.next()[2] is None
 
-    with pytest.raises(ZeroDivisionError):  # told by the loop
+    with pytest.raises(ZeroDivisionError):  # reported by the event loop
         play(scenario)
 
 
-def test_client_that_breaks_the_protocol_gets_an_error_or_a_close() -> None:
+def test_client_that_violates_the_protocol_gets_an_error_or_is_disconnected() -> None:
     def scenario(harness: World) -> None:
-        silent, half, crowd = harness.client(), harness.client(), harness.client()
-        half.raw(b"\x94\x00")
+        silent, partial, overloading = harness.client(), harness.client(), harness.client()
+        partial.raw(b"\x94\x00")
         for worker in harness.workers:
             worker.answer = lambda command: None
         for _ in range(MAX_OPEN_REQUESTS + 1):
-            crowd.send()
-        assert crowd.next() == [1, MAX_OPEN_REQUESTS + 1, REFUSED, None]
-        twice = harness.client()
-        twice.send(rid="00000000000000aa")
-        again = harness.client()
-        again.send(rid="00000000000000aa")
-        assert again.next()[2][0] == "Internal"
-        twice.raw(msgpack.packb([0, 1, "valuation", [{}, b""]]))  # a second request under one number
-        answer = twice.next()
+            overloading.send()
+        assert overloading.next() == [1, MAX_OPEN_REQUESTS + 1, REFUSED, None]
+        reusing = harness.client()
+        reusing.send(rid="00000000000000aa")
+        other = harness.client()
+        other.send(rid="00000000000000aa")
+        assert other.next()[2][0] == "Internal"
+        # A second request with the same message id.
+        reusing.raw(msgpack.packb([0, 1, "valuation", [{}, b""]]))
+        answer = reusing.next()
         assert (answer[1], answer[2][0]) == (1, FAILED[0])
-        assert twice.next() is None
-        began = harness.loop.now()
+        assert reusing.next() is None
+        started_us = harness.loop.now()
         assert silent.next() is None
-        assert half.next() is None
-        assert harness.loop.now() - began < MESSAGE_TIMEOUT_US + SECOND
+        assert partial.next() is None
+        assert harness.loop.now() - started_us < MESSAGE_TIMEOUT_US + SECOND
 
     play(scenario)
 
 
-def test_connection_whose_ids_start_above_the_first_gets_an_error_at_once() -> None:
-    """Somebody else's request, copied with its ids: workers answer errors, and nothing else came of it
-    until its deadline, later than a bad client is owed a word."""
+def test_first_request_with_an_id_above_one_gets_an_error_at_once() -> None:
+    """A first id above 1 means that the request was copied from another connection.
+
+    Workers answer such a request with errors, so without this check its client waits until the deadline.
+    """
 
     def scenario(harness: World) -> None:
         client = harness.client()
         client._number = 995
         assert client.send() == 996
-        kind, number, error, _ = client.next()
-        assert (kind, number) == (1, 996)
+        kind, message_id, error, _ = client.next()
+        assert (kind, message_id) == (1, 996)
         assert error[1]["reason"].startswith("message id")
         assert not any(worker.calls() for worker in harness.workers)
-        assert client.send() == 997 and client.next()[:3] == [1, 997, None], "ids go up from there"
+        assert client.send() == 997 and client.next()[:3] == [1, 997, None], "later ids are accepted"
         checked = harness.client()
         checked._number = 8
         checked.raw(msgpack.packb([0, 8, "check", [{}]]))
         assert checked.next()[1:] == [8, None, [True, {}]]
-        assert checked.send() == 9 and checked.next()[:3] == [1, 9, None], "a check has an id, too"
+        assert checked.send() == 9 and checked.next()[:3] == [1, 9, None], "the id of a check counts, too"
 
     play(scenario)
--- a/packages/node/tests/test_shutdown_deadline.py
+++ b/packages/node/tests/test_shutdown_deadline.py
@@ -1,7 +1,8 @@
-"""SIGKILL at the longest deadline (3 s at the most) plus 0.7 s after SIGTERM, while clients go on sending.
+"""Shutdown while clients keep sending and SIGKILL follows at its earliest time.
 
-On virtual time the moment of the kill is exact; with a whole process it is a real SIGKILL. What was sent in
-the first 0.7 s has its answer by then, whether workers answer or not.
+That is 0.7 s plus the longest deadline, but at most 3.7 s, after SIGTERM. Requests sent in the first 0.7 s
+must be answered by then, whether workers answer or not. On virtual time the moment of the kill is exact; with
+a separate process it is a real SIGKILL.
 """
 
 from __future__ import annotations
@@ -30,24 +31,24 @@
     settings,
 )
 
-TAKEN_FOR = 700 * MS  # from SIGTERM: what comes until then is answered
-KILL_COUNTS_AT_MOST = 3 * SECOND  # of the longest deadline
-SEND_EVERY = 40 * MS  # so that no connection comes to its limit of open or rejected requests
-CONNECTIONS = 6
-START_TIMEOUT = 30 * SECOND
-DEADLINES = [200 * MS, 500 * MS, 3 * SECOND, 9 * SECOND]
+ACCEPT_PERIOD_US = 700 * MS  # from SIGTERM: requests received until then are answered
+MAX_COUNTED_DEADLINE_US = 3 * SECOND  # longer deadlines do not delay SIGKILL any further
+SEND_INTERVAL_US = 40 * MS  # keeps each connection below its limits of open and rejected requests
+CONNECTION_COUNT = 6
+START_TIMEOUT_US = 30 * SECOND
+DEADLINES_US = [200 * MS, 500 * MS, 3 * SECOND, 9 * SECOND]
 LISTENING = re.compile(r"listening role='node' address=\('127\.0\.0\.1', (\d+)\)")
 STOPPING = re.compile(r"^stopping", re.MULTILINE)
 
 
-def site(deadline: int) -> dict[str, Any]:
-    """Both classes with that deadline."""
+def settings_with_deadline(deadline_us: int) -> dict[str, Any]:
+    """Return the settings with this deadline for both classes."""
     profiles = CONFIG["settings"]["Profiles"]
-    return settings(Profiles=[{**p, "HardLimit": deadline, "Aim": deadline // 2} for p in profiles])
+    return settings(Profiles=[{**p, "HardLimit": deadline_us, "Aim": deadline_us // 2} for p in profiles])
 
 
-def answers_every_other(command: list[bytes]) -> bytes | None:
-    """A worker that answers half of its calls, and loads and questions at once."""
+def answer_every_second_call(command: list[bytes]) -> bytes | None:
+    """Answer every second call of a client, and all other commands."""
     if command[0] == b"FN" and int(command[3].split()[-1]) % 2:
         return None
     return Worker.good(command)
@@ -55,13 +56,16 @@
 
 @dataclass(eq=False)
 class Sender:
-    """A client that asks on one connection at a steady pace until the node ends it, and notes the answers."""
+    """A client that sends requests at a fixed interval and records which were answered.
+
+    It stops when the node ends the connection.
+    """
 
     loop: Loop
     client: Client
     budget_ms: int
-    closes: bool = True  # once the node has ended its side
-    sent_at: dict[int, int] = field(default_factory=dict)
+    closes: bool = True  # whether the client closes its side after the node has
+    sent_at_us: dict[int, int] = field(default_factory=dict)
     answered: set[int] = field(default_factory=set)
     ended: bool = False
 
@@ -71,13 +75,13 @@
 
     def _send(self) -> None:
         while not self.ended:
-            method = ("valuation", "reservation")[len(self.sent_at) % 2]
+            method = ("valuation", "reservation")[len(self.sent_at_us) % 2]
             try:
-                number = self.client.send(method=method, budget=str(self.budget_ms))
+                message_id = self.client.send(method=method, budget=str(self.budget_ms))
             except OSError:
                 return
-            self.sent_at[number] = self.loop.now()
-            self.loop.sleep(SEND_EVERY)
+            self.sent_at_us[message_id] = self.loop.now()
+            self.loop.sleep(SEND_INTERVAL_US)
 
     def _read(self) -> None:
         while (answer := self.client.next()) is not None:
@@ -86,51 +90,54 @@
         if self.closes:
             self.client.stream.close()
 
-    def unanswered(self, until: int) -> list[int]:
-        """Requests sent until then that have no answer."""
-        return [n for n, at in self.sent_at.items() if at <= until and n not in self.answered]
+    def unanswered(self, until_us: int) -> list[int]:
+        """Return the ids of requests sent up to `until_us` that have no answer."""
+        return [n for n, at in self.sent_at_us.items() if at <= until_us and n not in self.answered]
 
 
-def send_on(loop: Loop, address: tuple[str, int], deadline: int, closes: bool = True) -> Sender:
-    sender = Sender(loop, Client(loop, address), deadline // MS, closes)
+def start_sender(loop: Loop, address: tuple[str, int], deadline_us: int, closes: bool = True) -> Sender:
+    sender = Sender(loop, Client(loop, address), deadline_us // MS, closes)
     sender.start()
     return sender
 
 
 @pytest.mark.parametrize("closes", [True, False])
-@pytest.mark.parametrize("deadline", DEADLINES)
-def test_requests_received_in_time_are_answered_when_the_kill_may_come(deadline: int, closes: bool) -> None:
+@pytest.mark.parametrize("deadline_us", DEADLINES_US)
+def test_accepted_requests_are_answered_before_the_earliest_sigkill(deadline_us: int, closes: bool) -> None:
     def scenario(harness: World) -> None:
         for worker in harness.workers:
-            worker.answer = answers_every_other
+            worker.answer = answer_every_second_call
         address = harness.node.listener.address
-        senders = [send_on(harness.loop, address, deadline, closes) for _ in range(CONNECTIONS)]
+        senders = [start_sender(harness.loop, address, deadline_us, closes) for _ in range(CONNECTION_COUNT)]
         harness.until(lambda: all(sender.answered for sender in senders))
-        signalled_at = harness.loop.now()
-        ending = harness.loop.spawn(harness.node.shut_down)
+        signalled_us = harness.loop.now()
+        shutdown = harness.loop.spawn(harness.node.shut_down)
         harness.loop.sleep(395 * MS)
-        senders.append(send_on(harness.loop, address, deadline, closes))  # the last new connection
-        killed_at = signalled_at + TAKEN_FOR + min(deadline, KILL_COUNTS_AT_MOST)
-        harness.loop.sleep(killed_at - harness.loop.now())
-        assert [sender.unanswered(signalled_at + TAKEN_FOR) for sender in senders] == [[]] * len(senders)
-        assert ending.is_done, "the process would still run"
-        went_on = signalled_at + TAKEN_FOR - SEND_EVERY
-        assert all(max(sender.sent_at.values()) >= went_on for sender in senders)
+        # Connects shortly before the node stops accepting connections.
+        senders.append(start_sender(harness.loop, address, deadline_us, closes))
+        kill_at_us = signalled_us + ACCEPT_PERIOD_US + min(deadline_us, MAX_COUNTED_DEADLINE_US)
+        harness.loop.sleep(kill_at_us - harness.loop.now())
+        assert [sender.unanswered(signalled_us + ACCEPT_PERIOD_US) for sender in senders] == [[]] * len(
+            senders
+        )
+        assert shutdown.is_done, "the shutdown has not finished"
+        last_send_us = signalled_us + ACCEPT_PERIOD_US - SEND_INTERVAL_US
+        assert all(max(sender.sent_at_us.values()) >= last_send_us for sender in senders)
 
-    play(scenario, settings=site(deadline))
+    play(scenario, settings=settings_with_deadline(deadline_us))
 
 
-class Process:
-    """A node's process beside workers of the test's own loop."""
+class NodeProcess:
+    """A node in a separate process, whose workers run in the event loop of the test."""
 
-    def __init__(self, loop: Loop, folder: Path, workers: list[Worker], deadline: int) -> None:
+    def __init__(self, loop: Loop, folder: Path, workers: list[Worker], deadline_us: int) -> None:
         self._loop = loop
-        self._said = folder / "node.log"
+        self._log_path = folder / "node.log"
         topology = {"all": True, "rev": 0, "targets": [worker.target for worker in workers]}
         known = {"offset": 1, "batch": [{"offset": 1, "topology": topology}]}
         config = folder / "node.json"
-        config.write_bytes(config_text(known=known, settings=site(deadline)))
-        with self._said.open("wb") as out:
+        config.write_bytes(config_text(known=known, settings=settings_with_deadline(deadline_us)))
+        with self._log_path.open("wb") as out:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "walnutpost.node"],
                 env={**os.environ, "NODE_CONFIG": str(config)},
@@ -138,56 +145,56 @@
                 stderr=out,
             )
 
-    def until_it_says(self, wanted: re.Pattern[str]) -> re.Match[str]:
-        with self._loop.timeout(START_TIMEOUT):
-            while (found := wanted.search(self._said.read_text())) is None:
-                assert self.process.poll() is None, self._said.read_text()
+    def wait_for_log_line(self, wanted: re.Pattern[str]) -> re.Match[str]:
+        with self._loop.timeout(START_TIMEOUT_US):
+            while (found := wanted.search(self._log_path.read_text())) is None:
+                assert self.process.poll() is None, self._log_path.read_text()
                 self._loop.sleep(2 * MS)
         return found
 
-    def until_it_ends(self) -> int:
+    def wait_for_exit(self) -> int:
         while (code := self.process.poll()) is None:
             self._loop.sleep(2 * MS)
         return code
 
 
-@pytest.mark.parametrize("deadline", DEADLINES[:3])
-def test_process_ends_before_the_kill_with_every_request_answered(tmp_path: Path, deadline: int) -> None:
-    """The kill is real, and comes no earlier than it may: counted from when the process has heard SIGTERM."""
+@pytest.mark.parametrize("deadline_us", DEADLINES_US[:3])
+def test_process_answers_accepted_requests_and_exits_before_sigkill(tmp_path: Path, deadline_us: int) -> None:
+    """SIGKILL follows at its earliest time, counted from when the process has logged SIGTERM."""
     errors: list[BaseException] = []
     loop = Loop(on_error=lambda name, error: errors.append(error))
-    running: list[Process] = []
+    processes: list[NodeProcess] = []
     senders: list[Sender] = []
-    codes: list[int] = []
-    last: list[int] = []
+    exit_codes: list[int] = []
+    accepted_until_us: list[int] = []
 
-    def whole() -> None:
+    def run_process() -> None:
         workers = [Worker(loop, f"s-{n}") for n in range(2)]
         for worker in workers:
-            worker.answer = answers_every_other
-        node = Process(loop, tmp_path, workers, deadline)
-        running.append(node)
-        address = ("127.0.0.1", int(node.until_it_says(LISTENING)[1]))
-        senders.extend(send_on(loop, address, deadline) for _ in range(CONNECTIONS))
-        with loop.timeout(START_TIMEOUT):
+            worker.answer = answer_every_second_call
+        node = NodeProcess(loop, tmp_path, workers, deadline_us)
+        processes.append(node)
+        address = ("127.0.0.1", int(node.wait_for_log_line(LISTENING)[1]))
+        senders.extend(start_sender(loop, address, deadline_us) for _ in range(CONNECTION_COUNT))
+        with loop.timeout(START_TIMEOUT_US):
             while not all(sender.answered for sender in senders):
-                loop.sleep(SEND_EVERY)
-        last.append(loop.now() + TAKEN_FOR)  # before the signal: what came by then came in time
+                loop.sleep(SEND_INTERVAL_US)
+        accepted_until_us.append(loop.now() + ACCEPT_PERIOD_US)  # taken before the signal, so never too late
         node.process.send_signal(signal.SIGTERM)
-        node.until_it_says(STOPPING)
-        kill_after = TAKEN_FOR + min(deadline, KILL_COUNTS_AT_MOST)
-        loop.call_later(kill_after, node.process.kill)
-        codes.append(node.until_it_ends())
-        with loop.timeout(START_TIMEOUT):
+        node.wait_for_log_line(STOPPING)
+        kill_after_us = ACCEPT_PERIOD_US + min(deadline_us, MAX_COUNTED_DEADLINE_US)
+        loop.call_later(kill_after_us, node.process.kill)
+        exit_codes.append(node.wait_for_exit())
+        with loop.timeout(START_TIMEOUT_US):
             while not all(sender.ended for sender in senders):
-                loop.sleep(SEND_EVERY)
+                loop.sleep(SEND_INTERVAL_US)
 
     try:
-        loop.run(whole)
+        loop.run(run_process)
     finally:
-        for node in running:
+        for node in processes:
             node.process.kill()
             node.process.wait()
     assert not errors, errors
-    assert [sender.unanswered(last[0]) for sender in senders] == [[]] * len(senders)
-    assert codes == [0], "it was killed"
+    assert [sender.unanswered(accepted_until_us[0]) for sender in senders] == [[]] * len(senders)
+    assert exit_codes == [0], "the process was killed"
--- a/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
@@ -28,10 +28,10 @@
     play(bounded, workers)
 
 
-def encode_request(number: int, body: bytes = b"", rid: str | None = None, budget: str = "1000") -> bytes:
+def encode_request(message_id: int, body: bytes = b"", rid: str | None = None, budget: str = "1000") -> bytes:
     """Return a client's call in its wire form."""
-    fields = {"rid": rid or f"{number:016x}", "budget": budget, "obj": FUNCTION}
-    return msgpack.packb([0, number, "valuation", [fields, body]])  # type: ignore[no-any-return]
+    fields = {"rid": rid or f"{message_id:016x}", "budget": budget, "obj": FUNCTION}
+    return msgpack.packb([0, message_id, "valuation", [fields, body]])  # type: ignore[no-any-return]
 
 
 def stall_process(harness: World, duration_us: int) -> None:
--- a/packages/testsupport/src/walnutpost/testsupport/node/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/harness.py
@@ -78,20 +78,20 @@
 
 def parse_commands(data: bytes) -> tuple[list[Words], bytes]:
     """Return the complete RESP arrays of bulk strings in `data`, and the remaining bytes."""
-    out: list[Words] = []
+    commands: list[Words] = []
     while data:
-        at, command = data.find(b"\r\n") + 2, list[bytes]()
-        for _ in range(int(data[1 : at - 2]) if at > 1 else 0):
-            end = data.find(b"\r\n", at)
-            if end < 0 or len(data) < (stop := end + 2 + int(data[at + 1 : end])) + 2:
-                return out, data
+        position, command = data.find(b"\r\n") + 2, list[bytes]()
+        for _ in range(int(data[1 : position - 2]) if position > 1 else 0):
+            end = data.find(b"\r\n", position)
+            if end < 0 or len(data) < (stop := end + 2 + int(data[position + 1 : end])) + 2:
+                return commands, data
             command.append(data[end + 2 : stop])
-            at = stop + 2
+            position = stop + 2
         if not command:
             break
-        out.append(command)
-        data = data[at:]
-    return out, data
+        commands.append(command)
+        data = data[position:]
+    return commands, data
 
 
 class Worker:
@@ -342,14 +342,14 @@
 LEAVE = [interrupt_first_call, close_connection, reset_connection]
 
 
-def call_that_waits(harness: World, held: HeldConnections, **fields: str) -> Client:
+def call_that_waits(harness: World, delayed: HeldConnections, **fields: str) -> Client:
     """Return a client whose second call waits for a new connection to a warm worker."""
     client = harness.client()
     worker = warm(harness, client)
     harness.node.workers.close_idle_connections(worker.name)
-    held.is_holding = True
+    delayed.is_holding = True
     client.send(**fields)
-    harness.until(lambda: held.waiting)
+    harness.until(lambda: delayed.waiting)
     return client
 
 
@@ -361,7 +361,10 @@
 
 
 def after(first: bytes | None) -> Callable[[Words], bytes | None]:
-    """Return an answer function that gives `first` to the next call and the default to everything else."""
+    """Return an answer function that gives `first` to the next call and the default to everything else.
+
+    "ID" in `first` stands for the id of the call.
+    """
     responses = [first]
 
     def answer(command: Words) -> bytes | None:
--- a/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
@@ -87,9 +87,9 @@
 
 def call_without_answer(harness: World, worker: Worker, client: Any) -> Words:
     """Send a call to a worker that does not answer; return it once the worker has received it."""
-    worker.answer, before = silent, len(worker.calls())
+    worker.answer, count_before = silent, len(worker.calls())
     client.send(method="reservation")
-    harness.until(lambda: len(worker.calls()) > before)
+    harness.until(lambda: len(worker.calls()) > count_before)
     return worker.calls()[-1]
 
 
