--- a/packages/node/tests/test_client_protocol_errors.py
+++ b/packages/node/tests/test_client_protocol_errors.py
@@ -162,7 +162,7 @@
     play(scenario, workers=1)
 
 
-def test_invalid_request_that_reuses_an_open_id_fails_only_that_id() -> None:
+def test_invalid_request_with_an_open_id_fails_only_the_request_with_that_id() -> None:
     def scenario(harness: World) -> None:
         client = harness.client()
         worker = warm(harness, client)
