--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -53,7 +53,7 @@
             self._record_cancelled(message)
         for index, (self._arrived_after_us, message) in enumerate(messages):
             try:
-                self._take(message)
+                self._handle_guarded(message)
             except Exception:
                 self._fail_unprocessed([rest for _, rest in messages[index + 1 :]])
                 raise
@@ -102,7 +102,7 @@
                 reason = "not processed: a message before it ended this connection"
                 self._output.write(rpc.encode_internal_error(message.message_id, reason))
 
-    def _take(self, message: rpc.Incoming) -> None:
+    def _handle_guarded(self, message: rpc.Incoming) -> None:
         """Handle one message; an unexpected error only fails its request, which still gets an answer."""
         self.last_used_us = self._loop.now()
         if self._loop.run_guarded("request", partial(self._handle, message)):
--- a/packages/node/src/walnutpost/node/clients.py
+++ b/packages/node/src/walnutpost/node/clients.py
@@ -48,7 +48,7 @@
         # Connections in the listener's queue arrived after this time; None while the listener is watched and
         # its queue was last seen empty.
         self._backlog_since_us: int | None = loop.now()
-        self.sweeping = loop.call_every(SWEEP_INTERVAL_US, self._sweep, "sweep of clients")
+        self.periodic_sweep = loop.call_every(SWEEP_INTERVAL_US, self._sweep, "sweep of clients")
 
     def identity_for_attempt(self, caller_id: int) -> RequestIdentity | None:
         """Return what to send to a worker about a request; None if no further attempt may start."""
--- a/packages/node/src/walnutpost/node/directory.py
+++ b/packages/node/src/walnutpost/node/directory.py
@@ -133,7 +133,7 @@
 
     # Queries and responses
 
-    def query(self, id: int) -> bytes:
+    def new_query(self, id: int) -> bytes:
         """Register and encode a new query; `id` is a random 16-bit number."""
         self._open_queries[id] = None
         while len(self._open_queries) > MAX_OPEN_QUERIES:
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -49,7 +49,7 @@
             QUERY_INTERVAL_US, self._send_query, "queries to the name server"
         )
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Poll the name server at another address from now on.
 
         Raises OSError if there is no route to that address; polling then continues at the former address.
@@ -91,11 +91,11 @@
     def _send_query(self) -> None:
         if self._initial_address is not None:
             with suppress(OSError):  # no route yet, or no file descriptor: retried after the next interval
-                self.move(self._initial_address)
+                self.set_address(self._initial_address)
         elif self._sock is not None:
             self.queries += 1
             with suppress(OSError):  # the next interval sends another query
-                self._sock.send(self._directory.query(self._random.getrandbits(QUERY_ID_BITS)))
+                self._sock.send(self._directory.new_query(self._random.getrandbits(QUERY_ID_BITS)))
 
     def _on_readable(self) -> None:
         sock = self._sock
--- a/packages/node/src/walnutpost/node/node.py
+++ b/packages/node/src/walnutpost/node/node.py
@@ -63,7 +63,7 @@
         self.listener = Listener(loop, config.listen, role="client", free_descriptor=self._free_descriptor)
         self._accepting = loop.spawn(self.clients.accept, self.listener, name="accept")
         stats = StatsReporter(self.dispatcher, self.clients, self.pool, self.workers, self.discovery, log)
-        self.reporting = loop.call_every(STATS_INTERVAL_US, stats.report, "stats")
+        self.periodic_report = loop.call_every(STATS_INTERVAL_US, stats.report, "stats")
 
     def _free_descriptor(self) -> bool:
         return self.pool.evict_idle() or self.clients.evict()
@@ -77,7 +77,7 @@
 
     def reload(self, config: Config) -> None:
         """Apply the only value that may change while the node runs: the name server's address."""
-        self.discovery.move(config.dns)
+        self.discovery.set_address(config.dns)
         self._log.info("config_file_reloaded", discovery_address=config.dns)
 
     def shut_down(self) -> None:
--- a/packages/node/src/walnutpost/node/resp.py
+++ b/packages/node/src/walnutpost/node/resp.py
@@ -19,14 +19,14 @@
 MAX_BYTES_BY_POSITION = (MAX_SHORT_STRING_BYTES, MAX_SHORT_STRING_BYTES, MAX_FIELDS_BYTES, MAX_BODY_BYTES)
 LINE_END = b"\r\n"
 NO_FIELDS = b"-"
-OUTCOMES = {
+OUTCOME_BY_STATUS = {
     b"OK": Outcome.OK,
     b"MISS": Outcome.MISS,
     b"BUSY": Outcome.FULL,
     b"ERR": Outcome.ERROR,
     b"VOID": Outcome.MOOT,
 }
-PROBE_OUTCOMES = {b"UP": Outcome.OK, b"DOWN": Outcome.ERROR}
+PROBE_OUTCOME_BY_STATUS = {b"UP": Outcome.OK, b"DOWN": Outcome.ERROR}
 WARMTH_BY_DETAIL = {
     "resident": Warmth.WARM,
     "booted": Warmth.STARTED_LOAD,
@@ -163,7 +163,7 @@
 
     def _parse_response(self, elements: list[bytes]) -> Response:
         id, status, fields, body = elements
-        outcome = OUTCOMES.get(status) or PROBE_OUTCOMES.get(status)
+        outcome = OUTCOME_BY_STATUS.get(status) or PROBE_OUTCOME_BY_STATUS.get(status)
         if outcome is None:
             raise MalformedResponseError(f"unknown status {status!r}")
         warmth, crowd, copies = Warmth.UNREPORTED, 0, None
@@ -182,7 +182,7 @@
                         report = self._parse_report(value)
             except ValueError as error:
                 raise MalformedResponseError(f"fields {fields[:80]!r}: {error}") from error
-        return Response(id, outcome, status in PROBE_OUTCOMES, body, warmth, crowd, copies, report)
+        return Response(id, outcome, status in PROBE_OUTCOME_BY_STATUS, body, warmth, crowd, copies, report)
 
     def _parse_report(self, text: str) -> tuple[float, ...]:
         """Return the values in the order of the settings, or no values if one is missing."""
--- a/packages/node/src/walnutpost/node/worker_pool.py
+++ b/packages/node/src/walnutpost/node/worker_pool.py
@@ -32,7 +32,9 @@
         self._addresses: dict[str, Address] = {}
         self._connections: dict[str, list[WorkerConnection]] = {}
         interval_us = min(MAX_SWEEP_INTERVAL_US, int(limits.idle_timeout_us * SWEEP_INTERVAL_RATIO))
-        self.sweeping = loop.call_every(max(1, interval_us), self._sweep, "sweep of connections to workers")
+        self.periodic_sweep = loop.call_every(
+            max(1, interval_us), self._sweep, "sweep of connections to workers"
+        )
 
     def update_addresses(self, addresses: Mapping[str, Address]) -> None:
         """Apply a new list of workers, and drain connections to workers that have left or moved."""
--- a/packages/node/tests/test_client_protocol_errors.py
+++ b/packages/node/tests/test_client_protocol_errors.py
@@ -208,7 +208,7 @@
         first, second = harness.client(), harness.client()
         harness.until(lambda: len(harness.node.clients.connections) == 2)
         connection = next(iter(harness.node.clients.connections))
-        monkeypatch.setattr(connection._requests, "_take", lambda message: 1 / 0)
+        monkeypatch.setattr(connection._requests, "_handle_guarded", lambda message: 1 / 0)
         first.send()
         assert first.next() is None
         second.send()
--- a/packages/node/tests/test_discovery.py
+++ b/packages/node/tests/test_discovery.py
@@ -29,7 +29,7 @@
 
         with monkeypatch.context() as patch:
             patch.setattr("walnutpost.node.discovery.socket.socket", raise_emfile)
-            world.node.discovery.move(new_name_server.getsockname())
+            world.node.discovery.set_address(new_name_server.getsockname())
         world.loop.wait_readable(new_name_server.fileno())
         query, address = new_name_server.recvfrom(512)
         new_name_server.sendto(listing(query, 7, world.workers), address)
@@ -43,7 +43,7 @@
 def test_move_to_an_unreachable_address_keeps_polling_the_old_one() -> None:
     def script(world: World) -> None:
         with pytest.raises(OSError):
-            world.node.discovery.move(("255.255.255.255", 9))
+            world.node.discovery.set_address(("255.255.255.255", 9))
         queries_before = world.node.discovery.queries
         world.until(lambda: world.node.discovery.queries > queries_before + 3)
         query, address = world.name_server.recvfrom(512)
@@ -83,7 +83,7 @@
         new_name_server.setblocking(False)
         new_name_server.bind(("127.0.0.1", 0))
         world.loop.wait_readable(world.name_server.fileno())
-        world.node.discovery.move(new_name_server.getsockname())
+        world.node.discovery.set_address(new_name_server.getsockname())
         world.loop.wait_readable(new_name_server.fileno())
         world.loop.forget(new_name_server.fileno())
         world.loop.forget(world.name_server.fileno())
--- a/packages/node/tests/test_node_golden.py
+++ b/packages/node/tests/test_node_golden.py
@@ -95,13 +95,13 @@
 
 
 def encode_query(query_id: int) -> bytes:
-    return make_directory(True).query(query_id)
+    return make_directory(True).new_query(query_id)
 
 
 def apply_discovery_response(weighted: bool, data: bytes) -> Any:
     """Return what a directory reads from the response to its query."""
     directory = make_directory(weighted)
-    directory.query(int.from_bytes(data[:2], "big"))
+    directory.new_query(int.from_bytes(data[:2], "big"))
     try:
         return or_absent(directory.apply_response(data))
     except EndpointListError:
@@ -216,7 +216,8 @@
     write_rows(SENT, [sent_row(name, SENDERS, *arguments) for name, *arguments in sent])
     all_fields = b"detail=resident,company=3,slots_up=2,use=inflight:4;x0:0.5;qps:9.25"
     outcome_responses = [
-        encode_response(b"a1", outcome, b"-", b"body") for outcome in (*resp.OUTCOMES, *resp.PROBE_OUTCOMES)
+        encode_response(b"a1", outcome, b"-", b"body")
+        for outcome in (*resp.OUTCOME_BY_STATUS, *resp.PROBE_OUTCOME_BY_STATUS)
     ]
     details = [*resp.WARMTH_BY_DETAIL, "other"]
     detail_responses = [
@@ -328,9 +329,9 @@
 
 def test_repeated_discovery_response_changes_nothing() -> None:
     directory = make_directory(True)
-    directory.query(0x1234)
+    directory.new_query(0x1234)
     first = directory.apply_response(encode_discovery_response())
-    directory.query(0x1234)
+    directory.new_query(0x1234)
     assert first is not None
     assert first.kind is ListKind.FULL
     assert directory.apply_response(encode_discovery_response()) is None
--- a/packages/node/tests/test_node_protocols.py
+++ b/packages/node/tests/test_node_protocols.py
@@ -246,7 +246,7 @@
     assert worker.name == "s-1"
     assert worker.cell == 2
     assert worker.state is WorkerState.READY
-    directory.query(9)
+    directory.new_query(9)
     snapshot = directory.apply_response(encode_discovery_response(9, 3))
     assert snapshot is not None
     assert snapshot.version == 3
@@ -254,7 +254,7 @@
     assert snapshot.workers[0].state is WorkerState.DRAINING
     assert snapshot.workers[0].started_at_us == 5_000
     assert directory.addresses == {"s-1": ("10.1.0.9", 10080)}
-    directory.query(10)
+    directory.new_query(10)
     assert directory.apply_response(encode_discovery_response(10, 3)) is None
 
 
@@ -273,7 +273,7 @@
 )
 def test_rejected_response_keeps_the_endpoints_and_the_open_query(data: bytes) -> None:
     directory = make_directory()
-    directory.query(9)
+    directory.new_query(9)
     with pytest.raises(EndpointListError):
         directory.apply_response(data)
     assert directory.serial == 2
--- a/packages/node/tests/test_ration_crossings.py
+++ b/packages/node/tests/test_ration_crossings.py
@@ -41,7 +41,7 @@
         setattr(node.workers, effect, lambda *_, **__: None)
     node.listener.close()
     node.discovery.close()
-    for periodic in (node.reporting, node.pool.sweeping, node.clients.sweeping):
+    for periodic in (node.periodic_report, node.pool.periodic_sweep, node.clients.periodic_sweep):
         periodic.cancel()
     for connections in list(node.pool._connections.values()):
         for connection in list(connections):
