--- a/packages/node/tests/test_accept_faults.py
+++ b/packages/node/tests/test_accept_faults.py
@@ -8,17 +8,19 @@
 
 from walnutpost.eventloop.accept_errors import MAX_ACCEPT_ERRORS_IN_ROW
 from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, at
-from walnutpost.testsupport.node.fault_injection import ids, play_with_faults
-from walnutpost.testsupport.node.harness import MS, World, warm
+from walnutpost.testsupport.node.fault_injection import errno_params, run_scenario_with_faults
+from walnutpost.testsupport.node.harness import MILLISECOND_US, NodeHarness, warm_up_worker
 
 
 @pytest.mark.parametrize(
     "error_number",
-    ids([errno.ECONNABORTED, errno.EHOSTUNREACH, errno.EINTR, errno.ENETDOWN, errno.EPERM, errno.EPROTO]),
+    errno_params(
+        [errno.ECONNABORTED, errno.EHOSTUNREACH, errno.EINTR, errno.ENETDOWN, errno.EPERM, errno.EPROTO]
+    ),
 )
 def test_occasional_accept_errors_do_not_delay_clients(error_number: int) -> None:
-    def scenario(harness: World, faults: SocketFaults) -> None:
-        warm(harness, harness.client())
+    def scenario(harness: NodeHarness, faults: SocketFaults) -> None:
+        warm_up_worker(harness, harness.client())
         started_us = harness.loop.now()
         faults.fail(
             "accept", error_number, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(harness.node.listener.address)
@@ -27,22 +29,22 @@
             faults.fail("accept", error_number, after=n, when=at(harness.node.listener.address))
             client = harness.client()
             client.send()
-            assert client.next()[2] is None
+            assert client.next_answer()[2] is None
             client.stream.close()
         assert harness.node.listener.accept_errors >= MAX_ACCEPT_ERRORS_IN_ROW
-        assert harness.loop.now() - started_us < 10 * MS  # the listener did not back off
+        assert harness.loop.now() - started_us < 10 * MILLISECOND_US  # the listener did not back off
         assert any(line.startswith("accept_failed") for line in harness.log.lines)
 
-    play_with_faults(scenario)
+    run_scenario_with_faults(scenario)
 
 
 def test_client_dropped_by_a_failed_accept_is_served_after_reconnecting() -> None:
-    def scenario(harness: World, faults: SocketFaults) -> None:
+    def scenario(harness: NodeHarness, faults: SocketFaults) -> None:
         faults.fail("accept", errno.EPERM, when=at(harness.node.listener.address), drops=True)
         client = harness.client()
-        assert client.next() is None
+        assert client.next_answer() is None
         client = harness.client()
         client.send()
-        assert client.next()[2] is None
+        assert client.next_answer()[2] is None
 
-    play_with_faults(scenario)
+    run_scenario_with_faults(scenario)
--- a/packages/node/tests/test_load_order_properties.py
+++ b/packages/node/tests/test_load_order_properties.py
@@ -16,19 +16,28 @@
 from walnutpost.gateway import LoadOrder
 from walnutpost.interface import Outcome
 from walnutpost.node.worker_connection import WorkerConnection
-from walnutpost.testsupport.node.harness import MS, SECOND, HeldConnections, Words, Worker, World, play, reply
+from walnutpost.testsupport.node.harness import (
+    MILLISECOND_US,
+    SECOND_US,
+    Command,
+    DelayedConnections,
+    FakeWorker,
+    NodeHarness,
+    reply,
+    run_scenario,
+)
 from walnutpost.testsupport.node.worker_fixtures import (
-    LATE_US,
-    NEVER_ARRIVED,
+    MAX_READ_DELAY_US,
     ORDER_TIMEOUT_US,
-    ORDERED,
-    PART,
-    PLENTY,
+    ORDERED_FUNCTION,
+    PARTIAL_COMMAND_BYTES,
+    UNDELIVERED_OUTCOMES,
+    UNLIMITED_BYTES,
 )
 
 STEPS = st.one_of(
-    st.tuples(st.just("order"), st.sampled_from((0, 0, 50 * MS))),
-    st.tuples(st.just("room"), st.sampled_from((PART, PLENTY))),
+    st.tuples(st.just("order"), st.sampled_from((0, 0, 50 * MILLISECOND_US))),
+    st.tuples(st.just("room"), st.sampled_from((PARTIAL_COMMAND_BYTES, UNLIMITED_BYTES))),
     st.tuples(st.just("sleep"), st.sampled_from((250, 30, 1))),
     st.tuples(st.sampled_from(("speak", "call", "leave")), st.none()),
     st.tuples(st.just("way"), st.sampled_from(("good", "silent", "reset", "noise", "half", "twice"))),
@@ -41,12 +50,12 @@
 
 PARTLY_SENT_ORDER = (
     st.tuples(  # an order that the kernel accepts in part, and the steps before the rest can be sent
-        st.just(("room", PART)),
+        st.just(("room", PARTIAL_COMMAND_BYTES)),
         st.tuples(st.just("order"), st.just(0)),
         STEPS,
         st.one_of(STEPS, st.just(("speak", None))),
         st.tuples(st.just("sleep"), st.sampled_from((1, 250))),
-        st.just(("room", PLENTY)),
+        st.just(("room", UNLIMITED_BYTES)),
     )
 )
 
@@ -57,29 +66,29 @@
 
 
 REST_SENT_LATE = (
-    ("room", PART),
+    ("room", PARTIAL_COMMAND_BYTES),
     ("order", 0),
     ("sleep", 30),
     ("speak", None),
     ("sleep", 250),
-    ("room", PLENTY),
+    ("room", UNLIMITED_BYTES),
 )
 
 
 class LoadOrderRun:
     """A run of steps that records when each load order ended, how, and when it reached the worker."""
 
-    def __init__(self, world: World, patch: pytest.MonkeyPatch, delayed: HeldConnections) -> None:
-        self.world, self.worker, self._delayed = world, world.workers[0], delayed
-        self._answer_mode, self._send_capacity_bytes = "good", PLENTY
-        self._addresses = dict(world.node.pool._addresses)
+    def __init__(self, harness: NodeHarness, patch: pytest.MonkeyPatch, delayed: DelayedConnections) -> None:
+        self.harness, self.worker, self._delayed = harness, harness.workers[0], delayed
+        self._answer_mode, self._send_capacity_bytes = "good", UNLIMITED_BYTES
+        self._addresses = dict(harness.node.pool._addresses)
         self.outcomes: dict[bytes, list[tuple[int, Outcome]]] = {}
         self.arrivals: dict[bytes, list[int]] = {}
         self._clients: list[Any] = []
         self.worker.answer = self._answer
         self._throttle(patch)
-        limits = replace(world.node.pool.limits, max_connections=1, order_timeout_us=ORDER_TIMEOUT_US)
-        world.node.pool.limits = limits
+        limits = replace(harness.node.pool.limits, max_connections=1, order_timeout_us=ORDER_TIMEOUT_US)
+        harness.node.pool.limits = limits
 
     def _throttle(self, patch: pytest.MonkeyPatch) -> None:
         """Let all connections share one send capacity; a blocked connection polls it every 5 ms."""
@@ -91,13 +100,13 @@
 
             def send_throttled(data: bytes) -> bytes:
                 accepted = min(run._send_capacity_bytes, len(data))
-                if run._send_capacity_bytes < PLENTY:
+                if run._send_capacity_bytes < UNLIMITED_BYTES:
                     run._send_capacity_bytes -= accepted
                 return (send_now(data[:accepted]) if accepted else b"") + data[accepted:]
 
             def poll_writable(callback: Callable[[], object] | None) -> None:
                 if connection.is_connected and callback is not None:
-                    run.world.loop.call_later(5 * MS, callback)
+                    run.harness.loop.call_later(5 * MILLISECOND_US, callback)
                 else:
                     on_writable(callback)
 
@@ -106,20 +115,20 @@
 
         patch.setattr(WorkerConnection, "__init__", init_throttled)
 
-    def _answer(self, words: Words) -> bytes | None:
-        if words[0] == b"SPAWN" and ORDERED.encode() in words[2]:
-            self.arrivals.setdefault(words[1], []).append(self.world.loop.now())
-        default = Worker.good(words)
+    def _answer(self, command: Command) -> bytes | None:
+        if command[0] == b"SPAWN" and ORDERED_FUNCTION.encode() in command[2]:
+            self.arrivals.setdefault(command[1], []).append(self.harness.loop.now())
+        default = FakeWorker.default_answer(command)
         answers = {"good": default, "silent": None, "reset": b"", "noise": b"noise\r\n"}
         answers |= {"half": (default or b"")[:15] or None, "twice": default and default + default}
         return answers[self._answer_mode]
 
     def _order(self, begin_within_us: int) -> None:
-        pool = self.world.node.workers
+        pool = self.harness.node.workers
         message_id = b"t%d" % (pool._last_id + 1)
         results = self.outcomes.setdefault(message_id, [])
-        load_order = LoadOrder(self.worker.name, ORDERED, 1, begin_within_us)
-        pool.order_load(load_order, lambda result: results.append((self.world.loop.now(), result.outcome)))
+        load_order = LoadOrder(self.worker.name, ORDERED_FUNCTION, 1, begin_within_us)
+        pool.order_load(load_order, lambda result: results.append((self.harness.loop.now(), result.outcome)))
 
     def step(self, action: str, argument: Any) -> None:
         """Run one step.
@@ -132,7 +141,7 @@
             case "order":
                 self._order(argument)
             case "call":
-                self._clients.append(self.world.client())
+                self._clients.append(self.harness.client())
                 self._clients[-1].send()
             case "leave" if self._clients:
                 self._clients.pop().stream.close()
@@ -148,30 +157,30 @@
                 for stream in self.worker.streams:
                     getattr(stream, argument)()
             case "hold":
-                self._delayed.is_holding = argument
+                self._delayed.is_delaying = argument
                 if not argument:
-                    self._delayed.come_up()
+                    self._delayed.release()
             case "list":
-                self.world.node.pool.update_addresses(self._addresses if argument else {})
+                self.harness.node.pool.update_addresses(self._addresses if argument else {})
             case "sleep":
-                self.world.loop.sleep(argument * MS)
+                self.harness.loop.sleep(argument * MILLISECOND_US)
 
     def check(self) -> None:
         """Compare the outcome of each order with what the worker received."""
-        self._send_capacity_bytes = PLENTY
-        self._delayed.come_up()
-        self.world.loop.sleep(3 * SECOND)
+        self._send_capacity_bytes = UNLIMITED_BYTES
+        self._delayed.release()
+        self.harness.loop.sleep(3 * SECOND_US)
         for message_id, results in self.outcomes.items():
             assert len(results) == 1, "each order must have exactly one outcome"
             (ended_at, outcome), arrivals = results[0], self.arrivals.get(message_id, [])
             assert len(arrivals) <= 1, "order sent twice"
-            assert not arrivals or outcome not in NEVER_ARRIVED, (
+            assert not arrivals or outcome not in UNDELIVERED_OUTCOMES, (
                 "order arrived although its outcome says that it did not"
             )
             if outcome in (Outcome.OK, Outcome.FULL, Outcome.ERROR):
                 assert arrivals, "order never arrived although its outcome is a response"
             # The fake worker reads at once, so a late arrival was sent late.
-            assert all(arrival <= ended_at + LATE_US for arrival in arrivals), (
+            assert all(arrival <= ended_at + MAX_READ_DELAY_US for arrival in arrivals), (
                 "order sent after its outcome was reported"
             )
 
@@ -185,12 +194,12 @@
     step_groups: list[tuple[tuple[str, Any], ...]],
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        delayed = HeldConnections(patch)
+        delayed = DelayedConnections(patch)
 
-        def script(world: World) -> None:
-            run = LoadOrderRun(world, patch, delayed)
+        def scenario(harness: NodeHarness) -> None:
+            run = LoadOrderRun(harness, patch, delayed)
             for step in chain.from_iterable(step_groups):
                 run.step(*step)
             run.check()
 
-        play(script, workers=1)
+        run_scenario(scenario, workers=1)
--- a/packages/node/tests/test_node_interleavings.py
+++ b/packages/node/tests/test_node_interleavings.py
@@ -13,10 +13,23 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from walnutpost.testsupport.node.harness import MS, Client, HeldConnections, Words, Worker, World, play, reply
+from walnutpost.testsupport.node.harness import (
+    MILLISECOND_US,
+    Client,
+    Command,
+    DelayedConnections,
+    FakeWorker,
+    NodeHarness,
+    reply,
+    run_scenario,
+)
 from walnutpost.testsupport.node.harness import settings as with_settings
 
-DRAIN_GRACE_US, CLIENT_GONE_GRACE_US, BUDGET_US = 100 * MS, 100 * MS, 1_000 * MS
+DRAIN_GRACE_US, CLIENT_GONE_GRACE_US, BUDGET_US = (
+    100 * MILLISECOND_US,
+    100 * MILLISECOND_US,
+    1_000 * MILLISECOND_US,
+)
 MODES_WITHOUT_EXECUTION = ("full", "miss")
 ANSWER_MODES = ("good", "silent", "error", "full", "miss", "reset", "malformed", "twice")
 METHODS = ("valuation", "reservation")
@@ -34,8 +47,8 @@
 class InterleavingRun:
     """A run of steps that records requests, answers and calls that reached a worker."""
 
-    def __init__(self, world: World, delayed: HeldConnections) -> None:
-        self.world, self.delayed = world, delayed
+    def __init__(self, harness: NodeHarness, delayed: DelayedConnections) -> None:
+        self.harness, self.delayed = harness, delayed
         self.answer_modes = ["good", "good"]
         self.client_left_at_us: dict[bytes, int] = {}  # by request id
         self.drain_announced_at_us: dict[str, int] = {}  # by worker name
@@ -43,28 +56,28 @@
         self.requests: list[tuple[Client, int, bytes, str]] = []
         self.clients: list[Client] = []
         self.is_shutting_down = False
-        for worker_index, worker in enumerate(world.workers):
+        for worker_index, worker in enumerate(harness.workers):
             worker.answer = partial(self.answer_command, worker_index, worker)
 
-    def answer_command(self, worker_index: int, worker: Worker, words: Words) -> bytes | None:
-        if words[0] != b"FN":
-            return Worker.good(words)
-        mode, now = self.answer_modes[worker_index], self.world.loop.now()
-        request_class = words[2].split(b",")[0].decode()
-        self.arrivals.append((words[1], request_class, mode, now))
-        assert now <= self.drain_announced_at_us.get(worker.name, now) + DRAIN_GRACE_US + 5 * MS, (
-            "call started after the drain grace"
-        )
-        assert now <= self.client_left_at_us.get(words[1], now) + CLIENT_GONE_GRACE_US, (
+    def answer_command(self, worker_index: int, worker: FakeWorker, command: Command) -> bytes | None:
+        if command[0] != b"FN":
+            return FakeWorker.default_answer(command)
+        mode, now = self.answer_modes[worker_index], self.harness.loop.now()
+        request_class = command[2].split(b",")[0].decode()
+        self.arrivals.append((command[1], request_class, mode, now))
+        assert (
+            now <= self.drain_announced_at_us.get(worker.name, now) + DRAIN_GRACE_US + 5 * MILLISECOND_US
+        ), "call started after the drain grace"
+        assert now <= self.client_left_at_us.get(command[1], now) + CLIENT_GONE_GRACE_US, (
             "call started for a client that left"
         )
-        default = reply(words[1], b"OK", b"-", b"did " + words[3])
+        default = reply(command[1], b"OK", b"-", b"did " + command[3])
         return {
             "good": default,
             "silent": None,
-            "error": reply(words[1], b"ERR"),
-            "full": reply(words[1], b"BUSY"),
-            "miss": reply(words[1], b"MISS"),
+            "error": reply(command[1], b"ERR"),
+            "full": reply(command[1], b"BUSY"),
+            "miss": reply(command[1], b"MISS"),
             "reset": b"",
             "malformed": b"*4\r\n$2\r\nzz",
             "twice": default + default,
@@ -73,9 +86,9 @@
     def client(self, index: int) -> Client:
         while len(self.clients) <= index or self.clients[index].stream.closed:
             if len(self.clients) <= index:
-                self.clients.append(self.world.client())
+                self.clients.append(self.harness.client())
             else:
-                self.clients[index] = self.world.client()
+                self.clients[index] = self.harness.client()
         return self.clients[index]
 
     def step(self, action: str, first: Any, second: Any) -> None:
@@ -84,7 +97,7 @@
         "ask" sends a request and "leave" makes a client leave. "way" sets how a worker answers, "list" sets
         its state in the endpoint list, "hold" delays connects to workers, and "end" shuts the node down.
         """
-        world, now = self.world, self.world.loop.now()
+        harness, now = self.harness, self.harness.loop.now()
         if action == "ask" and not self.is_shutting_down:
             client = self.client(first)
             request = f"{len(self.requests):016x}"
@@ -95,42 +108,44 @@
                 if other is client:
                     self.client_left_at_us.setdefault(request_id, now)
                     if second == "interrupt":
-                        client.raw(msgpack.packb([2, "interrupt", [message_id]]))
+                        client.send_raw(msgpack.packb([2, "interrupt", [message_id]]))
             if second != "interrupt":
                 getattr(client.stream, second)()
         elif action == "way":
             self.answer_modes[first] = second
         elif action == "list":
-            name = world.workers[first].name
+            name = harness.workers[first].name
             if second == "Ready":
                 self.drain_announced_at_us.pop(name, None)
             else:
                 self.drain_announced_at_us.setdefault(name, now)
-            targets = [{**world.workers[first].target, "state": second}]
-            serial = world.node.directory.serial + 1
+            targets = [{**harness.workers[first].target, "state": second}]
+            serial = harness.node.directory.serial + 1
             event = {"offset": serial, "topology": {"all": False, "targets": targets}}
-            world.node._apply_endpoints(
-                world.node.directory.apply_known_events({"offset": serial, "batch": [event]})
+            harness.node._apply_endpoints(
+                harness.node.directory.apply_known_events({"offset": serial, "batch": [event]})
             )
         elif action == "hold":
-            self.delayed.is_holding = first
+            self.delayed.is_delaying = first
             if not first:
-                self.delayed.come_up()
+                self.delayed.release()
         elif action == "end" and not self.is_shutting_down:
             self.is_shutting_down = True
-            world.loop.spawn(world.node.shut_down)
+            harness.loop.spawn(harness.node.shut_down)
         elif action == "sleep":
-            world.loop.sleep(first * MS)
+            harness.loop.sleep(first * MILLISECOND_US)
 
     def check(self) -> None:
         """Check that each request still awaited got one answer and no non-idempotent call ran twice."""
-        self.delayed.come_up()
-        self.world.loop.sleep(BUDGET_US + 100 * MS)
+        self.delayed.release()
+        self.harness.loop.sleep(BUDGET_US + 100 * MILLISECOND_US)
         answer_counts: dict[tuple[int, int], int] = {}
         for client in {id(c): c for c, *_ in self.requests}.values():
             if not client.stream.closed:
-                client.raw(msgpack.packb([0, 10_000, "check", [{}]])) if not self.is_shutting_down else None
-                while (answer := client.next()) is not None and answer[1] != 10_000:
+                client.send_raw(
+                    msgpack.packb([0, 10_000, "check", [{}]])
+                ) if not self.is_shutting_down else None
+                while (answer := client.next_answer()) is not None and answer[1] != 10_000:
                     key = id(client), answer[1]
                     answer_counts[key] = answer_counts.get(key, 0) + 1
         for client, message_id, request_id, method in self.requests:
@@ -152,12 +167,12 @@
     steps: list[tuple[str, Any, Any]],
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        delayed = HeldConnections(patch)
+        delayed = DelayedConnections(patch)
 
-        def script(world: World) -> None:
-            run = InterleavingRun(world, delayed)
+        def scenario(harness: NodeHarness) -> None:
+            run = InterleavingRun(harness, delayed)
             for step in steps:
                 run.step(*step)
             run.check()
 
-        play(script, workers=2, settings=with_settings(Guarantees={"DrainGrace": DRAIN_GRACE_US}))
+        run_scenario(scenario, workers=2, settings=with_settings(Guarantees={"DrainGrace": DRAIN_GRACE_US}))
--- a/packages/node/tests/test_node_memory.py
+++ b/packages/node/tests/test_node_memory.py
@@ -23,7 +23,7 @@
     WorkersListed,
 )
 from walnutpost.interface import ListKind, Outcome
-from walnutpost.testsupport.node.harness import World, play
+from walnutpost.testsupport.node.harness import NodeHarness, run_scenario
 from walnutpost.testsupport.policy.harness import SECOND, SETTINGS
 
 EXCLUDED_TYPES = (type, ModuleType, FunctionType, CodeType, FrameType)
@@ -103,34 +103,34 @@
 
 
 def test_node_drops_the_state_of_removed_clients_workers_and_connections() -> None:
-    def script(world: World) -> None:
-        node, count = world.node, 0
+    def scenario(harness: NodeHarness) -> None:
+        node, count = harness.node, 0
 
         def run_rounds_and_count(rounds: int) -> int:
             nonlocal count
             for _ in range(rounds):
                 listed_workers = [
-                    {**worker.target, "uid": f"{worker.name}-{count}"} for worker in world.workers
+                    {**worker.target, "uid": f"{worker.name}-{count}"} for worker in harness.workers
                 ]
                 event = {"offset": count + 2, "topology": {"all": True, "targets": listed_workers}}
                 node._apply_endpoints(
                     node.directory.apply_known_events({"offset": count + 2, "batch": [event]})
                 )
                 for client_number in range(10):
-                    client = world.client()
+                    client = harness.client()
                     for request_number in range(4):
                         client.send(f"{count:08x}{client_number:04x}{request_number:04x}")
-                        assert client.next()[2] is None
+                        assert client.next_answer()[2] is None
                     client.stream.close()
-                world.loop.sleep(12 * SECOND)
+                harness.loop.sleep(12 * SECOND)
                 count += 1
-            for worker in world.workers:
-                worker.got.clear()
+            for worker in harness.workers:
+                worker.received_commands.clear()
                 worker.streams.clear()
-            world.log.lines.clear()
-            return count_reachable(node, world.loop)
+            harness.log.lines.clear()
+            return count_reachable(node, harness.loop)
 
         baseline = run_rounds_and_count(10)
         assert run_rounds_and_count(20) < 1.3 * baseline
 
-    play(script)
+    run_scenario(scenario)
--- a/packages/node/tests/test_node_protocols.py
+++ b/packages/node/tests/test_node_protocols.py
@@ -17,7 +17,7 @@
 from walnutpost.node import resp, rpc
 from walnutpost.node.config import ConfigError, parse_config
 from walnutpost.node.directory import SERVICE, Directory, EndpointListError, TopologyNames
-from walnutpost.testsupport.node.harness import CONFIG, config_text
+from walnutpost.testsupport.node.harness import CONFIG, encode_config
 
 CLASSES = {"valuation": 1_060_000}
 REQUEST_FIELDS = {
@@ -285,7 +285,7 @@
 
 
 def test_configuration_is_parsed_and_an_error_names_the_faulty_key() -> None:
-    config = parse_config(config_text())
+    config = parse_config(encode_config())
     assert config.listen == ("127.0.0.1", 0)
     assert config.seed == 0x8C1F
     assert config.classes[1] == "reservation"
--- a/packages/node/tests/test_node_stats.py
+++ b/packages/node/tests/test_node_stats.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from walnutpost.node.stats import STATS_INTERVAL_US
-from walnutpost.testsupport.node.harness import SECOND, Worker, World, play
+from walnutpost.testsupport.node.harness import SECOND_US, FakeWorker, NodeHarness, run_scenario
 
 NODE_STATS_FIELDS = (
     "served",
@@ -26,33 +26,33 @@
 )
 
 
-def lines_of_event(world: World, event: str) -> list[str]:
-    return [line for line in world.log.lines if line.startswith(f"{event} ")]
+def lines_of_event(harness: NodeHarness, event: str) -> list[str]:
+    return [line for line in harness.log.lines if line.startswith(f"{event} ")]
 
 
 def test_node_stats_event_contains_every_counter() -> None:
-    def script(world: World) -> None:
-        client = world.client()
+    def scenario(harness: NodeHarness) -> None:
+        client = harness.client()
         client.send()
-        assert client.next()[2] is None
-        client.raw(b"\xc1")  # not a message of the protocol
-        world.loop.sleep(STATS_INTERVAL_US)
-        line = lines_of_event(world, "node_stats")[0]
+        assert client.next_answer()[2] is None
+        client.send_raw(b"\xc1")  # not a message of the protocol
+        harness.loop.sleep(STATS_INTERVAL_US)
+        line = lines_of_event(harness, "node_stats")[0]
         assert [f"'{name}'" in line for name in NODE_STATS_FIELDS] == [True] * len(NODE_STATS_FIELDS)
         assert "'served': 1," in line
         assert "'malformed_connections': 1," in line
 
-    play(script, workers=1)
+    run_scenario(scenario, workers=1)
 
 
 def test_attempt_stats_event_covers_only_the_last_interval() -> None:
-    def script(world: World) -> None:
-        client = world.client()
+    def scenario(harness: NodeHarness) -> None:
+        client = harness.client()
         client.send()
-        assert client.next()[2] is None
-        world.loop.sleep(STATS_INTERVAL_US)
-        assert "s-0:ok:1" in lines_of_event(world, "attempt_stats")[0]
-        world.loop.sleep(STATS_INTERVAL_US + SECOND)
-        assert "s-0:" not in lines_of_event(world, "attempt_stats")[1]
+        assert client.next_answer()[2] is None
+        harness.loop.sleep(STATS_INTERVAL_US)
+        assert "s-0:ok:1" in lines_of_event(harness, "attempt_stats")[0]
+        harness.loop.sleep(STATS_INTERVAL_US + SECOND_US)
+        assert "s-0:" not in lines_of_event(harness, "attempt_stats")[1]
 
-    play(script, workers=1, make_worker=Worker)
+    run_scenario(scenario, workers=1, make_worker=FakeWorker)
--- a/packages/node/tests/test_periodic_work.py
+++ b/packages/node/tests/test_periodic_work.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from walnutpost.eventloop import Loop, VirtualClock
-from walnutpost.testsupport.node.harness import SECOND
+from walnutpost.testsupport.node.harness import SECOND_US
 
 
 def test_periodic_task_that_raises_keeps_running_and_counts_failures() -> None:
@@ -16,8 +16,8 @@
             raise ValueError("unexpected value")
 
     def body() -> int:
-        periodic = loop.call_every(SECOND, work)
-        loop.sleep(4 * SECOND + 1)
+        periodic = loop.call_every(SECOND_US, work)
+        loop.sleep(4 * SECOND_US + 1)
         return periodic.failures
 
     assert loop.run(body) == 2
--- a/packages/node/tests/test_ration_processes.py
+++ b/packages/node/tests/test_ration_processes.py
@@ -17,16 +17,16 @@
 from pathlib import Path
 
 from walnutpost.eventloop import Loop
-from walnutpost.testsupport.node.harness import MS, SECOND, Client, config_text, settings
-from walnutpost.testsupport.node.ration_checker import Ration, RationLog, describe_breaches
-from walnutpost.testsupport.node.witness import Witness
+from walnutpost.testsupport.node.harness import MILLISECOND_US, SECOND_US, Client, encode_config, settings
+from walnutpost.testsupport.node.ration_checker import LoadOrderLog, SlidingWindowLimit, describe_violations
+from walnutpost.testsupport.node.witness import LoggingWorker
 
-FREE_LOADS, LOAD_SHARE, LOAD_WINDOW_US = 4, 0.2, 2 * SECOND
-LOAD_LIMIT = Ration.on_sockets(FREE_LOADS, LOAD_SHARE, LOAD_WINDOW_US)
-ORDER_TIMEOUT_US = 3 * SECOND  # shorter than the longest cut, longer than the others
+FREE_LOADS, LOAD_SHARE, LOAD_WINDOW_US = 4, 0.2, 2 * SECOND_US
+LOAD_LIMIT = SlidingWindowLimit.with_network_slack(FREE_LOADS, LOAD_SHARE, LOAD_WINDOW_US)
+ORDER_TIMEOUT_US = 3 * SECOND_US  # shorter than the longest cut, longer than the others
 FRONT_END_COUNT, WORKER_COUNT = 3, 4
-WAIT_TIMEOUT_US = 30 * SECOND  # for a process to listen, or an order to arrive
-REQUEST_INTERVAL_US = 80 * MS
+WAIT_TIMEOUT_US = 30 * SECOND_US  # for a process to listen, or an order to arrive
+REQUEST_INTERVAL_US = 80 * MILLISECOND_US
 MAX_REQUESTS_PER_CLIENT = 16  # then a new client connects
 BURST_SIZE = 12  # requests sent at once
 BURSTS_WHILE_STOPPED = 8  # bursts sent while a process is stopped
@@ -44,7 +44,7 @@
     """A node process, its links to the workers, and its clients."""
 
     def __init__(
-        self, loop: Loop, number: int, order_log: RationLog, loaded_by_worker: list[set[str]], folder: Path
+        self, loop: Loop, number: int, order_log: LoadOrderLog, loaded_by_worker: list[set[str]], folder: Path
     ) -> None:
         self._loop = loop
         self._order_log = order_log
@@ -57,7 +57,9 @@
         self._client: Client | None = None
         self._clients: list[Client] = []  # keeps all clients connected until the end
         self._sent_count = 0
-        self.workers = [Witness(loop, f"s-{n}", order_log, self.name) for n in range(len(loaded_by_worker))]
+        self.workers = [
+            LoggingWorker(loop, f"s-{n}", order_log, self.name) for n in range(len(loaded_by_worker))
+        ]
         for worker, loaded in zip(self.workers, loaded_by_worker, strict=True):
             worker.loaded = loaded  # shared by the fakes of this worker in all front ends
 
@@ -79,12 +81,12 @@
         with self._loop.timeout(WAIT_TIMEOUT_US):
             while (found := LISTENING_LINE.search(log_file.read_text())) is None:
                 assert self._process.poll() is None, log_file.read_text()
-                self._loop.sleep(10 * MS)
+                self._loop.sleep(10 * MILLISECOND_US)
         self._port = int(found[1])
 
     def _config(self) -> bytes:
         topology = {"all": True, "rev": 0, "targets": [worker.target for worker in self.workers]}
-        return config_text(
+        return encode_config(
             name=self.name,
             listen=f"127.0.0.1:{self._port}",
             seed=f"{self._number + 1:x}",
@@ -122,7 +124,7 @@
         """Wait until the workers have read orders that a restored link had held back."""
         with self._loop.timeout(WAIT_TIMEOUT_US):
             while self.order_count <= count:
-                self._loop.sleep(5 * MS)
+                self._loop.sleep(5 * MILLISECOND_US)
 
     # Clients
 
@@ -148,7 +150,7 @@
         except OSError:
             self._client = None
         else:
-            self._order_log.request_written(self.name, self._loop.now())
+            self._order_log.log_request(self.name, self._loop.now())
 
     def send_burst(self) -> None:
         for _ in range(BURST_SIZE):
@@ -168,13 +170,13 @@
     front_end.restore_links()
     front_end.wait_for_more_orders(orders_before)
     front_end.cut_links()
-    loop.sleep(SECOND // 2)
+    loop.sleep(SECOND_US // 2)
     front_end.restore_links()
 
 
 def stop_process_during_bursts(loop: Loop, front_end: FrontEnd) -> None:
     """Make the process read requests that are nearly a window old, and read responses late."""
-    for stopped_us in (LOAD_WINDOW_US - 100 * MS, SECOND):
+    for stopped_us in (LOAD_WINDOW_US - 100 * MILLISECOND_US, SECOND_US):
         front_end.signal(signal.SIGSTOP)
         for _ in range(BURSTS_WHILE_STOPPED):
             front_end.send_burst()
@@ -188,7 +190,7 @@
     front_end.cut_links()
     for _ in range(2):
         front_end.send_burst()
-        loop.sleep(300 * MS)
+        loop.sleep(300 * MILLISECOND_US)
         front_end.kill()
         front_end.start()
     orders_before = front_end.order_count
@@ -205,7 +207,7 @@
     """Each of three processes suffers its own kind of fault, all at the same time."""
     errors: list[BaseException] = []
     loop = Loop(on_error=lambda name, error: errors.append(error))
-    order_log = RationLog()
+    order_log = LoadOrderLog()
     front_ends: list[FrontEnd] = []
 
     def run_all() -> None:
@@ -218,14 +220,14 @@
         is_sending = [True]
         for front_end in front_ends:
             loop.spawn(front_end.send_requests_while, lambda: is_sending[0], name="clients")
-        loop.sleep(SECOND)
+        loop.sleep(SECOND_US)
         fault_tasks = [
             loop.spawn(fault, loop, front_end) for fault, front_end in zip(FAULTS, front_ends, strict=True)
         ]
         for fault_task in fault_tasks:
             fault_task.join()
         is_sending[0] = False
-        loop.sleep(SECOND)
+        loop.sleep(SECOND_US)
 
     try:
         loop.run(run_all)
@@ -234,5 +236,5 @@
             front_end.kill()
     assert not errors, errors
     assert all(front_end.order_count for front_end in front_ends)
-    violations = order_log.breaches(LOAD_LIMIT)
-    assert not violations, describe_breaches(violations)
+    violations = order_log.violations(LOAD_LIMIT)
+    assert not violations, describe_violations(violations)
--- a/packages/node/tests/test_shutdown_deadline.py
+++ b/packages/node/tests/test_shutdown_deadline.py
@@ -21,22 +21,22 @@
 from walnutpost.eventloop import Loop
 from walnutpost.testsupport.node.harness import (
     CONFIG,
-    MS,
-    SECOND,
+    MILLISECOND_US,
+    SECOND_US,
     Client,
-    Worker,
-    World,
-    config_text,
-    play,
+    FakeWorker,
+    NodeHarness,
+    encode_config,
+    run_scenario,
     settings,
 )
 
-ACCEPT_PERIOD_US = 700 * MS  # from SIGTERM: requests received until then are answered
-MAX_COUNTED_DEADLINE_US = 3 * SECOND  # longer deadlines do not delay SIGKILL any further
-SEND_INTERVAL_US = 40 * MS  # keeps each connection below its limits of open and rejected requests
+ACCEPT_PERIOD_US = 700 * MILLISECOND_US  # from SIGTERM: requests received until then are answered
+MAX_COUNTED_DEADLINE_US = 3 * SECOND_US  # longer deadlines do not delay SIGKILL any further
+SEND_INTERVAL_US = 40 * MILLISECOND_US  # keeps each connection below its limits of open and rejected requests
 CONNECTION_COUNT = 6
-START_TIMEOUT_US = 30 * SECOND
-DEADLINES_US = [200 * MS, 500 * MS, 3 * SECOND, 9 * SECOND]
+START_TIMEOUT_US = 30 * SECOND_US
+DEADLINES_US = [200 * MILLISECOND_US, 500 * MILLISECOND_US, 3 * SECOND_US, 9 * SECOND_US]
 LISTENING = re.compile(r"listening role='node' address=\('127\.0\.0\.1', (\d+)\)")
 STOPPING = re.compile(r"^stopping", re.MULTILINE)
 
@@ -51,7 +51,7 @@
     """Answer every second call of a client, and all other commands."""
     if command[0] == b"FN" and int(command[3].split()[-1]) % 2:
         return None
-    return Worker.good(command)
+    return FakeWorker.default_answer(command)
 
 
 @dataclass(eq=False)
@@ -84,7 +84,7 @@
             self.loop.sleep(SEND_INTERVAL_US)
 
     def _read(self) -> None:
-        while (answer := self.client.next()) is not None:
+        while (answer := self.client.next_answer()) is not None:
             self.answered.add(answer[1])
         self.ended = True
         if self.closes:
@@ -96,7 +96,7 @@
 
 
 def start_sender(loop: Loop, address: tuple[str, int], deadline_us: int, closes: bool = True) -> Sender:
-    sender = Sender(loop, Client(loop, address), deadline_us // MS, closes)
+    sender = Sender(loop, Client(loop, address), deadline_us // MILLISECOND_US, closes)
     sender.start()
     return sender
 
@@ -104,15 +104,15 @@
 @pytest.mark.parametrize("closes", [True, False])
 @pytest.mark.parametrize("deadline_us", DEADLINES_US)
 def test_accepted_requests_are_answered_before_the_earliest_sigkill(deadline_us: int, closes: bool) -> None:
-    def scenario(harness: World) -> None:
+    def scenario(harness: NodeHarness) -> None:
         for worker in harness.workers:
             worker.answer = answer_every_second_call
         address = harness.node.listener.address
         senders = [start_sender(harness.loop, address, deadline_us, closes) for _ in range(CONNECTION_COUNT)]
-        harness.until(lambda: all(sender.answered for sender in senders))
+        harness.wait_until(lambda: all(sender.answered for sender in senders))
         signalled_us = harness.loop.now()
         shutdown = harness.loop.spawn(harness.node.shut_down)
-        harness.loop.sleep(395 * MS)
+        harness.loop.sleep(395 * MILLISECOND_US)
         # Connects shortly before the node stops accepting connections.
         senders.append(start_sender(harness.loop, address, deadline_us, closes))
         kill_at_us = signalled_us + ACCEPT_PERIOD_US + min(deadline_us, MAX_COUNTED_DEADLINE_US)
@@ -124,19 +124,19 @@
         last_send_us = signalled_us + ACCEPT_PERIOD_US - SEND_INTERVAL_US
         assert all(max(sender.sent_at_us.values()) >= last_send_us for sender in senders)
 
-    play(scenario, settings=settings_with_deadline(deadline_us))
+    run_scenario(scenario, settings=settings_with_deadline(deadline_us))
 
 
 class NodeProcess:
     """A node in a separate process, whose workers run in the event loop of the test."""
 
-    def __init__(self, loop: Loop, folder: Path, workers: list[Worker], deadline_us: int) -> None:
+    def __init__(self, loop: Loop, folder: Path, workers: list[FakeWorker], deadline_us: int) -> None:
         self._loop = loop
         self._log_path = folder / "node.log"
         topology = {"all": True, "rev": 0, "targets": [worker.target for worker in workers]}
         known = {"offset": 1, "batch": [{"offset": 1, "topology": topology}]}
         config = folder / "node.json"
-        config.write_bytes(config_text(known=known, settings=settings_with_deadline(deadline_us)))
+        config.write_bytes(encode_config(known=known, settings=settings_with_deadline(deadline_us)))
         with self._log_path.open("wb") as out:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "walnutpost.node"],
@@ -149,12 +149,12 @@
         with self._loop.timeout(START_TIMEOUT_US):
             while (found := wanted.search(self._log_path.read_text())) is None:
                 assert self.process.poll() is None, self._log_path.read_text()
-                self._loop.sleep(2 * MS)
+                self._loop.sleep(2 * MILLISECOND_US)
         return found
 
     def wait_for_exit(self) -> int:
         while (code := self.process.poll()) is None:
-            self._loop.sleep(2 * MS)
+            self._loop.sleep(2 * MILLISECOND_US)
         return code
 
 
@@ -169,7 +169,7 @@
     accepted_until_us: list[int] = []
 
     def run_process() -> None:
-        workers = [Worker(loop, f"s-{n}") for n in range(2)]
+        workers = [FakeWorker(loop, f"s-{n}") for n in range(2)]
         for worker in workers:
             worker.answer = answer_every_second_call
         node = NodeProcess(loop, tmp_path, workers, deadline_us)
--- a/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
@@ -13,19 +13,26 @@
 from walnutpost.gateway import CallArrived
 from walnutpost.node import rpc
 from walnutpost.node.client_connection import ClientConnection
-from walnutpost.testsupport.node.harness import FUNCTION, SECOND, Client, Words, World, play
+from walnutpost.testsupport.node.harness import (
+    FUNCTION,
+    SECOND_US,
+    Client,
+    Command,
+    NodeHarness,
+    run_scenario,
+)
 
 LARGE_BODY = bytes(rpc.MAX_BODY_BYTES)  # two requests of this size don't fit into one read
 
 
-def run_scenario_with_timeout(scenario: Callable[[World], None], workers: int = 2) -> None:
+def run_scenario_with_timeout(scenario: Callable[[NodeHarness], None], workers: int = 2) -> None:
     """Run `scenario` with a time limit of one minute, so that a missing event fails the test."""
 
-    def bounded(harness: World) -> None:
-        with harness.loop.timeout(60 * SECOND):
+    def bounded(harness: NodeHarness) -> None:
+        with harness.loop.timeout(60 * SECOND_US):
             scenario(harness)
 
-    play(bounded, workers)
+    run_scenario(bounded, workers)
 
 
 def encode_request(message_id: int, body: bytes = b"", rid: str | None = None, budget: str = "1000") -> bytes:
@@ -34,14 +41,14 @@
     return msgpack.packb([0, message_id, "valuation", [fields, body]])  # type: ignore[no-any-return]
 
 
-def stall_process(harness: World, duration_us: int) -> None:
+def stall_process(harness: NodeHarness, duration_us: int) -> None:
     """Simulate a suspended process: time passes, but the event loop does not turn."""
     assert isinstance(harness.loop.clock, VirtualClock)
     harness.loop.clock.advance_to(harness.loop.now() + duration_us)
 
 
 def record_submitted_calls(
-    harness: World, patch: pytest.MonkeyPatch, before_each: Callable[[], None] = lambda: None
+    harness: NodeHarness, patch: pytest.MonkeyPatch, before_each: Callable[[], None] = lambda: None
 ) -> list[CallArrived]:
     """Record all calls submitted to the dispatcher from now on; `before_each` runs before each submission."""
     dispatcher, submitted = harness.node.dispatcher, list[CallArrived]()
@@ -56,7 +63,7 @@
     return submitted
 
 
-def connect_clients_with_requests(harness: World, count: int) -> list[socket.socket]:
+def connect_clients_with_requests(harness: NodeHarness, count: int) -> list[socket.socket]:
     """Connect clients that send one request each.
 
     The event loop does not turn meanwhile, so all of them wait in the listener's backlog.
@@ -67,18 +74,18 @@
     return clients
 
 
-def silence_workers(harness: World) -> None:
+def silence_workers(harness: NodeHarness) -> None:
     """Make all workers stop answering."""
     for worker in harness.workers:
         worker.answer = lambda command: None
 
 
-def received_calls(harness: World) -> list[Words]:
+def received_calls(harness: NodeHarness) -> list[Command]:
     """Return the calls that all workers have received."""
     return [command for worker in harness.workers for command in worker.calls()]
 
 
-def only_client_connection(harness: World) -> ClientConnection:
+def only_client_connection(harness: NodeHarness) -> ClientConnection:
     """Return the node's only client connection."""
     (connection,) = harness.node.clients.connections
     return connection
@@ -118,4 +125,4 @@
 
 def interrupt_second_call(client: Client) -> None:
     """Send an interrupt for the client's second call."""
-    client.raw(msgpack.packb([2, "interrupt", [2]]))
+    client.send_raw(msgpack.packb([2, "interrupt", [2]]))
--- a/packages/testsupport/src/walnutpost/testsupport/node/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/harness.py
@@ -20,9 +20,9 @@
 from walnutpost.node.node import Node
 from walnutpost.node.worker_connection import WorkerConnection
 
-MS, SECOND = 1000, 1_000_000  # in microseconds, the unit of the event loop
+MILLISECOND_US, SECOND_US = 1000, 1_000_000  # in microseconds, the unit of the event loop
 FUNCTION = "7f3a9c21e0b4d655"
-REFUSED, FAILED = ["Overloaded", {}], ["Internal", {}]
+OVERLOADED_ERROR, INTERNAL_ERROR = ["Overloaded", {}], ["Internal", {}]
 PROFILE = {"Aim": 430000, "HardLimit": 1060000, "Importance": 1.0, "Idempotency": "free", "Name": "valuation"}
 CONFIG: dict[str, Any] = {
     "name": "n0",
@@ -55,7 +55,7 @@
 }
 
 
-def config_text(**changes: Any) -> bytes:
+def encode_config(**changes: Any) -> bytes:
     """Return the content of the node's configuration file, with the given top-level keys replaced."""
     return json.dumps({**CONFIG, **changes}).encode()
 
@@ -73,12 +73,12 @@
     warning = error = info
 
 
-Words = list[bytes]
+Command = list[bytes]
 
 
-def parse_commands(data: bytes) -> tuple[list[Words], bytes]:
+def parse_commands(data: bytes) -> tuple[list[Command], bytes]:
     """Return the complete RESP arrays of bulk strings in `data`, and the remaining bytes."""
-    commands: list[Words] = []
+    commands: list[Command] = []
     while data:
         position, command = data.find(b"\r\n") + 2, list[bytes]()
         for _ in range(int(data[1 : position - 2]) if position > 1 else 0):
@@ -94,7 +94,7 @@
     return commands, data
 
 
-class Worker:
+class FakeWorker:
     """A fake worker that records every command it receives.
 
     `answer` returns the response to a command, None to send nothing, or b"" to reset the connection.
@@ -103,10 +103,10 @@
     def __init__(self, loop: Loop, name: str) -> None:
         self.name = name
         self.state = WorkerState.READY
-        self.got: list[Words] = []
+        self.received_commands: list[Command] = []
         self.streams: list[Stream] = []
-        self.ends: list[str] = []  # "closed" or "reset", for each connection that the node ended
-        self.answer: Callable[[Words], bytes | None] = self.good
+        self.connection_ends: list[str] = []  # "closed" or "reset", for each connection that the node ended
+        self.answer: Callable[[Command], bytes | None] = self.default_answer
         self._listener = Listener(loop, ("127.0.0.1", 0))
         self._loop = loop
         loop.spawn(self._accept)
@@ -118,15 +118,15 @@
         return {"uid": self.name, "endpoint": endpoint, "az": "east", "model": "std", "state": "Ready"}
 
     @staticmethod
-    def good(command: Words) -> bytes | None:
+    def default_answer(command: Command) -> bytes | None:
         """Answer as a worker that has every function loaded."""
         if command[0] == b"FN":
             return reply(command[1], b"OK", b"detail=resident", b"did " + command[3])
         return reply(command[1], b"OK", b"slots_up=1") if command[0] == b"SPAWN" else None
 
-    def calls(self) -> list[Words]:
+    def calls(self) -> list[Command]:
         """Return the calls that the worker has received."""
-        return [command for command in self.got if command[0] == b"FN"]
+        return [command for command in self.received_commands if command[0] == b"FN"]
 
     def _accept(self) -> None:
         while True:
@@ -140,21 +140,23 @@
             while data := stream.recv():
                 commands, rest = parse_commands(rest + data)
                 for command in commands:
-                    self.got.append(command)
+                    self.received_commands.append(command)
                     response = self.answer(command)
                     if response == b"":
                         return stream.reset()
                     if response is not None:
                         stream.send_all(response)
-            self.ends.append("closed")
+            self.connection_ends.append("closed")
         except OSError:
             if not stream.closed:
-                self.ends.append("reset")
+                self.connection_ends.append("reset")
         finally:
             stream.close()
 
 
-def listing(query: bytes, serial: int, workers: list[Worker], weight: int = 10) -> bytes:
+def encode_discovery_response(
+    query: bytes, serial: int, workers: list[FakeWorker], weight: int = 10
+) -> bytes:
     """Return the name server's response to `query`, with all workers in their present state."""
     message = dns.message.make_response(dns.message.from_wire(query))
     rows = [(message.authority, "svc.local.", "SOA", f"a. b. {serial} 1 1 1 1")]
@@ -196,11 +198,11 @@
         self.stream.send_all(msgpack.packb([0, self._number, method, params]))
         return self._number
 
-    def raw(self, data: bytes) -> None:
+    def send_raw(self, data: bytes) -> None:
         """Send `data` unchanged."""
         self.stream.send_all(data)
 
-    def next(self) -> Any:
+    def next_answer(self) -> Any:
         """Return the next answer, or None once the connection has ended."""
         while True:
             try:
@@ -215,14 +217,14 @@
                 self._unpacker.feed(data)
 
 
-class World:
+class NodeHarness:
     """A node with its fake workers and name server in one event loop."""
 
     def __init__(
         self,
         loop: Loop,
         workers: int,
-        make_worker: Callable[[Loop, str], Worker] = Worker,
+        make_worker: Callable[[Loop, str], FakeWorker] = FakeWorker,
         **changes: Any,
     ) -> None:
         self.loop = loop
@@ -235,7 +237,7 @@
         known = {"offset": 1, "batch": [{"offset": 1, "topology": topology}]}
         dns = "{}:{}".format(*self.name_server.getsockname())
         self._config_changes = {"known": known, "dns": dns, **changes}
-        self.node = Node(loop, parse_config(config_text(**self._config_changes)), self.log)
+        self.node = Node(loop, parse_config(encode_config(**self._config_changes)), self.log)
 
     def restart(self) -> None:
         """Start a new node with the same name, address and settings.
@@ -244,13 +246,13 @@
         """
         listen = "{}:{}".format(*self.node.listener.address)
         changes = {**self._config_changes, "listen": listen}
-        self.node = Node(self.loop, parse_config(config_text(**changes)), self.log)
+        self.node = Node(self.loop, parse_config(encode_config(**changes)), self.log)
 
     def client(self) -> Client:
         """Connect a new client to the node and return it."""
         return Client(self.loop, self.node.listener.address)
 
-    def until(self, condition: Callable[[], Any], step: int = 5_000) -> None:
+    def wait_until(self, condition: Callable[[], Any], step: int = 5_000) -> None:
         """Wait until the condition holds; check it every `step` microseconds.
 
         Raises AssertionError if it does not hold after 4000 steps.
@@ -262,20 +264,20 @@
         raise AssertionError("condition not met within 4000 steps")
 
 
-def play(
-    scenario: Callable[[World], None],
+def run_scenario(
+    scenario: Callable[[NodeHarness], None],
     workers: int = 2,
-    make_worker: Callable[[Loop, str], Worker] = Worker,
+    make_worker: Callable[[Loop, str], FakeWorker] = FakeWorker,
     **changes: Any,
 ) -> None:
     """Run `scenario` against a node on virtual time; raise the first error of any task in the event loop."""
     errors: list[BaseException] = []
     loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
 
-    harnesses: list[World] = []
+    harnesses: list[NodeHarness] = []
 
     def body() -> None:
-        harnesses.append(World(loop, workers, make_worker, **changes))
+        harnesses.append(NodeHarness(loop, workers, make_worker, **changes))
         scenario(harnesses[0])
 
     try:
@@ -298,7 +300,7 @@
     return {**defaults, **changed}
 
 
-class HeldConnections:
+class DelayedConnections:
     """Delays the notification that a worker connection is established.
 
     The kernel connects as usual, but the node is notified only when the test allows it.
@@ -306,27 +308,27 @@
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.waiting: list[Callable[[], None]] = []
-        self.is_holding = False  # whether new connections are delayed
+        self.is_delaying = False  # whether new connections are delayed
         on_connect_result = WorkerConnection._on_connect_result
 
         def delay(connection: WorkerConnection) -> None:
-            if self.is_holding:
+            if self.is_delaying:
                 self.waiting.append(partial(on_connect_result, connection))
             else:
                 on_connect_result(connection)
 
         patch.setattr(WorkerConnection, "_on_connect_result", delay)
 
-    def come_up(self) -> None:
+    def release(self) -> None:
         """Notify the node of the delayed connections and delay no others."""
-        self.is_holding = False
+        self.is_delaying = False
         while self.waiting:
             self.waiting.pop(0)()
 
 
 def interrupt_first_call(client: Client) -> None:
     """Send an interrupt for the client's first call."""
-    client.raw(msgpack.packb([2, "interrupt", [1]]))
+    client.send_raw(msgpack.packb([2, "interrupt", [1]]))
 
 
 def close_connection(client: Client) -> None:
@@ -339,38 +341,40 @@
     client.stream.reset()
 
 
-LEAVE = [interrupt_first_call, close_connection, reset_connection]
+CLIENT_DEPARTURES = [interrupt_first_call, close_connection, reset_connection]
 
 
-def call_that_waits(harness: World, delayed: HeldConnections, **fields: str) -> Client:
+def start_call_waiting_for_connection(
+    harness: NodeHarness, delayed: DelayedConnections, **fields: str
+) -> Client:
     """Return a client whose second call waits for a new connection to a warm worker."""
     client = harness.client()
-    worker = warm(harness, client)
+    worker = warm_up_worker(harness, client)
     harness.node.workers.close_idle_connections(worker.name)
-    delayed.is_holding = True
+    delayed.is_delaying = True
     client.send(**fields)
-    harness.until(lambda: delayed.waiting)
+    harness.wait_until(lambda: delayed.waiting)
     return client
 
 
-def warm(harness: World, client: Any) -> Worker:
+def warm_up_worker(harness: NodeHarness, client: Any) -> FakeWorker:
     """Let a worker serve one call and return that worker."""
     client.send()
-    client.next()
+    client.next_answer()
     return next(worker for worker in harness.workers if worker.calls())
 
 
-def after(first: bytes | None) -> Callable[[Words], bytes | None]:
+def answer_first_call_with(first: bytes | None) -> Callable[[Command], bytes | None]:
     """Return an answer function that gives `first` to the next call and the default to everything else.
 
     "ID" in `first` stands for the id of the call.
     """
     responses = [first]
 
-    def answer(command: Words) -> bytes | None:
+    def answer(command: Command) -> bytes | None:
         if command[0] == b"FN" and responses:
             response = responses.pop()
             return response if response is None else response.replace(b"ID", command[1])
-        return Worker.good(command)
+        return FakeWorker.default_answer(command)
 
     return answer
--- a/packages/testsupport/src/walnutpost/testsupport/node/ration_checker.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/ration_checker.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ration:
+class SlidingWindowLimit:
     """Allows `free_loads` load orders, plus `load_share` for each request, within any `window_us`.
 
     The slack multiplies this limit by `slack_factor` and adds `slack_orders`.
@@ -28,7 +28,7 @@
     slack_orders: float = 0.0
 
     @classmethod
-    def on_sockets(cls, free_loads: float, load_share: float, window_us: int) -> Ration:
+    def with_network_slack(cls, free_loads: float, load_share: float, window_us: int) -> SlidingWindowLimit:
         """Return the limit for nodes on real sockets, which includes slack."""
         return cls(free_loads, load_share, window_us, NETWORK_SLACK_FACTOR, NETWORK_SLACK_ORDERS)
 
@@ -47,8 +47,8 @@
     allowance: float
 
 
-def breaches_of(
-    limit: Ration, front_end: str, orders: Iterable[int], requests: Iterable[int]
+def find_violations(
+    limit: SlidingWindowLimit, front_end: str, orders: Iterable[int], requests: Iterable[int]
 ) -> list[LimitViolation]:
     """Return each load order of one front end that exceeds the limit.
 
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class RationLog:
+class LoadOrderLog:
     """Load orders that workers received and requests that clients sent, by the name of the front end.
 
     A restarted front end keeps its name and counts as the same one.
@@ -79,31 +79,31 @@
     orders: dict[str, list[int]] = field(default_factory=dict)
     requests: dict[str, list[int]] = field(default_factory=dict)
 
-    def order_arrived(self, front_end: str, at_us: int) -> None:
+    def log_load_order(self, front_end: str, at_us: int) -> None:
         """Log a load order that a worker has received."""
         self.orders.setdefault(front_end, []).append(at_us)
 
-    def request_written(self, front_end: str, at_us: int) -> None:
+    def log_request(self, front_end: str, at_us: int) -> None:
         """Log a request that a client has sent."""
         self.requests.setdefault(front_end, []).append(at_us)
 
-    def breaches(self, limit: Ration) -> list[LimitViolation]:
+    def violations(self, limit: SlidingWindowLimit) -> list[LimitViolation]:
         """Return the load orders in the log that exceed the limit."""
         return find_all_violations(limit, self.orders, self.requests)
 
 
 def find_all_violations(
-    limit: Ration, orders: Mapping[str, Iterable[int]], requests: Mapping[str, Iterable[int]]
+    limit: SlidingWindowLimit, orders: Mapping[str, Iterable[int]], requests: Mapping[str, Iterable[int]]
 ) -> list[LimitViolation]:
     """Return the violations of all front ends, each checked by its own orders and requests."""
     return [
         violation
         for front_end, order_times in sorted(orders.items())
-        for violation in breaches_of(limit, front_end, order_times, requests.get(front_end, ()))
+        for violation in find_violations(limit, front_end, order_times, requests.get(front_end, ()))
     ]
 
 
-def describe_breaches(violations: list[LimitViolation]) -> str:
+def describe_violations(violations: list[LimitViolation]) -> str:
     """Describe violations for the output of a failing test, with times in seconds since the first one."""
     if not violations:
         return "no violation"
--- a/packages/testsupport/src/walnutpost/testsupport/node/witness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/witness.py
@@ -8,12 +8,12 @@
 
 from walnutpost.eventloop import Listener, Loop, Queue, Stream, Task, connect
 from walnutpost.testsupport.node.harness import (
-    Words,
-    Worker,
+    Command,
+    FakeWorker,
     parse_commands,
     reply,
 )
-from walnutpost.testsupport.node.ration_checker import RationLog
+from walnutpost.testsupport.node.ration_checker import LoadOrderLog
 
 FRONT_END = "n0"
 
@@ -28,7 +28,7 @@
         self._waiting: list[tuple[Task[Any], int]] = []
         self.is_closed = False
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Block all tasks that call `wait` from now on."""
         self.is_closed = True
 
@@ -58,17 +58,19 @@
         self._upstream = upstream
         self._listener = Listener(loop, ("127.0.0.1", 0))
         self.address = self._listener.address
-        self.keeps_after_reset = delivers_after_reset  # whether bytes sent before a reset are still delivered
+        self.delivers_after_reset = (
+            delivers_after_reset  # whether bytes sent before a reset are still delivered
+        )
         self.to_worker = Gate(loop)
         self.to_node = Gate(loop)
         self.delay: Callable[[], int] = lambda: 0  # returns the delay of a chunk in microseconds
-        self.leaks = 0  # so many bytes of each chunk pass a closed gate
+        self.leaked_prefix_bytes = 0  # so many bytes of each chunk pass a closed gate
         loop.spawn(self._accept, name="relay")
 
     def cut(self) -> None:
         """Hold back all bytes in both directions."""
-        self.to_worker.shut()
-        self.to_node.shut()
+        self.to_worker.close()
+        self.to_node.close()
 
     def heal(self) -> None:
         """Forward the bytes that were held back and everything after them."""
@@ -100,13 +102,13 @@
         while True:
             data = held.get()
             try:
-                if data and gate.is_closed and self.leaks:
-                    sink.send_all(data[: self.leaks])
-                    data = data[self.leaks :]
+                if data and gate.is_closed and self.leaked_prefix_bytes:
+                    sink.send_all(data[: self.leaked_prefix_bytes])
+                    data = data[self.leaked_prefix_bytes :]
                 if data and (delay := self.delay()):
                     self._loop.sleep(delay)
                 gate.wait()
-                if reader.is_done and reader.result and not self.keeps_after_reset:
+                if reader.is_done and reader.result and not self.delivers_after_reset:
                     return sink.reset()
                 if data is None:
                     return sink.reset() if reader.result else sink.end_writing()
@@ -126,18 +128,18 @@
         return False
 
 
-class Witness(Worker):
+class LoggingWorker(FakeWorker):
     """A fake worker behind a relay, which logs each load order when it has received it completely.
 
     While its read gate is closed, it acts like a stopped process: connections are accepted, and bytes wait in
     the kernel.
     """
 
-    def __init__(self, loop: Loop, name: str, log: RationLog, front_end: str = FRONT_END) -> None:
+    def __init__(self, loop: Loop, name: str, log: LoadOrderLog, front_end: str = FRONT_END) -> None:
         super().__init__(loop, name)
         self.log = log
         self.front_end = front_end
-        self.reads = Gate(loop)
+        self.read_gate = Gate(loop)
         self.relay = Relay(loop, self._listener.address)
         self.loaded: set[str] = set()
         self.executed_calls: set[bytes] = set()
@@ -149,7 +151,7 @@
         """Return the worker's entry in a list of endpoints, with the address of its relay."""
         return {**super().target, "endpoint": "{}:{}".format(*self.relay.address)}
 
-    def answer_from_loaded_functions(self, command: Words) -> bytes | None:
+    def answer_from_loaded_functions(self, command: Command) -> bytes | None:
         """Answer as a worker that loads a function at once when ordered and never unloads it.
 
         A call whose id was executed before is answered with an error, as it must be a duplicate.
@@ -176,7 +178,7 @@
         with suppress(OSError):
             while True:
                 self._loop.wait_readable(stream.fd)
-                self.reads.wait()
+                self.read_gate.wait()
                 data = stream.recv()
                 if not data:
                     break
@@ -189,8 +191,8 @@
                             stream.send_all(response)
         stream.close()
 
-    def _record(self, command: Words) -> None:
-        self.got.append(command)
+    def _record(self, command: Command) -> None:
+        self.received_commands.append(command)
         if command[0] == b"SPAWN" and not command[2].endswith(b"slots_up=0"):
             self.orders.append(self._loop.now())
-            self.log.order_arrived(self.front_end, self._loop.now())
+            self.log.log_load_order(self.front_end, self._loop.now())
--- a/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
@@ -14,53 +14,57 @@
 from walnutpost.interface import Outcome
 from walnutpost.node.open_requests import RequestIdentity
 from walnutpost.node.worker_connection import WorkerConnection
-from walnutpost.testsupport.node.harness import FUNCTION, MS, Words, Worker, World
+from walnutpost.testsupport.node.harness import FUNCTION, MILLISECOND_US, Command, FakeWorker, NodeHarness
 
-ORDER_TIMEOUT_US = 200 * MS
+ORDER_TIMEOUT_US = 200 * MILLISECOND_US
 
 
-PART = 20  # less than any whole command
+PARTIAL_COMMAND_BYTES = 20  # less than any whole command
 
 
-PLENTY = 1 << 20
+UNLIMITED_BYTES = 1 << 20
 
 
-ORDERED = "00000000000000ff"  # function id of the load orders that tests send
+ORDERED_FUNCTION = "00000000000000ff"  # function id of the load orders that tests send
 
 
-LATE_US = 5 * MS  # until the fake worker has read what the node has sent
+MAX_READ_DELAY_US = 5 * MILLISECOND_US  # until the fake worker has read what the node has sent
 
 
-NEVER_ARRIVED = (Outcome.MOOT, Outcome.CONNECT_FAILED)
+UNDELIVERED_OUTCOMES = (Outcome.MOOT, Outcome.CONNECT_FAILED)
 
 
-class Throttle:
+class SendThrottle:
     """Simulates a send buffer with room for `available_bytes`, and for much more once `open` is called."""
 
     def __init__(self, patch: pytest.MonkeyPatch, connection: WorkerConnection, available_bytes: int) -> None:
-        self.room = available_bytes
+        self.available_bytes = available_bytes
         self._connection = connection
         self._send = connection.stream.send_now
         patch.setattr(connection.stream, "send_now", self._take)
         patch.setattr(connection.stream, "on_writable", lambda callback: None)
 
     def _take(self, data: bytes) -> bytes:
-        count = min(self.room, len(data))
-        self.room -= count
+        count = min(self.available_bytes, len(data))
+        self.available_bytes -= count
         return (self._send(data[:count]) if count else b"") + data[count:]
 
     def open(self) -> None:
         """Make room for everything and flush the connection."""
-        self.room = PLENTY
+        self.available_bytes = UNLIMITED_BYTES
         self._connection._flush()
 
 
-def spawns(worker: Worker) -> list[Words]:
+def received_load_orders(worker: FakeWorker) -> list[Command]:
     """Return the load orders sent by tests that the worker has received."""
-    return [command for command in worker.got if command[0] == b"SPAWN" and ORDERED.encode() in command[2]]
+    return [
+        command
+        for command in worker.received_commands
+        if command[0] == b"SPAWN" and ORDERED_FUNCTION.encode() in command[2]
+    ]
 
 
-def one_connection(harness: World, worker: Worker, **limits: Any) -> WorkerConnection:
+def limit_to_one_connection(harness: NodeHarness, worker: FakeWorker, **limits: Any) -> WorkerConnection:
     """Limit the pool to one connection per worker and return the one to `worker`."""
     changes = {"max_connections": 1, "order_timeout_us": ORDER_TIMEOUT_US, **limits}
     harness.node.pool.limits = replace(harness.node.pool.limits, **changes)
@@ -68,33 +72,33 @@
     return connection
 
 
-def order(harness: World, worker: str, begin_within_us: int = 0) -> list[LoadOrderEnded]:
+def send_load_order(harness: NodeHarness, worker: str, begin_within_us: int = 0) -> list[LoadOrderEnded]:
     """Order one copy; return the list to which the outcomes will be appended."""
     ended: list[LoadOrderEnded] = []
-    harness.node.workers.order_load(LoadOrder(worker, ORDERED, 1, begin_within_us), ended.append)
+    harness.node.workers.order_load(LoadOrder(worker, ORDERED_FUNCTION, 1, begin_within_us), ended.append)
     return ended
 
 
-def outcomes(ended: list[LoadOrderEnded]) -> list[Outcome]:
+def list_outcomes(ended: list[LoadOrderEnded]) -> list[Outcome]:
     """Return the outcomes of load orders that have ended."""
     return [done.outcome for done in ended]
 
 
-def silent(command: Words) -> bytes | None:
+def answer_nothing(command: Command) -> bytes | None:
     """Send no response."""
     return None
 
 
-def call_without_answer(harness: World, worker: Worker, client: Any) -> Words:
+def send_unanswered_call(harness: NodeHarness, worker: FakeWorker, client: Any) -> Command:
     """Send a call to a worker that does not answer; return it once the worker has received it."""
-    worker.answer, count_before = silent, len(worker.calls())
+    worker.answer, count_before = answer_nothing, len(worker.calls())
     client.send(method="reservation")
-    harness.until(lambda: len(worker.calls()) > count_before)
+    harness.wait_until(lambda: len(worker.calls()) > count_before)
     return worker.calls()[-1]
 
 
 @contextmanager
-def slow_reader(harness: World) -> Iterator[tuple[str, socket.socket]]:
+def non_reading_worker(harness: NodeHarness) -> Iterator[tuple[str, socket.socket]]:
     """Provide a worker that accepts one connection and never reads: what it is sent stays in the kernel."""
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -104,25 +108,25 @@
         yield "slow", listener
 
 
-def received(listener: socket.socket) -> bytes:
+def read_remaining_bytes(listener: socket.socket) -> bytes:
     """Return the bytes of the next connection that are still in the kernel of either side."""
     sock, _ = listener.accept()
     data = b""
     with sock, suppress(ConnectionResetError):
-        while more := sock.recv(PLENTY):
+        while more := sock.recv(UNLIMITED_BYTES):
             data += more
     return data
 
 
-def call_budget_ms(call: Words) -> int:
+def call_budget_ms(call: Command) -> int:
     """Return the time budget of a received call."""
     fields = dict(pair.split(b"=") for pair in call[2].split(b","))
     return int(fields[b"budget"])
 
 
-def attempt(
-    harness: World,
-    worker: Worker,
+def start_attempt(
+    harness: NodeHarness,
+    worker: FakeWorker,
     timeout_us: int,
     begin_within_us: int,
     call_id: int = 1_000_000,
--- a/tests/test_test_layout.py
+++ b/tests/test_test_layout.py
@@ -94,7 +94,7 @@
         "import walnutpost.testsupport",
         "from walnutpost import testsupport",
         "from walnutpost.testsupport.node import harness",
-        "from walnutpost.testsupport.node.harness import play",
+        "from walnutpost.testsupport.node.harness import run_scenario",
     ],
 )
 def test_import_of_testsupport_is_found(source: str) -> None:
