--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -25,7 +25,7 @@
 from walnutpost.daemon.composition import build_front_end
 from walnutpost.eventloop import Event, Loop, connect
 from walnutpost.http import Exchange, HttpMessageError, Response, encode_request
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 
 FORK = mp.get_context("fork")
 LOCAL = ("127.0.0.1", 0)
@@ -111,11 +111,11 @@
 
 
 def echo(loop: Loop) -> tuple[str, int]:
-    return serve_on(loop, LOCAL, lambda e: Response(200, {}, e.request.body), refusal).address
+    return start_server(loop, LOCAL, lambda e: Response(200, {}, e.request.body), refusal).address
 
 
 def worker(loop: Loop) -> tuple[str, int]:
-    return serve_on(loop, LOCAL, null_worker, refusal).address
+    return start_server(loop, LOCAL, null_worker, refusal).address
 
 
 def front_end(addresses: list[tuple[str, int]], listed: int) -> Callable[[Loop], tuple[str, int]]:
--- a/benchmarks/firings.py
+++ b/benchmarks/firings.py
@@ -24,7 +24,7 @@
 from walnutpost.daemon.composition import build_front_end
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 
 SCHEDULES, PACE, SECONDS = 10_000, 5_000, 8
 WALL = 1_800_000_000 * 1_000_000 - 20_000_000  # twenty seconds before a full hour
@@ -47,7 +47,7 @@
             ORDERS.put(loop.now())
         return null_worker(exchange)
 
-    return serve_on(loop, LOCAL, handle, refusal).address
+    return start_server(loop, LOCAL, handle, refusal).address
 
 
 def ration_left(orders: list[int], calls: list[int]) -> float:
--- a/benchmarks/metering.py
+++ b/benchmarks/metering.py
@@ -23,7 +23,7 @@
 from walnutpost.daemon.composition import build_front_end
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Exchange, Response, encode_request
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.metering import (
     DAY_US,
     HOUR_US,
@@ -61,7 +61,7 @@
         after = int(parse_qs(query)["after"][0])
         return Response(200, {}, msgspec.json.encode(recorder.build_report(loop.now(), after)))
 
-    return serve_on(loop, LOCAL, handle, refusal).address
+    return start_server(loop, LOCAL, handle, refusal).address
 
 
 def front_end(address: tuple[str, int], action: str | None) -> Callable[[Loop], tuple[str, int]]:
--- a/benchmarks/shares.py
+++ b/benchmarks/shares.py
@@ -19,7 +19,7 @@
 from benchmarks.calls import PAYLOAD, Served, echo, front_end, load, worker
 from walnutpost.eventloop import Loop
 from walnutpost.http import encode_request
-from walnutpost.http.server import Server, serve_on
+from walnutpost.http.server import Server, start_server
 
 ROOT = str(Path(__file__).parent.parent / "packages")
 EVERY = 0.002
@@ -68,7 +68,7 @@
             loop.sleep(3_600_000_000)
         return Response(200, {}, b'{"copies": 1}')
 
-    server: Server = serve_on(loop, ("127.0.0.1", 0), handle, lambda error: Response(error.status))
+    server: Server = start_server(loop, ("127.0.0.1", 0), handle, lambda error: Response(error.status))
     return server.address
 
 
--- a/packages/adapter/src/walnutpost/adapter/decoding.py
+++ b/packages/adapter/src/walnutpost/adapter/decoding.py
@@ -135,13 +135,13 @@
 
 def _decode_attempt_ended(fields: bytes) -> InstanceInput:
     unpacked = frames.ATTEMPT_ENDED.unpack_from(fields)
-    instance, request, attempt, worker, outcome_code, latency_us, is_finished, note, count = unpacked
+    instance, request, attempt, worker, outcome_code, latency_us, is_request_finished, note, count = unpacked
     report = _decode_report(fields, frames.ATTEMPT_ENDED.size, count)
     outcome = _lookup(frames.OUTCOMES, outcome_code, "outcome")
     warmth = _lookup(frames.WARMTHS, note & frames.WARMTH_MASK, "note")
     crowd = note >> frames.CROWD_SHIFT
     event = api.AttemptEnded(
-        request, attempt, worker, outcome, latency_us, bool(is_finished), warmth, crowd, report
+        request, attempt, worker, outcome, latency_us, bool(is_request_finished), warmth, crowd, report
     )
     return InstanceInput(instance, event)
 
--- a/packages/adapter/src/walnutpost/adapter/frames.py
+++ b/packages/adapter/src/walnutpost/adapter/frames.py
@@ -91,7 +91,7 @@
     502: api.Outcome.CONNECT_FAILED,
     598: api.Outcome.RESET,
     499: api.Outcome.CANCELLED,
-    410: api.Outcome.MOOT,
+    410: api.Outcome.EXPIRED,
     404: api.Outcome.MISS,
 }
 WORKER_STATES = {0: api.WorkerState.GONE, 1: api.WorkerState.DRAINING, 2: api.WorkerState.READY}
--- a/packages/adapter/src/walnutpost/adapter/settings.py
+++ b/packages/adapter/src/walnutpost/adapter/settings.py
@@ -108,7 +108,7 @@
         reports_warmth=extra.flag("WarmNotes"),
         reports_crowd=extra.flag("NotesPeersInHand"),
         must_watch_endpoints=root.text("RegistryMode") == "ask",
-        has_weights=root.text("Weights") not in ("", "none"),
+        has_endpoint_weights=root.text("Weights") not in ("", "none"),
         weighs_priority_by_work=root.text("WorthBy") == "work",
         over_share_weight=root.number("OverShareWorth"),
         report_fields=_parse_report_fields(root.section("Reporting")),
--- a/packages/agent/src/walnutpost/agent/state_file.py
+++ b/packages/agent/src/walnutpost/agent/state_file.py
@@ -12,7 +12,7 @@
 
 from walnutpost.agent.errors import AgentFolderError
 from walnutpost.agent.versions import VersionStore
-from walnutpost.eventloop import Logger, Loop, remove_leftovers, replace_file
+from walnutpost.eventloop import Logger, Loop, remove_temporary_files, replace_file
 from walnutpost.fleet.agent_instance import DurableState
 
 REQUIRED_KEYS = frozenset({"agent", "current", "previous"})
@@ -72,7 +72,7 @@
     def _open(self, first: bytes) -> AgentState:
         self._versions.create_folder()
         for path in self._paths:
-            remove_leftovers(path)
+            remove_temporary_files(path)
         state = self._read()
         if state is not None:
             return replace(state, current=self._usable_version(state, first))
--- a/packages/cli/src/walnutpost/cli/keys.py
+++ b/packages/cli/src/walnutpost/cli/keys.py
@@ -19,7 +19,7 @@
 from walnutpost.eventloop import replace_file
 from walnutpost.fakes.authority import Authority
 from walnutpost.faultinjection.text_tables import align_columns
-from walnutpost.workerclient.tls_contexts import read_file
+from walnutpost.workerclient.tls_contexts import read_certificate_file
 
 NS_PER_US = 1000
 SERIAL_DIGITS = 16  # of a serial number that are shown
@@ -62,12 +62,12 @@
 
 
 def _show_certificates(base: Path, tls: TlsConfig, now_us: int) -> None:
-    roots = read_file(base / tls.roots)
+    roots = read_certificate_file(base / tls.roots)
     click.echo(f"{tls.roots}: {count_valid_roots(roots, now_us)} roots valid now")
     if tls.chain is None or tls.key is None:
         return
-    chain = read_file(base / tls.chain)
-    key = read_file(base / tls.key)
+    chain = read_certificate_file(base / tls.chain)
+    key = read_certificate_file(base / tls.key)
     own = verify_certificate_set(chain, key, roots, now_us, tls.chain)
     row = [
         ", ".join(own.names),
--- a/packages/config/src/walnutpost/config/conversion.py
+++ b/packages/config/src/walnutpost/config/conversion.py
@@ -83,7 +83,7 @@
         reports_warmth=True,
         reports_crowd=True,
         must_watch_endpoints=False,
-        has_weights=False,
+        has_endpoint_weights=False,
         weighs_priority_by_work=False,
         over_share_weight=site.over_share_weight,
         report_fields=tuple(site.report_fields),
--- a/packages/controlplane/src/walnutpost/controlplane/replica.py
+++ b/packages/controlplane/src/walnutpost/controlplane/replica.py
@@ -17,7 +17,7 @@
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.fleet import Fleet
 from walnutpost.http import Limits, Server
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.store.replica import ConsensusStore
 from walnutpost.watch.serving import WatchServer
 
@@ -65,7 +65,7 @@
         log.info("control_plane_listening", replica=stored.identity, address="{}:{}".format(*self.address))
 
     def _listen(self) -> Server:
-        return serve_on(
+        return start_server(
             self._loop,
             self._settings.listen,
             RequestHandler(self._context).serve,
--- a/packages/controlplane/tests/test_control_plane_client.py
+++ b/packages/controlplane/tests/test_control_plane_client.py
@@ -8,12 +8,12 @@
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.fleet import CommandResult, ResumePlan
 from walnutpost.http import Exchange, Response
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.testsupport.eventloop.scripted_sockets import (
     CONNECTION_FAULTS,
     Operation,
+    connected_to,
     scripted_sockets,
-    to,
 )
 
 SECOND = 1_000_000
@@ -30,7 +30,8 @@
 
     def body() -> None:
         servers = [
-            serve_on(loop, ("127.0.0.1", 0), handler, lambda error: Response(error.status)) for _ in range(2)
+            start_server(loop, ("127.0.0.1", 0), handler, lambda error: Response(error.status))
+            for _ in range(2)
         ]
         client = ControlPlaneClient(
             loop, {f"k{n}": server.address for n, server in enumerate(servers)}, 10 * SECOND, SECOND
@@ -38,7 +39,7 @@
         if operation == "socket":
             faults.fail(operation, number)
         else:
-            faults.fail(operation, number, when=to(servers[0].address))
+            faults.fail(operation, number, when=connected_to(servers[0].address))
         assert client.command("c1", ResumePlan("p1")).index == 7
         assert faults.failed[operation] == 1
 
--- a/packages/controlplane/tests/test_peers.py
+++ b/packages/controlplane/tests/test_peers.py
@@ -10,12 +10,12 @@
 from walnutpost.controlplane.peers import PeerConnection
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.http import Exchange, Limits, Response
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.testsupport.eventloop.scripted_sockets import (
     CONNECTION_FAULTS,
     Operation,
+    connected_to,
     scripted_sockets,
-    to,
 )
 
 REPLY_TIMEOUT_US = 50_000
@@ -31,7 +31,7 @@
         return Response(204)
 
     def body() -> tuple[int, int]:
-        server = serve_on(
+        server = start_server(
             loop,
             ("127.0.0.1", 0),
             handler,
@@ -65,12 +65,12 @@
         return Response(204)
 
     def body() -> None:
-        server = serve_on(loop, ("127.0.0.1", 0), handler, lambda error: Response(error.status))
+        server = start_server(loop, ("127.0.0.1", 0), handler, lambda error: Response(error.status))
         peer = PeerConnection(loop, lambda: server.address, REPLY_TIMEOUT_US)
         if operation == "socket":
             faults.fail(operation, number)
         else:
-            faults.fail(operation, number, when=to(server.address))
+            faults.fail(operation, number, when=connected_to(server.address))
         peer.send("k2", TimeoutNow(1, "k1"))
         with loop.timeout(10_000_000):
             while not peer.lost_count:
--- a/packages/dispatch/src/walnutpost/dispatch/answers.py
+++ b/packages/dispatch/src/walnutpost/dispatch/answers.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from walnutpost.eventloop import Logger
-from walnutpost.gateway import Failed, Final, Rejected, Served
+from walnutpost.gateway import Failed, FinalAnswer, Rejected, Served
 
 CALLER_LEFT_REASON = "the caller hung up"
 
@@ -29,7 +29,7 @@
     failed: int = 0
     abandoned: int = 0
 
-    def count(self, final: Final) -> None:
+    def count(self, final: FinalAnswer) -> None:
         """Count a final answer."""
         match final:
             case Served():
@@ -40,7 +40,9 @@
                 self.failed += 1
 
 
-def log_answer(log: Logger, final: Final | None, request_id: str, function: str, tenant: str | None) -> None:
+def log_answer(
+    log: Logger, final: FinalAnswer | None, request_id: str, function: str, tenant: str | None
+) -> None:
     """Log `request_answered` for a call that was not served.
 
     `final` is None if the caller left before the answer. Payloads are never logged.
--- a/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
+++ b/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
@@ -15,7 +15,7 @@
     CallArrived,
     CallerLeft,
     CallRequest,
-    Final,
+    FinalAnswer,
     Gateway,
     Input,
     LoadOrderEnded,
@@ -42,7 +42,7 @@
         self._gateway = gateway
         self._log = log
         self._last_caller_id = 0
-        self._on_final_by_caller: dict[int, Callable[[Final], None]] = {}
+        self._on_final_by_caller: dict[int, Callable[[FinalAnswer], None]] = {}
         self._hooks = hooks or DispatchHooks()
         self._effects = EffectRunner(loop, transport, self._hooks, log, self.feed, self._on_answered)
         self.answers = AnswerCounts()
@@ -78,7 +78,7 @@
         observer = self._hooks.observer
         return observer.rejection_for(function, tenant) if observer is not None else None
 
-    def submit(self, call: CallArrived, on_final: Callable[[Final], None]) -> None:
+    def submit(self, call: CallArrived, on_final: Callable[[FinalAnswer], None]) -> None:
         """Start a call. `on_final` gets its only final answer, possibly before `submit` returns."""
         if self._hooks.counter is not None:
             on_final = _combine_callbacks(self._hooks.counter.on_submitted(call), on_final)
@@ -104,7 +104,7 @@
         is_repeat: bool,
         watch_hangup: Callable[[Callable[[], None]], Callable[[], None]],
         /,
-    ) -> Final | None:
+    ) -> FinalAnswer | None:
         """Make a synchronous call and wait for its answer; return None if the caller leaves first.
 
         Implements `fronts.calls.Calls`. `watch_hangup` registers a callback that runs when the caller hangs
@@ -124,22 +124,24 @@
         self.log_answer(final, request.request_id, call.function, call.tenant)
         return final
 
-    def log_answer(self, final: Final | None, request_id: str, function: str, tenant: str | None) -> None:
+    def log_answer(
+        self, final: FinalAnswer | None, request_id: str, function: str, tenant: str | None
+    ) -> None:
         """Log `request_answered` for a call that was not served; `final` is None if the caller left."""
         log_answer(self._log, final, request_id, function, tenant)
 
     def _submit_and_wait(
         self, call: CallArrived, watch_hangup: Callable[[Callable[[], None]], Callable[[], None]]
-    ) -> Final | None:
+    ) -> FinalAnswer | None:
         task, token = self._loop.begin_wait()
 
-        def wake(final: Final | None) -> None:
+        def wake(final: FinalAnswer | None) -> None:
             self._loop.wake(task, token, final)
 
         stop_watching = watch_hangup(partial(wake, None))
         try:
             self.submit(call, wake)
-            final: Final | None = self._loop.park()
+            final: FinalAnswer | None = self._loop.park()
         finally:
             stop_watching()
             self.abandon(call.caller_id)
@@ -153,9 +155,9 @@
 
 
 def _combine_callbacks(
-    first: Callable[[Final], None], second: Callable[[Final], None]
-) -> Callable[[Final], None]:
-    def call_both(final: Final) -> None:
+    first: Callable[[FinalAnswer], None], second: Callable[[FinalAnswer], None]
+) -> Callable[[FinalAnswer], None]:
+    def call_both(final: FinalAnswer) -> None:
         first(final)
         second(final)
 
--- a/packages/dispatch/src/walnutpost/dispatch/interfaces.py
+++ b/packages/dispatch/src/walnutpost/dispatch/interfaces.py
@@ -9,7 +9,7 @@
 from walnutpost.gateway import (
     AttemptEnded,
     CallArrived,
-    Final,
+    FinalAnswer,
     LoadOrder,
     LoadOrderEnded,
     Probe,
@@ -93,7 +93,7 @@
 class AnswerCounter(Protocol):
     """Counts how calls end for their callers."""
 
-    def on_submitted(self, call: CallArrived) -> Callable[[Final], None]:
+    def on_submitted(self, call: CallArrived) -> Callable[[FinalAnswer], None]:
         """Record a new call, and return a function that records its final answer."""
 
     def on_abandoned(self) -> None:
--- a/packages/eventloop/src/walnutpost/eventloop/__init__.py
+++ b/packages/eventloop/src/walnutpost/eventloop/__init__.py
@@ -23,9 +23,9 @@
 )
 from walnutpost.eventloop.files import (
     FileCalls,
-    remove_leftovers,
+    remove_temporary_files,
     replace_file,
-    use_file_calls,
+    set_file_calls,
     write_all,
 )
 from walnutpost.eventloop.listener import Listener
@@ -64,9 +64,9 @@
     "WaitTimeoutError",
     "connect",
     "connect_tls",
-    "remove_leftovers",
+    "remove_temporary_files",
     "replace_file",
+    "set_file_calls",
     "tls_stream_factory",
-    "use_file_calls",
     "write_all",
 ]
--- a/packages/eventloop/src/walnutpost/eventloop/accept_errors.py
+++ b/packages/eventloop/src/walnutpost/eventloop/accept_errors.py
@@ -8,7 +8,7 @@
 from walnutpost.eventloop.logger import Logger
 from walnutpost.eventloop.loop import Loop
 
-MAX_ACCEPT_ERRORS_IN_ROW = 32  # the listener pauses after this many consecutive errors
+MAX_CONSECUTIVE_ACCEPT_ERRORS = 32  # the listener pauses after this many consecutive errors
 MIN_ACCEPT_BACKOFF_US = 1_000  # doubles with each pause until an accept succeeds
 MAX_ACCEPT_BACKOFF_US = 20_000
 ACCEPT_LOG_INTERVAL_US = 1_000_000  # minimum interval between two `accept_failed` events
@@ -49,7 +49,7 @@
     def record_error(self) -> bool:
         """Count an error; return whether a pause is due because too many errors occurred in a row."""
         self._consecutive_errors += 1
-        if self._consecutive_errors < MAX_ACCEPT_ERRORS_IN_ROW:
+        if self._consecutive_errors < MAX_CONSECUTIVE_ACCEPT_ERRORS:
             return False
         self._consecutive_errors = 0
         return True
--- a/packages/eventloop/src/walnutpost/eventloop/connecting.py
+++ b/packages/eventloop/src/walnutpost/eventloop/connecting.py
@@ -48,6 +48,6 @@
             raise OSError(code, os.strerror(code))
         return sock
     except BaseException:
-        loop.forget(sock.fileno())
+        loop.stop_watching(sock.fileno())
         sock.close()
         raise
--- a/packages/eventloop/src/walnutpost/eventloop/files.py
+++ b/packages/eventloop/src/walnutpost/eventloop/files.py
@@ -37,7 +37,7 @@
 _calls = FileCalls()
 
 
-def use_file_calls(calls: FileCalls) -> FileCalls:
+def set_file_calls(calls: FileCalls) -> FileCalls:
     """Replace the system calls that this module makes; return the previous ones."""
     global _calls
     previous, _calls = _calls, calls
@@ -75,7 +75,7 @@
     _sync_directory(path.parent)
 
 
-def remove_leftovers(path: Path) -> None:
+def remove_temporary_files(path: Path) -> None:
     """Remove temporary files that a killed process left behind while it replaced `path`.
 
     No process reads such files. Call this at startup, only in the single process that replaces `path`.
--- a/packages/eventloop/src/walnutpost/eventloop/listener.py
+++ b/packages/eventloop/src/walnutpost/eventloop/listener.py
@@ -99,7 +99,7 @@
     def close(self) -> None:
         """Close the listener. The kernel resets queued connections; waiting `accept` calls raise OSError."""
         if not self.closed:
-            self._loop.forget(self._sock.fileno())
+            self._loop.stop_watching(self._sock.fileno())
             self._sock.close()
             for end_pause in list(self._end_pause_callbacks):
                 end_pause()
--- a/packages/eventloop/src/walnutpost/eventloop/loop.py
+++ b/packages/eventloop/src/walnutpost/eventloop/loop.py
@@ -140,9 +140,9 @@
         """Call `callback` once when `fd` is writable or has an error; None removes the callback."""
         self._poller.set_writer(fd, callback)
 
-    def forget(self, fd: int) -> None:
+    def stop_watching(self, fd: int) -> None:
         """Stop watching a descriptor that is about to be closed; wake the tasks that wait for it."""
-        self._poller.forget(fd)
+        self._poller.stop_watching(fd)
 
     # Signals and the worker thread
 
--- a/packages/eventloop/src/walnutpost/eventloop/poller.py
+++ b/packages/eventloop/src/walnutpost/eventloop/poller.py
@@ -93,7 +93,7 @@
         if descriptor is not None:
             descriptor.writer = None
 
-    def forget(self, fd: int) -> None:
+    def stop_watching(self, fd: int) -> None:
         """Stop watching a descriptor that is about to be closed, and call its reader and writer."""
         descriptor = self._descriptors.pop(fd, None)
         if descriptor is None:
--- a/packages/eventloop/src/walnutpost/eventloop/streams.py
+++ b/packages/eventloop/src/walnutpost/eventloop/streams.py
@@ -69,7 +69,7 @@
             self._traffic_observer.on_bytes(self._number, False, data)
         return data
 
-    def recv_now(self, max_bytes: int = CHUNK_BYTES) -> bytes | None:
+    def recv_nowait(self, max_bytes: int = CHUNK_BYTES) -> bytes | None:
         """Return the data that the kernel has, without waiting: b"" at the end, None if there is none yet."""
         if self.closed:
             raise StreamClosedError
@@ -91,7 +91,7 @@
                 self._traffic_observer.on_bytes(self._number, True, bytes(view[:count]))
             view = view[count:]
 
-    def send_now(self, data: bytes) -> bytes:
+    def send_nowait(self, data: bytes) -> bytes:
         """Pass as much to the kernel as it accepts without waiting; return the rest, usually b""."""
         if self.closed:
             raise StreamClosedError
@@ -134,7 +134,7 @@
         if not self.closed:
             self._loop.on_writable(self._fd, callback)
 
-    def end_writing(self) -> None:
+    def shutdown_write(self) -> None:
         """Shut down the sending side; data from the peer can still be read."""
         if self.closed:
             raise StreamClosedError
@@ -150,7 +150,7 @@
         """Close the stream, and wake the tasks that wait for it."""
         if not self.closed:
             self.closed = True
-            self._loop.forget(self._fd)
+            self._loop.stop_watching(self._fd)
             self._sock.close()
             if self._traffic_observer is not None:
                 self._traffic_observer.on_closed(self._number)
--- a/packages/eventloop/src/walnutpost/eventloop/tls.py
+++ b/packages/eventloop/src/walnutpost/eventloop/tls.py
@@ -110,7 +110,7 @@
             view = view[count:]
             self._flush(has_payload=True)
 
-    def send_now(self, data: bytes) -> bytes:
+    def send_nowait(self, data: bytes) -> bytes:
         """Return all of `data` unsent: sending the rest of a partly sent TLS record could require a wait."""
         return data
 
--- a/packages/eventloop/src/walnutpost/eventloop/waker.py
+++ b/packages/eventloop/src/walnutpost/eventloop/waker.py
@@ -38,7 +38,7 @@
         """Close the socket pair."""
         if self._ends is not None:
             for end in self._ends:
-                self._poller.forget(end.fileno())
+                self._poller.stop_watching(end.fileno())
                 end.close()
             self._ends = None
 
--- a/packages/eventloop/tests/test_arrival_times.py
+++ b/packages/eventloop/tests/test_arrival_times.py
@@ -107,7 +107,7 @@
             loop.wait_readable(peer.fileno())
             peer.recv(1)
             measured_stalls_us.append(loop.now() - loop.arrived_after())
-        loop.forget(peer.fileno())
+        loop.stop_watching(peer.fileno())
         close_all(local, peer)
         return measured_stalls_us
 
--- a/packages/eventloop/tests/test_errors.py
+++ b/packages/eventloop/tests/test_errors.py
@@ -79,7 +79,7 @@
         stream = Stream(loop, local)
         stream.close()
         peer.close()
-        for method in (stream.recv, stream.recv_now, lambda: stream.send_all(b"x"), stream.end_writing):
+        for method in (stream.recv, stream.recv_nowait, lambda: stream.send_all(b"x"), stream.shutdown_write):
             with pytest.raises(StreamClosedError) as raised:
                 method()
             assert raised.value.errno == errno.ECONNABORTED
--- a/packages/eventloop/tests/test_files.py
+++ b/packages/eventloop/tests/test_files.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from walnutpost.eventloop import remove_leftovers, replace_file
+from walnutpost.eventloop import remove_temporary_files, replace_file
 from walnutpost.testsupport.store.disk_faults import scripted_files
 
 CALLS = ["write", "fsync", "rename", "fsync folder"]
@@ -45,6 +45,6 @@
     other_names = {"state", "state.0a1b2c3d.new.txt", "other.0a1b2c3d.new", "state.own.new"}
     for name in other_names | {"state.0a1b2c3d.new", "state.new"}:
         (tmp_path / name).write_bytes(b"half")
-    remove_leftovers(tmp_path / "state")
+    remove_temporary_files(tmp_path / "state")
     assert {path.name for path in tmp_path.iterdir()} == other_names
-    remove_leftovers(tmp_path / "nowhere" / "state")
+    remove_temporary_files(tmp_path / "nowhere" / "state")
--- a/packages/eventloop/tests/test_listener.py
+++ b/packages/eventloop/tests/test_listener.py
@@ -14,7 +14,7 @@
 from walnutpost.eventloop.accept_errors import (
     ACCEPT_LOG_INTERVAL_US,
     MAX_ACCEPT_BACKOFF_US,
-    MAX_ACCEPT_ERRORS_IN_ROW,
+    MAX_CONSECUTIVE_ACCEPT_ERRORS,
     MIN_ACCEPT_BACKOFF_US,
 )
 from walnutpost.eventloop.listener import MAX_ACCEPT_NOW_PAUSES
@@ -27,7 +27,7 @@
     start_accepting,
     wait_until,
 )
-from walnutpost.testsupport.eventloop.scripted_sockets import FOREVER, SocketFaults, at
+from walnutpost.testsupport.eventloop.scripted_sockets import UNLIMITED, SocketFaults, bound_to
 
 ACCEPT_ERROR_PARAMETERS = [
     pytest.param(error_number, id=errno.errorcode[error_number])
@@ -46,13 +46,13 @@
         for error_number in error_numbers
     ],
 )
-def test_listener_serves_on_after_any_error_of_accept(error_number: int, drops: bool) -> None:
+def test_listener_keeps_accepting_after_any_accept_error(error_number: int, drops: bool) -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         streams = start_accepting(loop, listener)
         clients: list[Stream] = []
         for failed in range(1, 4):
-            faults.fail("accept", error_number, when=at(listener.address), drops=drops)
+            faults.fail("accept", error_number, when=bound_to(listener.address), drops=drops)
             clients += [connect(loop, listener.address) for _ in range(4)]
             wait_until(loop, lambda: faults.failed["accept"] == failed)  # noqa: B023
         lost_connections = (3 if drops else 0) + listener.rejected_connections
@@ -65,17 +65,19 @@
 
 
 @pytest.mark.parametrize("error_number", ACCEPT_ERROR_PARAMETERS)
-def test_accepts_that_fail_repeatedly_are_paced_and_then_served(error_number: int) -> None:
+def test_repeated_accept_errors_cause_pauses_until_accept_succeeds(error_number: int) -> None:
     rounds = 60
 
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         streams, start_us = start_accepting(loop, listener), loop.now()
-        faults.fail("accept", error_number, rounds * MAX_ACCEPT_ERRORS_IN_ROW, when=at(listener.address))
+        faults.fail(
+            "accept", error_number, rounds * MAX_CONSECUTIVE_ACCEPT_ERRORS, when=bound_to(listener.address)
+        )
         client = connect(loop, listener.address)
         wait_until(loop, lambda: streams or listener.rejected_connections)
         elapsed_us = loop.now() - start_us
-        assert listener.accept_errors >= rounds * MAX_ACCEPT_ERRORS_IN_ROW // 2
+        assert listener.accept_errors >= rounds * MAX_CONSECUTIVE_ACCEPT_ERRORS // 2
         assert elapsed_us >= (rounds // 2 - 6) * MAX_ACCEPT_BACKOFF_US
         close_all(listener, client, *streams)
 
@@ -85,7 +87,9 @@
 def test_fewer_consecutive_accept_errors_than_the_limit_cause_no_pause() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
-        faults.fail("accept", errno.EPROTO, MAX_ACCEPT_ERRORS_IN_ROW - 1, when=at(listener.address))
+        faults.fail(
+            "accept", errno.EPROTO, MAX_CONSECUTIVE_ACCEPT_ERRORS - 1, when=bound_to(listener.address)
+        )
         client, start_us = connect(loop, listener.address), loop.now()
         stream = listener.accept()
         assert loop.now() == start_us
@@ -99,7 +103,9 @@
         listener = Listener(loop, LOCAL)
         closables: list[Any] = [listener]
         for _ in range(3):
-            faults.fail("accept", errno.EPROTO, MAX_ACCEPT_ERRORS_IN_ROW, when=at(listener.address))
+            faults.fail(
+                "accept", errno.EPROTO, MAX_CONSECUTIVE_ACCEPT_ERRORS, when=bound_to(listener.address)
+            )
             closables.append(connect(loop, listener.address))
             start_us = loop.now()
             closables.append(listener.accept())
@@ -121,9 +127,9 @@
                 errors.append(error)
 
         task = loop.spawn(accept)
-        faults.fail("accept", errno.EPERM, FOREVER, when=at(listener.address))
+        faults.fail("accept", errno.EPERM, UNLIMITED, when=bound_to(listener.address))
         client = connect(loop, listener.address)
-        wait_until(loop, lambda: listener.accept_errors >= 10 * MAX_ACCEPT_ERRORS_IN_ROW)
+        wait_until(loop, lambda: listener.accept_errors >= 10 * MAX_CONSECUTIVE_ACCEPT_ERRORS)
         closed_us = loop.now()
         listener.close()
         task.join()
@@ -134,12 +140,12 @@
     run_with_faults(script)
 
 
-def test_accept_now_returns_every_queued_connection_whatever_accept_raises_between() -> None:
+def test_accept_now_returns_every_queued_connection_despite_accept_errors() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         clients = [connect(loop, listener.address) for _ in range(20)]
         for after in range(0, 20, 2):
-            faults.fail("accept", errno.ENETDOWN, after=after, when=at(listener.address))
+            faults.fail("accept", errno.ENETDOWN, after=after, when=bound_to(listener.address))
         streams: list[Stream] = []
         while (stream := listener.accept_now()) is not None:
             streams.append(stream)
@@ -153,17 +159,17 @@
 def test_accept_now_raises_if_every_accept_fails() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
-        faults.fail("accept", errno.EPERM, FOREVER, when=at(listener.address))
+        faults.fail("accept", errno.EPERM, UNLIMITED, when=bound_to(listener.address))
         client = connect(loop, listener.address)
         with pytest.raises(PermissionError):
             listener.accept_now()
-        assert listener.accept_errors == (MAX_ACCEPT_NOW_PAUSES + 1) * MAX_ACCEPT_ERRORS_IN_ROW
+        assert listener.accept_errors == (MAX_ACCEPT_NOW_PAUSES + 1) * MAX_CONSECUTIVE_ACCEPT_ERRORS
         close_all(listener, client)
 
     run_with_faults(script)
 
 
-def test_task_cancelled_while_accepting_leaves_each_connection_to_the_next() -> None:
+def test_cancelling_an_accepting_task_loses_no_connection() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
         clients = [connect(loop, listener.address) for _ in range(100)]
@@ -211,7 +217,7 @@
     run_with_faults(script)
 
 
-def test_connection_without_free_descriptor_is_rejected_at_once_and_the_next_is_served() -> None:
+def test_connection_is_rejected_if_no_descriptor_is_free_and_the_next_one_is_served() -> None:
     loop = Loop()
 
     def main() -> None:
--- a/packages/eventloop/tests/test_poller.py
+++ b/packages/eventloop/tests/test_poller.py
@@ -7,7 +7,7 @@
 from walnutpost.testsupport.eventloop.fixtures import virtual_loop
 
 
-def test_event_of_a_closed_socket_is_not_delivered_to_the_next_one_with_its_number() -> None:
+def test_event_of_a_closed_socket_is_not_delivered_to_a_new_socket_with_its_number() -> None:
     """Both sockets are ready in one round; the callback of the first closes and reopens the second."""
     loop, received = virtual_loop(), list[str]()
 
@@ -17,7 +17,7 @@
 
         def reopen_second() -> None:
             fd = pairs[1][0].fileno()
-            loop.forget(fd)
+            loop.stop_watching(fd)
             pairs[1][0].close()
             new_pair.extend(socket.socketpair())
             assert new_pair[0].fileno() == fd
@@ -33,7 +33,7 @@
         new_pair[1].send(b"new")
         loop.sleep(1000)
         for sock in (*pairs[0], pairs[1][1], *new_pair):
-            loop.forget(sock.fileno())
+            loop.stop_watching(sock.fileno())
             sock.close()
 
     loop.run(main)
@@ -50,7 +50,7 @@
         fd = local.fileno()
         loop.on_writable(fd, lambda: loop.on_readable(fd, lambda: called.append("reader")))
         loop.sleep(10_000)
-        loop.forget(fd)
+        loop.stop_watching(fd)
         local.close()
 
     loop.run(main)
--- a/packages/eventloop/tests/test_signals_and_blocking.py
+++ b/packages/eventloop/tests/test_signals_and_blocking.py
@@ -24,7 +24,7 @@
     loop.run(main)
 
 
-def test_error_of_a_signals_callback_leaves_the_next_signal_delivered() -> None:
+def test_signal_is_delivered_after_an_error_in_a_signal_callback() -> None:
     errors: list[tuple[str, BaseException]] = []
     loop, delivered = virtual_loop(errors), list[int]()
 
--- a/packages/eventloop/tests/test_streams.py
+++ b/packages/eventloop/tests/test_streams.py
@@ -11,7 +11,12 @@
 
 from walnutpost.eventloop import Listener, Loop, connect
 from walnutpost.testsupport.eventloop.fixtures import LOCAL, close_all, run_with_faults
-from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, at, scripted_sockets, to
+from walnutpost.testsupport.eventloop.scripted_sockets import (
+    SocketFaults,
+    bound_to,
+    connected_to,
+    scripted_sockets,
+)
 
 SETUP_FAULTS = [
     pytest.param(operation, error_number, id=f"{operation}-{errno.errorcode[error_number]}")
@@ -49,16 +54,16 @@
 def test_data_arrives_unchanged_despite_short_reads_and_writes() -> None:
     def script(loop: Loop, faults: SocketFaults) -> None:
         listener = Listener(loop, LOCAL)
-        faults.shorten("recv", 1, when=at(listener.address))
-        faults.shorten("send", 3, when=to(listener.address))
+        faults.shorten("recv", 1, when=bound_to(listener.address))
+        faults.shorten("send", 3, when=connected_to(listener.address))
         client = connect(loop, listener.address)
         stream, data = listener.accept(), os.urandom(1000)
         client.send_all(data)
-        unsent = client.send_now(data)
+        unsent = client.send_nowait(data)
         assert unsent == data[3:]
         assert client.has_sent
         client.send_all(unsent)
-        client.end_writing()
+        client.shutdown_write()
         received = list(iter(stream.recv, b""))
         assert b"".join(received) == data * 2
         assert {len(part) for part in received} == {1}
@@ -69,7 +74,7 @@
 
 def test_socket_without_a_matching_fault_works_normally() -> None:
     with scripted_sockets() as faults:
-        faults.fail("connect", errno.EPERM, when=to(("127.0.0.1", 1)))
+        faults.fail("connect", errno.EPERM, when=connected_to(("127.0.0.1", 1)))
         local, peer = socket.socketpair()
         local.send(b"as ever")
         assert peer.recv(10) == b"as ever"
--- a/packages/fakes/src/walnutpost/fakes/store.py
+++ b/packages/fakes/src/walnutpost/fakes/store.py
@@ -6,7 +6,7 @@
 
 from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.http import Connection, Exchange, HttpMessageError, Response, Server
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 
 FETCH_TIMEOUT_US = 60_000_000
 
@@ -51,7 +51,7 @@
     def __init__(self, loop: Loop, store: LocalStore, address: tuple[str, int]) -> None:
         """Listen at the address; raises OSError."""
         self._store = store
-        self.server: Server = serve_on(loop, address, self._handle, _bad_request)
+        self.server: Server = start_server(loop, address, self._handle, _bad_request)
 
     def _handle(self, exchange: Exchange) -> Response:
         path, _, usual = exchange.request.target.decode("latin-1").partition("?")
--- a/packages/fakes/src/walnutpost/fakes/worker.py
+++ b/packages/fakes/src/walnutpost/fakes/worker.py
@@ -19,7 +19,7 @@
 from walnutpost.fakes.reactions import CallEnded, CallOutcome, LoadOrderEnded, LoadOrderOutcome
 from walnutpost.fakes.store import PackageStore
 from walnutpost.http import Exchange, HttpMessageError, Response, Server, encode_response
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.metering import UsageReport
 from walnutpost.workerclient import codec, orca
 
@@ -60,7 +60,7 @@
         self._traffic_observer = traffic_observer
         self._runner = ModelRunner(loop, model, store, traffic_observer)
         self._responsive_again = Event(loop)
-        self.server: Server = serve_on(
+        self.server: Server = start_server(
             loop,
             address,
             self._handle,
--- a/packages/faultinjection/tests/test_network_faults.py
+++ b/packages/faultinjection/tests/test_network_faults.py
@@ -8,7 +8,7 @@
 
 from walnutpost.eventloop import Listener, Loop, VirtualClock, connect
 from walnutpost.faultinjection.network import LinkProxy
-from walnutpost.testsupport.eventloop.scripted_sockets import at, scripted_sockets, to
+from walnutpost.testsupport.eventloop.scripted_sockets import bound_to, connected_to, scripted_sockets
 
 
 @pytest.mark.parametrize("number", [errno.EPROTO, errno.ENETDOWN, errno.EPERM])
@@ -18,8 +18,8 @@
     def body() -> None:
         target = Listener(loop, ("127.0.0.1", 0))
         proxy = LinkProxy(loop, lambda: target.address)
-        faults.fail("accept", number, times=3, when=at(proxy.address))
-        faults.fail("connect", number, when=to(target.address))
+        faults.fail("accept", number, times=3, when=bound_to(proxy.address))
+        faults.fail("connect", number, when=connected_to(target.address))
         with loop.timeout(10_000_000):
             with pytest.raises(ConnectionResetError):  # as it connects, or after
                 connect(loop, proxy.address).recv()
--- a/packages/gateway/src/walnutpost/gateway/__init__.py
+++ b/packages/gateway/src/walnutpost/gateway/__init__.py
@@ -44,7 +44,7 @@
     ProbeEnded,
     WorkersListed,
 )
-from walnutpost.gateway.messages import Failed, Failure, Final, Rejected, Served
+from walnutpost.gateway.messages import Failed, Failure, FinalAnswer, Rejected, Served
 from walnutpost.interface import ShuttingDown, TimerDue
 
 __all__ = [
@@ -63,7 +63,7 @@
     "ExecutionStatus",
     "Failed",
     "Failure",
-    "Final",
+    "FinalAnswer",
     "Function",
     "Gateway",
     "Input",
--- a/packages/gateway/src/walnutpost/gateway/core.py
+++ b/packages/gateway/src/walnutpost/gateway/core.py
@@ -19,7 +19,7 @@
     ProbeEnded,
     WorkersListed,
 )
-from walnutpost.gateway.messages import Failed, Failure, Final, Rejected, Served
+from walnutpost.gateway.messages import Failed, Failure, FinalAnswer, Rejected, Served
 from walnutpost.gateway.recent_outcomes import RecentOutcomes
 from walnutpost.gateway.router_translator import RouterTranslator
 from walnutpost.interface import Outcome
@@ -208,7 +208,7 @@
                 worker=self._translator.workers.number(worker),
                 outcome=outcome,
                 latency_us=event.latency_us,
-                is_finished=call.is_answered,
+                is_request_finished=call.is_answered,
                 warmth=event.warmth,
                 crowd=event.crowd,
                 report=event.report,
@@ -216,7 +216,7 @@
         )
         self._calls.remove_if_ended(call)
 
-    def _end(self, call: Call, final: Final | None) -> None:
+    def _end(self, call: Call, final: FinalAnswer | None) -> None:
         """End the call and answer its callers, or give them no answer if `final` is None.
 
         This is the only place that gives final answers, and it does nothing for a call that has ended, so a
--- a/packages/gateway/src/walnutpost/gateway/effects.py
+++ b/packages/gateway/src/walnutpost/gateway/effects.py
@@ -6,14 +6,14 @@
 
 from __future__ import annotations
 
-from walnutpost.gateway.messages import Final, Message
+from walnutpost.gateway.messages import FinalAnswer, Message
 
 
 class AnswerCaller(Message, frozen=True):
     """Give the caller its only final answer."""
 
     caller_id: int
-    final: Final
+    final: FinalAnswer
 
 
 class Send(Message, frozen=True):
@@ -23,8 +23,8 @@
     call belongs to no tenant. `caller_id` is the first caller that waits for the call, 0 if none does.
 
     Cancel the attempt after `timeout_us`. If its first byte has not been sent within `begin_within_us` (0: no
-    limit), the attempt must not begin any more and ends as MOOT. If `must_persist_intent`, the intent to send
-    must be durable before the first byte is sent.
+    limit), the attempt must not begin any more and ends as EXPIRED. If `must_persist_intent`, the intent to
+    send must be durable before the first byte is sent.
     """
 
     call: int
--- a/packages/gateway/src/walnutpost/gateway/executions.py
+++ b/packages/gateway/src/walnutpost/gateway/executions.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, replace
 from enum import Enum
 
-from walnutpost.gateway.messages import Failed, Failure, Final, Rejected, Served
+from walnutpost.gateway.messages import Failed, Failure, FinalAnswer, Rejected, Served
 from walnutpost.interface import Effect
 
 
@@ -104,7 +104,7 @@
     return execution.expires_at - now
 
 
-def with_final_status(execution: Execution, final: Final, now: int) -> Execution:
+def with_final_status(execution: Execution, final: FinalAnswer, now: int) -> Execution:
     """Return a copy of the execution with the status, result and error of its final answer."""
     match final:
         case Served(payload):
--- a/packages/gateway/src/walnutpost/gateway/inputs.py
+++ b/packages/gateway/src/walnutpost/gateway/inputs.py
@@ -103,7 +103,8 @@
 
     `zone` and `cell` are the numbers of its zone and cell. `kind` is an index into
     `Settings.memory_mb_by_kind`. `weight` is its share of the load relative to the other workers, used if
-    `Settings.has_weights`. `started_at_us` is the time of its start, 0 if that is long ago or unknown.
+    `Settings.has_endpoint_weights`. `started_at_us` is the time of its start, 0 if that is long ago or
+    unknown.
     """
 
     name: str
--- a/packages/gateway/src/walnutpost/gateway/messages.py
+++ b/packages/gateway/src/walnutpost/gateway/messages.py
@@ -53,4 +53,4 @@
     payload: bytes | None = None
 
 
-Final = Served | Rejected | Failed
+FinalAnswer = Served | Rejected | Failed
--- a/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
+++ b/packages/gateway/src/walnutpost/gateway/recent_outcomes.py
@@ -6,7 +6,7 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-from walnutpost.gateway.messages import Final, Rejected, Served
+from walnutpost.gateway.messages import FinalAnswer, Rejected, Served
 from walnutpost.interface import Effect
 
 ENTRY_BYTES = 400  # memory of an entry without its payload
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OutcomeEntry:
-    final: Final
+    final: FinalAnswer
     expires_us: int
     size_bytes: int
 
@@ -42,7 +42,7 @@
         """Return the number of the open call with this identity, or None."""
         return self._open.get(identity)
 
-    def outcome(self, now_us: int, identity: Hashable) -> Final | None:
+    def outcome(self, now_us: int, identity: Hashable) -> FinalAnswer | None:
         """Return the remembered outcome of the call with this identity, or None."""
         self._remove_expired(now_us)
         known = self._pinned.get(identity) or self._evictable.get(identity)
@@ -62,7 +62,7 @@
         """Record the number of an open call."""
         self._open[identity] = call
 
-    def record_end(self, now_us: int, identity: Hashable, effect: Effect, final: Final | None) -> None:
+    def record_end(self, now_us: int, identity: Hashable, effect: Effect, final: FinalAnswer | None) -> None:
         """Record that the call has ended; if `final` is None, no outcome is kept."""
         self._open.pop(identity, None)
         if final is None or isinstance(final, Rejected):
--- a/packages/gateway/tests/test_executions_golden.py
+++ b/packages/gateway/tests/test_executions_golden.py
@@ -7,7 +7,7 @@
 from walnutpost.gateway import Execution, ExecutionStatus, Failed, Failure, Rejected, Served
 from walnutpost.gateway.catalogue import name_hash
 from walnutpost.gateway.executions import with_final_status
-from walnutpost.gateway.messages import Final
+from walnutpost.gateway.messages import FinalAnswer
 from walnutpost.interface import Effect
 from walnutpost.testsupport.golden.files import assert_as_golden, json_lines, values_of
 
@@ -24,7 +24,7 @@
     expires_at=100,
     intended=True,
 )
-FINAL_ANSWERS: dict[str, tuple[Final, int]] = {  # final answers with the time of each
+FINAL_ANSWERS: dict[str, tuple[FinalAnswer, int]] = {  # final answers with the time of each
     "served": (Served(b"result\x00", "worker-1", "4"), 50),
     "refused": (Rejected("no room", 5), 50),
     "refused, and its time is over": (Rejected("no room"), 100),
--- a/packages/http/src/walnutpost/http/server.py
+++ b/packages/http/src/walnutpost/http/server.py
@@ -133,7 +133,7 @@
                 return
 
     def _send_response(self, stream: Stream, response: Response) -> None:
-        remaining = stream.send_now(encode_response(response))
+        remaining = stream.send_nowait(encode_response(response))
         if remaining:
             with self._loop.timeout(self._limits.body_timeout_us):
                 stream.send_all(remaining)
@@ -204,7 +204,7 @@
             stream.send_all(data)
 
 
-def serve_on(
+def start_server(
     loop: Loop,
     address: tuple[str, int],
     handler: Handler,
--- a/packages/http/tests/test_http_server.py
+++ b/packages/http/tests/test_http_server.py
@@ -10,7 +10,7 @@
 
 from walnutpost.eventloop import Loop, VirtualClock, connect
 from walnutpost.http import Connection, Exchange, Response, Server, encode_request
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.testsupport.http.fixtures import (
     LIMITS,
     LOCAL,
@@ -89,7 +89,7 @@
         return echo(exchange)
 
     def main() -> None:
-        server = serve_on(loop, LOCAL, handler, error_response, LIMITS)
+        server = start_server(loop, LOCAL, handler, error_response, LIMITS)
         with pytest.raises(OSError):
             Connection.open(loop, server.address).request("GET", "/bad")
         assert Connection.open(loop, server.address).request("GET", "/good").status == 200
--- a/packages/http/tests/test_server_faults.py
+++ b/packages/http/tests/test_server_faults.py
@@ -10,7 +10,12 @@
 
 from walnutpost.eventloop import Loop
 from walnutpost.http import Connection, Server
-from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, at, scripted_sockets, to
+from walnutpost.testsupport.eventloop.scripted_sockets import (
+    SocketFaults,
+    bound_to,
+    connected_to,
+    scripted_sockets,
+)
 from walnutpost.testsupport.http.fixtures import ACCEPT_ERRORS, SECOND, run_with_server
 
 
@@ -41,7 +46,7 @@
 
     def script(loop: Loop, server: Server, faults: SocketFaults) -> None:
         for after in (0, 1, 4, 9):
-            faults.fail("accept", error_number, times=2, after=after, when=at(server.address))
+            faults.fail("accept", error_number, times=2, after=after, when=bound_to(server.address))
         for n in range(10):
             connection = Connection.open(loop, server.address)
             assert connection.request("POST", "/", body=b"%d" % n).body == b"%d" % n
@@ -65,8 +70,8 @@
 def test_messages_transferred_one_byte_at_a_time_arrive_complete() -> None:
     def script(loop: Loop, server: Server, faults: SocketFaults) -> None:
         for operation in ("send", "recv"):
-            faults.shorten(operation, 1, when=at(server.address))
-            faults.shorten(operation, 1, when=to(server.address))
+            faults.shorten(operation, 1, when=bound_to(server.address))
+            faults.shorten(operation, 1, when=connected_to(server.address))
         connection = Connection.open(loop, server.address)
         for body in (b"first", b"second" * 50):
             assert connection.request("POST", "/", body=body).body == body
@@ -77,11 +82,11 @@
 
 @pytest.mark.parametrize("operation", ["send", "recv"])
 @pytest.mark.parametrize("error_number", [errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.ENETDOWN, errno.ENOBUFS])
-def test_error_on_a_connection_in_use_ends_that_one_only(operation: Any, error_number: int) -> None:
+def test_socket_error_ends_only_its_own_connection(operation: Any, error_number: int) -> None:
     def script(loop: Loop, server: Server, faults: SocketFaults) -> None:
         first, second = (Connection.open(loop, server.address) for _ in range(2))
         assert first.request("GET", "/").status == second.request("GET", "/").status == 200
-        faults.fail(operation, error_number, when=at(server.address))
+        faults.fail(operation, error_number, when=bound_to(server.address))
         with pytest.raises(OSError):
             first.request("GET", "/")
         assert second.request("POST", "/", body=b"goes on").body == b"goes on"
--- a/packages/interface/src/walnutpost/interface/actions.py
+++ b/packages/interface/src/walnutpost/interface/actions.py
@@ -19,7 +19,7 @@
     begin_within_us: int = 0
     """How long the decision is valid; 0 means no limit.
 
-    If the first byte has not been sent by then, the attempt must not begin any more and ends as MOOT.
+    If the first byte has not been sent by then, the attempt must not begin any more and ends as EXPIRED.
     """
 
 
--- a/packages/interface/src/walnutpost/interface/events.py
+++ b/packages/interface/src/walnutpost/interface/events.py
@@ -25,7 +25,7 @@
     """The number of the worker's cell: a group of workers that share idempotency keys (`DedupScope.CELL`)."""
     state: WorkerState
     weight: float
-    """The worker's weight in load balancing, used only if `Settings.has_weights`."""
+    """The worker's weight in load balancing, used only if `Settings.has_endpoint_weights`."""
     started_at_us: int
     """When the worker started; 0 if that is unknown or long ago."""
 
@@ -90,7 +90,7 @@
     outcome: Outcome
     latency_us: int
     """The time from the start of the attempt to its end."""
-    is_finished: bool
+    is_request_finished: bool
     """Whether the client now has its final answer to the request."""
     warmth: Warmth
     """The state in which the request found its copy of the function."""
@@ -113,7 +113,7 @@
 
     The outcome tells whether the order reached the worker:
 
-    - MOOT and CONNECT_FAILED: the worker never receives the complete order.
+    - EXPIRED and CONNECT_FAILED: the worker never receives the complete order.
     - RESET and TIMEOUT: the worker may have received it or may still receive it. A paused worker later reads
       the data that its kernel has buffered, even after a reset.
     - Any other outcome: the worker answered the order.
--- a/packages/interface/src/walnutpost/interface/settings.py
+++ b/packages/interface/src/walnutpost/interface/settings.py
@@ -131,7 +131,7 @@
     """Whether workers report `AttemptEnded.crowd`."""
     must_watch_endpoints: bool
     """Whether the endpoint list arrives only after a `WatchEndpoints` action."""
-    has_weights: bool
+    has_endpoint_weights: bool
     """Whether the endpoint list has weights; if not, a worker's weight follows from its memory."""
     weighs_priority_by_work: bool
     """Whether priority is weighted by the work of a request."""
@@ -146,5 +146,5 @@
 
     On a real network, load orders may arrive much later, and clients may duplicate or forge requests.
     """
-    are_restarts_unseen: bool = False
+    may_miss_restarts: bool = False
     """Whether a previous process of the same name may have ended just before this start without any trace."""
--- a/packages/interface/src/walnutpost/interface/vocabulary.py
+++ b/packages/interface/src/walnutpost/interface/vocabulary.py
@@ -44,7 +44,7 @@
     """The connection broke; it may have run."""
     CANCELLED = "cancelled"
     """It was cancelled; it may have run."""
-    MOOT = "moot"
+    EXPIRED = "moot"
     """It did not begin in time (`Send.begin_within_us`), so it must not begin any more; nothing ran."""
     MISS = "miss"
     """The worker has no copy of the function; nothing ran."""
--- a/packages/node/src/walnutpost/node/client_connection.py
+++ b/packages/node/src/walnutpost/node/client_connection.py
@@ -224,7 +224,7 @@
             return
         self.is_lingering = True
         try:
-            self._stream.end_writing()
+            self._stream.shutdown_write()
         except OSError:
             self.close()
             return
--- a/packages/node/src/walnutpost/node/client_input.py
+++ b/packages/node/src/walnutpost/node/client_input.py
@@ -110,7 +110,7 @@
         size = 0
         may_have_more = True
         while may_have_more:
-            data = self._stream.recv_now(rpc.MAX_READ_BYTES)
+            data = self._stream.recv_nowait(rpc.MAX_READ_BYTES)
             if data and not is_discarding:
                 parsed, error = self._parser.feed(data)
                 messages += parsed
--- a/packages/node/src/walnutpost/node/client_output.py
+++ b/packages/node/src/walnutpost/node/client_output.py
@@ -80,4 +80,4 @@
         self._unsent += b"".join(self._written)
         self._written.clear()
         if self._unsent:
-            self._unsent = self._stream.send_now(self._unsent)
+            self._unsent = self._stream.send_nowait(self._unsent)
--- a/packages/node/src/walnutpost/node/client_requests.py
+++ b/packages/node/src/walnutpost/node/client_requests.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from functools import partial
 
-from walnutpost.gateway import CallArrived, Failed, Final, Function, Rejected, Served
+from walnutpost.gateway import CallArrived, Failed, FinalAnswer, Function, Rejected, Served
 from walnutpost.node import rpc
 from walnutpost.node.client_context import MAX_OPEN_REQUESTS, ClientContext
 from walnutpost.node.client_input import Batch, ClientInput
@@ -239,7 +239,7 @@
             waited_us=waited_us,
         )
 
-    def _answer(self, message_id: int, caller_id: int, final: Final) -> None:
+    def _answer(self, message_id: int, caller_id: int, final: FinalAnswer) -> None:
         self._context.requests.remove(caller_id)
         if self.open.pop(message_id, None) is None:
             return
--- a/packages/node/src/walnutpost/node/config.py
+++ b/packages/node/src/walnutpost/node/config.py
@@ -80,7 +80,7 @@
 
 def _parse_values(root: dict[str, Any]) -> Config:
     section = SettingsSection(root["settings"], "settings.")
-    settings = replace(parse_settings(json.dumps(root["settings"]).encode()), are_restarts_unseen=True)
+    settings = replace(parse_settings(json.dumps(root["settings"]).encode()), may_miss_restarts=True)
     policy_limits = section.section("PolicyLimits")
     process_limits = SettingsSection(root.get("limits") or {}, "limits.")
     return Config(
@@ -92,7 +92,7 @@
         settings=settings,
         classes=tuple(str(profile.require("Name")) for profile in section.sections("Profiles")),
         tenants=tuple(str(realm.require("Name")) for realm in section.sections("Realms")),
-        topology_names=_parse_topology_names(section, settings.has_weights),
+        topology_names=_parse_topology_names(section, settings.has_endpoint_weights),
         report_fields=tuple(map(str, section.section("Reporting").items("Fields"))),
         connect_timeout_us=policy_limits.require_integer("DialTimeout"),
         idle_timeout_us=policy_limits.require_integer("ConnIdle"),
--- a/packages/node/src/walnutpost/node/discovery.py
+++ b/packages/node/src/walnutpost/node/discovery.py
@@ -84,7 +84,7 @@
 
     def _close_socket(self) -> None:
         if self._sock is not None:
-            self._loop.forget(self._sock.fileno())
+            self._loop.stop_watching(self._sock.fileno())
             self._sock.close()
             self._sock = None
 
--- a/packages/node/src/walnutpost/node/resp.py
+++ b/packages/node/src/walnutpost/node/resp.py
@@ -24,7 +24,7 @@
     b"MISS": Outcome.MISS,
     b"BUSY": Outcome.FULL,
     b"ERR": Outcome.ERROR,
-    b"VOID": Outcome.MOOT,
+    b"VOID": Outcome.EXPIRED,
 }
 PROBE_OUTCOME_BY_STATUS = {b"UP": Outcome.OK, b"DOWN": Outcome.ERROR}
 WARMTH_BY_DETAIL = {
--- a/packages/node/src/walnutpost/node/worker_commands.py
+++ b/packages/node/src/walnutpost/node/worker_commands.py
@@ -62,7 +62,7 @@
         )
         self._attempts[effect.call, effect.attempt] = exchange
         if identity is None:  # the client left while the policy decided
-            self._loop.call_soon(partial(exchange.finish, Outcome.MOOT))
+            self._loop.call_soon(partial(exchange.finish, Outcome.EXPIRED))
             return
         self._start(effect.worker, exchange)
 
@@ -182,7 +182,7 @@
         was_sent = exchange.progress is SendProgress.SENT
         if exchange.connection is not None:
             exchange.connection.abandon(exchange)
-        exchange.finish(Outcome.TIMEOUT if was_sent else Outcome.MOOT)
+        exchange.finish(Outcome.TIMEOUT if was_sent else Outcome.EXPIRED)
 
     def _is_awaited(self, caller_id: int) -> bool:
         return self._identity_for_attempt(caller_id) is not None
--- a/packages/node/src/walnutpost/node/worker_connection.py
+++ b/packages/node/src/walnutpost/node/worker_connection.py
@@ -156,7 +156,7 @@
         """Send as much as the kernel accepts, and the rest when the socket is writable."""
         while self._outbox.has_pending:
             data = self._outbox.next_chunk(now_us)
-            sent = len(data) - len(self.stream.send_now(data))
+            sent = len(data) - len(self.stream.send_nowait(data))
             self._outbox.mark_sent(sent, now_us)
             if sent < len(data):
                 self._is_flush_due = True
@@ -177,7 +177,7 @@
         The report is deferred because its handler may send another command on this connection.
         """
         if self._remove_unsent(exchange):
-            self._loop.call_soon(partial(exchange.finish, Outcome.MOOT))
+            self._loop.call_soon(partial(exchange.finish, Outcome.EXPIRED))
             self._on_detached()
 
     # Receiving
@@ -194,7 +194,7 @@
         if self.is_closed:
             return False
         try:
-            data = self.stream.recv_now()
+            data = self.stream.recv_nowait()
         except OSError:
             data = b""
         if data == b"":
--- a/packages/node/src/walnutpost/node/worker_pool.py
+++ b/packages/node/src/walnutpost/node/worker_pool.py
@@ -53,7 +53,7 @@
             connection.send(exchange)
             return
         # If the worker is listed, the node itself had no file descriptor for a connection.
-        outcome = Outcome.MOOT if worker in self._addresses else Outcome.CONNECT_FAILED
+        outcome = Outcome.EXPIRED if worker in self._addresses else Outcome.CONNECT_FAILED
         self.loop.call_soon(partial(exchange.finish, outcome))
 
     def select(self, worker: str, id: bytes, prefer_new: bool = False) -> WorkerConnection | None:
--- a/packages/node/tests/test_call_deadline.py
+++ b/packages/node/tests/test_call_deadline.py
@@ -90,7 +90,7 @@
         delayed.release()
         harness.wait_until(lambda: ended)
         harness.loop.sleep(SECOND_US)
-        assert [done.outcome for done in ended] == [Outcome.MOOT]
+        assert [done.outcome for done in ended] == [Outcome.EXPIRED]
         assert not worker.calls()
 
     monkeypatch.setattr(connection_module, "POLL_BEFORE_SEND_AFTER_US", SECOND_US)
@@ -106,7 +106,7 @@
         harness.wait_until(lambda: ended)
         delayed.release()
         harness.loop.sleep(SECOND_US)
-        assert [done.outcome for done in ended] == [Outcome.MOOT]
+        assert [done.outcome for done in ended] == [Outcome.EXPIRED]
         assert not worker.calls()
 
     run_scenario(scenario, workers=1)
--- a/packages/node/tests/test_client_backpressure.py
+++ b/packages/node/tests/test_client_backpressure.py
@@ -69,7 +69,7 @@
             sent.append(data)
             return b""
 
-        monkeypatch.setattr(connection._stream, "send_now", accept_all)
+        monkeypatch.setattr(connection._stream, "send_nowait", accept_all)
         large = bytes(120_000)
         for caller_id in list(connection.open.values()):
             harness.node.dispatcher._on_final_by_caller[caller_id](Served(large, worker.name, ""))
--- a/packages/node/tests/test_client_departure.py
+++ b/packages/node/tests/test_client_departure.py
@@ -41,7 +41,7 @@
         silence_workers(harness)
         message_id = client.send()
         harness.wait_until(lambda: len(worker.calls()) == 2)
-        client.stream.end_writing()
+        client.stream.shutdown_write()
         assert client.next_answer() == [1, message_id, INTERNAL_ERROR, None]
         assert client.next_answer() is None
         assert harness.node.dispatcher.open_calls == 0
@@ -57,7 +57,7 @@
         client.send_raw(
             encode_request(2) + encode_request(3) + msgpack.packb([2, "interrupt", [3]]) + encode_request(4)
         )
-        client.stream.end_writing()
+        client.stream.shutdown_write()
         assert [client.next_answer(), client.next_answer()] == [
             [1, 2, OVERLOADED_ERROR, None],
             [1, 4, OVERLOADED_ERROR, None],
@@ -73,7 +73,7 @@
         client = harness.client()
         message_id = client.send()
         harness.wait_until(lambda: only_client_connection(harness).open)
-        client.stream.end_writing()
+        client.stream.shutdown_write()
         assert client.next_answer() == [1, message_id, OVERLOADED_ERROR, None]
         assert client.next_answer() is None
         assert harness.node.dispatcher.open_calls == 0
@@ -91,7 +91,7 @@
         client.send()
         harness.wait_until(lambda: len(worker.calls()) == 2)
         FullReceiveWindow(monkeypatch, only_client_connection(harness))
-        client.stream.end_writing()
+        client.stream.shutdown_write()
         harness.wait_until(lambda: not harness.node.clients.requests.request_ids)
         assert harness.node.clients.connections
         harness.wait_until(lambda: not harness.node.clients.connections)
@@ -117,7 +117,7 @@
         client = harness.client()
         warm_up_worker(harness, client)
         client.send_raw(b"".join(encode_request(message_id, LARGE_BODY) for message_id in (2, 3, 4)))
-        client.stream.end_writing()
+        client.stream.shutdown_write()
         assert [client.next_answer() for _ in range(3)] == [
             [1, message_id, OVERLOADED_ERROR, None] for message_id in (2, 3, 4)
         ]
@@ -136,7 +136,7 @@
         monkeypatch.setattr(rpc, "MAX_READ_BYTES", 1024)
         message_ids = range(2, 2 * MAX_REJECTED_BEFORE_PAUSE)
         client.send_raw(b"".join(encode_request(message_id, bytes(900)) for message_id in message_ids))
-        client.stream.end_writing()
+        client.stream.shutdown_write()
         started_us = harness.loop.now()
         assert [client.next_answer() for _ in message_ids] == [
             [1, message_id, OVERLOADED_ERROR, None] for message_id in message_ids
@@ -156,7 +156,7 @@
         connection = only_client_connection(harness)
         connection._input.is_discarding = True
         client.send_raw(bytes(2 * rpc.MAX_READ_BYTES))
-        client.stream.end_writing()
+        client.stream.shutdown_write()
         connection.read()
         assert not connection.open
         assert client.next_answer()[2] == INTERNAL_ERROR
@@ -214,7 +214,7 @@
         harness.wait_until(lambda: len(worker.calls()) == 2)
 
         def half_close_and_stall() -> None:
-            client.stream.end_writing()
+            client.stream.shutdown_write()
             stall_process(harness, 150 * MILLISECOND_US)
 
         record_submitted_calls(harness, monkeypatch, before_each=half_close_and_stall)
@@ -322,7 +322,7 @@
         worker.answer = lambda command: None
         client.send()
         harness.wait_until(lambda: len(worker.calls()) == 2)
-        monkeypatch.setattr(connection._stream, "send_now", lambda data: data)
+        monkeypatch.setattr(connection._stream, "send_nowait", lambda data: data)
         monkeypatch.setattr(connection._stream, "on_writable", lambda callback: None)
         connection.write(bytes(300 << 10))
         harness.loop.sleep(10 * MILLISECOND_US)
--- a/packages/node/tests/test_discovery.py
+++ b/packages/node/tests/test_discovery.py
@@ -11,7 +11,7 @@
 
 from walnutpost.interface import WorkerState
 from walnutpost.node.discovery import DiscoveryClient
-from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, datagrams
+from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, is_datagram_socket
 from walnutpost.testsupport.node.fault_injection import errno_params, run_scenario_with_faults, udp_or_new
 from walnutpost.testsupport.node.harness import (
     MILLISECOND_US,
@@ -42,7 +42,7 @@
         query, address = new_name_server.recvfrom(512)
         new_name_server.sendto(encode_discovery_response(query, 7, harness.workers), address)
         harness.wait_until(lambda: harness.node.directory.serial == 7)
-        harness.loop.forget(new_name_server.fileno())
+        harness.loop.stop_watching(new_name_server.fileno())
         new_name_server.close()
 
     run_scenario(scenario)
@@ -78,7 +78,7 @@
             harness.loop.wait_readable(harness.name_server.fileno())
             query, address = harness.name_server.recvfrom(512)
             harness.name_server.sendto(encode_discovery_response(query, serial, harness.workers), address)
-        harness.loop.forget(harness.name_server.fileno())
+        harness.loop.stop_watching(harness.name_server.fileno())
         harness.wait_until(lambda: harness.node.directory.serial == 7)
         assert harness.node.discovery.rejected_responses == 2
 
@@ -93,8 +93,8 @@
         harness.loop.wait_readable(harness.name_server.fileno())
         harness.node.discovery.set_address(new_name_server.getsockname())
         harness.loop.wait_readable(new_name_server.fileno())
-        harness.loop.forget(new_name_server.fileno())
-        harness.loop.forget(harness.name_server.fileno())
+        harness.loop.stop_watching(new_name_server.fileno())
+        harness.loop.stop_watching(harness.name_server.fileno())
         new_name_server.close()
 
     run_scenario(scenario)
@@ -135,7 +135,7 @@
 def test_failed_query_is_sent_again(operation: Any, error_number: int) -> None:
     def scenario(harness: NodeHarness, faults: SocketFaults) -> None:
         queries_before = harness.node.discovery.queries
-        faults.fail(operation, error_number, times=20, when=datagrams)
+        faults.fail(operation, error_number, times=20, when=is_datagram_socket)
         harness.wait_until(lambda: harness.node.discovery.queries > queries_before + 5)
         while harness.node.directory.serial != 7:
             harness.loop.wait_readable(harness.name_server.fileno())
@@ -143,7 +143,7 @@
             harness.name_server.sendto(encode_discovery_response(query, 7, harness.workers), address)
             harness.loop.sleep(10 * MILLISECOND_US)
         assert faults.failed[operation] >= 1
-        harness.loop.forget(harness.name_server.fileno())
+        harness.loop.stop_watching(harness.name_server.fileno())
 
     run_scenario_with_faults(scenario)
 
--- a/packages/node/tests/test_graceful_shutdown.py
+++ b/packages/node/tests/test_graceful_shutdown.py
@@ -18,7 +18,7 @@
 from walnutpost.node import node as node_module
 from walnutpost.node import run
 from walnutpost.node.node import DRAIN_PERIOD_US
-from walnutpost.testsupport.eventloop.scripted_sockets import FOREVER, SocketFaults, at
+from walnutpost.testsupport.eventloop.scripted_sockets import UNLIMITED, SocketFaults, bound_to
 from walnutpost.testsupport.node.client_fixtures import (
     encode_request,
     only_client_connection,
@@ -221,7 +221,7 @@
         harness.wait_until(lambda: harness.node.clients.requests)
         shutdown = harness.loop.spawn(harness.node.shut_down)
         harness.loop.sleep(DRAIN_PERIOD_US - MILLISECOND_US)
-        faults.fail("accept", errno.EPERM, FOREVER, when=at(harness.node.listener.address))
+        faults.fail("accept", errno.EPERM, UNLIMITED, when=bound_to(harness.node.listener.address))
         harness.client()
         assert client.next_answer()[2] == INTERNAL_ERROR  # at its deadline
         client.stream.close()
--- a/packages/node/tests/test_load_order_properties.py
+++ b/packages/node/tests/test_load_order_properties.py
@@ -96,7 +96,7 @@
 
         def init_throttled(connection: WorkerConnection, *args: Any) -> None:
             init(connection, *args)
-            send_now, on_writable = connection.stream.send_now, connection.stream.on_writable
+            send_now, on_writable = connection.stream.send_nowait, connection.stream.on_writable
 
             def send_throttled(data: bytes) -> bytes:
                 accepted = min(run._send_capacity_bytes, len(data))
@@ -110,7 +110,7 @@
                 else:
                     on_writable(callback)
 
-            connection.stream.send_now = send_throttled  # type: ignore[method-assign]
+            connection.stream.send_nowait = send_throttled  # type: ignore[method-assign]
             connection.stream.on_writable = poll_writable  # type: ignore[method-assign]
 
         patch.setattr(WorkerConnection, "__init__", init_throttled)
--- a/packages/node/tests/test_load_orders.py
+++ b/packages/node/tests/test_load_orders.py
@@ -45,7 +45,7 @@
         harness.loop.sleep(60 * MILLISECOND_US)
         delayed.release()
         harness.wait_until(lambda: ended)
-        assert [result.outcome for result in ended] == [Outcome.MOOT]
+        assert [result.outcome for result in ended] == [Outcome.EXPIRED]
         assert not harness.workers[0].received_commands
 
     run_scenario(scenario, workers=1)
@@ -61,7 +61,7 @@
         harness.wait_until(lambda: ended)
         throttle.open()
         harness.loop.sleep(SECOND_US)
-        assert list_outcomes(ended) == [Outcome.MOOT]
+        assert list_outcomes(ended) == [Outcome.EXPIRED]
         assert not received_load_orders(worker)
 
     run_scenario(scenario, workers=1)
@@ -78,7 +78,7 @@
         with suppress(OSError):  # already closed
             throttle.open()
         harness.loop.sleep(SECOND_US)
-        assert list_outcomes(ended) == [Outcome.MOOT]
+        assert list_outcomes(ended) == [Outcome.EXPIRED]
         assert not received_load_orders(worker)
         assert worker.connection_ends == ["reset"]
 
@@ -101,7 +101,7 @@
         worker.streams[0].send_all(reply(call[1], b"OK", b"-", b"mine"))
         assert client.next_answer()[2:] == [None, [b"mine", {}]]
         harness.wait_until(lambda: worker.connection_ends)
-        assert list_outcomes(ended) == [Outcome.MOOT]
+        assert list_outcomes(ended) == [Outcome.EXPIRED]
         assert not received_load_orders(worker)
         assert worker.connection_ends == ["reset"]
 
@@ -119,7 +119,7 @@
         client.send(method="reservation")
         harness.wait_until(lambda: ended)
         assert client.next_answer()[2] is None
-        assert list_outcomes(ended) == [Outcome.MOOT]
+        assert list_outcomes(ended) == [Outcome.EXPIRED]
         assert not received_load_orders(worker)
 
     run_scenario(scenario, workers=1)
@@ -205,7 +205,7 @@
         ordered_after_removal = send_load_order(harness, worker.name)
         harness.node.workers.close_idle_connections(worker.name)
         harness.wait_until(lambda: queued and ordered_after_removal)
-        assert list_outcomes(queued) == [Outcome.MOOT]
+        assert list_outcomes(queued) == [Outcome.EXPIRED]
         assert list_outcomes(ordered_after_removal) == [Outcome.CONNECT_FAILED]
         assert not sent
         assert not connection.is_closed
--- a/packages/node/tests/test_node_configuration.py
+++ b/packages/node/tests/test_node_configuration.py
@@ -63,7 +63,7 @@
         harness.loop.wait_readable(harness.name_server.fileno())
         query, address = harness.name_server.recvfrom(512)
         harness.name_server.sendto(encode_discovery_response(query, 7, harness.workers, weight=0), address)
-        harness.loop.forget(harness.name_server.fileno())
+        harness.loop.stop_watching(harness.name_server.fileno())
         harness.wait_until(lambda: harness.node.directory.serial == 7)
         client = harness.client()
         client.send()
--- a/packages/node/tests/test_request_waiting_time.py
+++ b/packages/node/tests/test_request_waiting_time.py
@@ -10,7 +10,7 @@
 import pytest
 
 from walnutpost.eventloop import tasks
-from walnutpost.eventloop.accept_errors import MAX_ACCEPT_ERRORS_IN_ROW, MIN_ACCEPT_BACKOFF_US
+from walnutpost.eventloop.accept_errors import MAX_CONSECUTIVE_ACCEPT_ERRORS, MIN_ACCEPT_BACKOFF_US
 from walnutpost.node import rpc
 from walnutpost.node.client_connection import MAX_REJECTED_BEFORE_PAUSE, READ_PAUSE_US
 from walnutpost.testsupport.node.client_fixtures import (
@@ -124,7 +124,7 @@
     def scenario(harness: NodeHarness) -> None:
         harness.loop.sleep(MILLISECOND_US)
         listener = harness.node.listener
-        errors, sock = [OSError(errno.EPROTO, "cut off")] * 3 * MAX_ACCEPT_ERRORS_IN_ROW, listener._sock
+        errors, sock = [OSError(errno.EPROTO, "cut off")] * 3 * MAX_CONSECUTIVE_ACCEPT_ERRORS, listener._sock
         monkeypatch.setattr(listener, "_sock", FailingListenSocket(sock, errors))
         submitted = record_submitted_calls(harness, monkeypatch)
         (client,) = connect_clients_with_requests(harness, 1)
--- a/packages/node/tests/test_send_guards.py
+++ b/packages/node/tests/test_send_guards.py
@@ -116,7 +116,7 @@
         worker = warm_up_worker(harness, client)
         harness.node.pool.limits = replace(harness.node.pool.limits, max_connections=1)
         (connection,) = harness.node.pool._connections[worker.name]
-        send_now, capacity = connection.stream.send_now, [20]
+        send_now, capacity = connection.stream.send_nowait, [20]
 
         def send_throttled(data: bytes) -> bytes:
             accepted = min(capacity[0], len(data))
@@ -124,7 +124,7 @@
             return (send_now(data[:accepted]) if accepted else b"") + data[accepted:]
 
         writable_callbacks: list[Callable[[], object] | None] = []
-        monkeypatch.setattr(connection.stream, "send_now", send_throttled)
+        monkeypatch.setattr(connection.stream, "send_nowait", send_throttled)
         monkeypatch.setattr(connection.stream, "on_writable", writable_callbacks.append)
         client.send()
         other.send()  # read in the same loop iteration, so that both are offered to the kernel at once
--- a/packages/node/tests/test_worker_connection_close.py
+++ b/packages/node/tests/test_worker_connection_close.py
@@ -86,7 +86,7 @@
             connection._outbox._waiting.appendleft(bytes(64 << 10))
             harness.wait_until(lambda: connection.is_connected and not connection._outbox)
             connection.stream.on_readable(None)
-            harness.loop.forget(connection.stream.fd)
+            harness.loop.stop_watching(connection.stream.fd)
             connection._sock.close()  # as the kernel does
             assert b"SPAWN" not in read_remaining_bytes(listener)
 
--- a/packages/node/tests/test_worker_connection_failures.py
+++ b/packages/node/tests/test_worker_connection_failures.py
@@ -117,9 +117,9 @@
 @pytest.mark.parametrize(
     ("operation", "error_number", "expected"),
     [
-        ("socket", errno.EMFILE, Outcome.MOOT),
-        ("socket", errno.ENFILE, Outcome.MOOT),
-        ("socket", errno.ENOBUFS, Outcome.MOOT),
+        ("socket", errno.EMFILE, Outcome.EXPIRED),
+        ("socket", errno.ENFILE, Outcome.EXPIRED),
+        ("socket", errno.ENOBUFS, Outcome.EXPIRED),
         ("connect", errno.EADDRNOTAVAIL, Outcome.CONNECT_FAILED),
         ("connect", errno.EAGAIN, Outcome.CONNECT_FAILED),
         ("connect", errno.ENETUNREACH, Outcome.CONNECT_FAILED),
--- a/packages/node/tests/test_worker_responses.py
+++ b/packages/node/tests/test_worker_responses.py
@@ -118,7 +118,7 @@
         def raise_reset(data: bytes) -> bytes:
             raise ConnectionResetError
 
-        monkeypatch.setattr(connection.stream, "send_now", raise_reset)
+        monkeypatch.setattr(connection.stream, "send_nowait", raise_reset)
         connection.send_one_way(b"*1\r\n$4\r\nNOOP\r\n")
         connection._flush()
         assert client.next_answer()[2:] == [None, [b"mine", {}]]
--- a/packages/policy/src/walnutpost/policy/attempt_results.py
+++ b/packages/policy/src/walnutpost/policy/attempt_results.py
@@ -105,7 +105,7 @@
 
         The worker is excluded from retries, except after a miss without a failed load, where nothing ran.
         """
-        if event.is_finished or request.is_answered:
+        if event.is_request_finished or request.is_answered:
             self._requests.close(request)
             return
         if event.outcome is not api.Outcome.MISS or event.warmth is api.Warmth.LOAD_FAILED:
--- a/packages/policy/src/walnutpost/policy/endpoints.py
+++ b/packages/policy/src/walnutpost/policy/endpoints.py
@@ -41,7 +41,7 @@
 
         The square root allows for large workers often having slower cores.
         """
-        if self._settings.has_weights:
+        if self._settings.has_endpoint_weights:
             return info.weight
         memory_mb = self._settings.memory_mb_by_kind[info.kind : info.kind + 1]
         return math.sqrt(sum(memory_mb) or 1.0)
--- a/packages/policy/src/walnutpost/policy/load_order_limit.py
+++ b/packages/policy/src/walnutpost/policy/load_order_limit.py
@@ -35,7 +35,7 @@
 
         If restarts can't be seen, the previous process may have used all free orders just before it ended.
         """
-        if self._settings.are_restarts_unseen:
+        if self._settings.may_miss_restarts:
             self._order_arrivals_us = [now_us] * math.ceil(self._guards.free_load_orders)
 
     def count_request(self, earliest_arrival_us: int) -> None:
--- a/packages/policy/src/walnutpost/policy/load_order_results.py
+++ b/packages/policy/src/walnutpost/policy/load_order_results.py
@@ -58,5 +58,5 @@
         """Record an answer or a connection failure; a timeout or an unsent order proves nothing by itself."""
         if event.outcome in WORKER_ANSWERED:
             self._failure_detection.record_answer(worker, self._context.now_us - event.latency_us)
-        elif event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.MOOT):
+        elif event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.EXPIRED):
             self._failure_detection.record_connection_failure(worker, event.outcome)
--- a/packages/policy/src/walnutpost/policy/load_orders.py
+++ b/packages/policy/src/walnutpost/policy/load_orders.py
@@ -67,7 +67,7 @@
         if worker is not None and outcome in (api.Outcome.TIMEOUT, api.Outcome.RESET):
             worker.unresolved_orders_us.append(self._context.now_us)
             return
-        never_sent = outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.MOOT)
+        never_sent = outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.EXPIRED)
         self.limit.settle(0 if never_sent else self._context.now_us)
 
     def settle_unresolved(self, worker: Worker, evidence_time_us: float) -> None:
--- a/packages/policy/src/walnutpost/policy/requests.py
+++ b/packages/policy/src/walnutpost/policy/requests.py
@@ -6,7 +6,7 @@
 from walnutpost.policy.context import DecisionContext
 from walnutpost.policy.functions import Function
 
-NEVER_RAN = frozenset((api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT, api.Outcome.MISS))
+NEVER_RAN = frozenset((api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.EXPIRED, api.Outcome.MISS))
 WORKER_ANSWERED = frozenset((api.Outcome.OK, api.Outcome.ERROR, api.Outcome.FULL, api.Outcome.MISS))
 RETRY_AFTER_DIVISOR = 4  # Retry-After is the class's latency objective divided by this
 
--- a/packages/relay/src/walnutpost/relay/process.py
+++ b/packages/relay/src/walnutpost/relay/process.py
@@ -22,7 +22,7 @@
 from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.http import Exchange, HttpMessageError, Limits, Response, Server
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.relay.progress_reports import ProgressReports
 from walnutpost.relay.stats import RelayStats
 from walnutpost.watch import ServerPool, Watcher, WatcherSettings, WatchServer
@@ -145,7 +145,7 @@
         return state.store if watcher.is_complete else None
 
     watcher = Watcher(loop, _upstream_servers(settings), state, store_changed, log, UPSTREAM_SETTINGS)
-    server = serve_on(
+    server = start_server(
         loop,
         settings.listen,
         lambda exchange: _respond(watches, exchange),
--- a/packages/replication/src/walnutpost/replication/replica_server.py
+++ b/packages/replication/src/walnutpost/replication/replica_server.py
@@ -7,7 +7,7 @@
 
 from walnutpost.eventloop import Logger, Loop
 from walnutpost.http import Exchange, HttpMessageError, Limits, Response, Server
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.journal import InvalidBatchError, JournalBatch, JournalOffset, plan_batch_write
 from walnutpost.replication import wire
 from walnutpost.store import JournalStore, StoreError
@@ -21,7 +21,7 @@
         self._log = log
         self._origins_being_written: set[str] = set()
         limits = Limits(max_body_bytes=wire.MAX_BODY_BYTES)
-        self.server: Server = serve_on(
+        self.server: Server = start_server(
             loop, address, self._handle, self._error_response, limits, None, "replica", log=log
         )
 
--- a/packages/testsupport/src/walnutpost/testsupport/eventloop/scripted_sockets.py
+++ b/packages/testsupport/src/walnutpost/testsupport/eventloop/scripted_sockets.py
@@ -1,8 +1,8 @@
 """Sockets with scripted faults, which replace `socket.socket` for all code within a `with` block.
 
     with scripted_sockets() as faults:
-        faults.fail("accept", errno.EPROTO, when=at(server.address))
-        faults.fail("connect", errno.ENETUNREACH, times=2, after=1, when=to(address))
+        faults.fail("accept", errno.EPROTO, when=bound_to(server.address))
+        faults.fail("connect", errno.ENETUNREACH, times=2, after=1, when=connected_to(address))
         faults.shorten("recv", 1)
 
 Calls without a scripted fault go to real sockets. `when` selects the sockets of a fault; without it, the
@@ -26,7 +26,7 @@
 
 Operation = Literal["socket", "bind", "connect", "accept", "send", "recv"]
 Address = tuple[str, int]
-FOREVER = 1 << 60
+UNLIMITED = 1 << 60
 
 # Errors that Linux documents for the socket calls of a client, as test parameters (operation, error number).
 CONNECTION_FAULTS = [
@@ -172,17 +172,17 @@
         return super().recv(self.script.allowed_bytes("recv", self, max_bytes), flags)
 
 
-def at(address: Address) -> Callable[[ScriptedSocket], bool]:
+def bound_to(address: Address) -> Callable[[ScriptedSocket], bool]:
     """Select the sockets with this local address: a listener and the connections it has accepted."""
     return lambda sock: sock.fileno() >= 0 and sock.getsockname()[:2] == address
 
 
-def to(address: Address) -> Callable[[ScriptedSocket], bool]:
+def connected_to(address: Address) -> Callable[[ScriptedSocket], bool]:
     """Select the sockets that are connected, or being connected, to this address."""
     return lambda sock: sock.target is not None and tuple(sock.target[:2]) == address
 
 
-def datagrams(sock: ScriptedSocket) -> bool:
+def is_datagram_socket(sock: ScriptedSocket) -> bool:
     """Select the UDP sockets."""
     return sock.fileno() >= 0 and sock.type == socket.SOCK_DGRAM
 
--- a/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
@@ -51,7 +51,7 @@
             load_order_window_us=2 * SECOND,
         ),
         front_ends=3,
-        are_restarts_unseen=True,
+        may_miss_restarts=True,
     ),
 }
 TENANTS_BY_SITE = {"plain": (), "rationed": ("north", "south")}
@@ -151,7 +151,7 @@
         elif self.states.get(send.worker) is GONE:
             ended = self.with_outcome(ended, Outcome.CONNECT_FAILED, MILLISECOND)
         elif draw < 0.06:
-            outcomes = [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.MOOT, Outcome.TIMEOUT]
+            outcomes = [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.EXPIRED, Outcome.TIMEOUT]
             ended = self.with_outcome(ended, self.random.choice(outcomes), int(draw * SECOND))
         elif copy not in self.copies:
             ended = self.with_outcome(ended, Outcome.MISS, 2 * MILLISECOND)
@@ -179,7 +179,7 @@
         elif self.states.get(order.worker) is GONE:
             outcome = Outcome.CONNECT_FAILED
         elif order.copies and draw < 0.12:
-            outcome = self.random.choice([Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.MOOT])
+            outcome = self.random.choice([Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.EXPIRED])
         elif order.copies:
             latency, copies = int((150 + 300 * draw) * MILLISECOND), order.copies
         ended = gw.LoadOrderEnded(order.worker, order.function, outcome, latency, copies, order.copies)
--- a/packages/testsupport/src/walnutpost/testsupport/golden/neutral_values.py
+++ b/packages/testsupport/src/walnutpost/testsupport/golden/neutral_values.py
@@ -40,8 +40,8 @@
         api.Settings,
         "classes tenants limits guards prices zone front_ends index tick_us keep_alive_us"
         " load_order_timeout_us may_order_loads loads_on_miss reports_warmth reports_crowd"
-        " must_watch_endpoints has_weights weighs_priority_by_work over_share_weight report_fields"
-        " memory_mb_by_kind is_ideal_network are_restarts_unseen",
+        " must_watch_endpoints has_endpoint_weights weighs_priority_by_work over_share_weight report_fields"
+        " memory_mb_by_kind is_ideal_network may_miss_restarts",
     ),
     # Events
     10: (api.Worker, "id zone kind cell state weight started_at_us"),
@@ -52,7 +52,10 @@
         " is_repeat waited_us",
     ),
     13: (api.AnswerStarted, "request attempt worker latency_us"),
-    14: (api.AttemptEnded, "request attempt worker outcome latency_us is_finished warmth crowd report"),
+    14: (
+        api.AttemptEnded,
+        "request attempt worker outcome latency_us is_request_finished warmth crowd report",
+    ),
     15: (api.RequestCancelled, "request"),
     16: (api.LoadOrderEnded, "worker function outcome latency_us copies ordered_copies"),
     17: (api.ProbeEnded, "worker outcome latency_us report"),
@@ -121,7 +124,7 @@
         api.Outcome.CONNECT_FAILED,
         api.Outcome.RESET,
         api.Outcome.CANCELLED,
-        api.Outcome.MOOT,
+        api.Outcome.EXPIRED,
         api.Outcome.MISS,
     ),
     4: (api.WorkerState.GONE, api.WorkerState.DRAINING, api.WorkerState.READY),
--- a/packages/testsupport/src/walnutpost/testsupport/http/fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/http/fixtures.py
@@ -9,7 +9,7 @@
 
 from walnutpost.eventloop import Loop, VirtualClock, WaitTimeoutError, connect
 from walnutpost.http import Exchange, HttpMessageError, Limits, Response, Server
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 
 SECOND = 1_000_000
 LOCAL = ("127.0.0.1", 0)
@@ -52,7 +52,7 @@
     loop = Loop(VirtualClock(), lambda name, error: errors.append(error))
 
     def main() -> Any:
-        return script(loop, serve_on(loop, LOCAL, handler, error_response, limits, log=log))
+        return script(loop, start_server(loop, LOCAL, handler, error_response, limits, log=log))
 
     result = loop.run(main)
     assert not errors, errors
--- a/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/client_fixtures.py
@@ -96,12 +96,12 @@
 
     def __init__(self, patch: pytest.MonkeyPatch, connection: ClientConnection) -> None:
         self._connection = connection
-        patch.setattr(connection._stream, "send_now", lambda data: data)
+        patch.setattr(connection._stream, "send_nowait", lambda data: data)
         patch.setattr(connection._stream, "on_writable", lambda callback: None)
 
     def open(self) -> None:
         """Let the client read the pending output and everything after it."""
-        del self._connection._stream.send_now, self._connection._stream.on_writable
+        del self._connection._stream.send_nowait, self._connection._stream.on_writable
         self._connection._output.flush()
 
 
--- a/packages/testsupport/src/walnutpost/testsupport/node/fault_injection.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/fault_injection.py
@@ -8,7 +8,12 @@
 
 import pytest
 
-from walnutpost.testsupport.eventloop.scripted_sockets import SocketFaults, datagrams, scripted_sockets, to
+from walnutpost.testsupport.eventloop.scripted_sockets import (
+    SocketFaults,
+    connected_to,
+    is_datagram_socket,
+    scripted_sockets,
+)
 from walnutpost.testsupport.node.harness import SECOND_US, NodeHarness, run_scenario
 
 Scenario = Callable[[NodeHarness, SocketFaults], None]
@@ -37,10 +42,10 @@
 
 def to_any_worker(harness: NodeHarness) -> Callable[[Any], bool]:
     """Return a predicate that matches sockets connected to any of the workers."""
-    predicates = [to(worker._listener.address) for worker in harness.workers]
+    predicates = [connected_to(worker._listener.address) for worker in harness.workers]
     return lambda sock: any(matches(sock) for matches in predicates)
 
 
 def udp_or_new(sock: Any) -> bool:
     """Match UDP sockets and sockets that have no descriptor yet."""
-    return sock.fileno() < 0 or datagrams(sock)
+    return sock.fileno() < 0 or is_datagram_socket(sock)
--- a/packages/testsupport/src/walnutpost/testsupport/node/witness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/witness.py
@@ -111,7 +111,7 @@
                 if reader.is_done and reader.result and not self.delivers_after_reset:
                     return sink.reset()
                 if data is None:
-                    return sink.reset() if reader.result else sink.end_writing()
+                    return sink.reset() if reader.result else sink.shutdown_write()
                 sink.send_all(data)
             except OSError:  # the receiver has gone
                 return reader.cancel()
--- a/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/node/worker_fixtures.py
@@ -31,7 +31,7 @@
 MAX_READ_DELAY_US = 5 * MILLISECOND_US  # until the fake worker has read what the node has sent
 
 
-UNDELIVERED_OUTCOMES = (Outcome.MOOT, Outcome.CONNECT_FAILED)
+UNDELIVERED_OUTCOMES = (Outcome.EXPIRED, Outcome.CONNECT_FAILED)
 
 
 class SendThrottle:
@@ -40,8 +40,8 @@
     def __init__(self, patch: pytest.MonkeyPatch, connection: WorkerConnection, available_bytes: int) -> None:
         self.available_bytes = available_bytes
         self._connection = connection
-        self._send = connection.stream.send_now
-        patch.setattr(connection.stream, "send_now", self._take)
+        self._send = connection.stream.send_nowait
+        patch.setattr(connection.stream, "send_nowait", self._take)
         patch.setattr(connection.stream, "on_writable", lambda callback: None)
 
     def _take(self, data: bytes) -> bytes:
--- a/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
@@ -78,7 +78,7 @@
         loads_on_miss=True,
         front_ends=3,
         index=1,
-        has_weights=True,
+        has_endpoint_weights=True,
         must_watch_endpoints=True,
     ),
     "restarting": replace(
@@ -91,7 +91,7 @@
         front_ends=2,
         memory_mb_by_kind=(512.0, 2048.0),
         must_watch_endpoints=True,
-        are_restarts_unseen=True,
+        may_miss_restarts=True,
         report_fields=("in_flight", "busy"),
     ),
     "calm": replace(
@@ -247,7 +247,7 @@
         if worker.refuses_connections or worker.info.state is GONE:
             return Outcome.CONNECT_FAILED, MILLISECOND_US, unreported
         if send.begin_within_us and draw < 0.01:
-            return Outcome.MOOT, min(send.begin_within_us, send.timeout_us), unreported
+            return Outcome.EXPIRED, min(send.begin_within_us, send.timeout_us), unreported
         if draw < worker.error_ratio:
             return Outcome.ERROR, 20 * MILLISECOND_US, unreported
         if draw > 0.995:
@@ -320,7 +320,7 @@
             outcome, latency_us = Outcome.CONNECT_FAILED, MILLISECOND_US
         elif order.copies:
             outcome = self.random.choices(
-                [Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.MOOT, Outcome.MISS],
+                [Outcome.OK, Outcome.FULL, Outcome.ERROR, Outcome.RESET, Outcome.EXPIRED, Outcome.MISS],
                 [24, 2, 1, 1, 1, 1],
             )[0]
             latency_us = (
--- a/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
@@ -35,7 +35,7 @@
     reports_warmth=True,
     reports_crowd=False,
     must_watch_endpoints=False,
-    has_weights=False,
+    has_endpoint_weights=False,
     weighs_priority_by_work=False,
     over_share_weight=0.1,
     report_fields=(),
@@ -112,9 +112,11 @@
         warmth: api.Warmth = api.Warmth.WARM,
     ) -> list[api.Action]:
         """End an attempt, successfully by default; return the actions. Only a success ends the request."""
-        is_finished = outcome is api.Outcome.OK
+        is_request_finished = outcome is api.Outcome.OK
         return self.feed(
-            api.AttemptEnded(request, attempt, worker_id, outcome, latency_us, is_finished, warmth, 0, ())
+            api.AttemptEnded(
+                request, attempt, worker_id, outcome, latency_us, is_request_finished, warmth, 0, ()
+            )
         )
 
     def end_load_order(
--- a/packages/testsupport/src/walnutpost/testsupport/relay/tier.py
+++ b/packages/testsupport/src/walnutpost/testsupport/relay/tier.py
@@ -20,7 +20,7 @@
 from walnutpost.controlplane import wire
 from walnutpost.eventloop import Loop
 from walnutpost.http import Exchange, Response
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.relay import Relay, RelaySettings, start_relay
 from walnutpost.testsupport.watch.harness import (
     SECOND,
@@ -52,7 +52,9 @@
         self.progress = FleetProgress(loop.now(), table.revision)
         self.watches = {name: self._watch(name) for name in names}
         self.servers = {
-            name: serve_on(loop, ("127.0.0.1", 0), lambda e, name=name: self._serve(name, e), protocol_error)  # type: ignore[misc]
+            name: start_server(
+                loop, ("127.0.0.1", 0), lambda e, name=name: self._serve(name, e), protocol_error
+            )  # type: ignore[misc]
             for name in names
         }
         loop.call_every(SECOND // 2, self._update_members)
--- a/packages/testsupport/src/walnutpost/testsupport/store/disk_faults.py
+++ b/packages/testsupport/src/walnutpost/testsupport/store/disk_faults.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from walnutpost.eventloop import FileCalls, use_file_calls
+from walnutpost.eventloop import FileCalls, set_file_calls
 from walnutpost.store import Database
 
 IO_ERROR = "disk I/O error"
@@ -164,8 +164,8 @@
 def scripted_files() -> Iterator[ScriptedFiles]:
     """Replace the process's file calls within the context."""
     calls = ScriptedFiles()
-    previous = use_file_calls(calls)
+    previous = set_file_calls(calls)
     try:
         yield calls
     finally:
-        use_file_calls(previous)
+        set_file_calls(previous)
--- a/packages/testsupport/src/walnutpost/testsupport/watch/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/watch/harness.py
@@ -23,7 +23,7 @@
 from walnutpost.configstore.relay_selection import RelaySelector
 from walnutpost.eventloop import Loop, VirtualClock
 from walnutpost.http import Connection, Exchange, HttpMessageError, Response, Server, encode_request
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.watch import ServerPool, Watcher, WatcherSettings, WatchServer
 
 SECOND = 1_000_000
@@ -85,7 +85,7 @@
         self.requests: list[WatchRequest] = []
         self.disconnected: list[WatchRequest] = []
         self.watch = WatchServer(loop, lambda: self.table, age_us, self, **more)
-        self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, protocol_error)
+        self.server: Server = start_server(loop, ("127.0.0.1", 0), self._handle, protocol_error)
         self.address = self.server.address
 
     def _handle(self, exchange: Exchange) -> Response:
@@ -247,5 +247,5 @@
             self.requests.append(decode(exchange.request.body, WatchRequest))
             return respond(self.requests[-1])
 
-        self.server = serve_on(loop, ("127.0.0.1", 0), handle, protocol_error)
+        self.server = start_server(loop, ("127.0.0.1", 0), handle, protocol_error)
         self.address = self.server.address
--- a/packages/watch/tests/test_serving.py
+++ b/packages/watch/tests/test_serving.py
@@ -228,7 +228,7 @@
         slow = connect(loop, server.address)
         request = WatchRequest("slow", "1", 0, 0, 0, 0, WAIT_TIMEOUT_US)
         for _ in range(200):  # far more than the buffers hold: the first page of a snapshot each
-            slow.send_now(encode_request("POST", WATCH_PATH, "x", {}, encode(request)))
+            slow.send_nowait(encode_request("POST", WATCH_PATH, "x", {}, encode(request)))
         until(loop, lambda: server.watch.counts.responses > 5)
         quick = Requester(loop, server, "quick")
         revision, digest = server.table.revision, server.table.digest
--- a/packages/watch/tests/test_watch_socket_faults.py
+++ b/packages/watch/tests/test_watch_socket_faults.py
@@ -10,9 +10,9 @@
 from walnutpost.testsupport.eventloop.scripted_sockets import (
     CONNECTION_FAULTS,
     Operation,
-    at,
+    bound_to,
+    connected_to,
     scripted_sockets,
-    to,
 )
 from walnutpost.testsupport.watch.harness import FakeServer, Member, filled, play, put_keys, until
 from walnutpost.testsupport.watch.servers import address_getter, names_preferring, two_servers
@@ -28,7 +28,7 @@
         if operation == "socket":
             faults.fail(operation, number, times=3)
         else:
-            faults.fail(operation, number, times=3, when=to(first.address))
+            faults.fail(operation, number, times=3, when=connected_to(first.address))
         member = Member(loop, two_servers(first, second), name=names_preferring("a", 1)[0])
         until(loop, lambda: member.has_content_of(first.table) and faults.failed[operation])
         for server in (first, second):
@@ -43,7 +43,7 @@
     def script(loop: Loop) -> None:
         server = FakeServer(loop, filled(3), batch_interval_us=0)
         for after in range(0, 10, 2):
-            faults.fail("accept", errno.EPROTO, after=after, when=at(server.address))
+            faults.fail("accept", errno.EPROTO, after=after, when=bound_to(server.address))
         members = [Member(loop, {"a": address_getter(server)}) for _ in range(5)]
         until(loop, lambda: all(member.has_content_of(server.table) for member in members))
         assert faults.failed["accept"] >= 4
--- a/packages/workerclient/src/walnutpost/workerclient/attempts.py
+++ b/packages/workerclient/src/walnutpost/workerclient/attempts.py
@@ -121,5 +121,5 @@
 def _result_without_response(request: WorkerRequest, error: BaseException | None) -> CallResult:
     """Return the result of an attempt whose task was cancelled or raised an error."""
     if not request.has_begun:
-        return CallResult(Outcome.MOOT)
+        return CallResult(Outcome.EXPIRED)
     return CallResult(Outcome.CANCELLED if isinstance(error, Cancelled) else Outcome.ERROR)
--- a/packages/workerclient/src/walnutpost/workerclient/client.py
+++ b/packages/workerclient/src/walnutpost/workerclient/client.py
@@ -85,9 +85,9 @@
         self._directory.addresses = dict(addresses)
         self._directory.draining = frozenset(draining)
 
-    def replace_context(self, tls_context: ssl.SSLContext) -> None:
+    def replace_tls_context(self, tls_context: ssl.SSLContext) -> None:
         """Use a new TLS context for new connections, and close the idle ones that use the old context."""
-        self._connector.replace_context(tls_context)
+        self._connector.replace_tls_context(tls_context)
         self._idle.close_all()
 
     @property
@@ -126,12 +126,12 @@
 
     # Load orders
 
-    def order_load(self, effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
+    def order_load(self, effect: LoadOrder, on_ended: Callable[[LoadOrderEnded], None]) -> None:
         """Send a load order and report its end exactly once, however it ends.
 
         The outcome gives the guarantees that `interface.LoadOrderEnded` describes.
         """
-        self._load_orders.order_load(effect, done)
+        self._load_orders.order_load(effect, on_ended)
 
     def unload(self, effect: Unload) -> None:
         """Order the worker to unload its idle copies of a function; the outcome is not reported."""
--- a/packages/workerclient/src/walnutpost/workerclient/connector.py
+++ b/packages/workerclient/src/walnutpost/workerclient/connector.py
@@ -40,7 +40,7 @@
         self.certificate_names: Mapping[str, str] = {}
         """The name that a worker's certificate must contain, if that is not the worker's own name."""
 
-    def replace_context(self, tls_context: ssl.SSLContext) -> None:
+    def replace_tls_context(self, tls_context: ssl.SSLContext) -> None:
         """Use a new TLS context for new connections and drop the cached sessions."""
         self._tls_context = tls_context
         self._sessions.clear()
--- a/packages/workerclient/src/walnutpost/workerclient/delivery.py
+++ b/packages/workerclient/src/walnutpost/workerclient/delivery.py
@@ -48,9 +48,9 @@
 class DeliveryResult:
     """How a request ended: OK with a complete response, any other outcome without one.
 
-    MOOT and CONNECT_FAILED: the worker has not seen the request and never will. RESET: the connection broke.
-    TIMEOUT: the deadline passed. ERROR: the response is not HTTP. If `may_still_arrive`, the worker may still
-    read the request, since its kernel may hold bytes that the process has not read yet.
+    EXPIRED and CONNECT_FAILED: the worker has not seen the request and never will. RESET: the connection
+    broke. TIMEOUT: the deadline passed. ERROR: the response is not HTTP. If `may_still_arrive`, the worker
+    may still read the request, since its kernel may hold bytes that the process has not read yet.
     """
 
     outcome: Outcome
@@ -58,7 +58,7 @@
     may_still_arrive: bool = False
 
 
-MOOT = DeliveryResult(Outcome.MOOT)
+EXPIRED = DeliveryResult(Outcome.EXPIRED)
 CONNECT_FAILED = DeliveryResult(Outcome.CONNECT_FAILED)
 
 
@@ -100,14 +100,14 @@
             with self._loop.timeout(max(0, request.deadline_us - self._loop.now())):
                 return self._prepare_and_send(request)
         except WaitTimeoutError:
-            return DeliveryResult(Outcome.TIMEOUT, may_still_arrive=True) if request.has_begun else MOOT
+            return DeliveryResult(Outcome.TIMEOUT, may_still_arrive=True) if request.has_begun else EXPIRED
 
     def _prepare_and_send(self, request: WorkerRequest) -> DeliveryResult:
         try:
             if request.prepare is not None:
                 request.prepare()
         except (LookupError, OSError):
-            return MOOT
+            return EXPIRED
         if request.address is None:
             return CONNECT_FAILED
         try:
@@ -115,14 +115,14 @@
             if connection is None:
                 connection = self._connector.connect(request.worker, request.address)
         except OSError:
-            return MOOT if self._has_address_changed(request) else CONNECT_FAILED
+            return EXPIRED if self._has_address_changed(request) else CONNECT_FAILED
         return self._exchange(request, connection)
 
     def _exchange(self, request: WorkerRequest, connection: Connection) -> DeliveryResult:
         response: Response | None = None
         try:
             if not self._may_begin(request):
-                return MOOT
+                return EXPIRED
             data = request.encode()
             connection.stream.has_sent = False
             request.has_begun = True
--- a/packages/workerclient/src/walnutpost/workerclient/load_orders.py
+++ b/packages/workerclient/src/walnutpost/workerclient/load_orders.py
@@ -71,4 +71,4 @@
 
 def _result_without_response(request: WorkerRequest) -> LoadResult:
     """Return the result of an order whose task was cancelled or raised; once begun, it may still arrive."""
-    return LoadResult(Outcome.TIMEOUT if request.has_begun else Outcome.MOOT)
+    return LoadResult(Outcome.TIMEOUT if request.has_begun else Outcome.EXPIRED)
--- a/packages/workerclient/src/walnutpost/workerclient/tls_contexts.py
+++ b/packages/workerclient/src/walnutpost/workerclient/tls_contexts.py
@@ -31,10 +31,10 @@
     """A client's TLS context, and the client certificate that it presents, if any."""
 
     context: ssl.SSLContext
-    own: CertificateSet | None
+    client_certificate: CertificateSet | None
 
 
-def read_file(path: Path) -> bytes:
+def read_certificate_file(path: Path) -> bytes:
     """Return the content of a certificate file. Raise InvalidCertificateError if it can't be read."""
     try:
         return path.read_bytes()
@@ -50,7 +50,7 @@
 
     `min_version` is a key of TLS_VERSIONS. Raises InvalidCertificateError.
     """
-    roots_pem = read_file(roots_path)
+    roots_pem = read_certificate_file(roots_path)
     count_valid_roots(roots_pem, now_us)
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = TLS_VERSIONS[min_version]
@@ -65,7 +65,7 @@
     roots_path: Path, certificate_files: CertificateFiles, requires_client_certificate: bool, now_us: int
 ) -> ssl.SSLContext:
     """Return a context for a worker's server. Raise InvalidCertificateError."""
-    roots_pem = read_file(roots_path)
+    roots_pem = read_certificate_file(roots_path)
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.set_alpn_protocols(ALPN_PROTOCOLS)
     _load_certificate(context, certificate_files, roots_pem, now_us)
@@ -82,8 +82,8 @@
 def _load_certificate(
     context: ssl.SSLContext, certificate_files: CertificateFiles, roots_pem: bytes, now_us: int
 ) -> CertificateSet:
-    chain_pem = read_file(certificate_files.chain)
-    key_pem = read_file(certificate_files.key)
+    chain_pem = read_certificate_file(certificate_files.chain)
+    key_pem = read_certificate_file(certificate_files.key)
     certificate_set = verify_certificate_set(
         chain_pem, key_pem, roots_pem, now_us, str(certificate_files.chain)
     )
--- a/packages/workerclient/tests/test_abandoned_attempts.py
+++ b/packages/workerclient/tests/test_abandoned_attempts.py
@@ -27,7 +27,7 @@
     def script() -> None:
         send = harness.start_call()
         harness.client.cancel(send.call, send.attempt)  # before its task has started
-        assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+        assert harness.wait_for_attempt_end().outcome is Outcome.EXPIRED
         send = harness.start_call()
         harness.wait_until(lambda: bool(harness.worker_streams))
         harness.client.cancel(send.call, send.attempt)
@@ -46,7 +46,7 @@
             send = harness.start_call(before_send=before_send)
             harness.loop.sleep(50 * US_PER_MS)
             harness.client.cancel(send.call, send.attempt)
-            assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+            assert harness.wait_for_attempt_end().outcome is Outcome.EXPIRED
         harness.loop.sleep(US_PER_S)
         assert not harness.received
 
@@ -64,7 +64,7 @@
         harness.loop.sleep(US_PER_MS)
         persisted.set()
         harness.client.cancel(send.call, send.attempt)
-        assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+        assert harness.wait_for_attempt_end().outcome is Outcome.EXPIRED
         harness.loop.sleep(US_PER_S)
         assert len(harness.received) == 1
 
@@ -82,7 +82,7 @@
         send = harness.start_call()
         harness.loop.sleep(50 * US_PER_MS)
         harness.client.cancel(send.call, send.attempt)
-        assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+        assert harness.wait_for_attempt_end().outcome is Outcome.EXPIRED
         handshake_limiter.record_success("w")
         harness.loop.sleep(US_PER_S)
         assert not harness.worker_streams
@@ -95,7 +95,7 @@
     harness.client = WorkerClient(harness.loop, SETTINGS, tls_context=ssl.create_default_context())
 
     def script() -> None:
-        assert harness.call(timeout_us=20 * US_PER_MS).outcome is Outcome.MOOT
+        assert harness.call(timeout_us=20 * US_PER_MS).outcome is Outcome.EXPIRED
         assert len(harness.worker_streams) == 1
         assert harness.client._connector.handshake_limiter.try_begin(harness.loop.now(), "w")
 
--- a/packages/workerclient/tests/test_call_outcomes.py
+++ b/packages/workerclient/tests/test_call_outcomes.py
@@ -112,7 +112,7 @@
     def script() -> None:
         addresses = dict(harness.client.addresses)
         ended = harness.call(before_send=lambda: harness.client.update_workers(addresses, {"w"}))
-        assert ended.outcome is Outcome.MOOT
+        assert ended.outcome is Outcome.EXPIRED
         harness.client.order_load(LoadOrder("w", "f", 1), harness.reported_events.append)
         harness.wait_until(lambda: bool(harness.reported_events))
         order_ended = harness.reported_events.pop()
@@ -130,7 +130,7 @@
         raise LookupError("disk full")
 
     def script() -> None:
-        assert harness.call(before_send=fail).outcome is Outcome.MOOT
+        assert harness.call(before_send=fail).outcome is Outcome.EXPIRED
         assert not harness.worker_streams
 
     harness.run(never_respond, script)
@@ -175,7 +175,7 @@
 
     def script() -> None:
         ended = harness.call(before_send=None if has_begun else fail)
-        assert ended.outcome is (Outcome.ERROR if has_begun else Outcome.MOOT)
+        assert ended.outcome is (Outcome.ERROR if has_begun else Outcome.EXPIRED)
         assert harness.loop_errors == [error]
         assert not harness.reported_events
         harness.loop_errors.clear()
--- a/packages/workerclient/tests/test_load_order_outcomes.py
+++ b/packages/workerclient/tests/test_load_order_outcomes.py
@@ -97,7 +97,8 @@
 
 
 @pytest.mark.parametrize(
-    ("function", "expected"), [("encode_load_order", Outcome.MOOT), ("decode_load_response", Outcome.TIMEOUT)]
+    ("function", "expected"),
+    [("encode_load_order", Outcome.EXPIRED), ("decode_load_response", Outcome.TIMEOUT)],
 )
 def test_a_load_order_whose_task_raises_reports_one_end(
     function: str, expected: Outcome, monkeypatch: pytest.MonkeyPatch
--- a/packages/workerclient/tests/test_may_begin.py
+++ b/packages/workerclient/tests/test_may_begin.py
@@ -22,7 +22,7 @@
 
     def script() -> None:
         for begin_within_us, expected in (
-            (100 * US_PER_MS, Outcome.MOOT),
+            (100 * US_PER_MS, Outcome.EXPIRED),
             (0, Outcome.OK),
             (150 * US_PER_MS, Outcome.OK),
         ):
@@ -43,9 +43,9 @@
     delay_connects(monkeypatch, harness, 150 * US_PER_MS)
 
     def script() -> None:
-        assert harness.order_load(begin_within_us=100 * US_PER_MS).outcome is Outcome.MOOT
+        assert harness.order_load(begin_within_us=100 * US_PER_MS).outcome is Outcome.EXPIRED
         harness.client.close_idle_connections("w")
-        assert harness.call(begin_within_us=100 * US_PER_MS).outcome is Outcome.MOOT
+        assert harness.call(begin_within_us=100 * US_PER_MS).outcome is Outcome.EXPIRED
         assert not harness.received
         harness.client.close_idle_connections("w")
         assert harness.order_load(begin_within_us=150 * US_PER_MS).outcome is Outcome.OK
@@ -60,10 +60,10 @@
         harness.client.order_load(LoadOrder("w", "f", 2, 100 * US_PER_MS), harness.reported_events.append)
         harness.loop.clock.advance_to(harness.loop.now() + 150 * US_PER_MS)  # other work keeps the loop busy
         harness.wait_until(lambda: bool(harness.reported_events))
-        assert harness.reported_events.pop().outcome is Outcome.MOOT
+        assert harness.reported_events.pop().outcome is Outcome.EXPIRED
         harness.start_call(begin_within_us=100 * US_PER_MS)
         harness.loop.clock.advance_to(harness.loop.now() + 150 * US_PER_MS)
-        assert harness.wait_for_attempt_end().outcome is Outcome.MOOT
+        assert harness.wait_for_attempt_end().outcome is Outcome.EXPIRED
         assert not harness.received
 
     harness.run_script(script)
@@ -78,7 +78,7 @@
         ended = harness.call(
             before_send=lambda: harness.loop.clock.advance_to(harness.loop.now() + 2 * US_PER_S)
         )
-        assert ended.outcome is Outcome.MOOT
+        assert ended.outcome is Outcome.EXPIRED
         assert len(harness.received) == received_before
 
     harness.run_script(script)
@@ -105,7 +105,7 @@
         harness.loop.sleep(50 * US_PER_MS)
         harness.client.update_workers(new_addresses, set())
         harness.wait_until(lambda: len(harness.reported_events) == 2)
-        assert [ended.outcome for ended in harness.reported_events] == [Outcome.MOOT, Outcome.MOOT]
+        assert [ended.outcome for ended in harness.reported_events] == [Outcome.EXPIRED, Outcome.EXPIRED]
         assert len(harness.worker_streams) == 2
         assert not harness.received
         assert other_listener.accept_now() is None
@@ -125,7 +125,7 @@
         harness.loop.sleep(50 * US_PER_MS)
         harness.client.update_workers(dict(harness.client.addresses), {"w"})
         harness.wait_until(lambda: bool(harness.reported_events))
-        assert harness.reported_events.pop().outcome is Outcome.MOOT
+        assert harness.reported_events.pop().outcome is Outcome.EXPIRED
         assert not harness.received
 
     harness.run_script(script)
@@ -140,7 +140,7 @@
         closed_listener.close()
         harness.client.update_workers({"w": closed_listener.address}, set())
         ended = harness.call(before_send=lambda: harness.client.update_workers(current_addresses, set()))
-        assert ended.outcome is Outcome.MOOT
+        assert ended.outcome is Outcome.EXPIRED
 
     harness.run_script(script)
 
--- a/packages/workerclient/tests/test_tls_streams.py
+++ b/packages/workerclient/tests/test_tls_streams.py
@@ -13,7 +13,7 @@
 from walnutpost.eventloop import Loop, TlsClientSettings, TlsStream, VirtualClock, WaitTimeoutError
 from walnutpost.fakes.authority import Authority, IssuedCertificate
 from walnutpost.http import Connection, Exchange, Response, encode_request
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 
 SERVER_NAME = "worker-7.example.org"
 DAY = timedelta(days=1)
@@ -48,7 +48,7 @@
 
 def test_requests_of_any_size_pass_over_tls_and_later_connections_resume_the_session(tmp_path: Path) -> None:
     def script(loop: Loop) -> None:
-        server = serve_on(
+        server = start_server(
             loop,
             ("127.0.0.1", 0),
             echo,
@@ -94,7 +94,7 @@
 
     def script(loop: Loop) -> None:
         context = make_server_context(certificate, tmp_path)
-        server = serve_on(loop, ("127.0.0.1", 0), handler, lambda e: Response(400), context=context)
+        server = start_server(loop, ("127.0.0.1", 0), handler, lambda e: Response(400), context=context)
         with pytest.raises(ssl.SSLCertVerificationError):
             Connection.open(
                 loop, server.address, tls=TlsClientSettings(make_client_context(authority), SERVER_NAME)
@@ -119,7 +119,7 @@
 
         def script(loop: Loop, is_truncated: bool = is_truncated) -> None:
             context = make_server_context(CERTIFICATE, tmp_path)
-            server = serve_on(loop, ("127.0.0.1", 0), handler, lambda e: Response(400), context=context)
+            server = start_server(loop, ("127.0.0.1", 0), handler, lambda e: Response(400), context=context)
             connection = Connection.open(
                 loop, server.address, tls=TlsClientSettings(make_client_context(AUTHORITY), SERVER_NAME)
             )
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -21,7 +21,7 @@
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import ConfirmPermit, Fleet, encode, endpoint_snapshot
 from walnutpost.http import Exchange, Response
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.watch import WatchServer
 
 
@@ -187,7 +187,7 @@
                 loop.sleep(5_000)
 
     def script() -> None:
-        at = "{}:{}".format(*serve_on(loop, ("127.0.0.1", 0), serve, lambda e: Response(400)).address)
+        at = "{}:{}".format(*start_server(loop, ("127.0.0.1", 0), serve, lambda e: Response(400)).address)
         kept = ConfigStore.restore(table.snapshot())
         members = [hollow.Member(loop, f"h{n}", {"r1": at}, kept, hollow.Quiet()) for n in range(12)]
         tasks = [loop.spawn(member.run) for member in members]
