--- a/packages/testsupport/src/walnutpost/testsupport/relay/tier.py
+++ b/packages/testsupport/src/walnutpost/testsupport/relay/tier.py
@@ -53,8 +53,11 @@
         self.watches = {name: self._watch(name) for name in names}
         self.servers = {
             name: start_server(
-                loop, ("127.0.0.1", 0), lambda e, name=name: self._serve(name, e), protocol_error
-            )  # type: ignore[misc]
+                loop,
+                ("127.0.0.1", 0),
+                lambda e, name=name: self._serve(name, e),  # type: ignore[misc]
+                protocol_error,
+            )
             for name in names
         }
         loop.call_every(SECOND // 2, self._update_members)
