--- a/packages/metering/src/walnutpost/metering/__init__.py
+++ b/packages/metering/src/walnutpost/metering/__init__.py
@@ -1,4 +1,4 @@
-"""Memory-time by tenant: recording, allocation, booking, budgets. No I/O, no clock."""
+"""Metering of memory-time by tenant: recording, allocation, booking and budgets. No I/O, no clock."""
 
 from walnutpost.metering.allocation import AllocationRule, allocate_slice, split_proportionally
 from walnutpost.metering.amounts import (
--- a/packages/metering/src/walnutpost/metering/allocation.py
+++ b/packages/metering/src/walnutpost/metering/allocation.py
@@ -1,7 +1,7 @@
-"""Whom a copy's memory-time is charged to. No I/O.
+"""Allocation of a copy's memory-time to tenants. No I/O.
 
-Running time is charged to the tenants that ran, by slots in use. Three rules for the rest are compared in
-docs/metering.md; the ledger uses LAST_USER.
+Running time is charged to the tenants of the running calls, by slots in use. docs/metering.md compares three
+rules for the rest of the time; the ledger uses LAST_USER.
 """
 
 from __future__ import annotations
@@ -13,20 +13,21 @@
 
 
 class AllocationRule(Enum):
-    """Who pays for loading and for idle time."""
+    """Which tenant is charged for the time in which no call runs."""
 
-    # Idle time: whose call ended last; loading, and waiting for a first call: whose call came first.
+    # Idle time: the tenant whose call ended last. Time before the first call: the tenant of that call.
     LAST_USER = "lately"
-    # All of it: whose call came first.
+    # All of it: the tenant of the first call.
     FIRST_USER = "first"
-    # All of it: who ran in that hour, by time run; if nobody did, whose call came first.
+    # All of it: the tenants whose calls ran in the hour, by running time.
+    # If none ran: the tenant of the first call.
     RUN_TIME = "share"
 
 
 def split_proportionally(total: int, weights: Mapping[str, int]) -> dict[str, int]:
-    """Return whole shares of `total` that are proportional to the weights and add up to it.
+    """Split `total` into integer shares that are proportional to the weights and add up to it.
 
-    The remainder goes to the shares with the greatest fractions, equal ones by name. The weights are not
+    The remainder goes to the shares with the greatest fractions; ties are broken by name. Weights must not be
     negative, and not all 0.
     """
     if len(weights) == 1:
@@ -41,7 +42,7 @@
 
 
 def allocate_slice(usage: UsageSlice, rule: AllocationRule = AllocationRule.LAST_USER) -> dict[str, int]:
-    """Return MB-microseconds by tenant, which add up to the slice's memory-time."""
+    """Return the MB-microseconds charged to each tenant. They add up to the slice's memory-time."""
     times_us: dict[str, int] = {}
     _add_times(times_us, usage.running_us)
     _add_times(times_us, _allocate_rest(usage, rule))
@@ -49,7 +50,7 @@
 
 
 def _allocate_rest(usage: UsageSlice, rule: AllocationRule) -> dict[str, int]:
-    """Return by tenant the time in which no call ran."""
+    """Return the time in which no call ran, by the tenant that is charged for it."""
     first_tenant = usage.first_tenant if usage.first_tenant is not None else UNATTRIBUTED
     before_first_call_us = usage.loading_us + usage.unused_us
     rest_us = before_first_call_us + sum(usage.idle_us.values())
--- a/packages/metering/src/walnutpost/metering/amounts.py
+++ b/packages/metering/src/walnutpost/metering/amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of memory-time with their bounds, and the accounts that they are booked to."""
+"""Amounts of memory-time with their bounds, and the accounts to which they are booked."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class Cause(StrEnum):
-    """Why an amount is not what workers counted, or not certain. The values are stored."""
+    """Why an amount was not counted by workers, or is uncertain. The values are stored."""
 
-    COUNTED = ""  # it is what workers counted
-    CONTRADICTION = "contradiction"  # reports of one copy did not fit together
-    REJECTED = "refused"  # a report was not believed
-    SILENT = "silent"  # a worker was not heard of
+    COUNTED = ""  # the workers counted it
+    CONTRADICTION = "contradiction"  # reports of one copy contradict each other
+    REJECTED = "refused"  # a report was invalid
+    SILENT = "silent"  # a worker did not report
     EVICTED = "forgotten"  # a worker evicted records before they were read
-    OVER_CAPACITY = "more than memory"  # copies of a worker had more memory than it
+    OVER_CAPACITY = "more than memory"  # the copies of a worker used more memory than it has
     ESTIMATED = "estimated"  # the worker reports no usage
-    TOO_LATE = "too late"  # records of the hour were dropped already
-    FRONT_END_DOWN = "front end down"  # samples were lost with a front end's process
+    TOO_LATE = "too late"  # the records of the hour were already dropped
+    FRONT_END_DOWN = "front end down"  # samples were lost when a front end's process ended
 
 
 class Amount(Struct, frozen=True):
-    """MB-microseconds: the figure that is booked, and the bounds of the truth."""
+    """The booked figure in MB-microseconds, with bounds of the true value."""
 
     best: int = 0
     lower_bound: int = 0
     upper_bound: int = 0
 
     def __add__(self, other: Amount) -> Amount:
-        """Add figures and bounds."""
+        """Add the figures and the bounds."""
         return Amount(
             self.best + other.best,
             self.lower_bound + other.lower_bound,
@@ -38,7 +38,7 @@
         )
 
     def __sub__(self, other: Amount) -> Amount:
-        """Subtract figures and bounds, as corrections need it."""
+        """Subtract the figures and the bounds, for corrections."""
         return Amount(
             self.best - other.best,
             self.lower_bound - other.lower_bound,
@@ -46,7 +46,7 @@
         )
 
     def __bool__(self) -> bool:
-        """Whether anything is not 0."""
+        """Whether the figure or a bound is not 0."""
         return bool(self.best or self.lower_bound or self.upper_bound)
 
 
@@ -54,19 +54,19 @@
 
 
 def exact_amount(mb_us: int) -> Amount:
-    """Return an amount that is certain."""
+    """Return an amount whose bounds equal its figure."""
     return Amount(mb_us, mb_us, mb_us)
 
 
 class Account(Struct, frozen=True, order=True):
-    """What amounts are booked to."""
+    """What an amount is booked to: a tenant, a function and a cause."""
 
     tenant: str
     function: str
     cause: str = Cause.COUNTED
 
 
-Statement = dict[Account, Amount]  # all that is known of an hour
+Statement = dict[Account, Amount]  # the amounts of an hour, by account
 
 
 def add_to(statement: Statement, account: Account, amount: Amount) -> None:
@@ -75,7 +75,7 @@
 
 
 def sum_statements(statements: Iterable[Mapping[Account, Amount]]) -> Statement:
-    """Return the sum of each account."""
+    """Return the total of each account."""
     total: Statement = {}
     for statement in statements:
         for account, amount in statement.items():
@@ -84,5 +84,5 @@
 
 
 def sum_amounts(amounts: Iterable[Amount]) -> Amount:
-    """Return the sum."""
+    """Return the total."""
     return sum(amounts, start=ZERO)
--- a/packages/metering/src/walnutpost/metering/bookings.py
+++ b/packages/metering/src/walnutpost/metering/bookings.py
@@ -1,4 +1,4 @@
-"""What is booked for closed hours: the sum of the lines, by hour and account."""
+"""Bookings of closed hours: the sum of the booked lines, by hour and account."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 
 class Bookings:
-    """Booked statements, of the hours whose records are retained."""
+    """Booked statements of the hours whose records are retained."""
 
     def __init__(self, booked: Mapping[int, Statement]) -> None:
         self._booked = {hour_us: dict(statement) for hour_us, statement in booked.items()}
 
     def statement(self, hour_us: int) -> Statement:
-        """Return what is booked for an hour."""
+        """Return the booked statement of an hour."""
         return self._booked.get(hour_us, {})
 
-    def lines_to(self, statement: Statement, hour_us: int, kind: LineKind, now_us: int) -> list[LedgerLine]:
-        """Return the lines after which the hour is booked as stated, in the order of accounts."""
+    def difference_lines(
+        self, statement: Statement, hour_us: int, kind: LineKind, now_us: int
+    ) -> list[LedgerLine]:
+        """Return the lines, sorted by account, that change the bookings of an hour to a statement."""
         booked = self.statement(hour_us)
         lines = []
         for account in sorted({*statement, *booked}):
@@ -29,7 +31,7 @@
         return lines
 
     def add(self, lines: Iterable[LedgerLine]) -> None:
-        """Add lines that are on disk."""
+        """Add persisted lines."""
         for line in lines:
             booked = self._booked.setdefault(line.hour_us, {})
             amount = booked.get(line.account, ZERO) + line.amount
@@ -39,6 +41,6 @@
                 booked.pop(line.account, None)
 
     def drop_before(self, hour_us: int) -> None:
-        """Forget old hours."""
+        """Remove the bookings of earlier hours."""
         for hour in [hour for hour in self._booked if hour < hour_us]:
             del self._booked[hour]
--- a/packages/metering/src/walnutpost/metering/errors.py
+++ b/packages/metering/src/walnutpost/metering/errors.py
@@ -1,4 +1,4 @@
-"""Errors of metering. All derive from MeteringError."""
+"""Metering errors. All derive from MeteringError."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class InvalidUsageError(MeteringError):
-    """Usage that a worker cannot have: what was `found`, and what was `wanted` instead."""
+    """Usage that a worker cannot have: the value that was `found`, and the one that was `wanted`."""
 
     def __init__(self, found: str, wanted: str) -> None:
         super().__init__(f"found {found}, wanted {wanted}")
@@ -17,8 +17,8 @@
 
 
 class InvalidReportError(InvalidUsageError):
-    """A report that is not believed at all."""
+    """A report that is invalid as a whole."""
 
 
 class InvalidSliceError(InvalidUsageError):
-    """A slice of a valid report that is not believed."""
+    """An invalid slice of a valid report."""
--- a/packages/metering/src/walnutpost/metering/figures.py
+++ b/packages/metering/src/walnutpost/metering/figures.py
@@ -1,4 +1,4 @@
-"""Figures of one ledger, or of several front ends' ledgers as one, by any grouping. No I/O.
+"""Usage figures of one ledger, or of several front ends' ledgers combined, in any grouping. No I/O.
 
 Times are microseconds since the epoch.
 """
@@ -18,13 +18,13 @@
 from walnutpost.metering.records import UsageSlice
 from walnutpost.metering.units import HOUR_US, day_start_us, hour_start_us
 
-# What figures can be grouped by; names of options and columns.
+# Fields by which figures can be grouped. The names are those of options and columns.
 GROUP_FIELDS = ("tenant", "function", "cause", "kind", "hour", "day")
 
 
 @dataclass(frozen=True, slots=True)
 class UsageFigure:
-    """An amount of one hour, or of one day if `is_day`; `start_us` is when that began."""
+    """An amount of the hour that starts at `start_us`, or of the day if `is_day`."""
 
     start_us: int
     is_day: bool
@@ -42,18 +42,18 @@
 def collect_figures(
     extracts: Sequence[LedgerExtract], policy: MeteringPolicy, now_us: int, since_us: int, until_us: int
 ) -> list[UsageFigure]:
-    """Return the figures of one front end's ledger, or of several of one site together.
+    """Return the figures of one front end's ledger, or the combined figures of several ledgers of a site.
 
-    As far as workers' records are retained, those of all ledgers are merged, so each copy counts once. Of
-    earlier hours there are lines only: the greatest amount of each account is taken, and estimates, which are
-    of each front end's own calls, are added.
+    For hours whose slices are retained, the slices of all ledgers are merged, so each copy counts once.
+    Earlier hours have booked lines only: for each account, the greatest amount of any ledger is taken.
+    Estimates are added up, since each front end estimates its own calls only.
     """
     if len(extracts) == 1:
-        return _figures_of_one(extracts[0], policy, now_us, since_us, until_us)
-    return _figures_of_many(extracts, policy, now_us, since_us, until_us)
+        return _figures_of_single_ledger(extracts[0], policy, now_us, since_us, until_us)
+    return _figures_of_ledgers(extracts, policy, now_us, since_us, until_us)
 
 
-def _figures_of_one(
+def _figures_of_single_ledger(
     extract: LedgerExtract, policy: MeteringPolicy, now_us: int, since_us: int, until_us: int
 ) -> list[UsageFigure]:
     figures = [_figure_of(line, is_day=False) for line in extract.hour_lines]
@@ -65,7 +65,7 @@
     return figures
 
 
-def _figures_of_many(
+def _figures_of_ledgers(
     extracts: Sequence[LedgerExtract], policy: MeteringPolicy, now_us: int, since_us: int, until_us: int
 ) -> list[UsageFigure]:
     records_since_us = max((extract.state.drop_before_us for extract in extracts), default=0)
@@ -93,7 +93,7 @@
 
 
 def _combine_lines(ledgers: Iterable[Iterable[LedgerLine]], *, is_day: bool) -> list[UsageFigure]:
-    """Return one figure for each hour or day and account of several ledgers' lines."""
+    """Combine the lines of several ledgers into one figure for each account and hour or day."""
     by_key: dict[_LineKey, list[Amount]] = defaultdict(list)
     for lines in ledgers:
         sums: dict[_LineKey, Amount] = {}
@@ -103,12 +103,14 @@
         for key, amount in sums.items():
             by_key[key].append(amount)
     return [
-        UsageFigure(key.start_us, is_day, key.account, LineKind.CLOSED, _combine(key.account, amounts))
+        UsageFigure(
+            key.start_us, is_day, key.account, LineKind.CLOSED, _combine_amounts(key.account, amounts)
+        )
         for key, amounts in by_key.items()
     ]
 
 
-def _combine(account: Account, amounts: Sequence[Amount]) -> Amount:
+def _combine_amounts(account: Account, amounts: Sequence[Amount]) -> Amount:
     if account.cause == Cause.ESTIMATED:
         return sum_amounts(amounts)
     return max(amounts, key=lambda amount: (amount.best, amount.lower_bound, amount.upper_bound))
@@ -127,10 +129,10 @@
     renamed_tenants: Mapping[str, str],
     default_tenant: str = "",
 ) -> dict[tuple[str, ...], Amount]:
-    """Return the sums by some of GROUP_FIELDS, in their order.
+    """Sum figures by the fields `by`, which are some of GROUP_FIELDS. Keys have the order of `by`.
 
-    A renamed tenant is found under its new name; the ledger keeps the old one. Days count as their first
-    hour.
+    A renamed tenant appears under its new name, although the ledger keeps the old one. A figure of a day
+    counts as one of its first hour.
     """
     sums: dict[tuple[str, ...], Amount] = {}
     for figure in figures:
@@ -151,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SliceCharge:
-    """What one slice adds to a tenant's figure."""
+    """The memory-time of one slice that is charged to one tenant."""
 
     slice: UsageSlice
     tenant: str
@@ -164,7 +166,7 @@
     now_us: int,
     is_wanted: Callable[[str, UsageSlice], bool],
 ) -> list[SliceCharge]:
-    """Return the wanted charges by tenant and slice, greatest first; as far back as slices are retained."""
+    """Return the charges of retained slices that `is_wanted` selects, greatest first."""
     charges = [
         SliceCharge(usage, tenant, mb_us)
         for usage in _merge_ledgers(extracts, policy, now_us).slices
--- a/packages/metering/src/walnutpost/metering/ledger.py
+++ b/packages/metering/src/walnutpost/metering/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger: what each hour's memory-time is booked to, closed once, and corrected by further lines. No I/O.
+"""The ledger: books the memory-time of each hour to accounts. No I/O.
 
-The facts are merged and only grow. The statement of an hour is a function of them, so the order in which
-facts came does not matter. What is booked for a closed hour is its statement: when it is closed, and by a
-correcting line each time that the statement changes later. Times are microseconds since the epoch.
+Facts are merged and only grow. The statement of an hour is a function of the facts, so the order in which
+they arrive has no effect. Each hour is closed once, and its statement is booked then. If the statement
+changes later, correction lines book the difference. Times are microseconds since the epoch.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
 
 
 class Ledger:
-    """One ledger, of a front end, or of several whose states are merged."""
+    """The ledger of one front end, or of several whose states are merged."""
 
     def __init__(self, policy: MeteringPolicy, state: LedgerState, now_us: int) -> None:
-        """Continue from what is on disk; a new ledger begins with the hour of `now_us`."""
+        """Continue from a state on disk. A new ledger starts with the hour of `now_us`."""
         self._policy = policy
         closed_to_us = state.closed_to_us or hour_start_us(now_us)
         self._hours = ClosedHours(closed_to_us, policy.slice_retention_us)
@@ -36,7 +36,7 @@
         self._bookings = Bookings(state.booked)
         self._usage_by_hour: dict[int, dict[str, int]] = {}  # by tenant, of closed hours
         self._facts.merge(state)
-        # It is on disk, and booked.
+        # The state was read from disk, so its facts are persisted and its statements booked.
         self._facts.mark_all_written()
         self._hours.clear_stale()
         self._is_new = state.closed_to_us == 0
@@ -45,48 +45,48 @@
 
     @property
     def closed_to_us(self) -> int:
-        """Return up to when hours are closed."""
+        """Return the time before which all hours are closed."""
         return self._hours.closed_to_us
 
     @property
     def slices(self) -> list[UsageSlice]:
-        """Return all slices that are retained."""
+        """Return the retained slices."""
         return list(self._facts.slices.records.values())
 
     # Facts
 
     def cursor(self, worker: str) -> ReportCursor:
-        """Return up to where the worker's reports were read."""
+        """Return how far the worker's reports were read."""
         return self._facts.cursor(worker)
 
     def has_reports(self, worker: str) -> bool:
-        """Whether the worker ever reported."""
+        """Whether the ledger has any report of the worker."""
         return any(each.worker == worker for each in self._facts.incarnations.values())
 
     def add_report(self, report: UsageReport, worker: str, now_us: int) -> list[str]:
-        """Add a report that was read from a worker; return its inconsistencies as texts for the log."""
+        """Add a report that was read from a worker; return its inconsistencies as log texts."""
         return add_report(self._facts, report, worker, now_us)
 
     def merge(self, state: LedgerState) -> None:
-        """Add what another ledger of the same site knows, but for its bookings."""
+        """Add the facts of another ledger of the same site, without its bookings."""
         self._facts.merge(state)
 
     def add_gap(self, gap: UsageGap) -> None:
-        """Add a gap that the embedding program knows of."""
+        """Add a gap that the calling program found."""
         self._facts.add_gap(gap)
 
     def add_samples(self, samples: Iterable[UsageSample]) -> None:
-        """Add this front end's samples; each is of its hour so far."""
+        """Add this front end's samples. Each covers its hour so far."""
         self._facts.add_samples(samples)
 
     # Statements
 
     def statement(self, hour_us: int, now_us: int) -> Statement:
-        """Return all that is known of the hour at a time."""
+        """Return the statement of an hour as of `now_us`."""
         return build_statement(self._facts, self._policy.max_silence_us, hour_us, now_us)
 
     def usage_by_tenant(self, since_us: int, now_us: int) -> dict[str, int]:
-        """Return MB-microseconds by tenant from an hour on, as far as they are known: for budgets."""
+        """Return the MB-microseconds of each tenant since the hour of `since_us`, for budgets."""
         usage: dict[str, int] = {}
         for hour_us in range(hour_start_us(since_us), hour_start_us(now_us) + 1, HOUR_US):
             for tenant, mb_us in self._usage_of_hour(hour_us, now_us).items():
@@ -107,9 +107,10 @@
     # Booking
 
     def build_batch(self, now_us: int) -> LedgerBatch | None:
-        """Return all that is not on disk yet, with the lines of the hours that are closed now.
+        """Return the facts that are not persisted yet, and the lines of hours that close now.
 
-        None if there is nothing to write. A batch that could not be written is built again.
+        Return None if there is nothing to write. If a batch cannot be written, the next one contains its
+        facts and lines again.
         """
         self._now_us = max(self._now_us, now_us)
         closed_to_us = self._next_closed_to_us(now_us)
@@ -144,14 +145,14 @@
         lines: list[LedgerLine] = []
         for hour_us in range(self.closed_to_us, closed_to_us, HOUR_US):
             statement = self.statement(hour_us, now_us)
-            lines += self._bookings.lines_to(statement, hour_us, LineKind.CLOSED, now_us)
+            lines += self._bookings.difference_lines(statement, hour_us, LineKind.CLOSED, now_us)
         for hour_us in sorted(self._hours.stale):
             statement = self.statement(hour_us, now_us)
-            lines += self._bookings.lines_to(statement, hour_us, LineKind.CORRECTION, now_us)
+            lines += self._bookings.difference_lines(statement, hour_us, LineKind.CORRECTION, now_us)
         return lines
 
     def mark_written(self, batch: LedgerBatch) -> None:
-        """Note that a batch is on disk. What came since it was built is still to be written."""
+        """Mark a batch as persisted. Facts added since it was built stay unwritten."""
         self._bookings.add(batch.lines)
         self._facts.mark_written(batch)
         self._serial = batch.serial
--- a/packages/metering/src/walnutpost/metering/ledger_records.py
+++ b/packages/metering/src/walnutpost/metering/ledger_records.py
@@ -1,6 +1,7 @@
-"""Records of the ledger beside workers' slices: incarnations, gaps, samples and booked lines.
+"""Ledger records other than workers' slices: incarnations, gaps, samples and booked lines.
 
-The ledger stores them by the order of their fields. Times are microseconds since the epoch.
+The ledger stores their fields by position, so the order of fields is fixed. Times are microseconds since
+the epoch.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 
 
 class LineKind(StrEnum):
-    """What a line is; the values are stored and shown."""
+    """The kind of a line. The values are stored and shown."""
 
     CLOSED = "closed"  # booked when its hour was closed
-    CORRECTION = "correction"  # the difference that was learnt later
-    OPEN = "open"  # of an hour that is not closed, and not stored
+    CORRECTION = "correction"  # a difference that was found after closing
+    OPEN = "open"  # for an hour that is not closed yet; not stored
 
 
 class LedgerLine(Struct, frozen=True):
-    """One booking."""
+    """A booking of an amount for one hour."""
 
     hour_us: int
     account: Account
@@ -33,7 +34,7 @@
 
 
 class WorkerIncarnation(Struct, frozen=True):
-    """What is known of one process of a worker. `change` is up to where its reports were read."""
+    """One process of a worker. `change` is the latest change that was read from its reports."""
 
     worker: str
     started_us: int
@@ -45,7 +46,7 @@
 
     @property
     def key(self) -> IncarnationKey:
-        """Return what identifies it."""
+        """Return the key of the record."""
         return IncarnationKey(self.worker, self.started_us)
 
 
@@ -58,9 +59,9 @@
 
 
 class UsageGap(Struct, frozen=True):
-    """Memory-time of which only an upper bound is known.
+    """Memory-time for which only an upper bound is known.
 
-    The same gap found again counts once, by its greatest bound.
+    A gap that is found more than once counts once, with its greatest bound.
     """
 
     hour_us: int
@@ -70,7 +71,7 @@
 
     @property
     def key(self) -> GapKey:
-        """Return what identifies it."""
+        """Return the key of the record."""
         return GapKey(self.hour_us, self.source, self.cause)
 
 
@@ -85,7 +86,7 @@
 
 
 class UsageSample(Struct, frozen=True):
-    """A front end's estimate of a worker's function within an hour, for one tenant; its numbers only grow."""
+    """A front end's estimate of one tenant's usage of a function on a worker in an hour; it only grows."""
 
     sampler_started_us: int
     hour_us: int
@@ -96,12 +97,12 @@
 
     @property
     def key(self) -> SampleKey:
-        """Return what identifies it."""
+        """Return the key of the record."""
         return SampleKey(self.sampler_started_us, self.hour_us, self.worker, self.function, self.tenant)
 
 
 def incarnation_of(report: UsageReport) -> WorkerIncarnation:
-    """Return what is known of a process from its report."""
+    """Return the incarnation that a report describes."""
     return WorkerIncarnation(
         worker=report.worker,
         started_us=report.started_us,
@@ -114,7 +115,7 @@
 
 
 def merge_incarnations(a: WorkerIncarnation, b: WorkerIncarnation) -> WorkerIncarnation:
-    """Return what two readers know of one process together."""
+    """Merge the records that two readers have of one process."""
     latest = max(a, b, key=lambda each: (each.last_heard_us, each.is_draining))
     return WorkerIncarnation(
         *a.key,
--- a/packages/metering/src/walnutpost/metering/merge.py
+++ b/packages/metering/src/walnutpost/metering/merge.py
@@ -1,7 +1,7 @@
-"""Merges two counts of one copy's hour into one, by the greater of each counter.
+"""Merging of two reports of one slice, by the greater value of each counter.
 
-The merge is a join of a semilattice (commutative, associative, idempotent), so that a record counts once
-however often, late, or by whichever reader it arrives.
+The merge is the join of a semilattice (commutative, associative, idempotent), so a slice counts once however
+often or late it arrives, and whichever reader sends it.
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 from walnutpost.metering.records import UsageSlice
 
-# Stored, and logged.
+# These texts are stored and logged.
 DIFFERENT_COPIES = "two functions or sizes for one copy"
 DIFFERENT_FIRST_TENANTS = "two first tenants for one copy"
 COUNTER_DECREASED = "a counter went down"
 
 
 def merge_slices(a: UsageSlice, b: UsageSlice) -> UsageSlice:
-    """Return both counts as one; what does not fit together is added to its `contradictions`."""
+    """Merge two reports of one slice. Contradictions between them are added to `contradictions`."""
     older, newer = (a, b) if a.counted_until_us <= b.counted_until_us else (b, a)
     first_tenants = [tenant for tenant in (a.first_tenant, b.first_tenant) if tenant is not None]
     return UsageSlice(
@@ -28,8 +28,8 @@
         is_final=a.is_final or b.is_final,
         loading_us=max(a.loading_us, b.loading_us),
         unused_us=max(a.unused_us, b.unused_us),
-        running_us=_greater_counters(a.running_us, b.running_us),
-        idle_us=_greater_counters(a.idle_us, b.idle_us),
+        running_us=_max_counters(a.running_us, b.running_us),
+        idle_us=_max_counters(a.idle_us, b.idle_us),
         first_tenant=min(first_tenants, default=None),
         contradictions=a.contradictions | b.contradictions | _find_contradictions(older, newer),
     )
@@ -43,12 +43,12 @@
     if len(first_tenants) > 1:
         found.add(DIFFERENT_FIRST_TENANTS)
     are_simultaneous = older.counted_until_us == newer.counted_until_us
-    if not _is_within(older, newer) and not (are_simultaneous and _is_within(newer, older)):
+    if not _is_at_most(older, newer) and not (are_simultaneous and _is_at_most(newer, older)):
         found.add(COUNTER_DECREASED)
     return found
 
 
-def _is_within(a: UsageSlice, b: UsageSlice) -> bool:
+def _is_at_most(a: UsageSlice, b: UsageSlice) -> bool:
     """Whether no counter of `a` is greater than that of `b`."""
     return (
         a.loading_us <= b.loading_us
@@ -59,8 +59,8 @@
     )
 
 
-def _greater_counters(a: Mapping[str, int], b: Mapping[str, int]) -> dict[str, int]:
-    greater = dict(a)
+def _max_counters(a: Mapping[str, int], b: Mapping[str, int]) -> dict[str, int]:
+    counters = dict(a)
     for tenant, count in b.items():
-        greater[tenant] = max(count, greater.get(tenant, 0))
-    return greater
+        counters[tenant] = max(count, counters.get(tenant, 0))
+    return counters
--- a/packages/metering/src/walnutpost/metering/persistence.py
+++ b/packages/metering/src/walnutpost/metering/persistence.py
@@ -1,4 +1,4 @@
-"""The form in which a ledger is persisted: its state as read, and the batches that are written to it."""
+"""Persisted forms of a ledger: the state that is read, and the batches that are written."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 @dataclass(slots=True)
 class LedgerState:
-    """A ledger as it is on disk.
+    """The state of a ledger on disk.
 
-    All hours before `closed_to_us` are closed, 0 for a new ledger; records of hours before `drop_before_us`
-    are dropped. `booked` is by hour, of the hours whose slices are there. `serial` is the last batch's.
+    All hours before `closed_to_us` are closed; it is 0 for a new ledger. Records of hours before
+    `drop_before_us` are dropped. `booked` has the hours whose slices are retained. `serial` is the number of
+    the last batch.
     """
 
     slices: list[UsageSlice] = field(default_factory=list)
@@ -29,10 +30,11 @@
 
 @dataclass(slots=True)
 class LedgerBatch:
-    """What one commit must contain, all or nothing, in addition to the batch before it.
+    """The changes since the previous batch, to be committed atomically.
 
-    `serial` goes up by one. Slices, gaps and samples of hours before `drop_before_us` are deleted, lines
-    before `fold_before_us` become lines by the day, days before `delete_before_us` are deleted.
+    `serial` grows by one with each batch. Slices, gaps and samples of hours before `drop_before_us` are
+    deleted. Lines by the hour before `fold_before_us` are folded into lines by the day, and lines
+    by the day before `delete_before_us` are deleted.
     """
 
     slices: list[UsageSlice]
@@ -49,10 +51,10 @@
 
 @dataclass(slots=True)
 class LedgerExtract:
-    """A ledger as read from a file for a span of time.
+    """A ledger as read from a file for a period.
 
-    `hour_lines` are by the hour. `day_lines` have the begin of a day as their hour, for hours that were
-    folded.
+    `hour_lines` are lines by the hour. `day_lines` are the folded lines of earlier hours; their `hour_us` is
+    the start of the day.
     """
 
     state: LedgerState = field(default_factory=LedgerState)
--- a/packages/metering/src/walnutpost/metering/policy.py
+++ b/packages/metering/src/walnutpost/metering/policy.py
@@ -1,4 +1,4 @@
-"""How long a ledger waits, and what it retains."""
+"""Metering policy: how long a ledger waits before it closes an hour, and how long it retains records."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MeteringPolicy:
-    """Times in microseconds.
+    """Delays and retention times of a ledger, in microseconds.
 
-    What is known `close_delay_us` after an hour's end is booked. Slices are retained `slice_retention_us`
-    after their hour, lines by the hour `hour_retention_us`, lines by the day `day_retention_us`. A worker
-    that is not heard of is assumed to have used memory no longer than `max_silence_us`.
+    An hour is closed `close_delay_us` after its end. Slices are retained for `slice_retention_us` after
+    their hour, lines by the hour for `hour_retention_us`, and lines by the day for `day_retention_us`. A
+    worker that stops reporting is assumed to use memory for at most `max_silence_us` after its last report.
     """
 
     close_delay_us: int = HOUR_US // 12
--- a/packages/metering/src/walnutpost/metering/recorder.py
+++ b/packages/metering/src/walnutpost/metering/recorder.py
@@ -1,4 +1,4 @@
-"""A worker's own records of its copies: counts every microsecond of each, and cuts them at full hours.
+"""A worker's recorder of usage. It counts each microsecond of each copy, in slices cut at full hours.
 
 No I/O and no clock. Any worker that knows when a copy is started, ready, running and removed can use it.
 Times are microseconds since the epoch.
@@ -13,12 +13,12 @@
 from walnutpost.metering.records import UsageReport, UsageSlice
 from walnutpost.metering.units import HOUR_US, hour_start_us
 
-MAX_FINAL_SLICES = 20_000  # of removed copies, or of hours that are over
+MAX_FINAL_SLICES = 20_000  # of removed copies, or of hours that have ended
 
 
 @dataclass(slots=True, eq=False)
 class _Copy:
-    """Counters of the hour in which `counted_until_us` is."""
+    """A loaded copy, with the counters of the hour of `counted_until_us`."""
 
     number: int
     function: str
@@ -27,14 +27,14 @@
     is_ready: bool = False
     first_tenant: str | None = None
     last_tenant: str | None = None
-    running_calls: Counter[str] = field(default_factory=Counter)  # in use, by tenant
+    running_calls: Counter[str] = field(default_factory=Counter)  # by tenant
     loading_us: int = 0
     unused_us: int = 0
     running_us: dict[str, int] = field(default_factory=dict)
     idle_us: dict[str, int] = field(default_factory=dict)
 
     def count(self, end_us: int) -> None:
-        """Count the time up to `end_us`, within one hour."""
+        """Count the time up to `end_us`, which is within the current hour."""
         time_us = end_us - self.counted_until_us
         if not self.is_ready:
             self.loading_us += time_us
@@ -48,7 +48,7 @@
         self.counted_until_us = end_us
 
     def reset_counters(self) -> None:
-        """Begin a new hour."""
+        """Reset the counters at the start of an hour."""
         self.loading_us = 0
         self.unused_us = 0
         self.running_us = {}
@@ -56,10 +56,10 @@
 
 
 class UsageRecorder:
-    """The records of one process of a worker.
+    """The usage records of one worker process.
 
-    At most `max_final_slices` final slices are remembered. The oldest are evicted first, and their
-    memory-time is summed, so that a reader that came too late knows an upper bound of what it missed.
+    At most `max_final_slices` final slices are kept. The oldest are evicted first, and their memory-time is
+    added up, so that a reader that comes too late has an upper bound of what it missed.
     """
 
     def __init__(
@@ -77,30 +77,30 @@
         self._now_us = started_us
 
     def start_copy(self, now_us: int, copy: int, function: str, memory_mb: int) -> None:
-        """Record that a copy holds its memory from now on, and is loading."""
+        """Record that a copy starts to load and holds its memory."""
         self._copies[copy] = _Copy(copy, function, memory_mb, self._advance(now_us))
 
     def mark_ready(self, now_us: int, copy: int) -> None:
         """Record that a copy has been loaded."""
-        self._counted(now_us, copy).is_ready = True
+        self._counted_copy(now_us, copy).is_ready = True
 
     def start_call(self, now_us: int, copy: int, tenant: str) -> None:
         """Record that a call uses a slot of a copy."""
-        record = self._counted(now_us, copy)
+        record = self._counted_copy(now_us, copy)
         if record.first_tenant is None:
             record.first_tenant = tenant
         record.running_calls[tenant] += 1
 
     def end_call(self, now_us: int, copy: int, tenant: str) -> None:
         """Record that a call has ended."""
-        record = self._counted(now_us, copy)
+        record = self._counted_copy(now_us, copy)
         record.running_calls[tenant] -= 1
-        record.running_calls += Counter()  # removes those at 0
+        record.running_calls += Counter()  # removes the counts that are 0
         record.last_tenant = tenant
 
     def remove_copy(self, now_us: int, copy: int) -> None:
-        """Record that a copy's memory is free again."""
-        record = self._counted(now_us, copy)
+        """Record that a copy was removed and its memory is free."""
+        record = self._counted_copy(now_us, copy)
         del self._copies[copy]
         self._add_final(record, hour_start_us(record.counted_until_us))
 
@@ -111,17 +111,17 @@
         started_us: int | None = None,
         is_draining: bool = False,
     ) -> UsageReport:
-        """Return all that is newer than a change, and all copies that are loaded.
+        """Return a report of the final slices after a change, and of all loaded copies.
 
-        A reader that knows another `started_us` is given everything.
+        If `started_us` is that of another process, the report has all final slices.
         """
         now_us = self._advance(now_us)
         for record in self._copies.values():
-            self._count(record, now_us)
+            self._count_until(record, now_us)
         known_change = after_change if started_us in (None, self._started_us) else 0
         final = [usage for change, usage in self._final.items() if change > known_change]
         hour_us = hour_start_us(now_us)
-        loaded = [self._slice(record, hour_us, is_final=False) for record in self._copies.values()]
+        loaded = [self._build_slice(record, hour_us, is_final=False) for record in self._copies.values()]
         return UsageReport(
             worker=self._worker,
             started_us=self._started_us,
@@ -135,17 +135,17 @@
         )
 
     def _advance(self, now_us: int) -> int:
-        """Return the time; a clock that steps back counts nothing twice."""
+        """Return the latest time so far, so that no time counts twice if the clock steps back."""
         self._now_us = max(self._now_us, now_us)
         return self._now_us
 
-    def _counted(self, now_us: int, copy: int) -> _Copy:
-        """Return a copy whose time is counted up to now."""
+    def _counted_copy(self, now_us: int, copy: int) -> _Copy:
+        """Return a copy, counted up to now."""
         record = self._copies[copy]
-        self._count(record, self._advance(now_us))
+        self._count_until(record, self._advance(now_us))
         return record
 
-    def _count(self, record: _Copy, now_us: int) -> None:
+    def _count_until(self, record: _Copy, now_us: int) -> None:
         while record.counted_until_us < now_us:
             hour_us = hour_start_us(record.counted_until_us)
             end_us = min(now_us, hour_us + HOUR_US)
@@ -154,7 +154,7 @@
                 self._add_final(record, hour_us)
                 record.reset_counters()
 
-    def _slice(self, record: _Copy, hour_us: int, *, is_final: bool) -> UsageSlice:
+    def _build_slice(self, record: _Copy, hour_us: int, *, is_final: bool) -> UsageSlice:
         return UsageSlice(
             worker=self._worker,
             started_us=self._started_us,
@@ -173,9 +173,9 @@
 
     def _add_final(self, record: _Copy, hour_us: int) -> None:
         if record.counted_until_us == hour_us:
-            return  # removed at the full hour: nothing of it is in the new one
+            return  # removed at the full hour, so it has no time in the new one
         self._change += 1
-        self._final[self._change] = self._slice(record, hour_us, is_final=True)
+        self._final[self._change] = self._build_slice(record, hour_us, is_final=True)
         while len(self._final) > self._max_final_slices:
             self._last_evicted_change, evicted = self._final.popitem(last=False)
             self._evicted_mb_us += evicted.memory_time
--- a/packages/metering/src/walnutpost/metering/records.py
+++ b/packages/metering/src/walnutpost/metering/records.py
@@ -1,10 +1,10 @@
-"""Usage records: what a worker counts of each of its copies, and sends as JSON.
+"""Usage records: what a worker counts for each of its copies and sends as JSON.
 
-A copy is identified by its worker, that worker's start and a number that the worker assigns once. Its
-lifetime is cut at full hours; each piece is a UsageSlice, whose counters only grow. Times are microseconds
-since the epoch by the worker's clock, memory is in whole MB, memory-time in MB-microseconds.
+A copy is identified by its worker, the start time of that worker and a number that the worker never reuses.
+Its lifetime is cut at full hours. Each piece is a UsageSlice, whose counters only grow. Times are
+microseconds since the epoch by the worker's clock, memory is in whole MB, memory-time in MB-microseconds.
 
-The names of fields in JSON are those of the first release.
+The JSON field names are those of the first release.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from msgspec import Struct, field
 
-UNATTRIBUTED = "-"  # the tenant of what is charged to nobody; no real tenant has this name
+UNATTRIBUTED = "-"  # the tenant of usage that is charged to nobody; no real tenant has this name
 
 
 class IncarnationKey(NamedTuple):
@@ -33,17 +33,17 @@
 
     @property
     def incarnation(self) -> IncarnationKey:
-        """Return the process that has the copy."""
+        """Return the worker process that holds the copy."""
         return IncarnationKey(self.worker, self.started_us)
 
 
 class UsageSlice(Struct, frozen=True):
     """One copy within the hour that begins at `hour_us`.
 
-    Each microsecond that the copy held memory is counted in one place: `loading_us` until it was ready,
-    `unused_us` from then to its first call ever, `running_us` while calls ran, shared among their tenants by
-    slots in use, `idle_us` while no call ran, by the tenant whose call ended last. A call without a tenant
-    has the empty string. The counters hold up to `counted_until_us`.
+    Each microsecond in which the copy held memory is counted once: in `loading_us` until the copy was ready,
+    in `unused_us` from then until its first call ever, in `running_us` while calls ran, shared among their
+    tenants by slots in use, and in `idle_us` while no call ran, for the tenant whose call ended last. The
+    tenant of a call without one is the empty string. The counters cover the time up to `counted_until_us`.
     """
 
     worker: str
@@ -53,7 +53,7 @@
     function: str
     memory_mb: int
     counted_until_us: int = field(name="heard")
-    is_final: bool = field(name="ended", default=False)  # the copy was removed, or the hour is over
+    is_final: bool = field(name="ended", default=False)  # the copy was removed, or the hour has ended
     loading_us: int = field(name="loading", default=0)
     unused_us: int = field(name="unused", default=0)
     running_us: dict[str, int] = field(name="runs", default_factory=dict)  # by tenant
@@ -63,7 +63,7 @@
 
     @property
     def key(self) -> SliceKey:
-        """Return what identifies the slice."""
+        """Return the key of the slice."""
         return SliceKey(self.worker, self.started_us, self.copy, self.hour_us)
 
     @property
@@ -79,10 +79,10 @@
 
 
 class UsageReport(Struct, frozen=True):
-    """What a worker sends to a reader that has its changes up to some number already.
+    """The report that a worker sends to a reader, with the changes that the reader has not read yet.
 
-    `last_evicted_change` is the latest change that the worker no longer has, `evicted_mb_us` the memory-time
-    of all that it ever evicted.
+    `last_evicted_change` is the latest change that the worker has evicted, `evicted_mb_us` the memory-time of
+    all slices that it ever evicted.
     """
 
     worker: str
@@ -97,12 +97,12 @@
 
     @property
     def incarnation(self) -> IncarnationKey:
-        """Return the process that reports."""
+        """Return the worker process that reports."""
         return IncarnationKey(self.worker, self.started_us)
 
 
 class ReportCursor(NamedTuple):
-    """Up to where a worker's reports were read; zeros where none was."""
+    """How far a worker's reports were read; zeros if none was read."""
 
     started_us: int
     change: int
--- a/packages/metering/src/walnutpost/metering/sampling.py
+++ b/packages/metering/src/walnutpost/metering/sampling.py
@@ -1,9 +1,9 @@
-"""Usage sampling: a front end's estimate of copies at workers that report no usage, with its bounds.
+"""Usage sampling: a front end's estimate of the memory-time of workers that report no usage. No I/O.
 
-No I/O. Lower bound: the slots that its calls took, as if the slots of every copy were full. Upper bound: each
-call and each ordered copy on a copy of its own, loaded for it and kept alive after it. The estimate: as many
-copies as the calls in flight need, or as the worker's answers to load orders report; idle time to the last
-user.
+The lower bound counts the slots that the front end's calls used, as if all slots of each copy were in use.
+The upper bound counts a separate copy for each call and for each ordered copy, with its load time and
+keep-alive time. The estimate counts the copies that the calls in flight need, or those that the worker's
+answers to load orders report if they are more. It charges idle time to the tenant whose call ended last.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FunctionSize:
-    """What a copy of a function takes."""
+    """The memory, concurrency and load time of a function's copies."""
 
     memory_mb: int
     concurrency: int
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Placement:
-    """A function on a worker. Counters are of the hour in which `counted_until_us` is, by tenant."""
+    """A function on a worker. The counters by tenant are those of the hour of `counted_until_us`."""
 
     size: FunctionSize
     counted_until_us: int
@@ -44,23 +44,23 @@
 
     @property
     def needed_copies(self) -> int:
-        """Return how many copies the calls in flight fill."""
+        """Return how many copies the calls in flight need."""
         return -(-self.call_count // self.size.concurrency)
 
     def has_copies(self, now_us: int, keep_alive_us: int) -> bool:
-        """Whether a copy is believed to be loaded."""
+        """Whether a copy is estimated to be loaded."""
         is_kept_alive = now_us < self.idle_since_us + keep_alive_us
         return bool(self.call_count) or (bool(self.copies) and is_kept_alive)
 
     def start_call(self, tenant: str, keep_alive_us: int) -> None:
-        """Count a call; at most it has a copy of its own."""
+        """Count the start of a call. For the upper bound, it has a copy of its own."""
         self.call_count += 1
         self.calls[tenant] = self.calls.get(tenant, 0) + 1
-        _add(self.upper_bound_us, tenant, self.size.load_time_us + keep_alive_us)
+        _add_time(self.upper_bound_us, tenant, self.size.load_time_us + keep_alive_us)
         self.copies = max(self.copies, self.needed_copies)
 
     def end_call(self, tenant: str, now_us: int) -> None:
-        """Count the end of a call; one that was not counted is ignored."""
+        """Count the end of a call. A call whose start was not counted is ignored."""
         if tenant not in self.calls:
             return
         self.call_count -= 1
@@ -71,16 +71,16 @@
         self.idle_since_us = now_us
 
     def set_copies(self, copies: int, now_us: int, keep_alive_us: int) -> None:
-        """Apply the number of copies that the worker reports."""
+        """Set the number of copies to the one that the worker reports."""
         new_copies = max(0, copies - self.copies)
         self.copies = max(copies, self.needed_copies)
         self.idle_since_us = now_us
         loaded_us = new_copies * (self.size.load_time_us + keep_alive_us)
         if loaded_us:
-            _add(self.upper_bound_us, UNATTRIBUTED, loaded_us)
+            _add_time(self.upper_bound_us, UNATTRIBUTED, loaded_us)
 
     def count(self, end_us: int, keep_alive_us: int) -> None:
-        """Count the time up to `end_us`, within one hour."""
+        """Count the time up to `end_us`, which is within the current hour."""
         if self.call_count:
             self._count_running(end_us - self.counted_until_us)
         elif self.copies:
@@ -90,27 +90,27 @@
     def _count_running(self, time_us: int) -> None:
         copies = max(self.copies, self.needed_copies)
         for tenant, share_us in split_proportionally(time_us, self.calls).items():
-            _add(self.best_us, tenant, share_us * copies)
+            _add_time(self.best_us, tenant, share_us * copies)
         for tenant, calls in self.calls.items():
-            _add(self.slot_us, tenant, time_us * calls)
-            _add(self.upper_bound_us, tenant, time_us * calls)
+            _add_time(self.slot_us, tenant, time_us * calls)
+            _add_time(self.upper_bound_us, tenant, time_us * calls)
 
     def _count_idle(self, end_us: int, keep_alive_us: int) -> None:
         unload_us = self.idle_since_us + keep_alive_us
         idle_us = min(end_us, unload_us) - self.counted_until_us
         if idle_us > 0:
-            _add(self.best_us, self.last_tenant, idle_us * self.copies)
+            _add_time(self.best_us, self.last_tenant, idle_us * self.copies)
         if end_us >= unload_us:
             self.copies = 0
 
     def reset_counters(self) -> None:
-        """Begin a new hour."""
+        """Reset the counters at the start of an hour."""
         self.best_us = {}
         self.slot_us = {}
         self.upper_bound_us = {}
 
     def amounts(self) -> dict[str, Amount]:
-        """Return the hour's amounts so far, by tenant."""
+        """Return the amounts of the current hour so far, by tenant."""
         memory_mb = self.size.memory_mb
         found = {}
         for tenant in {*self.best_us, *self.upper_bound_us}:
@@ -123,12 +123,12 @@
         return found
 
 
-def _add(counters: dict[str, int], tenant: str, time_us: int) -> None:
+def _add_time(counters: dict[str, int], tenant: str, time_us: int) -> None:
     counters[tenant] = counters.get(tenant, 0) + time_us
 
 
 class UsageSampler:
-    """Samples the calls and load orders of one front end's process."""
+    """Estimates usage from the calls and load orders of one front end process."""
 
     def __init__(self, started_us: int, sizes: Mapping[str, FunctionSize], keep_alive_us: int) -> None:
         """`started_us` identifies the process; copies are unloaded after `keep_alive_us` without a call."""
@@ -140,25 +140,25 @@
         self._past_hours: list[UsageSample] = []
 
     def start_call(self, now_us: int, worker: str, function: str, tenant: str) -> None:
-        """Sample a call that is sent to a worker."""
+        """Record that a call is sent to a worker."""
         placement = self._placement(now_us, worker, function)
         if placement is not None:
             placement.start_call(tenant, self._keep_alive_us)
 
     def end_call(self, now_us: int, worker: str, function: str, tenant: str) -> None:
-        """Sample the end of a call at a worker."""
+        """Record that a call at a worker has ended."""
         placement = self._placement(now_us, worker, function)
         if placement is not None:
             placement.end_call(tenant, now_us)
 
     def set_copies(self, now_us: int, worker: str, function: str, copies: int) -> None:
-        """Sample how many copies a worker reports to be loaded."""
+        """Record how many loaded copies a worker reports."""
         placement = self._placement(now_us, worker, function)
         if placement is not None:
             placement.set_copies(copies, now_us, self._keep_alive_us)
 
     def has_copies(self, now_us: int, function: str) -> bool:
-        """Whether a copy of the function is believed to be loaded anywhere."""
+        """Whether a copy of the function is estimated to be loaded on any worker."""
         return any(
             placement.has_copies(now_us, self._keep_alive_us)
             for (_, name), placement in self._placements.items()
@@ -166,7 +166,7 @@
         )
 
     def calling_tenants(self, function: str) -> set[str]:
-        """Return the tenants whose calls of the function are in flight."""
+        """Return the tenants that have calls of the function in flight."""
         return {
             tenant
             for (_, name), placement in self._placements.items()
@@ -175,32 +175,32 @@
         }
 
     def is_estimated(self, worker: str) -> bool:
-        """Whether samples of the worker are booked."""
+        """Whether the worker's usage is estimated from samples."""
         return worker not in self._reporting_workers
 
     def mark_reporting(self, worker: str) -> None:
-        """Book no samples of a worker from now on, since it reports usage itself."""
+        """Stop estimating a worker, because it reports its usage itself."""
         self._reporting_workers.add(worker)
 
     def collect(self, now_us: int) -> list[UsageSample]:
-        """Return the samples of the hour so far, and of hours that have passed since the last call."""
-        # Those that were there before counting come first; counting may add to them.
+        """Return the samples of the current hour so far, and of the hours that ended since the last call."""
+        # Samples of hours that ended before this call come first; _count_until adds those that end in it.
         earlier = self._past_hours
         self._past_hours = []
         current: list[UsageSample] = []
         for (worker, function), placement in list(self._placements.items()):
-            self._count(placement, worker, function, now_us)
+            self._count_until(placement, worker, function, now_us)
             hour_us = hour_start_us(placement.counted_until_us)
-            current += self._samples(placement, worker, function, hour_us)
-            has_counters = placement.upper_bound_us or placement.best_us
-            if not (placement.call_count or placement.copies or has_counters):
+            current += self._build_samples(placement, worker, function, hour_us)
+            has_amounts = placement.upper_bound_us or placement.best_us
+            if not (placement.call_count or placement.copies or has_amounts):
                 del self._placements[worker, function]
         past = self._past_hours
         self._past_hours = []
         return [sample for sample in (*earlier, *current, *past) if self.is_estimated(sample.worker)]
 
     def at_risk_mb(self, now_us: int) -> int:
-        """Return the memory of copies that would go on unseen if this process died now."""
+        """Return the memory of the copies that would be missing from estimates if this process died now."""
         return sum(
             placement.size.memory_mb * placement.copies
             for (worker, _), placement in self._placements.items()
@@ -208,10 +208,10 @@
         )
 
     def _placement(self, now_us: int, worker: str, function: str) -> _Placement | None:
-        """Return a placement that is counted up to now; None for an unknown function."""
+        """Return the placement, counted up to now, or None if the function is unknown."""
         placement = self._placements.get((worker, function))
         if placement is not None:
-            self._count(placement, worker, function, now_us)
+            self._count_until(placement, worker, function, now_us)
             return placement
         size = self._sizes.get(function)
         if size is None:
@@ -220,16 +220,18 @@
         self._placements[worker, function] = placement
         return placement
 
-    def _count(self, placement: _Placement, worker: str, function: str, now_us: int) -> None:
+    def _count_until(self, placement: _Placement, worker: str, function: str, now_us: int) -> None:
         while placement.counted_until_us < now_us:
             hour_us = hour_start_us(placement.counted_until_us)
             end_us = min(now_us, hour_us + HOUR_US)
             placement.count(end_us, self._keep_alive_us)
             if end_us == hour_us + HOUR_US:
-                self._past_hours += self._samples(placement, worker, function, hour_us)
+                self._past_hours += self._build_samples(placement, worker, function, hour_us)
                 placement.reset_counters()
 
-    def _samples(self, placement: _Placement, worker: str, function: str, hour_us: int) -> list[UsageSample]:
+    def _build_samples(
+        self, placement: _Placement, worker: str, function: str, hour_us: int
+    ) -> list[UsageSample]:
         return [
             UsageSample(self._started_us, hour_us, worker, function, tenant, amount)
             for tenant, amount in placement.amounts().items()
--- a/packages/metering/src/walnutpost/metering/slice_index.py
+++ b/packages/metering/src/walnutpost/metering/slice_index.py
@@ -1,4 +1,4 @@
-"""All slices that are retained, with their sums by account and by worker."""
+"""The retained slices, with their totals by account and by worker."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class SliceIndex:
-    """Slices by key. Sums are MB-microseconds."""
+    """Slices by key, with totals in MB-microseconds."""
 
     def __init__(self, hours: ClosedHours) -> None:
-        """Report changes to `hours`."""
+        """Start without slices. Changed hours are reported to `hours`."""
         self.records: TrackedRecords[SliceKey, UsageSlice] = TrackedRecords()
         self._hours = hours
         self._totals: dict[int, dict[Account, int]] = defaultdict(dict)  # by hour
@@ -28,28 +28,28 @@
         self._loaded: dict[IncarnationKey, set[SliceKey]] = defaultdict(set)
 
     def totals(self, hour_us: int) -> Mapping[Account, int]:
-        """Return an hour's sums by account."""
+        """Return the totals of an hour, by account."""
         return self._totals.get(hour_us, {})
 
     def memory_time(self, incarnation: IncarnationKey, hour_us: int) -> int:
-        """Return the sum of an hour's slices of a worker."""
+        """Return the memory-time of a worker incarnation within an hour."""
         return self._memory_time.get((incarnation, hour_us), 0)
 
     def has_loaded(self, incarnation: IncarnationKey) -> bool:
-        """Whether a worker had loaded copies when it was last heard of."""
+        """Whether a worker incarnation had loaded copies in its last report."""
         return bool(self._loaded.get(incarnation))
 
     def merge(self, usage: UsageSlice) -> frozenset[str]:
-        """Add a count of a slice; return the contradictions that it has revealed."""
-        known = self.records.get(usage.key)
-        merged = usage if known is None else merge_slices(known, usage)
-        if merged != known:
+        """Merge a reported slice into the index; return the contradictions that it adds."""
+        existing = self.records.get(usage.key)
+        merged = usage if existing is None else merge_slices(existing, usage)
+        if merged != existing:
             self._put(merged)
-            self._spread_first_tenant(merged)
-        return merged.contradictions - known.contradictions if known is not None else frozenset()
+            self._propagate_first_tenant(merged)
+        return merged.contradictions - existing.contradictions if existing is not None else frozenset()
 
     def drop_before(self, hour_us: int) -> None:
-        """Remove the slices and sums of old hours."""
+        """Remove the slices and totals of earlier hours."""
         dropped = [usage.key for usage in self.records.values() if usage.hour_us < hour_us]
         self.records.remove(dropped)
         for key in dropped:
@@ -58,8 +58,11 @@
         for hour in [hour for hour in self._totals if hour < hour_us]:
             del self._totals[hour]
 
-    def _spread_first_tenant(self, usage: UsageSlice) -> None:
-        """Apply the first tenant of a copy, known from the hour of its first call on, to the hours before."""
+    def _propagate_first_tenant(self, usage: UsageSlice) -> None:
+        """Set the first tenant of a copy in its slices of earlier hours too.
+
+        Workers report it only from the hour of the first call on.
+        """
         if usage.first_tenant is None:
             later = self.records.get(usage.key._replace(hour_us=usage.hour_us + HOUR_US))
             if later is None or later.first_tenant is None:
@@ -70,14 +73,14 @@
         if earlier is not None and earlier.first_tenant is None:
             earlier = msgspec.structs.replace(earlier, first_tenant=usage.first_tenant)
             self._put(earlier)
-            self._spread_first_tenant(earlier)
+            self._propagate_first_tenant(earlier)
 
     def _put(self, usage: UsageSlice) -> None:
-        """Replace what is known of a slice; the sums follow."""
-        known = self.records.get(usage.key)
-        if known is not None:
-            self._add_to_sums(known, -1)
-        self._add_to_sums(usage, 1)
+        """Add or replace a slice, and update the totals."""
+        existing = self.records.get(usage.key)
+        if existing is not None:
+            self._add_to_totals(existing, -1)
+        self._add_to_totals(usage, 1)
         self.records.put(usage.key, usage)
         if usage.is_final:
             self._loaded[usage.key.incarnation].discard(usage.key)
@@ -85,7 +88,7 @@
             self._loaded[usage.key.incarnation].add(usage.key)
         self._hours.mark_changed(usage.hour_us)
 
-    def _add_to_sums(self, usage: UsageSlice, sign: int) -> None:
+    def _add_to_totals(self, usage: UsageSlice, sign: int) -> None:
         cause = Cause.CONTRADICTION if usage.contradictions else Cause.COUNTED
         totals = self._totals[usage.hour_us]
         for tenant, mb_us in allocate_slice(usage).items():
--- a/packages/metering/src/walnutpost/metering/statements.py
+++ b/packages/metering/src/walnutpost/metering/statements.py
@@ -1,4 +1,4 @@
-"""The statement of an hour: all that is known of its memory-time, as a function of the facts."""
+"""The statement of an hour: its amounts by account, as a function of the facts."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 def build_statement(facts: LedgerFacts, max_silence_us: int, hour_us: int, now_us: int) -> Statement:
-    """Return all that is known of the hour at a time; accounts without an amount are left out."""
+    """Return the statement of an hour as of `now_us`. Accounts without an amount are left out."""
     statement: Statement = {}
     _add_counted(statement, facts, hour_us)
     _add_gaps(statement, facts, hour_us)
     _add_samples(statement, facts, hour_us)
     for incarnation in facts.incarnations.values():
-        _add_excess(statement, facts, incarnation, hour_us)
+        _subtract_excess(statement, facts, incarnation, hour_us)
         silent_us = _silent_us(facts, incarnation, max_silence_us, hour_us, now_us)
         upper_bound_mb_us = incarnation.memory_mb * silent_us
         _add_unattributed(statement, Cause.SILENT, Amount(0, 0, upper_bound_mb_us))
@@ -31,7 +31,7 @@
 
 
 def _add_counted(statement: Statement, facts: LedgerFacts, hour_us: int) -> None:
-    """Add what workers counted. Of what they contradicted themselves in, the lower bound is 0."""
+    """Add what workers counted. For contradictory reports, the lower bound is 0."""
     for account, mb_us in facts.slices.totals(hour_us).items():
         lower_bound = 0 if account.cause == Cause.CONTRADICTION else mb_us
         if mb_us:
@@ -45,17 +45,17 @@
 
 
 def _add_samples(statement: Statement, facts: LedgerFacts, hour_us: int) -> None:
-    """Add estimates of workers that did not count in the hour."""
+    """Add the estimates for workers that did not report their usage by the end of the hour."""
     end_us = hour_us + HOUR_US
     first_starts_us = _first_starts_us(facts)
     for sample in facts.samples.values():
-        counts_itself = first_starts_us.get(sample.worker, end_us) < end_us
-        if sample.hour_us == hour_us and not counts_itself and sample.amount:
+        reports_usage = first_starts_us.get(sample.worker, end_us) < end_us
+        if sample.hour_us == hour_us and not reports_usage and sample.amount:
             add_to(statement, Account(sample.tenant, sample.function, Cause.ESTIMATED), sample.amount)
 
 
 def _first_starts_us(facts: LedgerFacts) -> dict[str, int]:
-    """Return by worker since when its reports count."""
+    """Return when the first known incarnation of each worker started."""
     starts_us: dict[str, int] = {}
     for incarnation in facts.incarnations.values():
         known_us = starts_us.get(incarnation.worker, incarnation.started_us)
@@ -63,10 +63,10 @@
     return starts_us
 
 
-def _add_excess(
+def _subtract_excess(
     statement: Statement, facts: LedgerFacts, incarnation: WorkerIncarnation, hour_us: int
 ) -> None:
-    """Lower the lower bound by what a worker's copies had in excess of its memory."""
+    """Reduce the lower bound by the memory-time that a worker's copies used beyond its memory."""
     time_us = min(hour_us + HOUR_US, incarnation.last_heard_us) - max(hour_us, incarnation.started_us)
     capacity_mb_us = incarnation.memory_mb * max(0, time_us)
     excess_mb_us = facts.slices.memory_time(incarnation.key, hour_us) - capacity_mb_us
@@ -77,7 +77,7 @@
 def _silent_us(
     facts: LedgerFacts, incarnation: WorkerIncarnation, max_silence_us: int, hour_us: int, now_us: int
 ) -> int:
-    """Return how long a worker can have used memory in the hour after it was last heard of."""
+    """Return how long a worker may have used memory within the hour after its last report."""
     end_us = hour_us + HOUR_US
     last_heard_us = incarnation.last_heard_us
     silence_ends_us = last_heard_us + max_silence_us
@@ -96,7 +96,7 @@
 
 
 def _next_start_us(facts: LedgerFacts, incarnation: WorkerIncarnation) -> int | None:
-    """Return when the worker's next incarnation started; None if it is the latest."""
+    """Return when the worker's next incarnation started, or None if this is the latest."""
     return min(
         (
             other.started_us
--- a/packages/metering/src/walnutpost/metering/tracked_records.py
+++ b/packages/metering/src/walnutpost/metering/tracked_records.py
@@ -1,4 +1,4 @@
-"""Records by key, with the set of those that are not persisted yet."""
+"""Records by key, with the set of keys whose records are not persisted yet."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Keyed(Protocol[KeyOut]):
-    """A record that knows its key."""
+    """A record that has a key."""
 
     @property
     def key(self) -> KeyOut:
-        """Return what identifies it."""
+        """Return the key of the record."""
 
 
 Key = TypeVar("Key", bound=Hashable)
@@ -21,14 +21,14 @@
 
 
 class TrackedRecords(Generic[Key, Record]):
-    """Records by key. One that replaces another must be persisted again."""
+    """Records by key. A record that replaces another must be persisted again."""
 
     def __init__(self) -> None:
         self._records: dict[Key, Record] = {}
-        self._unwritten: dict[Key, None] = {}  # in order of their change
+        self._unwritten: dict[Key, None] = {}  # in the order of their changes
 
     def get(self, key: Key) -> Record | None:
-        """Return a record, None if there is none."""
+        """Return the record of a key, or None."""
         return self._records.get(key)
 
     def values(self) -> ValuesView[Record]:
@@ -48,20 +48,20 @@
 
     @property
     def has_unwritten(self) -> bool:
-        """Whether any record must be persisted."""
+        """Whether any record is not persisted yet."""
         return bool(self._unwritten)
 
     def unwritten(self) -> list[Record]:
-        """Return the records that must be persisted."""
+        """Return the records that are not persisted yet."""
         return [self._records[key] for key in self._unwritten]
 
     def mark_written(self, records: Iterable[Record]) -> None:
-        """Note that records are persisted; a key whose record was replaced meanwhile is not."""
+        """Mark records as persisted. A key whose record was replaced meanwhile stays unwritten."""
         written = {id(record) for record in records}
         for key in list(self._unwritten):
             if id(self._records[key]) in written:
                 del self._unwritten[key]
 
     def mark_all_written(self) -> None:
-        """Note that all records are persisted."""
+        """Mark all records as persisted."""
         self._unwritten.clear()
--- a/packages/metering/src/walnutpost/metering/units.py
+++ b/packages/metering/src/walnutpost/metering/units.py
@@ -1,4 +1,4 @@
-"""Units of time. Times are microseconds since the epoch; hours and days are those of UTC."""
+"""Time units. Times are microseconds since the epoch; hours and days are in UTC."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def hour_start_us(time_us: int) -> int:
-    """Return when the hour of a time began."""
+    """Return the start of the hour that contains a time."""
     return time_us // HOUR_US * HOUR_US
 
 
 def day_start_us(time_us: int) -> int:
-    """Return when the day of a time began."""
+    """Return the start of the day that contains a time."""
     return time_us // DAY_US * DAY_US
--- a/packages/metering/src/walnutpost/metering/verification.py
+++ b/packages/metering/src/walnutpost/metering/verification.py
@@ -1,6 +1,6 @@
-"""Verification of ledgers: bookings against records, records against workers' exports. No I/O.
+"""Verification of ledgers: bookings against slices, and slices against workers' exports. No I/O.
 
-Differences are texts that `walnutpost usage verify` prints.
+Differences are returned as the texts that `walnutpost usage verify` prints.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 def verify_bookings(extract: LedgerExtract, policy: MeteringPolicy, now_us: int) -> list[str]:
-    """Add everything up again, and return the differences.
+    """Recompute the statements of closed hours, and return the differences from the bookings.
 
-    Each closed hour whose records are retained must be booked as its statement is, and the charges of each
-    slice must add up to its memory-time.
+    The bookings of each closed hour whose slices are retained must equal its statement, and the charges of
+    each slice must add up to its memory-time.
     """
     state = extract.state
     ledger = Ledger(policy, state, now_us)
@@ -41,10 +41,10 @@
 def _compare_hour(hour_us: int, statement: Statement, booked: Statement) -> list[str]:
     differences = []
     for account in sorted({*statement, *booked}):
-        wanted = statement.get(account, ZERO)
+        expected = statement.get(account, ZERO)
         found = booked.get(account, ZERO)
-        if wanted != found:
-            figures = f"booked {_format_amount(found)}, wanted {_format_amount(wanted)}"
+        if expected != found:
+            figures = f"booked {_format_amount(found)}, wanted {_format_amount(expected)}"
             differences.append(f"hour {hour_us}, {_format_account(account)}: {figures}")
     return differences
 
@@ -58,11 +58,11 @@
 
 
 def compare_with_reports(extract: LedgerExtract, reports: Iterable[UsageReport], now_us: int) -> list[str]:
-    """Return the differences between a ledger's records and exports of the workers' own.
+    """Return the differences between a ledger's slices and those in workers' exported reports.
 
-    Hours that are dropped, or were open at the time of the export, are left out.
+    Hours that are dropped, or that were open at the time of the export, are skipped.
     """
-    known = {usage.key: usage for usage in extract.state.slices}
+    known_slices = {usage.key: usage for usage in extract.state.slices}
     differences = []
     for report in reports:
         try:
@@ -72,25 +72,25 @@
             continue
         for usage in report.slices:
             if usage.is_final and usage.hour_us >= extract.state.drop_before_us:
-                differences += _compare_slice(usage, report, known.get(usage.key))
+                differences += _compare_slice(usage, report, known_slices.get(usage.key))
     return differences
 
 
-def _compare_slice(usage: UsageSlice, report: UsageReport, known: UsageSlice | None) -> list[str]:
+def _compare_slice(usage: UsageSlice, report: UsageReport, stored: UsageSlice | None) -> list[str]:
     try:
         check_slice(usage, report)
     except InvalidSliceError as error:
         return [f"export of {report.worker}: copy {usage.copy}: {error}"]
     exported = f"copy {_format_key(usage.key)}: {usage.memory_time} MB-us in the export"
-    if known is None:
+    if stored is None:
         return [f"{exported}, none in the ledger"]
-    ours = (known.memory_time, known.running_us, known.idle_us)
-    if ours != (usage.memory_time, usage.running_us, usage.idle_us):
-        return [f"{exported}, {known.memory_time} in the ledger"]
+    ledger_values = (stored.memory_time, stored.running_us, stored.idle_us)
+    if ledger_values != (usage.memory_time, usage.running_us, usage.idle_us):
+        return [f"{exported}, {stored.memory_time} in the ledger"]
     return []
 
 
-# The forms that earlier versions printed.
+# The text formats are those of earlier versions.
 
 
 def _format_key(key: SliceKey) -> str:
--- a/packages/metering/tests/test_worker_reports.py
+++ b/packages/metering/tests/test_worker_reports.py
@@ -102,10 +102,13 @@
     "far ahead of our time": (make_report(reported_us=START_US + HOUR_US), "wanted start <= time"),
     "no memory": (make_report(memory_mb=0), "found memory of 0 MB"),
     "changes backwards": (make_report(last_evicted_change=2), "wanted 0 <= forgotten <= change"),
-    "another's copy": (make_report(make_slice(worker="v")), "wanted one of the reporter's"),
+    "another's copy": (make_report(make_slice(worker="v")), "wanted a copy of the reporting worker process"),
     "a negative run time": (make_report(make_slice(running_us={"a": -1})), "found a count of -1 us"),
     "nobody as a tenant": (make_report(make_slice(running_us={"-": 1})), "found a tenant '-'"),
-    "more time than there was": (make_report(make_slice(loading_us=MINUTE_US + 1)), "wanted no more"),
+    "more time than there was": (
+        make_report(make_slice(loading_us=MINUTE_US + 1)),
+        "wanted at most the elapsed time",
+    ),
     "more memory than the worker's": (make_report(make_slice(memory_mb=1001)), "found 1001 MB"),
     "not a full hour": (make_report(make_slice(hour_us=START_US)), "wanted a full hour"),
     "heard beyond the report": (
@@ -146,7 +149,7 @@
             make_report(make_slice(), reported_us=START_US + 2 * MINUTE_US),
             make_report(make_slice(), change=2),
         ],
-        "its time ran back",
+        "report time went back",
     ),
 }
 
