--- a/packages/metering/tests/test_figures.py
+++ b/packages/metering/tests/test_figures.py
@@ -1,4 +1,4 @@
-"""Figures, verification and invoices of ledgers."""
+"""Tests of figures, verification and invoices of ledgers."""
 
 from __future__ import annotations
 
@@ -30,27 +30,30 @@
     make_ledger,
     make_report,
     make_slice,
-    state_of,
-    write_batch_of,
+    persisted_state,
+    write_next_batch,
 )
 
 
 def test_verification_finds_a_changed_line_and_a_missing_slice() -> None:
     worker = RandomWorker(Random(2))
-    report = worker.reports(60)[-1]
-    late = worker.now + 2 * HOUR_US
+    report = worker.random_reports(60)[-1]
+    after_closing_us = worker.now_us + 2 * HOUR_US
     ledger = make_ledger()
-    ledger.add_report(report, "w", late)
-    lines = write_batch_of(ledger, late)
-    extract = LedgerExtract(state_of(ledger), lines)
-    assert verify_bookings(extract, POLICY, late) == []
-    assert compare_with_reports(extract, [report], late) == []
+    ledger.add_report(report, "w", after_closing_us)
+    lines = write_next_batch(ledger, after_closing_us)
+    extract = LedgerExtract(persisted_state(ledger), lines)
+    assert verify_bookings(extract, POLICY, after_closing_us) == []
+    assert compare_with_reports(extract, [report], after_closing_us) == []
     changed = msgspec.structs.replace(lines[0], amount=lines[0].amount + exact_amount(1))
-    assert "booked" in verify_bookings(LedgerExtract(extract.state, [changed, *lines[1:]]), POLICY, late)[0]
+    assert (
+        "booked"
+        in verify_bookings(LedgerExtract(extract.state, [changed, *lines[1:]]), POLICY, after_closing_us)[0]
+    )
     missing = next(usage for usage in extract.state.slices if usage.is_final)
     extract.state.slices.remove(missing)
-    assert "none in the ledger" in compare_with_reports(extract, [report], late)[0]
-    charges = list_charges([extract], POLICY, late, lambda tenant, _: tenant == "trade")
+    assert "none in the ledger" in compare_with_reports(extract, [report], after_closing_us)[0]
+    charges = list_charges([extract], POLICY, after_closing_us, lambda tenant, _: tenant == "trade")
     assert {charge.tenant for charge in charges} == {"trade"}
     assert charges == sorted(charges, key=lambda charge: -charge.mb_us)
 
@@ -58,32 +61,34 @@
 def test_differences_are_printed_in_the_form_of_earlier_versions() -> None:
     usage = make_slice(is_final=True)
     report = make_report(usage)
-    late = START_US + 2 * HOUR_US
+    after_closing_us = START_US + 2 * HOUR_US
     ledger = make_ledger()
-    ledger.add_report(report, "w", late)
-    lines = write_batch_of(ledger, late)
-    extract = LedgerExtract(state_of(ledger), lines[:-1])
+    ledger.add_report(report, "w", after_closing_us)
+    lines = write_next_batch(ledger, after_closing_us)
+    extract = LedgerExtract(persisted_state(ledger), lines[:-1])
     account = lines[-1].account
     names = f"tenant={account.tenant!r}, function={account.function!r}, cause={str(account.cause)!r}"
     amount = lines[-1].amount
     figures = f"best={amount.best}, least={amount.lower_bound}, most={amount.upper_bound}"
-    assert verify_bookings(extract, POLICY, late) == [
+    assert verify_bookings(extract, POLICY, after_closing_us) == [
         f"hour {FIRST_HOUR_US}, Account({names}): booked Amount(best=0, least=0, most=0),"
         f" wanted Amount({figures})"
     ]
     extract.state.slices.clear()
-    assert compare_with_reports(extract, [report], late) == [
+    assert compare_with_reports(extract, [report], after_closing_us) == [
         f"copy ('w', {START_US}, 1, {FIRST_HOUR_US}): 500 MB-us in the export, none in the ledger"
     ]
 
 
 @given(st.dictionaries(st.text(max_size=4), st.integers(0, 10**17), max_size=9), st.integers(0, 6))
 def test_lines_of_an_invoice_add_up_to_its_total(amounts: dict[str, int], digits: int) -> None:
-    bill = build_invoice("a", {f: exact_amount(n) for f, n in amounts.items()}, Decimal("0.0213"), digits)
-    assert sum((line.price for line in bill.lines), Decimal(0)) == bill.total
-    exact = Fraction(sum(amounts.values()), 1024 * HOUR_US) * Fraction("0.0213")
-    assert abs(Fraction(bill.total) - exact) <= Fraction(1, 2 * 10**digits)
-    assert bill.lower_bound == bill.total == bill.upper_bound
+    invoice = build_invoice(
+        "a", {function: exact_amount(mb_us) for function, mb_us in amounts.items()}, Decimal("0.0213"), digits
+    )
+    assert sum((line.price for line in invoice.lines), Decimal(0)) == invoice.total
+    exact_total = Fraction(sum(amounts.values()), 1024 * HOUR_US) * Fraction("0.0213")
+    assert abs(Fraction(invoice.total) - exact_total) <= Fraction(1, 2 * 10**digits)
+    assert invoice.lower_bound == invoice.total == invoice.upper_bound
 
 
 def test_a_renamed_tenant_is_grouped_under_its_new_name() -> None:
@@ -93,9 +98,9 @@
         "w",
         START_US + MINUTE_US,
     )
-    extract = [LedgerExtract(state_of(ledger))]
-    got = collect_figures(extract, POLICY, START_US + MINUTE_US, START_US - HOUR_US, START_US + HOUR_US)
-    assert group_figures(got, ["tenant"], {"old": "new"}, "tills") == {
+    extracts = [LedgerExtract(persisted_state(ledger))]
+    figures = collect_figures(extracts, POLICY, START_US + MINUTE_US, START_US - HOUR_US, START_US + HOUR_US)
+    assert group_figures(figures, ["tenant"], {"old": "new"}, "tills") == {
         ("new",): exact_amount(1200),
         ("tills",): exact_amount(100),
     }
--- a/packages/metering/tests/test_merge_and_allocation.py
+++ b/packages/metering/tests/test_merge_and_allocation.py
@@ -1,4 +1,4 @@
-"""Merging two counts of a slice, and allocating a slice's memory-time to tenants."""
+"""Tests of merging reports of a slice, and of allocating a slice's memory-time to tenants."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 
 COUNTS = st.integers(0, 50)
 SLICES = st.builds(
-    lambda counted_until, is_final, loading, unused, runs, after, first, mb: UsageSlice(
+    lambda counted_until, is_final, loading, unused, running, idle, first_tenant, memory_mb: UsageSlice(
         "w",
         START_US,
         1,
         FIRST_HOUR_US,
         "f",
-        mb,
+        memory_mb,
         counted_until,
         is_final,
         loading,
         unused,
-        runs,
-        after,
-        first,
+        running,
+        idle,
+        first_tenant,
     ),
     st.integers(START_US, START_US + 9),
     st.booleans(),
@@ -45,9 +45,9 @@
 )
 
 
-def counters_of(s: UsageSlice) -> UsageSlice:
-    """Return the slice without the contradictions found on the way."""
-    return msgspec.structs.replace(s, contradictions=frozenset())
+def without_contradictions(usage: UsageSlice) -> UsageSlice:
+    """Return the slice without its contradictions, which depend on the order of merges."""
+    return msgspec.structs.replace(usage, contradictions=frozenset())
 
 
 @given(SLICES, SLICES, SLICES)
@@ -56,25 +56,23 @@
 ) -> None:
     assert merge_slices(a, a) == a
     assert merge_slices(a, b) == merge_slices(b, a)
-    assert counters_of(merge_slices(merge_slices(a, b), c)) == counters_of(
+    assert without_contradictions(merge_slices(merge_slices(a, b), c)) == without_contradictions(
         merge_slices(a, merge_slices(b, c))
     )
     assert merge_slices(a, merge_slices(a, b)).contradictions == merge_slices(a, b).contradictions
 
 
 @given(SLICES)
-def test_charges_of_a_slice_add_up_to_its_memory_time_under_each_rule(s: UsageSlice) -> None:
+def test_charges_of_a_slice_add_up_to_its_memory_time_under_each_rule(usage: UsageSlice) -> None:
     for rule in AllocationRule:
-        assert sum(allocate_slice(s, rule).values()) == s.memory_time
+        assert sum(allocate_slice(usage, rule).values()) == usage.memory_time
 
 
 @given(st.integers(0, 10**20), st.dictionaries(st.text(max_size=3), st.integers(0, 99), min_size=1))
-def test_a_proportional_split_adds_up_and_is_within_one_of_the_proportion(
-    total: int, weights: dict[str, int]
-) -> None:
+def test_proportional_shares_add_up_and_are_off_by_less_than_one(total: int, weights: dict[str, int]) -> None:
     if not sum(weights.values()):
         return
-    parts = split_proportionally(total, weights)
-    assert sum(parts.values()) == total
-    for name, part in parts.items():
-        assert abs(part - Fraction(total * weights[name], sum(weights.values()))) < 1
+    shares = split_proportionally(total, weights)
+    assert sum(shares.values()) == total
+    for name, share in shares.items():
+        assert abs(share - Fraction(total * weights[name], sum(weights.values()))) < 1
--- a/packages/metering/tests/test_metering_golden.py
+++ b/packages/metering/tests/test_metering_golden.py
@@ -1,4 +1,4 @@
-"""Workers' reports as bytes, and the words that the ledger stores: earlier workers and ledgers are read."""
+"""Golden tests of encoded reports and stored values, so that earlier workers and ledgers stay readable."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 GOLDEN = Path(__file__).parent / "golden"
 
 
-STORED_WORDS = {
+STORED_VALUES = {
     "causes": [
         Cause.CONTRADICTION,
         Cause.REJECTED,
@@ -48,15 +48,15 @@
 
 def golden_files() -> dict[Path, bytes]:
     files = {GOLDEN / f"{name}.json": msgspec.json.encode(report) for name, report in REPORTS.items()}
-    return {**files, GOLDEN / "stored-words.json": json_lines(STORED_WORDS)}
+    return {**files, GOLDEN / "stored-words.json": json_lines(STORED_VALUES)}
 
 
-def test_reports_and_stored_words_are_the_golden_ones() -> None:
+def test_reports_and_stored_values_match_the_golden_files() -> None:
     assert_as_golden(golden_files())
 
 
 @pytest.mark.parametrize("name", REPORTS)
-def test_a_golden_report_is_read(name: str) -> None:
+def test_a_golden_report_is_decoded(name: str) -> None:
     assert msgspec.json.decode((GOLDEN / f"{name}.json").read_bytes(), type=UsageReport) == REPORTS[name]
 
 
--- a/packages/metering/tests/test_worker_reports.py
+++ b/packages/metering/tests/test_worker_reports.py
@@ -1,4 +1,4 @@
-"""Reports of workers in the ledger: order, invalid ones, contradictions, gaps."""
+"""Tests of workers' reports in the ledger: order, invalid reports, contradictions and gaps."""
 
 from __future__ import annotations
 
@@ -35,83 +35,101 @@
     make_ledger,
     make_report,
     make_slice,
-    state_of,
-    sum_hours,
-    write_batch_of,
+    persisted_state,
+    total_statement,
+    write_next_batch,
 )
 
 
 @given(st.integers(0, 10_000), st.randoms(use_true_random=False))
 @settings(max_examples=60)
-def test_reports_in_any_order_repeated_or_by_two_readers_give_the_same_statement(
-    seed: int, shuffled: Any
-) -> None:
+def test_the_statement_is_independent_of_report_order_repetition_and_reader(seed: int, random: Any) -> None:
     worker = RandomWorker(Random(seed))
-    reports = worker.reports(80)
-    late = worker.now + 2 * HOUR_US
-    once = make_ledger()
+    reports = worker.random_reports(80)
+    after_closing_us = worker.now_us + 2 * HOUR_US
+    full_ledger = make_ledger()
     for report in reports:
-        once.add_report(report, "w", late)
-    more = [*reports, *shuffled.sample(reports, len(reports) // 2)]
-    shuffled.shuffle(more)
-    one, other = make_ledger(), make_ledger()
+        full_ledger.add_report(report, "w", after_closing_us)
+    shuffled_reports = [*reports, *random.sample(reports, len(reports) // 2)]
+    random.shuffle(shuffled_reports)
+    first, second = make_ledger(), make_ledger()
     lines = []
-    for number, report in enumerate(more):
-        (one if number % 3 else other).add_report(report, "w", late)
+    for number, report in enumerate(shuffled_reports):
+        (first if number % 3 else second).add_report(report, "w", after_closing_us)
         if number % 5 == 0:
-            lines += write_batch_of(one, START_US + number * 10 * MINUTE_US)
-    for report in more:
-        one.add_report(report, "w", late)
-    lines += write_batch_of(one, late) + write_batch_of(one, late)
-    assert sum_hours(one, late) == sum_hours(once, late)
-    # What was booked, closings and corrections together, is the statement of the closed hours.
+            lines += write_next_batch(first, START_US + number * 10 * MINUTE_US)
+    for report in shuffled_reports:
+        first.add_report(report, "w", after_closing_us)
+    lines += write_next_batch(first, after_closing_us) + write_next_batch(first, after_closing_us)
+    assert total_statement(first, after_closing_us) == total_statement(full_ledger, after_closing_us)
+    # The lines of closings and corrections add up to the statements of the closed hours.
     booked = sum_statements({line.account: line.amount} for line in lines)
-    assert {a: m for a, m in booked.items() if m} == sum_hours(once, late)
-    # Two front ends that read some each are together what one knows that read all.
+    assert {account: amount for account, amount in booked.items() if amount} == total_statement(
+        full_ledger, after_closing_us
+    )
+    # The ledgers of two front ends, merged, equal the ledger of a front end that read all reports.
     for report in reports[::2]:
-        other.add_report(report, "w", late)
-    both = [LedgerExtract(state_of(each)) for each in (other, once)]
-    got = group_figures(
-        collect_figures(both, POLICY, late, START_US - HOUR_US, late), ["tenant", "function", "cause"], {}
+        second.add_report(report, "w", after_closing_us)
+    extracts = [LedgerExtract(persisted_state(each)) for each in (second, full_ledger)]
+    sums = group_figures(
+        collect_figures(extracts, POLICY, after_closing_us, START_US - HOUR_US, after_closing_us),
+        ["tenant", "function", "cause"],
+        {},
     )
-    exact = {(a.tenant, a.function, a.cause): m for a, m in sum_hours(once, late).items() if not a.cause}
-    assert {key: m for key, m in got.items() if not key[2]} == exact
+    expected = {
+        (account.tenant, account.function, account.cause): amount
+        for account, amount in total_statement(full_ledger, after_closing_us).items()
+        if not account.cause
+    }
+    assert {key: amount for key, amount in sums.items() if not key[2]} == expected
 
 
-def test_an_unused_copy_is_unattributed_until_a_first_call_even_in_a_later_hour() -> None:
+def test_unused_time_is_unattributed_until_the_first_call_even_in_a_later_hour() -> None:
     recorder, ledger = UsageRecorder("w", START_US, 1000), make_ledger()
     recorder.start_copy(START_US, 1, "f", 100)
     recorder.mark_ready(START_US + MINUTE_US, 1)
-    now = START_US + HOUR_US
-    ledger.add_report(recorder.build_report(now), "w", now)
-    (line,) = [x for x in write_batch_of(ledger, now) if x.kind == "closed"]
+    now_us = START_US + HOUR_US
+    ledger.add_report(recorder.build_report(now_us), "w", now_us)
+    (line,) = [line for line in write_next_batch(ledger, now_us) if line.kind == "closed"]
     assert line.account == Account(UNATTRIBUTED, "f")
     assert line.amount == exact_amount(100 * 43 * MINUTE_US)
-    recorder.start_call(now, 1, "a")
-    ledger.add_report(recorder.build_report(now + MINUTE_US), "w", now + MINUTE_US)
-    lines = write_batch_of(ledger, now + MINUTE_US)
-    assert {(x.kind, x.account.tenant, x.amount.best) for x in lines} == {
+    recorder.start_call(now_us, 1, "a")
+    ledger.add_report(recorder.build_report(now_us + MINUTE_US), "w", now_us + MINUTE_US)
+    lines = write_next_batch(ledger, now_us + MINUTE_US)
+    assert {(line.kind, line.account.tenant, line.amount.best) for line in lines} == {
         ("correction", UNATTRIBUTED, -100 * 43 * MINUTE_US),
         ("correction", "a", 100 * 43 * MINUTE_US),
     }
 
 
 INVALID_REPORTS: dict[str, tuple[UsageReport, str]] = {
-    "another's report": (make_report(worker="v"), "found a report of 'v'"),
-    "before its start": (make_report(reported_us=START_US - 1), "wanted start <= time"),
-    "far ahead of our time": (make_report(reported_us=START_US + HOUR_US), "wanted start <= time"),
-    "no memory": (make_report(memory_mb=0), "found memory of 0 MB"),
-    "changes backwards": (make_report(last_evicted_change=2), "wanted 0 <= forgotten <= change"),
-    "another's copy": (make_report(make_slice(worker="v")), "wanted a copy of the reporting worker process"),
-    "a negative run time": (make_report(make_slice(running_us={"a": -1})), "found a count of -1 us"),
-    "nobody as a tenant": (make_report(make_slice(running_us={"-": 1})), "found a tenant '-'"),
-    "more time than there was": (
+    "report of another worker": (make_report(worker="v"), "found a report of 'v'"),
+    "report before the worker's start": (make_report(reported_us=START_US - 1), "wanted start <= time"),
+    "report time far ahead of the clock": (
+        make_report(reported_us=START_US + HOUR_US),
+        "wanted start <= time",
+    ),
+    "worker without memory": (make_report(memory_mb=0), "found memory of 0 MB"),
+    "evicted change after the latest change": (
+        make_report(last_evicted_change=2),
+        "wanted 0 <= forgotten <= change",
+    ),
+    "copy of another worker": (
+        make_report(make_slice(worker="v")),
+        "wanted a copy of the reporting worker process",
+    ),
+    "negative running time": (make_report(make_slice(running_us={"a": -1})), "found a count of -1 us"),
+    "reserved tenant name": (make_report(make_slice(running_us={"-": 1})), "found a tenant '-'"),
+    "more time than has elapsed": (
         make_report(make_slice(loading_us=MINUTE_US + 1)),
         "wanted at most the elapsed time",
     ),
-    "more memory than the worker's": (make_report(make_slice(memory_mb=1001)), "found 1001 MB"),
-    "not a full hour": (make_report(make_slice(hour_us=START_US)), "wanted a full hour"),
-    "heard beyond the report": (
+    "copy larger than the worker's memory": (make_report(make_slice(memory_mb=1001)), "found 1001 MB"),
+    "hour that does not start at a full hour": (
+        make_report(make_slice(hour_us=START_US)),
+        "wanted a full hour",
+    ),
+    "counted beyond the report time": (
         make_report(make_slice(counted_until_us=START_US + 2 * MINUTE_US)),
         "wanted a full hour",
     ),
@@ -119,19 +137,19 @@
 
 
 @pytest.mark.parametrize("name", INVALID_REPORTS)
-def test_an_invalid_report_is_described_and_is_at_most_a_gap(name: str) -> None:
+def test_an_invalid_report_returns_the_reason_and_adds_at_most_a_gap(name: str) -> None:
     report, expected = INVALID_REPORTS[name]
     ledger = make_ledger()
     inconsistencies = ledger.add_report(report, "w", START_US + MINUTE_US)
     assert len(inconsistencies) == 1
     assert expected in inconsistencies[0]
-    for amount in sum_hours(ledger, START_US + MINUTE_US).values():
+    for amount in total_statement(ledger, START_US + MINUTE_US).values():
         assert amount.best == amount.lower_bound == 0
         assert amount.upper_bound == (1000 * MINUTE_US if report.slices else 0)
 
 
 CONTRADICTIONS: dict[str, tuple[list[UsageReport], str]] = {
-    "a counter that went down": (
+    "decreasing counter": (
         [
             make_report(make_slice(loading_us=9)),
             make_report(
@@ -140,11 +158,11 @@
         ],
         "a counter went down",
     ),
-    "one copy of two functions": (
+    "one copy with two functions": (
         [make_report(make_slice()), make_report(make_slice(function="g"))],
         "two functions or sizes for one copy",
     ),
-    "time that runs back": (
+    "report time that goes back": (
         [
             make_report(make_slice(), reported_us=START_US + 2 * MINUTE_US),
             make_report(make_slice(), change=2),
@@ -155,21 +173,25 @@
 
 
 @pytest.mark.parametrize("name", CONTRADICTIONS)
-def test_a_contradiction_is_described_and_the_greater_count_is_booked(name: str) -> None:
+def test_a_contradiction_is_returned_and_the_greater_count_is_booked(name: str) -> None:
     reports, expected = CONTRADICTIONS[name]
     ledger = make_ledger()
-    inconsistencies = [n for r in reports for n in ledger.add_report(r, "w", START_US + 2 * MINUTE_US)]
+    inconsistencies = [
+        text for report in reports for text in ledger.add_report(report, "w", START_US + 2 * MINUTE_US)
+    ]
     assert len(inconsistencies) == 1
     assert expected in inconsistencies[0]
-    amounts = list(sum_hours(ledger, START_US + MINUTE_US).values())
-    assert sum(a.best for a in amounts) == 100 * max(s.loading_us for r in reports for s in r.slices)
+    amounts = list(total_statement(ledger, START_US + MINUTE_US).values())
+    assert sum(amount.best for amount in amounts) == 100 * max(
+        usage.loading_us for report in reports for usage in report.slices
+    )
 
 
-def test_more_copies_than_memory_lower_the_lower_bound() -> None:
+def test_copies_beyond_the_memory_of_a_worker_reduce_the_lower_bound() -> None:
     ledger = make_ledger()
-    copies = [make_slice(copy=n, loading_us=MINUTE_US, memory_mb=600) for n in (1, 2)]
+    copies = [make_slice(copy=number, loading_us=MINUTE_US, memory_mb=600) for number in (1, 2)]
     assert ledger.add_report(make_report(*copies), "w", START_US + MINUTE_US) == []
-    total = sum_amounts(sum_hours(ledger, START_US + MINUTE_US).values())
+    total = sum_amounts(total_statement(ledger, START_US + MINUTE_US).values())
     assert total == Amount(1200 * MINUTE_US, 1000 * MINUTE_US, 1200 * MINUTE_US)
 
 
@@ -177,17 +199,17 @@
     ledger, recorder = make_ledger(), UsageRecorder("w", START_US, 1000)
     recorder.start_copy(START_US, 1, "f", 100)
     ledger.add_report(recorder.build_report(START_US + MINUTE_US), "w", START_US + MINUTE_US)
-    closing = START_US // HOUR_US * HOUR_US + HOUR_US + POLICY.close_delay_us
+    closing_us = START_US // HOUR_US * HOUR_US + HOUR_US + POLICY.close_delay_us
     gap = Account(UNATTRIBUTED, "", "silent")
-    lines = {x.account: x for x in write_batch_of(ledger, closing)}
+    lines = {line.account: line for line in write_next_batch(ledger, closing_us)}
     assert lines[gap].amount == Amount(0, 0, 1000 * POLICY.max_silence_us)
-    # It comes back under the same name: what was before ended two minutes after it was last heard.
-    again = UsageRecorder("w", START_US + 3 * MINUTE_US, 1000)
-    ledger.add_report(again.build_report(closing), "w", closing)
-    (line,) = [x for x in write_batch_of(ledger, closing) if x.account == gap]
+    # The worker restarts under its name, so its previous incarnation ended two minutes after its last report.
+    restarted = UsageRecorder("w", START_US + 3 * MINUTE_US, 1000)
+    ledger.add_report(restarted.build_report(closing_us), "w", closing_us)
+    (line,) = [line for line in write_next_batch(ledger, closing_us) if line.account == gap]
     assert line.kind == "correction"
     assert line.amount.upper_bound == 1000 * (2 * MINUTE_US - POLICY.max_silence_us)
-    assert sum_hours(ledger, closing)[Account(UNATTRIBUTED, "f")] == exact_amount(100 * MINUTE_US)
+    assert total_statement(ledger, closing_us)[Account(UNATTRIBUTED, "f")] == exact_amount(100 * MINUTE_US)
 
 
 def test_a_drained_worker_without_loaded_copies_leaves_no_gap() -> None:
@@ -196,48 +218,49 @@
         ledger.add_report(
             recorder.build_report(START_US + MINUTE_US, is_draining=is_draining), "w", START_US + MINUTE_US
         )
-        assert bool(write_batch_of(ledger, START_US + 2 * HOUR_US)) is not is_draining
+        assert bool(write_next_batch(ledger, START_US + 2 * HOUR_US)) is not is_draining
 
 
-def test_a_reader_that_comes_too_late_has_an_upper_bound_of_what_it_missed() -> None:
+def test_a_late_reader_gets_an_upper_bound_of_the_evicted_usage() -> None:
     worker = RandomWorker(Random(3), max_final_slices=5)
     ledger = make_ledger()
-    ledger.add_report(worker.recorder.build_report(worker.now), "w", worker.now)
+    ledger.add_report(worker.recorder.build_report(worker.now_us), "w", worker.now_us)
     for _ in range(200):
         worker.step()
-    inconsistencies = ledger.add_report(worker.recorder.build_report(worker.now), "w", worker.now)
+    inconsistencies = ledger.add_report(worker.recorder.build_report(worker.now_us), "w", worker.now_us)
     assert len(inconsistencies) == 1
     assert "before they were read" in inconsistencies[0]
-    total = sum_amounts(sum_hours(ledger, worker.now).values())
-    true = sum(true_usage(worker.events, worker.now).values())
-    assert total.lower_bound < true == total.upper_bound
+    total = sum_amounts(total_statement(ledger, worker.now_us).values())
+    true_mb_us = sum(true_usage(worker.events, worker.now_us).values())
+    assert total.lower_bound < true_mb_us == total.upper_bound
 
 
-def test_a_late_report_of_a_dropped_hour_is_one_gap() -> None:
+def test_a_late_report_of_a_dropped_hour_adds_one_gap() -> None:
     policy = replace(POLICY, slice_retention_us=HOUR_US)
     ledger = make_ledger(policy=policy)
-    s = make_slice(is_final=True)
-    now = START_US + 6 * HOUR_US
-    while write_batch_of(ledger, now):
+    usage = make_slice(is_final=True)
+    now_us = START_US + 6 * HOUR_US
+    while write_next_batch(ledger, now_us):
         pass
     for _ in range(2):
-        inconsistencies = ledger.add_report(make_report(s, reported_us=now), "w", now)
+        inconsistencies = ledger.add_report(make_report(usage, reported_us=now_us), "w", now_us)
         assert "whose records are dropped" in inconsistencies[0]
-    assert list(state_of(ledger).gaps) == [UsageGap(s.hour_us, f"w/{START_US}/1", "too late", s.memory_time)]
+    assert list(persisted_state(ledger).gaps) == [
+        UsageGap(usage.hour_us, f"w/{START_US}/1", "too late", usage.memory_time)
+    ]
 
 
-def test_a_clock_that_steps_closes_no_hour_twice() -> None:
+def test_a_clock_step_closes_no_hour_twice() -> None:
     worker = RandomWorker(Random(5))
     ledger = make_ledger()
-    for report in worker.reports(60):
-        ledger.add_report(report, "w", worker.now + HOUR_US)
-    late = worker.now + 2 * HOUR_US
-    assert write_batch_of(ledger, late)
-    closed = ledger.closed_to_us
-    for now in (START_US - DAY_US, START_US, late, late + 1):
-        assert write_batch_of(ledger, now) == []
-        assert ledger.closed_to_us == closed
-    write_batch_of(
-        ledger, late + 400 * DAY_US
-    )  # years ahead: some hours at a time, and the dropped ones are not closed anew
-    assert closed < ledger.closed_to_us
+    for report in worker.random_reports(60):
+        ledger.add_report(report, "w", worker.now_us + HOUR_US)
+    after_closing_us = worker.now_us + 2 * HOUR_US
+    assert write_next_batch(ledger, after_closing_us)
+    closed_to_us = ledger.closed_to_us
+    for now_us in (START_US - DAY_US, START_US, after_closing_us, after_closing_us + 1):
+        assert write_next_batch(ledger, now_us) == []
+        assert ledger.closed_to_us == closed_to_us
+    # More than a year later, a batch closes a limited number of hours, and no dropped hour again.
+    write_next_batch(ledger, after_closing_us + 400 * DAY_US)
+    assert closed_to_us < ledger.closed_to_us
--- a/packages/testsupport/src/walnutpost/testsupport/metering/fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/metering/fixtures.py
@@ -1,4 +1,4 @@
-"""What metering's tests share: a worker driven at random, ledgers, slices and reports."""
+"""Test fixtures of metering: a worker driven at random, ledgers, slices and reports."""
 
 from __future__ import annotations
 
@@ -30,95 +30,95 @@
 
 
 class RandomWorker:
-    """A usage recorder and an independent list of events, driven at random.
+    """A worker that is driven at random, with a usage recorder and an independent list of its events.
 
-    Copies load, serve up to three calls at a time, and are removed.
+    Copies load, serve up to MAX_CONCURRENCY calls at a time, and are removed.
     """
 
     def __init__(self, rng: Random, max_final_slices: int = 20_000) -> None:
         self.rng = rng
-        self.now = START_US
+        self.now_us = START_US
         self.recorder = UsageRecorder("w", START_US, 4096, max_final_slices)
         self.events: list[CopyEvent] = []
-        self.copies: dict[int, list[str]] = {}  # tenants of the running calls
-        self.ready: set[int] = set()
-        self.count = 0
+        self.copies: dict[int, list[str]] = {}  # tenants of the running calls, by copy
+        self.ready_copies: set[int] = set()
+        self.copy_count = 0
 
-    def note(self, kind: str, copy: int, tenant: str = "") -> None:
-        """Add an event."""
+    def add_event(self, kind: str, copy: int, tenant: str = "") -> None:
+        """Add an event of a copy."""
         function, memory_mb = self.function_of(copy)
-        self.events.append(CopyEvent(self.now, CopyEventKind(kind), copy, function, memory_mb, tenant))
+        self.events.append(CopyEvent(self.now_us, CopyEventKind(kind), copy, function, memory_mb, tenant))
 
     @staticmethod
     def function_of(copy: int) -> tuple[str, int]:
-        """Return name and memory of a copy's function."""
+        """Return the name and the memory in MB of a copy's function."""
         return f"f{copy % 3}", 100 + copy % 3
 
     def step(self) -> None:
-        """Let some time pass, and something happen to one copy."""
+        """Let some time pass; then start a copy, or change the state of one."""
         durations_us = (0, 1, 7 * SECOND_US, 3 * MINUTE_US, 20 * MINUTE_US)
-        self.now += self.rng.choice(durations_us) + self.rng.randrange(100)
+        self.now_us += self.rng.choice(durations_us) + self.rng.randrange(100)
         copy = self.rng.choice([*self.copies, 0])
         if not copy:
             if len(self.copies) < MAX_COPIES:
                 self.start_copy()
-        elif copy not in self.ready:
-            self.ready.add(copy)
-            self.recorder.mark_ready(self.now, copy)
-            self.note("ready", copy)
+        elif copy not in self.ready_copies:
+            self.ready_copies.add(copy)
+            self.recorder.mark_ready(self.now_us, copy)
+            self.add_event("ready", copy)
         elif len(self.copies[copy]) < MAX_CONCURRENCY and self.rng.random() < 0.6:
             self.start_call(copy)
         elif self.copies[copy]:
             self.end_call(copy)
         else:
             del self.copies[copy]
-            self.recorder.remove_copy(self.now, copy)
-            self.note("gone", copy)
+            self.recorder.remove_copy(self.now_us, copy)
+            self.add_event("gone", copy)
 
     def start_copy(self) -> None:
-        """Load a copy."""
-        self.count += 1
-        self.copies[self.count] = []
-        self.recorder.start_copy(self.now, self.count, *self.function_of(self.count))
-        self.note("begun", self.count)
+        """Start to load a copy."""
+        self.copy_count += 1
+        self.copies[self.copy_count] = []
+        self.recorder.start_copy(self.now_us, self.copy_count, *self.function_of(self.copy_count))
+        self.add_event("begun", self.copy_count)
 
     def start_call(self, copy: int) -> None:
-        """Let a random tenant call."""
+        """Start a call of a random tenant."""
         tenant = self.rng.choice(TENANTS)
         self.copies[copy].append(tenant)
-        self.recorder.start_call(self.now, copy, tenant)
-        self.note("ran", copy, tenant)
+        self.recorder.start_call(self.now_us, copy, tenant)
+        self.add_event("ran", copy, tenant)
 
     def end_call(self, copy: int) -> None:
         """End a random call."""
-        calls = self.copies[copy]
-        tenant = calls.pop(self.rng.randrange(len(calls)))
-        self.recorder.end_call(self.now, copy, tenant)
-        self.note("rested", copy, tenant)
+        call_tenants = self.copies[copy]
+        tenant = call_tenants.pop(self.rng.randrange(len(call_tenants)))
+        self.recorder.end_call(self.now_us, copy, tenant)
+        self.add_event("rested", copy, tenant)
 
-    def reports(self, steps: int, probability: float = 0.2) -> list[UsageReport]:
-        """Return reports that were made at random steps, and one at the end."""
+    def random_reports(self, steps: int, probability: float = 0.2) -> list[UsageReport]:
+        """Take random steps; return reports built after some of them, and one at the end."""
         reports = []
         for _ in range(steps):
             self.step()
             if self.rng.random() < probability:
-                reports.append(self.recorder.build_report(self.now))
-        return [*reports, self.recorder.build_report(self.now)]
+                reports.append(self.recorder.build_report(self.now_us))
+        return [*reports, self.recorder.build_report(self.now_us)]
 
 
 def make_ledger(state: LedgerState | None = None, policy: MeteringPolicy = POLICY) -> Ledger:
-    """Return a ledger, a new one without a state."""
+    """Return a ledger with a state; a new ledger by default."""
     return Ledger(policy, state or LedgerState(), START_US)
 
 
-def sum_hours(ledger: Ledger, until_us: int) -> Statement:
-    """Return the sum of all hours' statements."""
+def total_statement(ledger: Ledger, until_us: int) -> Statement:
+    """Return the sum of the statements of all hours up to a time."""
     hours = range(FIRST_HOUR_US, until_us + HOUR_US, HOUR_US)
     return sum_statements(ledger.statement(hour_us, until_us) for hour_us in hours)
 
 
-def write_batch_of(ledger: Ledger, now_us: int) -> list[LedgerLine]:
-    """Let the ledger write a batch; return its lines."""
+def write_next_batch(ledger: Ledger, now_us: int) -> list[LedgerLine]:
+    """Build the next batch and mark it as written; return its lines."""
     batch = ledger.build_batch(now_us)
     if batch is None:
         return []
@@ -126,8 +126,8 @@
     return batch.lines
 
 
-def state_of(ledger: Ledger) -> LedgerState:
-    """Return the state that a ledger has on disk once all is written."""
+def persisted_state(ledger: Ledger) -> LedgerState:
+    """Return the state that a ledger has on disk once all its facts are written."""
     facts = ledger._facts
     return LedgerState(
         slices=ledger.slices,
@@ -140,7 +140,7 @@
 
 
 def make_slice(**changes: Any) -> UsageSlice:
-    """Return a slice of a copy that loaded for 5 us, but for the changes."""
+    """Return a slice of a copy that loaded for 5 us, with `changes` to its fields."""
     values: dict[str, Any] = {
         "worker": "w",
         "started_us": START_US,
@@ -155,7 +155,7 @@
 
 
 def make_report(*slices: UsageSlice, **changes: Any) -> UsageReport:
-    """Return a report a minute after the worker's start, but for the changes."""
+    """Return a report one minute after the worker's start, with `changes` to its fields."""
     values: dict[str, Any] = {
         "worker": "w",
         "started_us": START_US,
--- a/packages/testsupport/src/walnutpost/testsupport/metering/report_samples.py
+++ b/packages/testsupport/src/walnutpost/testsupport/metering/report_samples.py
@@ -1,4 +1,4 @@
-"""Sample usage reports of workers for golden files."""
+"""Sample usage reports of workers, for golden files."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
     with_defaults,
 )
 
-START = 500_000 * HOUR_US  # microseconds since the epoch
+START_US = 500_000 * HOUR_US  # microseconds since the epoch
 
-# The one place that says which object a golden record is.
+# The golden files hold these objects.
 SLICE = UsageSlice(
     worker="worker-1",
-    started_us=START + 2,
+    started_us=START_US + 2,
     copy=3,
-    hour_us=START,
+    hour_us=START_US,
     function="function-5",
     memory_mb=600,
-    counted_until_us=START + 7,
+    counted_until_us=START_US + 7,
     is_final=True,
     loading_us=8,
     unused_us=9,
@@ -33,8 +33,8 @@
 )
 REPORT = UsageReport(
     worker="worker-1",
-    started_us=START + 2,
-    reported_us=START + 3,
+    started_us=START_US + 2,
+    reported_us=START_US + 3,
     change=4,
     memory_mb=5000,
     slices=[SLICE, with_defaults(SLICE)],
@@ -45,17 +45,17 @@
 
 
 def recorded_report(after_change: int = 0) -> UsageReport:
-    """Two copies over an hour's end, as a worker's own recorder counts them."""
-    recorder = UsageRecorder("worker-1", START + 5, 8192)
-    recorder.start_copy(START + 10, 1, "price", 400)
-    recorder.mark_ready(START + 1000, 1)
-    recorder.start_call(START + 2000, 1, "tills")
-    recorder.start_call(START + 2500, 1, "trade")
-    recorder.start_copy(START + 3000, 2, "reserve", 300)
-    recorder.end_call(START + 5000, 1, "tills")
-    recorder.end_call(START + 9000, 1, "trade")
-    recorder.remove_copy(START + HOUR_US + 700, 1)
-    return recorder.build_report(START + HOUR_US + 900, after_change, is_draining=True)
+    """Return a worker's recorded report of two copies, one of which is removed in the next hour."""
+    recorder = UsageRecorder("worker-1", START_US + 5, 8192)
+    recorder.start_copy(START_US + 10, 1, "price", 400)
+    recorder.mark_ready(START_US + 1000, 1)
+    recorder.start_call(START_US + 2000, 1, "tills")
+    recorder.start_call(START_US + 2500, 1, "trade")
+    recorder.start_copy(START_US + 3000, 2, "reserve", 300)
+    recorder.end_call(START_US + 5000, 1, "tills")
+    recorder.end_call(START_US + 9000, 1, "trade")
+    recorder.remove_copy(START_US + HOUR_US + 700, 1)
+    return recorder.build_report(START_US + HOUR_US + 900, after_change, is_draining=True)
 
 
 REPORTS = {
