--- a/packages/metering/src/walnutpost/metering/budgets.py
+++ b/packages/metering/src/walnutpost/metering/budgets.py
@@ -32,8 +32,8 @@
 class Budget:
     """A tenant's limit of memory-time in each period.
 
-    The state NEAR begins at `near_ratio` of the limit. A state ends only when usage falls below the threshold
-    at which it began by `hysteresis_ratio` of the limit, or when a new period begins.
+    The state NEAR begins at `near_ratio` of the limit. A state ends only when usage falls more than
+    `hysteresis_ratio` of the limit below the threshold at which it began, or when a new period begins.
     """
 
     tenant: str
@@ -104,7 +104,7 @@
     def admits_load_order(self, tenants: Collection[str], has_loaded_copy: bool) -> bool:
         """Whether copies may be ordered for the calls of these tenants.
 
-        They may if no copy is loaded, since open calls need one, or if a tenant is within its budget.
+        They may if no copy is loaded, since open calls need one, or if at least one tenant is unrestricted.
         """
         if not has_loaded_copy or not tenants:
             return True
@@ -134,7 +134,7 @@
 
 
 def _next_state(budget: Budget, used_mb_us: int, previous: BudgetState) -> BudgetState:
-    """Return the new state: higher once a threshold is reached, lower only below it by the hysteresis."""
+    """Return the new state: it rises at a threshold, and falls only below that less the hysteresis."""
     thresholds = {
         BudgetState.NEAR: budget.near_ratio * budget.limit_mb_us,
         BudgetState.PAST: float(budget.limit_mb_us),
--- a/packages/metering/src/walnutpost/metering/facts.py
+++ b/packages/metering/src/walnutpost/metering/facts.py
@@ -59,7 +59,7 @@
         if merged == existing:
             return
         self.incarnations.put(merged.key, merged)
-        # The silent time of this incarnation may be shorter now, or that of the previous one, which ended.
+        # The silent time may be shorter now: of this incarnation, or of the previous one, which has ended.
         silent_since_us = existing.last_heard_us if existing is not None else merged.started_us
         self._hours.mark_changed_since(silent_since_us - self._max_silence_us)
 
@@ -100,7 +100,7 @@
         self.samples.mark_all_written()
 
     def drop_before(self, hour_us: int) -> None:
-        """Remove the facts of earlier hours, and the incarnations that ended before."""
+        """Remove the facts of earlier hours, and the incarnations that ended before `hour_us`."""
         self.drop_before_us = hour_us
         self.slices.drop_before(hour_us)
         self.incarnations.remove(self._ended_before(hour_us))
--- a/packages/metering/src/walnutpost/metering/merge.py
+++ b/packages/metering/src/walnutpost/metering/merge.py
@@ -49,7 +49,7 @@
 
 
 def _is_at_most(a: UsageSlice, b: UsageSlice) -> bool:
-    """Whether no counter of `a` is greater than that of `b`."""
+    """Whether no counter of `a` is greater than that of `b`, and `a` is final only if `b` is."""
     return (
         a.loading_us <= b.loading_us
         and a.unused_us <= b.unused_us
--- a/packages/metering/src/walnutpost/metering/persistence.py
+++ b/packages/metering/src/walnutpost/metering/persistence.py
@@ -33,8 +33,8 @@
     """The changes since the previous batch, to be committed atomically.
 
     `serial` grows by one with each batch. Slices, gaps and samples of hours before `drop_before_us` are
-    deleted. Lines by the hour before `fold_before_us` are folded into lines by the day, and lines
-    by the day before `delete_before_us` are deleted.
+    deleted. Lines by the hour before `fold_before_us` are folded into lines by the day, and lines by the day
+    before `delete_before_us` are deleted.
     """
 
     slices: list[UsageSlice]
--- a/packages/metering/src/walnutpost/metering/sampling.py
+++ b/packages/metering/src/walnutpost/metering/sampling.py
@@ -112,15 +112,15 @@
     def amounts(self) -> dict[str, Amount]:
         """Return the amounts of the current hour so far, by tenant."""
         memory_mb = self.size.memory_mb
-        found = {}
+        amounts = {}
         for tenant in {*self.best_us, *self.upper_bound_us}:
             best_us = self.best_us.get(tenant, 0)
             lower_us = self.slot_us.get(tenant, 0) // self.size.concurrency
             upper_us = max(best_us, self.upper_bound_us.get(tenant, 0))
-            found[tenant] = Amount(
+            amounts[tenant] = Amount(
                 memory_mb * max(best_us, lower_us), memory_mb * lower_us, memory_mb * upper_us
             )
-        return found
+        return amounts
 
 
 def _add_time(counters: dict[str, int], tenant: str, time_us: int) -> None:
@@ -141,19 +141,19 @@
 
     def start_call(self, now_us: int, worker: str, function: str, tenant: str) -> None:
         """Record that a call is sent to a worker."""
-        placement = self._placement(now_us, worker, function)
+        placement = self._counted_placement(now_us, worker, function)
         if placement is not None:
             placement.start_call(tenant, self._keep_alive_us)
 
     def end_call(self, now_us: int, worker: str, function: str, tenant: str) -> None:
         """Record that a call at a worker has ended."""
-        placement = self._placement(now_us, worker, function)
+        placement = self._counted_placement(now_us, worker, function)
         if placement is not None:
             placement.end_call(tenant, now_us)
 
     def set_copies(self, now_us: int, worker: str, function: str, copies: int) -> None:
         """Record how many loaded copies a worker reports."""
-        placement = self._placement(now_us, worker, function)
+        placement = self._counted_placement(now_us, worker, function)
         if placement is not None:
             placement.set_copies(copies, now_us, self._keep_alive_us)
 
@@ -184,7 +184,7 @@
 
     def collect(self, now_us: int) -> list[UsageSample]:
         """Return the samples of the current hour so far, and of the hours that ended since the last call."""
-        # Samples of hours that ended before this call come first; _count_until adds those that end in it.
+        # Samples of past hours that exist already come first; _count_until may add more to _past_hours.
         earlier = self._past_hours
         self._past_hours = []
         current: list[UsageSample] = []
@@ -200,14 +200,14 @@
         return [sample for sample in (*earlier, *current, *past) if self.is_estimated(sample.worker)]
 
     def at_risk_mb(self, now_us: int) -> int:
-        """Return the memory of the copies that would be missing from estimates if this process died now."""
+        """Return the memory of the copies whose usage would go unrecorded if this process died now."""
         return sum(
             placement.size.memory_mb * placement.copies
             for (worker, _), placement in self._placements.items()
             if self.is_estimated(worker) and placement.has_copies(now_us, self._keep_alive_us)
         )
 
-    def _placement(self, now_us: int, worker: str, function: str) -> _Placement | None:
+    def _counted_placement(self, now_us: int, worker: str, function: str) -> _Placement | None:
         """Return the placement, counted up to now, or None if the function is unknown."""
         placement = self._placements.get((worker, function))
         if placement is not None:
--- a/packages/metering/src/walnutpost/metering/slice_index.py
+++ b/packages/metering/src/walnutpost/metering/slice_index.py
@@ -24,7 +24,7 @@
         self.records: TrackedRecords[SliceKey, UsageSlice] = TrackedRecords()
         self._hours = hours
         self._totals: dict[int, dict[Account, int]] = defaultdict(dict)  # by hour
-        self._memory_time: dict[tuple[IncarnationKey, int], int] = defaultdict(int)  # by worker and hour
+        self._memory_time: dict[tuple[IncarnationKey, int], int] = defaultdict(int)  # by incarnation and hour
         self._loaded: dict[IncarnationKey, set[SliceKey]] = defaultdict(set)
 
     def totals(self, hour_us: int) -> Mapping[Account, int]:
--- a/packages/metering/src/walnutpost/metering/statements.py
+++ b/packages/metering/src/walnutpost/metering/statements.py
@@ -45,7 +45,7 @@
 
 
 def _add_samples(statement: Statement, facts: LedgerFacts, hour_us: int) -> None:
-    """Add the estimates for workers that did not report their usage by the end of the hour."""
+    """Add the estimates for workers without an incarnation that started by the end of the hour."""
     end_us = hour_us + HOUR_US
     first_starts_us = _first_starts_us(facts)
     for sample in facts.samples.values():
@@ -77,7 +77,7 @@
 def _silent_us(
     facts: LedgerFacts, incarnation: WorkerIncarnation, max_silence_us: int, hour_us: int, now_us: int
 ) -> int:
-    """Return how long a worker may have used memory within the hour after its last report."""
+    """Return for how much of an hour a worker may have used memory after its last report."""
     end_us = hour_us + HOUR_US
     last_heard_us = incarnation.last_heard_us
     silence_ends_us = last_heard_us + max_silence_us
--- a/packages/metering/src/walnutpost/metering/validation.py
+++ b/packages/metering/src/walnutpost/metering/validation.py
@@ -37,7 +37,7 @@
         )
     _check_times(usage, report)
     if not 0 < usage.memory_mb <= report.memory_mb:
-        raise InvalidSliceError(f"{usage.memory_mb} MB", f"1 MB to the worker's memory of {report.memory_mb}")
+        raise InvalidSliceError(f"{usage.memory_mb} MB", f"a memory size in MB from 1 to {report.memory_mb}")
     if UNATTRIBUTED in {*usage.running_us, *usage.idle_us, usage.first_tenant}:
         raise InvalidSliceError(f"a tenant {UNATTRIBUTED!r}", "a tenant name, an empty string or none")
     _check_counters(usage)
@@ -51,7 +51,7 @@
     if not (is_full_hour and ends_after_start and is_count_time_valid):
         raise InvalidSliceError(
             f"hour {usage.hour_us} counted to {usage.counted_until_us}",
-            "a full hour since the worker's start, counted up to the report at most",
+            "a full hour that ends after the worker's start, counted no later than the report",
         )
 
 
