--- a/packages/metering/src/walnutpost/metering/intake.py
+++ b/packages/metering/src/walnutpost/metering/intake.py
@@ -17,19 +17,19 @@
         check_report(report, worker, now_us)
     except InvalidReportError as error:
         return [str(error)]
-    known = facts.incarnations.get(report.incarnation)
-    inconsistencies = _check_progress(facts, report, known)
+    existing = facts.incarnations.get(report.incarnation)
+    inconsistencies = _check_progress(facts, report, existing)
     for usage in report.slices:
         inconsistencies += _add_slice(facts, usage, report)
     facts.merge_incarnation(incarnation_of(report))
     return inconsistencies
 
 
-def _check_progress(facts: LedgerFacts, report: UsageReport, known: WorkerIncarnation | None) -> list[str]:
-    """Compare a report with the earlier reports of its incarnation."""
-    known_change = known.change if known is not None else 0
-    last_heard_us = known.last_heard_us if known is not None else 0
-    evicted_mb_us = known.evicted_mb_us if known is not None else 0
+def _check_progress(facts: LedgerFacts, report: UsageReport, existing: WorkerIncarnation | None) -> list[str]:
+    """Compare a report with the existing record of its incarnation; return inconsistencies as log texts."""
+    known_change = existing.change if existing is not None else 0
+    last_heard_us = existing.last_heard_us if existing is not None else 0
+    evicted_mb_us = existing.evicted_mb_us if existing is not None else 0
     inconsistencies = []
     if report.reported_us < last_heard_us and report.change > known_change:
         inconsistencies.append(f"report time went back from {last_heard_us} to {report.reported_us}")
--- a/packages/metering/src/walnutpost/metering/verification.py
+++ b/packages/metering/src/walnutpost/metering/verification.py
@@ -62,7 +62,7 @@
 
     Hours that are dropped, or that were open at the time of the export, are skipped.
     """
-    known_slices = {usage.key: usage for usage in extract.state.slices}
+    ledger_slices = {usage.key: usage for usage in extract.state.slices}
     differences = []
     for report in reports:
         try:
@@ -72,7 +72,7 @@
             continue
         for usage in report.slices:
             if usage.is_final and usage.hour_us >= extract.state.drop_before_us:
-                differences += _compare_slice(usage, report, known_slices.get(usage.key))
+                differences += _compare_slice(usage, report, ledger_slices.get(usage.key))
     return differences
 
 
--- a/packages/metering/tests/test_merge_and_allocation.py
+++ b/packages/metering/tests/test_merge_and_allocation.py
@@ -46,7 +46,7 @@
 
 
 def without_contradictions(usage: UsageSlice) -> UsageSlice:
-    """Return the slice without its contradictions, which depend on the order of merges."""
+    """Return the slice without its contradictions, which depend on the grouping of merges."""
     return msgspec.structs.replace(usage, contradictions=frozenset())
 
 
