--- a/packages/cron/src/walnutpost/cron/__init__.py
+++ b/packages/cron/src/walnutpost/cron/__init__.py
@@ -1,4 +1,7 @@
-"""Cron schedules: what is due, missed or overlapping, and which front end fires it. No I/O, no clock."""
+"""Cron schedules: due times, missed and overlapping firings, and which front end fires a schedule.
+
+This package does no I/O and reads no clock.
+"""
 
 from walnutpost.cron.decisions import Decision, Fire, Skip, SkipReason
 from walnutpost.cron.errors import CronError, InvalidScheduleError
--- a/packages/cron/src/walnutpost/cron/decisions.py
+++ b/packages/cron/src/walnutpost/cron/decisions.py
@@ -1,4 +1,4 @@
-"""What the planner decides on due times. Times are microseconds since the epoch."""
+"""Decisions of the planner about due times. Times are microseconds since the epoch."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SkipReason(Enum):
-    """Why due times are not fired. The values are stored, and shown to people."""
+    """Why due times are skipped. The values are stored, and shown to users."""
 
     PAUSED = "paused"
     UNCERTAIN = "the state is an older copy: it may have been fired"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Skip:
-    """Do not fire `count` due times, from `due_us` to `last_due_us`."""
+    """Skip `count` due times, from `due_us` through `last_due_us`."""
 
     schedule: Schedule
     due_us: int
--- a/packages/cron/src/walnutpost/cron/errors.py
+++ b/packages/cron/src/walnutpost/cron/errors.py
@@ -8,10 +8,10 @@
 
 
 class InvalidScheduleError(CronError, ValueError):
-    """An invalid cron expression or time zone. A ValueError, as validators of models expect."""
+    """An invalid cron expression or time zone. It is a ValueError because model validators expect one."""
 
     def __init__(self, text: str, message: str) -> None:
-        """`text` is what was found; `message` tells the user what is wanted."""
+        """`text` is the rejected input. `message` tells the user what is expected."""
         super().__init__(message)
         self.text = text
         self.message = message
--- a/packages/cron/src/walnutpost/cron/planner.py
+++ b/packages/cron/src/walnutpost/cron/planner.py
@@ -1,7 +1,7 @@
-"""The planner: decides on each due time of each schedule once.
+"""The planner: decides once, for each due time of each schedule, whether to fire or skip it.
 
-No I/O and no clock: the time of day comes in, and may jump either way. Times are microseconds since the
-epoch.
+It does no I/O and reads no clock: callers pass in the wall clock time, which may jump forward or back.
+Times are microseconds since the epoch.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
     iterate_due_times,
 )
 
-# Due times are full minutes: what is a minute late was missed.
-MAX_DELAY_US = 60 * SECOND_US
+# Due times are full minutes, so a due time that is more than a minute late counts as missed.
+MAX_ON_TIME_DELAY_US = 60 * SECOND_US
 
 
 @dataclass(slots=True)
 class _DueTimes:
-    """Due times of one schedule that have come, split by whether they are on time."""
+    """Due times of one schedule that have passed, split into missed and on-time ones."""
 
     missed_us: list[int]
     on_time_us: list[int]
 
 
 class _ScheduleCursor:
-    """The next due time of one schedule."""
+    """The position of one schedule in its sequence of due times."""
 
     __slots__ = ("_due_times", "generation", "next_due_us", "schedule")
 
-    def __init__(self, schedule: Schedule, mark_us: int, generation: int) -> None:
+    def __init__(self, schedule: Schedule, after_us: int, generation: int) -> None:
         self.schedule = schedule
         self.generation = generation
-        self._due_times: Iterator[int] = iterate_due_times(schedule, mark_us)
+        self._due_times: Iterator[int] = iterate_due_times(schedule, after_us)
         self.next_due_us: int | None = next(self._due_times, None)
 
     def advance(self) -> None:
@@ -50,23 +50,25 @@
 class Planner:
     """Decides on each due time of each schedule exactly once.
 
-    `marks` holds, by name of the schedule, the latest due time that was decided on; a clock that steps back
-    makes nothing before it due again.
+    `last_decided_us` maps the name of each schedule to its latest decided due time, or for a new or changed
+    schedule to the time at which it starts. Earlier due times never become due again, even if the clock
+    steps back.
     """
 
     def __init__(
         self,
         schedules: Iterable[Schedule],
-        marks: Mapping[str, int],
+        last_decided_us: Mapping[str, int],
         now_us: int,
         uncertain_until_us: int = 0,
     ) -> None:
-        """Begin with the marks of an earlier process. A schedule without one is new and has missed nothing.
+        """Continue from the `last_decided_us` of an earlier process.
 
-        Up to `uncertain_until_us` there may have been firings that the marks do not include, so schedules
-        of unsafe functions are not fired for these times.
+        A schedule without an entry is new and has missed nothing. `last_decided_us` may lack firings with due
+        times up to `uncertain_until_us`, so the planner skips those due times for schedules of unsafe
+        functions.
         """
-        self.marks = dict(marks)
+        self.last_decided_us = dict(last_decided_us)
         self._uncertain_until_us = uncertain_until_us
         self._cursors: dict[str, _ScheduleCursor] = {}
         self._running: dict[str, dict[int, None]] = {}  # due times by schedule, in order
@@ -75,13 +77,14 @@
         self.replace_schedules(schedules, now_us)
 
     def replace_schedules(self, schedules: Iterable[Schedule], now_us: int) -> None:
-        """Replace all schedules. Firings that are running go on, whether or not their schedule remains.
+        """Replace all schedules. Running firings continue even if their schedule is removed.
 
-        A changed schedule continues from its mark, a new one begins now.
+        A new schedule starts now, and so does a changed one, unless a later due time of it has been decided.
+        A schedule that was removed earlier and comes back continues from its latest decided due time.
         """
         previous = self._cursors
         self._cursors = {
-            schedule.name: self._cursor_for(schedule, previous.get(schedule.name), now_us)
+            schedule.name: self._get_cursor(schedule, previous.get(schedule.name), now_us)
             for schedule in {schedule.name: schedule for schedule in schedules}.values()
         }
         self._heap = [
@@ -92,15 +95,15 @@
         heapify(self._heap)
 
     def next_fire_time_us(self) -> int | None:
-        """Return when something is due next; None if never."""
+        """Return the next time at which a schedule fires, or None if no schedule will fire again."""
         return self._heap[0][0] if self._heap else None
 
     def mark_running(self, schedule_name: str, due_us: int) -> None:
-        """Record that a firing is running, for example after a restart."""
+        """Record that a firing is running, for example one found in the store after a restart."""
         self._running.setdefault(schedule_name, {})[due_us] = None
 
     def mark_ended(self, schedule_name: str, due_us: int) -> None:
-        """Record that a firing has ended; an unknown one is ignored."""
+        """Record that a firing has ended. Unknown firings are ignored."""
         running = self._running.get(schedule_name)
         if running is None:
             return
@@ -109,9 +112,10 @@
             del self._running[schedule_name]
 
     def decide(self, now_us: int, max_schedules: int | None = None) -> list[Decision]:
-        """Decide on what has come due, earliest first, for at most `max_schedules` schedules.
+        """Decide on the due times that have passed, earliest first, for at most `max_schedules` schedules.
 
-        Firings count as running from then on. If more is due, `next_fire_time_us` is not later than now.
+        Each returned firing counts as running until `mark_ended`. If the limit leaves due times undecided,
+        `next_fire_time_us` returns a time that is not later than `now_us`.
         """
         decisions: list[Decision] = []
         remaining = max_schedules if max_schedules is not None else len(self._heap)
@@ -121,56 +125,58 @@
             cursor = self._cursors.get(name)
             if cursor is None or cursor.generation != generation:
                 continue
-            decisions += self._decide_on(cursor, now_us)
+            decisions += self._decide_schedule(cursor, now_us)
             if cursor.next_due_us is not None:
                 fire_time_us = compute_fire_time_us(cursor.schedule, cursor.next_due_us)
                 heappush(self._heap, (fire_time_us, generation, name))
         return decisions
 
-    def _cursor_for(self, schedule: Schedule, known: _ScheduleCursor | None, now_us: int) -> _ScheduleCursor:
-        if known is not None and known.schedule == schedule:
-            return known
+    def _get_cursor(
+        self, schedule: Schedule, previous: _ScheduleCursor | None, now_us: int
+    ) -> _ScheduleCursor:
+        if previous is not None and previous.schedule == schedule:
+            return previous
         self._generation += 1
-        mark_us = self.marks.get(schedule.name, now_us)
-        if known is not None:
-            # The changed schedule was not in force before now: what it would have had due then is not missed.
-            mark_us = max(mark_us, now_us)
-        self.marks[schedule.name] = mark_us
-        return _ScheduleCursor(schedule, mark_us, self._generation)
-
-    def _decide_on(self, cursor: _ScheduleCursor, now_us: int) -> list[Decision]:
-        """Decide on all due times of one schedule up to now."""
+        after_us = self.last_decided_us.get(schedule.name, now_us)
+        if previous is not None:
+            # The changed schedule did not apply before now, so it has missed nothing.
+            after_us = max(after_us, now_us)
+        self.last_decided_us[schedule.name] = after_us
+        return _ScheduleCursor(schedule, after_us, self._generation)
+
+    def _decide_schedule(self, cursor: _ScheduleCursor, now_us: int) -> list[Decision]:
+        """Decide on all due times of one schedule up to `now_us`."""
         schedule = cursor.schedule
-        due = self._take_due(cursor, now_us)
+        due = self._collect_due_times(cursor, now_us)
         if schedule.is_paused:
-            return list(_skip([*due.missed_us, *due.on_time_us], schedule, SkipReason.PAUSED))
+            return list(_build_skips([*due.missed_us, *due.on_time_us], schedule, SkipReason.PAUSED))
         decisions: list[Decision] = []
         if schedule.is_unsafe:
-            decisions += _skip(self._remove_uncertain(due), schedule, SkipReason.UNCERTAIN)
-        too_old_us = _too_old(due.missed_us, schedule, now_us)
-        decisions += _skip(too_old_us, schedule, SkipReason.TOO_OLD)
+            decisions += _build_skips(self._remove_uncertain(due), schedule, SkipReason.UNCERTAIN)
+        too_old_us = _select_too_old(due.missed_us, schedule, now_us)
+        decisions += _build_skips(too_old_us, schedule, SkipReason.TOO_OLD)
         recent_us = due.missed_us[len(too_old_us) :]
-        late_us = _select_late(recent_us, schedule.missed_policy)
+        to_fire_us = _apply_missed_policy(recent_us, schedule.missed_policy)
         reason = SkipReason.MISSED if schedule.missed_policy is MissedPolicy.SKIP else SkipReason.SUPERSEDED
-        decisions += _skip(recent_us[: len(recent_us) - len(late_us)], schedule, reason)
-        decisions += [self._fire(schedule, due_us) for due_us in (*late_us, *due.on_time_us)]
+        decisions += _build_skips(recent_us[: len(recent_us) - len(to_fire_us)], schedule, reason)
+        decisions += [self._fire(schedule, due_us) for due_us in (*to_fire_us, *due.on_time_us)]
         return decisions
 
-    def _take_due(self, cursor: _ScheduleCursor, now_us: int) -> _DueTimes:
-        """Move the mark of one schedule up to now; return the due times before it."""
+    def _collect_due_times(self, cursor: _ScheduleCursor, now_us: int) -> _DueTimes:
+        """Advance one schedule past `now_us`, and return the due times that have passed."""
         due = _DueTimes([], [])
         while cursor.next_due_us is not None:
             fire_time_us = compute_fire_time_us(cursor.schedule, cursor.next_due_us)
             if fire_time_us > now_us:
                 break
-            is_missed = now_us - fire_time_us > MAX_DELAY_US
+            is_missed = now_us - fire_time_us > MAX_ON_TIME_DELAY_US
             (due.missed_us if is_missed else due.on_time_us).append(cursor.next_due_us)
-            self.marks[cursor.schedule.name] = cursor.next_due_us
+            self.last_decided_us[cursor.schedule.name] = cursor.next_due_us
             cursor.advance()
         return due
 
     def _remove_uncertain(self, due: _DueTimes) -> list[int]:
-        """Remove and return the due times that may have been fired already."""
+        """Remove the due times that may have been fired already, and return them."""
         uncertain_us = [
             due_us for due_us in (*due.missed_us, *due.on_time_us) if due_us <= self._uncertain_until_us
         ]
@@ -187,14 +193,14 @@
         return Fire(schedule, due_us, running_us if is_replacing else ())
 
 
-def _too_old(missed_us: Sequence[int], schedule: Schedule, now_us: int) -> list[int]:
+def _select_too_old(missed_us: Sequence[int], schedule: Schedule, now_us: int) -> list[int]:
     if schedule.missed_policy is MissedPolicy.SKIP:
         return []
     return [due_us for due_us in missed_us if now_us - due_us > schedule.max_missed_age_us]
 
 
-def _select_late(missed_us: list[int], policy: MissedPolicy) -> list[int]:
-    """Return those of the missed due times that are fired late."""
+def _apply_missed_policy(missed_us: list[int], policy: MissedPolicy) -> list[int]:
+    """Return the missed due times that are still to be fired under the policy."""
     match policy:
         case MissedPolicy.SKIP:
             return []
@@ -204,7 +210,7 @@
             return missed_us
 
 
-def _skip(due_times_us: Sequence[int], schedule: Schedule, reason: SkipReason) -> Iterator[Skip]:
-    """Return one decision for all of the due times, if there are any."""
+def _build_skips(due_times_us: Sequence[int], schedule: Schedule, reason: SkipReason) -> Iterator[Skip]:
+    """Yield a single decision that covers all the due times, or nothing if there are no due times."""
     if due_times_us:
         yield Skip(schedule, due_times_us[0], due_times_us[-1], len(due_times_us), reason)
--- a/packages/cron/src/walnutpost/cron/schedule.py
+++ b/packages/cron/src/walnutpost/cron/schedule.py
@@ -1,7 +1,7 @@
-"""One schedule: its due times, its jitter, its owner, the names of its firings.
+"""A schedule: its due times, jitter, owning front end, and the execution names of its firings.
 
-Times are microseconds since the epoch. A due time is a full minute at which the cron expression matches;
-the fire time is the due time and the jitter.
+Times are microseconds since the epoch. A due time is a full minute that the cron expression matches. The
+fire time is the due time plus the jitter.
 """
 
 from __future__ import annotations
@@ -21,32 +21,33 @@
 HOUR_US = 3600 * SECOND_US
 CRON_FIELD_COUNT = 5
 HASH_BYTES = 8
-# From here on an expression is searched for its first due time. Any date does.
-CHECK_START = datetime(2024, 1, 1, tzinfo=UTC)
+# `check_cron` searches for a first due time from here on. Any date works.
+VALIDATION_START = datetime(2024, 1, 1, tzinfo=UTC)
 
 
 class MissedPolicy(Enum):
-    """What is done about due times that passed while the front end was not running."""
+    """How to handle due times that passed while the front end was not running."""
 
     SKIP = "skip"
-    ONCE = "once"  # the latest one that is not too old is fired
-    ALL = "all"  # each one that is not too old is fired
+    ONCE = "once"  # fire the latest one that is not too old
+    ALL = "all"  # fire each one that is not too old
 
 
 class OverlapPolicy(Enum):
-    """What is done about a due time while an earlier firing is still running."""
+    """How to handle a due time if an earlier firing is still running."""
 
     ALLOW = "allow"
-    FORBID = "forbid"  # the due time is skipped
-    REPLACE = "replace"  # the earlier firing is stopped
+    FORBID = "forbid"  # skip the due time
+    REPLACE = "replace"  # stop the earlier firing
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """A cron schedule and the call that it fires.
+    """A cron schedule and the call that it makes.
 
-    Firings are spread over `jitter_us`. `owner_index` is the front end that fires it, if configured.
-    `is_unsafe`: a second run of the function may do harm.
+    Each firing is delayed by less than `jitter_us`, unless that is 0. `owner_index` is the index of the front
+    end that fires the schedule, if one is configured. `is_unsafe` is true if running the function twice may
+    do harm.
     """
 
     name: str
@@ -66,35 +67,35 @@
 
 
 def check_zone(name: str) -> ZoneInfo:
-    """Return the time zone; raise InvalidScheduleError if the IANA database has none of that name."""
+    """Return the time zone. Raises InvalidScheduleError if the name is not in the IANA database."""
     try:
         return ZoneInfo(name)
     except (OSError, ValueError, LookupError):
-        raise InvalidScheduleError(name, f"an IANA time zone as Europe/Dublin, not {name!r}") from None
+        raise InvalidScheduleError(name, f"an IANA time zone such as Europe/Dublin, not {name!r}") from None
 
 
 def check_cron(expression: str) -> None:
-    """Raise InvalidScheduleError unless it has five fields and matches some day.
+    """Raise InvalidScheduleError unless the expression has five valid fields and matches at least one date.
 
-    Fields may have names, lists, ranges and steps.
+    Fields may contain names, lists, ranges and steps.
     """
     field_count = len(expression.split())
     if field_count != CRON_FIELD_COUNT:
         raise InvalidScheduleError(expression, f"a cron expression of five fields, not {field_count}")
     try:
-        next(CronSim(expression, CHECK_START))
+        next(CronSim(expression, VALIDATION_START))
     except CronSimError as error:
         raise InvalidScheduleError(expression, f"a cron expression of five fields: {error}") from None
     except StopIteration:
-        raise InvalidScheduleError(expression, "a cron expression that comes due some day") from None
+        raise InvalidScheduleError(expression, "a cron expression that matches at least one date") from None
 
 
 def iterate_due_times(schedule: Schedule, after_us: int) -> Iterator[int]:
-    """Return the due times later than `after_us`, in order.
+    """Yield the due times later than `after_us`, in order.
 
-    Changes to and from daylight saving time are treated as by Debian's cron: a schedule at fixed times
-    runs once, at the change if its time does not exist, at the first of two if its time comes twice; a
-    schedule for every hour or with steps of hours follows real time.
+    Daylight saving time follows the rules of Debian's cron. A schedule with fixed times runs once: at the
+    change if its local time does not exist, and at the first of two occurrences if its local time occurs
+    twice. A schedule for every hour, or with hour steps, follows elapsed time.
     """
     start = datetime.fromtimestamp(after_us // SECOND_US, check_zone(schedule.zone))
     for moment in CronSim(schedule.cron, start):
@@ -104,7 +105,7 @@
 
 
 def compute_fire_time_us(schedule: Schedule, due_us: int) -> int:
-    """Return the due time and its jitter: the same for a schedule and due time at each start."""
+    """Return the due time plus the jitter. A restart does not change the jitter of a due time."""
     if schedule.jitter_us <= 0:
         return due_us
     return due_us + _hash("jitter", schedule.name, due_us) % schedule.jitter_us
@@ -113,8 +114,8 @@
 def select_owner(schedule: Schedule, front_end_count: int) -> int:
     """Return the index of the front end that fires the schedule.
 
-    Without a configured one it is chosen by rendezvous hashing, so that few schedules move when the number
-    of front ends changes.
+    If no owner is configured, rendezvous hashing chooses one, so that few schedules move when the number of
+    front ends changes.
     """
     if schedule.owner_index is not None:
         return schedule.owner_index
@@ -122,7 +123,7 @@
 
 
 def format_execution_name(schedule_name: str, due_us: int) -> str:
-    """Return the execution name of one firing. Seconds are enough, since due times are full minutes."""
+    """Return the execution name of a firing. Seconds are enough because due times are full minutes."""
     return f"cron-{schedule_name}-{due_us // SECOND_US}"
 
 
--- a/packages/cron/tests/test_planner.py
+++ b/packages/cron/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner: due times that are on time, missed or overlapping; jumps of the clock; restarts."""
+"""Tests of the planner: on-time, missed and overlapping due times, clock jumps, and restarts."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def summarize(decisions: Sequence[Decision]) -> list[tuple[str, int, int]]:
-    """Return the kind of each decision, its due time in minutes since the start, its count of due times."""
+    """Return the kind, due time in minutes after START_US, and number of due times of each decision."""
     return [
         (
             "fire" if isinstance(decision, Fire) else "skip",
@@ -48,7 +48,7 @@
     ]
 
 
-MISSED = [
+MISSED_CASES = [
     ({}, [("skip", 1, 8), ("fire", 9, 1), ("fire", 10, 1)]),
     ({"missed_policy": MissedPolicy.ONCE}, [("skip", 1, 7), ("fire", 8, 1), ("fire", 9, 1), ("fire", 10, 1)]),
     (
@@ -63,90 +63,92 @@
 ]
 
 
-@pytest.mark.parametrize(("changes", "wanted"), MISSED)
-def test_missed_due_times_are_decided_on_by_the_policy(changes: dict[str, Any], wanted: list[Any]) -> None:
-    """Ten minutes pass at once, as in a suspended machine; the last minute is on time."""
+@pytest.mark.parametrize(("changes", "expected"), MISSED_CASES)
+def test_missed_due_times_are_skipped_or_fired_by_policy(
+    changes: dict[str, Any], expected: list[Any]
+) -> None:
+    """Ten minutes pass at once, as when the machine is suspended. The last minute is on time."""
     planner = Planner([replace(EVERY_MINUTE, **changes)], {"m": START_US}, START_US)
-    assert summarize(planner.decide(START_US + 10 * MINUTE_US)) == wanted
+    assert summarize(planner.decide(START_US + 10 * MINUTE_US)) == expected
     assert planner.decide(START_US + 10 * MINUTE_US) == []
 
 
-OVERLAPS = [
+OVERLAP_CASES = [
     (OverlapPolicy.ALLOW, ["fire", "fire", "fire"], ()),
     (OverlapPolicy.FORBID, ["fire", "skip", "fire"], ()),
     (OverlapPolicy.REPLACE, ["fire", "fire", "fire"], (START_US + MINUTE_US,)),
 ]
 
 
-@pytest.mark.parametrize(("overlap_policy", "wanted", "stopped_us"), OVERLAPS)
-def test_a_due_time_while_a_firing_is_running_is_decided_on_by_the_policy(
-    overlap_policy: OverlapPolicy, wanted: list[str], stopped_us: tuple[int, ...]
+@pytest.mark.parametrize(("overlap_policy", "expected", "expected_stop_us"), OVERLAP_CASES)
+def test_due_time_during_a_running_firing_follows_overlap_policy(
+    overlap_policy: OverlapPolicy, expected: list[str], expected_stop_us: tuple[int, ...]
 ) -> None:
     planner = Planner([replace(EVERY_MINUTE, overlap_policy=overlap_policy)], {}, START_US)
     first = planner.decide(START_US + MINUTE_US)
     second = planner.decide(START_US + 2 * MINUTE_US)
-    assert isinstance(second[0], Skip) or second[0].stop_due_us == stopped_us
+    assert isinstance(second[0], Skip) or second[0].stop_due_us == expected_stop_us
     for minute in (1, 2):
         planner.mark_ended("m", START_US + minute * MINUTE_US)
     third = planner.decide(START_US + 3 * MINUTE_US)
-    assert [kind for kind, _, _ in summarize([*first, *second, *third])] == wanted
+    assert [kind for kind, _, _ in summarize([*first, *second, *third])] == expected
 
 
-def test_a_clock_that_steps_back_fires_nothing_again() -> None:
+def test_clock_stepping_back_does_not_fire_a_due_time_again() -> None:
     planner = Planner([EVERY_MINUTE], {}, START_US)
     assert len(planner.decide(START_US + MINUTE_US)) == 1
     assert planner.decide(START_US - HOUR_US) == []
     assert planner.decide(START_US + MINUTE_US) == []
-    restarted = Planner([EVERY_MINUTE], planner.marks, START_US - HOUR_US)
+    restarted = Planner([EVERY_MINUTE], planner.last_decided_us, START_US - HOUR_US)
     assert restarted.decide(START_US + MINUTE_US) == []
     assert summarize(restarted.decide(START_US + 2 * MINUTE_US)) == [("fire", 2, 1)]
 
 
-def test_a_clock_that_steps_a_day_ahead_skips_the_missed_day_in_one_decision() -> None:
+def test_clock_stepping_a_day_ahead_skips_the_missed_day_in_one_decision() -> None:
     planner = Planner([EVERY_MINUTE], {}, START_US)
-    decided = summarize(planner.decide(START_US + DAY_US))
-    assert decided == [("skip", 1, 1438), ("fire", 1439, 1), ("fire", 1440, 1)]
+    summary = summarize(planner.decide(START_US + DAY_US))
+    assert summary == [("skip", 1, 1438), ("fire", 1439, 1), ("fire", 1440, 1)]
 
 
-def test_schedules_due_together_are_decided_on_in_parts_of_the_wanted_size() -> None:
+def test_schedules_due_together_are_decided_in_batches_of_the_given_size() -> None:
     planner = Planner([replace(EVERY_MINUTE, name=f"s{n}") for n in range(10)], {}, START_US)
-    parts = []
+    batches = []
     while (next_us := planner.next_fire_time_us()) is not None and next_us <= START_US + MINUTE_US:
-        parts.append(planner.decide(START_US + MINUTE_US, 4))
-    assert [len(part) for part in parts] == [4, 4, 2]
-    assert len({decision.schedule.name for part in parts for decision in part}) == 10
+        batches.append(planner.decide(START_US + MINUTE_US, 4))
+    assert [len(batch) for batch in batches] == [4, 4, 2]
+    assert len({decision.schedule.name for batch in batches for decision in batch}) == 10
 
 
-def test_replaced_schedules_leave_running_firings_alone() -> None:
+def test_replacing_schedules_keeps_firings_running() -> None:
     other = replace(EVERY_MINUTE, name="other")
     planner = Planner([EVERY_MINUTE, other], {}, START_US)
     planner.decide(START_US + MINUTE_US)
     changed = replace(EVERY_MINUTE, cron="*/2 * * * *", overlap_policy=OverlapPolicy.FORBID)
     planner.replace_schedules([changed, replace(other, name="new")], START_US + MINUTE_US + SECOND_US)
-    decided = summarize(planner.decide(START_US + 3 * MINUTE_US))
-    assert decided == [("skip", 2, 1), ("fire", 2, 1), ("fire", 3, 1)]
+    summary = summarize(planner.decide(START_US + 3 * MINUTE_US))
+    assert summary == [("skip", 2, 1), ("fire", 2, 1), ("fire", 3, 1)]
     planner.mark_ended("m", START_US + MINUTE_US)
     decisions = planner.decide(START_US + 4 * MINUTE_US)
     assert [decision.schedule.name for decision in decisions] == ["m", "new"]
 
 
-def test_marks_of_an_older_copy_fire_no_unsafe_function_again() -> None:
+def test_state_from_an_older_copy_does_not_fire_unsafe_functions_again() -> None:
     unsafe = replace(EVERY_MINUTE, name="u", is_unsafe=True, missed_policy=MissedPolicy.ALL)
     safe = replace(unsafe, name="s", is_unsafe=False)
-    marks = {"u": START_US, "s": START_US}
+    last_decided_us = {"u": START_US, "s": START_US}
     now_us = START_US + 5 * MINUTE_US
-    planner = Planner([unsafe, safe], marks, now_us, uncertain_until_us=START_US + 3 * MINUTE_US)
-    decided = planner.decide(now_us)
-    fired = Counter(decision.schedule.name for decision in decided if isinstance(decision, Fire))
+    planner = Planner([unsafe, safe], last_decided_us, now_us, uncertain_until_us=START_US + 3 * MINUTE_US)
+    decisions = planner.decide(now_us)
+    fired = Counter(decision.schedule.name for decision in decisions if isinstance(decision, Fire))
     assert fired == {"u": 2, "s": 5}
-    skipped = [(skip.count, skip.reason) for skip in decided if isinstance(skip, Skip)]
+    skipped = [(skip.count, skip.reason) for skip in decisions if isinstance(skip, Skip)]
     assert skipped == [(3, SkipReason.UNCERTAIN)]
     assert SkipReason.UNCERTAIN.value == "the state is an older copy: it may have been fired"
 
 
 @settings(deadline=None, max_examples=60)
 @given(st.integers(0, 10_000), st.sampled_from(MissedPolicy), st.sampled_from(OverlapPolicy))
-def test_each_due_time_is_decided_on_once_through_restarts_at_random(
+def test_each_due_time_is_decided_once_across_random_restarts(
     seed: int, missed_policy: MissedPolicy, overlap_policy: OverlapPolicy
 ) -> None:
     rng = Random(seed)
@@ -157,6 +159,6 @@
         return  # never comes due
     start_us = START_US + rng.randrange(300) * DAY_US // MINUTE_US * MINUTE_US
     schedule = replace(EVERY_MINUTE, cron=cron, missed_policy=missed_policy, overlap_policy=overlap_policy)
-    counts = count_decisions(schedule, start_us, start_us + 3 * DAY_US, rng)
-    assert set(counts) == list_matches(fields, start_us + MINUTE_US, start_us + 3 * DAY_US + 1)
-    assert set(counts.values()) <= {1}
+    decision_counts = count_decisions(schedule, start_us, start_us + 3 * DAY_US, rng)
+    assert set(decision_counts) == list_matches(fields, start_us + MINUTE_US, start_us + 3 * DAY_US + 1)
+    assert set(decision_counts.values()) <= {1}
--- a/packages/cron/tests/test_schedule.py
+++ b/packages/cron/tests/test_schedule.py
@@ -1,4 +1,4 @@
-"""Schedules: due times through changes of the clocks, checks, jitter and owners."""
+"""Tests of schedules: due times across daylight saving changes, validation, jitter and owners."""
 
 from __future__ import annotations
 
@@ -20,18 +20,19 @@
 from walnutpost.testsupport.cron.fixtures import EVERY_MINUTE, MINUTE_US, SECOND_US, START_US
 
 
-def epoch_us(text: str, zone: str) -> int:
+def parse_epoch_us(text: str, zone: str) -> int:
     return round(datetime.fromisoformat(text).replace(tzinfo=ZoneInfo(zone)).timestamp()) * SECOND_US
 
 
-def list_next(cron: str, zone: str, after: str, count: int) -> list[str]:
+def format_next_due_times(cron: str, zone: str, after: str, count: int) -> list[str]:
     schedule = replace(EVERY_MINUTE, cron=cron, zone=zone)
-    dues = islice(iterate_due_times(schedule, epoch_us(after, zone)), count)
-    return [datetime.fromtimestamp(due / SECOND_US, ZoneInfo(zone)).isoformat() for due in dues]
+    due_times = islice(iterate_due_times(schedule, parse_epoch_us(after, zone)), count)
+    return [datetime.fromtimestamp(due_us / SECOND_US, ZoneInfo(zone)).isoformat() for due_us in due_times]
 
 
-CLOCK_CHANGES = [
-    # A time that does not exist runs at the change, once; one that comes twice runs at the first.
+DUE_TIME_CASES = [
+    # A schedule runs once, at the change, if its local time does not exist, and at the first occurrence
+    # if its local time occurs twice.
     (
         "30 1 * * *",
         "Europe/Dublin",
@@ -68,7 +69,7 @@
         "2027-11-06T12:00",
         ["2027-11-07T01:15:00-02:30", "2027-11-08T01:15:00-03:30"],
     ),
-    # Every hour, or steps of it, follows real time through both.
+    # A schedule for every hour, or with hour steps, follows elapsed time across both changes.
     (
         "0 * * * *",
         "Europe/Dublin",
@@ -86,28 +87,30 @@
 ]
 
 
-@pytest.mark.parametrize(("cron", "zone", "after", "wanted"), CLOCK_CHANGES)
-def test_due_times_follow_changes_of_the_clocks(cron: str, zone: str, after: str, wanted: list[str]) -> None:
-    assert list_next(cron, zone, after, len(wanted)) == wanted
+@pytest.mark.parametrize(("cron", "zone", "after", "expected"), DUE_TIME_CASES)
+def test_due_times_follow_daylight_saving_and_calendar(
+    cron: str, zone: str, after: str, expected: list[str]
+) -> None:
+    assert format_next_due_times(cron, zone, after, len(expected)) == expected
 
 
 @pytest.mark.parametrize(
     "cron", ["", "* * * *", "* * * * * *", "60 * * * *", "* * 30 2 *", "a * * * *", "*/0 * * * *"]
 )
-def test_an_invalid_cron_expression_raises(cron: str) -> None:
+def test_invalid_cron_expression_raises(cron: str) -> None:
     with pytest.raises(InvalidScheduleError) as caught:
         check_cron(cron)
     assert caught.value.text == cron
 
 
 @pytest.mark.parametrize("zone", ["", "Europe/Nowhere", "../etc", "UTC+1:30"])
-def test_an_unknown_zone_raises(zone: str) -> None:
+def test_unknown_time_zone_raises(zone: str) -> None:
     with pytest.raises(InvalidScheduleError) as caught:
         check_zone(zone)
     assert caught.value.text == zone
 
 
-def test_jitter_is_the_same_at_each_start_and_spread_over_its_window() -> None:
+def test_jitter_is_reproducible_and_spread_over_its_window() -> None:
     schedule = replace(EVERY_MINUTE, jitter_us=30 * SECOND_US)
     due_times = [START_US + minute * MINUTE_US for minute in range(200)]
     offsets = [compute_fire_time_us(schedule, due_us) - due_us for due_us in due_times]
@@ -116,15 +119,16 @@
     assert 28 * SECOND_US < max(offsets) < 30 * SECOND_US
 
 
-def test_owners_are_spread_and_few_change_with_another_front_end() -> None:
+def test_owners_are_balanced_and_few_move_when_a_front_end_is_added() -> None:
     schedules = [replace(EVERY_MINUTE, name=f"s{n}") for n in range(600)]
     owners_of_three = [select_owner(schedule, 3) for schedule in schedules]
     owners_of_four = [select_owner(schedule, 4) for schedule in schedules]
     assert owners_of_three == [select_owner(schedule, 3) for schedule in schedules]
     assert all(150 < owners_of_three.count(index) < 250 for index in range(3))
     moved = sum(before != after for before, after in zip(owners_of_three, owners_of_four, strict=True))
-    assert moved < 200  # a quarter, not three quarters, go to the fourth
+    # A quarter of the schedules move to the fourth front end, not three quarters.
+    assert moved < 200
 
 
-def test_a_configured_owner_is_taken() -> None:
+def test_configured_owner_overrides_hashing() -> None:
     assert select_owner(replace(EVERY_MINUTE, owner_index=2), 3) == 2
--- a/packages/cron/tests/test_schedules_golden.py
+++ b/packages/cron/tests/test_schedules_golden.py
@@ -1,4 +1,4 @@
-"""Names, jitter and owners of firings: a front end of another version names and times them alike."""
+"""Golden test of firing names, jitter and owners, which must be the same in front ends of all versions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from walnutpost.testsupport.golden.files import assert_as_golden, json_lines
 
 GOLDEN = Path(__file__).parent / "golden"
-START_US = 1_774_000_000_000_000  # some days before clocks in Dublin go forward
+START_US = 1_774_000_000_000_000  # a few days before daylight saving time starts in Dublin
 SCHEDULES = [
     Schedule("nightly", "30 1 * * *", "Europe/Dublin", "price", "tills", b"{}", 60, jitter_us=1_800_000_000),
     Schedule("often", "*/20 * * * *", "UTC", "price", None, b"null", 60, jitter_us=7),
@@ -36,11 +36,11 @@
 
 
 def golden_files() -> dict[Path, bytes]:
-    found: dict[str, object] = {schedule.name: describe(schedule) for schedule in SCHEDULES}
-    found["missed"] = [policy.value for policy in MissedPolicy]
-    found["overlap"] = [policy.value for policy in OverlapPolicy]
-    return {GOLDEN / "firings.json": json_lines(found)}
+    values: dict[str, object] = {schedule.name: describe(schedule) for schedule in SCHEDULES}
+    values["missed"] = [policy.value for policy in MissedPolicy]
+    values["overlap"] = [policy.value for policy in OverlapPolicy]
+    return {GOLDEN / "firings.json": json_lines(values)}
 
 
-def test_names_times_and_owners_of_firings_are_the_golden_ones() -> None:
+def test_firing_names_times_and_owners_match_the_golden_file() -> None:
     assert_as_golden(golden_files())
--- a/packages/testsupport/src/walnutpost/testsupport/cron/__init__.py
+++ b/packages/testsupport/src/walnutpost/testsupport/cron/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers for tests of schedules."""
+"""Helpers for tests and benchmarks of cron schedules."""
