--- a/packages/cron/src/walnutpost/cron/planner.py
+++ b/packages/cron/src/walnutpost/cron/planner.py
@@ -51,8 +51,8 @@
     """Decides on each due time of each schedule exactly once.
 
     `last_decided_us` maps the name of each schedule to its latest decided due time, or for a new or changed
-    schedule to the time at which it starts. Earlier due times never become due again, even if the clock
-    steps back.
+    schedule to the time at which it starts. Due times up to that time never become due again, even if the
+    clock steps back.
     """
 
     def __init__(
@@ -200,7 +200,7 @@
 
 
 def _apply_missed_policy(missed_us: list[int], policy: MissedPolicy) -> list[int]:
-    """Return the missed due times that are still to be fired under the policy."""
+    """Return the missed due times that the policy still fires."""
     match policy:
         case MissedPolicy.SKIP:
             return []
--- a/packages/fronts/src/walnutpost/fronts/calls.py
+++ b/packages/fronts/src/walnutpost/fronts/calls.py
@@ -29,7 +29,11 @@
         watch_disconnect: WatchDisconnect,
         /,
     ) -> Final | None:
-        """Return the outcome, or None if the caller disconnected."""
+        """Make a call and return its outcome, or None if the caller disconnects first.
+
+        `idempotency_key` is the same for all attempts of a call, or empty. `is_repeat` is true if the client
+        marks the request as a retry.
+        """
 
 
 class DeferredCalls(Protocol):
@@ -38,7 +42,7 @@
     def defer(
         self, request: CallRequest, name: str | None, extra_change: Change | None = None, /
     ) -> DeferOutcome:
-        """Return the execution of the call once it is durable.
+        """Defer a call, and return its execution once it is durable, or another outcome.
 
         If `name` is None, the request id is the name of the execution. If the call is new, `extra_change` is
         committed in the same transaction.
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -22,9 +22,9 @@
 # Finding the next due time takes about 60 us: ten thousand at once would block the loop for half a second.
 MAX_SCHEDULES_PER_DECISION = 20
 MIN_DECISION_INTERVAL_US = 5_000
-# The shortest wait after a rejection, which may state no time to wait.
+# The shortest wait after a rejection. Some rejections give no time to wait.
 MIN_REJECTION_RETRY_US = 250_000
-# The logged status of firings without an execution, as in the store.
+# Logged as the status of a firing that has no execution; the store uses the same value.
 REJECTED_STATUS = "REFUSED"
 
 
@@ -55,7 +55,7 @@
         log: Logger,
         on_progress: Callable[[int, int], None],
     ) -> None:
-        """Read the store. Call this before the loop runs.
+        """Read the store, so create the front before the loop runs.
 
         `epoch_us` returns the wall clock time, which may jump forward or back. The store may lack firings
         with due times up to `uncertain_until_us`.
--- a/packages/fronts/src/walnutpost/fronts/invoke/client_context.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/client_context.py
@@ -13,7 +13,7 @@
 
 from walnutpost.fronts.invoke.errors import invalid_parameter
 
-MAX_CHARACTERS = 3583  # the published limit of ClientContext
+MAX_CHARACTERS = 3583  # the published limit for ClientContext
 MAX_DEADLINE_MS = 1e9  # exclusive
 MAX_QUOTED_CHARACTERS = 40
 MS_US = 1000
--- a/packages/fronts/src/walnutpost/fronts/invoke/errors.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/errors.py
@@ -50,7 +50,7 @@
 
     @property
     def is_client_fault(self) -> bool:
-        """Whether the client caused the error, not the service."""
+        """Whether the client, rather than the service, caused the error."""
         return self.status < 500
 
 
--- a/packages/fronts/src/walnutpost/fronts/invoke/queries.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/queries.py
@@ -1,4 +1,4 @@
-"""Query strings of the invoke API, and the queries for pages of durable executions."""
+"""Parses query strings of the invoke API, such as those that ask for a page of durable executions."""
 
 from __future__ import annotations
 
--- a/packages/fronts/tests/test_cron_front.py
+++ b/packages/fronts/tests/test_cron_front.py
@@ -19,7 +19,7 @@
 from walnutpost.testsupport.daemon.fleet import BASE, SECOND, Fleet, merged
 from walnutpost.testsupport.fronts.harness import (
     EVERY_MINUTE,
-    MINUTE,
+    MINUTE_US,
     crash_at_commit,
     distinct_statuses,
     fleet_with_schedules,
@@ -33,7 +33,7 @@
     )
 
     def script() -> None:
-        fleet.loop.sleep(3 * MINUTE + MINUTE // 2)
+        fleet.loop.sleep(3 * MINUTE_US + MINUTE_US // 2)
         page = json.loads(fleet.ask("GET", "/2025-12-01/functions/price/durable-executions").body)
         names = [execution["DurableExecutionName"] for execution in page["DurableExecutions"]]
         assert len(names) >= 3
@@ -57,7 +57,7 @@
     }
     overrides: dict[str, Any] = slow | {"schedules": schedules, "front": {"deferred_deadline_ms": 200_000}}
     fleet = Fleet(tmp_path, overrides)
-    fleet.run(lambda: fleet.loop.sleep(5 * MINUTE + MINUTE // 2))
+    fleet.run(lambda: fleet.loop.sleep(5 * MINUTE_US + MINUTE_US // 2))
     statuses_by_schedule: dict[str, list[str]] = {}
     for outcome in read_outcomes(tmp_path):
         statuses_by_schedule.setdefault(outcome.schedule, []).append(outcome.status)
@@ -69,18 +69,18 @@
     fleet = fleet_with_schedules(tmp_path, look={})
 
     def script() -> None:
-        fleet.loop.sleep(2 * MINUTE + MINUTE // 2)
-        before = fleet.runs()
-        fleet.wall_clock_offset_us -= 60 * MINUTE
-        fleet.loop.sleep(3 * MINUTE)
-        assert fleet.runs() == before > 1
-        fleet.wall_clock_offset_us += 60 * MINUTE + 1440 * MINUTE
-        fleet.loop.sleep(2 * MINUTE)
+        fleet.loop.sleep(2 * MINUTE_US + MINUTE_US // 2)
+        runs_before_jump = fleet.runs()
+        fleet.wall_clock_offset_us -= 60 * MINUTE_US
+        fleet.loop.sleep(3 * MINUTE_US)
+        assert fleet.runs() == runs_before_jump > 1
+        fleet.wall_clock_offset_us += 60 * MINUTE_US + 1440 * MINUTE_US
+        fleet.loop.sleep(2 * MINUTE_US)
 
     fleet.run(script)
     outcomes = read_outcomes(tmp_path)
-    minutes = outcomes[-1].due_minute - outcomes[0].due_minute + 1
-    assert sum(outcome.count for outcome in outcomes) == minutes
+    minute_count = outcomes[-1].due_minute - outcomes[0].due_minute + 1
+    assert sum(outcome.count for outcome in outcomes) == minute_count
     assert [outcome.status for outcome in outcomes if outcome.count > 1000] == ["SKIPPED"]
     assert fleet.runs() == sum(outcome.status == "SUCCEEDED" for outcome in outcomes)
 
@@ -137,10 +137,10 @@
     )
 
     def script() -> None:
-        fleet.until(lambda: fleet.front.dispatcher.open_calls == 2, 2 * MINUTE)
+        fleet.until(lambda: fleet.front.dispatcher.open_calls == 2, 2 * MINUTE_US)
         changed = merged(BASE, {"schedules": {"look": EVERY_MINUTE | {"payload": 2}, "new": EVERY_MINUTE}})
         fleet.front.reload(parse(json.dumps(changed), "changed", Config))
-        fleet.loop.sleep(2 * MINUTE)
+        fleet.loop.sleep(2 * MINUTE_US)
         fleet.until(lambda: not fleet.front._is_busy())
 
     fleet.run(script)
@@ -153,19 +153,19 @@
 def test_after_a_crash_at_any_commit_safe_firings_run_and_unsafe_ones_never_run_twice(
     tmp_path: Path, is_durable: bool
 ) -> None:
-    """Crashes also occur between storing a firing and sending its call, and before the call is answered."""
+    """Some crashes occur between storing a firing and sending its call, or between sending and the answer."""
     schedules = {"look": {"missed": "all"}, "buy": {"missed": "all", "function": "reserve"}}
     max_commit_count = 0
-    for crash_at in range(1, 10):
-        path = tmp_path / str(crash_at)
+    for crash_commit_number in range(1, 10):
+        path = tmp_path / str(crash_commit_number)
         path.mkdir()
         first = fleet_with_schedules(path, **schedules)
 
-        def run_until_crash(fleet: Fleet = first, crash_at: int = crash_at) -> int:
-            commit_count = crash_at_commit(fleet, crash_at, is_durable)
+        def run_until_crash(fleet: Fleet = first, crash_commit_number: int = crash_commit_number) -> int:
+            commit_count = crash_at_commit(fleet, crash_commit_number, is_durable)
             for _ in range(100):
                 fleet.loop.sleep(2 * SECOND)
-                if commit_count() >= crash_at:
+                if commit_count() >= crash_commit_number:
                     break
             return commit_count()
 
@@ -173,7 +173,7 @@
         second = fleet_with_schedules(path, **schedules)
         # The wall clock continues from the time of the crash.
         second.wall_clock_offset_us = first.loop.now() - second.loop.now()
-        second.run(lambda fleet=second: fleet.loop.sleep(MINUTE))  # type: ignore[misc]
+        second.run(lambda fleet=second: fleet.loop.sleep(MINUTE_US))  # type: ignore[misc]
         outcomes = read_outcomes(path)
         due_times = Counter((outcome.schedule, outcome.due_minute) for outcome in outcomes)
         assert set(due_times.values()) == {1}
@@ -200,22 +200,22 @@
 
 def test_store_restored_from_an_older_copy_does_not_rerun_unsafe_firings(tmp_path: Path) -> None:
     schedules = {"look": {"missed": "all"}, "buy": {"missed": "all", "function": "reserve"}}
-    older_copies: list[bytes] = []
+    store_copies: list[bytes] = []
     first = fleet_with_schedules(tmp_path, **schedules)
 
-    def run_past_the_copy() -> None:
-        first.loop.sleep(2 * MINUTE + MINUTE // 2)
+    def copy_store_and_continue() -> None:
+        first.loop.sleep(2 * MINUTE_US + MINUTE_US // 2)
         first.front.store._db.execute("pragma wal_checkpoint(truncate)")
-        older_copies.append((tmp_path / "calls.db").read_bytes())
-        first.loop.sleep(3 * MINUTE)
+        store_copies.append((tmp_path / "calls.db").read_bytes())
+        first.loop.sleep(3 * MINUTE_US)
 
-    first.run(run_past_the_copy)
+    first.run(copy_store_and_continue)
     for leftover in tmp_path.glob("calls.db-*"):
         leftover.unlink()
-    (tmp_path / "calls.db").write_bytes(older_copies[0])
+    (tmp_path / "calls.db").write_bytes(store_copies[0])
     second = fleet_with_schedules(tmp_path, **schedules)
     second.wall_clock_offset_us = first.loop.now() - second.loop.now()
-    second.run(lambda: second.loop.sleep(2 * MINUTE))
+    second.run(lambda: second.loop.sleep(2 * MINUTE_US))
     outcomes = read_outcomes(tmp_path)
     skipped = [(outcome.schedule, outcome.count) for outcome in outcomes if outcome.status == "SKIPPED"]
     assert skipped == [("buy", 3)]
@@ -248,7 +248,7 @@
 
 def test_timers_commands_show_upcoming_and_past_firings(tmp_path: Path) -> None:
     fleet = fleet_with_schedules(tmp_path, look={"zone": "Europe/Dublin"})
-    fleet.run(lambda: fleet.loop.sleep(2 * MINUTE))
+    fleet.run(lambda: fleet.loop.sleep(2 * MINUTE_US))
     path = tmp_path / "site.json5"
     path.write_text(
         json.dumps(merged(BASE, {"schedules": {"look": EVERY_MINUTE | {"zone": "Europe/Dublin"}}}))
--- a/packages/fronts/tests/test_deferred_calls.py
+++ b/packages/fronts/tests/test_deferred_calls.py
@@ -103,24 +103,26 @@
     tmp_path: Path, is_durable: bool
 ) -> None:
     max_commit_count = 0
-    for crash_at in range(1, 12):
-        path = tmp_path / f"{crash_at}"
+    for crash_commit_number in range(1, 12):
+        path = tmp_path / f"{crash_commit_number}"
         path.mkdir()
         first = Fleet(path)
         accepted: list[str] = []
 
         def run_until_crash(
-            fleet: Fleet = first, crash_at: int = crash_at, accepted: list[str] = accepted
+            fleet: Fleet = first,
+            crash_commit_number: int = crash_commit_number,
+            accepted: list[str] = accepted,
         ) -> int:
-            commit_count = crash_at_commit(fleet, crash_at, is_durable)
+            commit_count = crash_at_commit(fleet, crash_commit_number, is_durable)
             calls = DeferredClient(fleet)
             for number, function in enumerate(["reserve", "price", "reserve"]):
                 response = calls.start(function, str(number).encode(), f"n{number}")
-                if commit_count() >= crash_at:
+                if commit_count() >= crash_commit_number:
                     break
                 accepted.append(response.headers[ARN_HEADER])
                 fleet.loop.sleep(SECOND // 2 if number else 0)
-                if commit_count() >= crash_at:
+                if commit_count() >= crash_commit_number:
                     break
             return commit_count()
 
--- a/packages/fronts/tests/test_store_faults.py
+++ b/packages/fronts/tests/test_store_faults.py
@@ -14,7 +14,7 @@
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 from walnutpost.testsupport.fronts.harness import (
     ARN_HEADER,
-    MINUTE,
+    MINUTE_US,
     DeferredClient,
     distinct_statuses,
     fleet_with_schedules,
@@ -119,7 +119,7 @@
 ) -> None:
     first = Fleet(tmp_path)
 
-    def before() -> None:
+    def run_first() -> None:
         calls = DeferredClient(first)
         # Make a first call, so that the write-ahead log is not empty.
         calls.wait_for_end(calls.start("price", b"0", "warm").headers[ARN_HEADER])
@@ -130,17 +130,17 @@
         assert first.runs("reserve") == 0
         after_a_kill(tmp_path / "calls.db")
 
-    first.run(before)
+    first.run(run_first)
     second = Fleet(tmp_path / "after the kill")
 
-    def after() -> None:
+    def check_after_restart() -> None:
         second.until(lambda: second.runs("reserve") == 1)  # the call was found at startup
         accepted = defer(second, 2)
         assert accepted.status == 202
         assert DeferredClient(second).wait_for_end(accepted.headers[ARN_HEADER])["Status"] == "SUCCEEDED"
         assert second.runs("reserve") == 1
 
-    second.run(after)
+    second.run(check_after_restart)
 
 
 def test_call_rejected_after_storing_is_deleted_before_its_name_is_free(tmp_path: Path) -> None:
@@ -176,7 +176,7 @@
 ) -> None:
     first = Fleet(tmp_path)
 
-    def before() -> str:
+    def run_first() -> str:
         disk = FailingDisk(prefixes=("update executions set intended=?",))
         install_store_script(first, disk)
         arn = str(DeferredClient(first).start("reserve", b"1", "order").headers[ARN_HEADER])
@@ -189,14 +189,14 @@
         assert first.runs("reserve") == 1
         return arn
 
-    arn = first.run(before)
+    arn = first.run(run_first)
     second = Fleet(tmp_path)
 
-    def after() -> None:
+    def check_after_restart() -> None:
         assert DeferredClient(second).get(arn)["Status"] == "SUCCEEDED"
         assert second.runs("reserve") == 0
 
-    second.run(after)
+    second.run(check_after_restart)
 
 
 def test_schedule_fires_each_due_time_once_while_writes_fail_intermittently(tmp_path: Path) -> None:
@@ -213,7 +213,7 @@
 
         disk = install_store_script(fleet, fail_two_of_three_commits)
         files.fails = {"write": 2, "fsync": 2, "rename": 1}
-        fleet.loop.sleep(4 * MINUTE + MINUTE // 2)
+        fleet.loop.sleep(4 * MINUTE_US + MINUTE_US // 2)
         assert disk.failures > 8
         assert not any(files.fails.values())
 
@@ -223,7 +223,7 @@
     assert fleet.runs("price") == len(outcomes) >= 4
     assert distinct_statuses(outcomes) == {"SUCCEEDED"}
     newest_due_us = int((tmp_path / "calls.db.seen").read_text().split()[0])
-    assert newest_due_us // MINUTE == outcomes[-1].due_minute
+    assert newest_due_us // MINUTE_US == outcomes[-1].due_minute
 
 
 def test_store_that_fails_one_write_in_ten_rejects_and_loses_no_call(tmp_path: Path) -> None:
--- a/packages/testsupport/src/walnutpost/testsupport/fronts/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fronts/harness.py
@@ -13,7 +13,7 @@
 from walnutpost.store import read_history
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 
-MINUTE = 60 * SECOND
+MINUTE_US = 60 * SECOND
 ARN_HEADER = "x-amz-durable-execution-arn"
 EVERY_MINUTE = {"cron": "* * * * *", "function": "price", "payload": {"all": True}}
 
@@ -90,7 +90,7 @@
 def read_outcomes(path: Path) -> list[Outcome]:
     """Return the stored outcomes of all due times, oldest first."""
     rows = read_history(path / "calls.db", None, 100_000)
-    return [Outcome(row.schedule, row.due // MINUTE, row.status, row.count) for row in reversed(rows)]
+    return [Outcome(row.schedule, row.due // MINUTE_US, row.status, row.count) for row in reversed(rows)]
 
 
 def distinct_statuses(outcomes: list[Outcome]) -> set[str]:
