--- a/packages/policy/tests/test_load_order_limit_properties.py
+++ b/packages/policy/tests/test_load_order_limit_properties.py
@@ -26,9 +26,9 @@
 ORDER_TIMEOUT_US = 3 * SECOND  # after which the transport gives up on an order
 CLIENT_TIMEOUT_US = 3 * SECOND
 LOAD_TIME_US = SECOND
-SETTLING_TIME_US = 12 * SECOND  # at the end of a day, so that all delayed messages arrive
+SETTLING_TIME_US = 12 * SECOND  # at the end of a scenario, so that all delayed messages arrive
 FRONT_END = "front"
-# Outcomes that prove a request genuine: workers never answer copied requests with them.
+# Outcomes that prove a request genuine: workers never answer repeated requests with them.
 GENUINE_OUTCOMES = frozenset((Outcome.OK, Outcome.FULL, Outcome.MISS))
 
 
@@ -51,7 +51,7 @@
 class Step:
     """A fault or an action of the clients, and the pause after it.
 
-    `selector` chooses a worker, a number of requests or a variant of the step.
+    `kind` is one of STEP_KINDS. `selector` chooses a worker, a number of requests or a variant of the step.
     """
 
     kind: str
@@ -61,8 +61,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Day:
-    """A scenario for the simulation: the settings, the faults and the behaviour of the network.
+class Scenario:
+    """The settings, the faults and the behaviour of the network in one simulation.
 
     The messages take `deliveries` in turn, again from the first after the last.
 
@@ -134,7 +134,7 @@
 class ClientRequest:
     written_us: int
     function: int
-    copied: bool  # workers answer a copied request with an error
+    is_repeat: bool  # the client marks it as a retry, and workers answer it with an error
     attempts: int = 0
     counted: bool = False
     cancelled: bool = False
@@ -147,11 +147,11 @@
     The log records what arrives at the workers and what the clients send.
     """
 
-    def __init__(self, day: Day, router_type: type[Router]) -> None:
-        self.day, self.router_type = day, router_type
+    def __init__(self, scenario: Scenario, router_type: type[Router]) -> None:
+        self.scenario, self.router_type = scenario, router_type
         self.now = START_US
         self.log = RationLog()
-        self.connections = {worker_id: Connection() for worker_id in range(1, day.workers + 1)}
+        self.connections = {worker_id: Connection() for worker_id in range(1, scenario.workers + 1)}
         self.requests: dict[int, ClientRequest] = {}
         self.messages: list[Message] = []
         (
@@ -159,7 +159,7 @@
             self.front_end_stalled_until_us,
             self.next_delivery,
             self.next_worker_id,
-        ) = 0, 0, 0, day.workers + 1
+        ) = 0, 0, 0, scenario.workers + 1
         self.event_queue: list[tuple[int, int, Callable[[], None]]] = []
         self.scheduled_count = 0
         self.start_front_end()
@@ -181,7 +181,9 @@
 
     def start_front_end(self) -> None:
         self.front_end_incarnation += 1
-        self.router = self.router_type(self.day.router_settings, self.day.seed + self.front_end_incarnation)
+        self.router = self.router_type(
+            self.scenario.router_settings, self.scenario.seed + self.front_end_incarnation
+        )
         self.run_at_front_end(self.send_worker_list)
 
     def run_at_front_end(self, callback: Callable[[], None], delay_us: int = 0) -> None:
@@ -273,7 +275,7 @@
     # Messages to the workers and their answers.
 
     def send(self, action: api.LoadOrder | api.Send) -> None:
-        delivery = self.day.deliveries[self.next_delivery % len(self.day.deliveries)]
+        delivery = self.scenario.deliveries[self.next_delivery % len(self.scenario.deliveries)]
         self.next_delivery += 1
         connection = self.connections[action.worker]
         message = Message(action, delivery, self.front_end_incarnation, connection.incarnation, self.now)
@@ -340,14 +342,14 @@
     def receive_answer(self, connection: Connection, message: Message) -> None:
         def process_answer() -> None:
             if (
-                self.day.answers_prove_delivery
+                self.scenario.answers_prove_delivery
                 and self.now >= self.front_end_stalled_until_us
                 and self.holds_answers(connection)
             ):
                 connection.held_answers.append(lambda: self.run_at_front_end(process_answer))
                 return
             outcome = message.delivery.outcome
-            if isinstance(message.action, api.Send) and self.requests[message.action.request].copied:
+            if isinstance(message.action, api.Send) and self.requests[message.action.request].is_repeat:
                 outcome = Outcome.ERROR
             self.end_message(message, outcome)
 
@@ -384,7 +386,8 @@
                 self.end_worker_process(connection)
                 connection.started_us, connection.draining = self.now, False
                 self.run_at_front_end(
-                    self.send_worker_list, 0 if self.day.answers_prove_delivery else step.duration_us // 8
+                    self.send_worker_list,
+                    0 if self.scenario.answers_prove_delivery else step.duration_us // 8,
                 )
             case "drain" if len(alive) > 1:
                 connection.draining = True
@@ -393,13 +396,15 @@
                 connection.alive = False
                 self.end_worker_process(connection)
                 self.run_at_front_end(
-                    self.send_worker_list, 0 if self.day.answers_prove_delivery else step.duration_us // 8
+                    self.send_worker_list,
+                    0 if self.scenario.answers_prove_delivery else step.duration_us // 8,
                 )
             case "join":
                 self.connections[self.next_worker_id] = Connection(started_us=self.now)
                 self.next_worker_id += 1
                 self.run_at_front_end(
-                    self.send_worker_list, 0 if self.day.answers_prove_delivery else step.duration_us // 8
+                    self.send_worker_list,
+                    0 if self.scenario.answers_prove_delivery else step.duration_us // 8,
                 )
             case "take back":
                 self.cancel_requests(step)
@@ -432,7 +437,7 @@
                 300.0,
                 2,
                 LOAD_TIME_US,
-                request.copied,
+                request.is_repeat,
                 waited_us,
             )
         )
@@ -477,29 +482,33 @@
         self.start_front_end()
 
 
-def simulate(day: Day, router_type: type[Router] = Router) -> RationLog:
-    """Run a day and return the log of arrived orders and counted requests."""
-    network = Network(day, router_type)
-    network.advance(WINDOW_US)  # the free orders are unavailable for one window after a start
-    for step in day.steps:
+def simulate(scenario: Scenario, router_type: type[Router] = Router) -> RationLog:
+    """Run a scenario and return the log of arrived orders and counted requests."""
+    network = Network(scenario, router_type)
+    network.advance(WINDOW_US)  # free orders are unavailable for one window after a start
+    for step in scenario.steps:
         network.run_step(step)
     network.advance(SETTLING_TIME_US)
     return network.log
 
 
-def breach_of(day: Day, router_type: type[Router] = Router, slack: bool = False) -> str:
-    """Describe the breaches of the limit for the output of a failing test; return "" if there are none.
+def describe_limit_breaches(
+    scenario: Scenario, router_type: type[Router] = Router, has_tolerance: bool = False
+) -> str:
+    """Run a scenario and describe the breaches of the limit; return an empty string if there are none.
 
-    `slack` allows the tolerance that tests on real sockets have.
+    `has_tolerance` allows the tolerance that tests on real sockets have.
     """
-    limit_type = Ration.on_sockets if slack else Ration
-    breaches = simulate(day, router_type).breaches(
-        limit_type(day.free_orders, day.orders_per_request, WINDOW_US)
+    limit_type = Ration.on_sockets if has_tolerance else Ration
+    breaches = simulate(scenario, router_type).breaches(
+        limit_type(scenario.free_orders, scenario.orders_per_request, WINDOW_US)
     )
     return describe_breaches(breaches) if breaches else ""
 
 
-# "cut": a network partition; "take back": clients cancel requests; "new life": the front end restarts.
+# "requests": clients write new requests, with "copied" marked as retries. "cut": a network partition.
+# "stall" and "restart": of a worker. "drain", "leave" and "join": changes of the worker list.
+# "take back": clients cancel requests. "front stall" and "new life": the front end stalls or restarts.
 STEP_KINDS = (
     *("requests",) * 8,
     *("cut",) * 3,
@@ -523,9 +532,11 @@
 DELIVERIES = st.one_of(FAULTY_DELIVERIES, FAULTY_DELIVERIES, RELIABLE_DELIVERIES)
 
 
-def days(answers_prove_delivery: bool, free_orders: st.SearchStrategy[float]) -> st.SearchStrategy[Day]:
+def scenarios(
+    answers_prove_delivery: bool, free_orders: st.SearchStrategy[float]
+) -> st.SearchStrategy[Scenario]:
     return st.builds(
-        Day,
+        Scenario,
         free_orders=free_orders,
         orders_per_request=st.sampled_from((0.1, 0.2, 0.3, 0.5)),
         workers=st.integers(2, 4),
@@ -550,14 +561,14 @@
     phases=(
         Phase.explicit,
         Phase.generate,
-    ),  # no shrinking: a day that breaks the limit is long, and shrinking it takes minutes
+    ),  # no shrinking: a scenario that breaks the limit is long, and shrinking it takes minutes
     suppress_health_check=list(HealthCheck),
 )
 
 
-# Two failures that these properties found, shrunk to the smallest days that show them.
+# Two failures that these properties found, each as the smallest scenario that reproduces it.
 IMMEDIATE_SUCCESS = Delivery(Outcome.OK, 0, 0, 0, 0)
-ANSWER_TO_AN_EARLIER_MESSAGE = Day(
+ANSWER_TO_AN_EARLIER_MESSAGE = Scenario(
     free_orders=3.0,
     orders_per_request=0.3,
     workers=2,
@@ -577,7 +588,7 @@
         Delivery(Outcome.RESET, 0, WINDOW_US + 1, 0, 0),
     ),
 )
-RESTART_REPORTED_AFTER_THE_ORDER = Day(
+RESTART_REPORTED_AFTER_THE_ORDER = Scenario(
     free_orders=6.0,
     orders_per_request=0.2,
     workers=2,
@@ -600,42 +611,39 @@
 )
 
 
-# Hypothesis derives the seed of each property below from its name, signature, docstring and body. An edit
-# there, or a new name for `Day`, changes the examples.
-
-
-# The limit holds without any tolerance if each answer proves that all earlier messages have arrived.
 @PROPERTY_SETTINGS
-@given(days(answers_prove_delivery=True, free_orders=WHOLE_FREE_ORDERS))
-def test_the_limit_is_met_on_arrivals_where_an_answer_proves_earlier_deliveries(day: Day) -> None:
-    """Without any slack."""
-    assert not breach_of(day)
+@given(scenarios(answers_prove_delivery=True, free_orders=WHOLE_FREE_ORDERS))
+def test_arrivals_stay_within_the_limit_if_answers_prove_earlier_deliveries(scenario: Scenario) -> None:
+    """The limit holds without any tolerance if each answer proves that all earlier messages have arrived."""
+    assert not describe_limit_breaches(scenario)
 
 
 @PROPERTY_SETTINGS
-@given(days(answers_prove_delivery=True, free_orders=FRACTIONAL_FREE_ORDERS))
-def test_the_limit_is_met_on_arrivals_with_fractional_free_orders(day: Day) -> None:
-    assert not breach_of(day)
+@given(scenarios(answers_prove_delivery=True, free_orders=FRACTIONAL_FREE_ORDERS))
+def test_arrivals_stay_within_a_limit_with_fractional_free_orders(scenario: Scenario) -> None:
+    assert not describe_limit_breaches(scenario)
 
 
-# The limit holds with the tolerance for real sockets if answers overtake delayed messages.
 @PROPERTY_SETTINGS
-@given(days(answers_prove_delivery=False, free_orders=WHOLE_FREE_ORDERS))
-def test_the_limit_is_met_on_arrivals_with_the_slack_of_sockets(day: Day) -> None:
-    assert not breach_of(day, slack=True)
+@given(scenarios(answers_prove_delivery=False, free_orders=WHOLE_FREE_ORDERS))
+def test_arrivals_stay_within_the_limit_of_sockets_if_answers_overtake_delayed_messages(
+    scenario: Scenario,
+) -> None:
+    """The limit holds with the tolerance for real sockets."""
+    assert not describe_limit_breaches(scenario, has_tolerance=True)
 
 
-# The limit holds without any tolerance if answers overtake delayed messages. Two cases are given: a worker
-# answers a message that was sent before an order that has not arrived yet, and the worker list reports a
-# restart after an order was sent to the new process.
 @PROPERTY_SETTINGS
-@given(days(answers_prove_delivery=False, free_orders=WHOLE_FREE_ORDERS))
+@given(scenarios(answers_prove_delivery=False, free_orders=WHOLE_FREE_ORDERS))
 @example(ANSWER_TO_AN_EARLIER_MESSAGE)
 @example(RESTART_REPORTED_AFTER_THE_ORDER)
-def test_the_limit_is_met_on_arrivals_where_answers_overtake_what_is_delayed(day: Day) -> None:
-    """Without any slack, also where a worker answers something that had left before the order it lacks, and
-    where the list tells of a restart after an order went to the new process."""
-    assert not breach_of(day)
+def test_arrivals_stay_within_the_limit_if_answers_overtake_delayed_messages(scenario: Scenario) -> None:
+    """The limit holds without any tolerance, also in the two scenarios given as examples.
+
+    In one, a worker answers a message that was sent before an order that has not arrived yet. In the other,
+    the worker list reports a restart after an order was sent to the new process.
+    """
+    assert not describe_limit_breaches(scenario)
 
 
 # --- Previous implementations, which the properties must reject --------------------------------------------
@@ -726,7 +734,7 @@
 
 
 @pytest.mark.parametrize(
-    ("router_type", "slack"),
+    ("router_type", "has_tolerance"),
     [
         (FaultyRouter, False),
         (FaultyRouter, True),
@@ -734,25 +742,25 @@
         (RouterCountingRequestsAsRead, False),
     ],
 )
-def test_the_properties_detect_a_faulty_limit(router_type: type[Router], slack: bool) -> None:
-    day = find(
-        days(answers_prove_delivery=True, free_orders=WHOLE_FREE_ORDERS),
-        lambda day: bool(breach_of(day, router_type, slack)),
+def test_the_properties_detect_a_faulty_limit(router_type: type[Router], has_tolerance: bool) -> None:
+    scenario = find(
+        scenarios(answers_prove_delivery=True, free_orders=WHOLE_FREE_ORDERS),
+        lambda scenario: bool(describe_limit_breaches(scenario, router_type, has_tolerance)),
         settings=settings(PROPERTY_SETTINGS, max_examples=2_000),
     )
-    assert breach_of(day, router_type, slack)
-    assert not breach_of(day)
+    assert describe_limit_breaches(scenario, router_type, has_tolerance)
+    assert not describe_limit_breaches(scenario)
 
 
-def test_generated_days_include_many_orders_and_counted_requests() -> None:
-    def is_busy(day: Day) -> bool:
-        log = simulate(day)
+def test_generated_scenarios_include_many_orders_and_counted_requests() -> None:
+    def has_many_orders_and_requests(scenario: Scenario) -> bool:
+        log = simulate(scenario)
         return len(log.orders.get(FRONT_END, ())) >= 15 and len(log.requests.get(FRONT_END, ())) >= 15
 
-    assert is_busy(
+    assert has_many_orders_and_requests(
         find(
-            days(answers_prove_delivery=True, free_orders=WHOLE_FREE_ORDERS),
-            is_busy,
+            scenarios(answers_prove_delivery=True, free_orders=WHOLE_FREE_ORDERS),
+            has_many_orders_and_requests,
             settings=PROPERTY_SETTINGS,
         )
     )
