--- a/packages/policy/tests/test_slow_start_fleet.py
+++ b/packages/policy/tests/test_slow_start_fleet.py
@@ -24,7 +24,7 @@
 COLD_WORKER = WARM_WORKERS + 1
 GUARDS = replace(SETTINGS.guards, overload_window_us=SECOND * 3 // 2)
 START_US = 100 * SECOND
-LEARNING_TIME_US = 5 * SECOND  # before the worker restarts, so that the routers know the answer rate
+LEARNING_TIME_US = 5 * SECOND  # before the worker restarts, so that the routers can measure the answer rate
 OBSERVED_TIME_US = 6 * SECOND
 MAX_NETWORK_DELAY_S = 0.002  # between the first byte of a call and its last
 SLOW_CONNECT_SHARE, MAX_CONNECT_TIME_S = 0.05, 1.0  # share of the sends that wait for a connection
@@ -38,7 +38,7 @@
 
 
 def allowed_calls(age_us: int, capacity: float) -> float:
-    """Return N: the calls of mean work within one window that the settings allow a worker of this age."""
+    """Return N: the calls of mean cost within one window that the settings allow a worker of this age."""
     return GUARDS.overload_factor * capacity_share(age_us) * capacity * GUARDS.overload_window_us / SECOND
 
 
@@ -86,13 +86,13 @@
 class Fleet:
     """A simulated fleet of routers that all prefer the cold worker and have more calls than it may get.
 
-    The calls use up the capacity of the warm workers, so the rate that each of them serves is its capacity.
+    The warm workers are saturated, so the rate that each of them serves is its capacity.
     """
 
     scenario: Scenario
-    now: int = START_US
+    now_us: int = START_US
     arrivals: list[int] = field(default_factory=list)
-    rigs: list[RouterHarness] = field(default_factory=list)
+    harnesses: list[RouterHarness] = field(default_factory=list)
     _events: list[tuple[int, int, str, tuple[int, ...]]] = field(default_factory=list)
     free_at_us: dict[int, int] = field(default_factory=dict)
     _event_count: int = 0
@@ -107,7 +107,7 @@
         self.rates = [total_rate * weight / sum(weights) for weight in weights]
         self.started_us = START_US + LEARNING_TIME_US
         self.incarnations = [0] * scenario.front_ends
-        self.rigs = [self._start_router(index) for index in range(scenario.front_ends)]
+        self.harnesses = [self._start_router(index) for index in range(scenario.front_ends)]
 
     def _start_router(self, index: int) -> RouterHarness:
         scenario = self.scenario
@@ -120,21 +120,21 @@
             loads_on_miss=True,
             has_weights=True,
         )
-        rig = RouterHarness(0, router_settings, seed=scenario.seed * 1000 + index, now_us=self.now)
-        rig.send_worker_list(api.ListKind.CACHED, *(listed_worker(i + 1) for i in range(WARM_WORKERS)))
-        if self.now >= self.started_us + scenario.listed_at_us:
-            self._list_cold_worker(rig)
-        return rig
+        harness = RouterHarness(0, router_settings, seed=scenario.seed * 1000 + index, now_us=self.now_us)
+        harness.send_worker_list(api.ListKind.CACHED, *(listed_worker(i + 1) for i in range(WARM_WORKERS)))
+        if self.now_us >= self.started_us + scenario.listed_at_us:
+            self._list_cold_worker(harness)
+        return harness
 
-    def _list_cold_worker(self, rig: RouterHarness) -> None:
+    def _list_cold_worker(self, harness: RouterHarness) -> None:
         """List the cold worker with a copy of the function.
 
         Its weight exceeds that of all others together, so every router prefers it.
         """
-        rig.send_worker_list(
+        harness.send_worker_list(
             api.ListKind.DELTA, replace(listed_worker(COLD_WORKER, started_at_us=self.started_us), weight=1e6)
         )
-        rig.end_load_order(COLD_WORKER)
+        harness.end_load_order(COLD_WORKER)
 
     def _schedule(self, at_us: float, event: str, *arguments: int) -> None:
         self._event_count += 1
@@ -151,35 +151,37 @@
         if scenario.killed_share:
             self._schedule(self.started_us + scenario.killed_at_us, "killed")
         while self._events[0][0] < end_us:
-            self.now, _, event, arguments = heappop(self._events)
+            self.now_us, _, event, arguments = heappop(self._events)
             getattr(self, f"_{event}")(*arguments)
         return self
 
     def _schedule_next_call(self, index: int) -> None:
-        self._schedule(self.now + self.rng.expovariate(self.rates[index]) * SECOND, "call", index)
+        self._schedule(self.now_us + self.rng.expovariate(self.rates[index]) * SECOND, "call", index)
 
     def _call(self, index: int) -> None:
         self._schedule_next_call(index)
         self._feed_call(index)
 
     def _feed_call(self, index: int) -> None:
-        rig = self.rigs[index]
-        rig.now_us = self.now
-        rig.send_request(concurrency=1000)
+        harness = self.harnesses[index]
+        harness.now_us = self.now_us
+        harness.send_request(concurrency=1000)
         self._apply_actions(index)
-        for worker_id in rig.router.endpoints.workers.keys() - rig.router.functions.by_key[7].copies.keys():
-            rig.end_load_order(worker_id)  # every worker has a copy
+        for worker_id in (
+            harness.router.endpoints.workers.keys() - harness.router.functions.by_key[7].copies.keys()
+        ):
+            harness.end_load_order(worker_id)  # every worker has a copy
             self._apply_actions(index)
 
     def _apply_actions(self, index: int) -> None:
-        rig, rng = self.rigs[index], self.rng
-        for send in actions_of_type(api.Send, rig.last_actions):
-            attempt = len(rig.router.requests.by_id[send.request].attempts) - 1
+        harness, rng = self.harnesses[index], self.rng
+        for send in actions_of_type(api.Send, harness.last_actions):
+            attempt = len(harness.router.requests.by_id[send.request].attempts) - 1
             is_slow = rng.random() < SLOW_CONNECT_SHARE
-            connected_us = self.now + int(rng.random() * MAX_CONNECT_TIME_S * SECOND * is_slow)
+            connected_us = self.now_us + int(rng.random() * MAX_CONNECT_TIME_S * SECOND * is_slow)
             arguments = (index, self.incarnations[index], send.request, attempt, send.worker)
-            if connected_us > self.now + send.begin_within_us:
-                self._schedule(self.now + send.begin_within_us, "ended", *arguments, 0)
+            if connected_us > self.now_us + send.begin_within_us:
+                self._schedule(self.now_us + send.begin_within_us, "ended", *arguments, 0)
                 continue
             arrived_us = connected_us + int(rng.random() * MAX_NETWORK_DELAY_S * SECOND)
             if send.worker == COLD_WORKER:
@@ -204,15 +206,15 @@
     ) -> None:
         if incarnation != self.incarnations[index]:
             return
-        rig = self.rigs[index]
-        rig.now_us = self.now
-        rig.end_attempt(request, attempt, worker_id, api.Outcome.OK if was_sent else api.Outcome.MOOT)
+        harness = self.harnesses[index]
+        harness.now_us = self.now_us
+        harness.end_attempt(request, attempt, worker_id, api.Outcome.OK if was_sent else api.Outcome.MOOT)
         self._apply_actions(index)
 
     def _listed(self) -> None:
-        for index, rig in enumerate(self.rigs):
-            rig.now_us = self.now
-            self._list_cold_worker(rig)
+        for index, harness in enumerate(self.harnesses):
+            harness.now_us = self.now_us
+            self._list_cold_worker(harness)
             self._apply_actions(index)
 
     def _burst(self) -> None:
@@ -223,7 +225,7 @@
     def _killed(self) -> None:
         for index in range(int(self.scenario.killed_share * self.scenario.front_ends + 0.5)):
             self.incarnations[index] += 1
-            self.rigs[index] = self._start_router(index)
+            self.harnesses[index] = self._start_router(index)
 
 
 def peak_load_and_utilization(scenario: Scenario) -> tuple[float, float]:
@@ -262,7 +264,7 @@
 def test_a_fleet_stays_within_the_slow_start_budget_while_front_ends_are_killed(
     front_ends: int, killed_share: float
 ) -> None:
-    """They are killed just after all have used up their budgets, when N has grown to more than 100."""
+    """They are killed just after all have used up their budgets, when N is more than 100."""
     listed_at_us = 6 * WINDOW_BOUNDARY_US - SECOND // 10
     bursts_at_us = (listed_at_us + SECOND // 60, listed_at_us + SECOND, listed_at_us + SECOND * 3 // 2)
     scenario = Scenario(
@@ -306,7 +308,7 @@
     """Return the calls that a cold worker gets within one window, as a share of N.
 
     The window begins at a random time. Every front end has calls for the worker throughout the window, but
-    none before, and knows its rate from the answers of the last ten seconds.
+    none before. It measures the answer rate over the ten seconds before the window.
     """
     rng, age_us, steps = Random(seed), SECOND, 12
     capacity = allowed / allowed_calls(age_us, 1.0)
@@ -314,28 +316,31 @@
     sends = 0
     for index in range(front_ends):
         router_settings = replace(SETTINGS, guards=GUARDS, front_ends=front_ends, index=index)
-        rig = RouterHarness(WARM_WORKERS, router_settings, now_us=begin_us - 100 * SECOND)
+        harness = RouterHarness(WARM_WORKERS, router_settings, now_us=begin_us - 100 * SECOND)
         answered_us = begin_us - 10.0 * SECOND
         while (
             answered_us := answered_us + rng.expovariate(capacity * WARM_WORKERS / front_ends) * SECOND
         ) < begin_us:
-            rig.router.traffic.answers.add(int(answered_us))
-        rig.now_us = begin_us
-        rig.send_worker_list(api.ListKind.DELTA, listed_worker(WARM_WORKERS, started_at_us=begin_us - age_us))
-        cold_worker = rig.router.endpoints.workers[WARM_WORKERS]
+            harness.router.traffic.answers.add(int(answered_us))
+        harness.now_us = begin_us
+        harness.send_worker_list(
+            api.ListKind.DELTA, listed_worker(WARM_WORKERS, started_at_us=begin_us - age_us)
+        )
+        cold_worker = harness.router.endpoints.workers[WARM_WORKERS]
         for step in range(steps):
-            rig.router.context.now_us = begin_us + GUARDS.overload_window_us * step // steps
-            while rig.router.slow_start.has_budget(cold_worker):
-                cold_worker.recent_sends_us.append(rig.router.context.now_us)
+            harness.router.context.now_us = begin_us + GUARDS.overload_window_us * step // steps
+            while harness.router.slow_start.has_budget(cold_worker):
+                cold_worker.recent_sends_us.append(harness.router.context.now_us)
                 sends += 1
     return sends / allowed
 
 
 @pytest.mark.parametrize("allowed", [35, 50])
-def test_turns_that_overlap_one_window_stay_within_the_budget(allowed: int) -> None:
-    """When the turns of all front ends changed at the same time, one window got 1.2 N, apart from chance.
+def test_staggered_rounding_thresholds_keep_one_window_within_the_budget(allowed: int) -> None:
+    """When the thresholds of all front ends changed at the same time, one window got 1.2 N on average.
 
-    With staggered turns, a window sees half as many turns again as are held at one time, which is 0.93 N.
+    With staggered changes, a window sees half as many extra sends again as are allowed at one time, which
+    gives 0.93 N.
     """
     loads = [load_in_one_window(200, allowed, seed) for seed in range(24)]
     assert max(loads) * allowed <= overload_threshold(allowed)
@@ -346,32 +351,32 @@
     )
 
 
-def test_earlier_sends_still_count_when_a_silent_worker_returns() -> None:
+def test_earlier_sends_still_count_when_an_unresponsive_worker_answers_again() -> None:
     """They may have arrived since the worker started, or may arrive with new ones when a partition heals."""
-    rig = RouterHarness(2, replace(SETTINGS, guards=replace(GUARDS, overload_window_us=3 * SECOND)))
-    rig.make_warm(1)
+    harness = RouterHarness(2, replace(SETTINGS, guards=replace(GUARDS, overload_window_us=3 * SECOND)))
+    harness.make_warm(1)
     for _ in range(100):
-        rig.now_us += SECOND // 10
-        rig.end_attempt(rig.send_request(), 0, 1)
-    silent_worker = rig.router.endpoints.workers[2]
-    rig.router.context.now_us = rig.now_us
-    silent_worker.unresponsive_since_us = rig.now_us
-    silent_worker.recent_sends_us.extend([rig.now_us] * 60)
-    rig.now_us += SECOND + 1
-    rig.end_load_order(2)
-    assert rig.router.slow_start.is_warming_up(silent_worker)
-    assert not rig.router.slow_start.has_budget(silent_worker)
+        harness.now_us += SECOND // 10
+        harness.end_attempt(harness.send_request(), 0, 1)
+    unresponsive_worker = harness.router.endpoints.workers[2]
+    harness.router.context.now_us = harness.now_us
+    unresponsive_worker.unresponsive_since_us = harness.now_us
+    unresponsive_worker.recent_sends_us.extend([harness.now_us] * 60)
+    harness.now_us += SECOND + 1
+    harness.end_load_order(2)
+    assert harness.router.slow_start.is_warming_up(unresponsive_worker)
+    assert not harness.router.slow_start.has_budget(unresponsive_worker)
 
 
 def test_a_budget_of_more_than_512_sends_is_limited() -> None:
-    """A budget above 512 had no limit while only the last 512 sends were counted."""
-    rig = RouterHarness(2, replace(SETTINGS, guards=GUARDS))
-    for answered_us in range(rig.now_us, rig.now_us + 10 * SECOND, 500):
-        rig.router.traffic.answers.add(answered_us)
-    rig.now_us += 10 * SECOND
-    rig.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=rig.now_us - SECOND))
-    cold_worker, sent = rig.router.endpoints.workers[2], 0
-    while rig.router.slow_start.has_budget(cold_worker) and sent < 3000:
-        cold_worker.recent_sends_us.append(rig.now_us)
+    """When only the last 512 sends were counted, a budget above 512 was unlimited."""
+    harness = RouterHarness(2, replace(SETTINGS, guards=GUARDS))
+    for answered_us in range(harness.now_us, harness.now_us + 10 * SECOND, 500):
+        harness.router.traffic.answers.add(answered_us)
+    harness.now_us += 10 * SECOND
+    harness.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=harness.now_us - SECOND))
+    cold_worker, sent = harness.router.endpoints.workers[2], 0
+    while harness.router.slow_start.has_budget(cold_worker) and sent < 3000:
+        cold_worker.recent_sends_us.append(harness.now_us)
         sent += 1
     assert 512 < sent <= allowed_calls(SECOND, 1000.0)
