--- a/packages/policy/tests/test_load_order_limit.py
+++ b/packages/policy/tests/test_load_order_limit.py
@@ -23,7 +23,7 @@
 START_US = 100 * SECOND
 
 
-def rationed(
+def limited_settings(
     free_orders: float = 2.0, orders_per_request: float = 0.5, window_us: int = WINDOW_US
 ) -> api.Settings:
     """Return settings with a load-order limit."""
@@ -45,7 +45,7 @@
 
 def limit_past_first_window(settings: api.Settings | None = None) -> LoadOrderLimit:
     """Return a limit whose process started more than one window ago, so all free orders are available."""
-    limit = LoadOrderLimit(settings or rationed())
+    limit = LoadOrderLimit(settings or limited_settings())
     limit.begin(START_US - WINDOW_US - 1)
     return limit
 
@@ -55,20 +55,20 @@
 
 @pytest.mark.parametrize(("age_us", "available"), [(0, 0), (WINDOW_US, 0), (WINDOW_US + 1, 2)])
 def test_free_orders_are_unavailable_for_one_window_after_a_start(age_us: int, available: int) -> None:
-    limit = LoadOrderLimit(rationed())
+    limit = LoadOrderLimit(limited_settings())
     limit.begin(START_US)
     assert reserve_all(limit, START_US + age_us) == available
 
 
 def test_free_orders_are_available_at_the_start_on_an_ideal_network() -> None:
-    limit = LoadOrderLimit(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
+    limit = LoadOrderLimit(replace(limited_settings(), is_ideal_network=True, are_restarts_unseen=False))
     limit.begin(START_US)
     assert reserve_all(limit, START_US) == 2
 
 
 def test_two_incarnations_in_one_window_stay_within_a_limit_with_fractional_free_orders() -> None:
     """The previous incarnation sent 3 orders just before its end: 2.5 free ones and 0.5 for one request."""
-    settings, log = rationed(free_orders=2.5, orders_per_request=0.5), RationLog()
+    settings, log = limited_settings(free_orders=2.5, orders_per_request=0.5), RationLog()
 
     def deliver_orders(limit: LoadOrderLimit, now_us: int) -> None:
         count = reserve_all(limit, now_us)
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize(("age_us", "counted"), [(WINDOW_US - 1, 1), (WINDOW_US, 0)])
 def test_requests_exactly_one_window_old_do_not_count(age_us: int, counted: int) -> None:
-    limit = limit_past_first_window(rationed(free_orders=2.0, orders_per_request=1.0))
+    limit = limit_past_first_window(limited_settings(free_orders=2.0, orders_per_request=1.0))
     arrived_us = START_US + 2
     assert reserve_all(limit, START_US + 1) == 2
     limit.settle(arrived_us - 1, 2)
@@ -152,7 +152,7 @@
 
 
 def test_a_window_of_zero_disables_the_limit() -> None:
-    limit = LoadOrderLimit(rationed(free_orders=0.0, orders_per_request=0.0, window_us=0))
+    limit = LoadOrderLimit(limited_settings(free_orders=0.0, orders_per_request=0.0, window_us=0))
     limit.begin(START_US)
     assert reserve_all(limit, START_US, max_orders=50) == 50
 
@@ -162,12 +162,12 @@
     [(BUDGET_FRACTION_QUEUED, 10), (BUDGET_FRACTION_OVERFLOW, 8), (BUDGET_FRACTION_REFRESH, 5), (0.0, 0)],
 )
 def test_each_purpose_has_its_budget_fraction(budget_fraction: float, available: int) -> None:
-    limit = limit_past_first_window(rationed(free_orders=10.0, orders_per_request=0.0))
+    limit = limit_past_first_window(limited_settings(free_orders=10.0, orders_per_request=0.0))
     assert reserve_all(limit, START_US, budget_fraction) == available
 
 
 def test_the_rest_of_the_limit_is_left_for_queued_requests() -> None:
-    limit = limit_past_first_window(rationed(free_orders=10.0, orders_per_request=0.0))
+    limit = limit_past_first_window(limited_settings(free_orders=10.0, orders_per_request=0.0))
     assert reserve_all(limit, START_US, BUDGET_FRACTION_REFRESH) == 5
     assert reserve_all(limit, START_US, BUDGET_FRACTION_OVERFLOW) == 3
     assert reserve_all(limit, START_US, BUDGET_FRACTION_QUEUED) == 2
@@ -192,14 +192,14 @@
 # --- Use by the router ------------------------------------------------------------------------------------
 
 
-class LimitedRouterRig(RouterHarness):
-    """A rig whose router has a load-order limit and, by default, is past its first window.
+class LimitedRouterHarness(RouterHarness):
+    """A harness whose router has a load-order limit and, by default, is past its first window.
 
     The results of its load orders carry the number of copies that were ordered.
     """
 
     def __init__(self, settings: api.Settings | None = None, workers: int = 8, in_first_window: bool = False):
-        super().__init__(workers=workers, settings=settings or rationed())
+        super().__init__(workers=workers, settings=settings or limited_settings())
         if not in_first_window:
             self.now_us += WINDOW_US + 1
         self.function = 100
@@ -224,15 +224,16 @@
         self.feed(event)
         return self._last_request_id
 
-    def order_new_functions(self, requests: int = 10, waited_us: int = 0) -> list[api.LoadOrder]:
-        """Request that many new functions; return the load orders that the router sends for them."""
+    def order_new_functions(self, count: int = 10, waited_us: int = 0) -> list[api.LoadOrder]:
+        """Request `count` new functions; return the load orders that the router sends for them."""
         sent: list[api.LoadOrder] = []
-        for _ in range(requests):
+        for _ in range(count):
             self.request_new_function(waited_us)
             sent += load_orders(self.last_actions)
         return sent
 
-    def order_ended(self, order: api.LoadOrder, outcome: Outcome = Outcome.OK) -> list[api.Action]:
+    def end_order(self, order: api.LoadOrder, outcome: Outcome = Outcome.OK) -> list[api.Action]:
+        """End a load order, successfully by default; return the actions."""
         copies = order.copies if outcome is Outcome.OK else 0
         event = api.LoadOrderEnded(order.worker, order.function, outcome, 500_000, copies, order.copies)
         return self.feed(event)
@@ -248,43 +249,43 @@
 
 
 def test_the_router_sends_no_orders_in_its_first_window_and_the_free_ones_after_it() -> None:
-    rig = LimitedRouterRig(in_first_window=True)
-    assert not rig.order_new_functions()
-    rig.now_us += WINDOW_US
-    assert not rig.order_new_functions()
-    rig.now_us += 1
-    assert len(rig.order_new_functions()) == 2
+    harness = LimitedRouterHarness(in_first_window=True)
+    assert not harness.order_new_functions()
+    harness.now_us += WINDOW_US
+    assert not harness.order_new_functions()
+    harness.now_us += 1
+    assert len(harness.order_new_functions()) == 2
 
 
 def test_the_router_sends_orders_in_its_first_window_on_an_ideal_network() -> None:
-    rig = LimitedRouterRig(
-        replace(rationed(), is_ideal_network=True, are_restarts_unseen=False), in_first_window=True
+    harness = LimitedRouterHarness(
+        replace(limited_settings(), is_ideal_network=True, are_restarts_unseen=False), in_first_window=True
     )
-    assert len(rig.order_new_functions(1)) == 1
+    assert len(harness.order_new_functions(1)) == 1
 
 
 def test_requests_in_the_first_window_count_after_they_are_answered() -> None:
-    settings = replace(rationed(orders_per_request=1.0), loads_on_miss=True)
-    rig = LimitedRouterRig(settings, in_first_window=True)
-    first_request = rig.request_new_function()
-    sent = [a for a in rig.last_actions if isinstance(a, api.Send)]
+    settings = replace(limited_settings(orders_per_request=1.0), loads_on_miss=True)
+    harness = LimitedRouterHarness(settings, in_first_window=True)
+    first_request = harness.request_new_function()
+    sent = [a for a in harness.last_actions if isinstance(a, api.Send)]
     assert len(sent) == 1, "no order is available, so the request is sent and the worker loads the copy"
-    rig.now_us += 1
-    rig.feed(api.RequestArrived(999, 0, 0, 1, 3 * SECOND, None, 300.0, 2, SECOND // 2, False))
-    second_send = next(a for a in rig.last_actions if isinstance(a, api.Send))
-    rig.end_attempt(first_request, 0, sent[0].worker)
-    rig.end_attempt(999, 0, second_send.worker)
-    assert len(rig.order_new_functions()) == 1, (
-        "a request exactly at the start is as old as the orders charged there and allows none"
+    harness.now_us += 1
+    harness.feed(api.RequestArrived(999, 0, 0, 1, 3 * SECOND, None, 300.0, 2, SECOND // 2, False))
+    second_send = next(a for a in harness.last_actions if isinstance(a, api.Send))
+    harness.end_attempt(first_request, 0, sent[0].worker)
+    harness.end_attempt(999, 0, second_send.worker)
+    assert len(harness.order_new_functions()) == 1, (
+        "a request exactly at the start is as old as the orders counted there and allows none"
     )
 
 
 def test_unanswered_orders_stay_reserved_beyond_the_window() -> None:
-    rig = LimitedRouterRig()
-    assert len(rig.order_new_functions()) == 2
-    rig.now_us += 10 * WINDOW_US
-    assert not rig.order_new_functions()
-    assert rig.open_orders == 2
+    harness = LimitedRouterHarness()
+    assert len(harness.order_new_functions()) == 2
+    harness.now_us += 10 * WINDOW_US
+    assert not harness.order_new_functions()
+    assert harness.open_orders == 2
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.ERROR, Outcome.FULL, Outcome.MISS])
@@ -292,31 +293,31 @@
 def test_the_router_counts_an_answered_order_for_one_more_window(
     outcome: Outcome, age_us: int, is_available: bool
 ) -> None:
-    rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
-    (order,) = rig.order_new_functions()
-    rig.now_us += 3 * WINDOW_US
-    rig.order_ended(order, outcome)
-    rig.now_us += age_us
-    assert bool(rig.order_new_functions(1)) is is_available
+    harness = LimitedRouterHarness(limited_settings(free_orders=1.0, orders_per_request=0.0))
+    (order,) = harness.order_new_functions()
+    harness.now_us += 3 * WINDOW_US
+    harness.end_order(order, outcome)
+    harness.now_us += age_us
+    assert bool(harness.order_new_functions(1)) is is_available
 
 
 @pytest.mark.parametrize("outcome", [Outcome.MOOT, Outcome.CONNECT_FAILED])
 def test_the_router_releases_an_order_that_was_never_sent(outcome: Outcome) -> None:
-    rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
-    (order,) = rig.order_new_functions()
-    new_orders = load_orders(rig.order_ended(order, outcome)) + rig.order_new_functions()
+    harness = LimitedRouterHarness(limited_settings(free_orders=1.0, orders_per_request=0.0))
+    (order,) = harness.order_new_functions()
+    new_orders = load_orders(harness.end_order(order, outcome)) + harness.order_new_functions()
     assert len(new_orders) == 1
-    assert rig.open_orders == 1
+    assert harness.open_orders == 1
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_an_order_that_ends_without_an_answer_stays_reserved(outcome: Outcome) -> None:
-    rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
-    (order,) = rig.order_new_functions()
-    assert not load_orders(rig.order_ended(order, outcome))
-    rig.now_us += 20 * WINDOW_US
-    assert not rig.order_new_functions()
-    assert rig.open_orders == 1
+    harness = LimitedRouterHarness(limited_settings(free_orders=1.0, orders_per_request=0.0))
+    (order,) = harness.order_new_functions()
+    assert not load_orders(harness.end_order(order, outcome))
+    harness.now_us += 20 * WINDOW_US
+    assert not harness.order_new_functions()
+    assert harness.open_orders == 1
 
 
 def attempts_only_at_copies(settings: api.Settings) -> api.Settings:
@@ -327,25 +328,27 @@
     return replace(settings, limits=replace(settings.limits, max_attempts=RESERVED_COPY_ATTEMPTS))
 
 
-def unresolved_order(outcome: Outcome) -> tuple[LimitedRouterRig, api.LoadOrder]:
-    """Return a router and an order that ended without an answer and may still arrive."""
-    rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
-    (order,) = rig.order_new_functions()
-    rig.order_ended(order, outcome)
-    rig.now_us += 3 * WINDOW_US
-    return rig, order
+def unresolved_order(outcome: Outcome) -> tuple[LimitedRouterHarness, api.LoadOrder]:
+    """Return a harness and an order that ended without an answer and may still arrive."""
+    harness = LimitedRouterHarness(
+        attempts_only_at_copies(limited_settings(free_orders=1.0, orders_per_request=0.0))
+    )
+    (order,) = harness.order_new_functions()
+    harness.end_order(order, outcome)
+    harness.now_us += 3 * WINDOW_US
+    return harness, order
 
 
-def assert_order_settles(rig: LimitedRouterRig) -> None:
+def assert_order_settles(harness: LimitedRouterHarness) -> None:
     """Check that the unresolved order is settled.
 
     It counts as arriving at the end of the grace period, and for one window after that.
     """
-    assert rig.open_orders == 0
-    rig.now_us += WINDOW_US + rig.router.context.probe_timeout_us
-    assert not rig.order_new_functions(1)
-    rig.now_us += 1
-    assert rig.order_new_functions(1)
+    assert harness.open_orders == 0
+    harness.now_us += WINDOW_US + harness.router.context.probe_timeout_us
+    assert not harness.order_new_functions(1)
+    harness.now_us += 1
+    assert harness.order_new_functions(1)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
@@ -353,79 +356,81 @@
 def test_an_unresolved_order_settles_when_its_worker_answers_a_probe(
     outcome: Outcome, answer: Outcome
 ) -> None:
-    rig, order = unresolved_order(outcome)
-    rig.feed(api.LoadOrderEnded(order.worker, order.function, answer, 1_000, 0))
-    assert_order_settles(rig)
+    harness, order = unresolved_order(outcome)
+    harness.feed(api.LoadOrderEnded(order.worker, order.function, answer, 1_000, 0))
+    assert_order_settles(harness)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_an_unresolved_order_does_not_settle_when_another_worker_answers(outcome: Outcome) -> None:
-    rig, order = unresolved_order(outcome)
+    harness, order = unresolved_order(outcome)
     other_worker = order.worker % 8 + 1
-    rig.feed(api.LoadOrderEnded(other_worker, order.function, Outcome.OK, 1_000, 0))
-    rig.now_us += 2 * WINDOW_US
-    assert rig.open_orders == 1
-    assert not rig.order_new_functions(1)
+    harness.feed(api.LoadOrderEnded(other_worker, order.function, Outcome.OK, 1_000, 0))
+    harness.now_us += 2 * WINDOW_US
+    assert harness.open_orders == 1
+    assert not harness.order_new_functions(1)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_an_unresolved_order_settles_when_its_worker_is_gone(outcome: Outcome) -> None:
-    rig, order = unresolved_order(outcome)
-    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.GONE))
-    assert_order_settles(rig)
+    harness, order = unresolved_order(outcome)
+    harness.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.GONE))
+    assert_order_settles(harness)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_an_unresolved_order_stays_reserved_while_its_worker_drains(outcome: Outcome) -> None:
-    rig, order = unresolved_order(outcome)
-    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.DRAINING))
-    rig.now_us += 2 * WINDOW_US
-    assert rig.open_orders == 1
-    assert not rig.order_new_functions(1)
+    harness, order = unresolved_order(outcome)
+    harness.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.DRAINING))
+    harness.now_us += 2 * WINDOW_US
+    assert harness.open_orders == 1
+    assert not harness.order_new_functions(1)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
 def test_an_unresolved_order_settles_when_its_worker_restarts(outcome: Outcome) -> None:
-    rig, order = unresolved_order(outcome)
-    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, started_at_us=rig.now_us))
-    assert_order_settles(rig)
+    harness, order = unresolved_order(outcome)
+    harness.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, started_at_us=harness.now_us))
+    assert_order_settles(harness)
 
 
-def attempts_before_unresolved_orders() -> tuple[LimitedRouterRig, list[api.Send], list[api.LoadOrder]]:
-    """Return a router with attempts in flight at all workers, these attempts, and six later orders.
+def attempts_before_unresolved_orders() -> tuple[LimitedRouterHarness, list[api.Send], list[api.LoadOrder]]:
+    """Return a harness with attempts in flight at all workers, these attempts, and six later orders.
 
     The connections of the orders were reset, but the network may still deliver the orders.
     """
-    rig = LimitedRouterRig(rationed(free_orders=6.0, orders_per_request=0.0), in_first_window=True)
+    harness = LimitedRouterHarness(
+        limited_settings(free_orders=6.0, orders_per_request=0.0), in_first_window=True
+    )
     for _ in range(30):
-        rig.request_new_function()
-    sends = [action for action in rig.all_actions if isinstance(action, api.Send)]
-    rig.now_us += WINDOW_US + 1
-    unresolved = rig.order_new_functions(30)
+        harness.request_new_function()
+    sends = [action for action in harness.all_actions if isinstance(action, api.Send)]
+    harness.now_us += WINDOW_US + 1
+    unresolved = harness.order_new_functions(30)
     for order in unresolved:
-        rig.order_ended(order, Outcome.RESET)
+        harness.end_order(order, Outcome.RESET)
     assert len(unresolved) == 6
     assert {order.worker for order in unresolved} <= {send.worker for send in sends}
-    return rig, sends, unresolved
+    return harness, sends, unresolved
 
 
 def test_an_unresolved_order_stays_reserved_when_its_worker_answers_an_earlier_attempt() -> None:
     """The answer may have left the worker before the network partition that delays the order."""
-    rig, sends, unresolved = attempts_before_unresolved_orders()
-    rig.now_us += 1
+    harness, sends, unresolved = attempts_before_unresolved_orders()
+    harness.now_us += 1
     for send in sends:
-        rig.end_attempt(send.request, 0, send.worker)
-    assert rig.open_orders == len(unresolved)
+        harness.end_attempt(send.request, 0, send.worker)
+    assert harness.open_orders == len(unresolved)
 
 
 def test_unresolved_and_later_orders_that_arrive_together_stay_within_the_limit() -> None:
-    rig, sends, unresolved = attempts_before_unresolved_orders()
-    rig.now_us += 1
+    harness, sends, unresolved = attempts_before_unresolved_orders()
+    harness.now_us += 1
     for send in sends:
-        rig.end_attempt(send.request, 0, send.worker)
-    rig.now_us += WINDOW_US + 2 * rig.router.context.probe_timeout_us
-    arrived = len(unresolved) + len(rig.order_new_functions(30))  # the network partition heals now
-    breaches = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW_US), "front", [rig.now_us] * arrived, [])
+        harness.end_attempt(send.request, 0, send.worker)
+    harness.now_us += WINDOW_US + 2 * harness.router.context.probe_timeout_us
+    arrived = len(unresolved) + len(harness.order_new_functions(30))  # the partition has healed
+    breaches = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW_US), "front", [harness.now_us] * arrived, [])
     assert not breaches, describe_breaches(breaches)
 
 
@@ -434,84 +439,90 @@
     outcome: Outcome,
 ) -> None:
     """The worker list reports the restart late; the order is on its way to the new process."""
-    rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
-    restarted_us = rig.now_us
-    rig.now_us += SECOND // 10
-    (order,) = rig.order_new_functions()
-    rig.now_us += SECOND // 10
-    rig.order_ended(order, outcome)
-    rig.now_us += SECOND // 10
-    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, started_at_us=restarted_us))
-    assert rig.open_orders == 1
+    harness = LimitedRouterHarness(
+        attempts_only_at_copies(limited_settings(free_orders=1.0, orders_per_request=0.0))
+    )
+    restarted_us = harness.now_us
+    harness.now_us += SECOND // 10
+    (order,) = harness.order_new_functions()
+    harness.now_us += SECOND // 10
+    harness.end_order(order, outcome)
+    harness.now_us += SECOND // 10
+    harness.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, started_at_us=restarted_us))
+    assert harness.open_orders == 1
 
 
 def test_an_order_on_an_ideal_network_is_settled_only_once() -> None:
     """It is settled when it is sent. Its result must not settle it again."""
-    rig = LimitedRouterRig(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
-    (order,) = rig.order_new_functions(1)
-    rig.order_ended(order)
-    assert rig.open_orders == 0
+    harness = LimitedRouterHarness(
+        replace(limited_settings(), is_ideal_network=True, are_restarts_unseen=False)
+    )
+    (order,) = harness.order_new_functions(1)
+    harness.end_order(order)
+    assert harness.open_orders == 0
 
 
 def test_an_order_to_a_worker_that_has_left_settles_when_it_ends() -> None:
-    rig = LimitedRouterRig(attempts_only_at_copies(rationed(free_orders=1.0, orders_per_request=0.0)))
-    (order,) = rig.order_new_functions()
-    rig.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.GONE))
-    assert rig.open_orders == 1
-    rig.order_ended(order, Outcome.RESET)
-    assert rig.open_orders == 0
+    harness = LimitedRouterHarness(
+        attempts_only_at_copies(limited_settings(free_orders=1.0, orders_per_request=0.0))
+    )
+    (order,) = harness.order_new_functions()
+    harness.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, api.WorkerState.GONE))
+    assert harness.open_orders == 1
+    harness.end_order(order, Outcome.RESET)
+    assert harness.open_orders == 0
 
 
 def test_the_end_of_a_probe_does_not_settle_an_order() -> None:
-    rig = LimitedRouterRig(rationed(free_orders=1.0, orders_per_request=0.0))
-    (order,) = rig.order_new_functions()
-    rig.feed(api.LoadOrderEnded(order.worker, order.function, Outcome.OK, 1_000, 1, 0))
-    assert rig.open_orders == 1
+    harness = LimitedRouterHarness(limited_settings(free_orders=1.0, orders_per_request=0.0))
+    (order,) = harness.order_new_functions()
+    harness.feed(api.LoadOrderEnded(order.worker, order.function, Outcome.OK, 1_000, 1, 0))
+    assert harness.open_orders == 1
 
 
 def test_a_worker_with_an_overdue_order_gets_no_further_orders_but_others_do() -> None:
-    rig = LimitedRouterRig(rationed(free_orders=50.0, orders_per_request=0.0))
-    silent_worker = rig.order_new_functions(1)[0].worker
-    rig.now_us += 4 * SECOND  # the usual load time is half a second
-    later = rig.order_new_functions(40)
+    harness = LimitedRouterHarness(limited_settings(free_orders=50.0, orders_per_request=0.0))
+    overdue_worker = harness.order_new_functions(1)[0].worker
+    harness.now_us += 4 * SECOND  # the usual load time is half a second
+    later = harness.order_new_functions(40)
     assert later
-    assert silent_worker not in {order.worker for order in later}
+    assert overdue_worker not in {order.worker for order in later}
 
 
 def test_a_worker_that_answers_after_an_overdue_order_gets_further_orders() -> None:
-    rig = LimitedRouterRig(rationed(free_orders=50.0, orders_per_request=0.0))
-    (first,) = rig.order_new_functions(1)
-    rig.now_us += 4 * SECOND
-    rig.feed(api.LoadOrderEnded(first.worker, first.function, Outcome.OK, 1_000, 0))
-    assert first.worker in {order.worker for order in rig.order_new_functions(40)}
+    harness = LimitedRouterHarness(limited_settings(free_orders=50.0, orders_per_request=0.0))
+    (first,) = harness.order_new_functions(1)
+    harness.now_us += 4 * SECOND
+    harness.feed(api.LoadOrderEnded(first.worker, first.function, Outcome.OK, 1_000, 0))
+    assert first.worker in {order.worker for order in harness.order_new_functions(40)}
 
 
 # --- Counted requests -------------------------------------------------------------------------------------
 
 
-def request_in_flight(waited_us: int = 0) -> tuple[LimitedRouterRig, int, int]:
-    """Return a router, its only request, and the worker at which that request is in flight."""
-    rig = LimitedRouterRig(rationed(free_orders=2.0, orders_per_request=0.5))
-    request = rig.request_new_function(waited_us)
-    (order,) = load_orders(rig.last_actions)
-    sent = [a for a in rig.order_ended(order) if isinstance(a, api.Send)]
-    return rig, request, sent[0].worker
+def request_in_flight(waited_us: int = 0) -> tuple[LimitedRouterHarness, int, int]:
+    """Return a harness, its only request, and the worker at which that request is in flight."""
+    harness = LimitedRouterHarness(limited_settings(free_orders=2.0, orders_per_request=0.5))
+    request = harness.request_new_function(waited_us)
+    (order,) = load_orders(harness.last_actions)
+    sent = [a for a in harness.end_order(order) if isinstance(a, api.Send)]
+    return harness, request, sent[0].worker
 
 
 @pytest.mark.parametrize("outcome", [Outcome.OK, Outcome.FULL, Outcome.MISS])
 def test_a_request_counts_from_its_arrival_after_a_worker_proves_it_genuine(outcome: Outcome) -> None:
-    rig, request, worker_id = request_in_flight()
-    arrived_us = rig.now_us
-    assert rig.counted_requests_us == []
-    rig.now_us += SECOND
-    rig.end_attempt(request, 0, worker_id, outcome)
-    assert rig.counted_requests_us == [arrived_us]
+    harness, request, worker_id = request_in_flight()
+    arrived_us = harness.now_us
+    assert harness.counted_requests_us == []
+    harness.now_us += SECOND
+    harness.end_attempt(request, 0, worker_id, outcome)
+    assert harness.counted_requests_us == [arrived_us]
 
 
 def test_a_request_that_waited_counts_from_its_earliest_possible_arrival() -> None:
-    rig, request, worker_id = request_in_flight(waited_us=300_000)
-    rig.end_attempt(request, 0, worker_id)
-    assert rig.counted_requests_us == [rig.now_us - 300_000]
+    harness, request, worker_id = request_in_flight(waited_us=300_000)
+    harness.end_attempt(request, 0, worker_id)
+    assert harness.counted_requests_us == [harness.now_us - 300_000]
 
 
 @pytest.mark.parametrize(
@@ -519,81 +530,83 @@
     [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED],
 )
 def test_a_request_that_no_worker_proves_genuine_does_not_count(outcome: Outcome) -> None:
-    rig, request, worker_id = request_in_flight()
-    rig.end_attempt(request, 0, worker_id, outcome)
-    assert rig.counted_requests_us == []
+    harness, request, worker_id = request_in_flight()
+    harness.end_attempt(request, 0, worker_id, outcome)
+    assert harness.counted_requests_us == []
 
 
 def test_a_request_that_workers_answer_repeatedly_counts_once() -> None:
-    rig, request, worker_id = request_in_flight()
-    arrived_us = rig.now_us
+    harness, request, worker_id = request_in_flight()
+    arrived_us = harness.now_us
     attempt = 0
     for _ in range(6):
-        actions = rig.end_attempt(request, attempt, worker_id, Outcome.FULL)
+        actions = harness.end_attempt(request, attempt, worker_id, Outcome.FULL)
         retries = [a for a in actions if isinstance(a, api.Send) and a.request == request]
         if retries:
             attempt, worker_id = attempt + 1, retries[0].worker
         else:
             for order in load_orders(actions):
-                for sent in (a for a in rig.order_ended(order) if isinstance(a, api.Send)):
+                for sent in (a for a in harness.end_order(order) if isinstance(a, api.Send)):
                     attempt, worker_id = attempt + 1, sent.worker
     assert attempt > 0
-    assert rig.counted_requests_us == [arrived_us]
+    assert harness.counted_requests_us == [arrived_us]
 
 
 def test_a_cancelled_request_does_not_count() -> None:
-    rig = LimitedRouterRig()
-    rig.feed(api.RequestCancelled(rig.request_new_function()))
-    rig.advance_time(5 * SECOND)
-    assert rig.counted_requests_us == []
+    harness = LimitedRouterHarness()
+    harness.feed(api.RequestCancelled(harness.request_new_function()))
+    harness.advance_time(5 * SECOND)
+    assert harness.counted_requests_us == []
 
 
 def test_a_request_cancelled_in_flight_does_not_count_when_its_attempt_is_cancelled() -> None:
-    rig, request, worker_id = request_in_flight()
-    rig.feed(api.RequestCancelled(request))
-    rig.end_attempt(request, 0, worker_id, Outcome.CANCELLED)
-    assert rig.counted_requests_us == []
+    harness, request, worker_id = request_in_flight()
+    harness.feed(api.RequestCancelled(request))
+    harness.end_attempt(request, 0, worker_id, Outcome.CANCELLED)
+    assert harness.counted_requests_us == []
 
 
 def test_a_cancelled_request_does_not_count_when_an_answer_crosses_the_cancellation() -> None:
-    rig, request, worker_id = request_in_flight()
-    rig.feed(api.RequestCancelled(request))
-    rig.end_attempt(request, 0, worker_id, Outcome.OK)
-    assert rig.counted_requests_us == []
+    harness, request, worker_id = request_in_flight()
+    harness.feed(api.RequestCancelled(request))
+    harness.end_attempt(request, 0, worker_id, Outcome.OK)
+    assert harness.counted_requests_us == []
 
 
 def test_an_answered_request_still_counts_after_it_is_cancelled() -> None:
-    rig, request, worker_id = request_in_flight()
-    rig.end_attempt(request, 0, worker_id)
-    assert len(rig.counted_requests_us) == 1
-    rig.feed(api.RequestCancelled(request))
-    assert len(rig.counted_requests_us) == 1
+    harness, request, worker_id = request_in_flight()
+    harness.end_attempt(request, 0, worker_id)
+    assert len(harness.counted_requests_us) == 1
+    harness.feed(api.RequestCancelled(request))
+    assert len(harness.counted_requests_us) == 1
 
 
 def test_a_request_that_is_never_answered_does_not_count() -> None:
-    rig = LimitedRouterRig(rationed(free_orders=0.0))
-    rig.request_new_function()
-    rig.advance_time(5 * SECOND)
-    assert rig.counted_requests_us == []
+    harness = LimitedRouterHarness(limited_settings(free_orders=0.0))
+    harness.request_new_function()
+    harness.advance_time(5 * SECOND)
+    assert harness.counted_requests_us == []
 
 
 def test_every_request_counts_on_arrival_on_an_ideal_network() -> None:
-    rig = LimitedRouterRig(replace(rationed(), is_ideal_network=True, are_restarts_unseen=False))
-    rig.request_new_function()
-    assert rig.counted_requests_us == [rig.now_us]
+    harness = LimitedRouterHarness(
+        replace(limited_settings(), is_ideal_network=True, are_restarts_unseen=False)
+    )
+    harness.request_new_function()
+    assert harness.counted_requests_us == [harness.now_us]
 
 
 def test_memory_does_not_grow_with_answered_requests() -> None:
-    rig, request, worker_id = request_in_flight()
+    harness, request, worker_id = request_in_flight()
     for _ in range(300):
-        rig.end_attempt(request, 0, worker_id)
-        rig.now_us += SECOND
-        request = rig.send_request(function=rig.function)
-        sent = [a for a in rig.last_actions if isinstance(a, api.Send) and a.request == request]
-        for order in load_orders(rig.last_actions):
-            rig.order_ended(order)
+        harness.end_attempt(request, 0, worker_id)
+        harness.now_us += SECOND
+        request = harness.send_request(function=harness.function)
+        sent = [a for a in harness.last_actions if isinstance(a, api.Send) and a.request == request]
+        for order in load_orders(harness.last_actions):
+            harness.end_order(order)
         worker_id = sent[0].worker
-    assert 1 <= len(rig.counted_requests_us) <= WINDOW_US // SECOND + 1
+    assert 1 <= len(harness.counted_requests_us) <= WINDOW_US // SECOND + 1
 
 
 ORDER_OUTCOMES = [
@@ -611,34 +624,36 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_no_reservation_stays_open_after_all_orders_end_and_all_workers_answer(seed: int) -> None:
     random = Random(seed)
-    rig = LimitedRouterRig(rationed(free_orders=20.0), workers=6)
+    harness = LimitedRouterHarness(limited_settings(free_orders=20.0), workers=6)
     open_orders: list[api.LoadOrder] = []
     order_count, started_us = 0, dict.fromkeys(range(1, 7), 0)
     for _ in range(1_500):
-        rig.now_us += random.randrange(SECOND // 4)
+        harness.now_us += random.randrange(SECOND // 4)
         choice = random.random()
         if choice < 0.6 or not open_orders:
-            rig.request_new_function()
+            harness.request_new_function()
         elif choice < 0.95:
-            rig.order_ended(
+            harness.end_order(
                 open_orders.pop(random.randrange(len(open_orders))), random.choice(ORDER_OUTCOMES)
             )
         else:
             worker_id, state = random.randint(1, 6), random.choice(list(api.WorkerState))
-            started_us[worker_id] = max(started_us[worker_id], rig.now_us * random.randint(0, 1))
-            rig.send_worker_list(api.ListKind.DELTA, listed_worker(worker_id, state, started_us[worker_id]))
-        open_orders += load_orders(rig.last_actions)
-        order_count += len(load_orders(rig.last_actions))
-        assert rig.open_orders >= len(open_orders)
+            started_us[worker_id] = max(started_us[worker_id], harness.now_us * random.randint(0, 1))
+            harness.send_worker_list(
+                api.ListKind.DELTA, listed_worker(worker_id, state, started_us[worker_id])
+            )
+        open_orders += load_orders(harness.last_actions)
+        order_count += len(load_orders(harness.last_actions))
+        assert harness.open_orders >= len(open_orders)
     while open_orders:
-        rig.order_ended(open_orders.pop(), random.choice(ORDER_OUTCOMES))
-        open_orders += load_orders(rig.last_actions)
-    unresolved = sum(len(w.unresolved_orders_us) for w in rig.router.endpoints.workers.values())
+        harness.end_order(open_orders.pop(), random.choice(ORDER_OUTCOMES))
+        open_orders += load_orders(harness.last_actions)
+    unresolved = sum(len(w.unresolved_orders_us) for w in harness.router.endpoints.workers.values())
     assert order_count > 50
-    assert rig.open_orders == unresolved
+    assert harness.open_orders == unresolved
     for worker_id in range(1, 7):
-        rig.feed(api.LoadOrderEnded(worker_id, 1, Outcome.OK, 1_000, 0))
-    while new_orders := load_orders(rig.advance_time(SECOND)):
+        harness.feed(api.LoadOrderEnded(worker_id, 1, Outcome.OK, 1_000, 0))
+    while new_orders := load_orders(harness.advance_time(SECOND)):
         for order in new_orders:
-            rig.order_ended(order)
-    assert rig.open_orders == 0
+            harness.end_order(order)
+    assert harness.open_orders == 0
