--- a/packages/policy/tests/test_defences.py
+++ b/packages/policy/tests/test_defences.py
@@ -32,8 +32,8 @@
 
 def test_replaced_timers_do_not_accumulate() -> None:
     """Each timer that fired used to leave another one armed, and their number grew without limit."""
-    no_orders = replace(SETTINGS.guards, load_order_window_us=SECOND)
-    harness = RouterHarness(settings=replace(SETTINGS, guards=no_orders))
+    no_order_guards = replace(SETTINGS.guards, load_order_window_us=SECOND)
+    harness = RouterHarness(settings=replace(SETTINGS, guards=no_order_guards))
     for _ in range(40):
         harness.now_us += 30_000
         harness.send_request()
@@ -42,7 +42,7 @@
     assert len([kind for _, kind, _ in harness.router.timers.queue if kind is TimerKind.RELEASE_QUEUED]) <= 3
 
 
-def test_silent_worker_is_ejected_after_a_probe_and_its_safe_request_is_retried() -> None:
+def test_unresponsive_worker_is_ejected_after_a_probe_and_its_safe_request_is_retried() -> None:
     harness = RouterHarness()
     harness.make_warm(1, 2)
     safe, unsafe = harness.send_request(), harness.send_request(class_index=1)
@@ -57,7 +57,7 @@
     assert {send.worker for send in actions_of_type(api.Send, harness.last_actions)} <= {workers[unsafe]}
 
 
-def test_unsafe_request_on_a_silent_worker_fails_without_a_retry() -> None:
+def test_unsafe_request_on_an_unresponsive_worker_fails_without_a_retry() -> None:
     harness = RouterHarness()
     harness.make_warm(1, 2)
     request_id = harness.send_request(class_index=1)
@@ -66,7 +66,7 @@
     assert actions_of_type(api.Fail, actions) == [api.Fail(request_id)]
 
 
-def test_worker_that_is_loading_is_not_silent() -> None:
+def test_worker_that_is_loading_is_not_ejected() -> None:
     """A worker answers a load order when the load ends; only a probe must be answered at once."""
     harness = RouterHarness(workers=2)
     harness.make_warm(1, 2)
@@ -113,14 +113,14 @@
     assert len([w for w in workers if w.unresponsive_since_us is not None]) == 2
 
 
-def test_silent_worker_that_answers_again_gets_requests() -> None:
+def test_unresponsive_worker_that_answers_again_gets_requests() -> None:
     harness = RouterHarness(workers=2)
     harness.make_warm(1, 2)
     request_id = harness.send_request()
-    silent_worker = actions_of_type(api.Send, harness.last_actions)[0].worker
+    unresponsive_worker = actions_of_type(api.Send, harness.last_actions)[0].worker
     harness.advance_time(SECOND, step_us=4_000)
-    harness.end_attempt(request_id, 1, 3 - silent_worker)
-    harness.feed(api.LoadOrderEnded(silent_worker, 7, Outcome.OK, 1_000, 1))
+    harness.end_attempt(request_id, 1, 3 - unresponsive_worker)
+    harness.feed(api.LoadOrderEnded(unresponsive_worker, 7, Outcome.OK, 1_000, 1))
     for _ in range(10):  # enough answers that four requests in flight are no shortage
         request_id = harness.send_request()
         harness.end_attempt(request_id, 0, actions_of_type(api.Send, harness.last_actions)[0].worker)
@@ -164,17 +164,19 @@
 
 def test_copy_is_ordered_elsewhere_if_the_worker_is_crowded() -> None:
     """Functions with many slots overloaded the cores of one worker, though none exceeded its concurrency."""
-    home = workers_in_hash_order(7)[0]
-    other = next(function for function in range(8, 99) if workers_in_hash_order(function)[0] == home)
+    first_worker = workers_in_hash_order(7)[0]
+    other_function = next(
+        function for function in range(8, 99) if workers_in_hash_order(function)[0] == first_worker
+    )
     harness = RouterHarness(workers=4)
-    harness.make_warm(home, function=7)
-    harness.make_warm(home, function=other)
+    harness.make_warm(first_worker, function=7)
+    harness.make_warm(first_worker, function=other_function)
     for _ in range(6):
         harness.send_request(function=7, concurrency=8)
-    harness.send_request(function=other, concurrency=8)
-    assert actions_of_type(api.Send, harness.last_actions)[0].worker == home
+    harness.send_request(function=other_function, concurrency=8)
+    assert actions_of_type(api.Send, harness.last_actions)[0].worker == first_worker
     assert [(o.function, o.worker) for o in load_orders(harness.last_actions)] == [
-        (other, workers_in_hash_order(other)[1])
+        (other_function, workers_in_hash_order(other_function)[1])
     ]
 
 
@@ -194,7 +196,7 @@
 def test_backlog_sheds_the_lowest_priority_first() -> None:
     """Without shedding, all answers were late under overload.
 
-    Shedding that was controlled by late answers oscillated with a period of ten seconds.
+    Shedding that reacted to late answers oscillated with a period of ten seconds.
     """
     harness = RouterHarness(workers=2)
     harness.make_warm(1, 2)
@@ -285,17 +287,19 @@
             )
     chosen = [send.worker for _ in range(2) for send in actions_of_type(api.Send, actions_for_class(harness))]
     assert chosen == [2, 2]
-    other = RouterHarness(workers=3)
-    other.make_warm(1, 2)
+    second_harness = RouterHarness(workers=3)
+    second_harness.make_warm(1, 2)
     for _ in range(40):
-        other.now_us += 50_000
-        request_id = other.send_request()
-        for send in actions_of_type(api.Send, other.last_actions):
-            other.end_attempt(request_id, 0, send.worker, latency_us=900_000 if send.worker == 1 else 100_000)
-    other.send_worker_list(api.ListKind.DELTA, replace(ready_worker(2), state=api.WorkerState.GONE))
-    other.send_request()
-    assert actions_of_type(api.Send, other.last_actions)[0].worker == 1
-    assert [o.worker for o in load_orders(other.last_actions)] == [3]
+        second_harness.now_us += 50_000
+        request_id = second_harness.send_request()
+        for send in actions_of_type(api.Send, second_harness.last_actions):
+            second_harness.end_attempt(
+                request_id, 0, send.worker, latency_us=900_000 if send.worker == 1 else 100_000
+            )
+    second_harness.send_worker_list(api.ListKind.DELTA, replace(ready_worker(2), state=api.WorkerState.GONE))
+    second_harness.send_request()
+    assert actions_of_type(api.Send, second_harness.last_actions)[0].worker == 1
+    assert [o.worker for o in load_orders(second_harness.last_actions)] == [3]
 
 
 def test_worker_that_fails_fast_is_avoided_for_a_while() -> None:
@@ -458,13 +462,13 @@
 
 def test_old_load_samples_fade() -> None:
     harness = RouterHarness(2)
-    slow = harness.router.endpoints.workers[1]
+    slow_worker = harness.router.endpoints.workers[1]
     for _ in range(5):
         harness.router.context.now_us = harness.now_us
-        harness.router.outliers.record_slowdown_sample(slow, 4.0, 1)
-    assert harness.router.outliers.relative_slowdown(slow) > 3
+        harness.router.outliers.record_slowdown_sample(slow_worker, 4.0, 1)
+    assert harness.router.outliers.relative_slowdown(slow_worker) > 3
     harness.router.context.now_us += 3 * KEEP_ALIVE_US
-    assert harness.router.outliers.relative_slowdown(slow) == 1.0
+    assert harness.router.outliers.relative_slowdown(slow_worker) == 1.0
 
 
 def test_copies_that_other_front_ends_use_are_not_refreshed_by_orders() -> None:
@@ -484,9 +488,9 @@
 
 
 def test_stuck_requests_do_not_cause_shedding() -> None:
-    """Requests that were stuck on dying workers counted as in flight for seconds.
+    """Requests that were stuck on failing workers counted as in flight for seconds.
 
-    Up to 80% of the other requests were rejected on i8cdbe4.
+    Up to 80% of the other requests were rejected meanwhile.
     """
     settings = replace(SETTINGS, limits=replace(SETTINGS.limits, max_attempts=1))
     harness = RouterHarness(12, settings)
@@ -495,7 +499,7 @@
     rejected = 0
     for n in range(60):
         harness.now_us += SECOND // 8
-        for worker_id in range(1, 13):  # all workers answer probes, so none is silent
+        for worker_id in range(1, 13):  # all workers answer probes, so none is unresponsive
             harness.feed(api.LoadOrderEnded(worker_id, 7, Outcome.OK, 1_000, 1))
         request_id = harness.send_request()
         sent = actions_of_type(api.Send, harness.last_actions)
@@ -523,9 +527,9 @@
                 harness.router.requests.by_id[request_id].attempts[0].worker,
             )
         harness.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=harness.now_us))
-        cold = harness.router.endpoints.workers[2]
-        while harness.router.slow_start.has_budget(cold):
-            cold.recent_sends_us.append(harness.now_us)
+        cold_worker = harness.router.endpoints.workers[2]
+        while harness.router.slow_start.has_budget(cold_worker):
+            cold_worker.recent_sends_us.append(harness.now_us)
             sends += 1
     budget = 0.2 * 4 * front_ends * 2.3  # start capacity x overload factor x rate x window of 1 s
     assert 0.4 * budget < sends <= 0.7 * budget
@@ -539,9 +543,9 @@
     harness.end_attempt(harness.send_request(), 0, 1, latency_us=1000)
     harness.now_us += 1000
     harness.feed(api.TimerDue(1))
-    cold, sends = harness.router.endpoints.workers[2], 0
-    while harness.router.slow_start.has_budget(cold):
-        cold.recent_sends_us.append(harness.now_us)
+    cold_worker, sends = harness.router.endpoints.workers[2], 0
+    while harness.router.slow_start.has_budget(cold_worker):
+        cold_worker.recent_sends_us.append(harness.now_us)
         sends += 1
     assert sends <= 1
 
--- a/packages/policy/tests/test_guards.py
+++ b/packages/policy/tests/test_guards.py
@@ -274,7 +274,7 @@
 
 
 def test_queued_request_tries_the_first_workers_in_hash_order_if_no_load_order_is_left() -> None:
-    """60 front ends used to probe three workers again and again: 30,000 probes in half a minute."""
+    """60 front ends used to probe three workers repeatedly: 30,000 probes in half a minute."""
     no_orders = replace(
         LIMITED_LOAD_ORDERS,
         guards=replace(LIMITED_LOAD_ORDERS.guards, free_load_orders=0.0, load_orders_per_request=0.0),
@@ -310,11 +310,11 @@
     ]
     harness.send_request()
     assert not actions_of_type(api.Send, harness.last_actions), "the request waits for the load in progress"
-    loading = RouterHarness(settings=replace(SETTINGS, front_ends=200, loads_on_miss=True))
-    loading.send_request()
-    assert load_orders(loading.last_actions) and not actions_of_type(api.Send, loading.last_actions), (
-        "a request would itself start a load"
-    )
+    load_on_miss_harness = RouterHarness(settings=replace(SETTINGS, front_ends=200, loads_on_miss=True))
+    load_on_miss_harness.send_request()
+    assert load_orders(load_on_miss_harness.last_actions) and not actions_of_type(
+        api.Send, load_on_miss_harness.last_actions
+    ), "a request would itself start a load"
 
 
 def test_extreme_settings_and_requests_get_a_valid_decision() -> None:
@@ -335,9 +335,9 @@
         tick_us=0,
         classes=SETTINGS.classes[:1],
     )
-    zero = RouterHarness(settings=zero_settings)
-    zero.send_request(class_index=200)
-    assert load_orders(zero.last_actions)
+    zero_harness = RouterHarness(settings=zero_settings)
+    zero_harness.send_request(class_index=200)
+    assert load_orders(zero_harness.last_actions)
 
 
 def test_started_stream_has_no_deadline_and_no_other_answer() -> None:
@@ -408,8 +408,8 @@
     assert [a.request for a in actions_of_type(api.Reject, harness.advance_time(4 * SECOND))] == [request_id]
 
 
-def test_worker_that_restarts_as_draining_gets_none_of_its_requests_back() -> None:
-    """Rule 3: its copies are forgotten and its safe requests are placed again, but not on this worker."""
+def test_worker_that_restarts_as_draining_gets_none_of_its_requests_again() -> None:
+    """Rule 3: its copies are forgotten and its safe requests are retried, but not on this worker."""
     harness = RouterHarness(workers=1)
     for _ in range(9):
         harness.send_request()
@@ -419,7 +419,7 @@
 
 
 def test_cancelled_requests_do_not_raise_the_load_order_limit() -> None:
-    """Clients may send and cancel hundreds of requests, and the rule need not count those."""
+    """Clients may send and cancel hundreds of requests, and the limit need not count those."""
     harness = RouterHarness(workers=8, settings=LIMITED_LOAD_ORDERS)
     for function in range(100, 200):
         harness.feed(api.RequestCancelled(harness.send_request(function=function)))
--- a/packages/policy/tests/test_properties.py
+++ b/packages/policy/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Random sequences of legal events; the rules are checked on the resulting actions alone."""
+"""Property test: the router keeps its rules in random sequences of legal events."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
 class RuleChecker:
     """Simulates the clients and workers of a router, and checks each of its actions against the rules."""
 
-    def __init__(self, site: api.Settings, seed: int) -> None:
-        self.site = site
-        self.harness = RouterHarness(workers=4, settings=site, seed=seed)
+    def __init__(self, router_settings: api.Settings, seed: int) -> None:
+        self.router_settings = router_settings
+        self.harness = RouterHarness(workers=4, settings=router_settings, seed=seed)
         self.open_requests: dict[int, tuple[int, int]] = {}  # unanswered requests: class index and deadline
         self.attempts: dict[int, list[api.Outcome | None]] = {}  # outcomes by request, None in flight
         self.in_flight_attempts: list[tuple[int, int, int]] = []  # request, attempt and worker
@@ -58,10 +58,10 @@
                     assert now_us < deadline_us
                     assert 0 < timeout_us <= deadline_us - now_us
                     outcomes = self.attempts[request_id]
-                    assert len(outcomes) < self.site.limits.max_attempts
-                    if self.site.classes[class_index].effect is api.Effect.UNSAFE:
+                    assert len(outcomes) < self.router_settings.limits.max_attempts
+                    if self.router_settings.classes[class_index].effect is api.Effect.UNSAFE:
                         assert all(o in NEVER_RAN for o in outcomes)
-                    if not self.site.limits.may_run_parallel_attempts:
+                    if not self.router_settings.limits.may_run_parallel_attempts:
                         assert None not in outcomes
                     self.in_flight_attempts.append((request_id, len(outcomes), worker_id))
                     outcomes.append(None)
@@ -69,7 +69,7 @@
                     class_index, _ = self.open_requests.pop(request_id)  # KeyError on a second answer
                     if (
                         isinstance(action, api.Reject)
-                        and self.site.classes[class_index].effect is api.Effect.UNSAFE
+                        and self.router_settings.classes[class_index].effect is api.Effect.UNSAFE
                     ):
                         assert all(o in NEVER_RAN for o in self.attempts[request_id])
                 case api.LoadOrder(worker_id, _, copies):
@@ -77,7 +77,7 @@
                     if copies:
                         assert self.worker_states[worker_id] is api.WorkerState.READY
                         self.order_times_us.append(now_us)
-                        guards = self.site.guards
+                        guards = self.router_settings.guards
                         order_count = len(
                             [t for t in self.order_times_us if t >= now_us - guards.load_order_window_us]
                         )
@@ -119,7 +119,9 @@
             self.check(self.harness.feed(api.TimerDue(1)))
         self.harness.now_us = end_us
         for request_id, (_, deadline_us) in self.open_requests.items():
-            assert deadline_us + self.site.guards.answer_slack_us >= end_us, f"request {request_id} was lost"
+            assert deadline_us + self.router_settings.guards.answer_slack_us >= end_us, (
+                f"request {request_id} was lost"
+            )
 
     def step(self, kind: str, pick: int, duration_us: int) -> None:
         """Advance the clock and feed one event.
@@ -180,9 +182,9 @@
 )
 @given(SETTINGS_VARIANTS, st.integers(0, 1000), st.lists(STEP, min_size=20, max_size=150))
 def test_rules_hold_for_any_sequence_of_events(
-    site: api.Settings, seed: int, steps: list[tuple[str, int, int]]
+    router_settings: api.Settings, seed: int, steps: list[tuple[str, int, int]]
 ) -> None:
-    checker = RuleChecker(site, seed)
+    checker = RuleChecker(router_settings, seed)
     for step in steps:
         checker.step(*step)
         checker.check_totals()
