--- a/benchmarks/schedules.py
+++ b/benchmarks/schedules.py
@@ -16,7 +16,12 @@
 
 from walnutpost.cron import InvalidScheduleError, Planner, Schedule, check_cron, iterate_due_times
 from walnutpost.eventloop.timers import TimerWheel
-from walnutpost.testsupport.cron.fixtures import START_US, count_decisions, list_matches, make_random_cron
+from walnutpost.testsupport.cron.fixtures import (
+    START_US,
+    count_decisions,
+    find_matching_minutes,
+    make_random_cron,
+)
 
 SECOND = 1_000_000
 MINUTE, DAY = 60 * SECOND, 86_400 * SECOND
@@ -118,7 +123,7 @@
         return 0
     schedule = Schedule("s", cron, "UTC", "f", None, b"1", MINUTE)
     found = count_decisions(schedule, START_US, START_US + 365 * DAY, rng)
-    wanted = list_matches(fields, START_US + MINUTE, START_US + 365 * DAY + 1)
+    wanted = find_matching_minutes(fields, START_US + MINUTE, START_US + 365 * DAY + 1)
     assert set(found) == wanted and set(found.values()) <= {1}, cron
     return len(found)
 
--- a/packages/cron/tests/test_planner.py
+++ b/packages/cron/tests/test_planner.py
@@ -31,7 +31,7 @@
     SECOND_US,
     START_US,
     count_decisions,
-    list_matches,
+    find_matching_minutes,
     make_random_cron,
 )
 
@@ -160,5 +160,7 @@
     start_us = START_US + rng.randrange(300) * DAY_US // MINUTE_US * MINUTE_US
     schedule = replace(EVERY_MINUTE, cron=cron, missed_policy=missed_policy, overlap_policy=overlap_policy)
     decision_counts = count_decisions(schedule, start_us, start_us + 3 * DAY_US, rng)
-    assert set(decision_counts) == list_matches(fields, start_us + MINUTE_US, start_us + 3 * DAY_US + 1)
+    assert set(decision_counts) == find_matching_minutes(
+        fields, start_us + MINUTE_US, start_us + 3 * DAY_US + 1
+    )
     assert set(decision_counts.values()) <= {1}
--- a/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
+++ b/packages/dispatch/src/walnutpost/dispatch/dispatcher.py
@@ -102,13 +102,13 @@
         request: CallRequest,
         idempotency_key: str,
         is_repeat: bool,
-        watch_hangup: Callable[[Callable[[], None]], Callable[[], None]],
+        watch_disconnect: Callable[[Callable[[], None]], Callable[[], None]],
         /,
     ) -> FinalAnswer | None:
         """Make a synchronous call and wait for its answer; return None if the caller leaves first.
 
-        Implements `fronts.calls.Calls`. `watch_hangup` registers a callback that runs when the caller hangs
-        up, and returns a function that removes it.
+        Implements `fronts.calls.SynchronousCalls`. `watch_disconnect` registers a callback that runs when the
+        caller hangs up, and returns a function that removes it.
         """
         call = CallArrived(
             self.new_caller_id(),
@@ -120,7 +120,7 @@
             is_repeat,
             rejection=self.rejection_for(request.function, request.tenant),
         )
-        final = self._submit_and_wait(call, watch_hangup)
+        final = self._submit_and_wait(call, watch_disconnect)
         self.log_answer(final, request.request_id, call.function, call.tenant)
         return final
 
@@ -131,14 +131,14 @@
         log_answer(self._log, final, request_id, function, tenant)
 
     def _submit_and_wait(
-        self, call: CallArrived, watch_hangup: Callable[[Callable[[], None]], Callable[[], None]]
+        self, call: CallArrived, watch_disconnect: Callable[[Callable[[], None]], Callable[[], None]]
     ) -> FinalAnswer | None:
         task, token = self._loop.begin_wait()
 
         def wake(final: FinalAnswer | None) -> None:
             self._loop.wake(task, token, final)
 
-        stop_watching = watch_hangup(partial(wake, None))
+        stop_watching = watch_disconnect(partial(wake, None))
         try:
             self.submit(call, wake)
             final: FinalAnswer | None = self._loop.park()
--- a/packages/fronts/src/walnutpost/fronts/calls.py
+++ b/packages/fronts/src/walnutpost/fronts/calls.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from walnutpost.gateway import CallRequest, Execution, Final, NotStored, Rejected, ReplicationPending
+from walnutpost.gateway import CallRequest, Execution, FinalAnswer, NotStored, Rejected, ReplicationPending
 from walnutpost.store import Change, ExecutionQuery
 
 Callback = Callable[[], None]
@@ -18,7 +18,7 @@
 DeferOutcome = Execution | ReplicationPending | Rejected | NotStored | None
 
 
-class Calls(Protocol):
+class SynchronousCalls(Protocol):
     """Synchronous calls."""
 
     def call(
@@ -28,7 +28,7 @@
         is_repeat: bool,
         watch_disconnect: WatchDisconnect,
         /,
-    ) -> Final | None:
+    ) -> FinalAnswer | None:
         """Make a call and return its outcome, or None if the caller disconnects first.
 
         `idempotency_key` is the same for all attempts of a call, or empty. `is_repeat` is true if the client
--- a/packages/fronts/src/walnutpost/fronts/cron/front.py
+++ b/packages/fronts/src/walnutpost/fronts/cron/front.py
@@ -101,7 +101,7 @@
             self._write_progress(now_us)
             self._wait_for_due_time()
 
-    def handle_ended(self, execution: Execution) -> None:
+    def handle_execution_ended(self, execution: Execution) -> None:
         """Handle an execution whose final status is durable. Ignores executions that are not firings."""
         firing = self._firings.pop(execution.name, None)
         if firing is None:
@@ -200,7 +200,7 @@
     def _handle_accepted(self, firing: Firing, execution: Execution) -> None:
         self._newest_due_us = max(self._newest_due_us, firing.due_us)
         if execution.status is not ExecutionStatus.RUNNING:
-            self.handle_ended(execution)
+            self.handle_execution_ended(execution)
 
     def _record_rejection(self, firing: Firing, reason: RejectionReason) -> None:
         self._recorder.record_rejected(firing.schedule_name, firing.due_us, reason)
--- a/packages/fronts/src/walnutpost/fronts/invoke/front.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/front.py
@@ -4,7 +4,7 @@
 
 import uuid
 
-from walnutpost.fronts.calls import Callback, Calls, DeferredCalls
+from walnutpost.fronts.calls import Callback, DeferredCalls, SynchronousCalls
 from walnutpost.fronts.errors import SitesUnreachableError
 from walnutpost.fronts.invoke.arns import LATEST_QUALIFIERS, ArnFormat, is_execution_name
 from walnutpost.fronts.invoke.errors import (
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        calls: Calls,
+        calls: SynchronousCalls,
         deferred: DeferredCalls,
         catalogue: Catalogue,
         classes: tuple[RequestClass, ...],
--- a/packages/fronts/src/walnutpost/fronts/invoke/responses.py
+++ b/packages/fronts/src/walnutpost/fronts/invoke/responses.py
@@ -13,7 +13,7 @@
 from walnutpost.fronts.invoke.arns import ArnFormat
 from walnutpost.fronts.invoke.errors import ApiError, ErrorType, bad_message, too_many_requests
 from walnutpost.fronts.invoke.queries import format_marker
-from walnutpost.gateway import Execution, ExecutionStatus, Failed, Failure, Final, Rejected, Served
+from walnutpost.gateway import Execution, ExecutionStatus, Failed, Failure, FinalAnswer, Rejected, Served
 from walnutpost.http import HttpMessageError, Response
 
 SECOND_US = 1_000_000
@@ -50,7 +50,7 @@
     return Response(204, {"x-amzn-requestid": request_id})
 
 
-def build_invoke_response(final: Final, version: str, request_id: str) -> Response:
+def build_invoke_response(final: FinalAnswer, version: str, request_id: str) -> Response:
     """Return the response to a synchronous call.
 
     If a failed call may have run, the response is a function error with status 200, which SDKs do not retry.
--- a/packages/fronts/tests/test_invoke_golden.py
+++ b/packages/fronts/tests/test_invoke_golden.py
@@ -21,7 +21,7 @@
     ExecutionStatus,
     Failed,
     Failure,
-    Final,
+    FinalAnswer,
     Function,
     NotStored,
     Rejected,
@@ -79,13 +79,13 @@
         is_repeat: bool,
         watch_disconnect: WatchDisconnect,
         /,
-    ) -> Final | None:
+    ) -> FinalAnswer | None:
         """Record a synchronous call, with its values in the order of the golden file."""
         values = (request.function, request.tenant, request.payload, request.time_left_us)
         identifying_values = (idempotency_key, is_repeat, request.request_id)
         self.received.append(["call", *map(to_json_value, (*values, *identifying_values))])
         assert callable(watch_disconnect)
-        return cast("Final | None", self._return_outcome())
+        return cast("FinalAnswer | None", self._return_outcome())
 
     def defer(self, request: CallRequest, name: str | None, extra_change: Change | None = None, /) -> Any:
         """Record a deferred call, with its values in the order of the golden file."""
@@ -161,7 +161,7 @@
 
 def synchronous() -> dict[str, Any]:
     """Responses to synchronous calls, by outcome."""
-    outcomes: dict[str, Final | None] = {
+    outcomes: dict[str, FinalAnswer | None] = {
         "served": Served(b'{"price": 5}', "worker-1", "3"),
         "rejected": Rejected("no room"),
         "rejected for a time": Rejected("no room", 1_000_001),
--- a/packages/fronts/tests/test_store_faults.py
+++ b/packages/fronts/tests/test_store_faults.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from walnutpost.gateway import CallArrived, Final, Rejected
+from walnutpost.gateway import CallArrived, FinalAnswer, Rejected
 from walnutpost.http import Response
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 from walnutpost.testsupport.fronts.harness import (
@@ -151,7 +151,7 @@
         install_store_script(fleet, disk)
         submit = fleet.front.dispatcher.submit
 
-        def reject(call: CallArrived, on_final: Callable[[Final], None], *args: Any) -> None:
+        def reject(call: CallArrived, on_final: Callable[[FinalAnswer], None], *args: Any) -> None:
             on_final(Rejected("no room"))
 
         fleet.front.dispatcher.submit = reject  # type: ignore[method-assign]
--- a/packages/gateway/tests/test_gateway.py
+++ b/packages/gateway/tests/test_gateway.py
@@ -38,7 +38,7 @@
 from walnutpost.gateway.catalogue import NumberedNames, name_hash
 from walnutpost.gateway.recent_outcomes import ENTRY_BYTES, RecentOutcomes
 from walnutpost.interface import Effect, ListKind, Outcome, RequestArrived
-from walnutpost.testsupport.policy.harness import SAFE_CLASS, SECOND, SETTINGS, UNSAFE_CLASS
+from walnutpost.testsupport.policy.harness import SAFE_CLASS, SECOND_US, SETTINGS, UNSAFE_CLASS
 
 CATALOGUE = Catalogue(
     {"price": Function("price", 0, 300.0, 2.0), "reserve": Function("reserve", 1, 300.0, 1.0)}
@@ -50,7 +50,7 @@
     """A Gateway on virtual time, whose workers carry out each load order at once."""
 
     def __init__(self, workers: int = 3, **options: Any) -> None:
-        self.now = 100 * SECOND
+        self.now = 100 * SECOND_US
         self.gateway = Gateway(GATEWAY_SETTINGS, CATALOGUE, 1, **options)
         self.effects: list[Any] = []
         self.last_caller_id = 0
@@ -67,7 +67,7 @@
 
     def start_call(self, function: str = "price", **fields: Any) -> int:
         self.last_caller_id += 1
-        all_fields: dict[str, Any] = {"payload": b"1", "time_left_us": 3 * SECOND} | fields
+        all_fields: dict[str, Any] = {"payload": b"1", "time_left_us": 3 * SECOND_US} | fields
         self.feed(CallArrived(self.last_caller_id, function, **all_fields))
         return self.last_caller_id
 
@@ -130,12 +130,12 @@
 def test_repeat_of_a_rejected_call_is_a_new_call() -> None:
     harness = GatewayHarness(workers=0)
     first = harness.start_call("reserve", idempotency_key="id")
-    harness.advance(4 * SECOND)
+    harness.advance(4 * SECOND_US)
     assert isinstance(harness.answers(first)[0], Rejected)
     second = harness.start_call("reserve", idempotency_key="id")
     assert not harness.answers(second)
     harness.feed(WorkersListed(ListKind.FULL, 2, (ListedWorker("w"),)))
-    harness.advance(SECOND)
+    harness.advance(SECOND_US)
     harness.end_attempt()
     assert isinstance(harness.answers(second)[0], Served)
 
@@ -144,7 +144,7 @@
     """The answer arrives before the timer that would end the call."""
     harness = GatewayHarness()
     caller_id = harness.start_call("reserve")
-    harness.now += 3 * SECOND + 1
+    harness.now += 3 * SECOND_US + 1
     harness.end_attempt()
     assert [type(a) for a in harness.answers(caller_id)] == [Failed]
 
@@ -275,7 +275,7 @@
             functions.pop(f"old{n}", None)
             functions[f"new{n}"] = Function(f"new{n}", 0, 300.0, 1.0)
             harness.start_call(f"new{n}", time_left_us=1000)
-            harness.advance(20 * SECOND if n % 100 == 0 else 1000)
+            harness.advance(20 * SECOND_US if n % 100 == 0 else 1000)
         count = harness.gateway.known_function_count
         assert count < 1000 if is_dynamic else count >= 1000
 
@@ -295,7 +295,7 @@
     elif kind == "leave" and harness.last_caller_id:
         harness.feed(CallerLeft(1 + n % harness.last_caller_id))
     else:
-        harness.advance(n * SECOND // 4)
+        harness.advance(n * SECOND_US // 4)
 
 
 @given(STEPS, STEPS)
@@ -320,7 +320,7 @@
         if kind == "leave" and harness.last_caller_id:
             left_callers.add(1 + n % harness.last_caller_id)
         apply_step(harness, (kind, n))
-    harness.advance(4 * SECOND)
+    harness.advance(4 * SECOND_US)
     for caller_id in range(1, harness.last_caller_id + 1):
         assert len(harness.answers(caller_id)) <= 1
         assert caller_id in left_callers or len(harness.answers(caller_id)) == 1
@@ -328,7 +328,7 @@
 
 
 def test_outcomes_of_safe_calls_are_evicted_but_those_of_unsafe_calls_are_kept() -> None:
-    outcomes = RecentOutcomes(ttl_us=10 * SECOND, max_bytes=4 * ENTRY_BYTES)
+    outcomes = RecentOutcomes(ttl_us=10 * SECOND_US, max_bytes=4 * ENTRY_BYTES)
     served = Served(b"", "w", "1")
     outcomes.record_end(0, "unsafe", Effect.UNSAFE, served)
     for number in range(9):
@@ -341,8 +341,8 @@
         outcomes.record_end(1, f"u{number}", Effect.UNSAFE, served)
     assert not outcomes.has_capacity(2, Effect.UNSAFE)
     assert outcomes.has_capacity(2, Effect.SAFE)
-    assert outcomes.has_capacity(11 * SECOND, Effect.UNSAFE)
-    assert outcomes.outcome(11 * SECOND, "unsafe") is None
+    assert outcomes.has_capacity(11 * SECOND_US, Effect.UNSAFE)
+    assert outcomes.outcome(11 * SECOND_US, "unsafe") is None
 
 
 def test_unsafe_call_is_rejected_if_there_is_no_memory_for_its_outcome() -> None:
@@ -353,14 +353,14 @@
     assert len(harness.sends()) == 1
 
 
-OPEN = Execution("i", "n", "f", "1", None, b"", "d", 0, 10 * SECOND)
+OPEN = Execution("i", "n", "f", "1", None, b"", "d", 0, 10 * SECOND_US)
 RECOVERY_CASES = [
     # intended, effect, now, resumes
-    (False, Effect.UNSAFE, SECOND, True),
-    (True, Effect.UNSAFE, SECOND, False),
-    (True, Effect.KEYED, SECOND, False),
-    (True, Effect.SAFE, SECOND, True),
-    (False, Effect.SAFE, 10 * SECOND, False),
+    (False, Effect.UNSAFE, SECOND_US, True),
+    (True, Effect.UNSAFE, SECOND_US, False),
+    (True, Effect.KEYED, SECOND_US, False),
+    (True, Effect.SAFE, SECOND_US, True),
+    (False, Effect.SAFE, 10 * SECOND_US, False),
 ]
 
 
@@ -369,7 +369,7 @@
     intended: bool, effect: Effect, now: int, resumes: bool
 ) -> None:
     result = recovery_time_left_us(replace(OPEN, intended=intended), effect, now)
-    assert result == 10 * SECOND - now if resumes else isinstance(result, Failed)
+    assert result == 10 * SECOND_US - now if resumes else isinstance(result, Failed)
 
 
 FINAL_STATUS_CASES = [
@@ -379,7 +379,7 @@
     (Failed(Failure.STOPPED, "m"), 1, ExecutionStatus.STOPPED),
     (Failed(Failure.RESTART, "m"), 1, ExecutionStatus.FAILED),
     (Rejected("r"), 1, ExecutionStatus.FAILED),
-    (Rejected("r"), 10 * SECOND, ExecutionStatus.TIMED_OUT),
+    (Rejected("r"), 10 * SECOND_US, ExecutionStatus.TIMED_OUT),
 ]
 
 
--- a/packages/node/tests/test_node_memory.py
+++ b/packages/node/tests/test_node_memory.py
@@ -24,7 +24,7 @@
 )
 from walnutpost.interface import ListKind, Outcome
 from walnutpost.testsupport.node.harness import NodeHarness, run_scenario
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS
+from walnutpost.testsupport.policy.harness import SECOND_US, SETTINGS
 
 EXCLUDED_TYPES = (type, ModuleType, FunctionType, CodeType, FrameType)
 
@@ -46,7 +46,7 @@
     """A gateway whose workers load and answer at once; each round replaces all workers and functions."""
 
     def __init__(self) -> None:
-        self.now, self.calls, self.served = 100 * SECOND, 0, 0
+        self.now, self.calls, self.served = 100 * SECOND_US, 0, 0
         self.gateway = Gateway(SETTINGS, Catalogue({}), 1)
         self.timers: list[tuple[int, int]] = []
         self.loaded_copies: set[tuple[str, str]] = set()
@@ -83,10 +83,10 @@
             function_definition = Function(f"f{number}-{index}", 0, 300.0, 2.0)
             self.handle(
                 CallArrived(
-                    self.calls, function_definition.name, b"", 2 * SECOND, definition=function_definition
+                    self.calls, function_definition.name, b"", 2 * SECOND_US, definition=function_definition
                 )
             )
-        self.advance(5 * SECOND)
+        self.advance(5 * SECOND_US)
         self.loaded_copies.clear()
 
 
@@ -122,7 +122,7 @@
                         client.send(f"{count:08x}{client_number:04x}{request_number:04x}")
                         assert client.next_answer()[2] is None
                     client.stream.close()
-                harness.loop.sleep(12 * SECOND)
+                harness.loop.sleep(12 * SECOND_US)
                 count += 1
             for worker in harness.workers:
                 worker.received_commands.clear()
--- a/packages/policy/tests/test_defences.py
+++ b/packages/policy/tests/test_defences.py
@@ -13,7 +13,7 @@
 from walnutpost.testsupport.policy.harness import (
     KEEP_ALIVE_US,
     KEYED_CLASS,
-    SECOND,
+    SECOND_US,
     SETTINGS,
     RouterHarness,
     actions_of_type,
@@ -32,7 +32,7 @@
 
 def test_replaced_timers_do_not_accumulate() -> None:
     """Each timer that fired used to leave another one armed, and their number grew without limit."""
-    no_order_guards = replace(SETTINGS.guards, load_order_window_us=SECOND)
+    no_order_guards = replace(SETTINGS.guards, load_order_window_us=SECOND_US)
     harness = RouterHarness(settings=replace(SETTINGS, guards=no_order_guards))
     for _ in range(40):
         harness.now_us += 30_000
@@ -61,7 +61,7 @@
     harness = RouterHarness()
     harness.make_warm(1, 2)
     request_id = harness.send_request(class_index=1)
-    actions = harness.advance_time(3 * SECOND, step_us=4_000)
+    actions = harness.advance_time(3 * SECOND_US, step_us=4_000)
     assert not [send for send in actions_of_type(api.Send, actions) if send.request == request_id]
     assert actions_of_type(api.Fail, actions) == [api.Fail(request_id)]
 
@@ -103,7 +103,7 @@
     harness.make_warm(1, 2, 3, 4)
     for _ in range(8):
         harness.send_request(class_index=1)
-    assert {probe.worker for probe in copy_probes(harness.advance_time(SECOND, step_us=4_000))} == {
+    assert {probe.worker for probe in copy_probes(harness.advance_time(SECOND_US, step_us=4_000))} == {
         1,
         2,
         3,
@@ -118,7 +118,7 @@
     harness.make_warm(1, 2)
     request_id = harness.send_request()
     unresponsive_worker = actions_of_type(api.Send, harness.last_actions)[0].worker
-    harness.advance_time(SECOND, step_us=4_000)
+    harness.advance_time(SECOND_US, step_us=4_000)
     harness.end_attempt(request_id, 1, 3 - unresponsive_worker)
     harness.feed(api.LoadOrderEnded(unresponsive_worker, 7, Outcome.OK, 1_000, 1))
     for _ in range(10):  # enough answers that four requests in flight are no shortage
@@ -141,7 +141,7 @@
     second = load_orders(harness.end_load_order(first, copies=0, outcome=Outcome.ERROR))
     assert [o.worker for o in second] == [workers_in_hash_order()[1]]
     assert not load_orders(harness.end_load_order(second[0].worker, copies=0, outcome=Outcome.ERROR))
-    third = load_orders(harness.advance_time(2 * SECOND, step_us=4_000))
+    third = load_orders(harness.advance_time(2 * SECOND_US, step_us=4_000))
     assert third
     assert third[0].worker == workers_in_hash_order()[2]
 
@@ -210,7 +210,7 @@
         in_flight += [(send.request, send.worker) for send in actions_of_type(api.Send, harness.last_actions)]
         if n % 4 and in_flight:
             finished, worker_id = in_flight.pop(0)
-            harness.end_attempt(finished, 0, worker_id, latency_us=SECOND)
+            harness.end_attempt(finished, 0, worker_id, latency_us=SECOND_US)
         assert request_id
     assert len(rejected) > 60
     assert rejected.count(0) > 4 * rejected.count(1)
@@ -228,7 +228,7 @@
         tenant = int(n % 5 == 0)
         harness._last_request_id += 1
         event = api.RequestArrived(
-            harness._last_request_id, 0, tenant, 7, 3 * SECOND, None, 300.0, 2, 0, False
+            harness._last_request_id, 0, tenant, 7, 3 * SECOND_US, None, 300.0, 2, 0, False
         )
         actions = harness.feed(event)
         arrived[tenant] += 1
@@ -236,7 +236,7 @@
         in_flight += [(send.request, send.worker) for send in actions_of_type(api.Send, actions)]
         if n % 2 and in_flight:
             finished, worker_id = in_flight.pop(0)
-            harness.end_attempt(finished, 0, worker_id, latency_us=SECOND)
+            harness.end_attempt(finished, 0, worker_id, latency_us=SECOND_US)
     assert rejected[0] / arrived[0] > 3 * rejected[1] / arrived[1]
 
 
@@ -256,7 +256,7 @@
         in_flight += [(send.request, send.worker) for send in actions_of_type(api.Send, harness.last_actions)]
         if n % 4 and in_flight:
             finished, worker_id = in_flight.pop(0)
-            harness.end_attempt(finished, 0, worker_id, latency_us=SECOND)
+            harness.end_attempt(finished, 0, worker_id, latency_us=SECOND_US)
     assert rejected[1] > 1.5 * rejected[0]
 
 
@@ -267,7 +267,7 @@
     in_flight: list[tuple[int, int]] = []
     for _ in range(100):
         harness.now_us += 10_000
-        harness.send_request(time_left_us=3 * SECOND)
+        harness.send_request(time_left_us=3 * SECOND_US)
         assert not actions_of_type(api.Reject, harness.last_actions)
         in_flight += [(send.request, send.worker) for send in actions_of_type(api.Send, harness.last_actions)]
         if len(in_flight) > 20:
@@ -403,7 +403,7 @@
                 if action.request == request_id
             )
             harness.end_attempt(request_id, 0, send.worker)
-            harness.now_us += SECOND // 10
+            harness.now_us += SECOND_US // 10
         return len(harness.router.functions.by_key[7].copies)
 
     assert copy_count(1) == 1
@@ -417,12 +417,12 @@
     sends, front_ends = 0, 100
     for index in range(front_ends):
         harness = RouterHarness(
-            2, replace(SETTINGS, front_ends=front_ends, index=index, keep_alive_us=100 * SECOND)
+            2, replace(SETTINGS, front_ends=front_ends, index=index, keep_alive_us=100 * SECOND_US)
         )
         harness.make_warm(1)
         # Half a request per second at each front end is a mean of 25 per second at each of the two workers.
         for _ in range(30):
-            harness.now_us += 2 * SECOND
+            harness.now_us += 2 * SECOND_US
             harness.end_attempt(
                 request_id := harness.send_request(),
                 0,
@@ -445,7 +445,7 @@
         harness.make_warm(1, 2)
         chosen = []
         for _ in range(40):
-            harness.now_us += SECOND // 4
+            harness.now_us += SECOND_US // 4
             request_id = harness.send_request()
             chosen.append(actions_of_type(api.Send, harness.last_actions)[0].worker)
             report = (0.1, 0.95 if chosen[-1] == 1 else 0.4)
@@ -478,7 +478,7 @@
         harness = RouterHarness(1, replace(SETTINGS, front_ends=front_ends, keep_alive_us=KEEP_ALIVE_US))
         harness.make_warm(1)
         for _ in range(4):
-            harness.now_us += SECOND // 10
+            harness.now_us += SECOND_US // 10
             request_id = harness.send_request()
             harness.end_attempt(request_id, 0, actions_of_type(api.Send, harness.last_actions)[0].worker)
         return len(load_orders(harness.advance_time(KEEP_ALIVE_US, step_us=100_000)))
@@ -495,10 +495,10 @@
     settings = replace(SETTINGS, limits=replace(SETTINGS.limits, max_attempts=1))
     harness = RouterHarness(12, settings)
     harness.make_warm(*range(1, 13))
-    stuck_requests = [harness.send_request(time_left_us=20 * SECOND) for _ in range(8)]
+    stuck_requests = [harness.send_request(time_left_us=20 * SECOND_US) for _ in range(8)]
     rejected = 0
     for n in range(60):
-        harness.now_us += SECOND // 8
+        harness.now_us += SECOND_US // 8
         for worker_id in range(1, 13):  # all workers answer probes, so none is unresponsive
             harness.feed(api.LoadOrderEnded(worker_id, 7, Outcome.OK, 1_000, 1))
         request_id = harness.send_request()
@@ -515,12 +515,12 @@
     sends, front_ends = 0, 20
     for index in range(front_ends):
         harness = RouterHarness(
-            2, replace(SETTINGS, front_ends=front_ends, index=index, keep_alive_us=100 * SECOND)
+            2, replace(SETTINGS, front_ends=front_ends, index=index, keep_alive_us=100 * SECOND_US)
         )
         harness.make_warm(1)
         # 4.6 requests per second at each front end are a mean of 2.3 at each of the two workers.
         for _ in range(100):
-            harness.now_us += SECOND * 10 // 46
+            harness.now_us += SECOND_US * 10 // 46
             harness.end_attempt(
                 request_id := harness.send_request(),
                 0,
@@ -559,21 +559,21 @@
 def test_send_states_how_long_its_decision_is_valid() -> None:
     harness = RouterHarness(2)
     harness.make_warm(1, 2)
-    harness.send_request(time_left_us=SECOND // 2)
-    assert send_validity_us(harness) == SECOND // 2 - SETTINGS.tick_us, (
+    harness.send_request(time_left_us=SECOND_US // 2)
+    assert send_validity_us(harness) == SECOND_US // 2 - SETTINGS.tick_us, (
         "no first byte may be sent after the final answer"
     )
     harness.send_request()
     assert send_validity_us(harness) == SETTINGS.guards.drain_grace_us
     keyed = harness.send_request(class_index=2)
     first = actions_of_type(api.Send, harness.last_actions)[0].worker
-    harness.now_us += SECOND // 4
+    harness.now_us += SECOND_US // 4
     harness.end_attempt(keyed, 0, first, Outcome.RESET)
-    assert send_validity_us(harness) == KEYED_CLASS.repeat_window_us - SECOND // 4, (
+    assert send_validity_us(harness) == KEYED_CLASS.repeat_window_us - SECOND_US // 4, (
         "the repeat window begins with the attempt that may have run"
     )
     for _ in range(40):
-        harness.now_us += SECOND // 10
+        harness.now_us += SECOND_US // 10
         harness.end_attempt(
             request_id := harness.send_request(),
             0,
@@ -581,8 +581,8 @@
         )
     harness.send_worker_list(
         api.ListKind.DELTA,
-        listed_worker(1, started_at_us=harness.now_us - SECOND),
-        listed_worker(2, started_at_us=harness.now_us - SECOND),
+        listed_worker(1, started_at_us=harness.now_us - SECOND_US),
+        listed_worker(2, started_at_us=harness.now_us - SECOND_US),
     )
     harness.make_warm(1, 2)
     harness.send_request()
@@ -595,7 +595,7 @@
     harness = RouterHarness(4)
     harness.send_request()
     order = actions_of_type(api.LoadOrder, harness.last_actions)[0]
-    harness.feed(api.LoadOrderEnded(order.worker, 7, Outcome.MOOT, 100_000, 0))
+    harness.feed(api.LoadOrderEnded(order.worker, 7, Outcome.EXPIRED, 100_000, 0))
     assert harness.router.endpoints.workers[order.worker].unresponsive_since_us is None
     assert not actions_of_type(api.Log, harness.all_actions)
 
@@ -604,13 +604,13 @@
 def test_shutdown_answers_open_and_new_requests_in_time(class_index: int, final_type: Any) -> None:
     harness = RouterHarness(1)
     harness.make_warm(1)
-    early = harness.send_request(class_index=class_index, time_left_us=60 * SECOND)
-    harness.feed(api.ShuttingDown(SECOND))
-    late = harness.send_request(class_index=class_index, time_left_us=60 * SECOND)
-    harness.now_us += SECOND - SETTINGS.tick_us
+    early = harness.send_request(class_index=class_index, time_left_us=60 * SECOND_US)
+    harness.feed(api.ShuttingDown(SECOND_US))
+    late = harness.send_request(class_index=class_index, time_left_us=60 * SECOND_US)
+    harness.now_us += SECOND_US - SETTINGS.tick_us
     harness.feed(api.TimerDue(1))
     assert [a.request for a in actions_of_type(final_type, harness.last_actions)] == [early, late]
-    harness.now_us += SECOND
+    harness.now_us += SECOND_US
     assert not actions_of_type(api.Send, harness.feed(api.TimerDue(1)))
     assert harness.send_request()
     assert len(actions_of_type(api.Reject, harness.last_actions)) == 1, (
--- a/packages/policy/tests/test_guards.py
+++ b/packages/policy/tests/test_guards.py
@@ -9,7 +9,7 @@
 from walnutpost import interface as api
 from walnutpost.testsupport.policy.harness import (
     KEYED_CLASS,
-    SECOND,
+    SECOND_US,
     SETTINGS,
     RouterHarness,
     actions_of_type,
@@ -29,16 +29,18 @@
 
 def test_queued_request_is_answered_once_just_before_its_deadline() -> None:
     harness = RouterHarness()
-    request_id = harness.send_request(time_left_us=SECOND)  # far less than the deadline of its class
-    assert not final_answers(harness.advance_time(SECOND - 8_000, step_us=4_000))
-    assert final_answers(harness.advance_time(8_000, step_us=4_000)) == [api.Reject(request_id, SECOND // 4)]
-    assert not actions_of_type((api.Send, api.Reject, api.Fail), harness.advance_time(5 * SECOND))
+    request_id = harness.send_request(time_left_us=SECOND_US)  # far less than the deadline of its class
+    assert not final_answers(harness.advance_time(SECOND_US - 8_000, step_us=4_000))
+    assert final_answers(harness.advance_time(8_000, step_us=4_000)) == [
+        api.Reject(request_id, SECOND_US // 4)
+    ]
+    assert not actions_of_type((api.Send, api.Reject, api.Fail), harness.advance_time(5 * SECOND_US))
 
 
 def test_request_without_time_left_is_rejected_at_once() -> None:
     harness = RouterHarness()
     request_id = harness.send_request(time_left_us=0)
-    assert final_answers(harness.last_actions) == [api.Reject(request_id, SECOND // 4)]
+    assert final_answers(harness.last_actions) == [api.Reject(request_id, SECOND_US // 4)]
 
 
 def test_rejection_has_no_retry_after_if_settings_forbid_it() -> None:
@@ -77,7 +79,7 @@
     sent = actions_of_type(api.Send, harness.last_actions)[0]
     actions = harness.end_attempt(request_id, 0, sent.worker, outcome)
     assert final_answers(actions) == [api.Fail(request_id)]
-    assert not actions_of_type(api.Send, actions + harness.advance_time(3 * SECOND))
+    assert not actions_of_type(api.Send, actions + harness.advance_time(3 * SECOND_US))
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MISS])
@@ -160,7 +162,7 @@
     harness.send_worker_list(api.ListKind.DELTA, listed_worker(1, state))
     harness.send_request()
     assert not actions_of_type(api.Send, harness.last_actions)
-    assert not load_orders(harness.last_actions + harness.advance_time(SECOND))
+    assert not load_orders(harness.last_actions + harness.advance_time(SECOND_US))
 
 
 def test_only_a_full_list_removes_the_workers_that_it_omits() -> None:
@@ -178,7 +180,7 @@
     """Send `count` requests to the router; return its sends."""
     found: list[api.Send] = []
     for _ in range(count):
-        harness.send_request(time_left_us=SECOND // 2)
+        harness.send_request(time_left_us=SECOND_US // 2)
         found += actions_of_type(api.Send, harness.last_actions)
     return found
 
@@ -187,20 +189,20 @@
     harness = RouterHarness(workers=1, settings=replace(LOADS_ON_MISS, may_order_loads=False))
     harness.make_warm(1)
     for n in range(40):  # the router measures ten answers per second from this worker
-        harness.now_us += SECOND // 10
+        harness.now_us += SECOND_US // 10
         request_id = harness.send_request()
         sent = actions_of_type(api.Send, harness.last_actions)
         assert sent, n
         harness.end_attempt(request_id, 0, 1)
     harness.send_worker_list(api.ListKind.DELTA, listed_worker(1, started_at_us=harness.now_us))
     assert not sends_for_requests(harness, 5), "requests sent just before the restart count too"
-    harness.now_us += SECOND
+    harness.now_us += SECOND_US
     sent = sends_for_requests(harness, 60)
     # All front ends together may send start capacity 0.2 x overload factor 4 x 10 per s x window of 1 s.
     assert 1 <= len(sent) <= 8
-    harness.now_us += SECOND // 2
+    harness.now_us += SECOND_US // 2
     assert len(sent) + len(sends_for_requests(harness, 60)) <= 8
-    harness.now_us += 16 * SECOND
+    harness.now_us += 16 * SECOND_US
     harness.feed(api.TimerDue(1))
     assert harness.router.slow_start.has_budget(harness.router.endpoints.workers[1])
 
@@ -208,7 +210,10 @@
 LIMITED_LOAD_ORDERS = replace(
     SETTINGS,
     guards=replace(
-        SETTINGS.guards, free_load_orders=3.0, load_orders_per_request=0.5, load_order_window_us=10 * SECOND
+        SETTINGS.guards,
+        free_load_orders=3.0,
+        load_orders_per_request=0.5,
+        load_order_window_us=10 * SECOND_US,
     ),
 )
 
@@ -235,7 +240,7 @@
                 attempt_counts[action.request] = attempt_counts.get(action.request, 0) + 1
             elif isinstance(action, api.LoadOrder) and action.copies:
                 order_times_us.append(harness.now_us)
-                window_start_us = harness.now_us - 10 * SECOND
+                window_start_us = harness.now_us - 10 * SECOND_US
                 assert len([t for t in order_times_us if t >= window_start_us]) <= 3 + 0.5 * len(
                     [t for t in request_times_us if t > window_start_us]
                 )
@@ -249,14 +254,14 @@
         LIMITED_LOAD_ORDERS, guards=replace(LIMITED_LOAD_ORDERS.guards, load_orders_per_request=0.0)
     )
     harness = RouterHarness(workers=8, settings=no_orders_per_request)
-    harness.now_us += 10 * SECOND + 20_000  # orders of a previous incarnation no longer count
+    harness.now_us += 10 * SECOND_US + 20_000  # orders of a previous incarnation no longer count
     sent = [load_orders(harness.actions_for_request(function))[0] for function in range(3)]
-    harness.now_us += 5 * SECOND
+    harness.now_us += 5 * SECOND_US
     for order in sent:
         harness.end_load_order(order.worker, function=order.function, ordered_copies=1)
-    harness.now_us += 5 * SECOND + 20_000
+    harness.now_us += 5 * SECOND_US + 20_000
     assert not load_orders(harness.actions_for_request(9)), "one window after the orders were sent"
-    harness.now_us += 5 * SECOND - 20_000
+    harness.now_us += 5 * SECOND_US - 20_000
     assert not load_orders(harness.actions_for_request(10)), "one window after their latest possible arrival"
     harness.now_us += 20_000
     assert load_orders(harness.actions_for_request(11))
@@ -282,7 +287,7 @@
     harness = RouterHarness(settings=no_orders)
     request_id = harness.send_request()
     tried: list[int] = []
-    while harness.now_us < 102 * SECOND:
+    while harness.now_us < 102 * SECOND_US:
         if sent := actions_of_type(api.Send, harness.last_actions):
             tried.append(sent[0].worker)
             harness.end_attempt(
@@ -321,8 +326,8 @@
     harness = RouterHarness(workers=0)
     request_id = harness.send_request(concurrency=0)
     assert not actions_of_type(api.Send, harness.last_actions)
-    assert actions_of_type(api.Reject, harness.advance_time(3 * SECOND)) == [
-        api.Reject(request_id, SECOND // 4)
+    assert actions_of_type(api.Reject, harness.advance_time(3 * SECOND_US)) == [
+        api.Reject(request_id, SECOND_US // 4)
     ]
     harness.send_worker_list(api.ListKind.FULL, listed_worker(1, api.WorkerState.DRAINING))
     harness.send_request()
@@ -348,7 +353,7 @@
     request_id = harness.send_request()
     worker_id = actions_of_type(api.Send, harness.last_actions)[0].worker
     harness.feed(api.AnswerStarted(request_id, 0, worker_id, 50_000))
-    actions = harness.advance_time(5 * SECOND)
+    actions = harness.advance_time(5 * SECOND_US)
     assert not final_answers(actions)
     assert not [s for s in actions_of_type(api.Send, actions) if s.request == request_id]
     assert not actions_of_type(
@@ -359,13 +364,13 @@
 
 def test_endpoint_watch_is_started_and_repeated_after_a_failure() -> None:
     watch_settings = replace(
-        SETTINGS, must_watch_endpoints=True, guards=replace(SETTINGS.guards, watch_within_us=8 * SECOND)
+        SETTINGS, must_watch_endpoints=True, guards=replace(SETTINGS.guards, watch_within_us=8 * SECOND_US)
     )
     harness = RouterHarness(settings=watch_settings)
-    assert actions_of_type(api.WatchEndpoints, harness.advance_time(SECOND)) == [api.WatchEndpoints(True)]
+    assert actions_of_type(api.WatchEndpoints, harness.advance_time(SECOND_US)) == [api.WatchEndpoints(True)]
     harness.send_worker_list(api.ListKind.FAILED)
-    assert not actions_of_type(api.WatchEndpoints, harness.advance_time(SECOND // 2))
-    assert actions_of_type(api.WatchEndpoints, harness.advance_time(SECOND)) == [api.WatchEndpoints(True)]
+    assert not actions_of_type(api.WatchEndpoints, harness.advance_time(SECOND_US // 2))
+    assert actions_of_type(api.WatchEndpoints, harness.advance_time(SECOND_US)) == [api.WatchEndpoints(True)]
     harness.send_request()
     assert load_orders(harness.last_actions), "a failed list must not invalidate the previous one"
 
@@ -377,7 +382,7 @@
     # Worker 6 is warming up, so the warm workers 1 and 2 serve.
     harness.send_worker_list(api.ListKind.DELTA, listed_worker(6, started_at_us=harness.now_us))
     for _ in range(20):
-        harness.now_us += SECOND // 5
+        harness.now_us += SECOND_US // 5
         request_id = harness.send_request()
         sent = actions_of_type(api.Send, harness.last_actions)
         assert len(sent) == 1
@@ -391,7 +396,7 @@
     request_ids = [harness.send_request(function=100 + n) for n in range(40)]
     draining = [listed_worker(i, api.WorkerState.DRAINING) for i in range(1, 598)]
     actions = harness.send_worker_list(api.ListKind.DELTA, *draining)
-    actions += harness.advance_time(4 * SECOND)
+    actions += harness.advance_time(4 * SECOND_US)
     assert {o.worker for o in load_orders(actions)} | {
         s.worker for s in actions_of_type(api.Send, actions)
     } <= {598, 599, 600}
@@ -405,7 +410,9 @@
     request_id = harness.send_request()
     assert not actions_of_type(api.Send, harness.last_actions)
     assert not load_orders(harness.last_actions)
-    assert [a.request for a in actions_of_type(api.Reject, harness.advance_time(4 * SECOND))] == [request_id]
+    assert [a.request for a in actions_of_type(api.Reject, harness.advance_time(4 * SECOND_US))] == [
+        request_id
+    ]
 
 
 def test_worker_that_restarts_as_draining_gets_none_of_its_requests_again() -> None:
--- a/packages/policy/tests/test_load_order_limit.py
+++ b/packages/policy/tests/test_load_order_limit.py
@@ -15,12 +15,23 @@
     BUDGET_FRACTION_REFRESH,
     LoadOrderLimit,
 )
-from walnutpost.testsupport.node.ration_checker import Ration, RationLog, breaches_of, describe_breaches
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, RouterHarness, listed_worker, load_orders
+from walnutpost.testsupport.node.ration_checker import (
+    LoadOrderLog,
+    SlidingWindowLimit,
+    describe_violations,
+    find_violations,
+)
+from walnutpost.testsupport.policy.harness import (
+    SECOND_US,
+    SETTINGS,
+    RouterHarness,
+    listed_worker,
+    load_orders,
+)
 
 Outcome = api.Outcome
-WINDOW_US = 2 * SECOND
-START_US = 100 * SECOND
+WINDOW_US = 2 * SECOND_US
+START_US = 100 * SECOND_US
 
 
 def limited_settings(
@@ -33,7 +44,7 @@
         load_orders_per_request=orders_per_request,
         load_order_window_us=window_us,
     )
-    return replace(SETTINGS, guards=guards, are_restarts_unseen=True)
+    return replace(SETTINGS, guards=guards, may_miss_restarts=True)
 
 
 def reserve_all(
@@ -61,24 +72,24 @@
 
 
 def test_free_orders_are_available_at_the_start_on_an_ideal_network() -> None:
-    limit = LoadOrderLimit(replace(limited_settings(), is_ideal_network=True, are_restarts_unseen=False))
+    limit = LoadOrderLimit(replace(limited_settings(), is_ideal_network=True, may_miss_restarts=False))
     limit.begin(START_US)
     assert reserve_all(limit, START_US) == 2
 
 
 def test_two_incarnations_in_one_window_stay_within_a_limit_with_fractional_free_orders() -> None:
     """The previous incarnation sent 3 orders just before its end: 2.5 free ones and 0.5 for one request."""
-    settings, log = limited_settings(free_orders=2.5, orders_per_request=0.5), RationLog()
+    settings, log = limited_settings(free_orders=2.5, orders_per_request=0.5), LoadOrderLog()
 
     def deliver_orders(limit: LoadOrderLimit, now_us: int) -> None:
         count = reserve_all(limit, now_us)
         limit.settle(now_us, count)
         for _ in range(count):
-            log.order_arrived("front", now_us)
+            log.log_load_order("front", now_us)
 
     def count_request(limit: LoadOrderLimit, now_us: int) -> None:
         limit.count_request(now_us)
-        log.request_written("front", now_us)
+        log.log_request("front", now_us)
 
     previous, current = limit_past_first_window(settings), LoadOrderLimit(settings)
     deliver_orders(previous, START_US)
@@ -87,8 +98,8 @@
     current.begin(START_US + 2)
     count_request(current, START_US + 3)
     deliver_orders(current, START_US + 3)
-    breaches = log.breaches(Ration(2.5, 0.5, WINDOW_US))
-    assert not breaches, describe_breaches(breaches)
+    breaches = log.violations(SlidingWindowLimit(2.5, 0.5, WINDOW_US))
+    assert not breaches, describe_violations(breaches)
 
 
 def test_an_open_order_counts_until_it_is_answered() -> None:
@@ -176,8 +187,8 @@
 def test_memory_does_not_grow_with_requests_when_no_order_is_reserved() -> None:
     limit = limit_past_first_window()
     for second in range(1, 2_000):
-        limit.count_request(START_US + second * SECOND)
-        assert len(limit.request_arrivals_us) <= WINDOW_US // SECOND
+        limit.count_request(START_US + second * SECOND_US)
+        assert len(limit.request_arrivals_us) <= WINDOW_US // SECOND_US
 
 
 def test_memory_does_not_grow_with_orders() -> None:
@@ -213,11 +224,11 @@
             0,
             0,
             self.function,
-            3 * SECOND,
+            3 * SECOND_US,
             None,
             300.0,
             2,
-            SECOND // 2,
+            SECOND_US // 2,
             False,
             waited_us,
         )
@@ -259,7 +270,7 @@
 
 def test_the_router_sends_orders_in_its_first_window_on_an_ideal_network() -> None:
     harness = LimitedRouterHarness(
-        replace(limited_settings(), is_ideal_network=True, are_restarts_unseen=False), in_first_window=True
+        replace(limited_settings(), is_ideal_network=True, may_miss_restarts=False), in_first_window=True
     )
     assert len(harness.order_new_functions(1)) == 1
 
@@ -271,7 +282,7 @@
     sent = [a for a in harness.last_actions if isinstance(a, api.Send)]
     assert len(sent) == 1, "no order is available, so the request is sent and the worker loads the copy"
     harness.now_us += 1
-    harness.feed(api.RequestArrived(999, 0, 0, 1, 3 * SECOND, None, 300.0, 2, SECOND // 2, False))
+    harness.feed(api.RequestArrived(999, 0, 0, 1, 3 * SECOND_US, None, 300.0, 2, SECOND_US // 2, False))
     second_send = next(a for a in harness.last_actions if isinstance(a, api.Send))
     harness.end_attempt(first_request, 0, sent[0].worker)
     harness.end_attempt(999, 0, second_send.worker)
@@ -301,7 +312,7 @@
     assert bool(harness.order_new_functions(1)) is is_available
 
 
-@pytest.mark.parametrize("outcome", [Outcome.MOOT, Outcome.CONNECT_FAILED])
+@pytest.mark.parametrize("outcome", [Outcome.EXPIRED, Outcome.CONNECT_FAILED])
 def test_the_router_releases_an_order_that_was_never_sent(outcome: Outcome) -> None:
     harness = LimitedRouterHarness(limited_settings(free_orders=1.0, orders_per_request=0.0))
     (order,) = harness.order_new_functions()
@@ -430,8 +441,10 @@
         harness.end_attempt(send.request, 0, send.worker)
     harness.now_us += WINDOW_US + 2 * harness.router.context.probe_timeout_us
     arrived = len(unresolved) + len(harness.order_new_functions(30))  # the partition has healed
-    breaches = breaches_of(Ration.on_sockets(6.0, 0.0, WINDOW_US), "front", [harness.now_us] * arrived, [])
-    assert not breaches, describe_breaches(breaches)
+    breaches = find_violations(
+        SlidingWindowLimit.with_network_slack(6.0, 0.0, WINDOW_US), "front", [harness.now_us] * arrived, []
+    )
+    assert not breaches, describe_violations(breaches)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
@@ -443,11 +456,11 @@
         attempts_only_at_copies(limited_settings(free_orders=1.0, orders_per_request=0.0))
     )
     restarted_us = harness.now_us
-    harness.now_us += SECOND // 10
+    harness.now_us += SECOND_US // 10
     (order,) = harness.order_new_functions()
-    harness.now_us += SECOND // 10
+    harness.now_us += SECOND_US // 10
     harness.end_order(order, outcome)
-    harness.now_us += SECOND // 10
+    harness.now_us += SECOND_US // 10
     harness.send_worker_list(api.ListKind.DELTA, listed_worker(order.worker, started_at_us=restarted_us))
     assert harness.open_orders == 1
 
@@ -455,7 +468,7 @@
 def test_an_order_on_an_ideal_network_is_settled_only_once() -> None:
     """It is settled when it is sent. Its result must not settle it again."""
     harness = LimitedRouterHarness(
-        replace(limited_settings(), is_ideal_network=True, are_restarts_unseen=False)
+        replace(limited_settings(), is_ideal_network=True, may_miss_restarts=False)
     )
     (order,) = harness.order_new_functions(1)
     harness.end_order(order)
@@ -483,7 +496,7 @@
 def test_a_worker_with_an_overdue_order_gets_no_further_orders_but_others_do() -> None:
     harness = LimitedRouterHarness(limited_settings(free_orders=50.0, orders_per_request=0.0))
     overdue_worker = harness.order_new_functions(1)[0].worker
-    harness.now_us += 4 * SECOND  # the usual load time is half a second
+    harness.now_us += 4 * SECOND_US  # the usual load time is half a second
     later = harness.order_new_functions(40)
     assert later
     assert overdue_worker not in {order.worker for order in later}
@@ -492,7 +505,7 @@
 def test_a_worker_that_answers_after_an_overdue_order_gets_further_orders() -> None:
     harness = LimitedRouterHarness(limited_settings(free_orders=50.0, orders_per_request=0.0))
     (first,) = harness.order_new_functions(1)
-    harness.now_us += 4 * SECOND
+    harness.now_us += 4 * SECOND_US
     harness.feed(api.LoadOrderEnded(first.worker, first.function, Outcome.OK, 1_000, 0))
     assert first.worker in {order.worker for order in harness.order_new_functions(40)}
 
@@ -514,7 +527,7 @@
     harness, request, worker_id = request_in_flight()
     arrived_us = harness.now_us
     assert harness.counted_requests_us == []
-    harness.now_us += SECOND
+    harness.now_us += SECOND_US
     harness.end_attempt(request, 0, worker_id, outcome)
     assert harness.counted_requests_us == [arrived_us]
 
@@ -527,7 +540,14 @@
 
 @pytest.mark.parametrize(
     "outcome",
-    [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.CANCELLED],
+    [
+        Outcome.ERROR,
+        Outcome.TIMEOUT,
+        Outcome.RESET,
+        Outcome.CONNECT_FAILED,
+        Outcome.EXPIRED,
+        Outcome.CANCELLED,
+    ],
 )
 def test_a_request_that_no_worker_proves_genuine_does_not_count(outcome: Outcome) -> None:
     harness, request, worker_id = request_in_flight()
@@ -555,7 +575,7 @@
 def test_a_cancelled_request_does_not_count() -> None:
     harness = LimitedRouterHarness()
     harness.feed(api.RequestCancelled(harness.request_new_function()))
-    harness.advance_time(5 * SECOND)
+    harness.advance_time(5 * SECOND_US)
     assert harness.counted_requests_us == []
 
 
@@ -584,13 +604,13 @@
 def test_a_request_that_is_never_answered_does_not_count() -> None:
     harness = LimitedRouterHarness(limited_settings(free_orders=0.0))
     harness.request_new_function()
-    harness.advance_time(5 * SECOND)
+    harness.advance_time(5 * SECOND_US)
     assert harness.counted_requests_us == []
 
 
 def test_every_request_counts_on_arrival_on_an_ideal_network() -> None:
     harness = LimitedRouterHarness(
-        replace(limited_settings(), is_ideal_network=True, are_restarts_unseen=False)
+        replace(limited_settings(), is_ideal_network=True, may_miss_restarts=False)
     )
     harness.request_new_function()
     assert harness.counted_requests_us == [harness.now_us]
@@ -600,13 +620,13 @@
     harness, request, worker_id = request_in_flight()
     for _ in range(300):
         harness.end_attempt(request, 0, worker_id)
-        harness.now_us += SECOND
+        harness.now_us += SECOND_US
         request = harness.send_request(function=harness.function)
         sent = [a for a in harness.last_actions if isinstance(a, api.Send) and a.request == request]
         for order in load_orders(harness.last_actions):
             harness.end_order(order)
         worker_id = sent[0].worker
-    assert 1 <= len(harness.counted_requests_us) <= WINDOW_US // SECOND + 1
+    assert 1 <= len(harness.counted_requests_us) <= WINDOW_US // SECOND_US + 1
 
 
 ORDER_OUTCOMES = [
@@ -616,7 +636,7 @@
     Outcome.ERROR,
     Outcome.TIMEOUT,
     Outcome.RESET,
-    Outcome.MOOT,
+    Outcome.EXPIRED,
     Outcome.CONNECT_FAILED,
 ]
 
@@ -628,7 +648,7 @@
     open_orders: list[api.LoadOrder] = []
     order_count, started_us = 0, dict.fromkeys(range(1, 7), 0)
     for _ in range(1_500):
-        harness.now_us += random.randrange(SECOND // 4)
+        harness.now_us += random.randrange(SECOND_US // 4)
         choice = random.random()
         if choice < 0.6 or not open_orders:
             harness.request_new_function()
@@ -653,7 +673,7 @@
     assert harness.open_orders == unresolved
     for worker_id in range(1, 7):
         harness.feed(api.LoadOrderEnded(worker_id, 1, Outcome.OK, 1_000, 0))
-    while new_orders := load_orders(harness.advance_time(SECOND)):
+    while new_orders := load_orders(harness.advance_time(SECOND_US)):
         for order in new_orders:
             harness.end_order(order)
     assert harness.open_orders == 0
--- a/packages/policy/tests/test_load_order_limit_properties.py
+++ b/packages/policy/tests/test_load_order_limit_properties.py
@@ -17,16 +17,16 @@
 from walnutpost import interface as api
 from walnutpost.policy import Router
 from walnutpost.policy.load_order_limit import LoadOrderLimit
-from walnutpost.testsupport.node.ration_checker import Ration, RationLog, describe_breaches
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, listed_worker
+from walnutpost.testsupport.node.ration_checker import LoadOrderLog, SlidingWindowLimit, describe_violations
+from walnutpost.testsupport.policy.harness import SECOND_US, SETTINGS, listed_worker
 
 Outcome = api.Outcome
-WINDOW_US = 2 * SECOND
-START_US = 100 * SECOND
-ORDER_TIMEOUT_US = 3 * SECOND  # after which the transport gives up on an order
-CLIENT_TIMEOUT_US = 3 * SECOND
-LOAD_TIME_US = SECOND
-SETTLING_TIME_US = 12 * SECOND  # at the end of a scenario, so that all delayed messages arrive
+WINDOW_US = 2 * SECOND_US
+START_US = 100 * SECOND_US
+ORDER_TIMEOUT_US = 3 * SECOND_US  # after which the transport gives up on an order
+CLIENT_TIMEOUT_US = 3 * SECOND_US
+LOAD_TIME_US = SECOND_US
+SETTLING_TIME_US = 12 * SECOND_US  # at the end of a scenario, so that all delayed messages arrive
 FRONT_END = "front"
 # Outcomes that prove a request genuine: workers never answer repeated requests with them.
 GENUINE_OUTCOMES = frozenset((Outcome.OK, Outcome.FULL, Outcome.MISS))
@@ -36,8 +36,8 @@
 class Delivery:
     """How the network and the worker treat one message.
 
-    `outcome` is the answer of the worker. MOOT, CONNECT_FAILED and RESET are what the front end sees; after a
-    RESET the worker may still receive the message.
+    `outcome` is the answer of the worker. EXPIRED, CONNECT_FAILED and RESET are what the front end sees;
+    after a RESET the worker may still receive the message.
     """
 
     outcome: Outcome
@@ -94,7 +94,7 @@
             guards=guards,
             limits=limits,
             load_order_timeout_us=ORDER_TIMEOUT_US,
-            are_restarts_unseen=True,
+            may_miss_restarts=True,
         )
 
 
@@ -150,7 +150,7 @@
     def __init__(self, scenario: Scenario, router_type: type[Router]) -> None:
         self.scenario, self.router_type = scenario, router_type
         self.now = START_US
-        self.log = RationLog()
+        self.log = LoadOrderLog()
         self.connections = {worker_id: Connection() for worker_id in range(1, scenario.workers + 1)}
         self.requests: dict[int, ClientRequest] = {}
         self.messages: list[Message] = []
@@ -255,7 +255,7 @@
         request = self.requests[action.request]
         if outcome in GENUINE_OUTCOMES and not request.counted and not request.cancelled:
             request.counted = True
-            self.log.request_written(FRONT_END, request.written_us)
+            self.log.log_request(FRONT_END, request.written_us)
         finished = ok or request.answered or request.cancelled
         request.answered = request.answered or ok
         self.feed(
@@ -291,9 +291,9 @@
                 lambda: self.end_message(message, Outcome.CONNECT_FAILED), 1 + delivery.send_delay_us // 8
             )
         is_expired = 0 < action.begin_within_us < delivery.send_delay_us
-        if is_expired or delivery.outcome is Outcome.MOOT:
+        if is_expired or delivery.outcome is Outcome.EXPIRED:
             return self.run_at_front_end(
-                lambda: self.end_message(message, Outcome.MOOT),
+                lambda: self.end_message(message, Outcome.EXPIRED),
                 min(delivery.send_delay_us, action.begin_within_us) + 1,
             )
         self.run_at_front_end(lambda: self.transmit(message), delivery.send_delay_us)
@@ -301,7 +301,7 @@
     def transmit(self, message: Message) -> None:
         connection = self.connections[message.action.worker]
         if message.ended or not connection.alive or connection.incarnation != message.worker_incarnation:
-            return self.end_message(message, Outcome.MOOT)
+            return self.end_message(message, Outcome.EXPIRED)
         message.arrives_us = self.now + message.delivery.delivery_delay_us
         connection.in_flight.append(message)
         self.schedule(message.arrives_us, lambda: self.deliver(connection))
@@ -325,7 +325,7 @@
 
     def receive(self, connection: Connection, message: Message) -> None:
         if message.is_order:
-            self.log.order_arrived(FRONT_END, self.now)
+            self.log.log_load_order(FRONT_END, self.now)
         self.schedule(
             self.now + message.delivery.processing_time_us, lambda: self.send_answer(connection, message)
         )
@@ -472,7 +472,7 @@
         for connection in self.connections.values():
             for message in connection.in_flight:
                 if is_delivered and message.is_order:
-                    self.log.order_arrived(FRONT_END, self.now)
+                    self.log.log_load_order(FRONT_END, self.now)
             connection.in_flight.clear()
             connection.held_answers.clear()
         self.messages.clear()
@@ -482,7 +482,7 @@
         self.start_front_end()
 
 
-def simulate(scenario: Scenario, router_type: type[Router] = Router) -> RationLog:
+def simulate(scenario: Scenario, router_type: type[Router] = Router) -> LoadOrderLog:
     """Run a scenario and return the log of arrived orders and counted requests."""
     network = Network(scenario, router_type)
     network.advance(WINDOW_US)  # free orders are unavailable for one window after a start
@@ -499,11 +499,11 @@
 
     `has_tolerance` allows the tolerance that tests on real sockets have.
     """
-    limit_type = Ration.on_sockets if has_tolerance else Ration
-    breaches = simulate(scenario, router_type).breaches(
+    limit_type = SlidingWindowLimit.with_network_slack if has_tolerance else SlidingWindowLimit
+    breaches = simulate(scenario, router_type).violations(
         limit_type(scenario.free_orders, scenario.orders_per_request, WINDOW_US)
     )
-    return describe_breaches(breaches) if breaches else ""
+    return describe_violations(breaches) if breaches else ""
 
 
 # "requests": clients write new requests, with "copied" marked as retries. "cut": a network partition.
@@ -515,15 +515,17 @@
     *("stall",) * 2,
     *("front stall", "restart", "drain", "leave", "join", "take back", "copied", "new life"),
 )
-DURATIONS_US = st.sampled_from((0, 50_000, SECOND // 2, SECOND, 3 * SECOND, 5 * SECOND, 9 * SECOND))
-PAUSES_US = st.sampled_from((0, 1, 20_000, 200_000, SECOND // 2, SECOND, WINDOW_US, 2 * WINDOW_US))
+DURATIONS_US = st.sampled_from(
+    (0, 50_000, SECOND_US // 2, SECOND_US, 3 * SECOND_US, 5 * SECOND_US, 9 * SECOND_US)
+)
+PAUSES_US = st.sampled_from((0, 1, 20_000, 200_000, SECOND_US // 2, SECOND_US, WINDOW_US, 2 * WINDOW_US))
 DELAYS_US = st.sampled_from((0, 1_000, 30_000, 200_000))
-LONG_DELAYS_US = st.sampled_from((0, 0, 1_000, 30_000, 400_000, SECOND, WINDOW_US + 1, 3 * WINDOW_US))
+LONG_DELAYS_US = st.sampled_from((0, 0, 1_000, 30_000, 400_000, SECOND_US, WINDOW_US + 1, 3 * WINDOW_US))
 OUTCOMES = (
     *(Outcome.OK,) * 6,
     *(Outcome.ERROR, Outcome.FULL, Outcome.MISS),
     *(Outcome.RESET,) * 2,
-    *(Outcome.MOOT, Outcome.CONNECT_FAILED),
+    *(Outcome.EXPIRED, Outcome.CONNECT_FAILED),
 )
 FAULTY_DELIVERIES = st.builds(
     Delivery, st.sampled_from(OUTCOMES), DELAYS_US, LONG_DELAYS_US, LONG_DELAYS_US, LONG_DELAYS_US
@@ -576,11 +578,11 @@
     answers_prove_delivery=False,
     steps=(
         Step("requests", 19, 0, 1),
-        Step("requests", 0, 0, SECOND),
+        Step("requests", 0, 0, SECOND_US),
         Step("requests", 39, 0, 0),
     ),
     deliveries=(
-        Delivery(Outcome.FULL, 0, 0, 0, SECOND),
+        Delivery(Outcome.FULL, 0, 0, 0, SECOND_US),
         IMMEDIATE_SUCCESS,
         IMMEDIATE_SUCCESS,
         Delivery(Outcome.OK, 0, 0, 0, WINDOW_US + 1),
@@ -597,8 +599,8 @@
     steps=(
         Step("leave", 0, 0, 0),
         Step("restart", 0, 0, 0),
-        Step("requests", 1, 0, SECOND // 2),
-        Step("restart", 0, 5 * SECOND, 0),
+        Step("requests", 1, 0, SECOND_US // 2),
+        Step("restart", 0, 5 * SECOND_US, 0),
         Step("requests", 12, 0, 0),
     ),
     deliveries=(
--- a/packages/policy/tests/test_mechanism.py
+++ b/packages/policy/tests/test_mechanism.py
@@ -8,7 +8,7 @@
 from walnutpost.policy import hash_rank
 from walnutpost.testsupport.policy.harness import (
     KEEP_ALIVE_US,
-    SECOND,
+    SECOND_US,
     SETTINGS,
     RouterHarness,
     actions_of_type,
@@ -150,7 +150,7 @@
     def run() -> list[api.Action]:
         harness = RouterHarness(seed=9)
         for n in range(30):
-            harness.now_us += SECOND // 50
+            harness.now_us += SECOND_US // 50
             harness.send_request(function=n % 4)
             for order in load_orders(harness.last_actions):
                 harness.end_load_order(order.worker, function=order.function)
--- a/packages/policy/tests/test_properties.py
+++ b/packages/policy/tests/test_properties.py
@@ -9,12 +9,12 @@
 
 from walnutpost import interface as api
 from walnutpost.policy import hash_rank
-from walnutpost.testsupport.policy.harness import SECOND, SETTINGS, RouterHarness, listed_worker
+from walnutpost.testsupport.policy.harness import SECOND_US, SETTINGS, RouterHarness, listed_worker
 
 LIMITED_LOAD_ORDERS = replace(
     SETTINGS,
     guards=replace(
-        SETTINGS.guards, free_load_orders=2.0, load_orders_per_request=0.2, load_order_window_us=5 * SECOND
+        SETTINGS.guards, free_load_orders=2.0, load_orders_per_request=0.2, load_order_window_us=5 * SECOND_US
     ),
 )
 SETTINGS_VARIANTS = st.builds(
@@ -28,7 +28,7 @@
 )
 # The kind of a step (repeated letters are drawn more often), a random pick, and a duration in microseconds.
 STEP = st.tuples(st.sampled_from("rrrreeeehhtlg"), st.integers(0, 10_000), st.integers(0, 2_000_000))
-NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT, api.Outcome.MISS}
+NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.EXPIRED, api.Outcome.MISS}
 OUTCOMES = [o for o in api.Outcome if o is not api.Outcome.OK] + [api.Outcome.OK] * 8
 
 
@@ -149,12 +149,12 @@
             request_id, attempt, worker_id = self.in_flight_attempts.pop(pick % len(self.in_flight_attempts))
             outcome = OUTCOMES[pick % len(OUTCOMES)]
             self.attempts[request_id][attempt] = outcome
-            is_finished = outcome is api.Outcome.OK or request_id not in self.open_requests
-            if is_finished:
+            is_request_finished = outcome is api.Outcome.OK or request_id not in self.open_requests
+            if is_request_finished:
                 self.open_requests.pop(request_id, None)
             warmth = api.Warmth(pick % 4)
             ended = api.AttemptEnded(
-                request_id, attempt, worker_id, outcome, 50_000, is_finished, warmth, 0, ()
+                request_id, attempt, worker_id, outcome, 50_000, is_request_finished, warmth, 0, ()
             )
             self.check(self.harness.feed(ended))
         elif kind == "h" and self.open_orders:
@@ -188,5 +188,5 @@
     for step in steps:
         checker.step(*step)
         checker.check_totals()
-    checker.advance(4 * SECOND)
+    checker.advance(4 * SECOND_US)
     assert not checker.open_requests, "a request was never answered"
--- a/packages/policy/tests/test_slow_start.py
+++ b/packages/policy/tests/test_slow_start.py
@@ -15,7 +15,7 @@
 
 from walnutpost import interface as api
 from walnutpost.testsupport.policy.harness import (
-    SECOND,
+    SECOND_US,
     SETTINGS,
     RouterHarness,
     actions_of_type,
@@ -23,8 +23,8 @@
 )
 
 GUARDS = SETTINGS.guards
-RESTART_US = 110 * SECOND  # when front ends restart
-RATE_TIME_CONSTANT_US = 2 * SECOND  # of the answer rate: two latency objectives
+RESTART_US = 110 * SECOND_US  # when front ends restart
+RATE_TIME_CONSTANT_US = 2 * SECOND_US  # of the answer rate: two latency objectives
 FRONT_ENDS = 20
 MAX_SENDS = 400  # ends the loop if the budget is unlimited
 
@@ -58,7 +58,7 @@
     """
 
     def next_call_us() -> int:
-        return harness.now_us + 1 + int(rng.expovariate(rate) * SECOND)
+        return harness.now_us + 1 + int(rng.expovariate(rate) * SECOND_US)
 
     events = [(next_call_us(), 0)]
     while events[0][0] < until_us:
@@ -68,7 +68,7 @@
         else:
             request = harness.send_request()
             if actions_of_type(api.Send, harness.last_actions):
-                heappush(events, (harness.now_us + SECOND // 10, request))
+                heappush(events, (harness.now_us + SECOND_US // 10, request))
             heappush(events, (next_call_us(), 0))
         if sends_us is not None:
             sends_us += [
@@ -84,15 +84,15 @@
     `rate` is the rate of calls that both workers serve together.
     """
     capacity_share = GUARDS.start_capacity + (1 - GUARDS.start_capacity) * age_us / GUARDS.warm_up_us
-    return capacity_share * GUARDS.overload_factor * rate / 2 * GUARDS.overload_window_us / SECOND
+    return capacity_share * GUARDS.overload_factor * rate / 2 * GUARDS.overload_window_us / SECOND_US
 
 
 @settings(max_examples=4, deadline=None)
 @given(st.integers(0, FRONT_ENDS), st.integers(0, GUARDS.overload_window_us), st.integers(0, 1 << 32))
-@example(0, SECOND // 2, 1)
-@example(FRONT_ENDS // 10, SECOND // 2, 1)  # as in a release
-@example(FRONT_ENDS * 7 // 10, SECOND // 2, 1)  # many are killed at the same time
-@example(FRONT_ENDS, SECOND // 2, 1)
+@example(0, SECOND_US // 2, 1)
+@example(FRONT_ENDS // 10, SECOND_US // 2, 1)  # as in a release
+@example(FRONT_ENDS * 7 // 10, SECOND_US // 2, 1)  # many are killed at the same time
+@example(FRONT_ENDS, SECOND_US // 2, 1)
 def test_budgets_of_all_front_ends_stay_within_the_limit_while_some_restart(
     restarted_count: int, worker_age_us: int, seed: int
 ) -> None:
@@ -133,7 +133,7 @@
         sent = 0
         for seed in range(10):
             harness = start_front_end(0, 1, started_us, RESTART_US)
-            serve_calls(harness, RESTART_US + GUARDS.overload_window_us + SECOND // 10, 40.0, Random(seed))
+            serve_calls(harness, RESTART_US + GUARDS.overload_window_us + SECOND_US // 10, 40.0, Random(seed))
             harness.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=RESTART_US))
             sent += use_up_budget(harness)
         return sent
--- a/packages/policy/tests/test_slow_start_fleet.py
+++ b/packages/policy/tests/test_slow_start_fleet.py
@@ -13,7 +13,7 @@
 from walnutpost import interface as api
 from walnutpost.policy import slow_start
 from walnutpost.testsupport.policy.harness import (
-    SECOND,
+    SECOND_US,
     SETTINGS,
     RouterHarness,
     actions_of_type,
@@ -22,10 +22,12 @@
 
 WARM_WORKERS = 10
 COLD_WORKER = WARM_WORKERS + 1
-GUARDS = replace(SETTINGS.guards, overload_window_us=SECOND * 3 // 2)
-START_US = 100 * SECOND
-LEARNING_TIME_US = 5 * SECOND  # before the worker restarts, so that the routers can measure the answer rate
-OBSERVED_TIME_US = 6 * SECOND
+GUARDS = replace(SETTINGS.guards, overload_window_us=SECOND_US * 3 // 2)
+START_US = 100 * SECOND_US
+LEARNING_TIME_US = (
+    5 * SECOND_US
+)  # before the worker restarts, so that the routers can measure the answer rate
+OBSERVED_TIME_US = 6 * SECOND_US
 MAX_NETWORK_DELAY_S = 0.002  # between the first byte of a call and its last
 SLOW_CONNECT_SHARE, MAX_CONNECT_TIME_S = 0.05, 1.0  # share of the sends that wait for a connection
 OFFERED_LOAD = 0.88  # calls, as a share of the capacity of all workers
@@ -39,7 +41,7 @@
 
 def allowed_calls(age_us: int, capacity: float) -> float:
     """Return N: the calls of mean cost within one window that the settings allow a worker of this age."""
-    return GUARDS.overload_factor * capacity_share(age_us) * capacity * GUARDS.overload_window_us / SECOND
+    return GUARDS.overload_factor * capacity_share(age_us) * capacity * GUARDS.overload_window_us / SECOND_US
 
 
 def overload_threshold(allowed: float) -> float:
@@ -75,10 +77,10 @@
     front_ends: int
     capacity: float  # calls per second that a warm worker serves
     seed: int = 1
-    listed_at_us: int = SECOND // 2  # when the worker list reports the restart
+    listed_at_us: int = SECOND_US // 2  # when the worker list reports the restart
     bursts_at_us: tuple[int, ...] = ()  # when all front ends get calls at the same time
     killed_share: float = 0.0  # share of the front ends that are killed and replaced immediately
-    killed_at_us: int = SECOND
+    killed_at_us: int = SECOND_US
     is_uneven: bool = True  # some front ends get several times the mean rate of calls
 
 
@@ -118,7 +120,7 @@
             index=index,
             may_order_loads=False,
             loads_on_miss=True,
-            has_weights=True,
+            has_endpoint_weights=True,
         )
         harness = RouterHarness(0, router_settings, seed=scenario.seed * 1000 + index, now_us=self.now_us)
         harness.send_worker_list(api.ListKind.CACHED, *(listed_worker(i + 1) for i in range(WARM_WORKERS)))
@@ -156,7 +158,7 @@
         return self
 
     def _schedule_next_call(self, index: int) -> None:
-        self._schedule(self.now_us + self.rng.expovariate(self.rates[index]) * SECOND, "call", index)
+        self._schedule(self.now_us + self.rng.expovariate(self.rates[index]) * SECOND_US, "call", index)
 
     def _call(self, index: int) -> None:
         self._schedule_next_call(index)
@@ -178,12 +180,12 @@
         for send in actions_of_type(api.Send, harness.last_actions):
             attempt = len(harness.router.requests.by_id[send.request].attempts) - 1
             is_slow = rng.random() < SLOW_CONNECT_SHARE
-            connected_us = self.now_us + int(rng.random() * MAX_CONNECT_TIME_S * SECOND * is_slow)
+            connected_us = self.now_us + int(rng.random() * MAX_CONNECT_TIME_S * SECOND_US * is_slow)
             arguments = (index, self.incarnations[index], send.request, attempt, send.worker)
             if connected_us > self.now_us + send.begin_within_us:
                 self._schedule(self.now_us + send.begin_within_us, "ended", *arguments, 0)
                 continue
-            arrived_us = connected_us + int(rng.random() * MAX_NETWORK_DELAY_S * SECOND)
+            arrived_us = connected_us + int(rng.random() * MAX_NETWORK_DELAY_S * SECOND_US)
             if send.worker == COLD_WORKER:
                 self.arrivals.append(arrived_us)
             self._schedule(self._answer_us(send.worker, arrived_us), "ended", *arguments, 1)
@@ -196,10 +198,10 @@
         """
         if worker_id != COLD_WORKER:
             arrived_us = max(arrived_us, self.free_at_us.get(worker_id, 0)) + int(
-                SECOND / self.scenario.capacity
+                SECOND_US / self.scenario.capacity
             )
             self.free_at_us[worker_id] = arrived_us
-        return arrived_us + self.rng.expovariate(1 / MEAN_ANSWER_TIME_S) * SECOND
+        return arrived_us + self.rng.expovariate(1 / MEAN_ANSWER_TIME_S) * SECOND_US
 
     def _ended(
         self, index: int, incarnation: int, request: int, attempt: int, worker_id: int, was_sent: int
@@ -208,7 +210,7 @@
             return
         harness = self.harnesses[index]
         harness.now_us = self.now_us
-        harness.end_attempt(request, attempt, worker_id, api.Outcome.OK if was_sent else api.Outcome.MOOT)
+        harness.end_attempt(request, attempt, worker_id, api.Outcome.OK if was_sent else api.Outcome.EXPIRED)
         self._apply_actions(index)
 
     def _listed(self) -> None:
@@ -241,7 +243,7 @@
 
 # The worker starts at a multiple of the window on the virtual clock, so one window later is a multiple, too.
 WINDOW_BOUNDARY_US = GUARDS.overload_window_us
-BURSTS_AROUND_A_BOUNDARY_US = (WINDOW_BOUNDARY_US - SECOND // 12, WINDOW_BOUNDARY_US + SECOND // 50)
+BURSTS_AROUND_A_BOUNDARY_US = (WINDOW_BOUNDARY_US - SECOND_US // 12, WINDOW_BOUNDARY_US + SECOND_US // 50)
 
 
 @pytest.mark.parametrize("capacity", [12.5, 40.0])
@@ -251,7 +253,9 @@
     peaks, utilizations = zip(
         *(peak_load_and_utilization(Scenario(front_ends, capacity, seed)) for seed in range(2)),
         peak_load_and_utilization(
-            Scenario(front_ends, capacity, 3, WINDOW_BOUNDARY_US - SECOND // 10, BURSTS_AROUND_A_BOUNDARY_US)
+            Scenario(
+                front_ends, capacity, 3, WINDOW_BOUNDARY_US - SECOND_US // 10, BURSTS_AROUND_A_BOUNDARY_US
+            )
         ),
         strict=True,
     )
@@ -265,8 +269,12 @@
     front_ends: int, killed_share: float
 ) -> None:
     """They are killed just after all have used up their budgets, when N is more than 100."""
-    listed_at_us = 6 * WINDOW_BOUNDARY_US - SECOND // 10
-    bursts_at_us = (listed_at_us + SECOND // 60, listed_at_us + SECOND, listed_at_us + SECOND * 3 // 2)
+    listed_at_us = 6 * WINDOW_BOUNDARY_US - SECOND_US // 10
+    bursts_at_us = (
+        listed_at_us + SECOND_US // 60,
+        listed_at_us + SECOND_US,
+        listed_at_us + SECOND_US * 3 // 2,
+    )
     scenario = Scenario(
         front_ends,
         40.0,
@@ -274,17 +282,17 @@
         listed_at_us,
         bursts_at_us,
         killed_share,
-        killed_at_us=listed_at_us + SECOND // 10,
+        killed_at_us=listed_at_us + SECOND_US // 10,
     )
     assert peak_load_and_utilization(scenario)[0] <= 1
 
 
 def test_the_checker_detects_one_call_too_many() -> None:
     """At an age of one second, N is 31.5 and the overload threshold 44.7. A window may begin at any time."""
-    started_us, capacity = START_US, allowed_calls(SECOND, 1.0) ** -1 * 31.5
-    arrivals_us = [started_us + SECOND + n * 10 for n in range(44)]
+    started_us, capacity = START_US, allowed_calls(SECOND_US, 1.0) ** -1 * 31.5
+    arrivals_us = [started_us + SECOND_US + n * 10 for n in range(44)]
     assert peak_load(arrivals_us, started_us, capacity) <= 1
-    assert peak_load([*arrivals_us, started_us + SECOND + 5], started_us, capacity) > 1
+    assert peak_load([*arrivals_us, started_us + SECOND_US + 5], started_us, capacity) > 1
     in_two_windows = [
         arrival_us + (GUARDS.overload_window_us if n % 2 else 0) for n, arrival_us in enumerate(arrivals_us)
     ]
@@ -298,7 +306,7 @@
     monkeypatch.setattr(slow_start, "SLOW_START_SAFETY_FACTOR", 4 * slow_start.SLOW_START_SAFETY_FACTOR)
     assert (
         peak_load_and_utilization(
-            Scenario(front_ends, 40.0, 3, WINDOW_BOUNDARY_US - SECOND // 10, BURSTS_AROUND_A_BOUNDARY_US)
+            Scenario(front_ends, 40.0, 3, WINDOW_BOUNDARY_US - SECOND_US // 10, BURSTS_AROUND_A_BOUNDARY_US)
         )[0]
         > 1
     )
@@ -310,16 +318,16 @@
     The window begins at a random time. Every front end has calls for the worker throughout the window, but
     none before. It measures the answer rate over the ten seconds before the window.
     """
-    rng, age_us, steps = Random(seed), SECOND, 12
+    rng, age_us, steps = Random(seed), SECOND_US, 12
     capacity = allowed / allowed_calls(age_us, 1.0)
-    begin_us = 1000 * SECOND + int(rng.random() * GUARDS.overload_window_us)
+    begin_us = 1000 * SECOND_US + int(rng.random() * GUARDS.overload_window_us)
     sends = 0
     for index in range(front_ends):
         router_settings = replace(SETTINGS, guards=GUARDS, front_ends=front_ends, index=index)
-        harness = RouterHarness(WARM_WORKERS, router_settings, now_us=begin_us - 100 * SECOND)
-        answered_us = begin_us - 10.0 * SECOND
+        harness = RouterHarness(WARM_WORKERS, router_settings, now_us=begin_us - 100 * SECOND_US)
+        answered_us = begin_us - 10.0 * SECOND_US
         while (
-            answered_us := answered_us + rng.expovariate(capacity * WARM_WORKERS / front_ends) * SECOND
+            answered_us := answered_us + rng.expovariate(capacity * WARM_WORKERS / front_ends) * SECOND_US
         ) < begin_us:
             harness.router.traffic.answers.add(int(answered_us))
         harness.now_us = begin_us
@@ -353,16 +361,16 @@
 
 def test_earlier_sends_still_count_when_an_unresponsive_worker_answers_again() -> None:
     """They may have arrived since the worker started, or may arrive with new ones when a partition heals."""
-    harness = RouterHarness(2, replace(SETTINGS, guards=replace(GUARDS, overload_window_us=3 * SECOND)))
+    harness = RouterHarness(2, replace(SETTINGS, guards=replace(GUARDS, overload_window_us=3 * SECOND_US)))
     harness.make_warm(1)
     for _ in range(100):
-        harness.now_us += SECOND // 10
+        harness.now_us += SECOND_US // 10
         harness.end_attempt(harness.send_request(), 0, 1)
     unresponsive_worker = harness.router.endpoints.workers[2]
     harness.router.context.now_us = harness.now_us
     unresponsive_worker.unresponsive_since_us = harness.now_us
     unresponsive_worker.recent_sends_us.extend([harness.now_us] * 60)
-    harness.now_us += SECOND + 1
+    harness.now_us += SECOND_US + 1
     harness.end_load_order(2)
     assert harness.router.slow_start.is_warming_up(unresponsive_worker)
     assert not harness.router.slow_start.has_budget(unresponsive_worker)
@@ -371,12 +379,12 @@
 def test_a_budget_of_more_than_512_sends_is_limited() -> None:
     """When only the last 512 sends were counted, a budget above 512 was unlimited."""
     harness = RouterHarness(2, replace(SETTINGS, guards=GUARDS))
-    for answered_us in range(harness.now_us, harness.now_us + 10 * SECOND, 500):
+    for answered_us in range(harness.now_us, harness.now_us + 10 * SECOND_US, 500):
         harness.router.traffic.answers.add(answered_us)
-    harness.now_us += 10 * SECOND
-    harness.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=harness.now_us - SECOND))
+    harness.now_us += 10 * SECOND_US
+    harness.send_worker_list(api.ListKind.DELTA, listed_worker(2, started_at_us=harness.now_us - SECOND_US))
     cold_worker, sent = harness.router.endpoints.workers[2], 0
     while harness.router.slow_start.has_budget(cold_worker) and sent < 3000:
         cold_worker.recent_sends_us.append(harness.now_us)
         sent += 1
-    assert 512 < sent <= allowed_calls(SECOND, 1000.0)
+    assert 512 < sent <= allowed_calls(SECOND_US, 1000.0)
--- a/packages/testsupport/src/walnutpost/testsupport/cron/fixtures.py
+++ b/packages/testsupport/src/walnutpost/testsupport/cron/fixtures.py
@@ -70,7 +70,7 @@
     return f"{minute} {hour} {day} {month} {weekday}", fields
 
 
-def list_matches(fields: CronFields, start_us: int, end_us: int) -> set[int]:
+def find_matching_minutes(fields: CronFields, start_us: int, end_us: int) -> set[int]:
     """Return the matching minutes from `start_us` until before `end_us`, by brute force."""
     return {
         now_us
--- a/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/gateway/golden_days.py
@@ -20,15 +20,15 @@
 from walnutpost import interface as api
 from walnutpost.testsupport.folders import golden_folder
 from walnutpost.testsupport.golden.neutral_values import from_neutral, to_neutral, write_lines
-from walnutpost.testsupport.policy.harness import KEYED_CLASS, SAFE_CLASS, SECOND, SETTINGS, UNSAFE_CLASS
+from walnutpost.testsupport.policy.harness import KEYED_CLASS, SAFE_CLASS, SECOND_US, SETTINGS, UNSAFE_CLASS
 from walnutpost.testsupport.policy.recorded_day import RecordedSimulation
 
 GOLDEN = golden_folder("gateway") / "days"
-START_US = 100 * SECOND
+START_US = 100 * SECOND_US
 MILLISECOND = 1000
 START_ROW = "start"
 INPUTS_PER_DAY = 2500
-OUTCOME_TTL_US, MAX_OUTCOME_BYTES = 2 * SECOND, 30_000
+OUTCOME_TTL_US, MAX_OUTCOME_BYTES = 2 * SECOND_US, 30_000
 Outcome = api.Outcome
 READY, DRAINING, GONE = api.WorkerState.READY, api.WorkerState.DRAINING, api.WorkerState.GONE
 
@@ -39,7 +39,7 @@
     for index in range(9)
 )
 SETTINGS_BY_SITE: dict[str, api.Settings] = {
-    "plain": replace(SETTINGS, classes=(SAFE_CLASS, UNSAFE_CLASS, KEYED_CLASS), keep_alive_us=4 * SECOND),
+    "plain": replace(SETTINGS, classes=(SAFE_CLASS, UNSAFE_CLASS, KEYED_CLASS), keep_alive_us=4 * SECOND_US),
     "rationed": replace(
         SETTINGS,
         classes=(SAFE_CLASS, UNSAFE_CLASS, replace(KEYED_CLASS, dedup_scope=api.DedupScope.ALL)),
@@ -48,7 +48,7 @@
             SETTINGS.guards,
             free_load_orders=4.0,
             load_orders_per_request=0.3,
-            load_order_window_us=2 * SECOND,
+            load_order_window_us=2 * SECOND_US,
         ),
         front_ends=3,
         may_miss_restarts=True,
@@ -102,7 +102,7 @@
         self.open_attempts: set[tuple[int, int]] = set()
         self.send_endpoint_list(api.ListKind.CACHED)
         self.schedule(0, self.send_calls)
-        self.schedule(SECOND, self.disturb_worker)
+        self.schedule(SECOND_US, self.disturb_worker)
 
     def feed(self, event: gw.Input) -> None:
         """Pass an input to the Gateway, record it with its effects, and carry out the effects."""
@@ -152,7 +152,7 @@
             ended = self.with_outcome(ended, Outcome.CONNECT_FAILED, MILLISECOND)
         elif draw < 0.06:
             outcomes = [Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.EXPIRED, Outcome.TIMEOUT]
-            ended = self.with_outcome(ended, self.random.choice(outcomes), int(draw * SECOND))
+            ended = self.with_outcome(ended, self.random.choice(outcomes), int(draw * SECOND_US))
         elif copy not in self.copies:
             ended = self.with_outcome(ended, Outcome.MISS, 2 * MILLISECOND)
         elif draw < 0.1:
@@ -175,7 +175,7 @@
         draw, copy = self.random.random(), (order.worker, order.function)
         outcome, latency, copies = Outcome.OK, 2 * MILLISECOND, int(copy in self.copies)
         if self.silent_until.get(order.worker, 0) > self.now_us:
-            outcome, latency = Outcome.TIMEOUT, 3 * SECOND
+            outcome, latency = Outcome.TIMEOUT, 3 * SECOND_US
         elif self.states.get(order.worker) is GONE:
             outcome = Outcome.CONNECT_FAILED
         elif order.copies and draw < 0.12:
@@ -193,9 +193,9 @@
 
     def send_calls(self) -> None:
         """Send a call and schedule the next; in one of every eight seconds calls are more frequent."""
-        burst = (self.now_us - START_US) // SECOND % 8 == 5
+        burst = (self.now_us - START_US) // SECOND_US % 8 == 5
         self.send_call()
-        self.schedule(int(self.random.expovariate((250 if burst else 35) / SECOND)) + 1, self.send_calls)
+        self.schedule(int(self.random.expovariate((250 if burst else 35) / SECOND_US)) + 1, self.send_calls)
 
     def send_call(self) -> None:
         """Send a random call; at random, its caller leaves or stops it later."""
@@ -211,7 +211,7 @@
                 caller_id,
                 function.name if definition is None else definition.name,
                 b"%d" % rng.randrange(3) * (1 if rng.random() < 0.9 else 200),
-                rng.choice([3 * SECOND, SECOND, 300 * MILLISECOND, 0]),
+                rng.choice([3 * SECOND_US, SECOND_US, 300 * MILLISECOND, 0]),
                 rng.choice([*self.tenants, None]) if self.tenants else None,
                 key,
                 rng.random() < 0.1,
@@ -246,7 +246,7 @@
                 self.states[name] = DRAINING
                 self.send_endpoint_list(api.ListKind.DELTA, name)
             case "silent":
-                self.silent_until[name] = self.now_us + rng.randrange(2 * SECOND)
+                self.silent_until[name] = self.now_us + rng.randrange(2 * SECOND_US)
             case "restart":
                 self.states[name], self.restarted_at[name] = READY, self.now_us
                 self.copies = {copy for copy in self.copies if copy[0] != name}
@@ -261,14 +261,14 @@
                 self.send_endpoint_list(api.ListKind.FULL)
             case "ping":
                 self.feed(gw.ProbeEnded(name, rng.choice([Outcome.OK, Outcome.TIMEOUT]), MILLISECOND, ()))
-        self.schedule(rng.randrange(SECOND // 2), self.disturb_worker)
+        self.schedule(rng.randrange(SECOND_US // 2), self.disturb_worker)
 
 
 def record_day(site: str, seed: int) -> list[Any]:
     """Simulate a day with a shutdown near its end, and return its rows."""
     day = GatewayDay(site, seed)
     day.run(INPUTS_PER_DAY * 9 // 10)
-    day.feed(gw.ShuttingDown(2 * SECOND))
+    day.feed(gw.ShuttingDown(2 * SECOND_US))
     day.run(INPUTS_PER_DAY // 10)
     return day.rows
 
--- a/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/golden_days.py
@@ -19,11 +19,11 @@
 from walnutpost.policy import Router
 from walnutpost.testsupport.folders import golden_folder
 from walnutpost.testsupport.golden.neutral_values import to_neutral, write_lines
-from walnutpost.testsupport.policy.harness import KEYED_CLASS, SAFE_CLASS, SECOND, SETTINGS, UNSAFE_CLASS
+from walnutpost.testsupport.policy.harness import KEYED_CLASS, SAFE_CLASS, SECOND_US, SETTINGS, UNSAFE_CLASS
 from walnutpost.testsupport.policy.recorded_day import RecordedSimulation
 
 GOLDEN_DIR = golden_folder("policy")
-START_US = 100 * SECOND
+START_US = 100 * SECOND_US
 MILLISECOND_US = 1000
 INPUTS_PER_RECORDING = 3000
 START_MARKER = "start"
@@ -45,8 +45,8 @@
 READY, DRAINING, GONE = api.WorkerState.READY, api.WorkerState.DRAINING, api.WorkerState.GONE
 Outcome = api.Outcome
 
-STREAM_CLASS = replace(SAFE_CLASS, is_stream=True, priority_weight=0.5, latency_objective_us=SECOND // 2)
-CELL_KEYED_CLASS = replace(KEYED_CLASS, dedup_scope=api.DedupScope.CELL, repeat_window_us=SECOND // 2)
+STREAM_CLASS = replace(SAFE_CLASS, is_stream=True, priority_weight=0.5, latency_objective_us=SECOND_US // 2)
+CELL_KEYED_CLASS = replace(KEYED_CLASS, dedup_scope=api.DedupScope.CELL, repeat_window_us=SECOND_US // 2)
 CLASSES = (
     SAFE_CLASS,
     UNSAFE_CLASS,
@@ -56,9 +56,11 @@
     replace(KEYED_CLASS, dedup_scope=api.DedupScope.ALL, priority_weight=0.3),
 )
 LOAD_LIMIT_GUARDS = replace(
-    SETTINGS.guards, free_load_orders=4.0, load_orders_per_request=0.25, load_order_window_us=2 * SECOND
+    SETTINGS.guards, free_load_orders=4.0, load_orders_per_request=0.25, load_order_window_us=2 * SECOND_US
+)
+BASE_SETTINGS = replace(
+    SETTINGS, classes=CLASSES, keep_alive_us=4 * SECOND_US, load_order_timeout_us=3 * SECOND_US
 )
-BASE_SETTINGS = replace(SETTINGS, classes=CLASSES, keep_alive_us=4 * SECOND, load_order_timeout_us=3 * SECOND)
 
 SETTINGS_BY_SITE: dict[str, api.Settings] = {
     "plain": BASE_SETTINGS,
@@ -73,7 +75,7 @@
     ),
     "ideal": replace(
         BASE_SETTINGS,
-        guards=replace(LOAD_LIMIT_GUARDS, watch_within_us=SECOND),
+        guards=replace(LOAD_LIMIT_GUARDS, watch_within_us=SECOND_US),
         is_ideal_network=True,
         loads_on_miss=True,
         front_ends=3,
@@ -84,9 +86,12 @@
     "restarting": replace(
         BASE_SETTINGS,
         guards=replace(
-            LOAD_LIMIT_GUARDS, free_load_orders=3.0, load_orders_per_request=0.4, watch_within_us=SECOND // 2
+            LOAD_LIMIT_GUARDS,
+            free_load_orders=3.0,
+            load_orders_per_request=0.4,
+            watch_within_us=SECOND_US // 2,
         ),
-        limits=api.Limits(False, True, False, False, 3, SECOND),
+        limits=api.Limits(False, True, False, False, 3, SECOND_US),
         prices=replace(BASE_SETTINGS.prices, probe=0.2),
         front_ends=2,
         memory_mb_by_kind=(512.0, 2048.0),
@@ -148,7 +153,7 @@
             self.add_worker(started=0)
         self.send_worker_list(api.ListKind.CACHED)
         self.schedule(0, self.generate_arrivals)
-        self.schedule(SECOND, self.inject_fleet_event)
+        self.schedule(SECOND_US, self.inject_fleet_event)
 
     # Events and virtual time
 
@@ -269,7 +274,7 @@
             return Outcome.ERROR, 100 * MILLISECOND_US, api.Warmth.LOAD_FAILED
         worker.copies.add(function)
         warmth = api.Warmth.STARTED_LOAD if draw < 0.8 else api.Warmth.JOINED_LOAD
-        return Outcome.OK, min(service_us + SECOND // 3, send.timeout_us), warmth
+        return Outcome.OK, min(service_us + SECOND_US // 3, send.timeout_us), warmth
 
     def end_attempt(
         self,
@@ -345,10 +350,10 @@
 
     def generate_arrivals(self) -> None:
         """Send a request and schedule the next; the rate varies, with bursts that overload the fleet."""
-        phase = (self.now_us - START_US) // SECOND % 12
+        phase = (self.now_us - START_US) // SECOND_US % 12
         requests_per_s = 25.0 if self.is_low_traffic else {3: 120.0, 7: 400.0, 8: 400.0}.get(phase, 30.0)
         self.send_request()
-        self.schedule(int(self.random.expovariate(requests_per_s / SECOND)) + 1, self.generate_arrivals)
+        self.schedule(int(self.random.expovariate(requests_per_s / SECOND_US)) + 1, self.generate_arrivals)
 
     def send_request(self, is_repeat: bool = False) -> None:
         """Send a request of a random class and function; some are cancelled later."""
@@ -436,12 +441,12 @@
         match random.choice(FLEET_EVENTS):
             case "drain":
                 self.update_worker(worker, state=DRAINING)
-                self.schedule(random.randrange(2 * SECOND), lambda: self.restart_worker(worker))
+                self.schedule(random.randrange(2 * SECOND_US), lambda: self.restart_worker(worker))
             case "silent" if self.is_low_traffic:
                 for silent_worker in random.sample(list(self.workers.values()), len(self.workers) * 3 // 4):
-                    silent_worker.silent_until_us = self.now_us + random.randrange(SECOND, 3 * SECOND)
+                    silent_worker.silent_until_us = self.now_us + random.randrange(SECOND_US, 3 * SECOND_US)
             case "silent":
-                worker.silent_until_us = self.now_us + random.randrange(3 * SECOND)
+                worker.silent_until_us = self.now_us + random.randrange(3 * SECOND_US)
             case "slow":
                 worker.latency_factor = random.choice([1.0, 2.0, 5.0])
             case "fail":
@@ -450,7 +455,7 @@
                 worker.copies.clear()
             case "restart":
                 worker.refuses_connections = True
-                self.schedule(SECOND // 2, lambda: self.restart_worker(worker))
+                self.schedule(SECOND_US // 2, lambda: self.restart_worker(worker))
             case "gone" if sum(w.info.state is READY for w in self.workers.values()) > 4:
                 self.update_worker(worker, state=GONE)
             case "new" if len(self.workers) < 14:
@@ -475,7 +480,8 @@
                     )
                 )
         self.schedule(
-            random.randrange(4 * SECOND if self.is_low_traffic else SECOND // 2), self.inject_fleet_event
+            random.randrange(4 * SECOND_US if self.is_low_traffic else SECOND_US // 2),
+            self.inject_fleet_event,
         )
 
 
@@ -486,13 +492,13 @@
     changed = replace(
         SETTINGS_BY_SITE[site],
         limits=replace(SETTINGS_BY_SITE[site].limits, max_attempts=4),
-        keep_alive_us=2 * SECOND,
+        keep_alive_us=2 * SECOND_US,
         front_ends=SETTINGS_BY_SITE[site].front_ends + 1,
     )
     simulation.start_incarnation(changed, seed + 1)
     simulation.send_worker_list(api.ListKind.CACHED)
     simulation.run(INPUTS_PER_RECORDING // 4)
-    simulation.feed(api.ShuttingDown(2 * SECOND))
+    simulation.feed(api.ShuttingDown(2 * SECOND_US))
     simulation.run(INPUTS_PER_RECORDING // 12)
     return simulation.rows
 
--- a/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/policy/harness.py
@@ -8,28 +8,28 @@
 from walnutpost import interface as api
 from walnutpost.policy import Router
 
-SECOND = 1_000_000
-KEEP_ALIVE_US = 10 * SECOND
+SECOND_US = 1_000_000
+KEEP_ALIVE_US = 10 * SECOND_US
 
 SAFE_CLASS = api.RequestClass(
-    SECOND, 3 * SECOND, 1.0, 0.2, api.Effect.SAFE, api.DedupScope.ALL, 0, False, 0.0
+    SECOND_US, 3 * SECOND_US, 1.0, 0.2, api.Effect.SAFE, api.DedupScope.ALL, 0, False, 0.0
 )
 UNSAFE_CLASS = replace(SAFE_CLASS, priority_weight=2.0, effect=api.Effect.UNSAFE)
 KEYED_CLASS = replace(
-    SAFE_CLASS, effect=api.Effect.KEYED, dedup_scope=api.DedupScope.ZONE, repeat_window_us=SECOND
+    SAFE_CLASS, effect=api.Effect.KEYED, dedup_scope=api.DedupScope.ZONE, repeat_window_us=SECOND_US
 )
 SETTINGS = api.Settings(
     classes=(SAFE_CLASS, UNSAFE_CLASS, KEYED_CLASS),
     tenants=(),
-    limits=api.Limits(True, False, True, True, 5, SECOND),
-    guards=api.Guards(16_000, SECOND, 16 * SECOND, 0.2, 4.0, SECOND, 0, 0.0, 0.0, 0),
+    limits=api.Limits(True, False, True, True, 5, SECOND_US),
+    guards=api.Guards(16_000, SECOND_US, 16 * SECOND_US, 0.2, 4.0, SECOND_US, 0, 0.0, 0.0, 0),
     prices=api.Prices(0.0, 0.05, 0.01, 0.05, 0.03, 0.05),
     zone=0,
     front_ends=1,
     index=0,
     tick_us=4_000,
     keep_alive_us=KEEP_ALIVE_US,
-    load_order_timeout_us=10 * SECOND,
+    load_order_timeout_us=10 * SECOND_US,
     may_order_loads=True,
     loads_on_miss=False,
     reports_warmth=True,
@@ -53,11 +53,15 @@
 class RouterHarness:
     """A router that knows the ready workers 1 to `workers`. Tests feed it events and read its actions.
 
-    The clock moves only when a test sets `now` or calls `pass_time`.
+    The clock moves only when a test sets `now_us` or calls `advance_time`.
     """
 
     def __init__(
-        self, workers: int = 4, settings: api.Settings = SETTINGS, seed: int = 1, now_us: int = 100 * SECOND
+        self,
+        workers: int = 4,
+        settings: api.Settings = SETTINGS,
+        seed: int = 1,
+        now_us: int = 100 * SECOND_US,
     ) -> None:
         self.now_us = now_us
         self.router = Router(settings, seed)
@@ -77,7 +81,11 @@
         return self.feed(api.WorkersListed(kind, 1, workers))
 
     def send_request(
-        self, function: int = 7, class_index: int = 0, time_left_us: int = 3 * SECOND, concurrency: float = 2
+        self,
+        function: int = 7,
+        class_index: int = 0,
+        time_left_us: int = 3 * SECOND_US,
+        concurrency: float = 2,
     ) -> int:
         """Send a request to the router; return the ID of the request."""
         self._last_request_id += 1
@@ -91,7 +99,7 @@
                 None,
                 300.0,
                 concurrency,
-                SECOND // 2,
+                SECOND_US // 2,
                 False,
             )
         )
