--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -1,4 +1,4 @@
-"""The cache files beside the store: torn ones are logged and ignored, failed writes are repeated."""
+"""The cache files next to the store: torn files are logged and ignored, failed writes are retried."""
 
 from __future__ import annotations
 
@@ -19,45 +19,45 @@
 from walnutpost.testsupport.daemon.front_end_calls import kill_front_end
 from walnutpost.testsupport.store.disk_faults import scripted_files
 
-CALLS = ["write", "fsync", "rename", "fsync folder"]
+FILE_OPERATIONS = ["write", "fsync", "rename", "fsync folder"]
 
 
-@pytest.mark.parametrize("call", CALLS)
-def test_table_cache_when_writes_fail_is_written_within_two_seconds_of_the_fault_s_end(
-    tmp_path: Path, call: str
+@pytest.mark.parametrize("operation", FILE_OPERATIONS)
+def test_config_cache_is_written_within_two_seconds_after_the_disk_recovers(
+    tmp_path: Path, operation: str
 ) -> None:
-    f, path = ConfigFleet(tmp_path), tmp_path / "calls.db.table"
+    fleet, path = ConfigFleet(tmp_path), tmp_path / "calls.db.table"
 
     def script() -> None:
-        f.until(path.exists)
-        f.loop.sleep(40 * SECOND)
+        fleet.until(path.exists)
+        fleet.loop.sleep(40 * SECOND)
         with scripted_files() as files:
-            files.fails[call] = 1_000
-            f.change(put_function("left", 2))
-            f.until(lambda: files.fails[call] < 997)
-            assert f.invoked_version("left") == "2"  # calls are served meanwhile
-            files.fails[call], ended_us = 0, f.loop.now()
-            f.until(lambda: files.calls[-1] == "fsync folder" and files.fails[call] == 0)
-            assert f.loop.now() - ended_us < 2 * SECOND
-            assert ConfigStore.restore(path.read_bytes()).revision == f.relay.table.revision
+            files.fails[operation] = 1_000
+            fleet.commit_and_wait(put_function("left", 2))
+            fleet.until(lambda: files.fails[operation] < 997)
+            assert fleet.invoked_version("left") == "2"  # calls are served while writes fail
+            files.fails[operation], ended_us = 0, fleet.loop.now()
+            fleet.until(lambda: files.calls[-1] == "fsync folder" and files.fails[operation] == 0)
+            assert fleet.loop.now() - ended_us < 2 * SECOND
+            assert ConfigStore.restore(path.read_bytes()).revision == fleet.relay.store.revision
 
-    f.play(script)
+    fleet.run_script(script)
 
 
-def test_table_cache_after_a_kill_while_writing_is_the_former_without_leftovers(tmp_path: Path) -> None:
-    f, path = ConfigFleet(tmp_path), tmp_path / "calls.db.table"
+def test_kill_during_a_cache_write_keeps_the_previous_cache_and_no_temporary_file(tmp_path: Path) -> None:
+    fleet, path = ConfigFleet(tmp_path), tmp_path / "calls.db.table"
 
     def script() -> None:
-        f.change(put_function("left", 2))
-        kill_front_end(f)
-        f.relay.kill()
+        fleet.commit_and_wait(put_function("left", 2))
+        kill_front_end(fleet)
+        fleet.relay.kill()
         leftover = path.with_name(path.name + ".0a1b2c3d.new")
         leftover.write_bytes(path.read_bytes()[:100])
-        f.start_front_end()
-        assert f.invoked_version("left") == "2"
+        fleet.start_front_end()
+        assert fleet.invoked_version("left") == "2"
         assert not leftover.exists()
 
-    f.play(script)
+    fleet.run_script(script)
 
 
 class FakeEndpointLists:
@@ -70,7 +70,7 @@
 
 
 class FakeReporter:
-    """Gives the replies in order, and is unreachable after them."""
+    """Returns the given replies in order, then None as if the control plane were unreachable."""
 
     def __init__(self, *replies: CommandReply) -> None:
         self._replies = list(replies)
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("content", [b"", b"\x92\x05", b"\xff"])
-def test_endpoint_cache_when_torn_is_logged_and_not_used(tmp_path: Path, content: bytes) -> None:
+def test_torn_endpoint_cache_is_logged_and_ignored(tmp_path: Path, content: bytes) -> None:
     loop, log, lists, path = Loop(VirtualClock()), Log(), FakeEndpointLists(), tmp_path / "calls.db.agreed"
     path.write_bytes(content)
 
@@ -103,14 +103,14 @@
     ]
 
 
-@pytest.mark.parametrize("call", CALLS)
-def test_endpoint_cache_when_writes_fail_is_written_with_a_later_report(tmp_path: Path, call: str) -> None:
+@pytest.mark.parametrize("operation", FILE_OPERATIONS)
+def test_failed_endpoint_cache_write_is_retried_with_a_later_report(tmp_path: Path, operation: str) -> None:
     loop, lists, path = Loop(VirtualClock()), FakeEndpointLists(), tmp_path / "calls.db.agreed"
 
     def script() -> None:
         reply = CommandReply(CommandResult(True, 1), endpoints=EndpointSnapshot(5, ()))
         first = make_membership(loop, path, lists, Log(), reply)
-        files.fails[call] = 3
+        files.fails[operation] = 3
         first.catch_up()
         task = loop.spawn(first.run)
         loop.sleep(2 * SECOND)
@@ -125,11 +125,11 @@
     assert lists.published_revisions == [5, 5]
 
 
-@pytest.mark.parametrize("call", CALLS)
-def test_schedule_progress_when_a_write_fails_is_written_by_the_next_call(tmp_path: Path, call: str) -> None:
+@pytest.mark.parametrize("operation", FILE_OPERATIONS)
+def test_schedule_progress_can_be_written_after_a_failed_write(tmp_path: Path, operation: str) -> None:
     progress = ScheduleProgressFile(tmp_path / "seen")
     with scripted_files() as files:
-        files.fails[call] = 1
+        files.fails[operation] = 1
         with pytest.raises(OSError, match=r"No space|Input/output"):
             progress.write(7, 70)
         progress.write(7, 80)
@@ -137,6 +137,6 @@
 
 
 @pytest.mark.parametrize("content", [b"", b"7", b"\xff\xff", b"7 x"])
-def test_schedule_progress_when_torn_shows_nothing(tmp_path: Path, content: bytes) -> None:
+def test_torn_schedule_progress_is_ignored(tmp_path: Path, content: bytes) -> None:
     (tmp_path / "seen").write_bytes(content)
     assert ScheduleProgressFile(tmp_path / "seen").uncertain_until(6) == 0
--- a/packages/daemon/tests/test_config_cache.py
+++ b/packages/daemon/tests/test_config_cache.py
@@ -1,4 +1,4 @@
-"""The file of the last applied configuration: when it is written, and starts that need it."""
+"""The cache file of the last applied configuration: when it is written, and starts that depend on it."""
 
 from __future__ import annotations
 
@@ -21,182 +21,188 @@
 from walnutpost.testsupport.daemon.front_end_calls import EVENT, describe_execution, kill_front_end
 
 
-def test_start_without_relays_applies_the_cached_table(tmp_path: Path) -> None:
-    f = ConfigFleet(tmp_path)
+def test_start_without_relays_uses_the_cached_config(tmp_path: Path) -> None:
+    fleet = ConfigFleet(tmp_path)
 
     def script() -> None:
-        f.change(put_function("left", 2), put_function("extra", 5), delete_function("right"))
-        response = f.invoke("extra", b"9", x_amz_invocation_type=EVENT)
-        kill_front_end(f)
-        assert f.relay.requests[-1].is_leaving
-        f.relay.kill()
-        before = f.loop.now()
-        f.remove_from_own_config("extra")
-        f.start_front_end()
-        assert f.loop.now() - before <= 2 * SECOND
-        assert f.invoked_version("left") == "2"
-        assert f.invoked_version("extra") == "5"
-        assert f.invoke("right").status == 404
-        f.until(lambda: describe_execution(f, response)["Status"] == "SUCCEEDED")
-        assert f.watch.watch_state.applied_revision == 2
-        f.loop.sleep(30 * SECOND)
-        assert f.watch.is_stale
-        assert f.count_logged("config_stale", "") == 1
-        assert f.invoked_version("left") == "2"
-
-    f.play(script)
-
-
-@pytest.mark.parametrize("end", ["agreed", "removed", "stopped", "late"])
-def test_recovered_call_of_an_agreed_function_waits_until_the_table_is_received(
-    tmp_path: Path, end: str
-) -> None:
-    """Without relays and cache: the function may be in a table that was not received yet."""
-    f = ConfigFleet(tmp_path)
+        fleet.commit_and_wait(put_function("left", 2), put_function("extra", 5), delete_function("right"))
+        response = fleet.invoke("extra", b"9", x_amz_invocation_type=EVENT)
+        kill_front_end(fleet)
+        assert fleet.relay.requests[-1].is_leaving
+        fleet.relay.kill()
+        started_us = fleet.loop.now()
+        fleet.remove_from_own_config("extra")
+        fleet.start_front_end()
+        assert fleet.loop.now() - started_us <= 2 * SECOND
+        assert fleet.invoked_version("left") == "2"
+        assert fleet.invoked_version("extra") == "5"
+        assert fleet.invoke("right").status == 404
+        fleet.until(lambda: describe_execution(fleet, response)["Status"] == "SUCCEEDED")
+        assert fleet.config_watch.watch_state.applied_revision == 2
+        fleet.loop.sleep(30 * SECOND)
+        assert fleet.config_watch.is_stale
+        assert fleet.count_logged("config_stale", "") == 1
+        assert fleet.invoked_version("left") == "2"
+
+    fleet.run_script(script)
+
+
+@pytest.mark.parametrize("outcome", ["received", "removed", "stopped", "expired"])
+def test_recovered_call_of_a_dynamic_function_waits_for_the_config(tmp_path: Path, outcome: str) -> None:
+    """Without relays and without a cache, the function may be in a configuration not received yet."""
+    fleet = ConfigFleet(tmp_path)
 
     def script() -> None:
-        f.change(put_function("extra", 5))
+        fleet.commit_and_wait(put_function("extra", 5))
         context = base64.b64encode(b'{"custom": {"deadline-ms": 60000}}').decode()
-        response = f.invoke("extra", b"9", x_amz_invocation_type=EVENT, x_amz_client_context=context)
-        kill_front_end(f)
-        watch = f.relay.watch
-        answer = watch.handle
-        watch.handle = lambda *_: Response(503)  # type: ignore[method-assign]
+        response = fleet.invoke("extra", b"9", x_amz_invocation_type=EVENT, x_amz_client_context=context)
+        kill_front_end(fleet)
+        watch_server = fleet.relay.watch_server
+        handle = watch_server.handle
+        watch_server.handle = lambda *_: Response(503)  # type: ignore[method-assign]
         (tmp_path / "calls.db.table").unlink()
-        f.remove_from_own_config("extra")
-        f.start_front_end()
-        assert f.invoke("extra").status == 404
-        assert describe_execution(f, response)["Status"] == "RUNNING"
-        f.loop.sleep(SECOND)
-        assert describe_execution(f, response)["Status"] == "RUNNING"
-        if end == "stopped":
-            f.ask("POST", execution_path(response) + "/stop")
-        elif end == "late":
-            f.loop.sleep(120 * SECOND)
+        fleet.remove_from_own_config("extra")
+        fleet.start_front_end()
+        assert fleet.invoke("extra").status == 404
+        assert describe_execution(fleet, response)["Status"] == "RUNNING"
+        fleet.loop.sleep(SECOND)
+        assert describe_execution(fleet, response)["Status"] == "RUNNING"
+        if outcome == "stopped":
+            fleet.ask("POST", execution_path(response) + "/stop")
+        elif outcome == "expired":
+            fleet.loop.sleep(120 * SECOND)
         else:
-            if end == "removed":
-                f.relay.change([delete_function("extra")])
-            watch.handle = answer  # type: ignore[method-assign]
-        wanted = {"agreed": "SUCCEEDED", "removed": "FAILED", "stopped": "STOPPED", "late": "TIMED_OUT"}[end]
-        f.until(lambda: describe_execution(f, response)["Status"] != "RUNNING")
-        assert describe_execution(f, response)["Status"] == wanted, describe_execution(f, response)
+            if outcome == "removed":
+                fleet.relay.commit([delete_function("extra")])
+            watch_server.handle = handle  # type: ignore[method-assign]
+        expected_status = {
+            "received": "SUCCEEDED",
+            "removed": "FAILED",
+            "stopped": "STOPPED",
+            "expired": "TIMED_OUT",
+        }[outcome]
+        fleet.until(lambda: describe_execution(fleet, response)["Status"] != "RUNNING")
+        assert describe_execution(fleet, response)["Status"] == expected_status, describe_execution(
+            fleet, response
+        )
 
-    f.play(script)
+    fleet.run_script(script)
 
 
-@pytest.mark.parametrize("damage", ["flipped", "short", "empty"])
-def test_cached_table_when_corrupt_is_logged_and_not_used(tmp_path: Path, damage: str) -> None:
-    f = ConfigFleet(tmp_path)
+@pytest.mark.parametrize("corruption", ["bit flip", "truncated", "empty"])
+def test_corrupt_config_cache_is_logged_and_ignored(tmp_path: Path, corruption: str) -> None:
+    fleet = ConfigFleet(tmp_path)
 
     def script() -> None:
-        f.change(put_function("left", 2))
-        kill_front_end(f)
-        table = f.relay.table
-        f.relay.kill()
+        fleet.commit_and_wait(put_function("left", 2))
+        kill_front_end(fleet)
+        store = fleet.relay.store
+        fleet.relay.kill()
         cache_file = tmp_path / "calls.db.table"
         data = bytearray(cache_file.read_bytes())
-        if damage == "flipped":
+        if corruption == "bit flip":
             data[len(data) // 2] ^= 4
         cache_file.write_bytes(
-            data if damage == "flipped" else data[: len(data) // 2] if damage == "short" else b""
+            data if corruption == "bit flip" else data[: len(data) // 2] if corruption == "truncated" else b""
         )
-        f.start_front_end()
-        assert f.count_logged("config_cache_ignored", "calls.db.table") == 1
-        assert f.invoked_version("left") == "1"  # of its own configuration
-        f.front.stop()
-        f.front.close()
-        f.start_relay(table)
-        f.start_front_end()
-        assert f.invoked_version("left") == "2"
+        fleet.start_front_end()
+        assert fleet.count_logged("config_cache_ignored", "calls.db.table") == 1
+        assert fleet.invoked_version("left") == "1"  # from its own configuration
+        fleet.front.stop()
+        fleet.front.close()
+        fleet.start_relay(store)
+        fleet.start_front_end()
+        assert fleet.invoked_version("left") == "2"
 
-    f.play(script)
+    fleet.run_script(script)
 
 
-def test_silent_relay_delays_a_start_by_a_second_and_no_call(tmp_path: Path) -> None:
-    f = ConfigFleet(tmp_path)
+def test_silent_relay_delays_the_start_by_at_most_two_seconds_and_no_call(tmp_path: Path) -> None:
+    fleet = ConfigFleet(tmp_path)
 
     def script() -> None:
-        f.front.stop()
-        f.front.close()
+        fleet.front.stop()
+        fleet.front.close()
         (tmp_path / "calls.db.table").unlink()
-        f.relay.watch.handle = lambda *_: f.loop.sleep(3600 * SECOND)  # type: ignore[assignment, method-assign]
-        before = f.loop.now()
-        f.start_front_end()
-        assert f.loop.now() - before <= 2 * SECOND
-        before = f.loop.now()
-        assert f.invoked_version("left") == "1"
-        assert f.loop.now() - before < SECOND
-        assert f.front.fleet is None
+        fleet.relay.watch_server.handle = lambda *_: fleet.loop.sleep(3600 * SECOND)  # type: ignore[assignment, method-assign]
+        started_us = fleet.loop.now()
+        fleet.start_front_end()
+        assert fleet.loop.now() - started_us <= 2 * SECOND
+        started_us = fleet.loop.now()
+        assert fleet.invoked_version("left") == "1"
+        assert fleet.loop.now() - started_us < SECOND
+        assert fleet.front.fleet is None
 
-    f.play(script)
+    fleet.run_script(script)
 
 
-def test_entry_when_a_bit_is_flipped_is_reloaded_and_the_cache_is_intact_again(tmp_path: Path) -> None:
-    f = ConfigFleet(tmp_path)
+def test_corrupt_entry_in_memory_is_reloaded_and_the_cache_is_correct_afterwards(tmp_path: Path) -> None:
+    fleet = ConfigFleet(tmp_path)
 
     def script() -> None:
-        f.change(put_function("left", 2))
-        table = f.watch.watch_state.store
+        fleet.commit_and_wait(put_function("left", 2))
+        store = fleet.config_watch.watch_state.store
         key = FUNCTION_PREFIX + "left"
-        flipped = Entry(key, function_entry(3), table.entries[key].revision)
-        table.entries = table.entries.set(key, flipped)
-        f.change(put_function("right", 2))
-        f.until(lambda: f.count_logged("config_repaired", "1 keys") == 1)
-        assert (f.invoked_version("left"), f.invoked_version("right")) == ("2", "2")
-        f.loop.sleep(30 * SECOND)
-        cached_table = ConfigStore.restore((tmp_path / "calls.db.table").read_bytes())
-        assert cached_table.revision == 3
-        assert cached_table.entries[key].value == function_entry(2)
+        corrupt_entry = Entry(key, function_entry(3), store.entries[key].revision)
+        store.entries = store.entries.set(key, corrupt_entry)
+        fleet.commit_and_wait(put_function("right", 2))
+        fleet.until(lambda: fleet.count_logged("config_repaired", "1 keys") == 1)
+        assert (fleet.invoked_version("left"), fleet.invoked_version("right")) == ("2", "2")
+        fleet.loop.sleep(30 * SECOND)
+        cached_store = ConfigStore.restore((tmp_path / "calls.db.table").read_bytes())
+        assert cached_store.revision == 3
+        assert cached_store.entries[key].value == function_entry(2)
 
-    f.play(script)
+    fleet.run_script(script)
 
 
-def test_flipped_entry_in_the_cache_is_rewritten_once_it_is_found(tmp_path: Path) -> None:
-    f = ConfigFleet(tmp_path)
+def test_corrupt_entry_in_the_cache_is_rewritten_after_it_is_detected(tmp_path: Path) -> None:
+    fleet = ConfigFleet(tmp_path)
     cache_file = tmp_path / "calls.db.table"
 
     def script() -> None:
-        f.change(put_function("left", 2))
-        f.loop.sleep(3 * WRITE_INTERVAL_US)  # digest check done, and the cache written
-        f.change(put_function("right", 2))
-        f.change(put_function("right", 3))  # its digest check is due a few seconds after the previous one
-        table, key = f.watch.watch_state.store, FUNCTION_PREFIX + "left"
-        table.entries = table.entries.set(key, Entry(key, function_entry(7), table.entries[key].revision))
-        f.watch.cache.mark_outdated()
-        f.watch.cache.schedule_write(table)
-        f.watch.cache.write()
-        f.until(lambda: f.count_logged("config_repaired", "1 keys") == 1)
-        assert f.invoked_version("left") == "2"
-        assert f.watch.watch_state.applied_revision == 4
-        f.loop.sleep(3 * WRITE_INTERVAL_US)
+        fleet.commit_and_wait(put_function("left", 2))
+        fleet.loop.sleep(3 * WRITE_INTERVAL_US)  # the digest check is done and the cache is written
+        fleet.commit_and_wait(put_function("right", 2))
+        # The digest check for the next change is due a few seconds after the previous one.
+        fleet.commit_and_wait(put_function("right", 3))
+        store, key = fleet.config_watch.watch_state.store, FUNCTION_PREFIX + "left"
+        store.entries = store.entries.set(key, Entry(key, function_entry(7), store.entries[key].revision))
+        fleet.config_watch.cache.mark_outdated()
+        fleet.config_watch.cache.schedule_write(store)
+        fleet.config_watch.cache.write()
+        fleet.until(lambda: fleet.count_logged("config_repaired", "1 keys") == 1)
+        assert fleet.invoked_version("left") == "2"
+        assert fleet.config_watch.watch_state.applied_revision == 4
+        fleet.loop.sleep(3 * WRITE_INTERVAL_US)
         assert ConfigStore.restore(cache_file.read_bytes()).entries[key].value == function_entry(2)
 
-    f.play(script)
+    fleet.run_script(script)
 
 
-def test_table_cache_is_written_periodically_and_at_the_stop(tmp_path: Path) -> None:
-    f = ConfigFleet(tmp_path)
+def test_config_cache_is_written_periodically_and_at_shutdown(tmp_path: Path) -> None:
+    fleet = ConfigFleet(tmp_path)
 
     def cached_revision() -> int:
         return ConfigStore.restore((tmp_path / "calls.db.table").read_bytes()).revision
 
     def script() -> None:
-        f.until(lambda: (tmp_path / "calls.db.table").exists())
+        fleet.until(lambda: (tmp_path / "calls.db.table").exists())
         written = {cached_revision()}
         for version in range(2, 102):
-            f.change(put_function("left", version))
-            f.loop.sleep(100_000)
+            fleet.commit_and_wait(put_function("left", version))
+            fleet.loop.sleep(100_000)
             written.add(cached_revision())
         assert len(written) <= 3
-        f.loop.sleep(3 * WRITE_INTERVAL_US)
+        fleet.loop.sleep(3 * WRITE_INTERVAL_US)
         assert cached_revision() == 101
-        f.change(put_function("left", 102))
-        f.loop.sleep(100_000)
-        assert cached_revision() == 102  # the last write was long ago
-        f.change(put_function("left", 103))
-        f.front.stop()
-        f.front.close()
+        fleet.commit_and_wait(put_function("left", 102))
+        fleet.loop.sleep(100_000)
+        assert cached_revision() == 102  # the write interval since the last write has passed
+        fleet.commit_and_wait(put_function("left", 103))
+        fleet.front.stop()
+        fleet.front.close()
         assert cached_revision() == 103
-        f.front = f.start_front()
+        fleet.front = fleet.start_front()
 
-    f.play(script)
+    fleet.run_script(script)
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -1,4 +1,4 @@
-"""A front end started on files of released code: stores, table, endpoint list, schedule progress."""
+"""A front end started on the files of a release: stores, configuration, endpoint list, schedule progress."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from walnutpost.config.entries import encode_site
 from walnutpost.config.site import CallClass, FunctionConfig, TenantConfig
 from walnutpost.configstore import ConfigStore, Mutation
-from walnutpost.daemon.config_cache import write_snapshot as write_table
+from walnutpost.daemon.config_cache import write_snapshot as write_config_cache
 from walnutpost.daemon.front_end import FrontEnd
 from walnutpost.daemon.schedule_progress import ScheduleProgressFile
 from walnutpost.eventloop.clock import VirtualClock
@@ -29,9 +29,10 @@
 from walnutpost.testsupport.store import stored_samples as stored
 
 GOLDEN = Path(__file__).parent / "golden"
-UNREACHABLE = "127.0.0.1:1"  # nothing listens there: neither the control plane nor a relay answers
-NOW = stored.NOW
-START = NOW + 30 * SECOND
+# Nothing listens on this port, so neither the control plane nor a relay answers.
+UNREACHABLE_ADDRESS = "127.0.0.1:1"
+NOW_US = stored.NOW
+START_US = NOW_US + 30 * SECOND
 
 # The content of the golden files.
 SITE = Site(
@@ -48,7 +49,7 @@
     },
     tenants={"tills": TenantConfig(share=0.7, quota_per_s=12.0), "trade": TenantConfig(share=0.3)},
 )
-AGREED = EndpointSnapshot(
+ENDPOINT_SNAPSHOT = EndpointSnapshot(
     index=41,
     workers=(
         Endpoint(
@@ -62,30 +63,30 @@
         Endpoint("worker-9", "", "127.0.0.1:9", "incarnation-9", 0, False),
     ),
 )
-NEWEST, WRITTEN = NOW + 60 * SECOND, NOW + 61 * SECOND
+NEWEST_FIRING_US, WRITTEN_AT_US = NOW_US + 60 * SECOND, NOW_US + 61 * SECOND
 
 
-def agreed_table() -> ConfigStore:
-    """Return a table after three change sets, the last of which deletes an entry."""
-    table = ConfigStore()
-    table.propose(7, [Mutation(key, value) for key, value in encode_site(SITE).items()])
-    table.propose(9, [Mutation("function/extra", encode_site(SITE)["function/price"])])
-    table.propose(12, [Mutation("function/extra", None)])
-    return table
+def golden_config_store() -> ConfigStore:
+    """Return a configuration store after three change sets; the last one deletes an entry."""
+    store = ConfigStore()
+    store.propose(7, [Mutation(key, value) for key, value in encode_site(SITE).items()])
+    store.propose(9, [Mutation("function/extra", encode_site(SITE)["function/price"])])
+    store.propose(12, [Mutation("function/extra", None)])
+    return store
 
 
 def write_schedule_progress(path: Path) -> None:
-    ScheduleProgressFile(path).write(NEWEST, WRITTEN)
+    ScheduleProgressFile(path).write(NEWEST_FIRING_US, WRITTEN_AT_US)
 
 
 def write_endpoint_cache(path: Path) -> None:
-    path.write_bytes(msgspec.msgpack.encode(AGREED))
+    path.write_bytes(msgspec.msgpack.encode(ENDPOINT_SNAPSHOT))
 
 
 WRITERS: dict[str, Callable[[Path], None]] = {
     "calls.db.seen": write_schedule_progress,
     "calls.db.agreed": write_endpoint_cache,
-    "calls.db.table": lambda path: write_table(path, agreed_table()),
+    "calls.db.table": lambda path: write_config_cache(path, golden_config_store()),
 }
 
 
@@ -100,7 +101,7 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A folder with all files of a front end, as released code wrote them."""
+    """A folder with all files of a front end, as a release wrote them."""
     for name in WRITERS:
         shutil.copy(GOLDEN / f"{name}.golden", tmp_path / name)
     restore_dump(stored.CALLS_DUMP, tmp_path / stored.CALLS_FILE)
@@ -108,47 +109,51 @@
     return tmp_path
 
 
-def test_files_of_a_front_end_when_written_equal_the_golden_files() -> None:
+def test_files_written_by_a_front_end_equal_the_golden_files() -> None:
     assert_as_golden(golden_files())
 
 
 def test_golden_endpoint_list_sets_every_field() -> None:
-    assert_every_field_tells(AGREED)
-    assert_every_field_tells(AGREED.workers[0])
+    assert_every_field_tells(ENDPOINT_SNAPSHOT)
+    assert_every_field_tells(ENDPOINT_SNAPSHOT.workers[0])
 
 
-def test_schedule_progress_when_read_from_a_golden_file_shows_an_older_store(folder: Path) -> None:
+def test_schedule_progress_from_a_golden_file_detects_an_older_store(folder: Path) -> None:
     progress = ScheduleProgressFile(folder / "calls.db.seen")
-    assert progress.uncertain_until(NEWEST - 1) == WRITTEN
-    assert progress.uncertain_until(NEWEST) == 0
+    assert progress.uncertain_until(NEWEST_FIRING_US - 1) == WRITTEN_AT_US
+    assert progress.uncertain_until(NEWEST_FIRING_US) == 0
 
 
-def recovered_fleet(folder: Path) -> Fleet:
-    """A fleet whose front end starts on a golden folder, and reaches neither control plane nor relay."""
-    holder = {"name": "front-0", "address": UNREACHABLE, "region": "east", "zone": "a"}
+def fleet_on_golden_folder(folder: Path) -> Fleet:
+    """Return a fleet on a golden folder whose front end reaches neither control plane nor relay."""
+    holder = {"name": "front-0", "address": UNREACHABLE_ADDRESS, "region": "east", "zone": "a"}
     copies = {name: {"copies": 0, "without": "less"} for name in SITE.classes}
-    more = {
+    overrides = {
         "metering": {},
         "journal": {"name": "front-0", "listen": "127.0.0.1:0", "holders": [holder], "classes": copies},
-        "agreement": {"member": "front-0", "keepers": {"k1": UNREACHABLE}, "relays": {"r1": UNREACHABLE}},
+        "agreement": {
+            "member": "front-0",
+            "keepers": {"k1": UNREACHABLE_ADDRESS},
+            "relays": {"r1": UNREACHABLE_ADDRESS},
+        },
     }
-    return Fleet(folder, front=more, clock=VirtualClock(START))
+    return Fleet(folder, front_end_overrides=overrides, clock=VirtualClock(START_US))
 
 
-def test_front_end_when_started_on_a_golden_folder_recovers_all_of_it(folder: Path) -> None:
-    f = recovered_fleet(folder)
+def test_front_end_recovers_all_state_from_a_golden_folder(folder: Path) -> None:
+    fleet = fleet_on_golden_folder(folder)
 
     def script() -> None:
-        front = f.front
+        front = fleet.front
         assert_endpoints_recovered(front)
         assert_settings_recovered(front)
         assert_journals_recovered(front)
         assert front.metering is not None
-        assert front.metering.ledger.statement(NOW - HOUR_US, START) == stored.BOOKED[NOW - HOUR_US]
-        assert_calls_recovered(f)
+        assert front.metering.ledger.statement(NOW_US - HOUR_US, START_US) == stored.BOOKED[NOW_US - HOUR_US]
+        assert_calls_recovered(fleet)
         front.stop()
 
-    f.run(script)
+    fleet.run(script)
     assert {row.schedule: row.status for row in read_history(folder / stored.CALLS_FILE, None, 100)} == {
         "nightly": "SUCCEEDED",
         "lost": "REFUSED",
@@ -156,14 +161,16 @@
         "often": "SKIPPED",
         "full": "REFUSED",
     }
-    for name in ("calls.db.agreed", "calls.db.table"):  # nothing newer was received
+    for name in ("calls.db.agreed", "calls.db.table"):  # unchanged, because nothing newer was received
         assert (folder / name).read_bytes() == (GOLDEN / f"{name}.golden").read_bytes()
 
 
-def assert_calls_recovered(f: Fleet) -> None:
-    front = f.front
-    # A file without time marks: the downtime is unknown, so no time counts as passed since then.
-    offset_us = START - max(max(e.accepted_at, e.ended_at) for e in [*stored.CALLS, *stored.ENDED.values()])
+def assert_calls_recovered(fleet: Fleet) -> None:
+    front = fleet.front
+    # The file has no time marks, so the downtime is unknown and counts as zero.
+    offset_us = START_US - max(
+        max(e.accepted_at, e.ended_at) for e in [*stored.CALLS, *stored.ENDED.values()]
+    )
     for ended in stored.ENDED.values():
         assert front.deferred.status(ended.function, ended.id) == stored.shifted(ended, offset_us)
 
@@ -174,8 +181,8 @@
 
     open_calls = [e for e in stored.CALLS if e.status is ExecutionStatus.RUNNING]
     assert front.recovered_calls == len(open_calls)
-    f.until(lambda: all(current(e).status is not ExecutionStatus.RUNNING for e in open_calls))
-    for execution in open_calls:  # a call that may have run is not run again
+    fleet.until(lambda: all(current(e).status is not ExecutionStatus.RUNNING for e in open_calls))
+    for execution in open_calls:  # a call that may have run already is not run again
         found = current(execution)
         assert found.status is (ExecutionStatus.FAILED if execution.intended else ExecutionStatus.SUCCEEDED)
         assert found.error_type == ("Gateway.Restart" if execution.intended else "")
@@ -186,16 +193,16 @@
 def assert_endpoints_recovered(front: FrontEnd) -> None:
     assert front.fleet is not None
     follower = front.fleet.follower
-    assert follower.snapshot == AGREED
-    assert follower.applied_index == AGREED.index
+    assert follower.snapshot == ENDPOINT_SNAPSHOT
+    assert follower.applied_index == ENDPOINT_SNAPSHOT.index
 
 
 def assert_settings_recovered(front: FrontEnd) -> None:
     assert front.config_watch is not None
-    table = front.config_watch.watch_state.store
-    assert {key: entry.value for key, entry in table.entries.items()} == encode_site(SITE)
-    assert {entry.revision for entry in table.entries.values()} == {7}
-    assert (table.revision, table.digest) == (12, agreed_table().digest)
+    store = front.config_watch.watch_state.store
+    assert {key: entry.value for key, entry in store.entries.items()} == encode_site(SITE)
+    assert {entry.revision for entry in store.entries.values()} == {7}
+    assert (store.revision, store.digest) == (12, golden_config_store().digest)
     assert front.config_watch.watch_state.applied_revision == 12
     assert front.catalogue.functions["price"].version == "7"
 
@@ -214,10 +221,10 @@
         payload=b"far",
         digest="digest-far",
         accepted_at=3,
-        expires_at=NOW + 62,
+        expires_at=NOW_US + 62,
         intended=True,
         status=ExecutionStatus.FAILED,
-        ended_at=NOW + 7,
+        ended_at=NOW_US + 7,
         result=b"error",
         error_type="Unhandled",
         error_message="message",
@@ -225,17 +232,17 @@
     assert front.replication.calls.queries.find_call("id-gone") is None
 
 
-def test_digest_of_a_call_equals_the_golden_one(tmp_path: Path) -> None:
-    """It is stored: if it changed, a retry under the same name would be a conflict after an upgrade."""
-    f = Fleet(tmp_path)
+def test_call_digest_equals_the_golden_digest(tmp_path: Path) -> None:
+    """The digest is stored. If it changed, a retry under the same name would conflict after an upgrade."""
+    fleet = Fleet(tmp_path)
 
     def script() -> list[str]:
         found = [
-            f.front.deferred.defer(
+            fleet.front.deferred.defer(
                 CallRequest("price", tenant, b'{"copy": 7}', SECOND, "request"), f"name-{tenant}"
             )
             for tenant in ("tills", None)
         ]
         return [execution.digest for execution in found if isinstance(execution, Execution)]
 
-    assert f.run(script) == ["26687d359fb9298eeb091b3afd5cfbc2", "a7f4c30d5d9892f2f8090b6d34bf8e93"]
+    assert fleet.run(script) == ["26687d359fb9298eeb091b3afd5cfbc2", "a7f4c30d5d9892f2f8090b6d34bf8e93"]
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/config_fleet.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/config_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose front end watches a fake relay."""
+"""A test fleet whose front end watches a fake relay."""
 
 from __future__ import annotations
 
@@ -14,22 +14,26 @@
 from walnutpost.testsupport.daemon.fake_relay import FakeRelay
 from walnutpost.testsupport.daemon.fleet import Fleet
 
-CLASSES = ["valuation", "reservation"]
-PAIR = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50}
-QUICK = {"work_ms": 20, "spread": 0, "load_ms": 50}
-SITE = {
-    "site": {"functions": dict.fromkeys(("left", "right", "extra"), PAIR), "rules": {"free_loads": 99}},
-    "fleet": {"work": dict.fromkeys(("left", "right", "extra"), QUICK)},
+CLASS_NAMES = ["valuation", "reservation"]
+FUNCTION_SETTINGS = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50}
+FAST_WORK = {"work_ms": 20, "spread": 0, "load_ms": 50}
+SITE_SETTINGS = {
+    "site": {
+        "functions": dict.fromkeys(("left", "right", "extra"), FUNCTION_SETTINGS),
+        "rules": {"free_loads": 99},
+    },
+    "fleet": {"work": dict.fromkeys(("left", "right", "extra"), FAST_WORK)},
 }
 
 
-def function_entry(version: int = 1, **more: str | int) -> bytes:
+def function_entry(version: int = 1, **overrides: str | int) -> bytes:
+    """Return the stored value of a function; `overrides` replace its default settings."""
     settings = {"class": "valuation", "memory_mb": 100, "lanes": 2, "load_ms": 50, "version": str(version)}
-    return encode_value(FunctionConfig.model_validate(settings | more))
+    return encode_value(FunctionConfig.model_validate(settings | overrides))
 
 
-def put_function(name: str, version: int = 1, **more: str | int) -> Mutation:
-    return Mutation(FUNCTION_PREFIX + name, function_entry(version, **more))
+def put_function(name: str, version: int = 1, **overrides: str | int) -> Mutation:
+    return Mutation(FUNCTION_PREFIX + name, function_entry(version, **overrides))
 
 
 def delete_function(name: str) -> Mutation:
@@ -37,24 +41,31 @@
 
 
 class ConfigFleet(Fleet):
-    """A fleet whose front end watches a relay; the relay's table begins with the front end's own settings."""
+    """A fleet whose front end watches a fake relay.
 
-    def __init__(self, path: Path, more: dict[str, Any] | None = None, agreed: bool = True) -> None:
-        super().__init__(path, more or SITE)
-        self.agreed = agreed
+    `has_stored_config`: whether the relay's store starts with the front end's configuration or empty.
+    """
+
+    def __init__(
+        self, path: Path, overrides: dict[str, Any] | None = None, has_stored_config: bool = True
+    ) -> None:
+        super().__init__(path, overrides or SITE_SETTINGS)
+        self.has_stored_config = has_stored_config
         self.relay: FakeRelay
-        self.relays: dict[str, str] = {}
-        self.more: dict[str, Any] = {}
+        self.relay_addresses: dict[str, str] = {}
+        self.watch_overrides: dict[str, Any] = {}
+
+    def run_script(self, script: Callable[[], None]) -> None:
+        """Start the workers, the relay and the front end, and run `script` in a task."""
 
-    def play(self, script: Callable[[], None]) -> None:
         def main() -> None:
             self.start_workers()
-            table = ConfigStore()
-            if self.agreed:
-                table.propose(
+            store = ConfigStore()
+            if self.has_stored_config:
+                store.propose(
                     1, [Mutation(key, value) for key, value in encode_site(self.config.site).items()]
                 )
-            self.start_relay(table)
+            self.start_relay(store)
             self.start_front_end()
             script()
 
@@ -65,38 +76,40 @@
                 self.front.close()
         assert not self.errors, self.errors
 
-    def start_relay(self, table: ConfigStore) -> None:
-        self.relay = FakeRelay(self.loop, table)
-        self.relays = {"r1": "{}:{}".format(*self.relay.address)}
+    def start_relay(self, store: ConfigStore) -> None:
+        self.relay = FakeRelay(self.loop, store)
+        self.relay_addresses = {"r1": "{}:{}".format(*self.relay.address)}
 
     def start_front_end(self, listed: bool = True) -> None:
         settings = json.loads(self.front_config.model_dump_json(by_alias=True, exclude_unset=True))
-        settings["agreement"] = {"member": "front-0", "relays": self.relays} | self.more
+        settings["agreement"] = {"member": "front-0", "relays": self.relay_addresses} | self.watch_overrides
         self.front_config = type(self.front_config).model_validate(settings)
         self.front = self.start_front(listed)
 
     def remove_from_own_config(self, name: str) -> None:
-        """Remove a function from the front end's own configuration, as if that were older."""
+        """Remove a function from the front end's configuration file, as if the file were outdated."""
         site = self.front_config.site
         remaining = {other: config for other, config in site.functions.items() if other != name}
         site = site.model_copy(update={"functions": remaining})
         self.front_config = self.front_config.model_copy(update={"site": site})
 
     @property
-    def watch(self) -> ConfigWatch:
+    def config_watch(self) -> ConfigWatch:
         assert self.front.config_watch is not None
         return self.front.config_watch
 
-    def change(self, *mutations: Mutation) -> int:
-        """Commit a change set; return its revision once the front end has applied it."""
-        revision = self.relay.change(list(mutations))
-        self.until(lambda: self.watch.watch_state.applied_revision == revision)
+    def commit_and_wait(self, *mutations: Mutation) -> int:
+        """Commit a change set, wait until the front end has applied it, and return its revision."""
+        revision = self.relay.commit(list(mutations))
+        self.until(lambda: self.config_watch.watch_state.applied_revision == revision)
         return revision
 
     def invoked_version(self, function: str) -> str:
+        """Call a function and return the version that was executed."""
         response = self.invoke(function)
         assert response.status == 200, (response.status, response.body)
         return response.headers["x-amz-executed-version"]
 
-    def count_logged(self, event: str, part: str) -> int:
-        return sum(name == event and part in repr(fields) for name, fields in self.log.lines)
+    def count_logged(self, event: str, text: str) -> int:
+        """Count the log events of this name whose fields contain `text`."""
+        return sum(name == event and text in repr(fields) for name, fields in self.log.lines)
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/fake_relay.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/fake_relay.py
@@ -1,4 +1,4 @@
-"""A relay on a test's loop: a watch server whose store the test changes."""
+"""A fake relay on the test's event loop."""
 
 from __future__ import annotations
 
@@ -14,34 +14,34 @@
 class FakeRelay:
     """A watch server whose store the test changes.
 
-    `requests`: all watch requests, in order.
+    `requests`: all watch requests, in order of arrival.
     """
 
-    def __init__(self, loop: Loop, table: ConfigStore) -> None:
-        self.table = table
+    def __init__(self, loop: Loop, store: ConfigStore) -> None:
+        self.store = store
         self.requests: list[WatchRequest] = []
-        self.watch = WatchServer(loop, lambda: self.table, lambda: 0, self, batch_interval_us=0)
+        self.watch_server = WatchServer(loop, lambda: self.store, lambda: 0, self, batch_interval_us=0)
         self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, _protocol_error)
         self.address = self.server.address
 
     def _handle(self, exchange: Exchange) -> Response:
-        return self.watch.handle(exchange.request.body)
+        return self.watch_server.handle(exchange.request.body)
 
     def member_requested(self, request: WatchRequest) -> None:
         """Record a watch request."""
         self.requests.append(request)
 
     def member_disconnected(self, last_request: WatchRequest) -> None:
-        """Ignore the end of a connection."""
+        """Ignore a closed connection."""
 
-    def change(self, mutations: Sequence[Mutation]) -> int:
-        """Commit a change set; return its revision."""
-        self.table.propose(self.table.revision + 1, mutations)
-        self.watch.store_changed()
-        return self.table.revision
+    def commit(self, mutations: Sequence[Mutation]) -> int:
+        """Commit a change set and return its revision."""
+        self.store.propose(self.store.revision + 1, mutations)
+        self.watch_server.store_changed()
+        return self.store.revision
 
     def kill(self) -> None:
-        """Reset all connections, as the end of a killed process does."""
+        """Stop accepting and reset all connections, as if the process had been killed."""
         self.server.stop_accepting()
         for stream in list(self.server.streams):
             stream.reset()
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/fleet.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/fleet.py
@@ -1,4 +1,4 @@
-"""A front end and fake workers on one loop with a virtual clock, over real loopback sockets."""
+"""A front end and fake workers on one event loop with a virtual clock, connected by loopback sockets."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 
 def merged(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
-    """Return a copy of `base` with the overrides, section by section."""
+    """Return a copy of `base` with `overrides` merged into its nested sections."""
     result = copy.deepcopy(base)
     for key, value in overrides.items():
         result[key] = merged(result[key], value) if isinstance(value, dict) and key in result else value
@@ -71,42 +71,42 @@
 
 
 def execution_path(response: Response) -> str:
-    """Return the path of the execution that a response names."""
+    """Return the URL path of the execution whose ARN a response carries."""
     arn = response.headers[EXECUTION_ARN_HEADER].replace(":", "%3A").replace("/", "%2F")
     return f"/2025-12-01/durable-executions/{arn}"
 
 
 class Fleet:
-    """A front end and its workers; `run` starts them, runs a script in a task, and stops them."""
+    """A front end and its workers; `run` starts them, runs a script in a task and closes the front end."""
 
     def __init__(
         self,
         path: Path,
-        more: dict[str, Any] | None = None,
-        front: dict[str, Any] | None = None,
+        overrides: dict[str, Any] | None = None,
+        front_end_overrides: dict[str, Any] | None = None,
         capture: bool = False,
         clock: Clock | None = None,
     ) -> None:
-        """`more`: overrides of the configuration; `front`: those that only the front end gets."""
+        """`overrides` change the whole configuration, `front_end_overrides` only the front end's."""
         self.path = path
         self.capture = capture
-        settings = merged(BASE, more or {})
+        settings = merged(BASE, overrides or {})
         self.config = parse(json.dumps(settings), "test", Config)
-        self.front_config = parse(json.dumps(merged(settings, front or {})), "test", Config)
+        self.front_config = parse(json.dumps(merged(settings, front_end_overrides or {})), "test", Config)
         self.errors: list[BaseException] = []
         self.loop = Loop(clock or VirtualClock(), lambda name, error: self.errors.append(error))
         self.log = Log()
         self.workers: dict[str, WorkerServer] = {}
-        self.lines: list[WorkerConfig] = []
-        self.version = 0
-        self.wall_clock_offset_us = 0  # the wall clock minus the loop's time
+        self.worker_entries: list[WorkerConfig] = []
+        self.list_version = 0
+        self.wall_clock_offset_us = 0  # wall clock minus event loop time
         self.front: FrontEnd
         self.store: LocalStore
 
     def run(self, script: Callable[[], T], listed: bool = True) -> T:
-        """Start workers and the front end, run `script` in a task and return its result.
+        """Start the workers and the front end, run `script` in a task and return its result.
 
-        `listed`: whether the front end's configuration names the workers.
+        `listed`: whether the front end's configuration lists the workers.
         """
 
         def main() -> T:
@@ -123,22 +123,22 @@
         return result
 
     def start_workers(self) -> None:
-        """Start the configured workers, with captures of their traffic if the fleet captures."""
+        """Start the configured workers, and capture their traffic if `capture` is set."""
         assert self.config.fleet is not None
         self.store = local_store(self.loop, self.config)
-        for line in self.config.fleet.workers:
+        for entry in self.config.fleet.workers:
             traffic_observer = (lambda name: self.traffic_observer("worker", name)) if self.capture else None
-            server = start_worker(self.loop, self.config, line, self.store, traffic_observer, self.path)
-            self.workers[line.name] = server
-            self.lines.append(WorkerConfig(name=line.name, address="{}:{}".format(*server.address)))
+            server = start_worker(self.loop, self.config, entry, self.store, traffic_observer, self.path)
+            self.workers[entry.name] = server
+            self.worker_entries.append(WorkerConfig(name=entry.name, address="{}:{}".format(*server.address)))
 
     def traffic_observer(self, kind: str, name: str) -> Capture:
-        """Return a capture of a process's traffic, in a file of the fleet's folder."""
+        """Return a capture that writes a process's traffic to a file in the fleet's folder."""
         return Capture(self.path / f"{name}{CAPTURE_SUFFIX}", kind, name, self.loop.now)
 
     def start_front(self, listed: bool = True, path: Path | None = None) -> FrontEnd:
-        """Start a front end; `path`: its folder, by default the fleet's."""
-        front = self.front_config.front.model_copy(update={"workers": self.lines if listed else []})
+        """Start a front end in the folder `path`, by default the fleet's folder."""
+        front = self.front_config.front.model_copy(update={"workers": self.worker_entries if listed else []})
         config = self.front_config.model_copy(update={"front": front})
         traffic_observer = self.traffic_observer("front", "front-0") if self.capture else None
         return build_front_end(
@@ -151,14 +151,14 @@
         )
 
     def publish_changed_worker(self, name: str, **changed: Any) -> None:
-        """Publish a list in which one worker's entry has changed; `gone=True` removes it."""
-        self.lines = [
-            line.model_copy(update=changed) if line.name == name else line
-            for line in self.lines
-            if line.name != name or not changed.get("gone")
+        """Publish an endpoint list with one worker's entry changed; `gone=True` removes the entry."""
+        self.worker_entries = [
+            entry.model_copy(update=changed) if entry.name == name else entry
+            for entry in self.worker_entries
+            if entry.name != name or not changed.get("gone")
         ]
-        self.version += 1
-        self.front.endpoint_lists.set_configured(ListKind.FULL, self.version, self.lines)
+        self.list_version += 1
+        self.front.endpoint_lists.set_configured(ListKind.FULL, self.list_version, self.worker_entries)
 
     def audit(self) -> Verdict:
         """Audit the captures against the fleet's configuration."""
@@ -170,7 +170,7 @@
         return Connection.open(self.loop, (front or self.front).address)
 
     def ask(self, method: str, target: str, body: bytes = b"", **headers: str) -> Response:
-        """Send one request on a new connection; `_` in a header's name is sent as `-`."""
+        """Send one request on a new connection; each `_` in a header name is sent as `-`."""
         connection = self.connect()
         try:
             named_headers = {key.replace("_", "-"): value for key, value in headers.items()}
@@ -179,7 +179,7 @@
             connection.close()
 
     def invoke(self, function: str, payload: bytes = b"1", **headers: str) -> Response:
-        """Send a request that calls a function."""
+        """Call a function."""
         return self.ask("POST", INVOKE.format(function), payload, **headers)
 
     def ask_worker(self, name: str, target: str) -> Response:
@@ -191,22 +191,24 @@
             connection.close()
 
     def warm(self, function: str) -> str:
-        """Call a function once; return the worker that has loaded it."""
+        """Call a function once and return the name of the worker that ran it."""
         return str(json.loads(self.invoke(function).body)["worker"])
 
     def runs(self, function: str | None = None) -> int:
-        """Return how many calls of the function, or of all, the workers have run."""
-        return sum(function in (None, ran) for server in self.workers.values() for _, ran, _ in server.runs)
+        """Count the calls that the workers have run, of one function or of all."""
+        return sum(
+            function in (None, executed) for server in self.workers.values() for _, executed, _ in server.runs
+        )
 
     def running(self) -> WorkerServer:
-        """Return the first worker on which a call runs."""
+        """Return the first worker that is running a call."""
         return next(server for server in self.workers.values() if server.model.running_count)
 
     def until(self, condition: Callable[[], bool], timeout_us: int = 60 * SECOND) -> None:
-        """Wait for a condition in virtual time."""
+        """Wait until a condition is true, in the event loop's time."""
         deadline_us = self.loop.now() + timeout_us
         while not condition():
-            assert self.loop.now() < deadline_us, "the condition did not become true in time"
+            assert self.loop.now() < deadline_us, "the condition did not become true before the timeout"
             self.loop.sleep(20_000)
 
 
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/front_end_calls.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/front_end_calls.py
@@ -1,4 +1,4 @@
-"""Deferred calls of a fleet's front end, and its end as by a kill."""
+"""Helpers that describe deferred calls of a fleet's front end and that kill the front end."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 EVENT = "Event"
 
 
-def describe_execution(f: Fleet, deferred: Response) -> dict[str, Any]:
-    description: dict[str, Any] = json.loads(f.ask("GET", execution_path(deferred)).body)
+def describe_execution(fleet: Fleet, deferred: Response) -> dict[str, Any]:
+    """Return the description of the execution that a deferred call started."""
+    description: dict[str, Any] = json.loads(fleet.ask("GET", execution_path(deferred)).body)
     return description
 
 
-def kill_front_end(f: Fleet) -> None:
-    """End the front end without waiting for open calls, as a killed process does."""
-    f.front.shutdown_timeout_us = 0
-    f.front.stop()
-    f.front.close()
+def kill_front_end(fleet: Fleet) -> None:
+    """Stop the front end without waiting for open calls, as if its process had been killed."""
+    fleet.front.shutdown_timeout_us = 0
+    fleet.front.stop()
+    fleet.front.close()
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/metering_fleet.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/metering_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet whose front end meters usage."""
+"""A test fleet whose front end meters usage."""
 
 from __future__ import annotations
 
@@ -10,25 +10,27 @@
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
 
 MINUTE = 60 * SECOND
-START = 300 * HOUR_US - 15 * SECOND  # an hour ends soon
+START = 300 * HOUR_US - 15 * SECOND  # 15 s before the end of an hour
 
 
-def metered_fleet(path: Path, clock: int = START, metering: dict[str, object] | None = None) -> Fleet:
-    """Return a fleet; `metering` has settings of its section that differ from the usual ones."""
+def metered_fleet(path: Path, start_us: int = START, metering: dict[str, object] | None = None) -> Fleet:
+    """Return a fleet with a clock that starts at `start_us`; `metering` overrides its metering settings."""
     section = {"fetch_ms": 1000, "write_ms": 2000, "close_after_ms": 60_000} | (metering or {})
-    return Fleet(path, {"metering": section}, clock=VirtualClock(clock))
+    return Fleet(path, {"metering": section}, clock=VirtualClock(start_us))
 
 
-def metering_of(f: Fleet) -> UsageMetering:
+def metering_of(fleet: Fleet) -> UsageMetering:
     """Return the metering of a fleet's front end."""
-    assert f.front.metering is not None
-    return f.front.metering
+    assert fleet.front.metering is not None
+    return fleet.front.metering
 
 
-def traffic(f: Fleet, seconds: int) -> None:
-    """Call two functions for two tenants, a few times each second."""
+def traffic(fleet: Fleet, seconds: int) -> None:
+    """Call two functions for two tenants in bursts of one to three calls, four bursts a second."""
     for n in range(seconds * 4):
         tenant = ("tills", "trade", "trade")[n % 3]
         for function in ("price", "reserve", "price")[: 1 + n % 3]:
-            f.loop.spawn(lambda a=function, t=tenant: f.invoke(a, x_amz_tenant_id=t))
-        f.loop.sleep(SECOND // 4)
+            fleet.loop.spawn(
+                lambda function=function, tenant=tenant: fleet.invoke(function, x_amz_tenant_id=tenant)
+            )
+        fleet.loop.sleep(SECOND // 4)
