--- a/packages/daemon/tests/test_dynamic_functions.py
+++ b/packages/daemon/tests/test_dynamic_functions.py
@@ -39,7 +39,7 @@
         router.handle = record  # type: ignore[method-assign]
         key = fleet.front.dispatcher._gateway._translator.functions.number("reserve")
         state = router.functions.by_key[key]
-        copy_counts = {w: copies.count for w, copies in state.copies.items()}
+        copy_counts = {worker: copies.count for worker, copies in state.copies.items()}
         first = fleet.loop.spawn(fleet.invoke, "price")
         fleet.until(lambda: fleet.runs("price") == 1)
         fleet.commit_and_wait(
@@ -50,15 +50,17 @@
         second = fleet.invoke("price")
         assert (second.status, second.headers["x-amz-executed-version"]) == (200, "2")
         assert (first.join().status, first.join().headers["x-amz-executed-version"]) == (200, "1")
-        arrivals = [e for e in events if isinstance(e, RequestArrived)]
-        arrival_settings = [(e.class_index, e.memory_mb, e.concurrency, e.load_time_us) for e in arrivals]
+        arrivals = [event for event in events if isinstance(event, RequestArrived)]
+        arrival_settings = [
+            (event.class_index, event.memory_mb, event.concurrency, event.load_time_us) for event in arrivals
+        ]
         assert arrival_settings == [(0, 400, 2.0, 300_000), (1, 512, 7.0, 80_000)]
-        assert not [e for e in events if isinstance(e, WorkersListed)]
+        assert not [event for event in events if isinstance(event, WorkersListed)]
         assert fleet.front.dispatcher._gateway._router is router
         assert router.functions.by_key[key] is state
-        assert {w: copies.count for w, copies in state.copies.items()} == copy_counts
+        assert {worker: copies.count for worker, copies in state.copies.items()} == copy_counts
         assert fleet.warm("reserve") in {
-            fleet.front.dispatcher._gateway._translator.workers.name(w) for w in copy_counts
+            fleet.front.dispatcher._gateway._translator.workers.name(worker) for worker in copy_counts
         }
 
     fleet.run_script(script)
