--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -37,7 +37,7 @@
     encode,
 )
 from walnutpost.testsupport.daemon.fleet import Fleet as TestFleet
-from walnutpost.testsupport.daemon.fleet import Log
+from walnutpost.testsupport.daemon.fleet import RecordingLog
 
 T = TypeVar("T")
 SECOND = 1_000_000
@@ -82,7 +82,7 @@
 def play_day(day: FleetScenario, folder: Path) -> FleetOutcome:
     told = load(EXAMPLES / day.config, Config).model_dump(mode="json", by_alias=True)
     config = parse(json.dumps(overlay_sections(told, day.over)), "day", Config)
-    return play_fleet(day, config, folder, Log())
+    return play_fleet(day, config, folder, RecordingLog())
 
 
 def one_day(seed: int) -> None:
--- a/benchmarks/journal.py
+++ b/benchmarks/journal.py
@@ -22,7 +22,7 @@
 from walnutpost.http import Connection, encode_request
 from walnutpost.journal import CallAccepted, MergedJournal, ResultsPurged
 from walnutpost.store import Change, Database, JournalStore
-from walnutpost.testsupport.daemon.fleet import INVOKE, SECOND
+from walnutpost.testsupport.daemon.fleet import INVOKE_PATH, SECOND
 from walnutpost.testsupport.replication.sites import SITES, Sites
 
 PAYLOAD = b'{"isbn": "' + b"0" * 1000 + b'"}'
@@ -75,7 +75,7 @@
     address = sites.listening_address("a1", "address")
     assert address is not None
     until, took = loop.now() + int(seconds * SECOND), list[int]()
-    request = encode_request("POST", INVOKE.format("price"), "localhost", headers, PAYLOAD)
+    request = encode_request("POST", INVOKE_PATH.format("price"), "localhost", headers, PAYLOAD)
 
     def ask() -> None:
         connection = Connection.open(loop, address)
--- a/packages/agent/tests/test_agent_files.py
+++ b/packages/agent/tests/test_agent_files.py
@@ -26,7 +26,7 @@
 from walnutpost.eventloop import Loop, replace_file
 from walnutpost.fleet import FRONT_END
 from walnutpost.fleet.agent_instance import ControllerSettings
-from walnutpost.testsupport.daemon.fleet import Log
+from walnutpost.testsupport.daemon.fleet import RecordingLog
 from walnutpost.testsupport.store.disk_faults import scripted_files
 
 SECOND = 1_000_000
@@ -51,7 +51,7 @@
 
 
 @contextmanager
-def running_agent(loop: Loop, folder: Path, log: Log) -> Iterator[Agent]:
+def running_agent(loop: Loop, folder: Path, log: RecordingLog) -> Iterator[Agent]:
     agent = build_agent(loop, settings(folder), log)
     try:
         agent.start()
@@ -75,7 +75,7 @@
     names: list[str] = []
 
     def main() -> None:
-        with running_agent(loop, folder, Log()) as agent:
+        with running_agent(loop, folder, RecordingLog()) as agent:
             names.append(agent.name)
 
     loop.run(main)
@@ -87,13 +87,13 @@
     name = run_once(tmp_path)
     (tmp_path / "f0.json").write_bytes(content)
     (tmp_path / "f0.json.0a1b2c3d.new").write_bytes(b"half")
-    loop, log = Loop(), Log()
+    loop, log = Loop(), RecordingLog()
 
     def main() -> None:
         with running_agent(loop, tmp_path, log) as agent:
             assert agent.name == name
             assert agent.runner.controller.durable.current == version_of(V1)
-        unreadable = [fields["file"] for event, fields in log.lines if event == "state_file_unreadable"]
+        unreadable = [fields["file"] for event, fields in log.events if event == "state_file_unreadable"]
         assert unreadable == ["f0.json"]
         assert not (tmp_path / "f0.json.0a1b2c3d.new").exists()
 
@@ -117,12 +117,12 @@
     (tmp_path / "f0.json").write_text(json.dumps(known))
     if content is not None:
         (tmp_path / "versions" / version_of(V2)).write_bytes(content)
-    loop, log = Loop(), Log()
+    loop, log = Loop(), RecordingLog()
 
     def main() -> None:
         with running_agent(loop, tmp_path, log) as agent:
             assert agent.runner.controller.durable.current == version_of(V1)
-            unusable = [fields["version"] for event, fields in log.lines if event == "version_unusable"]
+            unusable = [fields["version"] for event, fields in log.events if event == "version_unusable"]
             assert unusable == [version_of(V2)]
             assert agent.runner.process.versions.store(V2) == version_of(
                 V2
@@ -139,7 +139,7 @@
     loop = Loop()
 
     def main() -> None:
-        with running_agent(loop, tmp_path, Log()) as agent:
+        with running_agent(loop, tmp_path, RecordingLog()) as agent:
             with scripted_files() as files:
                 files.fails[operation] = 1_000
                 agent.runner.controller.durable.previous = "before"
--- a/packages/cli/tests/test_cli_golden.py
+++ b/packages/cli/tests/test_cli_golden.py
@@ -14,7 +14,7 @@
 
 from walnutpost.cli import main
 from walnutpost.metering import UsageReport
-from walnutpost.testsupport.daemon.fleet import BASE, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, merge_settings
 from walnutpost.testsupport.golden.files import assert_as_golden, restore_dump
 from walnutpost.testsupport.store import stored_samples as stored
 
@@ -53,7 +53,9 @@
 
 def make_folder(folder: Path) -> None:
     """Two front ends' configurations with the golden stores beside each, and a worker's exported records."""
-    config = merged(BASE, {"metering": METERING, "schedules": {"nightly": SCHEDULE, "often": SCHEDULE}})
+    config = merge_settings(
+        BASE_SETTINGS, {"metering": METERING, "schedules": {"nightly": SCHEDULE, "often": SCHEDULE}}
+    )
     for each in (folder, folder / "other"):
         each.mkdir(exist_ok=True)
         restore_dump(stored.CALLS_DUMP, each / stored.CALLS_FILE)
--- a/packages/cli/tests/test_config_commands.py
+++ b/packages/cli/tests/test_config_commands.py
@@ -23,10 +23,10 @@
 from walnutpost.configstore import MAX_MUTATIONS, Entry, MemberStatus, Mutation, PropagationStatus
 from walnutpost.controlplane import ControlPlaneClient
 from walnutpost.testsupport.cli.control_plane import wait_for_leader
-from walnutpost.testsupport.daemon.fleet import BASE, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, merge_settings
 from walnutpost.testsupport.eventloop.loopback import free_address
 
-SITE = BASE["site"]
+SITE = BASE_SETTINGS["site"]
 PRICE, RESERVE = SITE["functions"]["price"], SITE["functions"]["reserve"]
 
 
@@ -50,9 +50,9 @@
         return CliRunner().invoke(main, given, catch_exceptions=False)
 
     def written(self, name: str, *more: dict[str, Any]) -> Path:
-        data = BASE
+        data = BASE_SETTINGS
         for each in more:
-            data = merged(data, each)
+            data = merge_settings(data, each)
         path = self.folder / name
         path.write_text(json.dumps(data))
         return path
@@ -88,7 +88,7 @@
 
 def test_set_with_a_file_applies_exactly_its_differences(agreed: ControlPlane) -> None:
     first = agreed.get()
-    config = parse(json.dumps(BASE), "base", Config)
+    config = parse(json.dumps(BASE_SETTINGS), "base", Config)
     wanted = {key: json.loads(value) for key, value in encode_site(config.site).items()}
     assert {key: data["value"] for key, data in first["entries"].items()} == wanted
 
@@ -98,7 +98,7 @@
 
     functions = {"price": PRICE | {"lanes": 3}, "new": PRICE}
     file = agreed.written("changed.json5")
-    file.write_text(json.dumps(BASE | {"site": SITE | {"functions": functions}}))
+    file.write_text(json.dumps(BASE_SETTINGS | {"site": SITE | {"functions": functions}}))
     lines = [
         "~ function/price: lanes 2 -> 3",
         '+ function/new: {"class": "valuation", "lanes": 2, "load_ms": 300.0, "memory_mb": 400.0}',
@@ -325,7 +325,7 @@
     monkeypatch.setattr("walnutpost.cli.control_plane.TIMEOUT_US", 500_000)
     unreachable, file = tmp_path / "keepers.json5", tmp_path / "site.json5"
     unreachable.write_text(json.dumps({"keepers": [{"name": "k1", "address": free_address()}]}))
-    file.write_text(json.dumps(BASE))
+    file.write_text(json.dumps(BASE_SETTINGS))
     for command, *args in (["status"], ["get"], ["history"], ["diff", str(file)], ["set", str(file)]):
         ended = CliRunner().invoke(main, ["config", command, str(unreachable), *args])
         assert ended.exit_code == 3
--- a/packages/cli/tests/test_config_files.py
+++ b/packages/cli/tests/test_config_files.py
@@ -12,7 +12,7 @@
 from walnutpost.cli import main
 from walnutpost.config import Config, ConfigError, load, load_with_overlay, parse
 from walnutpost.config.control_plane import ControlPlaneConfig
-from walnutpost.testsupport.daemon.fleet import BASE, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, merge_settings
 
 ROOT = Path(__file__).parents[3]
 
@@ -74,7 +74,7 @@
     more: dict[str, Any], place: str, expected: str
 ) -> None:
     with pytest.raises(ConfigError) as caught:
-        parse(json.dumps(merged(BASE, more)), "site.json5", Config)
+        parse(json.dumps(merge_settings(BASE_SETTINGS, more)), "site.json5", Config)
     assert any(line.startswith(f"site.json5: {place}: ") and expected in line for line in caught.value.lines)
 
 
@@ -102,7 +102,9 @@
     found = parse(json.dumps({"keepers": [KEEPER], "relays": [RELAY]}), "fleet.json5", ControlPlaneConfig)
     assert found.relays[0].zone == "a"
     assert found.relays[0].listen is None
-    agreement = parse(json.dumps(merged(BASE, {"agreement": AGREEMENT})), "site.json5", Config).agreement
+    agreement = parse(
+        json.dumps(merge_settings(BASE_SETTINGS, {"agreement": AGREEMENT})), "site.json5", Config
+    ).agreement
     assert agreement is not None
     assert agreement.relays == AGREEMENT["relays"]
     assert not agreement.keepers
@@ -111,7 +113,9 @@
 def test_file_with_several_errors_prints_all_and_exits_with_2(tmp_path: Path) -> None:
     path = tmp_path / "bad.json5"
     path.write_text(
-        json.dumps(merged(BASE, {"front": {"a": 1, "index": -1}, "site": {"keep_alive_ms": "x"}}))
+        json.dumps(
+            merge_settings(BASE_SETTINGS, {"front": {"a": 1, "index": -1}, "site": {"keep_alive_ms": "x"}})
+        )
     )
     for command in ("check-config", "serve", "up"):
         result = CliRunner().invoke(main, [command, str(path)])
--- a/packages/cli/tests/test_config_processes.py
+++ b/packages/cli/tests/test_config_processes.py
@@ -16,7 +16,7 @@
 
 from walnutpost.cli import main
 from walnutpost.testsupport.cli.control_plane import wait_for_leader
-from walnutpost.testsupport.daemon.fleet import BASE, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, merge_settings
 from walnutpost.testsupport.eventloop.loopback import free_address
 
 FEW_DESCRIPTORS = 512
@@ -40,7 +40,7 @@
         }
         self.keepers = self.written("keepers.json5", content)
         agreement = {"agreement": {"member": "f0", "relays": self.relays}}
-        self.site = self.written("site.json5", merged(BASE, agreement))
+        self.site = self.written("site.json5", merge_settings(BASE_SETTINGS, agreement))
         for name in ("k1", "k2", "k3"):
             self.start(name, "control-plane", self.keepers, "--name", name, "--found")
         for name in self.relays:
@@ -177,10 +177,10 @@
     first = run.set(run.site)
     run.start_front()
     run.in_force(first)
-    classes = {"sale": BASE["site"]["classes"]["valuation"]}
+    classes = {"sale": BASE_SETTINGS["site"]["classes"]["valuation"]}
     functions = {"new": {"class": "sale", "memory_mb": 10}}
     more = {"site": {"classes": classes, "functions": functions}}
-    unknown = run.set(run.written("more.json5", merged(BASE, more)))
+    unknown = run.set(run.written("more.json5", merge_settings(BASE_SETTINGS, more)))
     lacking: dict[str, Any] = {"why": ""}
     while "function/new" not in lacking["why"]:  # until the front end has reported
         assert run.running["f0"].poll() is None, run.logs()
--- a/packages/cli/tests/test_listen_addresses.py
+++ b/packages/cli/tests/test_listen_addresses.py
@@ -13,7 +13,7 @@
 
 from walnutpost.cli import main
 from walnutpost.cli.listen_addresses import ListenAddress, checked_addresses
-from walnutpost.testsupport.daemon.fleet import BASE, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, merge_settings
 
 
 @pytest.fixture
@@ -36,20 +36,20 @@
     "listen": "TAKEN",
     "holders": [{"name": "a", "address": "127.0.0.1:9", "region": "r", "zone": "z"}],
 }
-FRONT = merged(BASE, {"front": {"listen": "TAKEN"}})
+FRONT = merge_settings(BASE_SETTINGS, {"front": {"listen": "TAKEN"}})
 KEEPERS = {"keepers": [{"name": "k0", "address": "127.0.0.1:0"}, {"name": "k1", "address": "TAKEN"}]}
 ELSEWHERE = {"keepers": [{"name": "k1", "address": "127.0.0.1:0", "listen": "TAKEN"}]}
 CASES: dict[str, tuple[dict[str, Any], list[str], str]] = {
     "up": (FRONT, ["up"], "front.listen"),
     "serve": (FRONT, ["serve"], "front.listen"),
-    "up with a journal": (merged(BASE, {"journal": JOURNAL}), ["up"], "journal.listen"),
+    "up with a journal": (merge_settings(BASE_SETTINGS, {"journal": JOURNAL}), ["up"], "journal.listen"),
     "up with a stand-in": (
-        merged(BASE, {"fleet": {"workers": WORKERS}}),
+        merge_settings(BASE_SETTINGS, {"fleet": {"workers": WORKERS}}),
         ["up"],
         "fleet.workers.1.listen",
     ),
     "a stand-in": (
-        merged(BASE, {"fleet": {"workers": WORKERS}}),
+        merge_settings(BASE_SETTINGS, {"fleet": {"workers": WORKERS}}),
         ["worker", "--name", "b"],
         "fleet.workers.1.listen",
     ),
@@ -73,27 +73,27 @@
 
 
 def test_process_started_twice_does_not_open_the_store_of_the_first(taken: str, tmp_path: Path) -> None:
-    file = written(tmp_path, merged(FRONT, {"front": {"listen": taken}}))
+    file = written(tmp_path, merge_settings(FRONT, {"front": {"listen": taken}}))
     assert CliRunner().invoke(main, ["serve", file]).exit_code == 2
     assert [path.name for path in tmp_path.iterdir()] == ["site.json5"]
 
 
 def test_store_with_an_address_in_use_names_its_option(taken: str, tmp_path: Path) -> None:
-    result = CliRunner().invoke(main, ["store", written(tmp_path, BASE), "--listen", taken])
+    result = CliRunner().invoke(main, ["store", written(tmp_path, BASE_SETTINGS), "--listen", taken])
     assert result.exit_code == 2
     assert result.output.startswith(f"walnutpost store: --listen: found {taken}, which is taken (")
 
 
 def test_address_error_with_an_own_file_names_both_files(taken: str, tmp_path: Path) -> None:
-    shared, own = written(tmp_path, BASE), tmp_path / "own.json5"
+    shared, own = written(tmp_path, BASE_SETTINGS), tmp_path / "own.json5"
     own.write_text(json.dumps({"front": {"listen": taken}}))
     result = CliRunner().invoke(main, ["serve", shared, "--own", str(own)])
     assert result.output.startswith(f"{shared} with {own}: front.listen: found {taken}, which is taken (")
 
 
 def test_several_addresses_in_use_are_all_reported(taken: str, tmp_path: Path) -> None:
-    content = merged(
-        BASE, {"front": {"listen": taken}, "fleet": {"workers": [{"name": "a", "listen": taken}]}}
+    content = merge_settings(
+        BASE_SETTINGS, {"front": {"listen": taken}, "fleet": {"workers": [{"name": "a", "listen": taken}]}}
     )
     result = CliRunner().invoke(main, ["up", written(tmp_path, content)])
     lines = result.output.splitlines()
--- a/packages/cli/tests/test_usage_cli.py
+++ b/packages/cli/tests/test_usage_cli.py
@@ -15,8 +15,8 @@
 
 from walnutpost.cli import main
 from walnutpost.cli.ledgers import Ledgers
-from walnutpost.testsupport.daemon.fleet import BASE, merged
-from walnutpost.testsupport.daemon.metering_fleet import START, metered_fleet, metering_of, traffic
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, merge_settings
+from walnutpost.testsupport.daemon.metering_fleet import START_US, metered_fleet, metering_of, send_calls
 
 METERING = {"price_per_gb_hour": "0.25", "renamed": {"trade": "wholesale"}}
 
@@ -27,22 +27,22 @@
     f = metered_fleet(tmp_path)
 
     def script() -> None:
-        traffic(f, 20)
+        send_calls(f, 20)
         f.loop.sleep(100_000_000)
         for name in f.workers:
-            (tmp_path / f"{name}.json").write_bytes(f.ask_worker(name, "/v2/usage").body)
+            (tmp_path / f"{name}.json").write_bytes(f.get_from_worker(name, "/v2/usage").body)
         metering_of(f).writer.write()
 
     f.run(script)
     ledgers = Ledgers.__init__
 
     def init_minutes_later(self: Any, *args: Any, **options: Any) -> None:
-        monkeypatch.setattr("walnutpost.cli.ledgers.time.time_ns", lambda: (START + 240_000_000) * 1000)
+        monkeypatch.setattr("walnutpost.cli.ledgers.time.time_ns", lambda: (START_US + 240_000_000) * 1000)
         ledgers(self, *args, **options)
 
     monkeypatch.setattr(Ledgers, "__init__", init_minutes_later)
     path = tmp_path / "site.json5"
-    path.write_text(json.dumps(merged(BASE, {"metering": METERING})))
+    path.write_text(json.dumps(merge_settings(BASE_SETTINGS, {"metering": METERING})))
     return path
 
 
@@ -120,10 +120,10 @@
 def test_invalid_input_exits_with_2_and_names_it(name: str, config: Path) -> None:
     words, expected = INVALID_INPUT[name]
     other, plain = config.with_name("other.json5"), config.with_name("plain.json5")
-    other.write_text(json.dumps(merged(BASE, {"metering": {"file": "other.db"}})))
-    plain.write_text(json.dumps(BASE))
+    other.write_text(json.dumps(merge_settings(BASE_SETTINGS, {"metering": {"file": "other.db"}})))
+    plain.write_text(json.dumps(BASE_SETTINGS))
     free = config.with_name("free.json5")
-    free.write_text(json.dumps(merged(BASE, {"metering": {}})))
+    free.write_text(json.dumps(merge_settings(BASE_SETTINGS, {"metering": {}})))
     places = {"CONFIG": config, "OTHER": other, "PLAIN": plain, "FREE": free}
     code, _, errors = run_usage(*(places.get(word, word) for word in words))
     assert code == 2
@@ -144,7 +144,7 @@
     section: Any, expected: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "site.json5"
-    path.write_text(json.dumps(merged(BASE, {"metering": section})))
+    path.write_text(json.dumps(merge_settings(BASE_SETTINGS, {"metering": section})))
     result = CliRunner().invoke(main, ["check-config", str(path)])
     assert result.exit_code == 2
     assert expected in result.stderr
--- a/packages/daemon/tests/test_cache_files.py
+++ b/packages/daemon/tests/test_cache_files.py
@@ -15,7 +15,7 @@
 from walnutpost.fleet import CommandResult, EndpointFollower
 from walnutpost.fleet.endpoints import EndpointSnapshot
 from walnutpost.testsupport.daemon.config_fleet import ConfigFleet, put_function
-from walnutpost.testsupport.daemon.fleet import SECOND, Log
+from walnutpost.testsupport.daemon.fleet import SECOND, RecordingLog
 from walnutpost.testsupport.daemon.front_end_calls import kill_front_end
 from walnutpost.testsupport.store.disk_faults import scripted_files
 
@@ -29,15 +29,15 @@
     fleet, path = ConfigFleet(tmp_path), tmp_path / "calls.db.table"
 
     def script() -> None:
-        fleet.until(path.exists)
+        fleet.wait_until(path.exists)
         fleet.loop.sleep(40 * SECOND)
         with scripted_files() as files:
             files.fails[operation] = 1_000
             fleet.commit_and_wait(put_function("left", 2))
-            fleet.until(lambda: files.fails[operation] < 997)
+            fleet.wait_until(lambda: files.fails[operation] < 997)
             assert fleet.invoked_version("left") == "2"  # calls are served while writes fail
             files.fails[operation], ended_us = 0, fleet.loop.now()
-            fleet.until(lambda: files.calls[-1] == "fsync folder" and files.fails[operation] == 0)
+            fleet.wait_until(lambda: files.calls[-1] == "fsync folder" and files.fails[operation] == 0)
             assert fleet.loop.now() - ended_us < 2 * SECOND
             assert ConfigStore.restore(path.read_bytes()).revision == fleet.relay.store.revision
 
@@ -80,7 +80,7 @@
 
 
 def make_membership(
-    loop: Loop, path: Path, lists: FakeEndpointLists, log: Log, *replies: CommandReply
+    loop: Loop, path: Path, lists: FakeEndpointLists, log: RecordingLog, *replies: CommandReply
 ) -> FleetMembership:
     applier = EndpointApplier(
         loop, EndpointFollower("f0", "i0", False), lists, EndpointCache(loop, path, log), log
@@ -90,7 +90,12 @@
 
 @pytest.mark.parametrize("content", [b"", b"\x92\x05", b"\xff"])
 def test_torn_endpoint_cache_is_logged_and_ignored(tmp_path: Path, content: bytes) -> None:
-    loop, log, lists, path = Loop(VirtualClock()), Log(), FakeEndpointLists(), tmp_path / "calls.db.agreed"
+    loop, log, lists, path = (
+        Loop(VirtualClock()),
+        RecordingLog(),
+        FakeEndpointLists(),
+        tmp_path / "calls.db.agreed",
+    )
     path.write_bytes(content)
 
     def script() -> None:
@@ -98,7 +103,7 @@
 
     loop.run(script)
     assert lists.published_revisions == []
-    assert [fields["file"] for event, fields in log.lines if event == "endpoint_cache_ignored"] == [
+    assert [fields["file"] for event, fields in log.events if event == "endpoint_cache_ignored"] == [
         "calls.db.agreed"
     ]
 
@@ -109,13 +114,13 @@
 
     def script() -> None:
         reply = CommandReply(CommandResult(True, 1), endpoints=EndpointSnapshot(5, ()))
-        first = make_membership(loop, path, lists, Log(), reply)
+        first = make_membership(loop, path, lists, RecordingLog(), reply)
         files.fails[operation] = 3
         first.catch_up()
         task = loop.spawn(first.run)
         loop.sleep(2 * SECOND)
         task.cancel()
-        second = make_membership(loop, path, lists, Log())
+        second = make_membership(loop, path, lists, RecordingLog())
         second.catch_up()
         assert second.follower.snapshot is not None
         assert second.follower.snapshot.index == 5
--- a/packages/daemon/tests/test_clock_steps.py
+++ b/packages/daemon/tests/test_clock_steps.py
@@ -39,7 +39,7 @@
 
     def script() -> tuple[list[Response], Response]:
         ended = [fleet.invoke("price", b"%d" % n, x_amz_invocation_type=EVENT) for n in range(ENDED_CALLS)]
-        fleet.until(
+        fleet.wait_until(
             lambda: all(describe_execution(fleet, response)["Status"] == "SUCCEEDED" for response in ended)
         )
         fleet.front.endpoint_lists.set_configured(ListKind.CACHED, 1, [])
@@ -80,7 +80,7 @@
             "SUCCEEDED"
         ] * ENDED_CALLS
         restarted.front.endpoint_lists.set_configured(ListKind.CACHED, 1, restarted.worker_entries)
-        restarted.until(lambda: describe_execution(restarted, open_call)["Status"] == "SUCCEEDED")
+        restarted.wait_until(lambda: describe_execution(restarted, open_call)["Status"] == "SUCCEEDED")
         restarted.loop.sleep(12 * MINUTE)  # all calls are purged by now
         assert {status_code(restarted, response) for response in [*ended, open_call]} == {404}
 
@@ -96,7 +96,7 @@
     restarted = restart_fleet(tmp_path, fleet, OPEN_CALL_DEADLINE_US, step_us, True)
 
     def script() -> None:
-        restarted.until(lambda: describe_execution(restarted, open_call)["Status"] == "TIMED_OUT")
+        restarted.wait_until(lambda: describe_execution(restarted, open_call)["Status"] == "TIMED_OUT")
         assert {status_code(restarted, response) for response in ended} == {404}
 
     restarted.run(script)
@@ -142,8 +142,8 @@
 
     def run_calls() -> None:
         responses = [first.defer("a1", "price", f"n{n}") for n in range(4)]
-        first.until(lambda: {first.status("a1", response) for response in responses} == {"SUCCEEDED"})
-        first.until(lambda: first.stages_at_replicas() == [CallStage.ENDED] * 4)
+        first.wait_until(lambda: {first.status("a1", response) for response in responses} == {"SUCCEEDED"})
+        first.wait_until(lambda: first.stages_at_replicas() == [CallStage.ENDED] * 4)
 
     first.run_script(run_calls)
     second = SteppedSites(tmp_path, first.elapsed_us, step_us)
--- a/packages/daemon/tests/test_config_cache.py
+++ b/packages/daemon/tests/test_config_cache.py
@@ -37,7 +37,7 @@
         assert fleet.invoked_version("left") == "2"
         assert fleet.invoked_version("extra") == "5"
         assert fleet.invoke("right").status == 404
-        fleet.until(lambda: describe_execution(fleet, response)["Status"] == "SUCCEEDED")
+        fleet.wait_until(lambda: describe_execution(fleet, response)["Status"] == "SUCCEEDED")
         assert fleet.config_watch.watch_state.applied_revision == 2
         fleet.loop.sleep(30 * SECOND)
         assert fleet.config_watch.is_stale
@@ -81,7 +81,7 @@
             "stopped": "STOPPED",
             "expired": "TIMED_OUT",
         }[outcome]
-        fleet.until(lambda: describe_execution(fleet, response)["Status"] != "RUNNING")
+        fleet.wait_until(lambda: describe_execution(fleet, response)["Status"] != "RUNNING")
         assert describe_execution(fleet, response)["Status"] == expected_status, describe_execution(
             fleet, response
         )
@@ -146,7 +146,7 @@
         corrupt_entry = Entry(key, function_entry(3), store.entries[key].revision)
         store.entries = store.entries.set(key, corrupt_entry)
         fleet.commit_and_wait(put_function("right", 2))
-        fleet.until(lambda: fleet.count_logged("config_repaired", "1 keys") == 1)
+        fleet.wait_until(lambda: fleet.count_logged("config_repaired", "1 keys") == 1)
         assert (fleet.invoked_version("left"), fleet.invoked_version("right")) == ("2", "2")
         fleet.loop.sleep(30 * SECOND)
         cached_store = ConfigStore.restore((tmp_path / "calls.db.table").read_bytes())
@@ -171,7 +171,7 @@
         fleet.config_watch.cache.mark_outdated()
         fleet.config_watch.cache.schedule_write(store)
         fleet.config_watch.cache.write()
-        fleet.until(lambda: fleet.count_logged("config_repaired", "1 keys") == 1)
+        fleet.wait_until(lambda: fleet.count_logged("config_repaired", "1 keys") == 1)
         assert fleet.invoked_version("left") == "2"
         assert fleet.config_watch.watch_state.applied_revision == 4
         fleet.loop.sleep(3 * WRITE_INTERVAL_US)
@@ -187,7 +187,7 @@
         return ConfigStore.restore((tmp_path / "calls.db.table").read_bytes()).revision
 
     def script() -> None:
-        fleet.until(lambda: (tmp_path / "calls.db.table").exists())
+        fleet.wait_until(lambda: (tmp_path / "calls.db.table").exists())
         written = {cached_revision()}
         for version in range(2, 102):
             fleet.commit_and_wait(put_function("left", version))
--- a/packages/daemon/tests/test_config_memory.py
+++ b/packages/daemon/tests/test_config_memory.py
@@ -33,7 +33,7 @@
         if number >= LIVE_FUNCTIONS:
             mutations.append(delete_function(f"added{number - LIVE_FUNCTIONS}"))
         revision = fleet.relay.commit(mutations)
-    fleet.until(lambda: fleet.config_watch.watch_state.applied_revision == revision)
+    fleet.wait_until(lambda: fleet.config_watch.watch_state.applied_revision == revision)
     added = [f"added{number - n}" for n in range(LIVE_FUNCTIONS)]
     calls = [
         fleet.loop.spawn(lambda name=name: fleet.invoke(name, x_amz_client_context=SHORT_DEADLINE))
@@ -43,14 +43,14 @@
     assert {call.join().status for call in calls} == {429}
     assert fleet.front.catalogue.functions["left"].version == str(number + 2)
     fleet.loop.sleep(4 * SECOND)
-    fleet.log.lines.clear()
+    fleet.log.events.clear()
     fleet.relay.requests.clear()
 
 
 def measure_memory(fleet: ConfigFleet) -> tuple[int, int]:
     """Return the traced bytes and the number of objects that the garbage collector tracks."""
     fleet.loop.sleep(60 * SECOND)  # the router's records of copies and calls expire
-    fleet.log.lines.clear()
+    fleet.log.events.clear()
     fleet.relay.requests.clear()
     gc.collect()
     return tracemalloc.get_traced_memory()[0], len(gc.get_objects())
--- a/packages/daemon/tests/test_config_validation.py
+++ b/packages/daemon/tests/test_config_validation.py
@@ -26,21 +26,21 @@
     def script() -> None:
         invalid = put_function("ghost", 1, **{"class": "nowhere"})
         fleet.relay.commit([put_function("left", 2), invalid])
-        fleet.until(lambda: blocked_reason() != "")
+        fleet.wait_until(lambda: blocked_reason() != "")
         assert "function/ghost" in blocked_reason()
         assert "nowhere" in blocked_reason()
         assert "valuation" in blocked_reason()
         assert fleet.invoked_version("left") == "1"
         assert fleet.invoke("ghost").status == 404
         fleet.relay.commit([put_function("right", 2)])  # valid, but it follows a blocked revision
-        fleet.until(lambda: fleet.relay.requests[-1].revision == 3)
+        fleet.wait_until(lambda: fleet.relay.requests[-1].revision == 3)
         assert fleet.relay.requests[-1].applied_revision == 1
         assert blocked_reason()
         assert fleet.invoked_version("left") == fleet.invoked_version("right") == "1"
         assert fleet.count_logged("config_blocked", "nowhere") == 1
         fleet.commit_and_wait(put_function("ghost", 2))
         assert (fleet.invoked_version("left"), fleet.invoked_version("right")) == ("2", "2")
-        fleet.until(lambda: fleet.relay.requests[-1].applied_revision == 4 and not blocked_reason())
+        fleet.wait_until(lambda: fleet.relay.requests[-1].applied_revision == 4 and not blocked_reason())
 
     fleet.run_script(script)
 
@@ -51,7 +51,7 @@
     def script() -> None:
         ghosts = [put_function(f"ghost{n}", 1, **{"class": "nowhere"}) for n in range(3)]
         fleet.relay.commit([put_function("left", 2), *ghosts])
-        fleet.until(lambda: "and 2 more" in fleet.relay.requests[-1].blocked_reason)
+        fleet.wait_until(lambda: "and 2 more" in fleet.relay.requests[-1].blocked_reason)
         fleet.commit_and_wait(*(delete_function(f"ghost{n}") for n in range(3)))
         assert fleet.invoked_version("left") == "2"
         assert len(fleet.front.catalogue.functions) == 5
@@ -88,7 +88,7 @@
         fleet.config_watch.applier.validator.validation_error = validate_and_count  # type: ignore[method-assign]
         fleet.relay.store = ConfigStore.from_entries({**fleet.relay.store.entries, **added_entries}, 50)
         fleet.relay.watch_server.store_changed()
-        fleet.until(lambda: fleet.config_watch.watch_state.applied_revision == 51)
+        fleet.wait_until(lambda: fleet.config_watch.watch_state.applied_revision == 51)
         assert fleet.invoked_version("left") == "9"
         assert fleet.invoke("f17").status == 404
         assert max(b - a for a, b in pairwise(counts_during_validation)) <= VALIDATION_BATCH
@@ -117,7 +117,7 @@
             validated_count[0] += 1
             if validated_count[0] == 100:
                 fleet.relay.commit([put_function("left", 9)])
-                fleet.until(lambda: fleet.config_watch.watch_state.store.revision == 51)
+                fleet.wait_until(lambda: fleet.config_watch.watch_state.store.revision == 51)
             return validate(entry)
 
         fleet.config_watch.applier.validator.validation_error = validate_and_count  # type: ignore[method-assign]
--- a/packages/daemon/tests/test_daemon_golden.py
+++ b/packages/daemon/tests/test_daemon_golden.py
@@ -181,7 +181,7 @@
 
     open_calls = [e for e in stored.CALLS if e.status is ExecutionStatus.RUNNING]
     assert front.recovered_calls == len(open_calls)
-    fleet.until(lambda: all(current(e).status is not ExecutionStatus.RUNNING for e in open_calls))
+    fleet.wait_until(lambda: all(current(e).status is not ExecutionStatus.RUNNING for e in open_calls))
     for execution in open_calls:  # a call that may have run already is not run again
         found = current(execution)
         assert found.status is (ExecutionStatus.FAILED if execution.intended else ExecutionStatus.SUCCEEDED)
--- a/packages/daemon/tests/test_dynamic_functions.py
+++ b/packages/daemon/tests/test_dynamic_functions.py
@@ -19,7 +19,7 @@
     function_entry,
     put_function,
 )
-from walnutpost.testsupport.daemon.fleet import INVOKE, SECOND
+from walnutpost.testsupport.daemon.fleet import INVOKE_PATH, SECOND
 from walnutpost.testsupport.daemon.front_end_calls import EVENT, describe_execution
 
 
@@ -41,7 +41,7 @@
         state = router.functions.by_key[key]
         copy_counts = {worker: copies.count for worker, copies in state.copies.items()}
         first = fleet.loop.spawn(fleet.invoke, "price")
-        fleet.until(lambda: fleet.runs("price") == 1)
+        fleet.wait_until(lambda: fleet.runs("price") == 1)
         fleet.commit_and_wait(
             put_function("price", 2, lanes=7, memory_mb=512, load_ms=80, **{"class": "reservation"})
         )
@@ -72,14 +72,14 @@
     def script() -> None:
         sync = fleet.loop.spawn(fleet.invoke, "price")
         deferred = fleet.invoke("price", b"2", x_amz_invocation_type=EVENT)
-        fleet.until(lambda: fleet.runs("price") == 2)
+        fleet.wait_until(lambda: fleet.runs("price") == 2)
         fleet.commit_and_wait(delete_function("price"))
         unknown = fleet.invoke("price")
         assert unknown.status == 404
         assert b"Function not found: price" in unknown.body
         assert fleet.invoke("price", x_amz_invocation_type=EVENT).status == 404
         assert sync.join().status == 200
-        fleet.until(lambda: describe_execution(fleet, deferred)["Status"] == "SUCCEEDED")
+        fleet.wait_until(lambda: describe_execution(fleet, deferred)["Status"] == "SUCCEEDED")
         assert fleet.invoked_version("reserve") == "1"
         assert fleet.runs("price") == 2
         fleet.commit_and_wait(put_function("price", 3))
@@ -98,7 +98,7 @@
         connection = Connection.open(fleet.loop, fleet.front.address)
         while not is_stopped():
             for function in order:
-                response = connection.request("POST", INVOKE.format(function), {}, b"1")
+                response = connection.request("POST", INVOKE_PATH.format(function), {}, b"1")
                 assert response.status == 200, (function, response.status, response.body)
                 version = int(response.headers["x-amz-executed-version"])
                 assert version >= previous_version, (
@@ -120,7 +120,7 @@
             mutations.append(put_function("extra", version) if version % 2 else delete_function("extra"))
             revision = fleet.relay.commit(mutations)
             fleet.loop.sleep(37_000 if version % 3 == 0 else 0)
-        fleet.until(lambda: fleet.config_watch.watch_state.applied_revision == revision)
+        fleet.wait_until(lambda: fleet.config_watch.watch_state.applied_revision == revision)
         fleet.loop.sleep(SECOND)
         stop_requests.append(True)
         for task in clients:
--- a/packages/daemon/tests/test_endpoint_lists.py
+++ b/packages/daemon/tests/test_endpoint_lists.py
@@ -36,7 +36,7 @@
         ):
             write(version, listed_workers, text)
             assert fleet.invoke("price").status == 200
-        errors = [fields["error"] for event, fields in fleet.log.lines if event == "worker_list_rejected"]
+        errors = [fields["error"] for event, fields in fleet.log.events if event == "worker_list_rejected"]
         assert len(errors) == 5
         assert "version 1 is older than 2" in errors[2]
         write(4, [worker | {"state": "draining"} for worker in workers])
--- a/packages/daemon/tests/test_functions_gone.py
+++ b/packages/daemon/tests/test_functions_gone.py
@@ -32,12 +32,12 @@
 
     def script() -> None:
         response = fleet.invoke("reserve", x_amz_invocation_type=EVENT)
-        fleet.until(lambda: fleet.runs("reserve") == 1)
+        fleet.wait_until(lambda: fleet.runs("reserve") == 1)
         del mutable_functions(fleet.front)["reserve"]
         assert fleet.invoke("reserve", x_amz_invocation_type=EVENT).status == 404
         assert fleet.invoke("reserve").status == 404
         assert describe_execution(fleet, response)["Status"] == "RUNNING"
-        fleet.until(lambda: describe_execution(fleet, response)["Status"] == "SUCCEEDED")
+        fleet.wait_until(lambda: describe_execution(fleet, response)["Status"] == "SUCCEEDED")
         assert fleet.runs("reserve") == 1
 
     fleet.run(script)
@@ -64,7 +64,7 @@
         response = fleet.invoke("price", x_amz_invocation_type=EVENT)
         assert response.status == 202
         assert response.headers["x-amz-executed-version"] == "1"
-        fleet.until(lambda: describe_execution(fleet, response)["Status"] == "SUCCEEDED")
+        fleet.wait_until(lambda: describe_execution(fleet, response)["Status"] == "SUCCEEDED")
         assert describe_execution(fleet, response)["Version"] == "1"
         assert fleet.runs("price") == 1
 
@@ -78,7 +78,7 @@
     response = fleet.invoke(function, x_amz_invocation_type=EVENT)
     assert response.status == 202
     if is_sent:
-        fleet.until(lambda: fleet.runs(function) == 1)
+        fleet.wait_until(lambda: fleet.runs(function) == 1)
     else:
         fleet.loop.sleep(100_000)
     kill_front_end(fleet)
@@ -110,7 +110,7 @@
         response = kill_with_open_call(fleet, function, is_sent)
         fleet.front_config = without_function(function)(fleet.front_config)
         fleet.front = fleet.start_front()
-        fleet.until(lambda: fleet.front.deferred.open_calls.pending_writes == 0)
+        fleet.wait_until(lambda: fleet.front.deferred.open_calls.pending_writes == 0)
         description = describe_execution(fleet, response)
         assert description["Status"] == "FAILED"
         assert reason in description["Error"]["ErrorMessage"]
@@ -132,7 +132,7 @@
         site = fleet.front_config.site.model_copy(update={"functions": functions})
         fleet.front_config = fleet.front_config.model_copy(update={"site": site})
         fleet.front = fleet.start_front()
-        fleet.until(lambda: fleet.front.deferred.open_calls.pending_writes == 0)
+        fleet.wait_until(lambda: fleet.front.deferred.open_calls.pending_writes == 0)
         assert "may have been running" in describe_execution(fleet, response)["Error"]["ErrorMessage"]
         fleet.loop.sleep(3 * SECOND)
         assert fleet.runs("reserve") == 1
@@ -152,7 +152,7 @@
         front.close()
         sites.front_config = without_function(UNSAFE_FUNCTION)(sites.front_config)
         sites.start_site("a1")
-        sites.until(lambda: sites.fronts["a1"].deferred.open_calls.pending_writes == 0)
+        sites.wait_until(lambda: sites.fronts["a1"].deferred.open_calls.pending_writes == 0)
         sites.loop.sleep(SECOND)
         call = sites.find_call(sites.merged_journal("a1", "b1", "c1"), "one")
         assert call.stage is CallStage.ENDED
--- a/packages/daemon/tests/test_journal_replication.py
+++ b/packages/daemon/tests/test_journal_replication.py
@@ -203,6 +203,6 @@
             sites.proxies["c1"].heal()
             sites.loop.sleep(3 * SECOND)
             assert sites.defer("a1", UNSAFE_FUNCTION, "three").status == 429
-            assert any(event == "journal_diverged" for event, _ in sites.log.lines)
+            assert any(event == "journal_diverged" for event, _ in sites.log.events)
 
     sites.run_script(script)
--- a/packages/daemon/tests/test_metering.py
+++ b/packages/daemon/tests/test_metering.py
@@ -25,14 +25,20 @@
 )
 from walnutpost.store.usage import LedgerRun
 from walnutpost.testsupport.daemon.fleet import SECOND, Fleet
-from walnutpost.testsupport.daemon.metering_fleet import MINUTE, START, metered_fleet, metering_of, traffic
+from walnutpost.testsupport.daemon.metering_fleet import (
+    MINUTE,
+    START_US,
+    metered_fleet,
+    metering_of,
+    send_calls,
+)
 
 
 def metered_usage(fleet: Fleet, metering: UsageMetering | None = None) -> dict[Account, Amount]:
     """Return the usage of all hours according to the ledger."""
     metering = metering or metering_of(fleet)
     metering.collect()
-    hours = range(START // HOUR_US * HOUR_US - HOUR_US, fleet.loop.now() + HOUR_US, HOUR_US)
+    hours = range(START_US // HOUR_US * HOUR_US - HOUR_US, fleet.loop.now() + HOUR_US, HOUR_US)
     return sum_statements(
         metering.ledger.statement(hour // HOUR_US * HOUR_US, fleet.loop.now()) for hour in hours
     )
@@ -61,7 +67,7 @@
     fleet = metered_fleet(tmp_path)
 
     def script() -> None:
-        traffic(fleet, 20)
+        send_calls(fleet, 20)
         assert_metered_equals_actual(fleet)
         fleet.loop.sleep(15 * SECOND)
         assert_metered_equals_actual(fleet)
@@ -86,11 +92,11 @@
     fleet = metered_fleet(tmp_path, metering={"silent_ms": 5000})
 
     def script() -> None:
-        traffic(fleet, 5)
+        send_calls(fleet, 5)
         for server in fleet.workers.values():
             server.restart()
         fleet.loop.sleep(700_000)
-        traffic(fleet, 15)
+        send_calls(fleet, 15)
         fleet.loop.sleep(HOUR_US // 10)
         assert_bounds_cover_actual(fleet)
         gaps = {a.cause: amount for a, amount in metered_usage(fleet).items() if a.cause}
@@ -114,7 +120,7 @@
 
     def script() -> None:
         for _ in range(3):
-            traffic(fleet, 6)
+            send_calls(fleet, 6)
             fleet.loop.sleep(1_500_000)
             kill_and_restart(fleet)
         assert_metered_equals_actual(fleet)
@@ -126,7 +132,7 @@
     fleet = metered_fleet(tmp_path, metering={"write_ms": 600_000})
 
     def script() -> None:
-        traffic(fleet, 20)
+        send_calls(fleet, 20)
         fleet.loop.sleep(2 * MINUTE)
         store = metering_of(fleet).writer.store
         write = store.write
@@ -137,10 +143,10 @@
 
         store.write = cancel_caller_and_write  # type: ignore[method-assign]
         caller = fleet.loop.spawn(metering_of(fleet).writer.write)
-        fleet.until(lambda: caller.is_done)
+        fleet.wait_until(lambda: caller.is_done)
         assert metering_of(fleet).writer.write()
         stored_usage = sum_statements(metering_of(fleet).writer.store.load()[0].booked.values())
-        ledger_usage = metering_of(fleet).ledger.statement(START // HOUR_US * HOUR_US, fleet.loop.now())
+        ledger_usage = metering_of(fleet).ledger.statement(START_US // HOUR_US * HOUR_US, fleet.loop.now())
         assert stored_usage == {a: amount for a, amount in ledger_usage.items() if amount}
         assert stored_usage
 
@@ -170,10 +176,10 @@
     def script() -> None:
         for server in fleet.workers.values():
             server.command({"books": False})
-        traffic(fleet, 7)
+        send_calls(fleet, 7)
         assert_bounds_cover_actual(fleet)
         kill_and_restart(fleet)
-        traffic(fleet, 7)
+        send_calls(fleet, 7)
         assert_bounds_cover_actual(fleet)
         causes = {a.cause: amount for a, amount in metered_usage(fleet).items()}
         assert set(causes) == {"estimated", "front end down"}
@@ -186,7 +192,7 @@
     fleet = metered_fleet(tmp_path)
 
     def script() -> None:
-        traffic(fleet, 3)
+        send_calls(fleet, 3)
         db = metering_of(fleet).writer.store._db
         db.execute("pragma wal_checkpoint(truncate)")
         pages = db.execute("pragma page_count").fetchone()[0]
@@ -194,9 +200,9 @@
         for n in range(200):  # more names than fit into the free space of the file
             metering_of(fleet).ledger.add_gap(UsageGap(0, f"source {n}" * 40, "front end down", 0))
         assert not metering_of(fleet).writer.write()
-        traffic(fleet, 4)
+        send_calls(fleet, 4)
         assert fleet.invoke("price").status == 200
-        failures = [fields for event, fields in fleet.log.lines if event == "ledger_write_failed"]
+        failures = [fields for event, fields in fleet.log.events if event == "ledger_write_failed"]
         assert len(failures) == 1
         assert "full" in failures[0]["error"]
         db.execute("pragma max_page_count=1000000")
@@ -233,7 +239,7 @@
         fleet.loop.sleep(5 * SECOND)
         logged = [
             fields["inconsistencies"]
-            for event, fields in fleet.log.lines
+            for event, fields in fleet.log.events
             if event == "usage_report_inconsistent"
         ]
         assert len(logged) == 3
@@ -257,7 +263,7 @@
         )
         fleet.loop.sleep(100_000)
         metering_of(fleet).collect()
-        assert [fields["state"] for event, fields in fleet.log.lines if event == "budget_state_changed"] == [
+        assert [fields["state"] for event, fields in fleet.log.events if event == "budget_state_changed"] == [
             "PAST"
         ]
         # Open calls, their retries and calls of loaded copies succeed; calls that need a load are rejected.
@@ -294,9 +300,9 @@
             metering_of(fleet).collect()
             orders, order_load = [], fleet.front.worker_client.order_load
 
-            def record_load_order(effect: LoadOrder, done: Callable[[LoadOrderEnded], None]) -> None:
+            def record_load_order(effect: LoadOrder, on_ended: Callable[[LoadOrderEnded], None]) -> None:
                 orders.append(effect.copies)
-                order_load(effect, done)
+                order_load(effect, on_ended)
 
             fleet.front.worker_client.order_load = record_load_order  # type: ignore[method-assign]
             calls = [
--- a/packages/faultinjection/tests/test_scenarios.py
+++ b/packages/faultinjection/tests/test_scenarios.py
@@ -16,7 +16,7 @@
 from walnutpost.faultinjection.call_results import CallResultKind
 from walnutpost.faultinjection.scenario import Scenario
 from walnutpost.faultinjection.scenario_run import play
-from walnutpost.testsupport.daemon.fleet import BASE, Log, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, RecordingLog, merge_settings
 
 TIMEOUT_S = 30.0
 
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM])
 def test_up_logs_where_it_listens_and_stops_on_a_signal(tmp_path: Path, number: signal.Signals) -> None:
     config = tmp_path / "site.json5"
-    config.write_text(json.dumps(BASE))
+    config.write_text(json.dumps(BASE_SETTINGS))
     log = tmp_path / "log"
     with log.open("wb") as out:
         command = [sys.executable, "-m", "walnutpost.cli", "--log", "json", "up", str(config)]
@@ -53,8 +53,8 @@
     "overload_factor": 4,
     "overload_for_ms": 1000,
 }
-SITE = merged(
-    BASE,
+SITE = merge_settings(
+    BASE_SETTINGS,
     {
         "site": {"rules": RULES, "keep_alive_ms": 3000},
         "metering": {"fetch_ms": 300, "write_ms": 600, "silent_ms": 3000},
@@ -85,7 +85,7 @@
 def test_small_scenario_with_faults_keeps_the_rules(tmp_path: Path) -> None:
     """The slack is wide, since this shares its machine; the rules are as ever."""
     scenario = parse(json.dumps(SCENARIO), "script", Scenario)
-    outcome = play(scenario, parse(json.dumps(SITE), "site", Config), tmp_path, Log())
+    outcome = play(scenario, parse(json.dumps(SITE), "site", Config), tmp_path, RecordingLog())
     assert outcome.verdict.has_passed and not outcome.failures, text_tables.rules_table(outcome.verdict)
     checked = {rule.name: rule.checked for rule in outcome.verdict.rules}
     assert checked["1 one fate for each deferred call"] > 20
--- a/packages/fronts/tests/test_cron_front.py
+++ b/packages/fronts/tests/test_cron_front.py
@@ -16,7 +16,7 @@
 from walnutpost.daemon.call_dispatch import CallDispatch
 from walnutpost.daemon.open_calls import OpenCall
 from walnutpost.gateway import Rejected
-from walnutpost.testsupport.daemon.fleet import BASE, SECOND, Fleet, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, SECOND, Fleet, merge_settings
 from walnutpost.testsupport.fronts.harness import (
     EVERY_MINUTE,
     MINUTE_US,
@@ -93,12 +93,12 @@
     def script() -> None:
         for worker in fleet.workers.values():
             worker.model.faults.full = -1
-        fleet.until(lambda: len(read_outcomes(tmp_path)) == 2 and not fleet.front.dispatcher.open_calls)
+        fleet.wait_until(lambda: len(read_outcomes(tmp_path)) == 2 and not fleet.front.dispatcher.open_calls)
         fleet.loop.sleep(25 * SECOND)
 
     fleet.run(script)
     assert distinct_statuses(read_outcomes(tmp_path)) <= {"FAILED", "TIMED_OUT", "REFUSED"}
-    events = [fields for event, fields in fleet.log.lines if event == "firing_failed"]
+    events = [fields for event, fields in fleet.log.events if event == "firing_failed"]
     assert {fields["schedule"] for fields in events} == {"look", "buy"}
     assert {fields["status"] for fields in events} <= {"FAILED", "TIMED_OUT", "REFUSED"}
     assert read_outcomes(tmp_path)
@@ -116,7 +116,7 @@
 
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr(CallDispatch, "dispatch", reject)
-            fleet.until(lambda: len(read_outcomes(tmp_path)) == 1)
+            fleet.wait_until(lambda: len(read_outcomes(tmp_path)) == 1)
             fleet.loop.sleep(2 * SECOND)
 
     fleet.run(script)
@@ -137,11 +137,13 @@
     )
 
     def script() -> None:
-        fleet.until(lambda: fleet.front.dispatcher.open_calls == 2, 2 * MINUTE_US)
-        changed = merged(BASE, {"schedules": {"look": EVERY_MINUTE | {"payload": 2}, "new": EVERY_MINUTE}})
+        fleet.wait_until(lambda: fleet.front.dispatcher.open_calls == 2, 2 * MINUTE_US)
+        changed = merge_settings(
+            BASE_SETTINGS, {"schedules": {"look": EVERY_MINUTE | {"payload": 2}, "new": EVERY_MINUTE}}
+        )
         fleet.front.reload(parse(json.dumps(changed), "changed", Config))
         fleet.loop.sleep(2 * MINUTE_US)
-        fleet.until(lambda: not fleet.front._is_busy())
+        fleet.wait_until(lambda: not fleet.front._is_busy())
 
     fleet.run(script)
     outcomes = read_outcomes(tmp_path)
@@ -228,7 +230,7 @@
     files, owned = [], []
     for index in (0, 1):
         front = {"front_ends": 2, "index": index}
-        config = merged(BASE, {"front": front, "schedules": schedules})
+        config = merge_settings(BASE_SETTINGS, {"front": front, "schedules": schedules})
         files.append(tmp_path / f"{index}.json5")
         files[-1].write_text(json.dumps(config))
         owned.append({s.name for s in build_own_schedules(parse(json.dumps(config), "f", Config))})
@@ -236,8 +238,9 @@
     assert not owned[0] & owned[1]
     assert "mine" in owned[1]
     assert CliRunner().invoke(main, ["check-config", *map(str, files)]).exit_code == 0
-    conflicting = merged(
-        BASE, {"front": {"front_ends": 2, "index": 0}, "schedules": {"mine": EVERY_MINUTE | {"owner": 0}}}
+    conflicting = merge_settings(
+        BASE_SETTINGS,
+        {"front": {"front_ends": 2, "index": 0}, "schedules": {"mine": EVERY_MINUTE | {"owner": 0}}},
     )
     files[0].write_text(json.dumps(conflicting))
     result = CliRunner().invoke(main, ["check-config", *map(str, files)])
@@ -251,7 +254,9 @@
     fleet.run(lambda: fleet.loop.sleep(2 * MINUTE_US))
     path = tmp_path / "site.json5"
     path.write_text(
-        json.dumps(merged(BASE, {"schedules": {"look": EVERY_MINUTE | {"zone": "Europe/Dublin"}}}))
+        json.dumps(
+            merge_settings(BASE_SETTINGS, {"schedules": {"look": EVERY_MINUTE | {"zone": "Europe/Dublin"}}})
+        )
     )
     history = CliRunner().invoke(main, ["timers", "history", str(path)])
     assert history.exit_code == 0
@@ -277,7 +282,7 @@
     tmp_path: Path, changes: dict[str, Any], location: str
 ) -> None:
     path = tmp_path / "bad.json5"
-    path.write_text(json.dumps(merged(BASE, {"schedules": {"x": EVERY_MINUTE | changes}})))
+    path.write_text(json.dumps(merge_settings(BASE_SETTINGS, {"schedules": {"x": EVERY_MINUTE | changes}})))
     result = CliRunner().invoke(main, ["check-config", str(path)])
     assert result.exit_code == 2
     assert f"{path}: {location}: " in result.output
--- a/packages/fronts/tests/test_invoke.py
+++ b/packages/fronts/tests/test_invoke.py
@@ -14,7 +14,7 @@
 
 from walnutpost.eventloop import RealClock
 from walnutpost.http import Response
-from walnutpost.testsupport.daemon.fleet import INVOKE, SECOND, Fleet
+from walnutpost.testsupport.daemon.fleet import INVOKE_PATH, SECOND, Fleet
 
 
 def test_call_is_served_and_reports_the_executed_version(tmp_path: Path) -> None:
@@ -44,8 +44,8 @@
         fleet.warm("reserve")
         before = fleet.runs()
         first = fleet.loop.spawn(invoke)
-        fleet.until(lambda: fleet.runs() > before)
-        fleet.running().command({"silent": True})
+        fleet.wait_until(lambda: fleet.runs() > before)
+        fleet.find_busy_worker().command({"silent": True})
         first.cancel()
         second = invoke()
         assert second.status == 200
@@ -63,12 +63,12 @@
     def script() -> None:
         fleet.warm("price")
         call = fleet.loop.spawn(fleet.invoke, "price")
-        fleet.until(lambda: fleet.front.worker_client.in_flight == 1)
+        fleet.wait_until(lambda: fleet.front.worker_client.in_flight == 1)
         call.cancel()
-        fleet.until(lambda: fleet.front.worker_client.in_flight == 0)
+        fleet.wait_until(lambda: fleet.front.worker_client.in_flight == 0)
         assert fleet.front.dispatcher.open_calls == 0
         assert fleet.front.dispatcher.answers.abandoned == 1
-        logged_kinds = [(event, fields.get("kind")) for event, fields in fleet.log.lines]
+        logged_kinds = [(event, fields.get("kind")) for event, fields in fleet.log.events]
         assert ("request_answered", "left") in logged_kinds
 
     fleet.run(script)
@@ -85,20 +85,20 @@
         repeated = fleet.invoke("reserve", b'"not-for-the-log"', amz_sdk_invocation_id="a")
         assert repeated.body == response.body
         assert fleet.runs("reserve") == 1
-        answered_events = [fields for event, fields in fleet.log.lines if event == "request_answered"]
+        answered_events = [fields for event, fields in fleet.log.events if event == "request_answered"]
         assert answered_events[0]["kind"] == "failed"
         assert answered_events[0]["request_id"] == response.headers["x-amzn-requestid"]
-        assert "not-for-the-log" not in repr(fleet.log.lines)
+        assert "not-for-the-log" not in repr(fleet.log.events)
 
     fleet.run(script)
 
 
-INVOKE_PRICE = INVOKE.format("price")
+INVOKE_PRICE = INVOKE_PATH.format("price")
 INVALID_CONTEXT = base64.b64encode(b'{"custom": {"deadline-ms": "x"}}').decode()
 INVALID_REQUESTS: list[tuple[str, str, dict[str, str], bytes, int, str]] = [
-    ("POST", INVOKE.format("nope"), {}, b"1", 404, "ResourceNotFoundException"),
-    ("POST", INVOKE.format("price:7"), {}, b"1", 404, "ResourceNotFoundException"),
-    ("POST", INVOKE.format("a%20b"), {}, b"1", 400, "InvalidParameterValueException"),
+    ("POST", INVOKE_PATH.format("nope"), {}, b"1", 404, "ResourceNotFoundException"),
+    ("POST", INVOKE_PATH.format("price:7"), {}, b"1", 404, "ResourceNotFoundException"),
+    ("POST", INVOKE_PATH.format("a%20b"), {}, b"1", 400, "InvalidParameterValueException"),
     ("POST", INVOKE_PRICE, {"x-amz-tenant-id": "nobody"}, b"1", 400, "InvalidParameterValueException"),
     ("POST", INVOKE_PRICE, {"x-amz-invocation-type": "Later"}, b"1", 400, "InvalidParameterValueException"),
     ("POST", INVOKE_PRICE, {"x-amz-client-context": "{"}, b"1", 400, "InvalidParameterValueException"),
--- a/packages/fronts/tests/test_store_faults.py
+++ b/packages/fronts/tests/test_store_faults.py
@@ -101,7 +101,7 @@
         disk = FailingDisk()
         connection = install_store_script(fleet, disk)
         first = fleet.loop.spawn(defer, fleet)
-        fleet.until(lambda: connection.failures > 1)
+        fleet.wait_until(lambda: connection.failures > 1)
         second = fleet.loop.spawn(defer, fleet, 2)
         fleet.loop.sleep(SECOND // 5)
         disk.is_broken = False
@@ -134,7 +134,7 @@
     second = Fleet(tmp_path / "after the kill")
 
     def check_after_restart() -> None:
-        second.until(lambda: second.runs("reserve") == 1)  # the call was found at startup
+        second.wait_until(lambda: second.runs("reserve") == 1)  # the call was found at startup
         accepted = defer(second, 2)
         assert accepted.status == 202
         assert DeferredClient(second).wait_for_end(accepted.headers[ARN_HEADER])["Status"] == "SUCCEEDED"
@@ -162,7 +162,7 @@
         fleet.front.dispatcher.submit = submit  # type: ignore[method-assign]
         assert calls.start("reserve", b"1", "order").status == 500  # the name still belongs to the first call
         disk.is_broken = False
-        fleet.until(lambda: not fleet.front.deferred.open_calls)
+        fleet.wait_until(lambda: not fleet.front.deferred.open_calls)
         assert not calls.list("reserve")["DurableExecutions"]
         accepted = calls.start("reserve", b"1", "order")
         assert calls.wait_for_end(accepted.headers[ARN_HEADER])["Status"] == "SUCCEEDED"
@@ -180,11 +180,11 @@
         disk = FailingDisk(prefixes=("update executions set intended=?",))
         install_store_script(first, disk)
         arn = str(DeferredClient(first).start("reserve", b"1", "order").headers[ARN_HEADER])
-        first.until(lambda: first.front.deferred.open_calls.pending_writes == 1)
+        first.wait_until(lambda: first.front.deferred.open_calls.pending_writes == 1)
         first.loop.sleep(9 * SECOND)
         assert first.front.deferred.open_calls.pending_writes == 1
         disk.is_broken, repaired_at_us = False, first.loop.now()
-        first.until(lambda: first.front.deferred.open_calls.pending_writes == 0)
+        first.wait_until(lambda: first.front.deferred.open_calls.pending_writes == 0)
         assert first.loop.now() - repaired_at_us < 2 * SECOND
         assert first.runs("reserve") == 1
         return arn
@@ -252,7 +252,7 @@
         calls = DeferredClient(fleet)
         arn = calls.start("price", b"1", "order").headers[ARN_HEADER]
         assert calls.wait_for_end(arn)["Status"] == "SUCCEEDED"
-        fleet.until(lambda: not fleet.front.deferred.open_calls)
+        fleet.wait_until(lambda: not fleet.front.deferred.open_calls)
         disk = FailingDisk(prefixes=("select",))
         install_store_script(fleet, disk)
         assert calls.get(arn)["Status"] == "500"
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/config_fleet.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/config_fleet.py
@@ -101,7 +101,7 @@
     def commit_and_wait(self, *mutations: Mutation) -> int:
         """Commit a change set, wait until the front end has applied it, and return its revision."""
         revision = self.relay.commit(list(mutations))
-        self.until(lambda: self.config_watch.watch_state.applied_revision == revision)
+        self.wait_until(lambda: self.config_watch.watch_state.applied_revision == revision)
         return revision
 
     def invoked_version(self, function: str) -> str:
@@ -112,4 +112,4 @@
 
     def count_logged(self, event: str, text: str) -> int:
         """Count the log events of this name whose fields contain `text`."""
-        return sum(name == event and text in repr(fields) for name, fields in self.log.lines)
+        return sum(name == event and text in repr(fields) for name, fields in self.log.events)
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/fake_relay.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/fake_relay.py
@@ -7,7 +7,7 @@
 from walnutpost.configstore import ConfigStore, Mutation, WatchRequest
 from walnutpost.eventloop import Loop
 from walnutpost.http import Exchange, HttpMessageError, Response, Server
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.watch import WatchServer
 
 
@@ -21,7 +21,7 @@
         self.store = store
         self.requests: list[WatchRequest] = []
         self.watch_server = WatchServer(loop, lambda: self.store, lambda: 0, self, batch_interval_us=0)
-        self.server: Server = serve_on(loop, ("127.0.0.1", 0), self._handle, _protocol_error)
+        self.server: Server = start_server(loop, ("127.0.0.1", 0), self._handle, _protocol_error)
         self.address = self.server.address
 
     def _handle(self, exchange: Exchange) -> Response:
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/fleet.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/fleet.py
@@ -22,9 +22,9 @@
 
 T = TypeVar("T")
 SECOND = 1_000_000
-INVOKE = "/2015-03-31/functions/{}/invocations"
+INVOKE_PATH = "/2015-03-31/functions/{}/invocations"
 EXECUTION_ARN_HEADER = "x-amz-durable-execution-arn"
-BASE: dict[str, Any] = {
+BASE_SETTINGS: dict[str, Any] = {
     "site": {
         "classes": {
             "valuation": {"effect": "safe", "aim_ms": 1000, "deadline_ms": 2500},
@@ -49,24 +49,26 @@
 }
 
 
-class Log:
+class RecordingLog:
     """Collects log events in memory."""
 
     def __init__(self) -> None:
-        self.lines: list[tuple[str, dict[str, Any]]] = []
+        self.events: list[tuple[str, dict[str, Any]]] = []
 
     def info(self, event: str, **fields: Any) -> None:
         """Record an event."""
-        self.lines.append((event, fields))
+        self.events.append((event, fields))
 
     warning = error = info
 
 
-def merged(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
+def merge_settings(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
     """Return a copy of `base` with `overrides` merged into its nested sections."""
     result = copy.deepcopy(base)
     for key, value in overrides.items():
-        result[key] = merged(result[key], value) if isinstance(value, dict) and key in result else value
+        result[key] = (
+            merge_settings(result[key], value) if isinstance(value, dict) and key in result else value
+        )
     return result
 
 
@@ -90,12 +92,14 @@
         """`overrides` change the whole configuration, `front_end_overrides` only the front end's."""
         self.path = path
         self.capture = capture
-        settings = merged(BASE, overrides or {})
+        settings = merge_settings(BASE_SETTINGS, overrides or {})
         self.config = parse(json.dumps(settings), "test", Config)
-        self.front_config = parse(json.dumps(merged(settings, front_end_overrides or {})), "test", Config)
+        self.front_config = parse(
+            json.dumps(merge_settings(settings, front_end_overrides or {})), "test", Config
+        )
         self.errors: list[BaseException] = []
         self.loop = Loop(clock or VirtualClock(), lambda name, error: self.errors.append(error))
-        self.log = Log()
+        self.log = RecordingLog()
         self.workers: dict[str, WorkerServer] = {}
         self.worker_entries: list[WorkerConfig] = []
         self.list_version = 0
@@ -180,9 +184,9 @@
 
     def invoke(self, function: str, payload: bytes = b"1", **headers: str) -> Response:
         """Call a function."""
-        return self.ask("POST", INVOKE.format(function), payload, **headers)
+        return self.ask("POST", INVOKE_PATH.format(function), payload, **headers)
 
-    def ask_worker(self, name: str, target: str) -> Response:
+    def get_from_worker(self, name: str, target: str) -> Response:
         """Send a GET request to a worker."""
         connection = Connection.open(self.loop, self.workers[name].address)
         try:
@@ -200,11 +204,11 @@
             function in (None, executed) for server in self.workers.values() for _, executed, _ in server.runs
         )
 
-    def running(self) -> WorkerServer:
+    def find_busy_worker(self) -> WorkerServer:
         """Return the first worker that is running a call."""
         return next(server for server in self.workers.values() if server.model.running_count)
 
-    def until(self, condition: Callable[[], bool], timeout_us: int = 60 * SECOND) -> None:
+    def wait_until(self, condition: Callable[[], bool], timeout_us: int = 60 * SECOND) -> None:
         """Wait until a condition is true, in the event loop's time."""
         deadline_us = self.loop.now() + timeout_us
         while not condition():
@@ -213,11 +217,11 @@
 
 
 __all__ = [
-    "BASE",
+    "BASE_SETTINGS",
     "EXECUTION_ARN_HEADER",
     "SECOND",
     "Fleet",
-    "Log",
+    "RecordingLog",
     "execution_path",
-    "merged",
+    "merge_settings",
 ]
--- a/packages/testsupport/src/walnutpost/testsupport/daemon/replicated_sites.py
+++ b/packages/testsupport/src/walnutpost/testsupport/daemon/replicated_sites.py
@@ -13,7 +13,7 @@
 from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, Response
 from walnutpost.journal import CallState, MergedJournal
-from walnutpost.testsupport.daemon.fleet import INVOKE, SECOND, Fleet, execution_path, merged
+from walnutpost.testsupport.daemon.fleet import INVOKE_PATH, SECOND, Fleet, execution_path, merge_settings
 
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
 UNSAFE_FUNCTION = "reserve"
@@ -71,7 +71,7 @@
         ]
         settings = self.front_config.model_dump(by_alias=True, exclude_unset=True, mode="json")
         section = {"name": name, "listen": "127.0.0.1:0", "holders": holders, "classes": self.classes}
-        settings = merged(
+        settings = merge_settings(
             settings, {"front": {"store": f"{name}.db"}, "journal": section | self.journal_settings}
         )
         settings["front"]["workers"] = [entry.model_dump(mode="json") for entry in self.worker_entries]
@@ -94,7 +94,7 @@
             headers["x-amz-durable-execution-name"] = name
         connection = Connection.open(self.loop, self.fronts[site].address)
         try:
-            return connection.request("POST", INVOKE.format(function), headers, b'{"copy": 7}')
+            return connection.request("POST", INVOKE_PATH.format(function), headers, b'{"copy": 7}')
         finally:
             connection.close()
 
--- a/packages/testsupport/src/walnutpost/testsupport/fronts/harness.py
+++ b/packages/testsupport/src/walnutpost/testsupport/fronts/harness.py
@@ -36,7 +36,7 @@
 
     def wait_for_end(self, arn: str) -> dict[str, Any]:
         """Wait until an execution is no longer running, and return it."""
-        self.fleet.until(lambda: self.get(arn)["Status"] != "RUNNING")
+        self.fleet.wait_until(lambda: self.get(arn)["Status"] != "RUNNING")
         return self.get(arn)
 
     def list(self, function: str, query: str = "") -> dict[str, Any]:
--- a/packages/testsupport/src/walnutpost/testsupport/replication/sites.py
+++ b/packages/testsupport/src/walnutpost/testsupport/replication/sites.py
@@ -14,7 +14,7 @@
 from walnutpost.eventloop import Loop, WaitTimeoutError
 from walnutpost.faultinjection.network import LinkProxy
 from walnutpost.http import Connection, HttpMessageError
-from walnutpost.testsupport.daemon.fleet import BASE, INVOKE, SECOND, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, INVOKE_PATH, SECOND, merge_settings
 
 TIMEOUT_US = 30 * SECOND
 SITES = {"a1": ("east", "a"), "b1": ("east", "b"), "c1": ("west", "c")}
@@ -49,7 +49,7 @@
         journal = {"journal": self.journal | {"name": name}} if self.journal else {}
         section = journal | {"front": {"store": f"{name}.db"}}
         config = self.path / f"{name}.json"
-        config.write_text(json.dumps(merged(merged(BASE, section), self.overrides)))
+        config.write_text(json.dumps(merge_settings(merge_settings(BASE_SETTINGS, section), self.overrides)))
         command = [sys.executable, "-m", "walnutpost.cli", "--log", "json"]
         command += ["up" if name == "a1" else "serve", str(config)]
         with (self.path / f"{name}.log").open("wb") as log:
@@ -84,7 +84,7 @@
             with self.loop.timeout(3 * SECOND):
                 connection = Connection.open(self.loop, address)
                 try:
-                    return connection.request("POST", INVOKE.format(function), headers, b"{}").status
+                    return connection.request("POST", INVOKE_PATH.format(function), headers, b"{}").status
                 finally:
                     connection.close()
         except (OSError, HttpMessageError, WaitTimeoutError):
--- a/packages/workerclient/tests/test_tls_fleet.py
+++ b/packages/workerclient/tests/test_tls_fleet.py
@@ -11,7 +11,7 @@
 
 from walnutpost.cli import main
 from walnutpost.fakes.authority import Authority, IssuedCertificate
-from walnutpost.testsupport.daemon.fleet import BASE, Fleet, merged
+from walnutpost.testsupport.daemon.fleet import BASE_SETTINGS, Fleet, merge_settings
 
 NOW = datetime.now(UTC)
 AUTHORITY = Authority(NOW)
@@ -65,7 +65,7 @@
     new_authority = Authority(NOW, "new root")
 
     def certificate_events() -> list[tuple[str, dict[str, object]]]:
-        return [(event, fields) for event, fields in fleet.log.lines if event.startswith("certificate_")]
+        return [(event, fields) for event, fields in fleet.log.events if event.startswith("certificate_")]
 
     def script() -> None:
         statuses: list[int] = []
@@ -78,13 +78,13 @@
         client_tasks = [fleet.loop.spawn(call_repeatedly) for _ in range(4)]
         # Both roots are trusted for a while.
         (tmp_path / "root.pem").write_bytes(AUTHORITY.root + new_authority.root)
-        fleet.until(lambda: len(certificate_events()) == 1)
+        fleet.wait_until(lambda: len(certificate_events()) == 1)
         new_authority.issue("front").write(tmp_path, "front")
         key_pem = (tmp_path / "front.key").read_bytes()
         (tmp_path / "front.key").write_bytes(
             key_pem[:100]
         )  # half-written: rejected, the old key stays in use
-        fleet.until(lambda: len(certificate_events()) == 2)
+        fleet.wait_until(lambda: len(certificate_events()) == 2)
         (tmp_path / "front.key").write_bytes(key_pem)
         for worker in (fleet.workers["worker-1"], fleet.workers["worker-2"]):
             context = worker.server.context
@@ -92,15 +92,15 @@
             context.load_verify_locations(cadata=new_authority.root.decode())
             new_authority.issue(worker.model.spec.name).write(tmp_path, "renewed")
             context.load_cert_chain(tmp_path / "renewed.pem", tmp_path / "renewed.key")
-        fleet.until(lambda: len(certificate_events()) == 3)
+        fleet.wait_until(lambda: len(certificate_events()) == 3)
         (tmp_path / "root.pem").write_bytes(new_authority.root)  # the old root is no longer trusted
-        fleet.until(lambda: len(certificate_events()) == 4)
+        fleet.wait_until(lambda: len(certificate_events()) == 4)
         # The third worker still has its old certificate, so sessions and idle connections that date from the
         # old root must no longer be used.
         fleet.loop.sleep(1_000_000)
         calls_before = len(statuses)
         runs_before = len(fleet.workers["worker-3"].runs)
-        fleet.until(lambda: len(statuses) > calls_before + 60)
+        fleet.wait_until(lambda: len(statuses) > calls_before + 60)
         assert len(fleet.workers["worker-3"].runs) == runs_before > 0
         stopped.append(True)
         for task in client_tasks:
@@ -126,7 +126,7 @@
         fleet.warm("price")
         assert fleet.front.worker_client.idle_connection_count
         (tmp_path / "root.pem").write_bytes(AUTHORITY.root + Authority(NOW).root)
-        fleet.until(lambda: any(event == "certificate_reloaded" for event, _ in fleet.log.lines))
+        fleet.wait_until(lambda: any(event == "certificate_reloaded" for event, _ in fleet.log.events))
         assert not fleet.front.worker_client.idle_connection_count
 
     fleet.run(script)
@@ -138,7 +138,7 @@
     (tmp_path / "root.pem").write_bytes(AUTHORITY.root)
     path = tmp_path / "site.json5"
     tls = {"roots": "root.pem", "chain": "front.pem", "key": "front.key"}
-    path.write_text(json.dumps(merged(BASE, {"front": {"tls": tls}})))
+    path.write_text(json.dumps(merge_settings(BASE_SETTINGS, {"front": {"tls": tls}})))
     result = CliRunner().invoke(main, ["serve", str(path)])
     assert result.exit_code == 2
     assert "front.pem: found a key of another certificate" in result.stderr
@@ -148,7 +148,7 @@
 def test_keys_status_accepts_the_certificates_that_keys_make_test_ca_creates(tmp_path: Path) -> None:
     path = tmp_path / "site.json5"
     tls = {"roots": "keys/root.pem", "chain": "keys/front.pem", "key": "keys/front.key"}
-    path.write_text(json.dumps(merged(BASE, {"front": {"tls": tls}})))
+    path.write_text(json.dumps(merge_settings(BASE_SETTINGS, {"front": {"tls": tls}})))
     assert CliRunner().invoke(main, ["keys", "status", str(path)]).exit_code == 1
     make_result = CliRunner().invoke(
         main, ["keys", "make-test-ca", str(path), "--out", str(tmp_path / "keys")]
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -25,7 +25,12 @@
     create_fleet,
     play,
 )
-from walnutpost.testsupport.daemon.fleet import BASE, EXECUTION_ARN_HEADER, INVOKE, merged
+from walnutpost.testsupport.daemon.fleet import (
+    BASE_SETTINGS,
+    EXECUTION_ARN_HEADER,
+    INVOKE_PATH,
+    merge_settings,
+)
 from walnutpost.testsupport.system.system_faults import SystemFaults
 
 PATIENCE_S = 60.0
@@ -158,7 +163,7 @@
         """Ask for a deferred call with a deadline of DEADLINE_MS."""
         context = base64.b64encode(b'{"custom": {"deadline-ms": %d}}' % DEADLINE_MS).decode()
         headers = {"x-amz-invocation-type": "Event", "x-amz-client-context": context}
-        return self.ask("POST", INVOKE.format(function), body, **headers)
+        return self.ask("POST", INVOKE_PATH.format(function), body, **headers)
 
     def status(self, execution: str) -> str:
         """Return the execution's status, or the HTTP status if there is none."""
@@ -187,8 +192,8 @@
         process.kill()
 
 
-SETTINGS = merged(
-    BASE,
+SETTINGS = merge_settings(
+    BASE_SETTINGS,
     {
         "front": {"keep_results_ms": 10 * 60 * 1000, "store": "calls.db"},
         "fleet": {"work": {"reserve": {"work_ms": DEADLINE_MS, "spread": 0, "load_ms": 300}}},
@@ -226,6 +231,8 @@
 def test_a_front_end_whose_accepts_fail_answers_each_client(tmp_path: Path, faults: SystemFaults) -> None:
     with front_end(tmp_path, faults.environment()) as process:
         faults.fail(accepts_per_thousand=200)
-        statuses = [process.ask("POST", INVOKE.format("price"), b"%d" % n).status for n in range(5 * CALLS)]
+        statuses = [
+            process.ask("POST", INVOKE_PATH.format("price"), b"%d" % n).status for n in range(5 * CALLS)
+        ]
         assert statuses == [200] * len(statuses)
         assert "accept_failed" in process.log()
