--- a/packages/daemon/src/walnutpost/daemon/background_tasks.py
+++ b/packages/daemon/src/walnutpost/daemon/background_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run until the front end stops."""
+"""Background tasks, which run until the front end stops."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
         self._tasks: list[Task[None]] = []
 
     def spawn(self, function: Callable[[], None], name: str) -> None:
-        """Run a function in a task; `name` shows in logs."""
+        """Run a function in a new task; `name` identifies it in logs."""
         self._tasks.append(self._loop.spawn(function, name=name))
 
     def cancel_all(self) -> None:
--- a/packages/daemon/src/walnutpost/daemon/call_counter.py
+++ b/packages/daemon/src/walnutpost/daemon/call_counter.py
@@ -1,4 +1,4 @@
-"""Counts how calls end, for canary analysis."""
+"""Counts of call outcomes, for canary analysis."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class CallCounter:
-    """Counts the final answers of all calls; the latency objectives are those of `classes`.
+    """Counts the final answers of all calls, compared with the latency objectives of `classes`.
 
-    It is the `AnswerCounter` of the dispatcher.
+    Implements the dispatcher's `AnswerCounter`.
     """
 
     def __init__(
@@ -25,7 +25,7 @@
         self.counts = CallCounts()
 
     def on_submitted(self, call: CallArrived) -> Callable[[Final], None]:
-        """Note when a call should be answered; return the function that counts its final answer."""
+        """Compute when a call should be answered; return a function that counts its final answer."""
         function = call.definition or self._functions.get(call.function)
         objective_us = self._classes[function.class_index].latency_objective_us if function is not None else 0
         objective_at_us = self._loop.now() + objective_us
@@ -39,5 +39,5 @@
         return count
 
     def on_abandoned(self) -> None:
-        """Count a caller that disconnected before its answer as a failed call."""
+        """Count a failed call, because the caller disconnected before the answer."""
         self.counts += CallCounts(0, 0, 1, 0)
--- a/packages/daemon/src/walnutpost/daemon/call_dispatch.py
+++ b/packages/daemon/src/walnutpost/daemon/call_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of deferred calls: hands an open call to the gateway, and its final answer to the results."""
+"""Dispatch of deferred calls: passes open calls to the gateway, and records their final answers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CallDispatch:
-    """Submits open calls to the dispatcher, each under a caller id that the table of open calls keeps."""
+    """Submits open calls to the dispatcher, each under a caller id by which `OpenCalls` finds it."""
 
     def __init__(self, dispatcher: Dispatcher, open_calls: OpenCalls, results: CallResults) -> None:
         self._dispatcher = dispatcher
@@ -17,10 +17,11 @@
         self._results = results
 
     def dispatch(self, call: OpenCall, time_left_us: int, request_id: str) -> None:
-        """Hand a call to the gateway.
+        """Submit a call to the gateway.
 
-        A rejection before this returns is left in `call.rejection`; any other final answer is recorded as the
-        call's result, now or later. Raises LookupError if the gateway knows no such function or tenant.
+        If the gateway rejects the call before this returns, set `call.rejection`. Any other final answer is
+        recorded as the call's result, during this call or later. Raises LookupError if the gateway doesn't
+        know the function or the tenant.
         """
         execution = call.execution
         self._open_calls.set_caller(call, self._dispatcher.new_caller_id())
@@ -49,7 +50,7 @@
         is_dispatching = False
 
     def cancel(self, call: OpenCall) -> None:
-        """Stop a call that was dispatched; its final answer follows."""
+        """Stop a dispatched call; its final answer arrives as for any other call."""
         self._dispatcher.feed(CallStopped(call.caller_id))
 
     def log_final(self, call: OpenCall, final: Final, request_id: str) -> None:
@@ -57,7 +58,7 @@
         self._dispatcher.log_answer(final, request_id, call.execution.function, call.execution.tenant)
 
     def _budget_rejection(self, call: OpenCall) -> Rejected | None:
-        """Return the rejection of a new call by its tenant's budget; a recovered call was accepted before."""
-        if call.settled.is_set:
+        """Return a rejection if the tenant's budget rejects a new call; a recovered one was accepted."""
+        if call.acceptance_done.is_set:
             return None
         return self._dispatcher.rejection_for(call.execution.function, call.execution.tenant)
--- a/packages/daemon/src/walnutpost/daemon/call_intents.py
+++ b/packages/daemon/src/walnutpost/daemon/call_intents.py
@@ -1,4 +1,4 @@
-"""Intents of deferred calls: durable before the first byte of an unsafe call is sent."""
+"""Intents of deferred calls, which are durable before the first byte of an unsafe call is sent."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CallIntents:
-    """Names the execution of an attempt, and records the attempt's intent, for the dispatcher."""
+    """Looks up the execution of an attempt and records the attempt's intent, for the dispatcher."""
 
     def __init__(self, open_calls: OpenCalls, records: ExecutionRecords, log: Logger) -> None:
         self._open_calls = open_calls
@@ -20,14 +20,14 @@
         self._log = log
 
     def execution_name(self, caller_id: int) -> str:
-        """Return the name of the execution that a caller waits for, empty for a synchronous call."""
+        """Return the name of the execution that a caller waits for, or empty for a synchronous call."""
         call = self._open_calls.by_caller(caller_id)
         return call.execution.name if call is not None else ""
 
     def record_intent(self, attempt: Send) -> None:
-        """Make an unsafe call's intent durable before its first byte is sent.
+        """Make the intent of an unsafe call durable before its first byte is sent.
 
-        Raises LookupError if it must not be sent: ConnectionError would mean that the worker is at fault.
+        Raises LookupError if the attempt must not be sent: a ConnectionError would count as a worker failure.
         """
         call = self._open_calls.by_caller(attempt.caller_id)
         if call is None or self._records.is_intent_recorded(call):
--- a/packages/daemon/src/walnutpost/daemon/call_queries.py
+++ b/packages/daemon/src/walnutpost/daemon/call_queries.py
@@ -1,4 +1,4 @@
-"""Queries for deferred calls that another front end accepted."""
+"""Queries for deferred calls that were accepted by another front end."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class CallQueries:
-    """Finds a call in the replicas here and, if these may not have all of it, in the other journals."""
+    """Finds a call in the local replicas and, if these may be incomplete, in the journals of other sites."""
 
     def __init__(self, loop: Loop, store: JournalStore, others: OtherJournals) -> None:
         self._loop = loop
@@ -21,9 +21,9 @@
         self._others = others
 
     def find_call(self, call_id: str) -> Execution | None:
-        """Return a call that another front end accepted, as recorded by journals here and at other sites.
+        """Return a call that another front end accepted, as recorded in the journals of all sites, or None.
 
-        Raises SitesUnreachableError if none knows it, and some did not answer.
+        Raises SitesUnreachableError if no site knows the call and some did not answer.
         """
         merged = MergedJournal()
         unreachable: list[str] = []
--- a/packages/daemon/src/walnutpost/daemon/call_quorums.py
+++ b/packages/daemon/src/walnutpost/daemon/call_quorums.py
@@ -1,4 +1,4 @@
-"""Quorums of deferred calls: whether an entry can have one now, and the wait until it does."""
+"""Quorums of deferred calls: admission checks, and waits until an entry is replicated."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class CallQuorums:
     """Starts the replication of committed entries, and waits for the quorum that a call's class requires.
 
-    `quorum_timeout_us` limits a wait that is not until the call's deadline.
+    `quorum_timeout_us` limits each wait, except one that lasts until the call's deadline.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self._quorum_timeout_us = quorum_timeout_us
 
     def admission_error(self, function: Function, size_bytes: int) -> Rejected | None:
-        """Return the rejection of a call that can't be replicated now as its class requires, else None."""
+        """Return a rejection if the call can't be replicated now as its class requires, else None."""
         required = self._requirements.of_function(function)
         retry_after_us = self._sender.state.retry_after_us(
             required.replicas, required.accepts_fewer, size_bytes
@@ -46,8 +46,8 @@
     ) -> QuorumReached | QuorumFailed:
         """Wait until a committed entry has the quorum that the call's class requires.
 
-        No longer than `quorum_timeout_us`, or, with `until_deadline`, than `time_left_us` if that is more. If
-        the class accepts fewer replicas, any number is a quorum.
+        The wait is limited by `quorum_timeout_us` and by `time_left_us`: by the shorter of them or, with
+        `until_deadline`, by the longer. If the class accepts fewer replicas, any number counts as a quorum.
         """
         self.entries_persisted(append)
         required = self._requirements.of_function(function)
--- a/packages/daemon/src/walnutpost/daemon/call_results.py
+++ b/packages/daemon/src/walnutpost/daemon/call_results.py
@@ -1,4 +1,4 @@
-"""Final statuses of deferred calls: recorded until they are durable, then the call is closed."""
+"""Final statuses of deferred calls: a call stays open until its final status is durable."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CallResults:
-    """Gives open calls their final status, and closes them once it is durable.
+    """Sets the final status of open calls, and removes each call from the index once its status is durable.
 
     `result_change` returns the change that is committed together with an execution's result.
     """
@@ -31,11 +31,11 @@
         self._listeners: list[Callable[[Execution], None]] = []
 
     def add_listener(self, on_ended: Callable[[Execution], None]) -> None:
-        """Call `on_ended` with each execution whose result has become durable."""
+        """Call `on_ended` with every execution whose result has become durable."""
         self._listeners.append(on_ended)
 
     def finish(self, call: OpenCall, final: Final) -> None:
-        """Give a call its final status, and record it in a separate task."""
+        """Set a call's final status, and record it in a separate task."""
         call.execution = with_final_status(call.execution, final, self._loop.now())
         self._loop.spawn(self._record_result, call, name="record result")
 
--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -1,4 +1,4 @@
-"""Builds a front end out of its configuration: each part, in order, from those before it."""
+"""Builds a front end from its configuration, with its parts in the order of their dependencies."""
 
 from __future__ import annotations
 
@@ -63,11 +63,11 @@
     base: Path | None = None,
     wall_clock: Callable[[], int] | None = None,
 ) -> FrontEnd:
-    """Build all parts and listen; to be called in a task. Two front ends in one process share nothing.
+    """Build all parts and start listening; must run in a task. Front ends in one process share no state.
 
-    Paths in `config` are relative to `base`. `wall_clock` is the time of day for schedules, which may be set;
-    the loop's own time never steps. Raises InvalidCertificateError, OSError, StoreError or ValueError for a
-    file or an address that can't be used.
+    Paths in `config` are relative to `base`. Schedules follow `wall_clock`, which may step when the clock is
+    set; event loop time never steps. Raises InvalidCertificateError, OSError, StoreError or ValueError if a
+    file or an address can't be used.
     """
     environment = Environment(
         loop, config, log, traffic_observer, base or Path(), wall_clock or read_wall_clock
@@ -85,8 +85,10 @@
     call_replication = replication.calls if replication is not None else None
     open_calls = OpenCalls()
     records = ExecutionRecords(loop, store, call_replication, log)
-    metered = build_metering(environment, catalogue, worker_client)
-    metering, observer = (metered.metering, metered.observer) if metered is not None else (None, None)
+    built_metering = build_metering(environment, catalogue, worker_client)
+    metering, observer = (
+        (built_metering.metering, built_metering.observer) if built_metering is not None else (None, None)
+    )
     call_counter = build_call_counter(environment, catalogue, classes)
     hooks = DispatchHooks(observer, CallIntents(open_calls, records, log), call_counter)
     dispatcher = Dispatcher(loop, _build_gateway(config, catalogue), worker_client, log, hooks)
@@ -157,7 +159,7 @@
 
 
 def _build_catalogue(config: Config, dynamic_functions: DynamicFunctions | None) -> Catalogue:
-    """Build the catalogue: of the configured functions, or of the dynamic ones as they change."""
+    """Build the catalogue of the configured functions or, if there are any, of the dynamic functions."""
     catalogue = build_catalogue(config.site)
     if dynamic_functions is None:
         return catalogue
@@ -219,7 +221,7 @@
 def _load_endpoint_list(
     environment: Environment, endpoint_lists: EndpointLists, tasks: BackgroundTasks
 ) -> None:
-    """Load the list of workers from its file, which is then polled, or from the configuration."""
+    """Load the list of workers from the configuration, or from its file, which is polled from then on."""
     front = environment.config.front
     if front.workers_file is None:
         endpoint_lists.set_configured(ListKind.CACHED, 0, front.workers)
@@ -233,14 +235,14 @@
 def _build_cron(environment: Environment, deferred: DeferredCalls, firings: FiringStore) -> CronFront:
     front = environment.config.front
     progress = ScheduleProgressFile(environment.store_file(".seen"))
-    newest_mark = max(firings.load_marks().values(), default=0)
+    newest_stored_due = max(firings.load_marks().values(), default=0)
     return CronFront(
         environment.loop,
         environment.wall_clock,
         build_own_schedules(environment.config),
         deferred,
         firings,
-        progress.uncertain_until(newest_mark),
+        progress.uncertain_until(newest_stored_due),
         FiringLimits(front.max_concurrent_firings, front.firings_per_s),
         environment.log,
         progress.write,
@@ -250,7 +252,7 @@
 def _recover_calls(
     recovery: DeferredRecovery, are_functions_known: Callable[[], bool], tasks: BackgroundTasks
 ) -> int:
-    """Take over the open calls of the last process; return how many there are."""
+    """Recover the open calls of the previous process; return how many there are."""
     recovered_calls = recovery.recover(are_functions_known())
     tasks.spawn(partial(recovery.await_functions, are_functions_known), name="await functions")
     return recovered_calls
--- a/packages/daemon/src/walnutpost/daemon/config_application.py
+++ b/packages/daemon/src/walnutpost/daemon/config_application.py
@@ -1,4 +1,4 @@
-"""Application of the configuration store's revisions: when a front end puts new settings in use."""
+"""Application of configuration store revisions: decides when a front end uses new settings."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 
 
 class ConfigApplier:
-    """Validates each revision of the watched store, and applies those that the front end can act on.
+    """Validates each revision of the watched store, and applies the valid ones.
 
-    Classes, tenants and all else come from the configuration file. A function with an unknown class blocks
-    its revision and later ones, until a later one corrects it; the reason is reported to the relays.
-    `_apply` is the only place where other settings are put in use: all of one revision, without waiting.
+    Only functions are taken from the store; classes, tenants and all other settings come from the
+    configuration file. A function with an unknown class blocks its revision and all later ones until one
+    corrects it; the reason is reported to the relays. Only `_apply` changes the settings in use: it applies
+    a whole revision at once, without waiting.
     """
 
     def __init__(
@@ -36,13 +37,13 @@
 
     @property
     def is_validating(self) -> bool:
-        """Whether the functions of a replaced store are being validated."""
+        """Whether the functions of a store that was replaced are being validated."""
         return self._validation is not None
 
     def handle_outcome(self, outcome: ApplyOutcome) -> None:
-        """Validate and apply what a watch response has changed; the next request acknowledges it.
+        """Validate and apply the changes in a watch response; the next watch request acknowledges them.
 
-        Does not wait: a replaced store is validated in a separate task.
+        Does not wait: if the whole store was replaced, it is validated in a separate task.
         """
         if outcome.is_store_replaced:
             self.validator.mark_replaced()
@@ -53,7 +54,7 @@
         if outcome.repaired_keys:
             self._cache.mark_outdated()
         if self._validation is not None:
-            return  # the running validation includes these
+            return  # the running validation covers these changes
         if self.validator.must_validate_all:
             self._validation = self._loop.spawn(self._validate_all, name="validate settings")
         else:
@@ -78,7 +79,7 @@
         self._apply()
 
     def _apply(self) -> None:
-        """Validate what has changed since the last validation, and apply the revision if it is valid."""
+        """Validate the changes since the last validation, and apply the revision if it is valid."""
         store = self._watch_state.store
         self.validator.validate_changed(store.entries)
         reason = self.validator.blocked_reason
--- a/packages/daemon/src/walnutpost/daemon/config_validation.py
+++ b/packages/daemon/src/walnutpost/daemon/config_validation.py
@@ -1,4 +1,4 @@
-"""Validation of the configuration store's functions: which entries the front end can't apply."""
+"""Validation of functions in the configuration store: finds entries that the front end can't apply."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from walnutpost.daemon.dynamic_functions import DynamicFunctions
 from walnutpost.eventloop import Loop
 
-VALIDATION_BATCH = 50  # entries validated, in about a millisecond, before other tasks run
-MAX_REASON_CHARS = 300  # of the reason in each watch request while a revision is blocked
+VALIDATION_BATCH = 50  # entries validated, in about 1 ms, before other tasks run
+MAX_REASON_CHARS = 300  # length of the reason that each watch request carries while a revision is blocked
 
 
 class ConfigValidator:
-    """Validates entries of functions, all of them or those that have changed since the last validation."""
+    """Validates either all function entries or those that have changed since the last validation."""
 
     def __init__(self, loop: Loop, functions: DynamicFunctions) -> None:
         self._loop = loop
         self._functions = functions
-        self.entries = functions.entries  # the validated ones, which the other attributes describe
+        self.entries = functions.entries  # the last validated entries; the other attributes describe these
         self.function_count = 0
         self._errors_by_key: dict[str, str] = {}
         self._changed_keys: set[str] = set()  # since `entries`
@@ -29,12 +29,12 @@
 
     @property
     def must_validate_all(self) -> bool:
-        """Whether the store was replaced, so that `validate_all` must run first."""
+        """Whether the store was replaced, so that `validate_all` must run before `validate_changed`."""
         return self._must_validate_all
 
     @property
     def blocked_reason(self) -> str:
-        """Why the validated entries can't be applied, "" if they can."""
+        """Why the validated entries can't be applied; empty if they can."""
         if not self._errors_by_key:
             return ""
         reason = next(iter(self._errors_by_key.values()))[:MAX_REASON_CHARS]
@@ -53,7 +53,7 @@
     def validate_all(self, entries: Map[str, Entry]) -> None:
         """Validate all functions, and let other tasks run after each batch.
 
-        It ends early, and must be called again, if the store is replaced meanwhile.
+        Stop early if the store is replaced meanwhile; the caller must then call it again.
         """
         self._must_validate_all = False
         count = 0
@@ -78,7 +78,7 @@
         self.entries = entries
 
     def validate_changed(self, entries: Map[str, Entry]) -> None:
-        """Validate the functions that have changed; does not wait."""
+        """Validate the functions that have changed, without letting other tasks run."""
         for key in self._changed_keys:
             if key.startswith(FUNCTION_PREFIX):
                 self._validate_key(key, entries.get(key))
@@ -94,7 +94,7 @@
             self._errors_by_key.pop(key, None)
 
     def validation_error(self, entry: Entry) -> str:
-        """Return why the front end can't apply a function's entry, "" if it can."""
+        """Return why the front end can't apply a function's entry; empty if it can."""
         try:
             self._functions.decode(entry.key[len(FUNCTION_PREFIX) :], entry)
         except ValueError as error:
--- a/packages/daemon/src/walnutpost/daemon/config_watch.py
+++ b/packages/daemon/src/walnutpost/daemon/config_watch.py
@@ -1,6 +1,6 @@
-"""The front end's config watch: follows the configuration store without a restart.
+"""The front end's config watch: receives changes of the configuration store from relays at runtime.
 
-Its changes come from relays. No call waits for them.
+No call waits for it.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from walnutpost.eventloop import Loop, Task
 from walnutpost.watch import Watcher
 
-SECOND = 1_000_000
-FIRST_ANSWER_TIMEOUT_US = SECOND  # how long a start waits for a relay
+US_PER_S = 1_000_000
+FIRST_ANSWER_TIMEOUT_US = US_PER_S  # limits how long the start waits for a relay
 POLL_INTERVAL_US = 10_000
 
 
 class ConfigWatch:
-    """Starts and stops the watcher of the configuration store; its properties say how current that is.
+    """Starts and stops the watcher of the configuration store, and tells whether its state is current.
 
-    `watcher` updates `watch_state`, and gives each outcome to `applier`; `cache` has the last applied store.
+    `watcher` updates `watch_state`, and passes each outcome to `applier`. `cache` has the last applied store.
     """
 
     def __init__(
@@ -39,16 +39,16 @@
 
     @property
     def is_stale(self) -> bool:
-        """Whether no leader has confirmed the applied revision within 9 s."""
+        """Whether no leader has confirmed the applied revision in the last 9 s."""
         return self.watch_state.is_stale(self._loop.now())
 
     @property
     def is_up_to_date(self) -> bool:
-        """Whether this process has received and validated all that was committed."""
+        """Whether this process has received and validated all committed changes."""
         return self.watcher.is_complete and not self.applier.is_validating
 
     def catch_up(self) -> None:
-        """Apply the cached store, and what a relay answers within FIRST_ANSWER_TIMEOUT_US."""
+        """Apply the cached store, then start watching and wait up to FIRST_ANSWER_TIMEOUT_US for a relay."""
         if self.watch_state.store.revision:
             self.applier.handle_outcome(ApplyOutcome(is_store_replaced=True))
             self.applier.join_validation()
@@ -58,7 +58,7 @@
             self._loop.sleep(POLL_INTERVAL_US)
 
     def stop(self) -> None:
-        """Stop watching, and write the applied store if it isn't on disk yet."""
+        """Stop watching, and write the applied store if it is not on disk yet."""
         self.watcher.stop()
         self.applier.stop()
         self.cache.close()
--- a/packages/daemon/src/walnutpost/daemon/control_plane_parts.py
+++ b/packages/daemon/src/walnutpost/daemon/control_plane_parts.py
@@ -1,4 +1,4 @@
-"""Builds what the `agreement` section asks for: the fleet membership and the config watch."""
+"""Builds the fleet membership and the config watch from the `agreement` section."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def build_dynamic_functions(config: Config) -> DynamicFunctions | None:
-    """Return the functions as the configuration store has them, None if there are no relays."""
+    """Return the functions of the configuration store, or None if no relays are configured."""
     if config.agreement is None or not config.agreement.relays:
         return None
     return DynamicFunctions(build_catalogue(config.site).functions, list(config.site.classes))
@@ -40,7 +40,7 @@
 def build_call_counter(
     environment: Environment, catalogue: Catalogue, classes: tuple[RequestClass, ...]
 ) -> CallCounter | None:
-    """Return the counter for the reports to the control plane, None without one."""
+    """Return the call counter for reports to the control plane, or None without a control plane."""
     agreement = environment.config.agreement
     if agreement is None or not agreement.keepers:
         return None
@@ -50,13 +50,15 @@
 def join_fleet(
     environment: Environment, call_counter: CallCounter | None, endpoint_lists: EndpointLists
 ) -> FleetMembership | None:
-    """Register with the control plane if there is one, and wait for its list of endpoints."""
+    """Register with the control plane, if there is one, and wait for its endpoint list."""
     config = environment.config
     if config.agreement is None or call_counter is None:
         return None
     loop, log, section = environment.loop, environment.log, config.agreement
-    own = os.environ.get(INCARNATION_VARIABLE)
-    follower = EndpointFollower(section.member, own or secrets.token_hex(6), own is not None)
+    assigned_incarnation = os.environ.get(INCARNATION_VARIABLE)
+    follower = EndpointFollower(
+        section.member, assigned_incarnation or secrets.token_hex(6), assigned_incarnation is not None
+    )
     report_interval_us = ms_to_us(section.report_interval_ms)
     timeout_us = max(report_interval_us, MIN_CONTROL_PLANE_TIMEOUT_US)
     addresses = {name: parse_address(address) for name, address in section.keepers.items()}
@@ -70,14 +72,14 @@
 
 
 def new_incarnation() -> str:
-    """Return the incarnation that the agent gave to this process, else a random one."""
+    """Return the incarnation that the agent assigned to this process, or else a random one."""
     return os.environ.get(INCARNATION_VARIABLE) or secrets.token_hex(6)
 
 
 def watch_config(
     environment: Environment, functions: DynamicFunctions | None, incarnation: str
 ) -> ConfigWatch | None:
-    """Watch the dynamic settings if there are relays, and wait for their first answer."""
+    """Watch the dynamic settings, and wait for the first answer of a relay; return None without relays."""
     config = environment.config
     if config.agreement is None or functions is None:
         return None
--- a/packages/daemon/src/walnutpost/daemon/deferred.py
+++ b/packages/daemon/src/walnutpost/daemon/deferred.py
@@ -1,4 +1,4 @@
-"""Deferred calls as the fronts see them: accepted once durable, run to one final status, across restarts."""
+"""Deferred calls as offered to the fronts: durable before acceptance, one final status across restarts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DeferredCalls:
-    """Queries and stops executions, and passes new calls to their acceptance (fronts.calls.DeferredCalls)."""
+    """Accepts, queries and stops deferred calls; implements fronts.calls.DeferredCalls."""
 
     def __init__(
         self,
@@ -34,13 +34,13 @@
     def defer(
         self, request: CallRequest, name: str | None, extra_change: Change | None = None
     ) -> DeferOutcome:
-        """Accept a call, or return the execution that has its name."""
+        """Accept a call, or return the existing execution with the same name."""
         return self._acceptance.defer(request, name, extra_change)
 
     def status(self, function: str, execution_id: str) -> Execution | None:
-        """Return an execution as a client may see it, None if no site knows it.
+        """Return an execution as clients may see it, or None if no site knows it.
 
-        Raises SitesUnreachableError.
+        Raises SitesUnreachableError if it is unknown here and some sites did not answer.
         """
         call = self.open_calls.by_id(execution_id)
         if call is not None:
@@ -52,7 +52,7 @@
         return execution
 
     def replica_count(self, execution_id: str) -> int | None:
-        """Return how many replicas had an open call when its client was answered, None without a journal."""
+        """Return how many replicas had an open call when its client was answered, or None if unknown."""
         call = self.open_calls.by_id(execution_id)
         if call is None or call.replication is None:
             return None
@@ -65,17 +65,17 @@
             self.stop(function, call.execution.id)
 
     def stop(self, function: str, execution_id: str) -> Execution | None:
-        """Stop a call if it is open, and return its execution. Raises SitesUnreachableError."""
+        """Stop a call if it is open; return its execution, None if unknown. Raises SitesUnreachableError."""
         call = self.open_calls.by_id(execution_id)
         if call is None or call.execution.function != function:
             return self.status(function, execution_id)
-        call.settled.wait()
-        if self.open_calls.take_recovered(execution_id) is not None:
+        call.acceptance_done.wait()
+        if self.open_calls.claim_recovered(execution_id) is not None:
             self._results.finish(call, Failed(Failure.STOPPED, "stopped by its owner"))
         else:
             self._dispatch.cancel(call)
         return self._records.visible_execution(call)
 
     def list(self, query: ExecutionQuery) -> tuple[list[Execution], bool]:
-        """Return a page of executions, and whether there are more after it."""
+        """Return a page of executions, and whether more pages follow."""
         return self._store.list_page(query)
--- a/packages/daemon/src/walnutpost/daemon/dynamic_functions.py
+++ b/packages/daemon/src/walnutpost/daemon/dynamic_functions.py
@@ -1,4 +1,4 @@
-"""The functions that may change while the front end runs: decoded entries of the configuration store."""
+"""Functions that can change at runtime, decoded from entries of the configuration store."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from walnutpost.configstore import Entry
 from walnutpost.gateway import Function
 
-MAX_DECODED_FUNCTIONS = 1024  # functions whose decoded entries are cached: some 400 KB
+MAX_DECODED_FUNCTIONS = 1024  # size of the cache of decoded entries, about 400 KB
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,9 +22,9 @@
 
 
 class DynamicFunctions(Mapping[str, Function]):
-    """The functions of the configuration store at one revision, decoded at their first lookup.
+    """The functions of the configuration store at one revision, each decoded when it is first looked up.
 
-    While the store has no function these are the `configured` ones. `classes` are the names of classes in the
+    While the store has no functions, the `configured` ones are used. `classes` has the class names in the
     order of the gateway's settings.
     """
 
@@ -36,7 +36,7 @@
         self._decoded: OrderedDict[str, _DecodedEntry] = OrderedDict()
 
     def replace_all(self, entries: Map[str, Entry], count: int) -> None:
-        """Replace all entries at once: a reader sees the previous revision or this one.
+        """Replace all entries at once, so that readers see either the previous revision or the new one.
 
         `count` is the number of functions among the entries, each of which `decode` accepts.
         """
@@ -44,7 +44,7 @@
         self._function_count = count
 
     def decode(self, name: str, entry: Entry) -> Function:
-        """Decode an entry. Raises ValueError if the front end can't apply it."""
+        """Decode the entry of a function. Raises ValueError if the front end can't apply it."""
         return decode_function(name, entry.value, self.classes)
 
     def __getitem__(self, name: str) -> Function:
@@ -78,5 +78,5 @@
 
     @property
     def decoded_count(self) -> int:
-        """How many decoded functions are cached."""
+        """The number of decoded functions in the cache."""
         return len(self._decoded)
--- a/packages/daemon/src/walnutpost/daemon/endpoint_cache.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_cache.py
@@ -1,4 +1,4 @@
-"""The file of the last endpoint list, for a start without the control plane."""
+"""A file with the last endpoint list, for a start while the control plane is unreachable."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class EndpointCache:
-    """Writes endpoint lists to a file; a failed write is logged, and repeated by the next `write`."""
+    """Writes endpoint lists to a file; a failed write is logged, and the next `write` retries it."""
 
     def __init__(self, loop: Loop, path: Path, log: Logger) -> None:
         self._loop = loop
         self._path = path
         self._log = log
-        self._unwritten: bytes | None = None  # set while the file is older
+        self._unwritten: bytes | None = None  # a list that is newer than the file, if any
         remove_leftovers(path)
 
     def load(self) -> EndpointSnapshot | None:
-        """Return the file's list, None if there is none; an invalid one is logged, and not used."""
+        """Return the list in the file, or None if the file is missing or invalid; log an invalid file."""
         try:
             return msgspec.msgpack.decode(self._path.read_bytes(), type=EndpointSnapshot)
         except FileNotFoundError:
@@ -31,17 +31,17 @@
             return None
 
     def replace(self, snapshot: EndpointSnapshot) -> None:
-        """Write a newer list."""
+        """Replace the list in the file with a newer one."""
         self._unwritten = msgspec.msgpack.encode(snapshot)
         self.write()
 
     def write(self) -> None:
-        """Write the newest list if the file is older."""
+        """Write the newest list if the file doesn't have it yet."""
         while (data := self._unwritten) is not None:
             try:
                 self._loop.run_blocking(replace_file, self._path, data)
             except OSError as error:
                 self._log.warning("endpoint_cache_write_failed", error=str(error))
                 return
-            if self._unwritten is data:  # else a newer one arrived meanwhile
+            if self._unwritten is data:  # otherwise a newer list arrived meanwhile
                 self._unwritten = None
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -1,7 +1,7 @@
-"""The list of workers: configured, from a file that may be replaced at any time, or committed by the fleet.
+"""The list of workers, from the configuration, from a file that is replaced at runtime, or from the fleet.
 
-Each source replaces its previous list; `_publish` combines them and is the only place that gives a list to
-the connections and the gateway.
+A new list replaces the previous one of the same source. `_publish` merges the sources; only it passes a list
+to the worker client and the gateway.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from walnutpost.interface import ListKind
 from walnutpost.workerclient import WorkerClient
 
-SECOND = 1_000_000
+US_PER_S = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 
 class EndpointLists:
-    """Publishes lists with ascending versions; `on_published` gets each one, for captures."""
+    """Publishes lists of workers with ascending versions; `on_published` receives each one, for captures."""
 
     def __init__(
         self,
@@ -50,16 +50,16 @@
         self._configured: _ConfiguredList | None = None
         self._dynamic: EndpointFollower | None = None
         self._last_error = ""
-        self._read_mark: tuple[int, int, int] | None = None
+        self._read_file_state: tuple[int, int, int] | None = None
 
     def set_configured(self, kind: ListKind, version: int, lines: list[WorkerConfig]) -> None:
-        """Publish a list from the configuration or its file."""
+        """Publish a list from the configuration or from the file of workers."""
         self._configured_version = version
         self._configured = _ConfiguredList(kind, lines)
         self._publish()
 
     def set_dynamic(self, follower: EndpointFollower) -> None:
-        """Publish the fleet's list. On return no new work is routed by an older one."""
+        """Publish the fleet's list. Once this returns, no new work is routed by an older list."""
         self._dynamic = follower
         self._publish()
 
@@ -73,27 +73,30 @@
         endpoints = build_endpoint_list(self._site, lines)
         version = max(self._configured_version, self._published_version + 1)
         self._published_version = version
-        names = {line.name: line.tls_name for line in lines if line.tls_name is not None}
-        self._worker_client.update_workers(endpoints.addresses, endpoints.draining, names)
+        tls_names = {line.name: line.tls_name for line in lines if line.tls_name is not None}
+        self._worker_client.update_workers(endpoints.addresses, endpoints.draining, tls_names)
         if self._on_published is not None:
             self._on_published(version, lines)
         self._dispatcher.feed(WorkersListed(configured.kind, version, endpoints.workers))
 
     def read_file(self, path: Path, kind: ListKind = ListKind.FULL) -> bool:
-        """Publish the file's list if it is new; an invalid one leaves the last one in use."""
+        """Publish the file's list if the file has changed; return whether it was published.
+
+        If the new list is invalid or has an older version, the previous one stays in use.
+        """
         try:
             stat = path.stat()
-            mark = (stat.st_mtime_ns, stat.st_ino, stat.st_size)
-            if mark == self._read_mark:
+            file_state = (stat.st_mtime_ns, stat.st_ino, stat.st_size)
+            if file_state == self._read_file_state:
                 return False
             listed = load(path, WorkerList)
         except (OSError, ConfigError) as error:
             self._reject(str(error))
             return False
-        self._read_mark = mark
+        self._read_file_state = file_state
         if listed.version < self._configured_version:
             self._reject(
-                f"{path}: version {listed.version} is older than {self._configured_version}, in force"
+                f"{path}: version {listed.version} is older than {self._configured_version}, which is in use"
             )
             return False
         self._last_error = ""
@@ -101,7 +104,7 @@
         return True
 
     def _reject(self, error: str) -> None:
-        """Log an error once, not at every poll."""
+        """Log an error unless it is the same as at the previous poll."""
         if error != self._last_error:
             self._last_error = error
             self._log.warning("worker_list_rejected", error=error)
@@ -117,7 +120,7 @@
     configured = {line.name: line for line in lines}
     configured_endpoints = [
         ListedEndpoint(
-            line.name, line.address, line.zone, round(line.started_at * SECOND), line.state == "draining"
+            line.name, line.address, line.zone, round(line.started_at * US_PER_S), line.state == "draining"
         )
         for line in lines
     ]
@@ -128,6 +131,10 @@
             name=endpoint.name, address=endpoint.address, zone=zone
         )
         state = "draining" if endpoint.is_draining else "ready"
-        changed = {"address": endpoint.address, "state": state, "started_at": endpoint.started_at_us / SECOND}
+        changed = {
+            "address": endpoint.address,
+            "state": state,
+            "started_at": endpoint.started_at_us / US_PER_S,
+        }
         merged.append(line.model_copy(update=changed))
     return merged
--- a/packages/daemon/src/walnutpost/daemon/entry_builder.py
+++ b/packages/daemon/src/walnutpost/daemon/entry_builder.py
@@ -1,7 +1,7 @@
-"""Journal entries of deferred calls, to be committed together with the change that they record.
+"""Journal entries for deferred calls, which are committed together with the change that they record.
 
-Times in entries are stored time (store/stored_time.py), so that one purge time is valid for entries from
-before and after a step of the wall clock, here and at the replicas, which do not see the step.
+Entries contain stored time (store/stored_time.py). A single purge time is then valid for entries from before
+and after a step of the wall clock, both here and at the replicas, which don't notice the step.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class EntryBuilder:
-    """Builds the own journal's entry of each event of a call."""
+    """Builds an entry of this front end's journal for each event of a call."""
 
     def __init__(
         self,
@@ -28,8 +28,8 @@
         self._classes = classes
         self._requirements = requirements
 
-    def append_accepted(self, execution: Execution, function: Function) -> EntryAppend:
-        """Return the entry of a call that is being accepted."""
+    def build_accepted(self, execution: Execution, function: Function) -> EntryAppend:
+        """Build the entry for a call that is being accepted."""
         required = self._requirements.of_function(function)
         execution = self._executions.with_stored_times(execution)
         return self._store.new_append(
@@ -48,16 +48,16 @@
             )
         )
 
-    def append_intended(self, execution: Execution, attempt: int, worker: str) -> EntryAppend:
-        """Return the entry of an attempt that is about to be sent."""
+    def build_intended(self, execution: Execution, attempt: int, worker: str) -> EntryAppend:
+        """Build the entry for an attempt that is about to be sent."""
         return self._store.new_append(AttemptIntended(execution.id, attempt, worker))
 
-    def append_withdrawn(self, execution: Execution) -> EntryAppend:
-        """Return the entry of a call that is rejected after it was stored."""
+    def build_withdrawn(self, execution: Execution) -> EntryAppend:
+        """Build the entry for a call that is rejected after it was stored."""
         return self._store.new_append(CallWithdrawn(execution.id))
 
-    def append_ended(self, execution: Execution) -> EntryAppend:
-        """Return the entry of a call's final status."""
+    def build_ended(self, execution: Execution) -> EntryAppend:
+        """Build the entry for the final status of a call."""
         execution = self._executions.with_stored_times(execution)
         record = CallEnded(
             execution.id,
@@ -69,6 +69,6 @@
         )
         return self._store.new_append(record)
 
-    def append_purged(self, before_us: int) -> EntryAppend:
-        """Return the entry of a purge of all calls that ended before a time of the loop's clock."""
+    def build_purged(self, before_us: int) -> EntryAppend:
+        """Build the entry for a purge of all calls that ended before `before_us` (event loop time)."""
         return self._store.new_append(ResultsPurged(self._executions.clock.to_stored(before_us)))
--- a/packages/daemon/src/walnutpost/daemon/environment.py
+++ b/packages/daemon/src/walnutpost/daemon/environment.py
@@ -1,4 +1,4 @@
-"""What a front end is started with."""
+"""The environment of a front end: its configuration, event loop, log, clock and base directory."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 def read_wall_clock() -> int:
-    """Return the time of day in microseconds since the epoch."""
+    """Return the wall clock time in microseconds since the Unix epoch."""
     return time.time_ns() // 1000
 
 
 class FrontEndObserver(TrafficObserver, Protocol):
-    """A traffic observer that also records the endpoint lists that the front end was given."""
+    """A traffic observer that also records the endpoint lists that the front end uses."""
 
     def on_endpoints_listed(self, version: int, lines: list[WorkerConfig]) -> None:
-        """Record a list."""
+        """Record an endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """What a front end is started with."""
+    """What the parts of a front end are built from; paths in the configuration are relative to `base`."""
 
     loop: Loop
     config: Config
@@ -36,5 +36,5 @@
     wall_clock: Callable[[], int]
 
     def store_file(self, suffix: str) -> Path:
-        """Return a file that stands beside the store, and whose name begins with the store's."""
+        """Return the path of a file beside the store: the store's path with a suffix."""
         return self.base / f"{self.config.front.store}{suffix}"
--- a/packages/daemon/src/walnutpost/daemon/execution_records.py
+++ b/packages/daemon/src/walnutpost/daemon/execution_records.py
@@ -1,4 +1,4 @@
-"""The durable records of deferred calls: in the store and, with a journal, at the quorum of replicas."""
+"""Durable records of deferred calls, in the local store and, with a journal, on a quorum of replicas."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from walnutpost.store import Change, EntryAppend, ExecutionStore, StoreError
 from walnutpost.store.database import combine_changes
 
-STORE_RETRY_INTERVAL_US = 200_000  # between attempts to write a result; clients get it from memory meanwhile
+STORE_RETRY_INTERVAL_US = 200_000  # between attempts to write a result; meanwhile clients get it from memory
 
 
 class ExecutionRecords:
-    """Writes each change of an execution with its entry in the journal, and waits for its quorum.
+    """Writes each change of an execution together with its journal entry, and waits for the entry's quorum.
 
-    `replication` is None without a journal: then a change is durable once it is in the store.
+    Without a journal `replication` is None, and a change is durable once it is in the store.
     """
 
     def __init__(
@@ -30,17 +30,17 @@
         self._log = log
 
     def load_open(self) -> list[Execution]:
-        """Return the stored executions without a final status, at the start."""
+        """Return the stored executions that have no final status; used at the start."""
         return self._store.load_open()
 
     def find_by_name(self, function: str, name: str) -> Execution | None:
-        """Return the stored execution with a name within its function. Raises StoreError."""
+        """Return the stored execution with a name within a function, or None. Raises StoreError."""
         return self._store.find_by_name(function, name)
 
     def find(self, execution_id: str) -> Execution | None:
-        """Return an execution that is not open here, None if no site knows it.
+        """Return an execution that is not open here, or None if no site knows it.
 
-        Raises SitesUnreachableError.
+        Raises SitesUnreachableError if it is unknown here and some sites did not answer.
         """
         execution = self._store.find(execution_id)
         if execution is None and self._replication is not None:
@@ -48,64 +48,65 @@
         return execution
 
     def visible_execution(self, call: OpenCall) -> Execution:
-        """Hide a result that could still be lost with the site; without a journal nothing is hidden."""
+        """Return the execution as clients may see it.
+
+        With a journal, this hides a result that could still be lost with the site.
+        """
         return call.execution if self._replication is None else call.accepted_as
 
     def admission_error(self, function: Function, size_bytes: int) -> Rejected | None:
-        """Return the rejection of a call that can't be replicated now as its class requires, else None."""
+        """Return a rejection if the call can't be replicated now as its class requires, else None."""
         if self._replication is None:
             return None
         return self._replication.quorums.admission_error(function, size_bytes)
 
     def add(self, call: OpenCall, extra_change: Change | None) -> EntryAppend | None:
-        """Store a new call; return its entry, for `wait_for_quorum`. Raises StoreError."""
+        """Store a new call; return its journal entry, for `wait_for_quorum`. Raises StoreError."""
         append = None
         if self._replication is not None and call.function is not None:
-            append = self._replication.entries.append_accepted(call.execution, call.function)
+            append = self._replication.entries.build_accepted(call.execution, call.function)
         self._store.add(call.execution, combine_changes(extra_change, append))
         return append
 
     def withdraw(self, call: OpenCall) -> None:
-        """Remove a call that was rejected after it was stored. Raises StoreError if that failed."""
+        """Remove a call that was rejected after it was stored. Raises StoreError."""
         append = None
         if self._replication is not None:
-            append = self._replication.entries.append_withdrawn(call.execution)
+            append = self._replication.entries.build_withdrawn(call.execution)
         self._store.remove(call.execution.id, append)
         self.wait_for_quorum(call, append)
 
     def wait_for_quorum(self, call: OpenCall, append: EntryAppend | None) -> None:
-        """Wait for the quorum of an entry that the client's answer depends on.
+        """Wait for the quorum of an entry, and set `call.replication`, on which the client's answer depends.
 
-        A call without a quorum by then runs all the same. Its client is answered that replication is pending,
-        since only a retry under the same name is safe.
+        A call runs even if the wait ends without a quorum. The client is then told that replication is
+        pending, because only a retry under the same name is safe.
         """
         if self._replication is not None and append is not None:
             time_left_us = call.execution.expires_at - self._loop.now()
             call.replication = self._replication.quorums.wait_for_quorum(append, call.function, time_left_us)
 
     def is_intent_recorded(self, call: OpenCall) -> bool:
-        """Whether an attempt needs no further record; with a journal each attempt has its entry."""
+        """Whether an attempt needs no new record; with a journal each attempt needs its own entry."""
         return call.execution.intended and self._replication is None
 
     def record_intent(self, call: OpenCall, attempt: Send) -> EntryAppend | None:
-        """Store that an attempt is about to be sent; return its entry. Raises StoreError."""
+        """Record that an attempt is about to be sent; return its journal entry. Raises StoreError."""
         append = None
         if self._replication is not None:
-            append = self._replication.entries.append_intended(
-                call.execution, attempt.attempt, attempt.worker
-            )
+            append = self._replication.entries.build_intended(call.execution, attempt.attempt, attempt.worker)
         self._store.record_intent(call.execution.id, append)
         return append
 
     def record_result(self, call: OpenCall, result_change: Callable[[Execution], Change] | None) -> None:
-        """Write the result, with retries without end; return once it is durable here and replicated.
+        """Write the result, retrying until it succeeds, and wait until it is replicated.
 
-        If the site is lost after the answer, another site could run the call to a different result. So this
-        waits for the quorum, but not much longer than until the call's deadline. The same entry and a
-        `result_change` made for each attempt are committed with the result.
+        If the site fails after the client got an unreplicated result, another site could run the call again
+        with a different result. So this waits for the quorum, but not much longer than until the call's
+        deadline. Each write commits the same journal entry and a new `result_change` with the result.
         """
         append = (
-            self._replication.entries.append_ended(call.execution) if self._replication is not None else None
+            self._replication.entries.build_ended(call.execution) if self._replication is not None else None
         )
         while True:
             change = result_change(call.execution) if result_change is not None else None
@@ -119,7 +120,7 @@
             self._log.warning("journal_result_under_replicated", request=call.execution.name)
 
     def has_quorum_until_deadline(self, call: OpenCall, append: EntryAppend | None) -> bool:
-        """Wait for an entry's quorum, about until the call's deadline."""
+        """Wait for an entry's quorum until about the call's deadline; return whether it was reached."""
         if self._replication is None or append is None:
             return True
         time_left_us = call.execution.expires_at - self._loop.now()
@@ -130,5 +131,5 @@
 
 
 def log_store_error(log: Logger, operation: str, error: StoreError, **fields: str) -> None:
-    """Log that the store failed in an operation."""
+    """Log an operation of the store that failed."""
     log.error("store_failed", operation=operation, error=str(error), **fields)
--- a/packages/daemon/src/walnutpost/daemon/fleet.py
+++ b/packages/daemon/src/walnutpost/daemon/fleet.py
@@ -1,6 +1,6 @@
-"""The front end's membership in the fleet: it reports to the control plane, and applies committed endpoints.
+"""The front end's fleet membership: reports to the control plane, and applies committed endpoint lists.
 
-No call waits for any of it.
+No call waits for it.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 
 class EndpointTarget(Protocol):
-    """What routes calls by the fleet's endpoints: `EndpointLists`."""
+    """Receives the fleet's endpoint lists for routing; implemented by `EndpointLists`."""
 
     def set_dynamic(self, follower: EndpointFollower) -> None:
-        """Publish the follower's list. On return no new work is routed by an older one."""
+        """Publish the follower's list. Once this returns, no new work is routed by an older list."""
 
 
 class Reporter(Protocol):
-    """Sends reports to the control plane: `FleetReporter`."""
+    """Sends reports to the control plane; implemented by `FleetReporter`."""
 
     def report(self) -> CommandReply | None:
-        """Report once; return the reply, None if the control plane is unreachable."""
+        """Report once; return the reply, or None if the control plane is unreachable."""
 
 
 class FleetReporter:
-    """Registers the front end in its zone, and reports how its calls end."""
+    """Registers the front end in its zone, and reports the outcomes of its calls."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._is_reachable = True
 
     def report(self) -> CommandReply | None:
-        """Register if that is required, and report; return None if the control plane is unreachable."""
+        """Register if required, then report; return the reply, None if the control plane is unreachable."""
         follower = self._follower
         report = Report(
             follower.member,
@@ -59,8 +59,10 @@
         )
         try:
             if follower.must_register:
-                enter = RegisterMember(follower.member, FRONT_END, self._zone, follower.incarnation, "", True)
-                self._client.command(f"enter-{follower.incarnation}-{secrets.token_hex(4)}", enter)
+                registration = RegisterMember(
+                    follower.member, FRONT_END, self._zone, follower.incarnation, "", True
+                )
+                self._client.command(f"enter-{follower.incarnation}-{secrets.token_hex(4)}", registration)
             reply = self._client.report(report)
         except (ControlPlaneUnavailableError, MalformedMessageError) as error:
             if self._is_reachable:
@@ -74,7 +76,7 @@
 
 
 class EndpointApplier:
-    """Applies the lists that replies bring, as `follower` decides, and writes them to the cache."""
+    """Applies new endpoint lists from replies, and caches them; `follower` decides whether a list is new."""
 
     def __init__(
         self,
@@ -91,15 +93,18 @@
         self._log = log
 
     def apply(self, reply: CommandReply) -> bool:
-        """Apply a reply's list; return whether it had one to apply."""
+        """Apply the endpoint list of a reply; return whether there was a new one."""
         follower = self.follower
-        known = reply.result is not None and reply.result.ok
-        if not follower.receive(self._loop.now(), reply.endpoints, known) or follower.snapshot is None:
+        is_registered = reply.result is not None and reply.result.ok
+        if (
+            not follower.receive(self._loop.now(), reply.endpoints, is_registered)
+            or follower.snapshot is None
+        ):
             return False
         self._endpoint_lists.set_dynamic(follower)
         follower.mark_applied()
-        leaving = [worker.name for worker in follower.snapshot.workers if worker.is_draining]
-        self._log.info("endpoints_applied", revision=follower.applied_index, draining=leaving)
+        draining_workers = [worker.name for worker in follower.snapshot.workers if worker.is_draining]
+        self._log.info("endpoints_applied", revision=follower.applied_index, draining=draining_workers)
         self.cache.replace(follower.snapshot)
         return True
 
@@ -111,7 +116,7 @@
 
 
 class FleetMembership:
-    """Reports periodically, and applies the lists that the replies bring."""
+    """Reports to the control plane periodically, and applies the endpoint lists in the replies."""
 
     def __init__(
         self, loop: Loop, reporter: Reporter, applier: EndpointApplier, report_interval_us: int
@@ -123,19 +128,19 @@
         self.follower = applier.follower
 
     def catch_up(self) -> None:
-        """Apply the committed list, or the cached one if the control plane is unreachable."""
+        """Apply the committed list, or the cached list if there is no answer with a list."""
         if not self._report() and self.follower.snapshot is None:
             self._applier.apply_cached()
 
     def run(self) -> None:
-        """Report periodically; until cancelled."""
+        """Report periodically, until cancelled."""
         while True:
             if not self._report():
                 self._loop.sleep(self._report_interval_us)
             self._applier.cache.write()
 
     def _report(self) -> bool:
-        """Report once; return whether to report again at once, to acknowledge what the reply brought."""
+        """Report once; return whether to report again immediately, to acknowledge a list or to register."""
         reply = self._reporter.report()
         if reply is None:
             return False
--- a/packages/daemon/src/walnutpost/daemon/front_end.py
+++ b/packages/daemon/src/walnutpost/daemon/front_end.py
@@ -1,4 +1,4 @@
-"""One front end on a loop, while it runs: its parts, its shutdown in order."""
+"""A running front end: its parts, and its graceful shutdown."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 @dataclass(eq=False, kw_only=True, slots=True)
 class FrontEnd:
-    """The parts of a front end that listens, as `composition.build_front_end` starts it.
+    """The parts of a running front end, as started by `composition.build_front_end`.
 
-    None stands for a part whose section the configuration does not have. `recovered_calls` is how many
-    deferred calls the last process left open.
+    A part is None if the configuration lacks its section. `recovered_calls` is the number of deferred calls
+    that the previous process left open.
     """
 
     loop: Loop
@@ -54,7 +54,7 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens for clients."""
+        """The address at which the front end listens for clients."""
         return self.server.address
 
     def reload(self, config: Config) -> None:
@@ -62,10 +62,10 @@
         self.cron.replace_schedules(build_own_schedules(config))
 
     def stop(self) -> None:
-        """Shut down gracefully: accept no new connections, and give open calls `shutdown_timeout_us` to end.
+        """Shut down gracefully: accept no new connections, and wait up to `shutdown_timeout_us` for calls.
 
-        A deferred call that has not ended by then is on disk; an unsafe one that was being sent will fail at
-        the next start.
+        Deferred calls that have not ended by then are on disk, and the next start recovers them. An unsafe
+        call that was already being sent fails at that start.
         """
         self.server.stop_accepting()
         deadline_us = self.loop.now() + self.shutdown_timeout_us
@@ -99,7 +99,7 @@
         return has_open_requests or has_open_calls or self.deferred.open_calls.pending_writes > 0
 
     def close(self) -> None:
-        """Close the files, after the loop has ended."""
+        """Close the files. Call this after the event loop has ended."""
         self.store.close()
         if self.metering is not None:
             self.metering.close()
--- a/packages/daemon/src/walnutpost/daemon/journal_recovery.py
+++ b/packages/daemon/src/walnutpost/daemon/journal_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery of entries of the own journal that replicas have and this disk lacks."""
+"""Recovery of journal entries that are missing on the local disk, from their replicas."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 class JournalRecovery:
-    """Restores lost entries, and the executions that they describe, at the start of a front end.
+    """Restores lost entries of this front end's journal, and their executions, at the start.
 
-    The disk may be older than its replicas: restored from a backup, or it lost durable entries.
+    The disk may be older than the replicas because it was restored from a backup or lost durable entries.
     """
 
     def __init__(
@@ -38,11 +38,11 @@
         self._log = log
 
     def recover(self) -> None:
-        """Restore lost entries and calls; to be called before any entry is numbered. Raises StoreError."""
-        own = self._store.own_origin
-        last = self._store.offsets[own]
+        """Restore lost entries and calls. Call this before any new entry gets a number. Raises StoreError."""
+        own_origin = self._store.own_origin
+        last_sequence = self._store.offsets[own_origin]
         batches, unreachable = recover_batches(
-            self._loop, self._others.addresses, own, last, self._others.timeout_us
+            self._loop, self._others.addresses, own_origin, last_sequence, self._others.timeout_us
         )
         if unreachable:
             self._log.warning("journal_recovery_incomplete", unreachable=sorted(unreachable))
@@ -54,10 +54,10 @@
         self._executions.upsert_recovered(
             [self._executions.with_epoch_times(each) for each in recovered if each is not None], withdrawn
         )
-        self._log.error("journal_recovered", after_sequence=last, calls=len(calls))
+        self._log.error("journal_recovered", after_sequence=last_sequence, calls=len(calls))
 
     def _write_batches(self, batches: list[JournalBatch]) -> dict[str, CallState]:
-        """Write the batches to the own journal; return the state of each call that they are about."""
+        """Write the batches to this front end's journal; return the state of each call in them."""
         merged = MergedJournal()
         for batch in sorted(batches, key=lambda batch: batch.after):
             write = plan_batch_write(self._store.offsets, batch)
@@ -66,5 +66,5 @@
             merged.add(IntervalSet(), batch.entries)
         recovered_ids = set(merged.calls)
         covered, entries = self._store.read_journal(self._store.own_origin)
-        merged.add(covered, entries)  # what the disk already had of these calls
+        merged.add(covered, entries)  # the entries of these calls that the disk already had
         return {call_id: merged.calls[call_id] for call_id in recovered_ids}
--- a/packages/daemon/src/walnutpost/daemon/journaled_execution.py
+++ b/packages/daemon/src/walnutpost/daemon/journaled_execution.py
@@ -1,4 +1,4 @@
-"""The execution that the entries of a journal describe."""
+"""Conversion of a call's journal entries to an execution."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def build_execution(call: CallState) -> Execution | None:
-    """Return the call in its origin's stored time; None if the entry of its acceptance is not known."""
+    """Return the execution, in the stored time of its origin; None if the acceptance entry is missing."""
     accepted = call.accepted
     if accepted is None:
         return None
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -1,4 +1,4 @@
-"""Certificates of the connections to workers: read at the start, and again when their files change."""
+"""Certificates for connections to workers, which are reloaded when their files change."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Certificates:
-    """A context with the certificates, and the validity of the front end's own one, zeros without one."""
+    """A TLS context, and the validity of the front end's own certificate, which is 0 to 0 without one."""
 
     context: ssl.SSLContext
     valid_from_us: int
@@ -26,10 +26,10 @@
 
 
 class CertificateReloader:
-    """Reads the files of one `tls` section. Invalid files leave the certificates in use.
+    """Reads the files of a `tls` section; if new files are invalid, the previous certificates stay in use.
 
-    The constructor raises InvalidCertificateError for unusable files: a front end doesn't start with these.
-    `context` is the one that was read at the start.
+    The constructor raises InvalidCertificateError for invalid files, so that the front end doesn't start.
+    `context` is the TLS context that was read at the start.
     """
 
     def __init__(
@@ -47,9 +47,9 @@
         self._tracker = ReloadTracker(files, certificates.valid_from_us, certificates.valid_until_us)
 
     def follow(self, worker_client: WorkerClient) -> None:
-        """Reload changed files; until cancelled.
+        """Poll the files and reload them when they change, until cancelled.
 
-        New certificates are used for new connections; calls in flight end under the old ones.
+        New connections use the new certificates; calls in flight finish with the old ones.
         """
         while True:
             self._warn_before_expiry()
@@ -85,7 +85,7 @@
         return _Certificates(tls.context, tls.own.valid_from_us, tls.own.valid_until_us)
 
     def _read_file_states(self) -> list[FileState]:
-        """Return the states of the files, which differ once a file is replaced."""
+        """Return the state of each file, which changes when the file is replaced."""
         states = []
         for name in self._names:
             if name is None:
--- a/packages/daemon/src/walnutpost/daemon/ledger_writer.py
+++ b/packages/daemon/src/walnutpost/daemon/ledger_writer.py
@@ -1,4 +1,4 @@
-"""Writes the ledger to its file."""
+"""Periodic writes of the usage ledger to its file."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class LedgerWriter:
-    """Writes a ledger to its store, with what a crash would lose of the samples.
+    """Writes the ledger to its store, together with the amount of sampled usage that a crash would lose.
 
-    If the store can't be written, usage is counted in memory and the failure is logged. Closing the store is
-    left to the owner of the writer.
+    If a write fails, the failure is logged and usage stays in memory until the next write. The owner of the
+    writer closes the store.
     """
 
     def __init__(
@@ -36,14 +36,14 @@
         self._task: Task[bool] | None = None
 
     def write_if_due(self) -> None:
-        """Write the ledger if the last write is long enough ago."""
+        """Write the ledger if the write interval has passed since the last write."""
         if self._loop.now() - self._written_us >= self._write_interval_us:
             self.write()
 
     def write(self, is_last: bool = False) -> bool:
-        """Write the ledger; return False if that failed: the next write includes it.
+        """Write the ledger; return False on failure, after which the next write includes the same usage.
 
-        The write is completed even if the caller is cancelled, so that the content of the disk is known.
+        The write completes even if the caller is cancelled, so that it is known what is on disk.
         """
         while self._task is not None and not self._task.is_done:
             self._task.join()
--- a/packages/daemon/src/walnutpost/daemon/metering.py
+++ b/packages/daemon/src/walnutpost/daemon/metering.py
@@ -1,4 +1,4 @@
-"""Usage metering: collects usage, updates the budgets, and writes the ledger, periodically."""
+"""Usage metering: periodically collects usage, updates the budgets, and writes the ledger."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BudgetMonitor:
-    """Compares the ledger's usage with the budgets, and logs changes of their states."""
+    """Compares usage in the ledger with the budgets, and logs changes of budget states."""
 
     def __init__(self, ledger: Ledger, budgets: Budgets, log: Logger) -> None:
         self._ledger = ledger
@@ -21,7 +21,7 @@
         self._log = log
 
     def update(self, now_us: int) -> None:
-        """Update the budgets' states with the usage of their present periods."""
+        """Update the budget states with the usage in the current budget periods."""
         if not self._budgets:
             return
         used = {
@@ -42,7 +42,7 @@
 
 
 class UsageMetering:
-    """The metering of one front end. No call waits for any of it."""
+    """The usage metering of one front end. No call waits for it."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self._fetch_interval_us = fetch_interval_us
 
     def run(self) -> None:
-        """Collect periodically; until cancelled."""
+        """Collect usage periodically, until cancelled."""
         while True:
             self._loop.sleep(self._fetch_interval_us)
             self.collect()
@@ -73,19 +73,19 @@
         self.writer.write_if_due()
 
     def stop(self) -> None:
-        """Collect and write a last time; the caller sets the timeout."""
+        """Collect usage and write the ledger one last time; the caller sets a timeout."""
         self._collector.collect()
         self.writer.write(is_last=True)
 
     def close(self) -> None:
-        """Close the ledger, after the loop has ended."""
+        """Close the ledger's file. Call this after the event loop has ended."""
         self.writer.store.close()
 
 
 def record_crash_gap(ledger: Ledger, last_run: LedgerRun, lost_us: int, log: Logger) -> None:
-    """Record a gap if the last run crashed before its samples of workers without reports were written.
+    """Record a usage gap if the last run crashed before it wrote the samples of workers without reports.
 
-    `lost_us` is how long usage may have lasted after the last write.
+    `lost_us` is the longest time for which usage may have continued after the last write.
     """
     if not last_run.at_risk_mb:
         return
--- a/packages/daemon/src/walnutpost/daemon/metering_parts.py
+++ b/packages/daemon/src/walnutpost/daemon/metering_parts.py
@@ -1,4 +1,4 @@
-"""Builds a front end's metering out of its `metering` section."""
+"""Builds the usage metering of a front end from the `metering` section."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MeteringParts:
-    """The metering, and what it observes of the dispatcher's calls."""
+    """The usage metering, and its observer of the dispatcher's calls."""
 
     metering: UsageMetering
     observer: UsageObserver
@@ -27,7 +27,7 @@
 def build_metering(
     environment: Environment, catalogue: Catalogue, worker_client: WorkerClient
 ) -> MeteringParts | None:
-    """Open the ledger; None without a `metering` section."""
+    """Open the ledger and build the metering; return None without a `metering` section."""
     section = environment.config.metering
     if section is None:
         return None
--- a/packages/daemon/src/walnutpost/daemon/open_calls.py
+++ b/packages/daemon/src/walnutpost/daemon/open_calls.py
@@ -1,4 +1,4 @@
-"""The deferred calls of this process that are not finished, indexed by id, name and caller."""
+"""Index of the open deferred calls of this process, by execution id, name and caller."""
 
 from __future__ import annotations
 
@@ -19,25 +19,35 @@
 
 
 class OpenCall:
-    """An execution without a durable final status.
+    """A deferred call whose final status is not durable yet.
 
-    `function` is None if it was removed before this process started.
+    `function` is None if the function was removed from the configuration before this process started.
     """
 
-    __slots__ = ("accepted_as", "caller_id", "execution", "function", "rejection", "replication", "settled")
+    __slots__ = (
+        "acceptance_done",
+        "accepted_as",
+        "caller_id",
+        "execution",
+        "function",
+        "rejection",
+        "replication",
+    )
 
     def __init__(self, loop: Loop, execution: Execution, function: Function | None) -> None:
         self.execution = execution
         self.function = function
-        self.accepted_as = execution  # what clients see while its final status could be lost with the site
+        self.accepted_as = (
+            execution  # shown to clients while a site failure could still lose the final status
+        )
         self.replication: QuorumReached | QuorumFailed | None = None  # None without a journal
         self.caller_id = 0
-        self.settled = Event(loop)  # set once it is durable, or could not be stored
+        self.acceptance_done = Event(loop)  # set once the call is durable, or its storage has failed
         self.rejection: Rejected | NotStored | None = None
 
     @property
     def has_quorum(self) -> bool:
-        """Whether the call has the replicas that its class requires; always without a journal."""
+        """Whether the call has the replicas that its class requires; True without a journal."""
         return not isinstance(self.replication, QuorumFailed)
 
     @property
@@ -49,9 +59,9 @@
 
 
 class OpenCalls:
-    """Index of the open calls. An id, or a name within a function, belongs to one call at most.
+    """Index of the open calls. An execution id, or a name within a function, belongs to at most one call.
 
-    A recovered call was found at the start, and is neither dispatched nor finished yet.
+    A recovered call was loaded from the store at the start, and is neither dispatched nor finished yet.
     """
 
     def __init__(self) -> None:
@@ -79,38 +89,38 @@
         self._by_id.pop(call.execution.id, None)
 
     def add_recovered(self, call: OpenCall) -> None:
-        """Add a call that was found at the start."""
+        """Add a call that was loaded from the store at the start."""
         self.add(call)
         self._recovered_by_id[call.execution.id] = call
 
-    def take_recovered(self, execution_id: str) -> OpenCall | None:
-        """Take a recovered call that is about to be dispatched or finished, None if it was taken before."""
+    def claim_recovered(self, execution_id: str) -> OpenCall | None:
+        """Claim a recovered call in order to dispatch or finish it; return None if it was already claimed."""
         return self._recovered_by_id.pop(execution_id, None)
 
     @property
     def recovered(self) -> list[OpenCall]:
-        """The recovered calls that were not taken yet, in the order in which they were added."""
+        """The recovered calls that have not been claimed yet, in the order in which they were added."""
         return list(self._recovered_by_id.values())
 
     def by_id(self, execution_id: str) -> OpenCall | None:
-        """Return the call with an execution id."""
+        """Return the open call with an execution id, or None."""
         return self._by_id.get(execution_id)
 
     def by_name(self, function: str, name: str) -> OpenCall | None:
-        """Return the call with a name within its function."""
+        """Return the open call with a name within a function, or None."""
         return self._by_name.get((function, name))
 
     def by_caller(self, caller_id: int) -> OpenCall | None:
-        """Return the call that the gateway knows by a caller."""
+        """Return the open call that was dispatched under a caller id, or None."""
         return self._by_caller.get(caller_id)
 
     def set_caller(self, call: OpenCall, caller_id: int) -> None:
-        """Index a call by the caller of its dispatch."""
+        """Index a call by the caller id under which it is dispatched."""
         call.caller_id = caller_id
         self._by_caller[caller_id] = call
 
     def clear_caller(self, call: OpenCall) -> None:
-        """Forget the caller of a dispatch that has ended."""
+        """Remove the caller id of a dispatch that has ended from the index."""
         self._by_caller.pop(call.caller_id, None)
 
     @property
@@ -125,7 +135,7 @@
 
 
 def configured_function(catalogue: Catalogue, name: str) -> Function | None:
-    """Return a function as configured now, None if it is not configured."""
+    """Return the current configuration of a function, or None if it is not configured."""
     try:
         return catalogue.function(name)
     except UnknownNameError:
--- a/packages/daemon/src/walnutpost/daemon/other_journals.py
+++ b/packages/daemon/src/walnutpost/daemon/other_journals.py
@@ -1,4 +1,4 @@
-"""The front ends of other sites, which are asked for entries of journals."""
+"""The front ends of other sites, which can be asked for journal entries."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherJournals:
-    """Addresses of the other front ends by name, and how long each has to answer a message."""
+    """The addresses of the other front ends by name, and the timeout for each answer."""
 
     addresses: dict[str, Callable[[], tuple[str, int]]]
     timeout_us: int
--- a/packages/daemon/src/walnutpost/daemon/quorum_requirements.py
+++ b/packages/daemon/src/walnutpost/daemon/quorum_requirements.py
@@ -1,4 +1,4 @@
-"""What the class of a deferred call requires of its replication."""
+"""Replication that is required for deferred calls of each class."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuorumRequirement:
-    """How many replicas an entry needs, and whether any smaller number is accepted too."""
+    """The number of replicas that an entry needs, and whether a smaller number is accepted too."""
 
     replicas: int
     accepts_fewer: bool
@@ -18,21 +18,21 @@
 
 @dataclass(frozen=True, order=True, slots=True)
 class _Strictness:
-    """Order of requirements: one that refuses calls on a shortage is above all others."""
+    """Sort key of requirements: those that refuse calls on a shortage of replicas are the strictest."""
 
     refuses_on_shortage: bool
     replicas: int
 
 
 class QuorumRequirements:
-    """The requirements of all classes, in the order of the classes' indexes."""
+    """The requirements of all classes, ordered by class index."""
 
     def __init__(self, classes: list[ReplicationConfig]) -> None:
         self._requirements = [_requirement(section) for section in classes]
         self._strictest = _requirement(max(classes, key=_strictness))
 
     def of_function(self, function: Function | None) -> QuorumRequirement:
-        """Return what the function's class requires; the strictest class's if the function was removed."""
+        """Return the requirement of the function's class, the strictest one if the function was removed."""
         return self._requirements[function.class_index] if function is not None else self._strictest
 
 
--- a/packages/daemon/src/walnutpost/daemon/replica_selection.py
+++ b/packages/daemon/src/walnutpost/daemon/replica_selection.py
@@ -1,4 +1,4 @@
-"""Selection of the own journal's replicas, and their replacement while they are unreachable."""
+"""Selection of replicas for this front end's journal, and replacement of unreachable replicas."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from walnutpost.journal import ReplicaHost, choose_replicas
 from walnutpost.replication import ReplicationSender
 
-CHECK_INTERVAL_US = 500_000  # of the check whether a replica is unreachable for too long
-AVOID_FACTOR = 10  # times `replace_after_us`: how long a replica that was replaced is avoided
+CHECK_INTERVAL_US = 500_000  # between checks for replicas that have been unreachable too long
+AVOID_FACTOR = 10  # a replaced replica is avoided for this many times `replace_after_us`
 
 
 class ReplicaSelector:
-    """Chooses replicas among `hosts`, without those that were unreachable for `replace_after_us`."""
+    """Chooses replicas among `hosts`, and avoids hosts that were unreachable for `replace_after_us`."""
 
     def __init__(self, own: ReplicaHost, hosts: list[ReplicaHost], replace_after_us: int) -> None:
         self._own = own
@@ -21,12 +21,12 @@
         self._unreachable_since_us: dict[str, int] = {}
 
     def choose(self, now: int) -> tuple[str, ...]:
-        """Return the names of the replicas at a time of the loop's clock."""
+        """Return the names of the replicas to use at `now` (event loop time)."""
         hosts = [host for host in self._hosts if self._avoided_until_us.get(host.name, 0) <= now]
         return choose_replicas(self._own, hosts)
 
     def update_reachability(self, reachability: dict[str, bool], now: int) -> None:
-        """Take in which replicas are reachable; avoid one that has not been for too long."""
+        """Record which replicas are reachable, and avoid those that have been unreachable too long."""
         for name, is_reachable in reachability.items():
             since_us = self._unreachable_since_us.setdefault(name, now)
             if is_reachable:
@@ -37,7 +37,7 @@
 
 
 class ReplicaReplacement:
-    """Assigns other replicas to the sender when the selector's choice changes."""
+    """Assigns new replicas to the sender when the selector's choice changes."""
 
     def __init__(self, loop: Loop, selector: ReplicaSelector, sender: ReplicationSender, log: Logger) -> None:
         self._loop = loop
@@ -46,7 +46,7 @@
         self._log = log
 
     def run(self) -> None:
-        """Replace replicas that stay unreachable, and avoid them for a while; until cancelled."""
+        """Check the replicas every CHECK_INTERVAL_US, and replace unreachable ones, until cancelled."""
         replicas = self._selector.choose(self._loop.now())
         while True:
             self._loop.sleep(CHECK_INTERVAL_US)
--- a/packages/daemon/src/walnutpost/daemon/replication.py
+++ b/packages/daemon/src/walnutpost/daemon/replication.py
@@ -1,6 +1,6 @@
-"""Replication of deferred calls to other sites: the parts, as the rest of the front end uses them.
+"""The components that replicate deferred calls to other sites, grouped for use by the rest of the front end.
 
-No synchronous call passes through any of them.
+Synchronous calls use none of them.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallReplication:
-    """What records and purges of calls need: entries to commit, their quorums, calls of other origins."""
+    """What it takes to record and purge replicated calls: entries, quorums, and calls of other origins."""
 
     entries: EntryBuilder
     quorums: CallQuorums
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JournalReplication:
-    """The journal of one front end: replicates its own entries, and is a replica of others' journals."""
+    """The journal of a front end, which also serves as a replica for the journals of other front ends."""
 
     store: JournalStore
     server: ReplicaServer
@@ -36,10 +36,10 @@
 
     @property
     def address(self) -> str:
-        """Where this front end serves as a replica, as IP:PORT."""
+        """The address at which this front end serves as a replica, as IP:PORT."""
         return "{}:{}".format(*self.server.server.address)
 
     def close(self) -> None:
-        """Accept no more connections, and send nothing more."""
+        """Stop accepting connections from other front ends, and stop sending entries."""
         self.server.server.stop_accepting()
         self.sender.close()
--- a/packages/daemon/src/walnutpost/daemon/replication_parts.py
+++ b/packages/daemon/src/walnutpost/daemon/replication_parts.py
@@ -1,4 +1,4 @@
-"""Builds the replication of deferred calls out of the `journal` section."""
+"""Builds the replication of deferred calls from the `journal` section."""
 
 from __future__ import annotations
 
@@ -27,9 +27,10 @@
 def build_replication(
     environment: Environment, executions: ExecutionStore, classes: tuple[RequestClass, ...]
 ) -> JournalReplication | None:
-    """Return the journal's replication, after it has recovered what replicas have; None without a journal.
+    """Return the journal's replication, or None if no journal is configured.
 
-    It serves as a replica before it recovers, so that front ends that start together can ask each other.
+    Recovers lost entries from the replicas. The server for other front ends starts before that, so that front
+    ends that start at the same time can recover from each other.
     """
     config = environment.config
     section = config.journal
--- a/packages/daemon/src/walnutpost/daemon/result_purge.py
+++ b/packages/daemon/src/walnutpost/daemon/result_purge.py
@@ -1,4 +1,4 @@
-"""Purging of old results of deferred calls, here and in the replicas of the journal."""
+"""Purging of old results of deferred calls, in the local store and in the journal's replicas."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class ResultPurger:
-    """Deletes executions that ended longer ago than `keep_results_us`, here and at the replicas, if any."""
+    """Deletes executions that ended more than `keep_results_us` ago, locally and in any replicas."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         self._replication = replication
 
     def run(self) -> None:
-        """Purge now and then every PURGE_INTERVAL_US, until cancelled."""
+        """Purge immediately, then every PURGE_INTERVAL_US until cancelled."""
         while True:
             try:
                 self._purge()
@@ -40,6 +40,6 @@
         if self._replication is None:
             self._store.purge(before_us)
             return
-        append = self._replication.entries.append_purged(before_us)
+        append = self._replication.entries.build_purged(before_us)
         self._store.purge(before_us, append)
         self._replication.quorums.entries_persisted(append)
--- a/packages/daemon/src/walnutpost/daemon/schedule_progress.py
+++ b/packages/daemon/src/walnutpost/daemon/schedule_progress.py
@@ -1,4 +1,4 @@
-"""How far schedules have progressed, in a file beside the store: reveals a store that is an older copy."""
+"""A file beside the store with the progress of schedules; detects a store restored from an older copy."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class ScheduleProgressFile:
-    """A file with two numbers: the newest due time with an outcome in the store, and when that was written.
+    """A file with two numbers: the newest due time with an outcome in the store, and the time of the write.
 
-    Replaced atomically. A backup of both files, restored together, can't be detected.
+    The file is replaced atomically. If it and the store are restored from the same backup, this is not
+    detected.
     """
 
     def __init__(self, path: Path) -> None:
@@ -18,19 +19,20 @@
         self._newest_due = 0
         remove_leftovers(path)
 
-    def uncertain_until(self, newest_mark: int) -> int:
-        """Return until when firings may have been sent that the store does not know of.
+    def uncertain_until(self, newest_stored_due: int) -> int:
+        """Return the time until which firings that are missing from the store may have been sent.
 
-        `newest_mark` is the newest due time that the store knows; 0 if the store has all that this file has.
+        `newest_stored_due` is the newest due time in the store. Return 0 if the store is not older than this
+        file.
         """
         try:
             newest_due, written_at = (int(text) for text in self._path.read_text().split())
         except (OSError, ValueError):
             return 0
-        return written_at if newest_due > newest_mark else 0
+        return written_at if newest_due > newest_stored_due else 0
 
     def write(self, newest_due: int, now: int) -> None:
-        """Write a newer due time. Raises OSError; the next call tries again."""
+        """Write the newest due time if it has changed. Raises OSError; the next call tries again."""
         if newest_due == self._newest_due:
             return
         replace_file(self._path, f"{newest_due} {now}\n".encode())
--- a/packages/daemon/src/walnutpost/daemon/usage_collector.py
+++ b/packages/daemon/src/walnutpost/daemon/usage_collector.py
@@ -1,4 +1,4 @@
-"""Collection of usage: the workers' reports, and samples of the workers that have none."""
+"""Collection of usage: reports from workers, and samples for the workers that send no reports."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from walnutpost.metering import Ledger, UsageSampler
 from walnutpost.workerclient import WorkerClient
 
-MAX_CONCURRENT_READS = 16  # workers whose reports are read at the same time
-MAX_LOGGED_INCONSISTENCIES = 5  # of one report
+MAX_CONCURRENT_READS = 16  # workers whose reports are fetched at the same time
+MAX_LOGGED_INCONSISTENCIES = 5  # per report
 
 
 class UsageCollector:
-    """Adds the workers' reports and the samples to the ledger."""
+    """Adds the workers' usage reports and the samples to the ledger."""
 
     def __init__(
         self, loop: Loop, worker_client: WorkerClient, ledger: Ledger, sampler: UsageSampler, log: Logger
@@ -27,7 +27,7 @@
         self._workers_without_reports: set[str] = set()
 
     def collect(self) -> None:
-        """Read all reports once, then add the samples."""
+        """Fetch the reports of all workers once, then add the samples."""
         workers = list(self._worker_client.workers)
         with TaskGroup(self._loop) as group:
             for _ in range(min(MAX_CONCURRENT_READS, len(workers))):
@@ -35,7 +35,7 @@
         self._ledger.add_samples(self._sampler.collect(self._loop.now()))
 
     def _read_reports(self, workers: list[str]) -> None:
-        """Read reports of workers taken from a list that several tasks share."""
+        """Fetch reports until the list of workers, which several tasks share, is empty."""
         while workers:
             self._read_report(workers.pop())
 
@@ -44,7 +44,7 @@
         try:
             report = self._worker_client.fetch_usage(worker, cursor.started_us, cursor.change)
         except OSError:
-            return  # the ledger accounts for an unreachable worker
+            return  # the ledger accounts for the usage of unreachable workers
         except ValueError as error:
             self._log_inconsistencies(worker, [str(error)])
             return
@@ -57,13 +57,13 @@
         self._log_inconsistencies(worker, inconsistencies)
 
     def _log_missing_reports(self, worker: str) -> None:
-        """Log once that a worker's usage is estimated, as it has no reports."""
+        """Log once per worker that its usage is estimated because it sends no reports."""
         if worker not in self._workers_without_reports:
             self._workers_without_reports.add(worker)
             self._log.warning("usage_reports_missing", worker=worker)
 
     def _log_inconsistencies(self, worker: str, inconsistencies: list[str]) -> None:
-        """Log once, not at every collection; the figures in the texts may change."""
+        """Log inconsistencies that differ from the last report's in more than the numbers in their texts."""
         kinds = [re.sub(r"\d+", "", text) for text in inconsistencies]
         if inconsistencies and kinds != self._logged_inconsistencies.get(worker):
             self._log.warning(
