--- a/packages/daemon/src/walnutpost/daemon/call_acceptance.py
+++ b/packages/daemon/src/walnutpost/daemon/call_acceptance.py
@@ -118,7 +118,7 @@
     def _withdraw_rejected(
         self, call: OpenCall, rejection: Rejected | NotStored, request_id: str
     ) -> DeferOutcome:
-        """Remove a stored call that was rejected, before its client is told so."""
+        """Remove a stored call that was rejected, before its client gets the rejection."""
         try:
             self._records.withdraw(call)
         except StoreError as error:
--- a/packages/daemon/src/walnutpost/daemon/call_quorums.py
+++ b/packages/daemon/src/walnutpost/daemon/call_quorums.py
@@ -49,7 +49,7 @@
         The wait is limited by `quorum_timeout_us` and by `time_left_us`: by the shorter of them or, with
         `until_deadline`, by the longer. If the class accepts fewer replicas, any number counts as a quorum.
         """
-        self.entries_persisted(append)
+        self.start_replication(append)
         required = self._requirements.of_function(function)
         timeout_us = min(max(time_left_us, 0), self._quorum_timeout_us)
         if until_deadline:
@@ -61,7 +61,7 @@
             return QuorumReached(result.token, result.replicas)
         return result
 
-    def entries_persisted(self, append: EntryAppend) -> None:
+    def start_replication(self, append: EntryAppend) -> None:
         """Start the replication of a committed entry."""
         self._store.mark_durable(append)
         self._sender.entries_persisted(append.entry.seq, append.entry.size_bytes)
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -24,7 +24,7 @@
 @dataclass(frozen=True, slots=True)
 class _ConfiguredList:
     kind: ListKind
-    lines: list[WorkerConfig]
+    workers: list[WorkerConfig]
 
 
 class EndpointLists:
@@ -67,16 +67,16 @@
         if self._configured is None and self._dynamic is None:
             return
         configured = self._configured or _ConfiguredList(ListKind.CACHED, [])
-        lines = configured.lines
+        workers = configured.workers
         if self._dynamic is not None:
-            lines = _merge_dynamic(lines, self._dynamic, self._site)
-        endpoints = build_endpoint_list(self._site, lines)
+            workers = _merge_dynamic(workers, self._dynamic, self._site)
+        endpoints = build_endpoint_list(self._site, workers)
         version = max(self._configured_version, self._published_version + 1)
         self._published_version = version
-        tls_names = {line.name: line.tls_name for line in lines if line.tls_name is not None}
+        tls_names = {worker.name: worker.tls_name for worker in workers if worker.tls_name is not None}
         self._worker_client.update_workers(endpoints.addresses, endpoints.draining, tls_names)
         if self._on_published is not None:
-            self._on_published(version, lines)
+            self._on_published(version, workers)
         self._dispatcher.feed(WorkersListed(configured.kind, version, endpoints.workers))
 
     def read_file(self, path: Path, kind: ListKind = ListKind.FULL) -> bool:
@@ -116,18 +116,22 @@
             self.read_file(path)
 
 
-def _merge_dynamic(lines: list[WorkerConfig], follower: EndpointFollower, site: Site) -> list[WorkerConfig]:
-    configured = {line.name: line for line in lines}
+def _merge_dynamic(workers: list[WorkerConfig], follower: EndpointFollower, site: Site) -> list[WorkerConfig]:
+    configured = {worker.name: worker for worker in workers}
     configured_endpoints = [
         ListedEndpoint(
-            line.name, line.address, line.zone, round(line.started_at * US_PER_S), line.state == "draining"
+            worker.name,
+            worker.address,
+            worker.zone,
+            round(worker.started_at * US_PER_S),
+            worker.state == "draining",
         )
-        for line in lines
+        for worker in workers
     ]
     merged = []
     for endpoint in follower.merge(configured_endpoints):
         zone = endpoint.zone if endpoint.zone in site.zones else None
-        line = configured.get(endpoint.name) or WorkerConfig(
+        worker = configured.get(endpoint.name) or WorkerConfig(
             name=endpoint.name, address=endpoint.address, zone=zone
         )
         state = "draining" if endpoint.is_draining else "ready"
@@ -136,5 +140,5 @@
             "state": state,
             "started_at": endpoint.started_at_us / US_PER_S,
         }
-        merged.append(line.model_copy(update=changed))
+        merged.append(worker.model_copy(update=changed))
     return merged
--- a/packages/daemon/src/walnutpost/daemon/execution_records.py
+++ b/packages/daemon/src/walnutpost/daemon/execution_records.py
@@ -87,7 +87,7 @@
             call.replication = self._replication.quorums.wait_for_quorum(append, call.function, time_left_us)
 
     def is_intent_recorded(self, call: OpenCall) -> bool:
-        """Whether an attempt needs no new record; with a journal each attempt needs its own entry."""
+        """Return whether an attempt needs no new record; with a journal each attempt needs its own entry."""
         return call.execution.intended and self._replication is None
 
     def record_intent(self, call: OpenCall, attempt: Send) -> EntryAppend | None:
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Certificates:
-    """A TLS context, and the validity of the front end's own certificate, which is 0 to 0 without one."""
+    """A TLS context, and the validity of the front end's own certificate (zeros without one)."""
 
     context: ssl.SSLContext
     valid_from_us: int
--- a/packages/daemon/src/walnutpost/daemon/open_calls.py
+++ b/packages/daemon/src/walnutpost/daemon/open_calls.py
@@ -37,12 +37,10 @@
     def __init__(self, loop: Loop, execution: Execution, function: Function | None) -> None:
         self.execution = execution
         self.function = function
-        self.accepted_as = (
-            execution  # shown to clients while a site failure could still lose the final status
-        )
+        self.accepted_as = execution  # what clients see until the final status can't be lost with the site
         self.replication: QuorumReached | QuorumFailed | None = None  # None without a journal
         self.caller_id = 0
-        self.acceptance_done = Event(loop)  # set once the call is durable, or its storage has failed
+        self.acceptance_done = Event(loop)  # set once the outcome of the acceptance is known
         self.rejection: Rejected | NotStored | None = None
 
     @property
--- a/packages/daemon/src/walnutpost/daemon/quorum_requirements.py
+++ b/packages/daemon/src/walnutpost/daemon/quorum_requirements.py
@@ -32,7 +32,7 @@
         self._strictest = _requirement(max(classes, key=_strictness))
 
     def of_function(self, function: Function | None) -> QuorumRequirement:
-        """Return the requirement of the function's class, the strictest one if the function was removed."""
+        """Return the requirement of a function's class, or the strictest one for a removed function."""
         return self._requirements[function.class_index] if function is not None else self._strictest
 
 
--- a/packages/daemon/src/walnutpost/daemon/result_purge.py
+++ b/packages/daemon/src/walnutpost/daemon/result_purge.py
@@ -42,4 +42,4 @@
             return
         append = self._replication.entries.build_purged(before_us)
         self._store.purge(before_us, append)
-        self._replication.quorums.entries_persisted(append)
+        self._replication.quorums.start_replication(append)
