--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -159,7 +159,7 @@
 
 
 def _build_catalogue(config: Config, dynamic_functions: DynamicFunctions | None) -> Catalogue:
-    """Build the catalogue of the configured functions or, if there are any, of the dynamic functions."""
+    """Build the catalogue of the configured functions or, if relays are configured, of the dynamic ones."""
     catalogue = build_catalogue(config.site)
     if dynamic_functions is None:
         return catalogue
