--- a/packages/daemon/src/walnutpost/daemon/call_counter.py
+++ b/packages/daemon/src/walnutpost/daemon/call_counter.py
@@ -6,7 +6,7 @@
 
 from walnutpost.eventloop import Loop
 from walnutpost.fleet import CallCounts
-from walnutpost.gateway import CallArrived, Final, Function, Rejected, Served
+from walnutpost.gateway import CallArrived, FinalAnswer, Function, Rejected, Served
 from walnutpost.interface import RequestClass
 
 
@@ -24,13 +24,13 @@
         self._classes = classes
         self.counts = CallCounts()
 
-    def on_submitted(self, call: CallArrived) -> Callable[[Final], None]:
+    def on_submitted(self, call: CallArrived) -> Callable[[FinalAnswer], None]:
         """Compute when a call should be answered; return a function that counts its final answer."""
         function = call.definition or self._functions.get(call.function)
         objective_us = self._classes[function.class_index].latency_objective_us if function is not None else 0
         objective_at_us = self._loop.now() + objective_us
 
-        def count(final: Final) -> None:
+        def count(final: FinalAnswer) -> None:
             is_served, is_rejected = isinstance(final, Served), isinstance(final, Rejected)
             is_failed = not is_served and not is_rejected
             is_in_time = is_served and self._loop.now() <= objective_at_us
--- a/packages/daemon/src/walnutpost/daemon/call_dispatch.py
+++ b/packages/daemon/src/walnutpost/daemon/call_dispatch.py
@@ -5,7 +5,7 @@
 from walnutpost.daemon.call_results import CallResults
 from walnutpost.daemon.open_calls import OpenCall, OpenCalls
 from walnutpost.dispatch import Dispatcher
-from walnutpost.gateway import CallArrived, CallStopped, Final, Rejected
+from walnutpost.gateway import CallArrived, CallStopped, FinalAnswer, Rejected
 
 
 class CallDispatch:
@@ -27,7 +27,7 @@
         self._open_calls.set_caller(call, self._dispatcher.new_caller_id())
         is_dispatching = True
 
-        def on_final(final: Final) -> None:
+        def on_final(final: FinalAnswer) -> None:
             self._open_calls.clear_caller(call)
             self.log_final(call, final, request_id)
             if is_dispatching and isinstance(final, Rejected):
@@ -53,7 +53,7 @@
         """Stop a dispatched call; its final answer arrives as for any other call."""
         self._dispatcher.feed(CallStopped(call.caller_id))
 
-    def log_final(self, call: OpenCall, final: Final, request_id: str) -> None:
+    def log_final(self, call: OpenCall, final: FinalAnswer, request_id: str) -> None:
         """Log a call's final answer unless it was served."""
         self._dispatcher.log_answer(final, request_id, call.execution.function, call.execution.tenant)
 
--- a/packages/daemon/src/walnutpost/daemon/call_results.py
+++ b/packages/daemon/src/walnutpost/daemon/call_results.py
@@ -7,7 +7,7 @@
 from walnutpost.daemon.execution_records import ExecutionRecords
 from walnutpost.daemon.open_calls import OpenCall, OpenCalls
 from walnutpost.eventloop import Loop
-from walnutpost.gateway import Execution, Final, with_final_status
+from walnutpost.gateway import Execution, FinalAnswer, with_final_status
 from walnutpost.store import Change
 
 
@@ -34,7 +34,7 @@
         """Call `on_ended` with every execution whose result has become durable."""
         self._listeners.append(on_ended)
 
-    def finish(self, call: OpenCall, final: Final) -> None:
+    def finish(self, call: OpenCall, final: FinalAnswer) -> None:
         """Set a call's final status, and record it in a separate task."""
         call.execution = with_final_status(call.execution, final, self._loop.now())
         self._loop.spawn(self._record_result, call, name="record result")
--- a/packages/daemon/src/walnutpost/daemon/composition.py
+++ b/packages/daemon/src/walnutpost/daemon/composition.py
@@ -47,7 +47,7 @@
 from walnutpost.fronts.invoke import ArnFormat, InvokeFront, build_bad_message_response
 from walnutpost.gateway import Catalogue, Gateway
 from walnutpost.http import Limits, Server
-from walnutpost.http.server import serve_on
+from walnutpost.http.server import start_server
 from walnutpost.interface import ListKind
 from walnutpost.store import ExecutionStore, FiringStore
 from walnutpost.workerclient import WorkerClient, WorkerClientSettings
@@ -112,7 +112,7 @@
     config_watch = watch_config(environment, dynamic_functions, incarnation)
 
     cron = _build_cron(environment, deferred, firings)
-    results.add_listener(cron.handle_ended)
+    results.add_listener(cron.handle_execution_ended)
     recovered_calls = _recover_calls(
         DeferredRecovery(loop, catalogue, open_calls, records, dispatch, results),
         lambda: config_watch is None or config_watch.is_up_to_date,
@@ -260,7 +260,7 @@
 
 def _listen(environment: Environment, invoke: InvokeFront) -> Server:
     front = environment.config.front
-    return serve_on(
+    return start_server(
         environment.loop,
         parse_address(front.listen),
         invoke.handle,
--- a/packages/daemon/src/walnutpost/daemon/config_cache.py
+++ b/packages/daemon/src/walnutpost/daemon/config_cache.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 from walnutpost.configstore import ConfigStore, InvalidSnapshotError, WatchState
-from walnutpost.eventloop import Logger, Loop, Task, remove_leftovers, replace_file
+from walnutpost.eventloop import Logger, Loop, Task, remove_temporary_files, replace_file
 
 US_PER_S = 1_000_000
 WRITE_INTERVAL_US = 30 * US_PER_S  # between writes: 38,000 functions take 80 ms of a core
@@ -33,7 +33,7 @@
         An invalid file is logged.
         """
         now = self._loop.now()
-        remove_leftovers(self._path)
+        remove_temporary_files(self._path)
         try:
             state = WatchState.restore(self._path.read_bytes(), member, incarnation, now)
         except FileNotFoundError:
--- a/packages/daemon/src/walnutpost/daemon/endpoint_cache.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_cache.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from walnutpost.eventloop import Logger, Loop, remove_leftovers, replace_file
+from walnutpost.eventloop import Logger, Loop, remove_temporary_files, replace_file
 from walnutpost.fleet import EndpointSnapshot
 
 
@@ -18,7 +18,7 @@
         self._path = path
         self._log = log
         self._unwritten: bytes | None = None  # a list that is newer than the file, if any
-        remove_leftovers(path)
+        remove_temporary_files(path)
 
     def load(self) -> EndpointSnapshot | None:
         """Return the list in the file, or None if the file is missing or invalid; log an invalid file."""
--- a/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
+++ b/packages/daemon/src/walnutpost/daemon/endpoint_lists.py
@@ -52,10 +52,10 @@
         self._last_error = ""
         self._read_file_state: tuple[int, int, int] | None = None
 
-    def set_configured(self, kind: ListKind, version: int, lines: list[WorkerConfig]) -> None:
+    def set_configured(self, kind: ListKind, version: int, workers: list[WorkerConfig]) -> None:
         """Publish a list from the configuration or from the file of workers."""
         self._configured_version = version
-        self._configured = _ConfiguredList(kind, lines)
+        self._configured = _ConfiguredList(kind, workers)
         self._publish()
 
     def set_dynamic(self, follower: EndpointFollower) -> None:
--- a/packages/daemon/src/walnutpost/daemon/keys.py
+++ b/packages/daemon/src/walnutpost/daemon/keys.py
@@ -70,7 +70,7 @@
             self._log.error("certificate_rejected", error=str(error))
             return
         self._tracker.record_reload(certificates.valid_from_us, certificates.valid_until_us)
-        worker_client.replace_context(certificates.context)
+        worker_client.replace_tls_context(certificates.context)
         self._log.info("certificate_reloaded", roots=self._section.roots, chain=self._section.chain)
 
     def _read(self) -> _Certificates:
@@ -80,9 +80,11 @@
             files = CertificateFiles(self._base / section.chain, self._base / section.key)
         roots = self._base / section.roots
         tls = tls_contexts.make_client_context(roots, files, section.minimum_version, self._wall_clock())
-        if tls.own is None:
+        if tls.client_certificate is None:
             return _Certificates(tls.context, 0, 0)
-        return _Certificates(tls.context, tls.own.valid_from_us, tls.own.valid_until_us)
+        return _Certificates(
+            tls.context, tls.client_certificate.valid_from_us, tls.client_certificate.valid_until_us
+        )
 
     def _read_file_states(self) -> list[FileState]:
         """Return the state of each file, which changes when the file is replaced."""
--- a/packages/daemon/src/walnutpost/daemon/schedule_progress.py
+++ b/packages/daemon/src/walnutpost/daemon/schedule_progress.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from walnutpost.eventloop import remove_leftovers, replace_file
+from walnutpost.eventloop import remove_temporary_files, replace_file
 
 
 class ScheduleProgressFile:
@@ -17,7 +17,7 @@
     def __init__(self, path: Path) -> None:
         self._path = path
         self._newest_due = 0
-        remove_leftovers(path)
+        remove_temporary_files(path)
 
     def uncertain_until(self, newest_stored_due: int) -> int:
         """Return the time until which firings that are missing from the store may have been sent.
--- a/packages/faultinjection/tests/test_audit.py
+++ b/packages/faultinjection/tests/test_audit.py
@@ -87,10 +87,10 @@
 
 
 def forget_drains(fleet: Fleet) -> None:
-    def forgetting(kind: Any, version: int, lines: Any) -> None:
+    def forgetting(kind: Any, version: int, workers: Any) -> None:
         traffic_observer = fleet.front.endpoint_lists._on_published
         assert traffic_observer is not None
-        traffic_observer(version, lines)
+        traffic_observer(version, workers)
 
     fleet.front.endpoint_lists.set_configured = forgetting  # type: ignore[method-assign]
 
